--- a/crates/duty/src/keeper.rs
+++ b/crates/duty/src/keeper.rs
@@ -38,7 +38,10 @@
 
 impl Rules {
     /// As they have to be.
-    pub const SOUND: Rules = Rules { bound: lease::BOUND, from_sending: true };
+    pub const SOUND: Rules = Rules {
+        bound: lease::BOUND,
+        from_sending: true,
+    };
 }
 
 /// Why a duty has changed hands, as this ingress knows it.
@@ -118,7 +121,15 @@
         });
         let mine = mine.collect();
         let (rules, sent, changes) = (Rules::SOUND, BTreeMap::new(), Vec::new());
-        Keeper { who, rules, mine, sent, number: 0, leaving: false, changes }
+        Keeper {
+            who,
+            rules,
+            mine,
+            sent,
+            number: 0,
+            leaving: false,
+            changes,
+        }
     }
 
     /// The same by other rules, for tests.
@@ -140,7 +151,9 @@
     /// What is agreed, as far as it is known here now.
     pub fn see(&mut self, now: f64, table: &Table) {
         for (name, mine) in &mut self.mine {
-            let Some(held) = table.held(name) else { continue };
+            let Some(held) = table.held(name) else {
+                continue;
+            };
             if held.changed == mine.seen.0 {
                 continue;
             }
@@ -149,7 +162,9 @@
             match (ours, mine.lease) {
                 (true, lease) => {
                     // Without the time at which it was sent there is nothing to count from: it lapses.
-                    let Some(sent) = self.sent.get(&held.number) else { continue };
+                    let Some(sent) = self.sent.get(&held.number) else {
+                        continue;
+                    };
                     // What it is about to give back, or has no more use for, it does not begin again.
                     if mine.gives == Some(held.token) || self.leaving {
                         mine.gives = Some(held.token);
@@ -157,7 +172,9 @@
                     }
                     let from = if self.rules.from_sending { *sent } else { now };
                     let ends = lease::ends(from, f64::from(held.lease_ms));
-                    let before = lease.filter(|(token, _)| *token == held.token).map_or(f64::MIN, |(_, e)| e);
+                    let before = lease
+                        .filter(|(token, _)| *token == held.token)
+                        .map_or(f64::MIN, |(_, e)| e);
                     mine.lease = Some((held.token, ends.max(before)));
                     mine.asked = None;
                     if lease.is_none_or(|(token, _)| token != held.token) {
@@ -168,8 +185,16 @@
                 }
                 (false, Some(_)) => {
                     (mine.lease, mine.asked) = (None, None);
-                    let cause = if held.holder.is_some() { Cause::Taken } else { Cause::Leaving };
-                    self.changes.push(Change { duty: name.clone(), token: None, cause });
+                    let cause = if held.holder.is_some() {
+                        Cause::Taken
+                    } else {
+                        Cause::Leaving
+                    };
+                    self.changes.push(Change {
+                        duty: name.clone(),
+                        token: None,
+                        cause,
+                    });
                 }
                 (false, None) => mine.asked = None,
             }
@@ -178,15 +203,24 @@
 
     /// It cannot do the work of this duty now: it gives it back, and leaves it alone for a while.
     pub fn unable(&mut self, now: f64, duty: &str) {
-        let Some(mine) = self.mine.get_mut(duty) else { return };
-        let Some((token, _)) = mine.lease.take() else { return };
+        let Some(mine) = self.mine.get_mut(duty) else {
+            return;
+        };
+        let Some((token, _)) = mine.lease.take() else {
+            return;
+        };
         if now - mine.began > SETTLED_MS {
             mine.failures = 0;
         }
         let pause = BACK_OFF_MS.0 * f64::from(1u32 << mine.failures.min(6));
         mine.failures += 1;
-        (mine.not_before, mine.gives, mine.asked) = (now + pause.min(BACK_OFF_MS.1), Some(token), None);
-        self.changes.push(Change { duty: duty.into(), token: None, cause: Cause::Unable });
+        (mine.not_before, mine.gives, mine.asked) =
+            (now + pause.min(BACK_OFF_MS.1), Some(token), None);
+        self.changes.push(Change {
+            duty: duty.into(),
+            token: None,
+            cause: Cause::Unable,
+        });
     }
 
     /// The ingress is told to stop: all that it holds goes back at once, and nothing more is taken.
@@ -195,7 +229,11 @@
         for (name, mine) in &mut self.mine {
             if let Some((token, _)) = mine.lease.take() {
                 mine.gives = Some(token);
-                self.changes.push(Change { duty: name.clone(), token: None, cause: Cause::Leaving });
+                self.changes.push(Change {
+                    duty: name.clone(),
+                    token: None,
+                    cause: Cause::Leaving,
+                });
             }
         }
     }
@@ -214,16 +252,24 @@
             if mine.lease.is_some_and(|(_, ends)| now >= ends) {
                 // By its own clock alone: whoever is cut off, or was stopped, hears of nothing.
                 (mine.lease, mine.asked) = (None, None);
-                self.changes.push(Change { duty: name.clone(), token: None, cause: Cause::Expired });
+                self.changes.push(Change {
+                    duty: name.clone(),
+                    token: None,
+                    cause: Cause::Expired,
+                });
             }
             let held = table.held(name);
             if let Some(token) = mine.gives {
-                let still = held.is_some_and(|h| h.token == token && h.holder.as_ref() == Some(&self.who));
+                let still =
+                    held.is_some_and(|h| h.token == token && h.holder.as_ref() == Some(&self.who));
                 if !still {
                     mine.gives = None;
                 } else if mine.asked.is_none_or(|(_, at)| now - at >= AGAIN_MS) {
                     mine.asked = Some((number, now));
-                    wishes.push(Wish::Give { duty: name.clone(), token });
+                    wishes.push(Wish::Give {
+                        duty: name.clone(),
+                        token,
+                    });
                 }
                 continue;
             }
@@ -243,7 +289,11 @@
             let wait = wait + f64::from(mine.duty.place) * STEP_MS;
             if now >= mine.seen.1 + wait && now >= mine.not_before {
                 mine.asked = Some((number, now));
-                mine.cause = if holder.is_some() { Cause::Lapsed } else { Cause::Free };
+                mine.cause = if holder.is_some() {
+                    Cause::Lapsed
+                } else {
+                    Cause::Free
+                };
                 wishes.push(Wish::Take {
                     duty: name.clone(),
                     who: self.who.clone(),
@@ -254,13 +304,21 @@
             }
         }
         if !renews.is_empty() {
-            wishes.push(Wish::Renew { who: self.who.clone(), duties: renews, number });
+            wishes.push(Wish::Renew {
+                who: self.who.clone(),
+                duties: renews,
+                number,
+            });
         }
         if !wishes.is_empty() {
             self.number = number;
             self.sent.insert(number, now);
             // An answer that comes later than any lease is of no use.
-            let longest = self.mine.values().map(|m| f64::from(m.duty.lease_ms)).fold(0.0, f64::max);
+            let longest = self
+                .mine
+                .values()
+                .map(|m| f64::from(m.duty.lease_ms))
+                .fold(0.0, f64::max);
             self.sent.retain(|_, at| now - *at <= longest);
         }
         wishes
--- a/crates/duty/src/table.rs
+++ b/crates/duty/src/table.rs
@@ -122,7 +122,13 @@
     /// Carries out a wish at its place in the log.
     pub fn apply(&mut self, index: u64, wish: &Wish) -> Outcome {
         match wish {
-            Wish::Take { duty, who, seen, lease_ms, number } => {
+            Wish::Take {
+                duty,
+                who,
+                seen,
+                lease_ms,
+                number,
+            } => {
                 let named = |name: &str| !name.is_empty() && name.len() <= MOST_NAME;
                 let new = !self.duties.contains_key(duty);
                 if !named(duty)
@@ -148,10 +154,16 @@
                 };
                 Outcome::Granted(self.token)
             }
-            Wish::Renew { who, duties, number } => {
+            Wish::Renew {
+                who,
+                duties,
+                number,
+            } => {
                 let mut renewed = 0;
                 for (duty, token) in duties {
-                    let Some(held) = self.duties.get_mut(duty) else { continue };
+                    let Some(held) = self.duties.get_mut(duty) else {
+                        continue;
+                    };
                     let ours = held.holder.as_ref() == Some(who) && held.token == *token;
                     // One that came round late says nothing newer than what is known.
                     if ours && *number > held.number {
--- a/crates/duty/tests/model.rs
+++ b/crates/duty/tests/model.rs
@@ -83,14 +83,35 @@
 
     fn init_states(&self) -> Vec<World> {
         let node = |i: usize| {
-            let who = Holder { name: format!("m{i}"), life: i as u64 };
-            let duty = Duty { name: DUTY.into(), lease_ms: LEASE, place: 0 };
+            let who = Holder {
+                name: format!("m{i}"),
+                life: i as u64,
+            };
+            let duty = Duty {
+                name: DUTY.into(),
+                lease_ms: LEASE,
+                place: 0,
+            };
             let keeper = Keeper::new(who, [duty], 0.0).by(self.rules);
-            Node { keeper, knows: Table::default(), up: true, armed: None, passed: false }
+            Node {
+                keeper,
+                knows: Table::default(),
+                up: true,
+                armed: None,
+                passed: false,
+            }
         };
         let nodes = (0..self.rates.len()).map(node).collect();
         let (net, acts, taken) = Default::default();
-        vec![World { tick: 0, nodes, table: Table::default(), index: 0, net, acts, taken }]
+        vec![World {
+            tick: 0,
+            nodes,
+            table: Table::default(),
+            index: 0,
+            net,
+            acts,
+            taken,
+        }]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
@@ -131,7 +152,9 @@
                 node.passed = true;
                 let wishes = node.keeper.pass(now, &node.knows);
                 node.keeper.changes();
-                world.net.extend(wishes.into_iter().map(|wish| (wish, self.doubles)));
+                world
+                    .net
+                    .extend(wishes.into_iter().map(|wish| (wish, self.doubles)));
             }
             Step::Agree(at) => {
                 world.index += 1;
@@ -166,7 +189,11 @@
                     world.taken.push(token);
                     // Of those before it only the highest is of interest.
                     let highest = world.taken.iter().copied().max().unwrap_or(0);
-                    world.taken = if token < highest { vec![highest, token] } else { vec![token] };
+                    world.taken = if token < highest {
+                        vec![highest, token]
+                    } else {
+                        vec![token]
+                    };
                 }
             }
             Step::Die(i) => {
@@ -189,9 +216,10 @@
                     (0..world.nodes.len()).filter(may).count() <= 1
                 },
             ),
-            Property::always("acts are taken in the order of their tokens", |_, world: &World| {
-                world.taken.is_sorted()
-            }),
+            Property::always(
+                "acts are taken in the order of their tokens",
+                |_, world: &World| world.taken.is_sorted(),
+            ),
             Property::sometimes("another one acts after the first", |_, world: &World| {
                 world.taken.last().is_some_and(|token| *token >= 2)
             }),
@@ -205,12 +233,27 @@
 
 /// What is found wrong with a group by these rules, and how many states were looked at.
 fn checked(group: Group) -> (Vec<&'static str>, usize) {
-    let checker = group.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    (checker.discoveries().into_keys().collect(), checker.unique_state_count())
+    let checker = group
+        .checker()
+        .threads(4)
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
+    (
+        checker.discoveries().into_keys().collect(),
+        checker.unique_state_count(),
+    )
 }
 
 fn two(rules: Rules, fence: bool, rates: [f64; 2]) -> Group {
-    Group { rates: rates.into(), ticks: 3, rules, fence, deaths: false, doubles: 1 }
+    Group {
+        rates: rates.into(),
+        ticks: 3,
+        rules,
+        fence,
+        deaths: false,
+        doubles: 1,
+    }
 }
 
 /// That another one comes to act is no fault: it shows that the model goes so far.
@@ -236,25 +279,61 @@
 fn faults_that_are_built_in_are_found() {
     let slow_then_fast = EXTREMES[0];
     let found = |rules, fence| checked(two(rules, fence, slow_then_fast)).0;
-    let both = found(Rules { from_sending: false, ..Rules::SOUND }, true);
-    assert!(both.iter().any(|f| f.starts_with("two never")), "counted from the reply: {both:?}");
-    let both = found(Rules { bound: 0.0, ..Rules::SOUND }, true);
-    assert!(both.iter().any(|f| f.starts_with("two never")), "no wait for the clock bound: {both:?}");
+    let both = found(
+        Rules {
+            from_sending: false,
+            ..Rules::SOUND
+        },
+        true,
+    );
+    assert!(
+        both.iter().any(|f| f.starts_with("two never")),
+        "counted from the reply: {both:?}"
+    );
+    let both = found(
+        Rules {
+            bound: 0.0,
+            ..Rules::SOUND
+        },
+        true,
+    );
+    assert!(
+        both.iter().any(|f| f.starts_with("two never")),
+        "no wait for the clock bound: {both:?}"
+    );
     let order = found(Rules::SOUND, false);
-    assert!(order.iter().any(|f| f.starts_with("acts are")), "no fence: {order:?}");
+    assert!(
+        order.iter().any(|f| f.starts_with("acts are")),
+        "no fence: {order:?}"
+    );
 }
 
 #[test]
 fn the_table_itself_judges_acts_by_their_token() {
     let mut table = Table::default();
-    let who = |life| Holder { name: "m".into(), life };
-    let take = |life, seen| Wish::Take { duty: DUTY.into(), who: who(life), seen, lease_ms: 5, number: 1 };
+    let who = |life| Holder {
+        name: "m".into(),
+        life,
+    };
+    let take = |life, seen| Wish::Take {
+        duty: DUTY.into(),
+        who: who(life),
+        seen,
+        lease_ms: 5,
+        number: 1,
+    };
     assert_eq!(table.apply(7, &take(1, 0)), Outcome::Granted(1));
     assert_eq!(table.apply(8, &take(2, 0)), Outcome::Changed);
     assert_eq!(table.judge(DUTY, 1), Act::Accepted);
     assert_eq!(table.apply(9, &take(2, 7)), Outcome::Granted(2));
-    assert_eq!((table.judge(DUTY, 1), table.judge(DUTY, 2)), (Act::Stale, Act::Accepted));
-    let give = |token| Wish::Give { duty: DUTY.into(), token };
+    assert_eq!(
+        (table.judge(DUTY, 1), table.judge(DUTY, 2)),
+        (Act::Stale, Act::Accepted)
+    );
+    let give = |token| Wish::Give {
+        duty: DUTY.into(),
+        token,
+    };
     assert_eq!(table.apply(10, &give(1)), Outcome::Changed);
     assert_eq!(table.apply(11, &give(2)), Outcome::Given);
     assert_eq!(table.held(DUTY).unwrap().holder, None);
@@ -275,7 +354,14 @@
         (vec![slow, fast], 4, 1, true),
     ] {
         let name = format!("{rates:?}, {ticks} steps, {doubles} times each, deaths: {deaths}");
-        let group = Group { rates, ticks, rules: Rules::SOUND, fence: true, deaths, doubles };
+        let group = Group {
+            rates,
+            ticks,
+            rules: Rules::SOUND,
+            fence: true,
+            deaths,
+            doubles,
+        };
         let (found, states) = checked(group);
         println!("{name}: {states} states");
         assert_eq!(found, HELD, "{name}");
--- a/crates/expr/benches/select.rs
+++ b/crates/expr/benches/select.rs
@@ -3,7 +3,8 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_expr::{
-    Chosen, Compiled, Expression, FieldId, Input, Interner, Schema, Scratch, SelectKey, Selector, Type, Value,
+    Chosen, Compiled, Expression, FieldId, Input, Interner, Schema, Scratch, SelectKey, Selector,
+    Type, Value,
 };
 use std::hint::black_box;
 
@@ -26,12 +27,10 @@
 }
 
 fn schema() -> Schema {
-    Schema::new().field("request.method", Type::Text, 32, 0).field("request.path", Type::Text, 2048, 0).field(
-        "request.host",
-        Type::Text,
-        256,
-        0,
-    )
+    Schema::new()
+        .field("request.method", Type::Text, 32, 0)
+        .field("request.path", Type::Text, 2048, 0)
+        .field("request.host", Type::Text, 256, 0)
 }
 
 /// Tests with the index over them.
@@ -50,13 +49,23 @@
             keys.push(expression.select_key(&mut interner));
             compiled.push(expression.compile(&mut interner));
         }
-        Tests { compiled, selector: Selector::new(keys.iter()) }
+        Tests {
+            compiled,
+            selector: Selector::new(keys.iter()),
+        }
     }
 
     /// The first test that is true.
-    fn first(&self, request: &Request, chosen: &mut Chosen, scratch: &mut Scratch) -> Option<usize> {
+    fn first(
+        &self,
+        request: &Request,
+        chosen: &mut Chosen,
+        scratch: &mut Scratch,
+    ) -> Option<usize> {
         self.selector.choose(request, chosen);
-        let found = chosen.iter().find(|number| self.compiled[*number].test(request, scratch) == Ok(true));
+        let found = chosen
+            .iter()
+            .find(|number| self.compiled[*number].test(request, scratch) == Ok(true));
         found
     }
 }
@@ -67,7 +76,11 @@
 }
 
 fn by_path(number: usize) -> String {
-    format!("request.path == '/radio-{}/route-{}/live'", number / 100, number % 100)
+    format!(
+        "request.path == '/radio-{}/route-{}/live'",
+        number / 100,
+        number % 100
+    )
 }
 
 /// 10 tests a host.
@@ -79,7 +92,10 @@
 /// A prefix of each length up to 100, so that a look-up has as many lengths to try.
 fn of_all_lengths(number: usize) -> String {
     let filler = "x".repeat(number % 100);
-    format!("request.path.startsWith('/{filler}-{}') && request.method == 'GET'", number / 100)
+    format!(
+        "request.path.startsWith('/{filler}-{}') && request.method == 'GET'",
+        number / 100
+    )
 }
 
 type Workload = (&'static str, fn(usize) -> String, fn(usize) -> Request);
@@ -89,11 +105,29 @@
 }
 
 const WORKLOADS: [Workload; 4] = [
-    ("prefix", by_prefix, |n| request(format!("/radio-{}/route-{}/live", n / 100, n % 100), String::new())),
-    ("path", by_path, |n| request(format!("/radio-{}/route-{}/live", n / 100, n % 100), String::new())),
-    ("host", by_host, |n| request(format!("/x/{}/live", n % 10), format!("svc-{}.example", n / 10))),
+    ("prefix", by_prefix, |n| {
+        request(
+            format!("/radio-{}/route-{}/live", n / 100, n % 100),
+            String::new(),
+        )
+    }),
+    ("path", by_path, |n| {
+        request(
+            format!("/radio-{}/route-{}/live", n / 100, n % 100),
+            String::new(),
+        )
+    }),
+    ("host", by_host, |n| {
+        request(
+            format!("/x/{}/live", n % 10),
+            format!("svc-{}.example", n / 10),
+        )
+    }),
     ("all-lengths", of_all_lengths, |n| {
-        request(format!("/{}-{}/live", "x".repeat(n % 100), n / 100), String::new())
+        request(
+            format!("/{}-{}/live", "x".repeat(n % 100), n / 100),
+            String::new(),
+        )
     }),
 ];
 
@@ -103,16 +137,24 @@
         for size in SIZES {
             let tests = Tests::new(size, text);
             // Other requests in turn, so that not all of a small part of the index is in the nearest cache.
-            let requests: Vec<Request> = (0..256).map(|i| request((i * 7919 + 13) % size)).collect();
+            let requests: Vec<Request> =
+                (0..256).map(|i| request((i * 7919 + 13) % size)).collect();
             let (mut chosen, mut scratch) = (Chosen::default(), Scratch::default());
-            let found = |request| tests.first(request, &mut Chosen::default(), &mut Scratch::default());
+            let found =
+                |request| tests.first(request, &mut Chosen::default(), &mut Scratch::default());
             assert!(
                 requests.iter().all(|request| found(request).is_some()),
                 "{name}: a request without a test"
             );
             let mut next = requests.iter().cycle();
             group.bench_function(BenchmarkId::new(name, size), |b| {
-                b.iter(|| tests.first(black_box(next.next().expect("a cycle")), &mut chosen, &mut scratch));
+                b.iter(|| {
+                    tests.first(
+                        black_box(next.next().expect("a cycle")),
+                        &mut chosen,
+                        &mut scratch,
+                    )
+                });
             });
         }
     }
@@ -126,10 +168,15 @@
     for (name, text, _) in WORKLOADS {
         for size in SIZES {
             let (schema, mut interner) = (schema(), Interner::new());
-            let key =
-                |number| Expression::new(&text(number), &schema).expect("a test").select_key(&mut interner);
+            let key = |number| {
+                Expression::new(&text(number), &schema)
+                    .expect("a test")
+                    .select_key(&mut interner)
+            };
             let keys: Vec<SelectKey> = (0..size).map(key).collect();
-            group.bench_function(BenchmarkId::new(name, size), |b| b.iter(|| Selector::new(keys.iter())));
+            group.bench_function(BenchmarkId::new(name, size), |b| {
+                b.iter(|| Selector::new(keys.iter()))
+            });
         }
     }
     group.finish();
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -80,12 +80,19 @@
 
 /// Reads a whole text.
 pub(crate) fn parse(text: &str) -> Result<Tree, Error> {
-    let mut parser = Parser { tokens: tokens(text)?, at: 0, depth: 0 };
+    let mut parser = Parser {
+        tokens: tokens(text)?,
+        at: 0,
+        depth: 0,
+    };
     let tree = parser.expression()?;
     match parser.peek() {
         Token::End => Ok(tree),
         other => {
-            let error = Error::new(parser.span(), format!("{} is not expected here", other.told()));
+            let error = Error::new(
+                parser.span(),
+                format!("{} is not expected here", other.told()),
+            );
             Err(match other {
                 Token::Sign("=") => error.help("equality is written `==`"),
                 Token::Name(word) if word == "and" => error.help("`and` is written `&&`"),
@@ -141,8 +148,10 @@
                 self.at += 1;
                 Ok((name, span))
             }
-            other => Err(Error::new(span, format!("{} is not expected here", other.told()))
-                .help("a name was expected")),
+            other => Err(
+                Error::new(span, format!("{} is not expected here", other.told()))
+                    .help("a name was expected"),
+            ),
         }
     }
 
@@ -153,10 +162,16 @@
             What::Bool(_) | What::Int(_) | What::Double(_) | What::Text(_) | What::Name(_) => 0,
             What::Member(a, _) | What::Not(a) | What::Minus(a) => a.depth,
             What::Index(a, b) | What::Binary(_, a, b) | What::Let(_, a, b) => a.depth.max(b.depth),
-            What::Call(_, parts) | What::And(parts) | What::Or(parts) | What::List(parts) => deepest(parts),
+            What::Call(_, parts) | What::And(parts) | What::Or(parts) | What::List(parts) => {
+                deepest(parts)
+            }
             What::Method(a, _, parts) => a.depth.max(deepest(parts)),
             What::If(a, b, c) => a.depth.max(b.depth).max(c.depth),
-            What::Map(pairs) => pairs.iter().map(|(k, v)| k.depth.max(v.depth)).max().unwrap_or(0),
+            What::Map(pairs) => pairs
+                .iter()
+                .map(|(k, v)| k.depth.max(v.depth))
+                .max()
+                .unwrap_or(0),
         };
         if depth > MOST_DEPTH {
             return Err(too_deep(span));
@@ -214,7 +229,11 @@
             parts.push(operand(self)?);
         }
         let end = parts.last().map_or(start, |last| last.span.end);
-        let what = if or { What::Or(parts) } else { What::And(parts) };
+        let what = if or {
+            What::Or(parts)
+        } else {
+            What::And(parts)
+        };
         self.node(what, start..end)
     }
 
@@ -267,7 +286,14 @@
         let mut tree = self.postfix()?;
         for (not, start) in signs.into_iter().rev() {
             let span = start..tree.span.end;
-            tree = self.node(if not { What::Not(tree.into()) } else { What::Minus(tree.into()) }, span)?;
+            tree = self.node(
+                if not {
+                    What::Not(tree.into())
+                } else {
+                    What::Minus(tree.into())
+                },
+                span,
+            )?;
         }
         Ok(tree)
     }
@@ -326,7 +352,9 @@
                 "in" | "let" | "null" => {
                     let error = Error::new(span, format!("`{name}` is not expected here"));
                     return Err(match name.as_str() {
-                        "null" => error.help("there is no null: what may be absent is asked for by has()"),
+                        "null" => {
+                            error.help("there is no null: what may be absent is asked for by has()")
+                        }
                         _ => error.help("a value was expected"),
                     });
                 }
@@ -376,7 +404,10 @@
     #[test]
     fn operators_bind_as_in_cel() {
         for (flat, grouped) in [
-            ("1 + 2 * 3 == 7 && a || b", "(((1 + (2 * 3)) == 7) && a) || b"),
+            (
+                "1 + 2 * 3 == 7 && a || b",
+                "(((1 + (2 * 3)) == 7) && a) || b",
+            ),
             ("a ? b : c ? d : e", "a ? b : (c ? d : e)"),
             ("-a.b[0] - 1", "(-(a.b[0])) - 1"),
             ("!a && b in [1]", "(!a) && (b in [1])"),
@@ -395,9 +426,15 @@
 
     #[test]
     fn no_text_overflows_the_stack() {
-        for (open, close) in
-            [("(", ")"), ("[", "]"), ("!", ""), ("-", ""), ("f(", ")"), ("{1:", "}"), ("a?", ":b")]
-        {
+        for (open, close) in [
+            ("(", ")"),
+            ("[", "]"),
+            ("!", ""),
+            ("-", ""),
+            ("f(", ")"),
+            ("{1:", "}"),
+            ("a?", ":b"),
+        ] {
             let text = format!("{}1{}", open.repeat(15_000), close.repeat(15_000));
             assert!(parse(&text).is_err(), "{open}");
         }
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -80,15 +80,16 @@
     "hash",
     "string",
 ];
-const FUNCTIONS: [&str; 11] =
-    ["has", "size", "int", "double", "string", "duration", "ip", "hash", "min", "max", "let"];
+const FUNCTIONS: [&str; 11] = [
+    "has", "size", "int", "double", "string", "duration", "ip", "hash", "min", "max", "let",
+];
 
 fn mismatch(span: &Range<usize>, want: &str, got: &Node) -> Error {
     let error = Error::new(span.clone(), format!("this is {}", article(&got.ty)));
     match &got.ty {
-        Type::Optional(of) if of.to_string() == want => {
-            error.help(format!("{want} was expected: ask has() first, or give a default with .orValue()"))
-        }
+        Type::Optional(of) if of.to_string() == want => error.help(format!(
+            "{want} was expected: ask has() first, or give a default with .orValue()"
+        )),
         _ => error.help(format!("{want} was expected")),
     }
 }
@@ -102,7 +103,12 @@
 
 impl<'a> Checker<'a> {
     pub(crate) fn new(schema: &'a Schema) -> Checker<'a> {
-        Checker { schema, names: Vec::new(), slots: 0, regexes: 0 }
+        Checker {
+            schema,
+            names: Vec::new(),
+            slots: 0,
+            regexes: 0,
+        }
     }
 
     /// Locals that the expression needs.
@@ -129,7 +135,12 @@
             What::Method(of, name, args) => self.method(of, name, args, span, facts),
             What::Not(a) => {
                 let a = self.bool(a, facts)?;
-                Ok(Node::new(Kind::Not(a.into()), Type::Bool, Bound::default(), span))
+                Ok(Node::new(
+                    Kind::Not(a.into()),
+                    Type::Bool,
+                    Bound::default(),
+                    span,
+                ))
             }
             What::Minus(a) => {
                 let a = self.check(a, facts)?;
@@ -137,7 +148,12 @@
                     return Err(mismatch(&a.span, "a number", &a));
                 }
                 let ty = a.ty.clone();
-                Ok(Node::new(Kind::Call(Func::Minus, vec![a]), ty, Bound::default(), span))
+                Ok(Node::new(
+                    Kind::Call(Func::Minus, vec![a]),
+                    ty,
+                    Bound::default(),
+                    span,
+                ))
             }
             What::And(parts) => self.chain(parts, true, span, facts),
             What::Or(parts) => self.chain(parts, false, span, facts),
@@ -146,17 +162,27 @@
                 // On a way that is never taken anything is known; what was known before does for its types.
                 let [yes_facts, no_facts] = self.facts(&test);
                 let way = |known: Option<Facts>| {
-                    known.and_then(|known| facts.clone().meet(known)).unwrap_or_else(|| facts.clone())
+                    known
+                        .and_then(|known| facts.clone().meet(known))
+                        .unwrap_or_else(|| facts.clone())
                 };
                 let (known_yes, known_no) = (way(yes_facts), way(no_facts));
                 let (yes, no) = (self.check(yes, &known_yes)?, self.check(no, &known_no)?);
                 if yes.ty != no.ty {
-                    let problem = format!("the two sides of `? :` differ: {} and {}", yes.ty, no.ty);
-                    return Err(Error::new(no.span, problem).help(format!("{} was expected", yes.ty)));
+                    let problem =
+                        format!("the two sides of `? :` differ: {} and {}", yes.ty, no.ty);
+                    return Err(
+                        Error::new(no.span, problem).help(format!("{} was expected", yes.ty))
+                    );
                 }
                 let bound = larger(yes.bound, no.bound);
                 let ty = yes.ty.clone();
-                Ok(Node::new(Kind::If(test.into(), yes.into(), no.into()), ty, bound, span))
+                Ok(Node::new(
+                    Kind::If(test.into(), yes.into(), no.into()),
+                    ty,
+                    bound,
+                    span,
+                ))
             }
             What::Binary(Binary::In, a, b) => self.is_in(a, b, span, facts),
             What::Binary(operator, a, b) => {
@@ -173,7 +199,12 @@
                 let body = self.check(body, facts)?;
                 self.close(slot);
                 let (ty, bound) = (body.ty.clone(), body.bound);
-                Ok(Node::new(Kind::Let(slot, value.into(), body.into()), ty, bound, span))
+                Ok(Node::new(
+                    Kind::Let(slot, value.into(), body.into()),
+                    ty,
+                    bound,
+                    span,
+                ))
             }
         }
     }
@@ -189,21 +220,38 @@
     ) -> Res<u16> {
         let taken = self.names.iter().any(|n| n.open && n.name == name);
         if taken || self.schema.id(name).is_some() || self.schema.is_space(name) {
-            return Err(Error::new(span, format!("`{}` has a meaning already", short(name))));
+            return Err(Error::new(
+                span,
+                format!("`{}` has a meaning already", short(name)),
+            ));
         }
         let slot = self.slots;
         if usize::from(slot + slots) > MOST_LOCALS {
-            return Err(Error::new(span, format!("more than {MOST_LOCALS} names of the expression's own")));
+            return Err(Error::new(
+                span,
+                format!("more than {MOST_LOCALS} names of the expression's own"),
+            ));
         }
         self.slots += slots;
         let path = path.or(Some(Path::Local(slot)));
         let (ty, bound) = (value.ty.clone(), value.bound);
-        self.names.push(Name { name: name.to_string(), slot, ty, bound, path, when, open: true });
+        self.names.push(Name {
+            name: name.to_string(),
+            slot,
+            ty,
+            bound,
+            path,
+            when,
+            open: true,
+        });
         Ok(slot)
     }
 
     fn close(&mut self, slot: u16) {
-        self.names.iter_mut().filter(|n| n.slot == slot).for_each(|n| n.open = false);
+        self.names
+            .iter_mut()
+            .filter(|n| n.slot == slot)
+            .for_each(|n| n.open = false);
     }
 
     fn bool(&mut self, tree: &Tree, facts: &Facts) -> Res<Node> {
@@ -219,7 +267,12 @@
     fn place(&mut self, tree: &Tree, facts: &Facts) -> Res<Node> {
         let span = tree.span.clone();
         if let What::Name(name) = &tree.what {
-            if let Some(local) = self.names.iter().find(|n| n.open && n.name == *name).cloned() {
+            if let Some(local) = self
+                .names
+                .iter()
+                .find(|n| n.open && n.name == *name)
+                .cloned()
+            {
                 let node = Node::new(Kind::Local(local.slot), local.ty, local.bound, span);
                 return Ok(self.narrowed(node, facts));
             }
@@ -240,17 +293,26 @@
         };
         let Some(id) = self.schema.id(&dotted) else {
             let error = if self.schema.is_space(&dotted) {
-                Error::new(span, format!("`{}` is a group of fields, not a value", short(&dotted)))
+                Error::new(
+                    span,
+                    format!("`{}` is a group of fields, not a value", short(&dotted)),
+                )
             } else {
                 Error::new(span, format!("there is no `{}`", short(&dotted)))
             };
             let fields = self.schema.fields().iter().map(|f| f.name.as_str());
-            let known = fields.chain(self.names.iter().filter(|n| n.open).map(|n| n.name.as_str()));
+            let known = fields.chain(
+                self.names
+                    .iter()
+                    .filter(|n| n.open)
+                    .map(|n| n.name.as_str()),
+            );
             return Err(match nearest(&dotted, known) {
                 Some(near) => error.help(format!("did you mean `{near}`?")),
                 None => {
-                    let within =
-                        |f: &&str| f.starts_with(&format!("{}.", dotted.split('.').next().unwrap_or("")));
+                    let within = |f: &&str| {
+                        f.starts_with(&format!("{}.", dotted.split('.').next().unwrap_or("")))
+                    };
                     let fields = self.schema.fields().iter().map(|f| f.name.as_str());
                     let some: Vec<&str> = fields.filter(within).take(12).collect();
                     match some.is_empty() {
@@ -260,14 +322,22 @@
                 }
             });
         };
-        let Some(field) = self.schema.get(id) else { return Err(Error::new(span, "no such field")) };
-        let ty = if field.optional { Type::Optional(field.ty.clone().into()) } else { field.ty.clone() };
+        let Some(field) = self.schema.get(id) else {
+            return Err(Error::new(span, "no such field"));
+        };
+        let ty = if field.optional {
+            Type::Optional(field.ty.clone().into())
+        } else {
+            field.ty.clone()
+        };
         Ok(self.narrowed(Node::new(Kind::Field(id), ty, field.bound, span), facts))
     }
 
     /// What is optional, without that where it is known to be there.
     fn narrowed(&self, node: Node, facts: &Facts) -> Node {
-        let Type::Optional(of) = &node.ty else { return node };
+        let Type::Optional(of) = &node.ty else {
+            return node;
+        };
         match self.path(&node) {
             Some(path) if facts.present(&path) => {
                 let (ty, bound, span) = ((**of).clone(), node.bound, node.span.clone());
@@ -298,12 +368,18 @@
     fn index(&mut self, of: &Tree, index: &Tree, span: Range<usize>, facts: &Facts) -> Res<Node> {
         let (of, index) = (self.check(of, facts)?, self.check(index, facts)?);
         let (kind, item, bound, want) = match &of.ty {
-            Type::List(item) => {
-                (Kind::Item as fn(_, _) -> _, item.clone(), bounded(of.bound.bytes, 0), Type::Int)
-            }
-            Type::Map(item) => {
-                (Kind::Lookup as fn(_, _) -> _, item.clone(), bounded(of.bound.bytes, 0), Type::Text)
-            }
+            Type::List(item) => (
+                Kind::Item as fn(_, _) -> _,
+                item.clone(),
+                bounded(of.bound.bytes, 0),
+                Type::Int,
+            ),
+            Type::Map(item) => (
+                Kind::Lookup as fn(_, _) -> _,
+                item.clone(),
+                bounded(of.bound.bytes, 0),
+                Type::Text,
+            ),
             _ => return Err(mismatch(&of.span, "a list or a map", &of)),
         };
         if index.ty != want {
@@ -344,7 +420,10 @@
         // A list that is written out may hold what is no constant: it is tested item by item.
         let list = match &b.what {
             What::List(parts) => {
-                let items = parts.iter().map(|part| self.check(part, facts)).collect::<Res<Vec<Node>>>()?;
+                let items = parts
+                    .iter()
+                    .map(|part| self.check(part, facts))
+                    .collect::<Res<Vec<Node>>>()?;
                 if items.iter().any(|item| item.as_const().is_none()) {
                     return self.is_one_of(node, items, span);
                 }
@@ -360,11 +439,23 @@
                 if node.ty != Type::Text {
                     return Err(mismatch(&node.span, "string", &node));
                 }
-                let Type::Map(of) = list.ty.clone() else { return Err(Error::new(span, "no map")) };
+                let Type::Map(of) = list.ty.clone() else {
+                    return Err(Error::new(span, "no map"));
+                };
                 let bound = bounded(list.bound.bytes, 0);
                 let at = span.clone();
-                let found = Node::new(Kind::Lookup(list.into(), node.into()), Type::Optional(of), bound, at);
-                Ok(Node::new(Kind::Has(found.into()), Type::Bool, Bound::default(), span))
+                let found = Node::new(
+                    Kind::Lookup(list.into(), node.into()),
+                    Type::Optional(of),
+                    bound,
+                    at,
+                );
+                Ok(Node::new(
+                    Kind::Has(found.into()),
+                    Type::Bool,
+                    Bound::default(),
+                    span,
+                ))
             }
             (Type::List(of), value) => {
                 if node.ty != **of {
@@ -372,7 +463,8 @@
                 }
                 let texts = value.and_then(Const::listed_texts).map(Const::texts);
                 let ints = || value.and_then(Const::listed_ints);
-                let set = texts.or_else(|| Some(Const::IntSet(Arc::new(ints()?.into_iter().collect()))));
+                let set =
+                    texts.or_else(|| Some(Const::IntSet(Arc::new(ints()?.into_iter().collect()))));
                 let kind = match set {
                     Some(set) => Kind::InSet(node.into(), set),
                     None => Kind::InList(node.into(), list.into()),
@@ -389,7 +481,12 @@
         let name = format!("in {}", self.slots);
         let path = self.path(&node);
         let slot = self.declare(&name, &node, path, None, span.clone(), 1)?;
-        let held = Node::new(Kind::Local(slot), node.ty.clone(), node.bound, node.span.clone());
+        let held = Node::new(
+            Kind::Local(slot),
+            node.ty.clone(),
+            node.bound,
+            node.span.clone(),
+        );
         let tests = items.into_iter().map(|item| {
             let span = item.span.clone();
             self.binary(Binary::Equal, held.clone(), item, span)
@@ -397,14 +494,24 @@
         let tests = tests.collect::<Res<Vec<Node>>>()?;
         self.close(slot);
         let any = Node::new(Kind::Or(tests), Type::Bool, Bound::default(), span.clone());
-        Ok(Node::new(Kind::Let(slot, node.into(), any.into()), Type::Bool, Bound::default(), span))
+        Ok(Node::new(
+            Kind::Let(slot, node.into(), any.into()),
+            Type::Bool,
+            Bound::default(),
+            span,
+        ))
     }
 
     fn binary(&mut self, operator: Binary, a: Node, b: Node, span: Range<usize>) -> Res<Node> {
         use Type::{Double, Duration, Int, Ip, Text};
         let sign = operator.sign();
         let fit = |ty: Type, bound: Bound, a: Node, b: Node| {
-            Ok(Node::new(Kind::Binary(operator, a.into(), b.into()), ty, bound, span.clone()))
+            Ok(Node::new(
+                Kind::Binary(operator, a.into(), b.into()),
+                ty,
+                bound,
+                span.clone(),
+            ))
         };
         let none = Bound::default();
         let (ta, tb) = (a.ty.clone(), b.ty.clone());
@@ -422,7 +529,8 @@
             Binary::Add if ta == Text && tb == Text => {
                 let bytes = a.bound.bytes.saturating_add(b.bound.bytes);
                 if bytes > MOST_MADE {
-                    let problem = format!("this may make a text of {bytes} bytes, {MOST_MADE} are the most");
+                    let problem =
+                        format!("this may make a text of {bytes} bytes, {MOST_MADE} are the most");
                     return Err(Error::new(span, problem));
                 }
                 return fit(Text, bounded(bytes, 0), a, b);
@@ -449,14 +557,24 @@
             }
             Binary::In => {}
         }
-        let error =
-            Error::new(span, format!("`{sign}` does not go between {} and {}", article(&ta), article(&tb)));
+        let error = Error::new(
+            span,
+            format!(
+                "`{sign}` does not go between {} and {}",
+                article(&ta),
+                article(&tb)
+            ),
+        );
         Err(match (&ta, &tb) {
             (Type::Optional(_), _) | (_, Type::Optional(_)) => {
                 error.help("ask has() first, or give a default with .orValue()")
             }
-            (Int, Double) | (Double, Int) => error.help("double(x) makes a whole number one with a fraction"),
-            (Text, Int) | (Int, Text) => error.help("int(x).orValue(0) reads a number, string(x) writes one"),
+            (Int, Double) | (Double, Int) => {
+                error.help("double(x) makes a whole number one with a fraction")
+            }
+            (Text, Int) | (Int, Text) => {
+                error.help("int(x).orValue(0) reads a number, string(x) writes one")
+            }
             (Text, Ip) | (Ip, Text) => error.help("ip(x) reads an address"),
             (Text, Duration) | (Duration, Text) => error.help("duration(\"250ms\") is a duration"),
             _ => error.help("both sides must be of one type"),
@@ -464,7 +582,10 @@
     }
 
     fn list(&mut self, parts: &[Tree], span: Range<usize>, facts: &Facts) -> Res<Node> {
-        let items = parts.iter().map(|part| self.check(part, facts)).collect::<Res<Vec<Node>>>()?;
+        let items = parts
+            .iter()
+            .map(|part| self.check(part, facts))
+            .collect::<Res<Vec<Node>>>()?;
         constant_list(items, span)
     }
 
@@ -474,22 +595,35 @@
         for (key, value) in pairs {
             let (key, value) = (self.check(key, facts)?, self.check(value, facts)?);
             let Some(text) = key.as_text().cloned() else {
-                return Err(Error::new(key.span, "a map's key is a text that is written out"));
+                return Err(Error::new(
+                    key.span,
+                    "a map's key is a text that is written out",
+                ));
             };
             let Some(constant) = value.as_const().cloned() else {
                 return Err(Error::new(value.span, "a map holds constants only"));
             };
             match &ty {
-                Some(ty) if *ty != value.ty => return Err(mismatch(&value.span, &ty.to_string(), &value)),
+                Some(ty) if *ty != value.ty => {
+                    return Err(mismatch(&value.span, &ty.to_string(), &value))
+                }
                 Some(_) => {}
-                None if !matches!(value.ty, Type::List(_) | Type::Map(_)) => ty = Some(value.ty.clone()),
+                None if !matches!(value.ty, Type::List(_) | Type::Map(_)) => {
+                    ty = Some(value.ty.clone())
+                }
                 None => return Err(Error::new(value.span, "a map does not hold lists or maps")),
             }
             if map.insert(text.clone(), constant).is_some() {
-                return Err(Error::new(key.span, format!("{:?} stands twice", short(&text))));
+                return Err(Error::new(
+                    key.span,
+                    format!("{:?} stands twice", short(&text)),
+                ));
             }
         }
-        let map = ConstMap { of: ty.unwrap_or(Type::Text), entries: map };
+        let map = ConstMap {
+            of: ty.unwrap_or(Type::Text),
+            entries: map,
+        };
         Ok(Node::constant(Const::Map(map.into()), span))
     }
 
@@ -535,13 +669,18 @@
                 self.arity(name, args, one, &span)?;
                 let a = self.check(&args[0], facts)?;
                 let Some(text) = a.as_text() else {
-                    return Err(Error::new(a.span, "duration() takes a text that is written out")
-                        .help("x * duration(\"1ms\") makes a duration of a number"));
+                    return Err(
+                        Error::new(a.span, "duration() takes a text that is written out")
+                            .help("x * duration(\"1ms\") makes a duration of a number"),
+                    );
                 };
                 match duration(text) {
                     Some(ms) => Ok(Node::constant(Const::Duration(ms), span)),
-                    None => Err(Error::new(a.span.clone(), format!("{:?} is no duration", short(text)))
-                        .help("such as \"250ms\", \"1.5s\", \"2m\" or \"1h30m\"")),
+                    None => Err(Error::new(
+                        a.span.clone(),
+                        format!("{:?} is no duration", short(text)),
+                    )
+                    .help("such as \"250ms\", \"1.5s\", \"2m\" or \"1h30m\"")),
                 }
             }
             "hash" => {
@@ -554,10 +693,19 @@
                 self.arity(name, args, &[2], &span)?;
                 let (a, b) = (self.check(&args[0], facts)?, self.check(&args[1], facts)?);
                 if a.ty != b.ty || !matches!(a.ty, Type::Int | Type::Double | Type::Duration) {
-                    let problem = format!("`{name}` does not take {} and {}", article(&a.ty), article(&b.ty));
-                    return Err(Error::new(span, problem).help("two numbers of one type were expected"));
+                    let problem = format!(
+                        "`{name}` does not take {} and {}",
+                        article(&a.ty),
+                        article(&b.ty)
+                    );
+                    return Err(
+                        Error::new(span, problem).help("two numbers of one type were expected")
+                    );
                 }
-                let (func, ty) = (if name == "min" { Func::Min } else { Func::Max }, a.ty.clone());
+                let (func, ty) = (
+                    if name == "min" { Func::Min } else { Func::Max },
+                    a.ty.clone(),
+                );
                 Ok(Node::new(Kind::Call(func, vec![a, b]), ty, plain, span))
             }
             _ => {
@@ -576,7 +724,12 @@
         if !matches!(of.ty, Type::Text | Type::List(_) | Type::Map(_)) {
             return Err(mismatch(&of.span, "a string, a list or a map", &of));
         }
-        Ok(Node::new(Kind::Call(Func::Size, vec![of]), Type::Int, Bound::default(), span))
+        Ok(Node::new(
+            Kind::Call(Func::Size, vec![of]),
+            Type::Int,
+            Bound::default(),
+            span,
+        ))
     }
 
     fn convert(&mut self, name: &str, a: Node, span: Range<usize>) -> Res<Node> {
@@ -589,21 +742,27 @@
             ("ip", Type::Text) => match a.as_text().map(|text| text.parse()) {
                 Some(Ok(ip)) => return Ok(Node::constant(Const::Ip(ip), span)),
                 Some(Err(_)) => {
-                    return Err(
-                        Error::new(a.span, "this is no address").help("such as \"10.0.0.1\" or \"fd00::1\"")
-                    )
+                    return Err(Error::new(a.span, "this is no address")
+                        .help("such as \"10.0.0.1\" or \"fd00::1\""))
                 }
                 None => (Func::ToIp, maybe(Type::Ip), 0),
             },
             // The longest is a double in full, or an address.
-            ("string", Type::Int | Type::Bool | Type::Ip | Type::Duration) => (Func::ToText, Type::Text, 48),
+            ("string", Type::Int | Type::Bool | Type::Ip | Type::Duration) => {
+                (Func::ToText, Type::Text, 48)
+            }
             ("string", Type::Double) => (Func::ToText, Type::Text, 344),
             _ => {
                 let problem = format!("`{name}` does not take {}", article(&a.ty));
                 return Err(Error::new(a.span, problem));
             }
         };
-        Ok(Node::new(Kind::Call(func, vec![a]), ty, bounded(bytes, 0), span))
+        Ok(Node::new(
+            Kind::Call(func, vec![a]),
+            ty,
+            bounded(bytes, 0),
+            span,
+        ))
     }
 
     fn hash(&mut self, a: Node, n: Node, span: Range<usize>) -> Res<Node> {
@@ -611,9 +770,12 @@
             return Err(mismatch(&a.span, "string", &a));
         }
         match n.as_const() {
-            Some(Const::Int(most)) if *most >= 1 && *most <= i64::from(u32::MAX) => {
-                Ok(Node::new(Kind::Call(Func::Hash, vec![a, n]), Type::Int, Bound::default(), span))
-            }
+            Some(Const::Int(most)) if *most >= 1 && *most <= i64::from(u32::MAX) => Ok(Node::new(
+                Kind::Call(Func::Hash, vec![a, n]),
+                Type::Int,
+                Bound::default(),
+                span,
+            )),
             _ => Err(Error::new(
                 n.span,
                 "hash(x, n) takes a whole number from 1 to 4294967295 that is written out",
@@ -642,15 +804,19 @@
                 return Ok(of);
             }
             let Type::Optional(ty) = &of.ty else {
-                return Err(
-                    Error::new(of.span, "this is always there").help(".orValue() is for what may be absent")
-                );
+                return Err(Error::new(of.span, "this is always there")
+                    .help(".orValue() is for what may be absent"));
             };
             if default.ty != **ty {
                 return Err(mismatch(&default.span, &ty.to_string(), &default));
             }
             let (ty, bound) = ((**ty).clone(), larger(of.bound, default.bound));
-            return Ok(Node::new(Kind::OrValue(of.into(), default.into()), ty, bound, span));
+            return Ok(Node::new(
+                Kind::OrValue(of.into(), default.into()),
+                ty,
+                bound,
+                span,
+            ));
         }
         let text = |checker: &mut Self, i: usize| -> Res<Node> {
             let node = checker.check(&args[i], facts)?;
@@ -661,8 +827,10 @@
             }
         };
         if let Type::Optional(_) = &of.ty {
-            return Err(Error::new(of.span.clone(), format!("this is {}", article(&of.ty)))
-                .help("ask has() first, or give a default with .orValue()"));
+            return Err(
+                Error::new(of.span.clone(), format!("this is {}", article(&of.ty)))
+                    .help("ask has() first, or give a default with .orValue()"),
+            );
         }
         match (name, &of.ty) {
             ("size", Type::Text | Type::List(_) | Type::Map(_)) => {
@@ -677,7 +845,12 @@
                     _ => Func::Contains,
                 };
                 let with = text(self, 0)?;
-                Ok(Node::new(Kind::Call(func, vec![of, with]), Type::Bool, plain, span))
+                Ok(Node::new(
+                    Kind::Call(func, vec![of, with]),
+                    Type::Bool,
+                    plain,
+                    span,
+                ))
             }
             ("matches", Type::Text) => {
                 self.arity(name, args, &[1], &span)?;
@@ -687,7 +860,12 @@
             ("lowerAscii", Type::Text) => {
                 self.arity(name, args, &[0], &span)?;
                 let bound = of.bound;
-                Ok(Node::new(Kind::Call(Func::LowerAscii, vec![of]), Type::Text, bound, span))
+                Ok(Node::new(
+                    Kind::Call(Func::LowerAscii, vec![of]),
+                    Type::Text,
+                    bound,
+                    span,
+                ))
             }
             ("split", Type::Text) => {
                 self.arity(name, args, &[1, 2], &span)?;
@@ -705,14 +883,20 @@
                 let parts = match most.as_const() {
                     Some(Const::Int(parts)) if (1..=MOST_PARTS).contains(parts) => *parts as u32,
                     _ => {
-                        let problem =
-                            format!("the most parts must be a number from 1 to {MOST_PARTS}, written out");
+                        let problem = format!(
+                            "the most parts must be a number from 1 to {MOST_PARTS}, written out"
+                        );
                         return Err(Error::new(most.span, problem));
                     }
                 };
                 let bound = bounded(of.bound.bytes, parts);
                 let ty = Type::List(Type::Text.into());
-                Ok(Node::new(Kind::Call(Func::Split, vec![of, by, most]), ty, bound, span))
+                Ok(Node::new(
+                    Kind::Call(Func::Split, vec![of, by, most]),
+                    ty,
+                    bound,
+                    span,
+                ))
             }
             ("inCidr", Type::Ip) => {
                 self.arity(name, args, &[1], &span)?;
@@ -721,15 +905,22 @@
             }
             ("milliseconds", Type::Duration) => {
                 self.arity(name, args, &[0], &span)?;
-                Ok(Node::new(Kind::Call(Func::Milliseconds, vec![of]), Type::Int, plain, span))
+                Ok(Node::new(
+                    Kind::Call(Func::Milliseconds, vec![of]),
+                    Type::Int,
+                    plain,
+                    span,
+                ))
             }
             _ => {
                 let problem = format!("there is no `.{}()` for {}", short(name), article(&of.ty));
                 let error = Error::new(span, problem);
-                Err(match nearest(name, METHODS.into_iter().filter(|m| *m != name)) {
-                    Some(near) => error.help(format!("did you mean `{near}`?")),
-                    None => error,
-                })
+                Err(
+                    match nearest(name, METHODS.into_iter().filter(|m| *m != name)) {
+                        Some(near) => error.help(format!("did you mean `{near}`?")),
+                        None => error,
+                    },
+                )
             }
         }
     }
@@ -741,24 +932,44 @@
         };
         self.regexes += 1;
         if self.regexes > MOST_REGEXES {
-            return Err(Error::new(span, format!("more than {MOST_REGEXES} regular expressions")));
+            return Err(Error::new(
+                span,
+                format!("more than {MOST_REGEXES} regular expressions"),
+            ));
         }
         if text.len() > MOST_PATTERN {
-            let problem = format!("the pattern has {} bytes, {MOST_PATTERN} are the most", text.len());
+            let problem = format!(
+                "the pattern has {} bytes, {MOST_PATTERN} are the most",
+                text.len()
+            );
             return Err(Error::new(pattern.span, problem));
         }
         if let Err(e) = Pattern::new(&text) {
             let problem = match &e {
-                regex::Error::CompiledTooBig(most) => format!("the pattern takes more than {most} bytes"),
+                regex::Error::CompiledTooBig(most) => {
+                    format!("the pattern takes more than {most} bytes")
+                }
                 e => {
                     let told = e.to_string();
-                    let last = told.lines().last().unwrap_or("it makes no sense").to_string();
-                    format!("the pattern makes no sense: {}", last.trim_start_matches("error: "))
+                    let last = told
+                        .lines()
+                        .last()
+                        .unwrap_or("it makes no sense")
+                        .to_string();
+                    format!(
+                        "the pattern makes no sense: {}",
+                        last.trim_start_matches("error: ")
+                    )
                 }
             };
             return Err(Error::new(pattern.span, problem));
         }
-        Ok(Node::new(Kind::Matches(of.into(), text), Type::Bool, Bound::default(), span))
+        Ok(Node::new(
+            Kind::Matches(of.into(), text),
+            Type::Bool,
+            Bound::default(),
+            span,
+        ))
     }
 
     fn in_cidrs(&mut self, of: Node, ranges: Node, span: Range<usize>) -> Res<Node> {
@@ -775,15 +986,23 @@
             let host = || text.parse::<std::net::IpAddr>().ok().map(IpNet::from);
             let Some(net) = text.parse::<IpNet>().ok().or_else(host) else {
                 let problem = format!("{:?} is no range of addresses", short(&text));
-                return Err(Error::new(ranges.span, problem).help("such as \"10.0.0.0/8\" or \"fd00::/8\""));
+                return Err(
+                    Error::new(ranges.span, problem).help("such as \"10.0.0.0/8\" or \"fd00::/8\"")
+                );
             };
             if net.trunc() != net {
                 let problem = format!("{text:?} has bits set beyond its length");
-                return Err(Error::new(ranges.span, problem).help(format!("\"{}\" was meant?", net.trunc())));
+                return Err(Error::new(ranges.span, problem)
+                    .help(format!("\"{}\" was meant?", net.trunc())));
             }
             nets.push(net);
         }
-        Ok(Node::new(Kind::InCidrs(of.into(), nets), Type::Bool, Bound::default(), span))
+        Ok(Node::new(
+            Kind::InCidrs(of.into(), nets),
+            Type::Bool,
+            Bound::default(),
+            span,
+        ))
     }
 
     fn looped(
@@ -797,17 +1016,28 @@
         let name = if all { "all" } else { "exists" };
         self.arity(name, args, &[2], &span)?;
         let list = self.check(of, facts)?;
-        let Type::List(item) = &list.ty else { return Err(mismatch(&list.span, "a list", &list)) };
+        let Type::List(item) = &list.ty else {
+            return Err(mismatch(&list.span, "a list", &list));
+        };
         let What::Name(variable) = &args[0].what else {
-            return Err(
-                Error::new(args[0].span.clone(), "this is no name").help(format!("`x.{name}(y, ...)`"))
-            );
+            return Err(Error::new(args[0].span.clone(), "this is no name")
+                .help(format!("`x.{name}(y, ...)`")));
         };
-        let item = Node::new(Kind::Local(0), (**item).clone(), bounded(list.bound.bytes, 0), span.clone());
+        let item = Node::new(
+            Kind::Local(0),
+            (**item).clone(),
+            bounded(list.bound.bytes, 0),
+            span.clone(),
+        );
         let slot = self.declare(variable, &item, None, None, args[0].span.clone(), 3)?;
         let test = self.bool(&args[1], facts)?;
         self.close(slot);
-        let kind = Kind::Loop { all, slot, list: list.into(), test: test.into() };
+        let kind = Kind::Loop {
+            all,
+            slot,
+            list: list.into(),
+            test: test.into(),
+        };
         Ok(Node::new(kind, Type::Bool, Bound::default(), span))
     }
 }
@@ -828,7 +1058,10 @@
         }
         values.push(value);
     }
-    let list = ConstList { of: ty.unwrap_or(Type::Text), items: values };
+    let list = ConstList {
+        of: ty.unwrap_or(Type::Text),
+        items: values,
+    };
     Ok(Node::constant(Const::List(list.into()), span))
 }
 
--- a/crates/expr/src/check/leaves.rs
+++ b/crates/expr/src/check/leaves.rs
@@ -64,12 +64,17 @@
             Kind::OrValue(of, default) => match &of.kind {
                 // A table that is written out: each of its values where the key is that value's.
                 Kind::Lookup(map, key) if map.as_const().is_some() => {
-                    let Some(Const::Map(map)) = map.as_const() else { return None };
+                    let Some(Const::Map(map)) = map.as_const() else {
+                        return None;
+                    };
                     let path = self.path(key);
                     let mut entries: Vec<_> = map.entries.iter().collect();
                     entries.sort_by(|a, b| a.0.cmp(b.0));
                     for (name, value) in entries {
-                        let is = Fact { texts: Texts::In(BTreeSet::from([name.clone()])), ..Fact::default() };
+                        let is = Fact {
+                            texts: Texts::In(BTreeSet::from([name.clone()])),
+                            ..Fact::default()
+                        };
                         if let Some(known) = with(&facts, path.clone(), is) {
                             found.push((Leaf::Const(value.clone()), known, span.clone()));
                         }
@@ -84,7 +89,10 @@
                 }
                 _ => {
                     let path = self.path(of);
-                    let there = |present| Fact { present: Some(present), ..Fact::default() };
+                    let there = |present| Fact {
+                        present: Some(present),
+                        ..Fact::default()
+                    };
                     if let Some(known) = with(&facts, path.clone(), there(true)) {
                         let leaf = path.clone().map_or(Leaf::Unknown, Leaf::Place);
                         found.push((leaf, known, of.span.clone()));
--- a/crates/expr/src/check/merge.rs
+++ b/crates/expr/src/check/merge.rs
@@ -34,10 +34,16 @@
 
     /// A run of tests as one node.
     fn whole(&self, (first, tested): (Node, Tested)) -> Node {
-        let Some((of, _)) = self.tested(&first) else { return first };
+        let Some((of, _)) = self.tested(&first) else {
+            return first;
+        };
         let kind = match tested {
-            Tested::One(texts) if texts.len() > 1 => Kind::InSet(of.clone().into(), Const::texts(texts)),
-            Tested::Begin(texts) if texts.len() > 1 => Kind::BeginsWithAny(of.clone().into(), texts),
+            Tested::One(texts) if texts.len() > 1 => {
+                Kind::InSet(of.clone().into(), Const::texts(texts))
+            }
+            Tested::Begin(texts) if texts.len() > 1 => {
+                Kind::BeginsWithAny(of.clone().into(), texts)
+            }
             _ => return first,
         };
         Node::new(kind, Type::Bool, Bound::default(), first.span)
@@ -54,10 +60,13 @@
                 (Some(text), None) => Some((b, Tested::One(vec![text.clone()]))),
                 _ => None,
             },
-            Kind::InSet(a, Const::TextSet(set)) => Some((a, Tested::One(set.iter().cloned().collect()))),
-            Kind::Call(Func::StartsWith, args) => {
-                Some((&args[0], Tested::Begin(vec![args.get(1)?.as_text()?.clone()])))
+            Kind::InSet(a, Const::TextSet(set)) => {
+                Some((a, Tested::One(set.iter().cloned().collect())))
             }
+            Kind::Call(Func::StartsWith, args) => Some((
+                &args[0],
+                Tested::Begin(vec![args.get(1)?.as_text()?.clone()]),
+            )),
             Kind::BeginsWithAny(a, all) => Some((a, Tested::Begin(all.clone()))),
             _ => None,
         }
@@ -74,7 +83,8 @@
     /// Takes in more of the same kind; false: it is of the other.
     fn take(&mut self, more: Tested) -> bool {
         match (self, more) {
-            (Tested::One(texts), Tested::One(more)) | (Tested::Begin(texts), Tested::Begin(more)) => {
+            (Tested::One(texts), Tested::One(more))
+            | (Tested::Begin(texts), Tested::Begin(more)) => {
                 texts.extend(more);
                 true
             }
--- a/crates/expr/src/check/truth.rs
+++ b/crates/expr/src/check/truth.rs
@@ -15,16 +15,31 @@
     pub(crate) fn facts(&self, node: &Node) -> [Option<Facts>; 2] {
         let nothing = || [Some(Facts::default()), Some(Facts::default())];
         let both = |of: &Node, yes: Fact, no: Fact| match self.path(of) {
-            Some(path) => [Some(Facts::one(path.clone(), yes)), Some(Facts::one(path, no))],
+            Some(path) => [
+                Some(Facts::one(path.clone(), yes)),
+                Some(Facts::one(path, no)),
+            ],
             None => nothing(),
         };
         let texts = |of: &Node, all: BTreeSet<Arc<str>>| {
-            let no = Fact { texts: Texts::NotIn(all.clone()), ..Fact::default() };
-            both(of, Fact { texts: Texts::In(all), ..Fact::default() }, no)
+            let no = Fact {
+                texts: Texts::NotIn(all.clone()),
+                ..Fact::default()
+            };
+            both(
+                of,
+                Fact {
+                    texts: Texts::In(all),
+                    ..Fact::default()
+                },
+                no,
+            )
         };
         let swapped = |[yes, no]: [Option<Facts>; 2]| [no, yes];
         match &node.kind {
-            Kind::Const(Const::Bool(value)) => [value.then(Facts::default), (!value).then(Facts::default)],
+            Kind::Const(Const::Bool(value)) => {
+                [value.then(Facts::default), (!value).then(Facts::default)]
+            }
             Kind::Not(a) => swapped(self.facts(a)),
             Kind::And(parts) | Kind::Or(parts) => {
                 let and = matches!(node.kind, Kind::And(_));
@@ -42,7 +57,8 @@
                 }
             }
             Kind::If(test, yes, no) => {
-                let ([when_yes, when_no], yes, no) = (self.facts(test), self.facts(yes), self.facts(no));
+                let ([when_yes, when_no], yes, no) =
+                    (self.facts(test), self.facts(yes), self.facts(no));
                 let met = |when: &Option<Facts>, side: Option<Facts>| when.clone()?.meet(side?);
                 let ([yes_true, yes_false], [no_true, no_false]) = (yes, no);
                 [
@@ -53,10 +69,14 @@
             Kind::Let(_, _, body) => self.facts(body),
             Kind::Local(slot) => {
                 let name = self.names.iter().find(|n| n.slot == *slot);
-                name.and_then(|name| name.when.clone()).unwrap_or_else(nothing)
+                name.and_then(|name| name.when.clone())
+                    .unwrap_or_else(nothing)
             }
             Kind::Has(of) => {
-                let there = |present| Fact { present: Some(present), ..Fact::default() };
+                let there = |present| Fact {
+                    present: Some(present),
+                    ..Fact::default()
+                };
                 both(of, there(true), there(false))
             }
             Kind::Binary(operator @ (Binary::Equal | Binary::Unequal), a, b) => {
@@ -69,7 +89,15 @@
                     // Another text than the default is what is there.
                     Some((of, default)) if default != text => {
                         let texts = Texts::In(BTreeSet::from([text.clone()]));
-                        both(of, Fact { present: Some(true), texts, ..Fact::default() }, Fact::default())
+                        both(
+                            of,
+                            Fact {
+                                present: Some(true),
+                                texts,
+                                ..Fact::default()
+                            },
+                            Fact::default(),
+                        )
                     }
                     _ => texts(of, BTreeSet::from([text.clone()])),
                 };
@@ -82,7 +110,15 @@
             Kind::InSet(of, Const::TextSet(set)) => match with_default(of) {
                 Some((of, default)) if !set.contains(default) => {
                     let texts = Texts::In(set.iter().cloned().collect());
-                    both(of, Fact { present: Some(true), texts, ..Fact::default() }, Fact::default())
+                    both(
+                        of,
+                        Fact {
+                            present: Some(true),
+                            texts,
+                            ..Fact::default()
+                        },
+                        Fact::default(),
+                    )
                 }
                 _ => texts(of, set.iter().cloned().collect()),
             },
@@ -111,7 +147,13 @@
 fn begins(all: &[Arc<str>], polarity: bool) -> Fact {
     let set = all.iter().cloned().collect();
     match polarity {
-        true => Fact { prefixes: Some(set), ..Fact::default() },
-        false => Fact { not_prefixes: set, ..Fact::default() },
+        true => Fact {
+            prefixes: Some(set),
+            ..Fact::default()
+        },
+        false => Fact {
+            not_prefixes: set,
+            ..Fact::default()
+        },
     }
 }
--- a/crates/expr/src/compiled.rs
+++ b/crates/expr/src/compiled.rs
@@ -16,7 +16,9 @@
 
 impl std::fmt::Debug for Compiled {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Compiled").field("cost", &self.cost()).finish_non_exhaustive()
+        f.debug_struct("Compiled")
+            .field("cost", &self.cost())
+            .finish_non_exhaustive()
     }
 }
 
@@ -67,6 +69,9 @@
     }
 
     fn code(&self) -> Code<'_> {
-        Code { shape: &self.shape, operands: &self.operands }
+        Code {
+            shape: &self.shape,
+            operands: &self.operands,
+        }
     }
 }
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -69,12 +69,15 @@
     }
 
     pub(crate) fn bound(&self) -> Bound {
-        let longest =
-            |items: &mut dyn Iterator<Item = &Const>| items.map(|c| c.bound().bytes).max().unwrap_or(0);
+        let longest = |items: &mut dyn Iterator<Item = &Const>| {
+            items.map(|c| c.bound().bytes).max().unwrap_or(0)
+        };
         match self {
             Const::Text(text) => bounded(text.len() as u32, 0),
             Const::List(list) => bounded(longest(&mut list.items.iter()), list.items.len() as u32),
-            Const::Map(map) => bounded(longest(&mut map.entries.values()), map.entries.len() as u32),
+            Const::Map(map) => {
+                bounded(longest(&mut map.entries.values()), map.entries.len() as u32)
+            }
             _ => Bound::default(),
         }
     }
@@ -95,14 +98,26 @@
     /// Its items, where it is a list of texts.
     pub(crate) fn listed_texts(&self) -> Option<Vec<Arc<str>>> {
         let Const::List(list) = self else { return None };
-        let text = |item: &Const| if let Const::Text(text) = item { Some(text.clone()) } else { None };
+        let text = |item: &Const| {
+            if let Const::Text(text) = item {
+                Some(text.clone())
+            } else {
+                None
+            }
+        };
         (list.of == Type::Text).then(|| list.items.iter().filter_map(text).collect())
     }
 
     /// Its items, where it is a list of whole numbers.
     pub(crate) fn listed_ints(&self) -> Option<Vec<i64>> {
         let Const::List(list) = self else { return None };
-        let int = |item: &Const| if let Const::Int(int) = item { Some(*int) } else { None };
+        let int = |item: &Const| {
+            if let Const::Int(int) = item {
+                Some(*int)
+            } else {
+                None
+            }
+        };
         (list.of == Type::Int).then(|| list.items.iter().filter_map(int).collect())
     }
 }
@@ -195,7 +210,10 @@
     pub(crate) fn is_large(&self) -> bool {
         match self {
             Operand::Value(value) => {
-                matches!(value, Const::List(_) | Const::Map(_) | Const::TextSet(_) | Const::IntSet(_))
+                matches!(
+                    value,
+                    Const::List(_) | Const::Map(_) | Const::TextSet(_) | Const::IntSet(_)
+                )
             }
             Operand::Pattern(_) | Operand::Networks(_) | Operand::Prefixes(_) => true,
         }
@@ -207,15 +225,19 @@
     fn heap_bytes(&self) -> usize {
         let bytes = match self {
             Const::Text(text) => text.len(),
-            Const::List(list) => size_of::<ConstList>() + size_of::<Const>() * list.items.capacity(),
+            Const::List(list) => {
+                size_of::<ConstList>() + size_of::<Const>() * list.items.capacity()
+            }
             Const::Map(map) => {
                 size_of::<ConstMap>() + size_of::<(Arc<str>, Const)>() * map.entries.capacity()
             }
             Const::TextSet(set) => size_of::<Arc<str>>() * set.capacity(),
             Const::IntSet(set) => size_of::<i64>() * set.capacity(),
-            Const::Bool(_) | Const::Int(_) | Const::Double(_) | Const::Duration(_) | Const::Ip(_) => {
-                return 0
-            }
+            Const::Bool(_)
+            | Const::Int(_)
+            | Const::Double(_)
+            | Const::Duration(_)
+            | Const::Ip(_) => return 0,
         };
         ARC_HEADER + bytes
     }
@@ -239,7 +261,10 @@
             .dfa_size_limit(crate::check::MOST_REGEX)
             .nest_limit(24)
             .build()?;
-        Ok(Pattern { text: text.clone(), regex })
+        Ok(Pattern {
+            text: text.clone(),
+            regex,
+        })
     }
 
     /// Length of the pattern's text in bytes.
--- a/crates/expr/src/error.rs
+++ b/crates/expr/src/error.rs
@@ -49,12 +49,20 @@
 impl Error {
     /// A fault at these bytes.
     pub(crate) fn new(span: Range<usize>, problem: impl Into<String>) -> Error {
-        Error { span, problem: problem.into(), help: None, place: Place::default() }
+        Error {
+            span,
+            problem: problem.into(),
+            help: None,
+            place: Place::default(),
+        }
     }
 
     /// A fault at these bytes of a text that holds more than an expression.
     pub fn at(span: Range<usize>, problem: impl Into<String>, help: Option<String>) -> Error {
-        Error { help, ..Error::new(span, problem) }
+        Error {
+            help,
+            ..Error::new(span, problem)
+        }
     }
 
     /// With what was expected, or how to mend it.
@@ -72,21 +80,34 @@
             }
             at
         };
-        let (start, end) = (whole(self.span.start), whole(self.span.end.max(self.span.start)));
+        let (start, end) = (
+            whole(self.span.start),
+            whole(self.span.end.max(self.span.start)),
+        );
         let line_start = text[..start].rfind('\n').map_or(0, |at| at + 1);
         let line_end = text[start..].find('\n').map_or(text.len(), |at| start + at);
         let column = text[line_start..start].chars().count();
         // A long line is cut so that the caret is in what is left of it.
         let skipped = column.saturating_sub(MOST_SHOWN / 2);
-        let shown: String = text[line_start..line_end].chars().skip(skipped).take(MOST_SHOWN).collect();
+        let shown: String = text[line_start..line_end]
+            .chars()
+            .skip(skipped)
+            .take(MOST_SHOWN)
+            .collect();
         let caret = column - skipped;
-        let width = text[start..end.min(line_end).max(start)].chars().take(MOST_SHOWN).count();
+        let width = text[start..end.min(line_end).max(start)]
+            .chars()
+            .take(MOST_SHOWN)
+            .count();
         let room = shown.chars().count().saturating_sub(caret).max(1);
         self.place = Place {
             line: text[..line_start].matches('\n').count(),
             column,
             // Guards the terminal that it is printed on.
-            shown: shown.chars().map(|c| if c.is_control() { ' ' } else { c }).collect(),
+            shown: shown
+                .chars()
+                .map(|c| if c.is_control() { ' ' } else { c })
+                .collect(),
             caret,
             width: width.clamp(1, room),
         };
@@ -113,7 +134,12 @@
         let at = self.position(origin);
         let number = at.line.to_string();
         let margin = " ".repeat(number.len());
-        let Place { shown, caret, width, .. } = &self.place;
+        let Place {
+            shown,
+            caret,
+            width,
+            ..
+        } = &self.place;
         let mut text = format!(
             "{file}:{}:{}: {}\n{margin} |\n{number} | {shown}\n{margin} | {}{}",
             at.line,
@@ -162,10 +188,19 @@
     #[test]
     fn a_fault_is_shown_under_its_line_and_in_one_line() {
         let text = "a &&\n  b.c ==\n 3";
-        let error = Error::new(7..10, "no such name").help("did you mean b.d?").located(text);
-        let origin = Origin { line: 40, column: 9 };
-        assert_eq!(error.line("r.toml", origin), "r.toml:41:3: no such name; did you mean b.d?");
-        let want = "r.toml:41:3: no such name\n   |\n41 |   b.c ==\n   |   ^^^\n   = did you mean b.d?";
+        let error = Error::new(7..10, "no such name")
+            .help("did you mean b.d?")
+            .located(text);
+        let origin = Origin {
+            line: 40,
+            column: 9,
+        };
+        assert_eq!(
+            error.line("r.toml", origin),
+            "r.toml:41:3: no such name; did you mean b.d?"
+        );
+        let want =
+            "r.toml:41:3: no such name\n   |\n41 |   b.c ==\n   |   ^^^\n   = did you mean b.d?";
         assert_eq!(error.render("r.toml", origin), want);
         assert_eq!(Error::new(0..1, "x").located(text).position(origin), origin);
     }
@@ -174,8 +209,13 @@
     fn spans_beyond_the_text_and_long_lines_are_met() {
         let text = "é".repeat(5000);
         for span in [0..1, 1..3, 4999..5001, 9999..20_000, 10_000..10_000] {
-            let shown = Error::new(span, "x").located(&text).render("f", Origin::default());
-            assert!(shown.lines().all(|line| line.chars().count() < 140), "{shown}");
+            let shown = Error::new(span, "x")
+                .located(&text)
+                .render("f", Origin::default());
+            assert!(
+                shown.lines().all(|line| line.chars().count() < 140),
+                "{shown}"
+            );
         }
     }
 }
--- a/crates/expr/src/explain.rs
+++ b/crates/expr/src/explain.rs
@@ -43,10 +43,23 @@
         if steps.len() >= MOST_STEPS {
             return None;
         }
-        let text = self.text.get(node.span.clone()).unwrap_or("").trim().to_string();
-        let (value, cost, truth) =
-            if reached { self.value(node, input, lets) } else { ("not reached".to_string(), 0, None) };
-        steps.push(Step { depth, text, value, cost });
+        let text = self
+            .text
+            .get(node.span.clone())
+            .unwrap_or("")
+            .trim()
+            .to_string();
+        let (value, cost, truth) = if reached {
+            self.value(node, input, lets)
+        } else {
+            ("not reached".to_string(), 0, None)
+        };
+        steps.push(Step {
+            depth,
+            text,
+            value,
+            cost,
+        });
         let depth = depth + 1;
         match &node.kind {
             Kind::And(parts) | Kind::Or(parts) => {
@@ -59,8 +72,22 @@
             }
             Kind::If(test, yes, no) => {
                 let truth = self.step(test, input, depth, reached, lets, steps);
-                self.step(yes, input, depth, reached && truth == Some(true), lets, steps);
-                self.step(no, input, depth, reached && truth == Some(false), lets, steps);
+                self.step(
+                    yes,
+                    input,
+                    depth,
+                    reached && truth == Some(true),
+                    lets,
+                    steps,
+                );
+                self.step(
+                    no,
+                    input,
+                    depth,
+                    reached && truth == Some(false),
+                    lets,
+                    steps,
+                );
             }
             Kind::Let(slot, value, body) => {
                 self.step(value, input, depth, reached, lets, steps);
@@ -84,16 +111,24 @@
     }
 
     /// A part's value by itself, within the names that are around it.
-    fn value(&self, node: &Node, input: &dyn Input, lets: &[(u16, &Node)]) -> (String, u64, Option<bool>) {
+    fn value(
+        &self,
+        node: &Node,
+        input: &dyn Input,
+        lets: &[(u16, &Node)],
+    ) -> (String, u64, Option<bool>) {
         if let Type::List(_) | Type::Map(_) = node.ty {
             return (node.ty.to_string(), 0, None);
         }
-        let whole = lets.iter().rev().fold(node.clone(), |body, (slot, value)| Node {
-            ty: body.ty.clone(),
-            bound: body.bound,
-            span: body.span.clone(),
-            kind: Kind::Let(*slot, Box::new((*value).clone()), body.into()),
-        });
+        let whole = lets
+            .iter()
+            .rev()
+            .fold(node.clone(), |body, (slot, value)| Node {
+                ty: body.ty.clone(),
+                bound: body.bound,
+                span: body.span.clone(),
+                kind: Kind::Let(*slot, Box::new((*value).clone()), body.into()),
+            });
         let (program, _) = Program::new(&whole, self.slots, &self.schema);
         let mut scratch = Scratch::default();
         let (told, truth) = match run(program.code(), input, &mut scratch) {
--- a/crates/expr/src/facts.rs
+++ b/crates/expr/src/facts.rs
@@ -50,7 +50,12 @@
 impl Default for Fact {
     fn default() -> Fact {
         let texts = Texts::NotIn(TextSet::new());
-        Fact { present: None, texts, prefixes: None, not_prefixes: TextSet::new() }
+        Fact {
+            present: None,
+            texts,
+            prefixes: None,
+            not_prefixes: TextSet::new(),
+        }
     }
 }
 
@@ -67,14 +72,20 @@
         let prefixes = match (self.known_prefixes(), other.known_prefixes()) {
             // The texts say it all.
             _ if matches!((&self.texts, &other.texts), (Texts::In(_), Texts::In(_))) => None,
-            (Some(a), Some(b)) if a.len() + b.len() <= MOST_TEXTS => Some(a.union(b).cloned().collect()),
+            (Some(a), Some(b)) if a.len() + b.len() <= MOST_TEXTS => {
+                Some(a.union(b).cloned().collect())
+            }
             _ => None,
         };
         let not_prefixes = match (&self.texts, &other.texts) {
             // A set of texts excludes the prefixes that none of them has.
             (Texts::In(texts), _) => without(&other.not_prefixes, texts, &self.not_prefixes),
             (_, Texts::In(texts)) => without(&self.not_prefixes, texts, &other.not_prefixes),
-            _ => self.not_prefixes.intersection(&other.not_prefixes).cloned().collect(),
+            _ => self
+                .not_prefixes
+                .intersection(&other.not_prefixes)
+                .cloned()
+                .collect(),
         };
         let texts = match (self.texts, other.texts) {
             (Texts::In(mut a), Texts::In(mut b)) => {
@@ -87,14 +98,25 @@
             (Texts::In(a), Texts::NotIn(b)) | (Texts::NotIn(b), Texts::In(a)) => {
                 Texts::NotIn(b.difference(&a).cloned().collect())
             }
-            (Texts::NotIn(a), Texts::NotIn(b)) => Texts::NotIn(a.intersection(&b).cloned().collect()),
+            (Texts::NotIn(a), Texts::NotIn(b)) => {
+                Texts::NotIn(a.intersection(&b).cloned().collect())
+            }
         };
         let texts = match texts {
             Texts::In(all) if all.len() > MOST_TEXTS => Texts::NotIn(TextSet::new()),
             texts => texts,
         };
-        let present = if self.present == other.present { self.present } else { None };
-        let fact = Fact { present, texts, prefixes, not_prefixes };
+        let present = if self.present == other.present {
+            self.present
+        } else {
+            None
+        };
+        let fact = Fact {
+            present,
+            texts,
+            prefixes,
+            not_prefixes,
+        };
         (fact != Fact::default()).then_some(fact)
     }
 
@@ -123,7 +145,8 @@
         };
         let texts = match texts {
             Texts::In(mut all) => {
-                let begins = |text: &str, with: &TextSet| with.iter().any(|p| text.starts_with(&**p));
+                let begins =
+                    |text: &str, with: &TextSet| with.iter().any(|p| text.starts_with(&**p));
                 all.retain(|text| prefixes.as_ref().is_none_or(|p| begins(text, p)));
                 all.retain(|text| !begins(text, &not_prefixes));
                 if all.is_empty() {
@@ -133,7 +156,12 @@
             }
             texts => texts,
         };
-        Some(Fact { present, texts, prefixes, not_prefixes })
+        Some(Fact {
+            present,
+            texts,
+            prefixes,
+            not_prefixes,
+        })
     }
 
     /// Whether a place that this is known of cannot begin with `prefix`.
@@ -144,13 +172,17 @@
         let apart = |known: &str| !known.starts_with(prefix) && !prefix.starts_with(known);
         match &self.texts {
             Texts::In(texts) => texts.iter().all(|text| !text.starts_with(prefix)),
-            Texts::NotIn(_) => self.prefixes.as_ref().is_some_and(|all| all.iter().all(|p| apart(p))),
+            Texts::NotIn(_) => self
+                .prefixes
+                .as_ref()
+                .is_some_and(|all| all.iter().all(|p| apart(p))),
         }
     }
 }
 
 fn without(excluded: &TextSet, texts: &TextSet, too: &TextSet) -> TextSet {
-    let kept = |p: &&Arc<str>| too.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p));
+    let kept =
+        |p: &&Arc<str>| too.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p));
     excluded.iter().filter(kept).cloned().collect()
 }
 
@@ -176,12 +208,14 @@
 
     /// Whether a place is known to be there.
     pub fn present(&self, path: &Path) -> bool {
-        self.get(path).is_some_and(|fact| fact.present == Some(true))
+        self.get(path)
+            .is_some_and(|fact| fact.present == Some(true))
     }
 
     /// Whether a place is known to be absent.
     pub fn absent(&self, path: &Path) -> bool {
-        self.get(path).is_some_and(|fact| fact.present == Some(false))
+        self.get(path)
+            .is_some_and(|fact| fact.present == Some(false))
     }
 
     /// The texts that a place holds one of, if that is known.
@@ -207,7 +241,11 @@
 
     /// What holds where both hold; none: nowhere.
     pub fn meet(self, other: Facts) -> Option<Facts> {
-        let (mut large, small) = if self.0.len() < other.0.len() { (other, self) } else { (self, other) };
+        let (mut large, small) = if self.0.len() < other.0.len() {
+            (other, self)
+        } else {
+            (self, other)
+        };
         for (path, fact) in small.0 {
             let fact = match large.0.remove(&path) {
                 Some(known) => known.meet(fact)?,
@@ -230,36 +268,75 @@
     }
 
     fn fact(texts: Texts) -> Facts {
-        Facts::one(PLACE, Fact { texts, ..Fact::default() })
+        Facts::one(
+            PLACE,
+            Fact {
+                texts,
+                ..Fact::default()
+            },
+        )
     }
 
     fn begins(with: &[&str]) -> Facts {
-        Facts::one(PLACE, Fact { prefixes: Some(texts(with)), ..Fact::default() })
+        Facts::one(
+            PLACE,
+            Fact {
+                prefixes: Some(texts(with)),
+                ..Fact::default()
+            },
+        )
     }
 
     #[test]
     fn texts_join_and_meet() {
-        let (ab, bc) = (fact(Texts::In(texts(&["a", "b"]))), fact(Texts::In(texts(&["b", "c"]))));
+        let (ab, bc) = (
+            fact(Texts::In(texts(&["a", "b"]))),
+            fact(Texts::In(texts(&["b", "c"]))),
+        );
         let listed = |facts: Facts| facts.texts(&PLACE).unwrap().collect::<String>();
-        assert_eq!(listed(Facts::join(Some(ab.clone()), Some(bc.clone())).unwrap()), "abc");
+        assert_eq!(
+            listed(Facts::join(Some(ab.clone()), Some(bc.clone())).unwrap()),
+            "abc"
+        );
         assert_eq!(listed(ab.clone().meet(bc).unwrap()), "b");
         let not_b = fact(Texts::NotIn(texts(&["b"])));
         assert_eq!(listed(ab.clone().meet(not_b.clone()).unwrap()), "a");
         assert_eq!(fact(Texts::In(texts(&["b"]))).meet(not_b.clone()), None);
         // What one way excludes and the other allows is not excluded.
-        assert_eq!(Facts::join(Some(ab.clone()), Some(not_b)).unwrap().get(&PLACE), None);
+        assert_eq!(
+            Facts::join(Some(ab.clone()), Some(not_b))
+                .unwrap()
+                .get(&PLACE),
+            None
+        );
         assert_eq!(Facts::join(Some(ab.clone()), None), Some(ab));
     }
 
     #[test]
     fn prefixes_join_with_texts_and_tell_what_is_apart() {
-        let joined = Facts::join(Some(begins(&["/a/"])), Some(fact(Texts::In(texts(&["/b"]))))).unwrap();
+        let joined = Facts::join(
+            Some(begins(&["/a/"])),
+            Some(fact(Texts::In(texts(&["/b"])))),
+        )
+        .unwrap();
         let fact = joined.get(&PLACE).unwrap();
         assert!(fact.never_begins("/c") && !fact.never_begins("/a/x") && !fact.never_begins("/"));
         // "/b" itself may be it, but nothing longer; what is known is a beginning only, so that is not told.
         assert!(!fact.never_begins("/b/"));
-        let not = Facts::one(PLACE, Fact { not_prefixes: texts(&["/a"]), ..Fact::default() });
-        assert!(not.get(&PLACE).unwrap().never_begins("/ab") && !not.get(&PLACE).unwrap().never_begins("/"));
-        assert_eq!(not.meet(super::tests::fact(Texts::In(texts(&["/ab"])))), None);
+        let not = Facts::one(
+            PLACE,
+            Fact {
+                not_prefixes: texts(&["/a"]),
+                ..Fact::default()
+            },
+        );
+        assert!(
+            not.get(&PLACE).unwrap().never_begins("/ab")
+                && !not.get(&PLACE).unwrap().never_begins("/")
+        );
+        assert_eq!(
+            not.meet(super::tests::fact(Texts::In(texts(&["/ab"])))),
+            None
+        );
     }
 }
--- a/crates/expr/src/fold.rs
+++ b/crates/expr/src/fold.rs
@@ -26,11 +26,16 @@
         return Ok(match test.as_const() {
             Some(Const::Bool(true)) => *yes,
             Some(Const::Bool(false)) => *no,
-            _ => Node { kind: Kind::If(test, yes, no), ..node },
+            _ => Node {
+                kind: Kind::If(test, yes, no),
+                ..node
+            },
         });
     }
     let inner = match &node.kind {
-        Kind::Const(_) | Kind::Field(_) | Kind::Local(_) | Kind::Let(..) | Kind::Loop { .. } => false,
+        Kind::Const(_) | Kind::Field(_) | Kind::Local(_) | Kind::Let(..) | Kind::Loop { .. } => {
+            false
+        }
         _ => node.children().iter().all(|part| part.as_const().is_some()),
     };
     if !inner || matches!(node.ty, Type::Optional(_) | Type::List(_) | Type::Map(_)) {
@@ -46,8 +51,18 @@
         Ok(Some(Value::Duration(v))) => Const::Duration(v),
         Ok(Some(Value::Ip(v))) => Const::Ip(v),
         Ok(None) => return Ok(node),
-        Err(fault) => return Err(Error::new(node.span, format!("this fails whatever the input: {fault}"))),
+        Err(fault) => {
+            return Err(Error::new(
+                node.span,
+                format!("this fails whatever the input: {fault}"),
+            ))
+        }
     };
     let (ty, bound) = (value.ty(), value.bound());
-    Ok(Node { kind: Kind::Const(value), ty, bound, span: node.span })
+    Ok(Node {
+        kind: Kind::Const(value),
+        ty,
+        bound,
+        span: node.span,
+    })
 }
--- a/crates/expr/src/interner.rs
+++ b/crates/expr/src/interner.rs
@@ -26,12 +26,14 @@
 
     /// The one copy of a text.
     pub fn text(&mut self, text: &str) -> Arc<str> {
-        self.known_text(text).unwrap_or_else(|| self.add_text(Arc::from(text)))
+        self.known_text(text)
+            .unwrap_or_else(|| self.add_text(Arc::from(text)))
     }
 
     /// As [`Interner::text`]; a text that is not known yet is taken as it is, without a copy.
     pub(crate) fn shared_text(&mut self, text: &Arc<str>) -> Arc<str> {
-        self.known_text(text).unwrap_or_else(|| self.add_text(text.clone()))
+        self.known_text(text)
+            .unwrap_or_else(|| self.add_text(text.clone()))
     }
 
     /// How often the one copy of a text is held; 0 where there is none yet.
@@ -51,13 +53,19 @@
     /// The one copy of a program.
     pub(crate) fn compiled(&mut self, program: &Program) -> Compiled {
         let shape = intern(&mut self.shapes, program.shape.clone());
-        let operands = program.operands.iter().map(|operand| self.operand(operand)).collect();
+        let operands = program
+            .operands
+            .iter()
+            .map(|operand| self.operand(operand))
+            .collect();
         intern(&mut self.compiled, Compiled { shape, operands })
     }
 
     fn operand(&mut self, operand: &Operand) -> Operand {
         match operand {
-            Operand::Value(Const::Text(text)) => Operand::Value(Const::Text(self.shared_text(text))),
+            Operand::Value(Const::Text(text)) => {
+                Operand::Value(Const::Text(self.shared_text(text)))
+            }
             large if large.is_large() => intern(&mut self.operands, large.clone()),
             small => small.clone(),
         }
@@ -66,7 +74,8 @@
     /// Drops what nobody else holds any more, and the memory that its tables do not need.
     pub fn sweep(&mut self) {
         // What holds others goes first.
-        self.compiled.retain(|compiled| Arc::strong_count(&compiled.operands) > 1);
+        self.compiled
+            .retain(|compiled| Arc::strong_count(&compiled.operands) > 1);
         self.operands.retain(|operand| !operand.is_unshared());
         self.shapes.retain(|shape| Arc::strong_count(shape) > 1);
         self.texts.retain(|text| Arc::strong_count(text) > 1);
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -45,14 +45,17 @@
 }
 
 const SIGNS: [&str; 26] = [
-    "&&", "||", "==", "!=", "<=", ">=", "?", ":", "<", ">", "!", "+", "-", "*", "/", "%", "(", ")", "[", "]",
-    "{", "}", ",", ";", ".", "=",
+    "&&", "||", "==", "!=", "<=", ">=", "?", ":", "<", ">", "!", "+", "-", "*", "/", "%", "(", ")",
+    "[", "]", "{", "}", ",", ";", ".", "=",
 ];
 
 /// Tokens with their places; the last is [`Token::End`].
 pub(crate) fn tokens(text: &str) -> Result<Vec<(Token, Range<usize>)>, Error> {
     if text.len() > MOST_TEXT {
-        let problem = format!("the expression has {} bytes, {MOST_TEXT} are the most", text.len());
+        let problem = format!(
+            "the expression has {} bytes, {MOST_TEXT} are the most",
+            text.len()
+        );
         return Err(Error::new(0..1, problem));
     }
     let mut found = Vec::new();
@@ -105,7 +108,9 @@
         let length = 2 + rest[2..].bytes().take_while(u8::is_ascii_hexdigit).count();
         let value = i64::from_str_radix(&rest[2..length], 16);
         let problem = "the number makes no sense or is too large for 64 bits";
-        return value.map(|v| (Token::Int(v), length)).map_err(|_| Error::new(at..at + length, problem));
+        return value
+            .map(|v| (Token::Int(v), length))
+            .map_err(|_| Error::new(at..at + length, problem));
     }
     let mut length = digits(rest);
     let mut double = false;
@@ -123,7 +128,11 @@
     }
     let text = &rest[..length];
     let token = match double {
-        true => text.parse().ok().filter(|v: &f64| v.is_finite()).map(Token::Double),
+        true => text
+            .parse()
+            .ok()
+            .filter(|v: &f64| v.is_finite())
+            .map(Token::Double),
         false => text.parse().ok().map(Token::Int),
     };
     token.map(|token| (token, length)).ok_or_else(|| {
@@ -133,7 +142,9 @@
 
 fn literal(rest: &str, at: usize, raw: bool) -> Result<(Token, usize), Error> {
     let open = usize::from(raw);
-    let Some(quote) = rest[open..].chars().next() else { return Err(Error::new(at..at + 1, "no text")) };
+    let Some(quote) = rest[open..].chars().next() else {
+        return Err(Error::new(at..at + 1, "no text"));
+    };
     let triple = rest[open..].starts_with(if quote == '"' { "\"\"\"" } else { "'''" });
     let close: &str = match (quote, triple) {
         ('"', true) => "\"\"\"",
@@ -174,8 +185,13 @@
 /// The character that an escape stands for, and the escape's length.
 fn escape(left: &str) -> Option<(char, usize)> {
     let code = |digits: usize| {
-        let hex = left.get(2..2 + digits).filter(|hex| hex.bytes().all(|b| b.is_ascii_hexdigit()))?;
-        Some((char::from_u32(u32::from_str_radix(hex, 16).ok()?)?, 2 + digits))
+        let hex = left
+            .get(2..2 + digits)
+            .filter(|hex| hex.bytes().all(|b| b.is_ascii_hexdigit()))?;
+        Some((
+            char::from_u32(u32::from_str_radix(hex, 16).ok()?)?,
+            2 + digits,
+        ))
     };
     let plain = match left.chars().nth(1)? {
         c @ ('\\' | '"' | '\'' | '`' | '?') => c,
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -135,8 +135,14 @@
             let tree = ast::parse(text)?;
             let mut checker = Checker::new(schema);
             let node = checker.check(&tree, facts)?;
-            let holds = if node.ty == Type::Bool { checker.facts(&node) } else { [None, None] };
-            let ways = checker.leaves(&node, facts).map(|leaves| leaves.into_iter().map(way).collect());
+            let holds = if node.ty == Type::Bool {
+                checker.facts(&node)
+            } else {
+                [None, None]
+            };
+            let ways = checker
+                .leaves(&node, facts)
+                .map(|leaves| leaves.into_iter().map(way).collect());
             let slots = checker.slots();
             let (program, parts) = Program::new(&node, slots, schema);
             // Down to the smallest part that still costs more than half of the whole.
@@ -148,7 +154,16 @@
             }
             let costliest = (parts[costliest].span.clone(), parts[costliest].cost);
             let (text, schema) = (text.to_string(), schema.clone());
-            Ok(Expression { text, node, program, schema, slots, holds, ways, costliest })
+            Ok(Expression {
+                text,
+                node,
+                program,
+                schema,
+                slots,
+                holds,
+                ways,
+                costliest,
+            })
         };
         read().map_err(|error: Error| error.located(text))
     }
@@ -170,7 +185,9 @@
             let error = Error::new(expression.node.span.clone(), problem);
             let help = match expression.ty() {
                 Type::Optional(of) if **of == *want => {
-                    format!("{want} was expected: ask has() first, or give a default with .orValue()")
+                    format!(
+                        "{want} was expected: ask has() first, or give a default with .orValue()"
+                    )
                 }
                 _ => format!("{want} was expected"),
             };
@@ -229,7 +246,12 @@
     }
 
     /// A fault about a part of it that whoever uses it has found.
-    pub fn fault(&self, span: Range<usize>, problem: impl Into<String>, help: impl Into<String>) -> Error {
+    pub fn fault(
+        &self,
+        span: Range<usize>,
+        problem: impl Into<String>,
+        help: impl Into<String>,
+    ) -> Error {
         Error::new(span, problem).help(help).located(&self.text)
     }
 
@@ -278,5 +300,9 @@
         },
         Leaf::Unknown => Outcome::Other,
     };
-    Way { outcome, facts, span }
+    Way {
+        outcome,
+        facts,
+        span,
+    }
 }
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -111,7 +111,12 @@
 ) -> Result<Option<Value<'b>>, Fault> {
     scratch.text.clear();
     scratch.parts.clear();
-    let mut machine = Machine { code, input, scratch, spent: 0 };
+    let mut machine = Machine {
+        code,
+        input,
+        scratch,
+        spent: 0,
+    };
     let result = machine.run();
     let spent = machine.spent;
     scratch.spent = spent;
@@ -121,7 +126,9 @@
         StackValue::Int(v) => Value::Int(v),
         StackValue::Double(v) => Value::Double(v),
         StackValue::Text(v) => Value::Text(v),
-        StackValue::Made(from, to) => Value::Text(scratch.text.get(from as usize..to as usize).unwrap_or("")),
+        StackValue::Made(from, to) => {
+            Value::Text(scratch.text.get(from as usize..to as usize).unwrap_or(""))
+        }
         StackValue::Duration(v) => Value::Duration(v),
         StackValue::Ip(v) => Value::Ip(v),
         _ => return Err(Fault::Input),
@@ -148,7 +155,10 @@
     }
 
     fn operand(&self, number: u16) -> Result<&'a Operand, Fault> {
-        self.code.operands.get(usize::from(number)).ok_or(Fault::Input)
+        self.code
+            .operands
+            .get(usize::from(number))
+            .ok_or(Fault::Input)
     }
 
     fn constant(&self, number: u16) -> Result<&'a Const, Fault> {
@@ -161,9 +171,11 @@
     fn text<'t>(&'t self, value: StackValue<'t>) -> Result<&'t str, Fault> {
         match value {
             StackValue::Text(text) => Ok(text),
-            StackValue::Made(from, to) => {
-                self.scratch.text.get(from as usize..to as usize).ok_or(Fault::Input)
-            }
+            StackValue::Made(from, to) => self
+                .scratch
+                .text
+                .get(from as usize..to as usize)
+                .ok_or(Fault::Input),
             _ => Err(Fault::Input),
         }
     }
@@ -193,15 +205,22 @@
     }
 
     fn item(&self, list: StackValue<'a>, index: i64) -> Result<StackValue<'a>, Fault> {
-        let Ok(index) = usize::try_from(index) else { return Ok(StackValue::Absent) };
+        let Ok(index) = usize::try_from(index) else {
+            return Ok(StackValue::Absent);
+        };
         Ok(match list {
-            StackValue::ListField(id) => {
-                self.input.item(id, index).map_or(StackValue::Absent, StackValue::from)
-            }
-            StackValue::ListConst(items) => items.get(index).map_or(StackValue::Absent, StackValue::from),
+            StackValue::ListField(id) => self
+                .input
+                .item(id, index)
+                .map_or(StackValue::Absent, StackValue::from),
+            StackValue::ListConst(items) => items
+                .get(index)
+                .map_or(StackValue::Absent, StackValue::from),
             StackValue::ListMade(from, to) if index < (to - from) as usize => {
                 let part = self.scratch.parts.get(from as usize + index);
-                part.map_or(StackValue::Absent, |(from, to)| StackValue::Made(*from, *to))
+                part.map_or(StackValue::Absent, |(from, to)| {
+                    StackValue::Made(*from, *to)
+                })
             }
             StackValue::ListMade(..) => StackValue::Absent,
             _ => return Err(Fault::Input),
@@ -245,13 +264,21 @@
             self.spend(1)?;
             match *op {
                 Op::Push(c) => stack.push(self.constant(c)?.into()),
-                Op::Field(id) => stack.push(self.input.get(id).map_or(StackValue::Absent, StackValue::from)),
-                Op::List(id) => {
-                    stack.push(self.input.size(id).map_or(StackValue::Absent, |_| StackValue::ListField(id)))
-                }
-                Op::Map(id) => {
-                    stack.push(self.input.size(id).map_or(StackValue::Absent, |_| StackValue::MapField(id)))
-                }
+                Op::Field(id) => stack.push(
+                    self.input
+                        .get(id)
+                        .map_or(StackValue::Absent, StackValue::from),
+                ),
+                Op::List(id) => stack.push(
+                    self.input
+                        .size(id)
+                        .map_or(StackValue::Absent, |_| StackValue::ListField(id)),
+                ),
+                Op::Map(id) => stack.push(
+                    self.input
+                        .size(id)
+                        .map_or(StackValue::Absent, |_| StackValue::MapField(id)),
+                ),
                 Op::Local(slot) => stack.push(*locals.get(usize::from(slot)).ok_or(Fault::Input)?),
                 Op::Store(slot) => {
                     let value = pop!();
@@ -295,7 +322,9 @@
                 }
                 Op::Item => {
                     let (index, list) = (pop!(), pop!());
-                    let StackValue::Int(index) = index else { return Err(Fault::Input) };
+                    let StackValue::Int(index) = index else {
+                        return Err(Fault::Input);
+                    };
                     stack.push(self.item(list, index)?);
                 }
                 Op::Lookup => {
@@ -303,9 +332,10 @@
                     self.spend(price::lookup(self.length(key)))?;
                     let key = self.text(key)?;
                     let value = match map {
-                        StackValue::MapField(id) => {
-                            self.input.lookup(id, key).map_or(StackValue::Absent, StackValue::from)
-                        }
+                        StackValue::MapField(id) => self
+                            .input
+                            .lookup(id, key)
+                            .map_or(StackValue::Absent, StackValue::from),
                         StackValue::MapConst(map) => {
                             map.get(key).map_or(StackValue::Absent, StackValue::from)
                         }
@@ -328,7 +358,11 @@
                 }
                 Op::Call(func) => {
                     let second = match func {
-                        Func::StartsWith | Func::EndsWith | Func::Contains | Func::Min | Func::Max => pop!(),
+                        Func::StartsWith
+                        | Func::EndsWith
+                        | Func::Contains
+                        | Func::Min
+                        | Func::Max => pop!(),
                         _ => StackValue::Absent,
                     };
                     let first = pop!();
@@ -339,7 +373,9 @@
                     let value = pop!();
                     self.spend(price::hash(self.length(value)))?;
                     let hash = rapidhash::v3::rapidhash_v3(self.text(value)?.as_bytes());
-                    stack.push(StackValue::Int(((u128::from(hash) * u128::from(most)) >> 64) as i64));
+                    stack.push(StackValue::Int(
+                        ((u128::from(hash) * u128::from(most)) >> 64) as i64,
+                    ));
                 }
                 Op::Split(by, most) => {
                     let value = pop!();
@@ -358,31 +394,43 @@
                 }
                 Op::BeginsWithAny(c) => {
                     let value = pop!();
-                    let Operand::Prefixes(prefixes) = self.operand(c)? else { return Err(Fault::Input) };
-                    self.spend(price::prefixes(self.length(value), prefixes.longest() as u64))?;
+                    let Operand::Prefixes(prefixes) = self.operand(c)? else {
+                        return Err(Fault::Input);
+                    };
+                    self.spend(price::prefixes(
+                        self.length(value),
+                        prefixes.longest() as u64,
+                    ))?;
                     let found = prefixes.find(self.text(value)?).next().is_some();
                     stack.push(StackValue::Bool(found));
                 }
                 Op::Matches(c) => {
                     let value = pop!();
-                    let Operand::Pattern(pattern) = self.operand(c)? else { return Err(Fault::Input) };
+                    let Operand::Pattern(pattern) = self.operand(c)? else {
+                        return Err(Fault::Input);
+                    };
                     self.spend(price::matches(self.length(value), pattern.length()))?;
                     stack.push(StackValue::Bool(pattern.is_match(self.text(value)?)));
                 }
                 Op::InCidrs(c) => {
                     let (value, networks) = (pop!(), self.operand(c)?);
-                    let (StackValue::Ip(ip), Operand::Networks(networks)) = (value, networks) else {
+                    let (StackValue::Ip(ip), Operand::Networks(networks)) = (value, networks)
+                    else {
                         return Err(Fault::Input);
                     };
                     self.spend(price::networks(networks.len() as u64))?;
-                    stack.push(StackValue::Bool(networks.iter().any(|network| network.contains(&ip))));
+                    stack.push(StackValue::Bool(
+                        networks.iter().any(|network| network.contains(&ip)),
+                    ));
                 }
                 Op::Next(slot, exit) => {
                     let slot = usize::from(slot);
                     let Some([item, index, list]) = locals.get_mut(slot..slot + 3) else {
                         return Err(Fault::Input);
                     };
-                    let StackValue::Int(i) = *index else { return Err(Fault::Input) };
+                    let StackValue::Int(i) = *index else {
+                        return Err(Fault::Input);
+                    };
                     if i as usize >= self.items(*list)? {
                         at = exit as usize;
                     } else {
@@ -392,19 +440,25 @@
                 }
                 Op::FieldIs(id, c) => {
                     let (text, value) = (self.field_text(id)?, self.constant(c)?);
-                    let Const::Text(want) = value else { return Err(Fault::Input) };
+                    let Const::Text(want) = value else {
+                        return Err(Fault::Input);
+                    };
                     self.spend(price::compare(text.len() as u64, want.len() as u64))?;
                     stack.push(StackValue::Bool(*text == **want));
                 }
                 Op::FieldInSet(id, c) => {
                     let text = self.field_text(id)?;
                     self.spend(price::lookup(text.len() as u64))?;
-                    let Const::TextSet(set) = self.constant(c)? else { return Err(Fault::Input) };
+                    let Const::TextSet(set) = self.constant(c)? else {
+                        return Err(Fault::Input);
+                    };
                     stack.push(StackValue::Bool(set.contains(text)));
                 }
                 Op::FieldBegins(id, c) => {
                     let (text, value) = (self.field_text(id)?, self.constant(c)?);
-                    let Const::Text(want) = value else { return Err(Fault::Input) };
+                    let Const::Text(want) = value else {
+                        return Err(Fault::Input);
+                    };
                     self.spend(price::compare(text.len() as u64, want.len() as u64))?;
                     stack.push(StackValue::Bool(text.starts_with(&**want)));
                 }
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -14,9 +14,8 @@
     pub(super) fn equal(&self, a: StackValue<'a>, b: StackValue<'a>) -> Result<bool, Fault> {
         Ok(match (a, b) {
             (StackValue::Bool(a), StackValue::Bool(b)) => a == b,
-            (StackValue::Int(a), StackValue::Int(b)) | (StackValue::Duration(a), StackValue::Duration(b)) => {
-                a == b
-            }
+            (StackValue::Int(a), StackValue::Int(b))
+            | (StackValue::Duration(a), StackValue::Duration(b)) => a == b,
             (StackValue::Double(a), StackValue::Double(b)) => a == b,
             (StackValue::Ip(a), StackValue::Ip(b)) => a == b,
             (a, b) => self.text(a)? == self.text(b)?,
@@ -31,12 +30,19 @@
     ) -> Result<StackValue<'a>, Fault> {
         use std::cmp::Ordering;
         let whole = |value: Option<i64>| value.ok_or(Fault::Overflow);
-        let finite =
-            |value: f64| if value.is_finite() { Ok(StackValue::Double(value)) } else { Err(Fault::Overflow) };
+        let finite = |value: f64| {
+            if value.is_finite() {
+                Ok(StackValue::Double(value))
+            } else {
+                Err(Fault::Overflow)
+            }
+        };
         match operator {
             Binary::Equal | Binary::Unequal => {
                 self.spend(price::compare(self.length(a), self.length(b)))?;
-                Ok(StackValue::Bool(self.equal(a, b)? == (operator == Binary::Equal)))
+                Ok(StackValue::Bool(
+                    self.equal(a, b)? == (operator == Binary::Equal),
+                ))
             }
             Binary::Less | Binary::LessEqual | Binary::Greater | Binary::GreaterEqual => {
                 self.spend(price::compare(self.length(a), self.length(b)))?;
@@ -56,7 +62,9 @@
                 }))
             }
             Binary::Add => match (a, b) {
-                (StackValue::Int(a), StackValue::Int(b)) => whole(a.checked_add(b)).map(StackValue::Int),
+                (StackValue::Int(a), StackValue::Int(b)) => {
+                    whole(a.checked_add(b)).map(StackValue::Int)
+                }
                 (StackValue::Duration(a), StackValue::Duration(b)) => {
                     whole(a.checked_add(b)).map(StackValue::Duration)
                 }
@@ -70,7 +78,9 @@
                 }
             },
             Binary::Subtract => match (a, b) {
-                (StackValue::Int(a), StackValue::Int(b)) => whole(a.checked_sub(b)).map(StackValue::Int),
+                (StackValue::Int(a), StackValue::Int(b)) => {
+                    whole(a.checked_sub(b)).map(StackValue::Int)
+                }
                 (StackValue::Duration(a), StackValue::Duration(b)) => {
                     whole(a.checked_sub(b)).map(StackValue::Duration)
                 }
@@ -78,7 +88,9 @@
                 _ => Err(Fault::Input),
             },
             Binary::Multiply => match (a, b) {
-                (StackValue::Int(a), StackValue::Int(b)) => whole(a.checked_mul(b)).map(StackValue::Int),
+                (StackValue::Int(a), StackValue::Int(b)) => {
+                    whole(a.checked_mul(b)).map(StackValue::Int)
+                }
                 (StackValue::Duration(a), StackValue::Int(b))
                 | (StackValue::Int(a), StackValue::Duration(b)) => {
                     whole(a.checked_mul(b)).map(StackValue::Duration)
@@ -87,9 +99,13 @@
                 _ => Err(Fault::Input),
             },
             Binary::Divide => match (a, b) {
-                (StackValue::Int(_) | StackValue::Duration(_), StackValue::Int(0)) => Err(Fault::Zero),
+                (StackValue::Int(_) | StackValue::Duration(_), StackValue::Int(0)) => {
+                    Err(Fault::Zero)
+                }
                 (StackValue::Double(_), StackValue::Double(0.0)) => Err(Fault::Zero),
-                (StackValue::Int(a), StackValue::Int(b)) => whole(a.checked_div(b)).map(StackValue::Int),
+                (StackValue::Int(a), StackValue::Int(b)) => {
+                    whole(a.checked_div(b)).map(StackValue::Int)
+                }
                 (StackValue::Duration(a), StackValue::Int(b)) => {
                     whole(a.checked_div(b)).map(StackValue::Duration)
                 }
@@ -98,7 +114,9 @@
             },
             Binary::Remainder => match (a, b) {
                 (StackValue::Int(_), StackValue::Int(0)) => Err(Fault::Zero),
-                (StackValue::Int(a), StackValue::Int(b)) => whole(a.checked_rem(b)).map(StackValue::Int),
+                (StackValue::Int(a), StackValue::Int(b)) => {
+                    whole(a.checked_rem(b)).map(StackValue::Int)
+                }
                 _ => Err(Fault::Input),
             },
             Binary::In => Err(Fault::Input),
@@ -143,7 +161,10 @@
                 if let Some(made) = self.scratch.text.get_mut(from..) {
                     made.make_ascii_lowercase();
                 }
-                Ok(StackValue::Made(from as u32, self.scratch.text.len() as u32))
+                Ok(StackValue::Made(
+                    from as u32,
+                    self.scratch.text.len() as u32,
+                ))
             }
             Func::ToInt => {
                 self.spend(price::READ)?;
@@ -156,7 +177,8 @@
                     a => {
                         let text = self.text(a)?;
                         let text = Some(text).filter(|t| t.len() <= MOST_READ);
-                        text.and_then(|t| t.parse().ok()).map_or(StackValue::Absent, StackValue::Int)
+                        text.and_then(|t| t.parse().ok())
+                            .map_or(StackValue::Absent, StackValue::Int)
                     }
                 })
             }
@@ -167,7 +189,9 @@
                     a => {
                         let text = self.text(a)?;
                         let text = Some(text).filter(|t| t.len() <= MOST_READ);
-                        let value = text.and_then(|t| t.parse::<f64>().ok()).filter(|v| v.is_finite());
+                        let value = text
+                            .and_then(|t| t.parse::<f64>().ok())
+                            .filter(|v| v.is_finite());
                         value.map_or(StackValue::Absent, StackValue::Double)
                     }
                 })
@@ -175,7 +199,9 @@
             Func::ToIp => {
                 self.spend(price::READ)?;
                 let text = Some(self.text(a)?).filter(|t| t.len() <= MOST_READ);
-                Ok(text.and_then(|t| t.parse().ok()).map_or(StackValue::Absent, StackValue::Ip))
+                Ok(text
+                    .and_then(|t| t.parse().ok())
+                    .map_or(StackValue::Absent, StackValue::Ip))
             }
             Func::ToText => {
                 self.spend(price::WRITE)?;
@@ -202,7 +228,11 @@
                         Ok(StackValue::Int(if least { a.min(b) } else { a.max(b) }))
                     }
                     (StackValue::Duration(a), StackValue::Duration(b)) => {
-                        Ok(StackValue::Duration(if least { a.min(b) } else { a.max(b) }))
+                        Ok(StackValue::Duration(if least {
+                            a.min(b)
+                        } else {
+                            a.max(b)
+                        }))
                     }
                     (StackValue::Double(a), StackValue::Double(b)) => {
                         Ok(StackValue::Double(if least { a.min(b) } else { a.max(b) }))
@@ -212,7 +242,10 @@
             }
             Func::Minus => match a {
                 StackValue::Int(v) => v.checked_neg().map(StackValue::Int).ok_or(Fault::Overflow),
-                StackValue::Duration(v) => v.checked_neg().map(StackValue::Duration).ok_or(Fault::Overflow),
+                StackValue::Duration(v) => v
+                    .checked_neg()
+                    .map(StackValue::Duration)
+                    .ok_or(Fault::Overflow),
                 StackValue::Double(v) => Ok(StackValue::Double(-v)),
                 _ => Err(Fault::Input),
             },
@@ -228,7 +261,9 @@
         by: u16,
         most: usize,
     ) -> Result<StackValue<'a>, Fault> {
-        let Const::Text(by) = self.constant(by)? else { return Err(Fault::Input) };
+        let Const::Text(by) = self.constant(by)? else {
+            return Err(Fault::Input);
+        };
         self.spend(price::split(self.length(value), 0))?;
         let start = self.scratch.text.len();
         self.copied(value)?;
--- a/crates/expr/src/node.rs
+++ b/crates/expr/src/node.rs
@@ -75,7 +75,12 @@
 
 impl Node {
     pub(crate) fn new(kind: Kind, ty: Type, bound: Bound, span: Range<usize>) -> Node {
-        Node { kind, ty, bound, span }
+        Node {
+            kind,
+            ty,
+            bound,
+            span,
+        }
     }
 
     pub(crate) fn constant(value: Const, span: Range<usize>) -> Node {
@@ -101,7 +106,10 @@
         match &self.kind {
             Kind::Const(_) | Kind::Field(_) | Kind::Local(_) => vec![],
             Kind::Sure(a) | Kind::Has(a) | Kind::Not(a) => vec![a],
-            Kind::InSet(a, _) | Kind::BeginsWithAny(a, _) | Kind::Matches(a, _) | Kind::InCidrs(a, _) => {
+            Kind::InSet(a, _)
+            | Kind::BeginsWithAny(a, _)
+            | Kind::Matches(a, _)
+            | Kind::InCidrs(a, _) => {
                 vec![a]
             }
             Kind::Item(a, b) | Kind::Lookup(a, b) | Kind::OrValue(a, b) => vec![a, b],
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -104,7 +104,12 @@
     fn land(&mut self, at: usize) {
         let to = self.ops.len() as u32;
         if let Some(
-            Op::Jump(t) | Op::AndJump(t) | Op::OrJump(t) | Op::Branch(t) | Op::SomeJump(t) | Op::Next(_, t),
+            Op::Jump(t)
+            | Op::AndJump(t)
+            | Op::OrJump(t)
+            | Op::Branch(t)
+            | Op::SomeJump(t)
+            | Op::Next(_, t),
         ) = self.ops.get_mut(at)
         {
             *t = to;
@@ -114,7 +119,11 @@
     /// Writes a node; what it costs at worst.
     fn node(&mut self, node: &Node) -> u64 {
         let number = self.parts.len();
-        self.parts.push(Part { span: node.span.clone(), cost: 0, parent: self.parent });
+        self.parts.push(Part {
+            span: node.span.clone(),
+            cost: 0,
+            parent: self.parent,
+        });
         let parent = std::mem::replace(&mut self.parent, number);
         let cost = self.write(node);
         self.parent = parent;
@@ -159,7 +168,9 @@
             Kind::Has(a) => self.unary(a, Op::Has),
             Kind::Not(a) => self.unary(a, Op::Not),
             Kind::Item(a, b) => self.node(a) + self.unary(b, Op::Item),
-            Kind::Lookup(a, b) => self.node(a) + self.unary(b, Op::Lookup) + price::lookup(bytes(b)),
+            Kind::Lookup(a, b) => {
+                self.node(a) + self.unary(b, Op::Lookup) + price::lookup(bytes(b))
+            }
             Kind::InList(a, list) => {
                 let items = u64::from(list.bound.items);
                 let each = 1 + price::compare(bytes(a), bytes(list));
@@ -185,7 +196,9 @@
                 self.land(jump);
                 cost + yes.max(no)
             }
-            Kind::Binary(Binary::Equal, a, b) if self.text_field(a).is_some() && b.as_const().is_some() => {
+            Kind::Binary(Binary::Equal, a, b)
+                if self.text_field(a).is_some() && b.as_const().is_some() =>
+            {
                 self.field_test(a, b, Op::FieldIs) + price::compare(bytes(a), bytes(b))
             }
             Kind::Binary(operator, a, b) => {
@@ -228,7 +241,12 @@
                 let at = self.operand(Operand::Networks(networks.as_slice().into()));
                 self.unary(a, Op::InCidrs(at)) + extra
             }
-            Kind::Loop { all, slot, list, test } => {
+            Kind::Loop {
+                all,
+                slot,
+                list,
+                test,
+            } => {
                 let before = self.unary(list, Op::Store(slot + 2));
                 let zero = self.operand(Operand::Value(Const::Int(0)));
                 self.emit(Op::Push(zero));
@@ -279,7 +297,10 @@
     }
 
     fn call(&mut self, func: Func, args: &[Node]) -> u64 {
-        let bytes = |i: usize| args.get(i).map_or(0, |node: &Node| u64::from(node.bound.bytes));
+        let bytes = |i: usize| {
+            args.get(i)
+                .map_or(0, |node: &Node| u64::from(node.bound.bytes))
+        };
         let first = &args[0];
         match func {
             Func::Hash => {
@@ -290,25 +311,35 @@
                 self.unary(first, Op::Hash(most)) + price::hash(bytes(0))
             }
             Func::Split => {
-                let (Some(by), Some(Const::Int(most))) = (args[1].as_const(), args[2].as_const()) else {
+                let (Some(by), Some(Const::Int(most))) = (args[1].as_const(), args[2].as_const())
+                else {
                     return 0;
                 };
                 let most = *most as u16;
                 let by = self.operand(Operand::Value(by.clone()));
                 self.unary(first, Op::Split(by, most)) + price::split(bytes(0), u64::from(most))
             }
-            Func::StartsWith if self.text_field(first).is_some() && args[1].as_const().is_some() => {
-                self.field_test(first, &args[1], Op::FieldBegins) + price::compare(bytes(0), bytes(1))
+            Func::StartsWith
+                if self.text_field(first).is_some() && args[1].as_const().is_some() =>
+            {
+                self.field_test(first, &args[1], Op::FieldBegins)
+                    + price::compare(bytes(0), bytes(1))
             }
             Func::StartsWith | Func::EndsWith => {
-                self.node(first) + self.unary(&args[1], Op::Call(func)) + price::compare(bytes(0), bytes(1))
+                self.node(first)
+                    + self.unary(&args[1], Op::Call(func))
+                    + price::compare(bytes(0), bytes(1))
             }
             Func::Contains => {
-                self.node(first) + self.unary(&args[1], Op::Call(func)) + price::contains(bytes(0), bytes(1))
+                self.node(first)
+                    + self.unary(&args[1], Op::Call(func))
+                    + price::contains(bytes(0), bytes(1))
             }
             Func::Min | Func::Max => self.node(first) + self.unary(&args[1], Op::Call(func)),
             Func::LowerAscii => self.unary(first, Op::Call(func)) + price::copy(bytes(0)),
-            Func::ToInt | Func::ToDouble | Func::ToIp => self.unary(first, Op::Call(func)) + price::READ,
+            Func::ToInt | Func::ToDouble | Func::ToIp => {
+                self.unary(first, Op::Call(func)) + price::READ
+            }
             Func::ToText => self.unary(first, Op::Call(func)) + price::WRITE,
             Func::Size | Func::Milliseconds | Func::Minus => self.unary(first, Op::Call(func)),
         }
@@ -319,10 +350,27 @@
     /// Compiles a typed tree; with it, the cost of each part.
     pub(crate) fn new(node: &Node, slots: u16, schema: &Schema) -> (Program, Vec<Part>) {
         let (ops, operands, parts) = (Vec::new(), Vec::new(), Vec::new());
-        let mut coder = Coder { ops, operands, parts, parent: 0, times: 1, schema };
+        let mut coder = Coder {
+            ops,
+            operands,
+            parts,
+            parent: 0,
+            times: 1,
+            schema,
+        };
         let cost = coder.node(node);
-        let shape = Shape { ops: coder.ops.into(), slots, cost };
-        (Program { shape: shape.into(), operands: coder.operands.into() }, coder.parts)
+        let shape = Shape {
+            ops: coder.ops.into(),
+            slots,
+            cost,
+        };
+        (
+            Program {
+                shape: shape.into(),
+                operands: coder.operands.into(),
+            },
+            coder.parts,
+        )
     }
 
     /// The most that an evaluation costs.
@@ -332,6 +380,9 @@
 
     /// As the machine reads it.
     pub(crate) fn code(&self) -> Code<'_> {
-        Code { shape: &self.shape, operands: &self.operands }
+        Code {
+            shape: &self.shape,
+            operands: &self.operands,
+        }
     }
 }
--- a/crates/expr/src/schema.rs
+++ b/crates/expr/src/schema.rs
@@ -104,7 +104,12 @@
         let fields = Arc::make_mut(&mut self.0);
         let id = FieldId(fields.list.len() as u16);
         fields.by_name.insert(name.to_string(), id);
-        fields.list.push(Field { name: name.to_string(), ty, optional, bound });
+        fields.list.push(Field {
+            name: name.to_string(),
+            ty,
+            optional,
+            bound,
+        });
         self
     }
 
@@ -125,7 +130,11 @@
 
     /// Whether fields begin with `name` and a dot.
     pub(crate) fn is_space(&self, name: &str) -> bool {
-        self.0.list.iter().any(|f| f.name.strip_prefix(name).is_some_and(|rest| rest.starts_with('.')))
+        self.0.list.iter().any(|f| {
+            f.name
+                .strip_prefix(name)
+                .is_some_and(|rest| rest.starts_with('.'))
+        })
     }
 }
 
--- a/crates/expr/src/select.rs
+++ b/crates/expr/src/select.rs
@@ -70,14 +70,22 @@
                 SelectKey::Always => always.push(test),
                 SelectKey::Never => {}
                 SelectKey::Equals(field, text) => {
-                    texts.entry(*field).or_default().equal.push((text.clone(), test));
+                    texts
+                        .entry(*field)
+                        .or_default()
+                        .equal
+                        .push((text.clone(), test));
                 }
                 SelectKey::EqualsAny(field, all) => {
                     let equal = &mut texts.entry(*field).or_default().equal;
                     equal.extend(all.iter().map(|text| (text.clone(), test)));
                 }
                 SelectKey::BeginsWith(field, text) => {
-                    texts.entry(*field).or_default().prefixes.push((text.clone(), test));
+                    texts
+                        .entry(*field)
+                        .or_default()
+                        .prefixes
+                        .push((text.clone(), test));
                 }
                 SelectKey::BeginsWithAny(field, all) => {
                     let prefixes = &mut texts.entry(*field).or_default().prefixes;
@@ -86,11 +94,22 @@
             }
         }
         let index = |(field, texts): (FieldId, FieldTexts)| {
-            let (equal, prefixes) = (ExactIndex::new(texts.equal), PrefixIndex::new(texts.prefixes));
-            FieldIndex { field, equal, prefixes }
+            let (equal, prefixes) = (
+                ExactIndex::new(texts.equal),
+                PrefixIndex::new(texts.prefixes),
+            );
+            FieldIndex {
+                field,
+                equal,
+                prefixes,
+            }
         };
         let fields = texts.into_iter().map(index).collect();
-        Selector { fields, always: always.into(), count }
+        Selector {
+            fields,
+            always: always.into(),
+            count,
+        }
     }
 
     /// Tests that are always looked at.
@@ -110,7 +129,10 @@
 
     /// Bytes on the heap, the texts apart.
     pub fn heap_bytes(&self) -> usize {
-        let fields = self.fields.iter().map(|index| index.equal.heap_bytes() + index.prefixes.heap_bytes());
+        let fields = self
+            .fields
+            .iter()
+            .map(|index| index.equal.heap_bytes() + index.prefixes.heap_bytes());
         fields.sum::<usize>()
             + self.fields.capacity() * size_of::<FieldIndex>()
             + self.always.len() * size_of::<u32>()
@@ -124,7 +146,9 @@
         }
         chosen.found.clear();
         for index in &self.fields {
-            let Some(Value::Text(text)) = input.get(index.field) else { continue };
+            let Some(Value::Text(text)) = input.get(index.field) else {
+                continue;
+            };
             chosen.found.extend(index.equal.find(text));
             chosen.found.extend(index.prefixes.find(text));
         }
--- a/crates/expr/src/select_key.rs
+++ b/crates/expr/src/select_key.rs
@@ -40,7 +40,9 @@
 
 impl<'f> Candidate<'f> {
     fn new(path: &Path, fact: &'f Fact) -> Option<Candidate<'f>> {
-        let Path::Field(field) = path else { return None };
+        let Path::Field(field) = path else {
+            return None;
+        };
         let (whole, texts) = match (&fact.texts, &fact.prefixes) {
             (Texts::In(texts), _) => (true, texts),
             (_, Some(prefixes)) => (false, prefixes),
@@ -48,14 +50,24 @@
         };
         let shortest = texts.iter().map(|text| text.len()).min()?;
         let useful = texts.len() <= MOST_TEXTS && shortest > 0;
-        useful.then_some(Candidate { field: *field, whole, texts, shortest })
+        useful.then_some(Candidate {
+            field: *field,
+            whole,
+            texts,
+            shortest,
+        })
     }
 
     /// What the best candidate has most of. Texts that few tests have tell most apart, then long ones: a path
     /// does, a method or the one host of all tests does not. How many tests have a text is told by its holders
     /// so far.
     fn rank(&self, interner: &Interner) -> impl Ord {
-        let holders = self.texts.iter().map(|text| interner.holders(text)).max().unwrap_or(0);
+        let holders = self
+            .texts
+            .iter()
+            .map(|text| interner.holders(text))
+            .max()
+            .unwrap_or(0);
         (Reverse(holders.max(FEW_HOLDERS)), self.shortest)
     }
 }
@@ -63,12 +75,20 @@
 impl SelectKey {
     /// The key of a test by what is known wherever it is true; none: it never is.
     pub(crate) fn new(facts: Option<&Facts>, interner: &mut Interner) -> SelectKey {
-        let Some(facts) = facts else { return SelectKey::Never };
-        let candidates = facts.iter().filter_map(|(path, fact)| Candidate::new(path, fact));
+        let Some(facts) = facts else {
+            return SelectKey::Never;
+        };
+        let candidates = facts
+            .iter()
+            .filter_map(|(path, fact)| Candidate::new(path, fact));
         let Some(best) = candidates.max_by_key(|candidate| candidate.rank(interner)) else {
             return SelectKey::Always;
         };
-        let texts: Vec<Arc<str>> = best.texts.iter().map(|text| interner.shared_text(text)).collect();
+        let texts: Vec<Arc<str>> = best
+            .texts
+            .iter()
+            .map(|text| interner.shared_text(text))
+            .collect();
         match (best.whole, <[Arc<str>; 1]>::try_from(texts)) {
             (true, Ok([text])) => SelectKey::Equals(best.field, text),
             (true, Err(texts)) => SelectKey::EqualsAny(best.field, texts.into()),
--- a/crates/expr/src/text_index.rs
+++ b/crates/expr/src/text_index.rs
@@ -32,7 +32,11 @@
 
 impl Table {
     fn new(texts: Vec<(Arc<str>, u32)>, hash: impl Fn(&[u8]) -> u64) -> Table {
-        let entry = |(text, value)| Entry { text, value, next: NONE };
+        let entry = |(text, value)| Entry {
+            text,
+            value,
+            next: NONE,
+        };
         let mut entries: Box<[Entry]> = texts.into_iter().map(entry).collect();
         let mut chains = HashTable::with_capacity(entries.len());
         // From the last on, so that each chain leads from the first to the last.
@@ -108,7 +112,11 @@
     pub(crate) fn new(prefixes: Vec<(Arc<str>, u32)>) -> PrefixIndex {
         let lengths: BTreeSet<usize> = prefixes.iter().map(|(text, _)| text.len()).collect();
         let lengths: Box<[usize]> = lengths.into_iter().collect();
-        let last_hash = |text: &[u8]| beginnings(&lengths, text).last().map_or(0, |(_, hash)| hash);
+        let last_hash = |text: &[u8]| {
+            beginnings(&lengths, text)
+                .last()
+                .map_or(0, |(_, hash)| hash)
+        };
         let table = Table::new(prefixes, last_hash);
         PrefixIndex { table, lengths }
     }
--- a/crates/expr/tests/common/mod.rs
+++ b/crates/expr/tests/common/mod.rs
@@ -51,7 +51,10 @@
             size: 42,
             ip: "10.1.2.3".parse().unwrap(),
             wait: 1500,
-            headers: vec![("x-station".into(), "Dar".into()), ("accept".into(), "audio/ogg".into())],
+            headers: vec![
+                ("x-station".into(), "Dar".into()),
+                ("accept".into(), "audio/ogg".into()),
+            ],
             tags: vec!["news".into(), "morning".into(), "sw".into()],
             retry: false,
             load: 0.75,
@@ -89,13 +92,20 @@
     fn item(&self, field: FieldId, index: usize) -> Option<Value<'_>> {
         match field.0 {
             9 => self.tags.get(index).map(|tag| Value::Text(tag)),
-            12 => self.codes.as_ref()?.get(index).map(|code| Value::Int(*code)),
+            12 => self
+                .codes
+                .as_ref()?
+                .get(index)
+                .map(|code| Value::Int(*code)),
             _ => None,
         }
     }
 
     fn lookup(&self, field: FieldId, key: &str) -> Option<Value<'_>> {
-        let header = self.headers.iter().find(|(name, _)| field.0 == 8 && name == key);
+        let header = self
+            .headers
+            .iter()
+            .find(|(name, _)| field.0 == 8 && name == key);
         header.map(|(_, value)| Value::Text(value))
     }
 }
@@ -106,14 +116,18 @@
     match Expression::new(text, &schema()) {
         Err(error) => {
             let shown = error.render("text", Origin::default());
-            assert!(shown.lines().all(|line| line.chars().count() < 1000), "{shown}");
+            assert!(
+                shown.lines().all(|line| line.chars().count() < 1000),
+                "{shown}"
+            );
         }
         Ok(expression) => {
             let request = Request::default();
             let mut scratch = Scratch::default();
             let result = expression.eval(&request, &mut scratch).map(|_| ());
             assert!(
-                matches!(result, Ok(()) | Err(Fault::Overflow | Fault::Zero)) || is_collection(&expression),
+                matches!(result, Ok(()) | Err(Fault::Overflow | Fault::Zero))
+                    || is_collection(&expression),
                 "{text}"
             );
             assert!(scratch.spent() <= expression.cost(), "{text}");
--- a/crates/expr/tests/compiled.rs
+++ b/crates/expr/tests/compiled.rs
@@ -9,7 +9,9 @@
 use proptest::prelude::*;
 
 fn compiled(text: &str, interner: &mut Interner) -> Compiled {
-    Expression::new(text, &schema()).unwrap_or_else(|error| panic!("{text}: {error}")).compile(interner)
+    Expression::new(text, &schema())
+        .unwrap_or_else(|error| panic!("{text}: {error}"))
+        .compile(interner)
 }
 
 /// A value of an evaluation in a form that outlives its scratch, and what it spent.
@@ -56,7 +58,10 @@
     let second = compiled(&test("/radio-2/"), &mut interner);
     assert!(first.same_shape(&second) && !first.same(&second));
     let mut scratch = Scratch::default();
-    let request = Request { path: "/radio-2/live".into(), ..Request::default() };
+    let request = Request {
+        path: "/radio-2/live".into(),
+        ..Request::default()
+    };
     assert_eq!(first.test(&request, &mut scratch), Ok(false));
     assert_eq!(second.test(&request, &mut scratch), Ok(true));
     // Of the same steps, but another operator, field or number of parts.
@@ -66,7 +71,10 @@
         "request.path.startsWith('/radio-1/') || request.method == 'GET'",
         "request.path.startsWith('/radio-1/')",
     ] {
-        assert!(!first.same_shape(&compiled(other, &mut interner)), "{other}");
+        assert!(
+            !first.same_shape(&compiled(other, &mut interner)),
+            "{other}"
+        );
     }
 }
 
@@ -77,7 +85,10 @@
     let short = compiled(&test("a".into()), &mut interner);
     let long = compiled(&test("a".repeat(60)), &mut interner);
     assert!(short.cost() < long.cost());
-    let request = Request { path: "a".repeat(60), ..Request::default() };
+    let request = Request {
+        path: "a".repeat(60),
+        ..Request::default()
+    };
     let mut scratch = Scratch::default();
     assert_eq!(long.test(&request, &mut scratch), Ok(true));
     assert!(scratch.spent() <= long.cost());
@@ -110,17 +121,29 @@
     let mut interner = Interner::new();
     for (a, b) in [
         ("string(0.0 * load)", "string(-0.0 * load)"),
-        ("request.method in ['GET', 'HEAD']", "request.method in ['GET', 'POST']"),
+        (
+            "request.method in ['GET', 'HEAD']",
+            "request.method in ['GET', 'POST']",
+        ),
         ("request.size in [1, 2]", "request.size in [1, 3]"),
-        ("{'GET': 'a'}[request.method].orValue('c')", "{'GET': 'b'}[request.method].orValue('c')"),
+        (
+            "{'GET': 'a'}[request.method].orValue('c')",
+            "{'GET': 'b'}[request.method].orValue('c')",
+        ),
         ("request.path.matches('a')", "request.path.matches('b')"),
-        ("request.ip.inCidr(['10.0.0.0/8'])", "request.ip.inCidr(['11.0.0.0/8'])"),
+        (
+            "request.ip.inCidr(['10.0.0.0/8'])",
+            "request.ip.inCidr(['11.0.0.0/8'])",
+        ),
         (
             "request.path.startsWith('/a') || request.path.startsWith('/b')",
             "request.path.startsWith('/a') || request.path.startsWith('/c')",
         ),
     ] {
-        assert!(!compiled(a, &mut interner).same(&compiled(b, &mut interner)), "{a} and {b}");
+        assert!(
+            !compiled(a, &mut interner).same(&compiled(b, &mut interner)),
+            "{a} and {b}"
+        );
     }
 }
 
@@ -128,14 +151,20 @@
 fn sets_and_maps_are_shared_whatever_the_order_they_are_written_in() {
     let mut interner = Interner::new();
     for (a, b) in [
-        ("request.method in ['GET', 'HEAD', 'PUT']", "request.method in ['PUT', 'GET', 'HEAD']"),
+        (
+            "request.method in ['GET', 'HEAD', 'PUT']",
+            "request.method in ['PUT', 'GET', 'HEAD']",
+        ),
         ("request.size in [1, 2, 3]", "request.size in [3, 1, 2]"),
         (
             "{'GET': 'a', 'PUT': 'b'}[request.method].orValue('c')",
             "{'PUT': 'b', 'GET': 'a'}[request.method].orValue('c')",
         ),
     ] {
-        assert!(compiled(a, &mut interner).same(&compiled(b, &mut interner)), "{a} and {b}");
+        assert!(
+            compiled(a, &mut interner).same(&compiled(b, &mut interner)),
+            "{a} and {b}"
+        );
     }
 }
 
--- a/crates/expr/tests/conformance.rs
+++ b/crates/expr/tests/conformance.rs
@@ -31,24 +31,39 @@
 fn every_case_of_the_table_holds() {
     let (mut count, mut failed) = (0, Vec::new());
     for (number, line) in CASES.lines().enumerate() {
-        let comment = line.starts_with("##") || line.starts_with("# ") && !line.contains("!! no meaning");
+        let comment =
+            line.starts_with("##") || line.starts_with("# ") && !line.contains("!! no meaning");
         if line.trim().is_empty() || comment {
             continue;
         }
         let kinds = ["=>", "!!", "~~"].into_iter();
-        let mut found = kinds.filter_map(|kind| Some((kind, line.rsplit_once(&format!(" {kind} "))?)));
+        let mut found =
+            kinds.filter_map(|kind| Some((kind, line.rsplit_once(&format!(" {kind} "))?)));
         let Some((kind, (text, want))) = found.next_back() else {
             failed.push(format!("line {}: no case: {line}", number + 1));
             continue;
         };
         let (got, told) = value(text);
-        let holds = got == kind && if kind == "=>" { told == want } else { told.contains(want) };
+        let holds = got == kind
+            && if kind == "=>" {
+                told == want
+            } else {
+                told.contains(want)
+            };
         if !holds {
-            failed.push(format!("line {}: {text}: want {kind} {want}, got {got} {told}", number + 1));
+            failed.push(format!(
+                "line {}: {text}: want {kind} {want}, got {got} {told}",
+                number + 1
+            ));
         }
         count += 1;
     }
-    assert!(failed.is_empty(), "{} of {count} fail:\n{}", failed.len(), failed.join("\n"));
+    assert!(
+        failed.is_empty(),
+        "{} of {count} fail:\n{}",
+        failed.len(),
+        failed.join("\n")
+    );
     assert!(count > 300, "{count} cases");
 }
 
@@ -56,7 +71,10 @@
 fn a_fault_shows_its_place_in_the_file() {
     let text = "request.method == \"GET\" &&\n  request.pth.startsWith(\"/episodes/\")";
     let error = Expression::new(text, &schema()).unwrap_err();
-    let origin = Origin { line: 12, column: 8 };
+    let origin = Origin {
+        line: 12,
+        column: 8,
+    };
     let want = "rules.toml:13:3: there is no `request.pth`\n   |\n\
                 13 |   request.pth.startsWith(\"/episodes/\")\n   |   ^^^^^^^^^^^\n   = did you mean `request.path`?";
     assert_eq!(error.render("rules.toml", origin), want);
@@ -65,7 +83,11 @@
 #[test]
 fn hashes_stay_the_same() {
     // Read once from this build. A change moves partners between pools: it needs a new name for the function.
-    for (text, want) in [("", "12586"), ("0000000000000007", "876660"), ("/episodes/123/audio", "221886")] {
+    for (text, want) in [
+        ("", "12586"),
+        ("0000000000000007", "876660"),
+        ("/episodes/123/audio", "221886"),
+    ] {
         let (_, got) = value(&format!("hash({text:?}, 1000000)"));
         assert_eq!(got, want, "{text:?}");
     }
--- a/crates/expr/tests/corpus.rs
+++ b/crates/expr/tests/corpus.rs
@@ -15,7 +15,9 @@
     }
     assert!(count > 0);
     for line in include_str!("conformance.txt").lines() {
-        let ends = ["=>", "!!", "~~"].iter().filter_map(|kind| line.rfind(&format!(" {kind} ")));
+        let ends = ["=>", "!!", "~~"]
+            .iter()
+            .filter_map(|kind| line.rfind(&format!(" {kind} ")));
         common::whole_way(&line[..ends.max().unwrap_or(line.len())]);
     }
 }
--- a/crates/expr/tests/generators/mod.rs
+++ b/crates/expr/tests/generators/mod.rs
@@ -17,7 +17,12 @@
         RngSeed::Random => RandomState::new().hash_one(()),
     };
     println!("PROPTEST_RNG_SEED={seed}");
-    ProptestConfig { cases, failure_persistence: None, rng_seed: RngSeed::Fixed(seed), ..config }
+    ProptestConfig {
+        cases,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(seed),
+        ..config
+    }
 }
 
 /// Texts of expressions of one type each, nested to a depth.
@@ -63,23 +68,32 @@
         t().prop_map(move |a| format!("({a}) in ['GET', '/live/x', '']")),
         t().prop_map(move |a| format!("({a}) in request.tags")),
         t().prop_map(move |a| format!("({a}) in request.headers")),
-        (t(), b())
-            .prop_map(move |(a, b)| format!("request.tags.exists(t{depth}, t{depth} == ({a}) || ({b}))")),
-        (i(), b()).prop_map(move |(a, b)| format!("[1, 2, 3].all(n{depth}, n{depth} < ({a}) && ({b}))")),
+        (t(), b()).prop_map(move |(a, b)| format!(
+            "request.tags.exists(t{depth}, t{depth} == ({a}) || ({b}))"
+        )),
+        (i(), b())
+            .prop_map(move |(a, b)| format!("[1, 2, 3].all(n{depth}, n{depth} < ({a}) && ({b}))")),
         (b(), b(), b()).prop_map(move |(a, b, c)| format!("({a}) ? ({b}) : ({c})")),
-        (t(), b()).prop_map(move |(a, b)| format!("(let x{depth} = {a}; x{depth} == 'GET' || ({b}))")),
+        (t(), b())
+            .prop_map(move |(a, b)| format!("(let x{depth} = {a}; x{depth} == 'GET' || ({b}))")),
         t().prop_map(move |a| format!("has(({a}).split('/')[1])")),
     ]
     .boxed()
 }
 
 fn int_text(depth: u32) -> BoxedStrategy<String> {
-    let leaf =
-        prop_oneof![any::<i32>().prop_map(move |i| format!("({i})")), Just("request.size".to_string())];
+    let leaf = prop_oneof![
+        any::<i32>().prop_map(move |i| format!("({i})")),
+        Just("request.size".to_string())
+    ];
     if depth == 0 {
         return leaf.boxed();
     }
-    let (b, i, t) = (|| bool_text(depth - 1), || int_text(depth - 1), || text_text(depth - 1));
+    let (b, i, t) = (
+        || bool_text(depth - 1),
+        || int_text(depth - 1),
+        || text_text(depth - 1),
+    );
     prop_oneof![
         leaf,
         (i(), select(vec!["+", "-", "*", "/", "%"]), i())
@@ -110,16 +124,21 @@
     let d = || double_text(depth - 1);
     prop_oneof![
         leaf,
-        (d(), select(vec!["+", "-", "*", "/"]), d()).prop_map(move |(a, o, b)| format!("({a}) {o} ({b})")),
+        (d(), select(vec!["+", "-", "*", "/"]), d())
+            .prop_map(move |(a, o, b)| format!("({a}) {o} ({b})")),
         int_text(depth - 1).prop_map(move |a| format!("double({a})")),
         text_text(depth - 1).prop_map(move |a| format!("double({a}).orValue(0.5)")),
-        (bool_text(depth - 1), d(), d()).prop_map(move |(a, b, c)| format!("({a}) ? ({b}) : ({c})")),
+        (bool_text(depth - 1), d(), d())
+            .prop_map(move |(a, b, c)| format!("({a}) ? ({b}) : ({c})")),
     ]
     .boxed()
 }
 
 fn duration_text(depth: u32) -> BoxedStrategy<String> {
-    let leaf = prop_oneof![Just("request.wait".to_string()), Just("duration('1.5s')".to_string())];
+    let leaf = prop_oneof![
+        Just("request.wait".to_string()),
+        Just("duration('1.5s')".to_string())
+    ];
     if depth == 0 {
         return leaf.boxed();
     }
@@ -135,8 +154,14 @@
 
 fn text_text(depth: u32) -> BoxedStrategy<String> {
     let leaf = prop_oneof![
-        select(vec!["request.path", "request.method", "request.partner.orValue('none')", "''", "'Abc/12'"])
-            .prop_map(str::to_string),
+        select(vec![
+            "request.path",
+            "request.method",
+            "request.partner.orValue('none')",
+            "''",
+            "'Abc/12'"
+        ])
+        .prop_map(str::to_string),
         Just("request.headers['accept'].orValue('')".to_string()),
         Just("request.tags[1].orValue('none')".to_string()),
     ];
@@ -151,7 +176,8 @@
         (t(), 0..3).prop_map(move |(a, i)| format!("({a}).split('/')[{i}].orValue('-')")),
         int_text(depth - 1).prop_map(move |a| format!("string({a})")),
         double_text(depth - 1).prop_map(move |a| format!("string({a})")),
-        (bool_text(depth - 1), t(), t()).prop_map(move |(a, b, c)| format!("({a}) ? ({b}) : ({c})")),
+        (bool_text(depth - 1), t(), t())
+            .prop_map(move |(a, b, c)| format!("({a}) ? ({b}) : ({c})")),
         t().prop_map(move |a| format!("{{'GET': 'g', 'POST': 'p'}}[{a}].orValue('x')")),
         (t(), t()).prop_map(move |(a, b)| format!("(let y{depth} = {a}; y{depth} + ({b}))")),
     ]
--- a/crates/expr/tests/heap.rs
+++ b/crates/expr/tests/heap.rs
@@ -25,7 +25,10 @@
 }
 
 fn tests(interner: &mut Interner, text: impl Fn(usize) -> String) -> Tests {
-    let mut all = Tests { compiled: Vec::with_capacity(TESTS), keys: Vec::with_capacity(TESTS) };
+    let mut all = Tests {
+        compiled: Vec::with_capacity(TESTS),
+        keys: Vec::with_capacity(TESTS),
+    };
     let schema = schema();
     for number in 0..TESTS {
         let expression = Expression::new(&text(number), &schema).expect("a test");
@@ -38,7 +41,9 @@
 /// Bytes that are held beyond those at a region's begin.
 fn held(region: &Region<'_, System>) -> usize {
     let change = region.change();
-    change.bytes_allocated.saturating_sub(change.bytes_deallocated)
+    change
+        .bytes_allocated
+        .saturating_sub(change.bytes_deallocated)
 }
 
 fn by_prefix(number: usize) -> String {
@@ -70,8 +75,16 @@
             selector.heap_bytes() / TESTS,
             estimate / TESTS
         );
-        assert!(bytes <= MOST_BYTES * TESTS, "{}: {} bytes a test", text(0), bytes / TESTS);
-        assert!(estimate <= bytes && estimate >= bytes / 3, "{estimate} by estimate, {bytes} counted");
+        assert!(
+            bytes <= MOST_BYTES * TESTS,
+            "{}: {} bytes a test",
+            text(0),
+            bytes / TESTS
+        );
+        assert!(
+            estimate <= bytes && estimate >= bytes / 3,
+            "{estimate} by estimate, {bytes} counted"
+        );
         drop((all, selector));
         assert!(held(&region) < TESTS, "{} bytes are left", held(&region));
     }
@@ -80,18 +93,30 @@
     let region = Region::new(GLOBAL);
     let all: Vec<Compiled> = tests(&mut interner, |_| "request.path == '/a'".to_string()).compiled;
     let bytes = held(&region);
-    assert!(bytes <= MOST_SHARED_BYTES * TESTS, "{} bytes a shared test", bytes / TESTS);
+    assert!(
+        bytes <= MOST_SHARED_BYTES * TESTS,
+        "{} bytes a shared test",
+        bytes / TESTS
+    );
     assert!(all.iter().all(|one| one.same(&all[0])));
     drop(all);
     interner.sweep();
-    assert!(held(&region) < TESTS, "{} bytes are left after a sweep", held(&region));
+    assert!(
+        held(&region) < TESTS,
+        "{} bytes are left after a sweep",
+        held(&region)
+    );
 
     // A sweep gives back what was held by the interner alone.
     let region = Region::new(GLOBAL);
     drop(tests(&mut interner, by_prefix));
     assert!(held(&region) > TESTS);
     interner.sweep();
-    assert!(held(&region) < TESTS, "{} bytes are left after a sweep", held(&region));
+    assert!(
+        held(&region) < TESTS,
+        "{} bytes are left after a sweep",
+        held(&region)
+    );
 
     // All that a build asks for, whether it holds it or not, bounds what it takes for a while.
     let all = tests(&mut interner, by_prefix);
@@ -99,6 +124,13 @@
     let selector = Selector::new(all.keys.iter());
     let asked = region.change().bytes_allocated;
     let transient = asked.saturating_sub(selector.heap_bytes());
-    println!("building an index: {} transient bytes a test", transient / TESTS);
-    assert!(transient <= MOST_TRANSIENT_BYTES * TESTS, "{} transient bytes a test", transient / TESTS);
+    println!(
+        "building an index: {} transient bytes a test",
+        transient / TESTS
+    );
+    assert!(
+        transient <= MOST_TRANSIENT_BYTES * TESTS,
+        "{} transient bytes a test",
+        transient / TESTS
+    );
 }
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -17,22 +17,32 @@
     use driftgap_expr::Input;
     facts.iter().all(|(path, fact)| {
         let value = match path {
-            Path::Field(field) => {
-                request.get(*field).or_else(|| request.size(*field).map(|n| Value::Int(n as i64)))
-            }
+            Path::Field(field) => request
+                .get(*field)
+                .or_else(|| request.size(*field).map(|n| Value::Int(n as i64))),
             Path::Key(field, key) => request.lookup(*field, key),
-            Path::Item(field, index) => usize::try_from(*index).ok().and_then(|i| request.item(*field, i)),
+            Path::Item(field, index) => usize::try_from(*index)
+                .ok()
+                .and_then(|i| request.item(*field, i)),
             Path::Local(_) => return true,
         };
-        if fact.present.is_some_and(|present| present != value.is_some()) {
+        if fact
+            .present
+            .is_some_and(|present| present != value.is_some())
+        {
             return false;
         }
-        let Some(Value::Text(text)) = value else { return true };
+        let Some(Value::Text(text)) = value else {
+            return true;
+        };
         let listed = match &fact.texts {
             Texts::In(texts) => texts.contains(text),
             Texts::NotIn(texts) => !texts.contains(text),
         };
-        let begins = fact.prefixes.as_ref().is_none_or(|all| all.iter().any(|p| text.starts_with(&**p)));
+        let begins = fact
+            .prefixes
+            .as_ref()
+            .is_none_or(|all| all.iter().any(|p| text.starts_with(&**p)));
         listed && begins && !fact.not_prefixes.iter().any(|p| text.starts_with(&**p))
     })
 }
@@ -164,7 +174,8 @@
 
 #[test]
 fn hostile_texts_are_refused_in_time() {
-    let nested = |open: &str, close: &str, n: usize| format!("{}1{}", open.repeat(n), close.repeat(n));
+    let nested =
+        |open: &str, close: &str, n: usize| format!("{}1{}", open.repeat(n), close.repeat(n));
     let mut doubled = "request.retry".to_string();
     for _ in 0..11 {
         doubled = format!("({doubled}) ? ({doubled}) : ({doubled})");
@@ -183,7 +194,9 @@
             break;
         }
     }
-    let lists = (0..40).fold("true".to_string(), |inner, _| format!("(true in [{inner}])"));
+    let lists = (0..40).fold("true".to_string(), |inner, _| {
+        format!("(true in [{inner}])")
+    });
     let mut texts = vec![
         nested("(", ")", 30_000),
         nested("[", "]", 30_000),
@@ -197,15 +210,43 @@
         "a".repeat(1_000_000),
         format!("request.path.matches('{}')", "(a{99}){99}".repeat(40)),
         format!("request.path.matches(r'{}')", r"\w{50}".repeat(60)),
-        format!("request.path.matches('{}a{}')", "(".repeat(200), ")*".repeat(200)),
-        (0..1000).map(|i| format!("request.path == '/e/{i}'")).collect::<Vec<_>>().join(" || "),
-        (0..1000).map(|i| format!("request.path.startsWith('/e/{i}')")).collect::<Vec<_>>().join(" || "),
-        (0..1000).map(|i| format!("request.path != '/e/{i}'")).collect::<Vec<_>>().join(" && "),
-        (0..800).map(|i| format!("request.path.contains('/e/{i}')")).collect::<Vec<_>>().join(" || "),
-        format!("request.path in [{}]", (0..4000).map(|i| format!("'{i}'")).collect::<Vec<_>>().join(",")),
-        format!("request.path in [{}request.method]", "request.method,".repeat(4000)),
+        format!(
+            "request.path.matches('{}a{}')",
+            "(".repeat(200),
+            ")*".repeat(200)
+        ),
+        (0..1000)
+            .map(|i| format!("request.path == '/e/{i}'"))
+            .collect::<Vec<_>>()
+            .join(" || "),
+        (0..1000)
+            .map(|i| format!("request.path.startsWith('/e/{i}')"))
+            .collect::<Vec<_>>()
+            .join(" || "),
+        (0..1000)
+            .map(|i| format!("request.path != '/e/{i}'"))
+            .collect::<Vec<_>>()
+            .join(" && "),
+        (0..800)
+            .map(|i| format!("request.path.contains('/e/{i}')"))
+            .collect::<Vec<_>>()
+            .join(" || "),
+        format!(
+            "request.path in [{}]",
+            (0..4000)
+                .map(|i| format!("'{i}'"))
+                .collect::<Vec<_>>()
+                .join(",")
+        ),
+        format!(
+            "request.path in [{}request.method]",
+            "request.method,".repeat(4000)
+        ),
         "let x = request.path + request.path; ".to_string() + &"x + ".repeat(60) + "x",
-        (0..60).map(|i| format!("let v{i} = request.retry; ")).collect::<String>() + "v1",
+        (0..60)
+            .map(|i| format!("let v{i} = request.retry; "))
+            .collect::<String>()
+            + "v1",
         "request.tags.exists(a, ".repeat(9) + "true" + &")".repeat(9),
     ];
     texts.extend([doubled, tests, ins, lists]);
@@ -213,7 +254,11 @@
         let begun = Instant::now();
         let _ = Expression::new(&text, &schema());
         let took = begun.elapsed();
-        assert!(took < most(), "{took:?} for {}", &text[..text.len().min(80)]);
+        assert!(
+            took < most(),
+            "{took:?} for {}",
+            &text[..text.len().min(80)]
+        );
     }
 }
 
@@ -227,7 +272,11 @@
     let error = most(loops).unwrap_err();
     let told = error.render("rules.toml", driftgap_expr::Origin::default());
     assert!(told.contains("2000 are the most"), "{told}");
-    assert_eq!(&loops[error.span.clone()], "(a + b + c).matches('(x|y)+z')", "{told}");
+    assert_eq!(
+        &loops[error.span.clone()],
+        "(a + b + c).matches('(x|y)+z')",
+        "{told}"
+    );
     assert!(most("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
     let cost = |text| Expression::new(text, &schema()).unwrap().cost();
     assert!(cost("request.path == '/a' || request.path == '/b' || request.path == '/c'") < 20);
@@ -236,7 +285,9 @@
 #[test]
 fn a_thousand_alternatives_are_one_look_up() {
     let any = |test: &str| {
-        let all: Vec<String> = (0..1000).map(|i| test.replace('#', &i.to_string())).collect();
+        let all: Vec<String> = (0..1000)
+            .map(|i| test.replace('#', &i.to_string()))
+            .collect();
         Expression::new(&all.join(" || "), &schema()).unwrap()
     };
     assert!(any("request.path == '/e/#'").cost() < 20);
@@ -247,7 +298,10 @@
 #[test]
 fn an_input_beyond_its_bounds_is_stopped_at_the_stated_cost() {
     let expression = Expression::new("request.tags.all(t, t != 'x')", &schema()).unwrap();
-    let request = Request { tags: vec!["a".into(); 100_000], ..Request::default() };
+    let request = Request {
+        tags: vec!["a".into(); 100_000],
+        ..Request::default()
+    };
     let mut scratch = Scratch::default();
     assert_eq!(expression.test(&request, &mut scratch), Err(Fault::Cost));
     assert!(scratch.spent() <= expression.cost() + 10);
@@ -265,29 +319,51 @@
                 Outcome::Text(text) => text.clone(),
                 other => format!("{other:?}"),
             };
-            let known =
-                way.facts.texts(&method).map_or("any".into(), |all| all.collect::<Vec<_>>().join("|"));
+            let known = way
+                .facts
+                .texts(&method)
+                .map_or("any".into(), |all| all.collect::<Vec<_>>().join("|"));
             (outcome, known)
         });
         ways.collect()
     };
     let pair = |a: &str, b: &str| (a.to_string(), b.to_string());
-    assert_eq!(ways("request.method == 'GET' ? 'a' : 'b'"), [pair("a", "GET"), pair("b", "any")]);
+    assert_eq!(
+        ways("request.method == 'GET' ? 'a' : 'b'"),
+        [pair("a", "GET"), pair("b", "any")]
+    );
     let table = "{'GET': 'a', 'POST': 'b'}[request.method].orValue('c')";
-    assert_eq!(ways(table), [pair("a", "GET"), pair("b", "POST"), pair("c", "any")]);
+    assert_eq!(
+        ways(table),
+        [pair("a", "GET"), pair("b", "POST"), pair("c", "any")]
+    );
     let named = "let m = request.method; let get = m in ['GET', 'HEAD']; get ? 'a' : 'b'";
     assert_eq!(ways(named), [pair("a", "GET|HEAD"), pair("b", "any")]);
     // A way that nothing takes is none.
-    assert_eq!(ways("request.method == 'GET' ? request.method == 'PUT' ? 'x' : 'a' : 'b'").len(), 2);
+    assert_eq!(
+        ways("request.method == 'GET' ? request.method == 'PUT' ? 'x' : 'a' : 'b'").len(),
+        2
+    );
 }
 
 #[test]
 fn an_explanation_tells_each_part_and_what_was_not_reached() {
     let text = "request.method == 'POST' && request.path.startsWith('/e')";
-    let steps = Expression::new(text, &schema()).unwrap().explain(&Request::default());
-    let told: Vec<(usize, &str, &str)> = steps.iter().map(|s| (s.depth, &s.text[..], &s.value[..])).collect();
+    let steps = Expression::new(text, &schema())
+        .unwrap()
+        .explain(&Request::default());
+    let told: Vec<(usize, &str, &str)> = steps
+        .iter()
+        .map(|s| (s.depth, &s.text[..], &s.value[..]))
+        .collect();
     assert_eq!(told[0], (0, text, "false"));
-    assert!(told.contains(&(1, "request.method == 'POST'", "false")), "{told:?}");
+    assert!(
+        told.contains(&(1, "request.method == 'POST'", "false")),
+        "{told:?}"
+    );
     assert!(told.contains(&(2, "request.method", "\"GET\"")), "{told:?}");
-    assert!(told.contains(&(1, "request.path.startsWith('/e')", "not reached")), "{told:?}");
+    assert!(
+        told.contains(&(1, "request.path.startsWith('/e')", "not reached")),
+        "{told:?}"
+    );
 }
--- a/crates/expr/tests/select.rs
+++ b/crates/expr/tests/select.rs
@@ -22,11 +22,13 @@
         SelectKey::Always => true,
         SelectKey::Never => false,
         SelectKey::Equals(field, with) => holds(field, &|text| *text == **with),
-        SelectKey::EqualsAny(field, all) => holds(field, &|text| all.iter().any(|with| *text == **with)),
-        SelectKey::BeginsWith(field, with) => holds(field, &|text| text.starts_with(&**with)),
-        SelectKey::BeginsWithAny(field, all) => {
-            holds(field, &|text| all.iter().any(|with| text.starts_with(&**with)))
+        SelectKey::EqualsAny(field, all) => {
+            holds(field, &|text| all.iter().any(|with| *text == **with))
         }
+        SelectKey::BeginsWith(field, with) => holds(field, &|text| text.starts_with(&**with)),
+        SelectKey::BeginsWithAny(field, all) => holds(field, &|text| {
+            all.iter().any(|with| text.starts_with(&**with))
+        }),
     }
 }
 
@@ -73,7 +75,9 @@
     let selector = Selector::new(keys.iter());
     prop_assert_eq!(selector.len(), keys.len());
     for input in inputs {
-        let want: Vec<usize> = (0..keys.len()).filter(|i| may_be_true(&keys[*i], input)).collect();
+        let want: Vec<usize> = (0..keys.len())
+            .filter(|i| may_be_true(&keys[*i], input))
+            .collect();
         prop_assert_eq!(want, chosen(&selector, input, kept), "{:?}", input);
     }
     Ok(())
@@ -128,21 +132,35 @@
 }
 
 fn key_of(text: &str) -> SelectKey {
-    Expression::new(text, &schema()).unwrap().select_key(&mut Interner::new())
+    Expression::new(text, &schema())
+        .unwrap()
+        .select_key(&mut Interner::new())
 }
 
 #[test]
 fn a_test_is_found_by_the_longest_texts_that_it_needs() {
     let begins = |text: &str| SelectKey::BeginsWith(PATH, text.into());
-    assert_eq!(key_of("request.path.startsWith('/news/') && request.method == 'GET'"), begins("/news/"));
-    assert_eq!(key_of("request.path == '/news'"), SelectKey::Equals(PATH, "/news".into()));
+    assert_eq!(
+        key_of("request.path.startsWith('/news/') && request.method == 'GET'"),
+        begins("/news/")
+    );
+    assert_eq!(
+        key_of("request.path == '/news'"),
+        SelectKey::Equals(PATH, "/news".into())
+    );
     let methods = SelectKey::EqualsAny(METHOD, ["GET".into(), "PUT".into()].into());
     assert_eq!(key_of("request.method in ['PUT', 'GET']"), methods);
     let paths = SelectKey::BeginsWithAny(PATH, ["/a/".into(), "/b/".into()].into());
-    assert_eq!(key_of("request.path.startsWith('/b/') || request.path.startsWith('/a/')"), paths);
+    assert_eq!(
+        key_of("request.path.startsWith('/b/') || request.path.startsWith('/a/')"),
+        paths
+    );
     assert_eq!(key_of("request.path.contains('/news/')"), SelectKey::Always);
     assert_eq!(key_of("request.path.startsWith('')"), SelectKey::Always);
-    assert_eq!(key_of("request.method == 'GET' && request.method == 'PUT'"), SelectKey::Never);
+    assert_eq!(
+        key_of("request.method == 'GET' && request.method == 'PUT'"),
+        SelectKey::Never
+    );
     assert!(size_of::<SelectKey>() <= 24);
 }
 
@@ -154,32 +172,63 @@
     };
     let expressions = (0..2000).map(|number| Expression::new(&test(number), &schema()).unwrap());
     let (keys, compiled): (Vec<_>, Vec<_>) = expressions
-        .map(|expression| (expression.select_key(&mut interner), expression.compile(&mut interner)))
+        .map(|expression| {
+            (
+                expression.select_key(&mut interner),
+                expression.compile(&mut interner),
+            )
+        })
         .unzip();
     let selector = Selector::new(keys.iter());
-    let request =
-        Request { path: "/1999/live".into(), agent: Some("the-one.example".into()), ..Request::default() };
+    let request = Request {
+        path: "/1999/live".into(),
+        agent: Some("the-one.example".into()),
+        ..Request::default()
+    };
     let chosen = chosen(&selector, &request, &mut Chosen::default());
-    assert!(chosen.contains(&1999) && chosen.len() < 32, "{} are chosen", chosen.len());
+    assert!(
+        chosen.contains(&1999) && chosen.len() < 32,
+        "{} are chosen",
+        chosen.len()
+    );
     drop(compiled);
 }
 
 #[test]
 fn tests_that_nothing_tells_apart_are_counted() {
-    let keys = [key_of("true"), key_of("request.path == '/a'"), key_of("request.retry")];
+    let keys = [
+        key_of("true"),
+        key_of("request.path == '/a'"),
+        key_of("request.retry"),
+    ];
     let selector = Selector::new(keys.iter());
-    assert_eq!((selector.len(), selector.unindexed(), selector.is_empty()), (3, 2, false));
-    let request = Request { path: "/b".into(), ..Request::default() };
+    assert_eq!(
+        (selector.len(), selector.unindexed(), selector.is_empty()),
+        (3, 2, false)
+    );
+    let request = Request {
+        path: "/b".into(),
+        ..Request::default()
+    };
     assert_eq!(chosen(&selector, &request, &mut Chosen::default()), [0, 2]);
     assert!(Selector::new([].iter()).is_empty());
 }
 
 #[test]
 fn an_empty_text_in_a_key_chooses_for_every_text() {
-    let keys = [SelectKey::BeginsWith(PATH, "".into()), SelectKey::Equals(PATH, "".into())];
+    let keys = [
+        SelectKey::BeginsWith(PATH, "".into()),
+        SelectKey::Equals(PATH, "".into()),
+    ];
     let selector = Selector::new(keys.iter());
-    let some = Request { path: "/b".into(), ..Request::default() };
+    let some = Request {
+        path: "/b".into(),
+        ..Request::default()
+    };
     assert_eq!(chosen(&selector, &some, &mut Chosen::default()), [0]);
-    let empty = Request { path: String::new(), ..Request::default() };
+    let empty = Request {
+        path: String::new(),
+        ..Request::default()
+    };
     assert_eq!(chosen(&selector, &empty, &mut Chosen::default()), [0, 1]);
 }
--- a/crates/group/src/fans.rs
+++ b/crates/group/src/fans.rs
@@ -34,7 +34,12 @@
     pub(crate) fn hear(&mut self, now: f64, from: u64, frame: Frame, member: &mut Member) {
         match frame {
             Frame::Follow { have } => {
-                let fan = Fan { told: None, documents: have.into_iter().collect(), beat: f64::MIN, age: 0.0 };
+                let fan = Fan {
+                    told: None,
+                    documents: have.into_iter().collect(),
+                    beat: f64::MIN,
+                    age: 0.0,
+                };
                 self.fans.insert(from, fan);
             }
             Frame::Ask { op, made_at, wish } => {
@@ -107,15 +112,21 @@
             return;
         }
         let age_ms = member.age_ms(now);
-        for (to, fan) in self.fans.iter_mut().filter(|(to, _)| only.is_none_or(|only| only == **to)) {
-            let lacks = |kind: &Kind, number: u64| fan.documents.get(kind).is_none_or(|had| *had < number);
+        for (to, fan) in self
+            .fans
+            .iter_mut()
+            .filter(|(to, _)| only.is_none_or(|only| only == **to))
+        {
+            let lacks =
+                |kind: &Kind, number: u64| fan.documents.get(kind).is_none_or(|had| *had < number);
             let documents: Vec<_> = state
                 .documents
                 .iter()
                 .filter(|(kind, d)| lacks(kind, d.number))
                 .map(|(kind, d)| (*kind, d.clone()))
                 .collect();
-            let out = (fan.told != Some(state.changes)).then(|| state.out.keys().cloned().collect());
+            let out =
+                (fan.told != Some(state.changes)).then(|| state.out.keys().cloned().collect());
             // That it is led again they hear at once: they would leave it else.
             let again = fan.age > LED_MS && age_ms < LED_MS;
             let due = now - fan.beat >= BEAT_MS || only.is_some() || again;
@@ -123,9 +134,18 @@
                 continue;
             }
             (fan.beat, fan.told, fan.age) = (now, Some(state.changes), age_ms);
-            fan.documents.extend(documents.iter().map(|(kind, d)| (*kind, d.number)));
+            fan.documents
+                .extend(documents.iter().map(|(kind, d)| (*kind, d.number)));
             let applied = member.applied();
-            self.frames.push((*to, Frame::Copy { applied, age_ms, out, documents }));
+            self.frames.push((
+                *to,
+                Frame::Copy {
+                    applied,
+                    age_ms,
+                    out,
+                    documents,
+                },
+            ));
         }
     }
 
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -126,7 +126,11 @@
         (self.up, self.spoke, self.group, self.brought) = (true, now, group, false);
         self.frames.clear();
         // Numbers of another group's documents mean nothing to this one.
-        let known = self.copy.documents.iter().filter(|_| group == self.copy.group);
+        let known = self
+            .copy
+            .documents
+            .iter()
+            .filter(|_| group == self.copy.group);
         let have = known.map(|(kind, d)| (*kind, d.number)).collect();
         self.frames.push_back(Frame::Follow { have });
         // What the last member did not answer is the same wish to this one: it takes effect once.
@@ -182,11 +186,19 @@
     pub fn hear(&mut self, now: f64, frame: Frame) {
         self.spoke = now;
         match frame {
-            Frame::Copy { applied, age_ms, out, documents } => {
+            Frame::Copy {
+                applied,
+                age_ms,
+                out,
+                documents,
+            } => {
                 self.brought = true;
                 if self.group != self.copy.group {
                     // A new group was begun in place of the lost one: what that had is as it says from now on.
-                    self.copy = Copy { group: self.group, ..Copy::default() };
+                    self.copy = Copy {
+                        group: self.group,
+                        ..Copy::default()
+                    };
                     self.changed = true;
                 }
                 // A member that lags behind the last one takes nothing back.
@@ -218,7 +230,15 @@
         }
         self.number += 1;
         let deadline = now + PATIENCE_MS;
-        self.asks.insert(self.number, Ask { wish, made_at: self.copy.applied, deadline, sent: false });
+        self.asks.insert(
+            self.number,
+            Ask {
+                wish,
+                made_at: self.copy.applied,
+                deadline,
+                sent: false,
+            },
+        );
         if self.up {
             self.send(self.number);
         }
@@ -226,19 +246,34 @@
     }
 
     fn send(&mut self, number: u64) {
-        let Some(ask) = self.asks.get_mut(&number) else { return };
+        let Some(ask) = self.asks.get_mut(&number) else {
+            return;
+        };
         ask.sent = true;
-        let op = OpId { origin: self.origin, number };
-        self.frames.push_back(Frame::Ask { op, made_at: ask.made_at, wish: ask.wish.clone() });
+        let op = OpId {
+            origin: self.origin,
+            number,
+        };
+        self.frames.push_back(Frame::Ask {
+            op,
+            made_at: ask.made_at,
+            wish: ask.wish.clone(),
+        });
     }
 
     /// Time goes by.
     pub fn pass(&mut self, now: f64) {
-        let late: Vec<u64> = self.asks.iter().filter(|(_, a)| now >= a.deadline).map(|(n, _)| *n).collect();
+        let late: Vec<u64> = self
+            .asks
+            .iter()
+            .filter(|(_, a)| now >= a.deadline)
+            .map(|(n, _)| *n)
+            .collect();
         for number in late {
             if let Some(ask) = self.asks.remove(&number) {
                 let refused = || Answered::Refused("no member is reached".into());
-                self.ended.push((number, if ask.sent { Answered::Open } else { refused() }));
+                self.ended
+                    .push((number, if ask.sent { Answered::Open } else { refused() }));
             }
         }
     }
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -82,7 +82,14 @@
     /// A greeting of one that speaks no newer form than `newest`.
     pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
         let forms = (FORMS.0, newest.min(FORMS.1));
-        Hello { magic: MAGIC, forms, group, id, name: name.into(), to: to.into() }
+        Hello {
+            magic: MAGIC,
+            forms,
+            group,
+            id,
+            name: name.into(),
+            to: to.into(),
+        }
     }
 
     /// The form to be spoken with whoever sent this; why not, if with none. `forms`: the form that the group has, and
@@ -239,14 +246,21 @@
 ///
 /// # Errors
 /// It is none, or longer than `most`.
-pub fn read_frame<T: DeserializeOwned>(bytes: &[u8], most: usize) -> Result<Option<(T, usize)>, FrameError> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else { return Ok(None) };
+pub fn read_frame<T: DeserializeOwned>(
+    bytes: &[u8],
+    most: usize,
+) -> Result<Option<(T, usize)>, FrameError> {
+    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
+        return Ok(None);
+    };
     let [a, b, c, d, e, f, g, h] = *head;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
     if length > most {
         return Err(FrameError::Long(length));
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
     if crc32fast::hash(body) != u32::from_le_bytes([e, f, g, h]) {
         return Err(FrameError::Spoilt);
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -21,13 +21,15 @@
 
 pub use follower::{Copy, Follower};
 pub use frame::{
-    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMS, MOST_FRAME, MOST_HELLO,
+    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMS, MOST_FRAME,
+    MOST_HELLO,
 };
 pub use member::{Event, Health, Loaded, Lost, Member, MemberStatus, Role, Settings, Standing};
 pub use peer::{Job, Peer};
 pub use record::{Batch, ConfRecord, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 pub use state::{
-    Asked, Document, Incarnation, Invitation, Kind, OpId, Outcome, State, Wish, MOST_DOCUMENT, MOST_OUT,
+    Asked, Document, Incarnation, Invitation, Kind, OpId, Outcome, State, Wish, MOST_DOCUMENT,
+    MOST_OUT,
 };
 
 /// How many members vote at most.
