--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -7,8 +7,8 @@
 use crate::state::{Asked, OpId, Outcome, State, Wish};
 use crate::{mirror::Mirror, FORMS, LEAST_MEMBERS};
 use raft::eraftpb::{
-    ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, Message,
-    MessageType, Snapshot,
+    ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
+    Message, MessageType, Snapshot,
 };
 use raft::{Config, ProgressState, RawNode, ReadState, SnapshotStatus, StateRole};
 use std::collections::BTreeMap;
@@ -95,13 +95,25 @@
 impl Loaded {
     /// The folder of a new group's first member.
     pub fn first(group: u64, name: &str, address: &str, nonce: u64) -> Loaded {
-        let conf = crate::ConfRecord { voters: vec![1], ..Default::default() };
+        let conf = crate::ConfRecord {
+            voters: vec![1],
+            ..Default::default()
+        };
         let data = State::first(group, name, address, nonce).encode();
         Loaded {
             group,
             id: 1,
-            hard: HardRecord { term: 1, vote: 0, commit: 1 },
-            snapshot: SnapshotRecord { index: 1, term: 1, conf, data },
+            hard: HardRecord {
+                term: 1,
+                vote: 0,
+                commit: 1,
+            },
+            snapshot: SnapshotRecord {
+                index: 1,
+                term: 1,
+                conf,
+                data,
+            },
             cut: (1, 1),
             entries: Vec::new(),
         }
@@ -121,7 +133,11 @@
     ) -> Result<(Loaded, u64, u64), Lost> {
         let mut state = State::decode(&self.snapshot.data).ok_or(Lost::State)?;
         let (mut last, mut term) = (self.snapshot.index, self.snapshot.term);
-        for entry in self.entries.iter().filter(|e| e.index > self.snapshot.index) {
+        for entry in self
+            .entries
+            .iter()
+            .filter(|e| e.index > self.snapshot.index)
+        {
             (last, term) = (entry.index, entry.term);
             if let Ok(asked) = postcard::from_bytes::<Asked>(&entry.data) {
                 if entry.kind == EntryType::EntryNormal as u8 {
@@ -131,12 +147,24 @@
         }
         let agreed = self.hard.commit.max(self.snapshot.index);
         let (state, id) = state.alone(group, name, address, nonce);
-        let conf = crate::ConfRecord { voters: vec![id], ..Default::default() };
+        let conf = crate::ConfRecord {
+            voters: vec![id],
+            ..Default::default()
+        };
         let loaded = Loaded {
             group,
             id,
-            hard: HardRecord { term: self.hard.term.max(term) + 1, vote: 0, commit: last },
-            snapshot: SnapshotRecord { index: last, term, conf, data: state.encode() },
+            hard: HardRecord {
+                term: self.hard.term.max(term) + 1,
+                vote: 0,
+                commit: last,
+            },
+            snapshot: SnapshotRecord {
+                index: last,
+                term,
+                conf,
+                data: state.encode(),
+            },
             cut: (last, term),
             entries: Vec::new(),
         };
@@ -145,7 +173,11 @@
 
     /// The folder of a member that has just been let in.
     pub fn admitted(group: u64, id: u64) -> Loaded {
-        Loaded { group, id, ..Loaded::default() }
+        Loaded {
+            group,
+            id,
+            ..Loaded::default()
+        }
     }
 }
 
@@ -327,7 +359,11 @@
             return Err(Lost::Form(state.form()));
         }
         let next = loaded.cut.0 + 1;
-        let whole = loaded.entries.iter().zip(next..).all(|(e, index)| e.index == index);
+        let whole = loaded
+            .entries
+            .iter()
+            .zip(next..)
+            .all(|(e, index)| e.index == index);
         let last = loaded.cut.0 + loaded.entries.len() as u64;
         let mut hard = loaded.hard;
         hard.commit = hard.commit.max(loaded.snapshot.index);
@@ -336,8 +372,14 @@
             return Err(Lost::Gap);
         }
         let conf = loaded.snapshot.conf.conf();
-        let entries: Option<Vec<Entry>> = loaded.entries.into_iter().map(EntryRecord::entry).collect();
-        let mirror = Mirror::new(loaded.cut, hard.hard(), conf.clone(), entries.ok_or(Lost::Gap)?);
+        let entries: Option<Vec<Entry>> =
+            loaded.entries.into_iter().map(EntryRecord::entry).collect();
+        let mirror = Mirror::new(
+            loaded.cut,
+            hard.hard(),
+            conf.clone(),
+            entries.ok_or(Lost::Gap)?,
+        );
         let config = Config {
             id: loaded.id,
             election_tick: settings.election,
@@ -423,12 +465,21 @@
         if ticks == 0 {
             return;
         }
-        let late: Vec<u64> =
-            self.snapshots.iter().filter(|(_, at)| now - **at > SNAPSHOT_MS).map(|(id, _)| *id).collect();
+        let late: Vec<u64> = self
+            .snapshots
+            .iter()
+            .filter(|(_, at)| now - **at > SNAPSHOT_MS)
+            .map(|(id, _)| *id)
+            .collect();
         for id in late {
             self.snapshots.remove(&id);
-            let waits =
-                |m: &Member| m.node.raft.prs().get(id).is_some_and(|p| p.state == ProgressState::Snapshot);
+            let waits = |m: &Member| {
+                m.node
+                    .raft
+                    .prs()
+                    .get(id)
+                    .is_some_and(|p| p.state == ProgressState::Snapshot)
+            };
             if waits(self) {
                 self.node.report_snapshot(id, SnapshotStatus::Failure);
             }
@@ -455,12 +506,26 @@
     /// is what the oldest program among them can carry out.
     fn raise(&mut self, now: f64) {
         // One that is down may come back as an older program.
-        let here = |id: &u64| self.spoke.get(id).is_some_and(|at| now - at < SILENT_MS) || *id == self.id();
+        let here = |id: &u64| {
+            self.spoke.get(id).is_some_and(|at| now - at < SILENT_MS) || *id == self.id()
+        };
         let members = self.state.members.iter().filter(|(_, m)| !m.gone);
-        let common = members.map(|(id, m)| if here(id) { self.speaks(&m.name) } else { FORMS.0 }).min();
+        let common = members
+            .map(|(id, m)| {
+                if here(id) {
+                    self.speaks(&m.name)
+                } else {
+                    FORMS.0
+                }
+            })
+            .min();
         let common = common.unwrap_or(FORMS.0);
         let due = self.raised.is_none_or(|at| now - at > RAISE_MS);
-        if self.leads() && due && common > self.state.form() && self.conf.voters.len() >= LEAST_MEMBERS {
+        if self.leads()
+            && due
+            && common > self.state.form()
+            && self.conf.voters.len() >= LEAST_MEMBERS
+        {
             self.raised = Some(now);
             let _ = self.change(now, Wish::Raise(common));
         }
@@ -469,7 +534,9 @@
     /// A message has come.
     pub fn hear(&mut self, now: f64, message: MessageRecord) {
         let from = message.from;
-        let Some(message) = message.message().filter(|m| m.to == self.id()) else { return };
+        let Some(message) = message.message().filter(|m| m.to == self.id()) else {
+            return;
+        };
         self.spoke.insert(from, now);
         let leads = matches!(
             message.get_msg_type(),
@@ -485,7 +552,12 @@
         }
         // What cannot be read would be in everybody's log.
         let asks = message.get_msg_type() == MessageType::MsgPropose;
-        if asks && !message.entries.iter().all(|e| postcard::from_bytes::<Asked>(&e.data).is_ok()) {
+        if asks
+            && !message
+                .entries
+                .iter()
+                .all(|e| postcard::from_bytes::<Asked>(&e.data).is_ok())
+        {
             return;
         }
         let term = message.term;
@@ -539,7 +611,13 @@
     ///
     /// # Errors
     /// It cannot be done now.
-    pub fn ask_for(&mut self, now: f64, op: OpId, made_at: u64, wish: Wish) -> Result<(), Standing> {
+    pub fn ask_for(
+        &mut self,
+        now: f64,
+        op: OpId,
+        made_at: u64,
+        wish: Wish,
+    ) -> Result<(), Standing> {
         let voters = self.conf.voters.len();
         if voters < LEAST_MEMBERS {
             return Err(Standing::Few(voters));
@@ -562,11 +640,30 @@
         }
         self.number += 1;
         let number = self.number;
-        let op = OpId { origin: self.settings.origin, number };
-        let wish = wish
-            .map(|wish| postcard::to_stdvec(&Asked { op, made_at: self.applied, wish }).unwrap_or_default());
+        let op = OpId {
+            origin: self.settings.origin,
+            number,
+        };
+        let wish = wish.map(|wish| {
+            postcard::to_stdvec(&Asked {
+                op,
+                made_at: self.applied,
+                wish,
+            })
+            .unwrap_or_default()
+        });
         let deadline = now + self.settings.patience_ms;
-        self.calls.insert(number, Call { wish, of: None, deadline, next_try: now, sent: false, at: None });
+        self.calls.insert(
+            number,
+            Call {
+                wish,
+                of: None,
+                deadline,
+                next_try: now,
+                sent: false,
+                at: None,
+            },
+        );
         Ok(number)
     }
 
@@ -584,13 +681,22 @@
         let silent = |since: f64| now - since > SILENT_MS;
         // Somebody who still speaks under that name is not to be pushed out by an empty folder beside it.
         let may = match self.state.incarnation(name) {
-            Some((id, _)) => self.led.is_some_and(silent) && self.spoke.get(&id).is_none_or(|at| silent(*at)),
+            Some((id, _)) => {
+                self.led.is_some_and(silent) && self.spoke.get(&id).is_none_or(|at| silent(*at))
+            }
             None => self.leads(),
         };
         let again = self.joins.get(name).is_none_or(|at| now - at > 1000.0);
         if may && again && self.leads() && name != self.settings.name {
             self.joins.insert(name.into(), now);
-            let _ = self.change(now, Wish::Admit { name: name.into(), address, nonce });
+            let _ = self.change(
+                now,
+                Wish::Admit {
+                    name: name.into(),
+                    address,
+                    nonce,
+                },
+            );
         }
         None
     }
@@ -652,8 +758,11 @@
             self.node.mut_store().hard = hard.clone();
             batch.hard = Some((&hard).into());
         }
-        self.writing =
-            Some(Writing { number: ready.number(), restored, messages: ready.take_persisted_messages() });
+        self.writing = Some(Writing {
+            number: ready.number(),
+            restored,
+            messages: ready.take_persisted_messages(),
+        });
         self.node.advance_append_async(ready);
         self.node.advance_apply_to(self.applied);
         self.cut(&mut batch);
@@ -670,12 +779,18 @@
     /// A read may be answered once the state has come so far.
     fn may_read(&mut self, read: &ReadState) {
         let word = |at: usize| {
-            let bytes = read.request_ctx.get(at..at + 8).and_then(|b| b.try_into().ok());
+            let bytes = read
+                .request_ctx
+                .get(at..at + 8)
+                .and_then(|b| b.try_into().ok());
             bytes.map(u64::from_le_bytes)
         };
         // An answer to an earlier life of this process says nothing about this one's calls.
         let ours = word(0) == Some(self.settings.origin);
-        if let Some(call) = word(8).filter(|_| ours).and_then(|n| self.calls.get_mut(&n)) {
+        if let Some(call) = word(8)
+            .filter(|_| ours)
+            .and_then(|n| self.calls.get_mut(&n))
+        {
             call.at.get_or_insert(read.index);
         }
     }
@@ -686,10 +801,15 @@
         if batch.restored.is_some() || applied < first + 2 * self.settings.keep {
             return;
         }
-        let Some(snapshot) = self.snapshot() else { return };
+        let Some(snapshot) = self.snapshot() else {
+            return;
+        };
         if let Some(cut) = self.node.mut_store().cut(applied - self.settings.keep) {
             let hard: HardRecord = (&self.node.store().hard).into();
-            batch.hard = Some(HardRecord { commit: hard.commit.max(applied), ..hard });
+            batch.hard = Some(HardRecord {
+                commit: hard.commit.max(applied),
+                ..hard
+            });
             batch.snapshot = Some(snapshot);
             batch.cut = Some(cut);
         }
@@ -707,7 +827,14 @@
 
     /// The batch is on the disk.
     pub fn written(&mut self, now: f64) {
-        let Some(Writing { number, restored, messages }) = self.writing.take() else { return };
+        let Some(Writing {
+            number,
+            restored,
+            messages,
+        }) = self.writing.take()
+        else {
+            return;
+        };
         if let Some((snapshot, state)) = restored {
             match state {
                 Some(state) if state.form() > self.settings.newest => {
@@ -755,19 +882,24 @@
                     if ours && self.calls.remove(&asked.op.number).is_some() {
                         self.events.push(Event::Done(asked.op.number, outcome));
                     }
-                    let of = self.calls.iter().find(|(_, call)| call.of == Some(asked.op));
+                    let of = self
+                        .calls
+                        .iter()
+                        .find(|(_, call)| call.of == Some(asked.op));
                     if let Some(number) = of.map(|(number, _)| *number) {
                         self.calls.remove(&number);
                         self.events.push(Event::DoneFor(asked.op, outcome));
                     }
                 }
                 EntryType::EntryConfChange => {
-                    members |=
-                        self.reconfigure(&entry.data, |node, c: &ConfChange| node.apply_conf_change(c));
+                    members |= self.reconfigure(&entry.data, |node, c: &ConfChange| {
+                        node.apply_conf_change(c)
+                    });
                 }
                 EntryType::EntryConfChangeV2 => {
-                    members |=
-                        self.reconfigure(&entry.data, |node, c: &ConfChangeV2| node.apply_conf_change(c));
+                    members |= self.reconfigure(&entry.data, |node, c: &ConfChangeV2| {
+                        node.apply_conf_change(c)
+                    });
                 }
             }
         }
@@ -793,7 +925,12 @@
         // The library judged it when it was proposed; one that it refuses now changes nothing on any member.
         let Ok(conf) = conf else { return };
         self.conf = conf.clone();
-        let in_use = [&conf.voters, &conf.learners, &conf.voters_outgoing, &conf.learners_next];
+        let in_use = [
+            &conf.voters,
+            &conf.learners,
+            &conf.voters_outgoing,
+            &conf.learners_next,
+        ];
         let in_use: Vec<u64> = in_use.into_iter().flatten().copied().collect();
         self.state.forget(&in_use);
         self.node.mut_store().conf = conf;
@@ -866,7 +1003,11 @@
                 }
                 None => {
                     // Told from every other read, also of an earlier try: an answer to that is as good.
-                    let context = [origin.to_le_bytes(), number.to_le_bytes(), (now as u64).to_le_bytes()];
+                    let context = [
+                        origin.to_le_bytes(),
+                        number.to_le_bytes(),
+                        (now as u64).to_le_bytes(),
+                    ];
                     self.node.read_index(context.concat());
                 }
             }
@@ -881,10 +1022,17 @@
         }
         let (voters, learners) = (&self.conf.voters, &self.conf.learners);
         let wanted = self.state.wanted();
-        let takes =
-            |id: &u64, old: &u64| self.state.members.get(id).is_some_and(|m| m.place_of.contains(old));
+        let takes = |id: &u64, old: &u64| {
+            self.state
+                .members
+                .get(id)
+                .is_some_and(|m| m.place_of.contains(old))
+        };
         let step = |id: u64, kind: ConfChangeType| {
-            let mut one = ConfChangeSingle { node_id: id, ..Default::default() };
+            let mut one = ConfChangeSingle {
+                node_id: id,
+                ..Default::default()
+            };
             one.set_change_type(kind);
             one
         };
@@ -896,7 +1044,10 @@
             })
         };
         let mut steps = Vec::new();
-        if let Some(id) = wanted.iter().find(|id| !voters.contains(id) && !learners.contains(id)) {
+        if let Some(id) = wanted
+            .iter()
+            .find(|id| !voters.contains(id) && !learners.contains(id))
+        {
             steps.push(step(*id, ConfChangeType::AddLearnerNode));
         } else if let Some(id) = wanted.iter().find(|id| learners.contains(id) && close(id)) {
             // In one step with the incarnation that it replaces: there are never fewer votes in between.
@@ -904,8 +1055,16 @@
             let old = voters.iter().filter(|old| takes(id, old));
             steps.extend(old.map(|old| step(*old, ConfChangeType::RemoveNode)));
         } else {
-            let replaced = |old: &u64| wanted.iter().any(|id| learners.contains(id) && takes(id, old));
-            let out = voters.iter().chain(learners).find(|id| !wanted.contains(id) && !replaced(id)).copied();
+            let replaced = |old: &u64| {
+                wanted
+                    .iter()
+                    .any(|id| learners.contains(id) && takes(id, old))
+            };
+            let out = voters
+                .iter()
+                .chain(learners)
+                .find(|id| !wanted.contains(id) && !replaced(id))
+                .copied();
             match out {
                 Some(id) if id == self.id() => return self.step_down(),
                 Some(id) => steps.push(step(id, ConfChangeType::RemoveNode)),
@@ -925,7 +1084,9 @@
     /// When a leader last knew that a majority was there: a leader that was stalled does not know it any more.
     fn majority_heard(&self, now: f64) -> f64 {
         let others = self.conf.voters.iter().filter(|id| **id != self.id());
-        let mut times: Vec<f64> = others.map(|id| self.spoke.get(id).copied().unwrap_or(0.0)).collect();
+        let mut times: Vec<f64> = others
+            .map(|id| self.spoke.get(id).copied().unwrap_or(0.0))
+            .collect();
         times.sort_by(|a, b| b.total_cmp(a));
         match self.conf.voters.len() / 2 {
             0 => now,
@@ -964,7 +1125,10 @@
         });
         MemberStatus {
             role,
-            leader: self.leader().and_then(|id| self.state.members.get(&id)).map(|m| m.name.clone()),
+            leader: self
+                .leader()
+                .and_then(|id| self.state.members.get(&id))
+                .map(|m| m.name.clone()),
             term: raft.term,
             applied: self.applied,
             committed: raft.raft_log.committed,
--- a/crates/group/src/mirror.rs
+++ b/crates/group/src/mirror.rs
@@ -20,8 +20,20 @@
 }
 
 impl Mirror {
-    pub(crate) fn new(cut: (u64, u64), hard: HardState, conf: ConfState, entries: Vec<Entry>) -> Mirror {
-        Mirror { hard, conf, cut, entries: entries.into(), snapshot: None, wanted: Cell::new(false) }
+    pub(crate) fn new(
+        cut: (u64, u64),
+        hard: HardState,
+        conf: ConfState,
+        entries: Vec<Entry>,
+    ) -> Mirror {
+        Mirror {
+            hard,
+            conf,
+            cut,
+            entries: entries.into(),
+            snapshot: None,
+            wanted: Cell::new(false),
+        }
     }
 
     pub(crate) fn first(&self) -> u64 {
@@ -43,7 +55,9 @@
 
     /// Appends; what was held from the place of the first one on goes. False: there would be a gap.
     pub(crate) fn append(&mut self, entries: &[Entry]) -> bool {
-        let Some(first) = entries.first().map(|e| e.index) else { return true };
+        let Some(first) = entries.first().map(|e| e.index) else {
+            return true;
+        };
         if first < self.first() || first > self.last() + 1 {
             return false;
         }
@@ -87,7 +101,10 @@
 
 impl Storage for Mirror {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        Ok(RaftState { hard_state: self.hard.clone(), conf_state: self.conf.clone() })
+        Ok(RaftState {
+            hard_state: self.hard.clone(),
+            conf_state: self.conf.clone(),
+        })
     }
 
     fn entries(
@@ -113,7 +130,8 @@
         if index < self.cut.0 {
             return Err(Error::Store(StorageError::Compacted));
         }
-        self.term_of(index).ok_or(Error::Store(StorageError::Unavailable))
+        self.term_of(index)
+            .ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/crates/group/src/peer.rs
+++ b/crates/group/src/peer.rs
@@ -56,7 +56,14 @@
 impl Peer {
     /// With an empty folder, told from every other by the nonce.
     pub fn waiting(settings: Settings, nonce: u64) -> Peer {
-        Peer::new(settings, Place::Waiting { nonce, admitted: None, speaks: BTreeMap::new() })
+        Peer::new(
+            settings,
+            Place::Waiting {
+                nonce,
+                admitted: None,
+                speaks: BTreeMap::new(),
+            },
+        )
     }
 
     /// With what its folder holds.
@@ -73,7 +80,17 @@
         let (names, frames) = Default::default();
         let (fans, events) = Default::default();
         let (joined, told) = (f64::MIN, f64::MIN);
-        Peer { settings, place, roads, names, joined, told, frames, fans, events }
+        Peer {
+            settings,
+            place,
+            roads,
+            names,
+            joined,
+            told,
+            frames,
+            fans,
+            events,
+        }
     }
 
     /// The member; none: it has not been let in yet.
@@ -97,13 +114,21 @@
         let mut all = self.settings.members.clone();
         if let Some(state) = self.member().map(Member::state) {
             let invited = state.invited.iter().map(|(name, i)| (name, &i.address));
-            let members = state.members.values().filter(|m| !m.gone).map(|m| (&m.name, &m.address));
+            let members = state
+                .members
+                .values()
+                .filter(|m| !m.gone)
+                .map(|m| (&m.name, &m.address));
             for (name, address) in members.chain(invited) {
                 // Where its own file names a member it knows best how to reach it.
                 all.entry(name.clone()).or_insert_with(|| address.clone());
             }
-            let gone: BTreeSet<&String> =
-                state.members.values().filter(|m| m.gone).map(|m| &m.name).collect();
+            let gone: BTreeSet<&String> = state
+                .members
+                .values()
+                .filter(|m| m.gone)
+                .map(|m| &m.name)
+                .collect();
             all.retain(|name, _| !gone.contains(name) || state.incarnation(name).is_some());
         }
         all.remove(&self.settings.name);
@@ -143,7 +168,10 @@
             },
             Frame::Hears { of, hears } => {
                 if of == from {
-                    let frame = Frame::Hears { of: of.clone(), hears: hears.clone() };
+                    let frame = Frame::Hears {
+                        of: of.clone(),
+                        hears: hears.clone(),
+                    };
                     for to in self.others().into_keys().filter(|name| name != from) {
                         self.pass_on(to, frame.clone());
                     }
@@ -153,17 +181,28 @@
                 }
             }
             // Between followers and members only, on the follower's connection.
-            Frame::Follow { .. } | Frame::Ask { .. } | Frame::Answer { .. } | Frame::Copy { .. } => {}
+            Frame::Follow { .. }
+            | Frame::Ask { .. }
+            | Frame::Answer { .. }
+            | Frame::Copy { .. } => {}
             Frame::Join { nonce } => {
                 if let Place::Sitting(member) = &mut self.place {
                     let group = member.group();
                     if let Some(id) = member.join(now, from, nonce) {
-                        self.frames.push((from.into(), Frame::Admitted { group, id, nonce }));
+                        self.frames
+                            .push((from.into(), Frame::Admitted { group, id, nonce }));
                     }
                 }
             }
-            Frame::Admitted { group, id, nonce: of } => {
-                if let Place::Waiting { nonce, admitted, .. } = &mut self.place {
+            Frame::Admitted {
+                group,
+                id,
+                nonce: of,
+            } => {
+                if let Place::Waiting {
+                    nonce, admitted, ..
+                } = &mut self.place
+                {
                     if of == *nonce {
                         admitted.get_or_insert((group, id));
                     }
@@ -188,7 +227,9 @@
 
     fn name_of(&self, id: u64) -> Option<String> {
         let state = self.member().map(Member::state);
-        let known = state.and_then(|s| s.members.get(&id)).map(|m| m.name.clone());
+        let known = state
+            .and_then(|s| s.members.get(&id))
+            .map(|m| m.name.clone());
         known.or_else(|| self.names.get(&id).cloned())
     }
 
@@ -215,7 +256,10 @@
         }
         if self.member().is_some() && now - self.told >= TELL_MS {
             self.told = now;
-            let frame = Frame::Hears { of: self.settings.name.clone(), hears: self.roads.hears(now) };
+            let frame = Frame::Hears {
+                of: self.settings.name.clone(),
+                hears: self.roads.hears(now),
+            };
             let others = self.others().into_keys();
             self.frames.extend(others.map(|name| (name, frame.clone())));
         }
@@ -225,9 +269,13 @@
     /// [`Peer::done`].
     pub fn job(&mut self, now: f64) -> Option<Job> {
         match &mut self.place {
-            Place::Waiting { nonce, admitted, .. } => {
-                admitted.map(|(group, id)| Job::Begin { group, id, nonce: *nonce })
-            }
+            Place::Waiting {
+                nonce, admitted, ..
+            } => admitted.map(|(group, id)| Job::Begin {
+                group,
+                id,
+                nonce: *nonce,
+            }),
             Place::Sitting(member) => member.batch(now).map(|batch| Job::Write(Box::new(batch))),
         }
     }
@@ -239,10 +287,16 @@
     pub fn done(&mut self, now: f64) -> Result<(), Lost> {
         match &mut self.place {
             Place::Sitting(member) => member.written(now),
-            Place::Waiting { admitted: Some((group, id)), speaks, .. } => {
+            Place::Waiting {
+                admitted: Some((group, id)),
+                speaks,
+                ..
+            } => {
                 let loaded = Loaded::admitted(*group, *id);
                 let mut member = Member::new(self.settings.clone(), loaded, now)?;
-                speaks.iter().for_each(|(name, newest)| member.greeted(name, *newest));
+                speaks
+                    .iter()
+                    .for_each(|(name, newest)| member.greeted(name, *newest));
                 self.place = Place::Sitting(Box::new(member));
             }
             Place::Waiting { .. } => {}
@@ -298,7 +352,9 @@
     pub fn frames(&mut self, now: f64) -> Vec<(String, Frame)> {
         let messages = self.member_mut().map(Member::messages).unwrap_or_default();
         for message in messages {
-            let Some(to) = self.name_of(message.to) else { continue };
+            let Some(to) = self.name_of(message.to) else {
+                continue;
+            };
             match self.roads.way(now, &to) {
                 Way::Direct => self.frames.push((to, Frame::Raft(message))),
                 Way::By(by) => self.frames.push((by, Frame::Round(message))),
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -27,8 +27,11 @@
     MessageType::MsgRequestPreVote,
     MessageType::MsgRequestPreVoteResponse,
 ];
-const ENTRIES: [EntryType; 3] =
-    [EntryType::EntryNormal, EntryType::EntryConfChange, EntryType::EntryConfChangeV2];
+const ENTRIES: [EntryType; 3] = [
+    EntryType::EntryNormal,
+    EntryType::EntryConfChange,
+    EntryType::EntryConfChangeV2,
+];
 
 /// An entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -132,7 +135,10 @@
 
     /// Whether something that is written counts for others, so that it must be on the disk and not on its way there.
     pub fn must_sync(&self) -> bool {
-        self.restored.is_some() || !self.entries.is_empty() || self.hard.is_some() || self.form.is_some()
+        self.restored.is_some()
+            || !self.entries.is_empty()
+            || self.hard.is_some()
+            || self.form.is_some()
     }
 }
 
@@ -161,7 +167,11 @@
 
 impl From<&HardState> for HardRecord {
     fn from(h: &HardState) -> HardRecord {
-        HardRecord { term: h.term, vote: h.vote, commit: h.commit }
+        HardRecord {
+            term: h.term,
+            vote: h.vote,
+            commit: h.commit,
+        }
     }
 }
 
@@ -270,7 +280,8 @@
         (m.to, m.from, m.term) = (self.to, self.from, self.term);
         (m.log_term, m.index, m.commit, m.commit_term) =
             (self.log_term, self.index, self.commit, self.commit_term);
-        let entries: Option<Vec<Entry>> = self.entries.into_iter().map(EntryRecord::entry).collect();
+        let entries: Option<Vec<Entry>> =
+            self.entries.into_iter().map(EntryRecord::entry).collect();
         m.entries = entries?.into();
         if let Some(snapshot) = self.snapshot {
             m.set_snapshot(snapshot.snapshot());
--- a/crates/group/src/roads.rs
+++ b/crates/group/src/roads.rs
@@ -25,7 +25,10 @@
 
 impl Roads {
     pub(crate) fn new(name: &str) -> Roads {
-        Roads { name: name.into(), ..Roads::default() }
+        Roads {
+            name: name.into(),
+            ..Roads::default()
+        }
     }
 
     /// A frame came directly from this member.
@@ -38,7 +41,8 @@
 
     /// A member says whom it hears.
     pub(crate) fn told(&mut self, now: f64, of: &str, hears: Vec<String>) {
-        self.told.insert(of.into(), (now, hears.into_iter().collect()));
+        self.told
+            .insert(of.into(), (now, hears.into_iter().collect()));
     }
 
     /// Whom this member hears.
@@ -50,12 +54,19 @@
     /// Who says not to hear this member.
     pub(crate) fn unheard_by(&self, now: f64) -> Vec<String> {
         let fresh = self.told.iter().filter(|(_, (at, _))| now - at < FRESH_MS);
-        fresh.filter(|(_, (_, list))| !list.contains(&self.name)).map(|(name, _)| name.clone()).collect()
+        fresh
+            .filter(|(_, (_, list))| !list.contains(&self.name))
+            .map(|(name, _)| name.clone())
+            .collect()
     }
 
     /// How to reach a member.
     pub(crate) fn way(&self, now: f64, to: &str) -> Way {
-        let fresh = |name: &str| self.told.get(name).filter(|(at, _)| now - at < 2.0 * FRESH_MS);
+        let fresh = |name: &str| {
+            self.told
+                .get(name)
+                .filter(|(at, _)| now - at < 2.0 * FRESH_MS)
+        };
         let hears = |who: &str, whom: &str| fresh(who).is_some_and(|(_, list)| list.contains(whom));
         // Of whom nothing is known, the direct way is as good as any.
         let Some((_, list)) = fresh(to).filter(|(_, list)| !list.contains(&self.name)) else {
@@ -81,11 +92,18 @@
         roads.told(20.0, "c", names(&["b"]));
         assert_eq!(roads.way(30.0, "c"), Way::By("b".into()));
         roads.told(40.0, "b", names(&["c"]));
-        assert_eq!(roads.way(50.0, "c"), Way::Direct, "nobody hears this member: nothing is better");
+        assert_eq!(
+            roads.way(50.0, "c"),
+            Way::Direct,
+            "nobody hears this member: nothing is better"
+        );
         roads.told(60.0, "b", names(&["a", "c"]));
         assert_eq!(roads.way(2000.0, "c"), Way::Direct, "what was known is old");
         roads.heard(0.0, "b");
         roads.heard(300.0, "c");
-        assert_eq!((roads.hears(350.0), roads.hears(500.0)), (names(&["b", "c"]), names(&["c"])));
+        assert_eq!(
+            (roads.hears(350.0), roads.hears(500.0)),
+            (names(&["b", "c"]), names(&["c"]))
+        );
     }
 }
--- a/crates/group/src/state.rs
+++ b/crates/group/src/state.rs
@@ -166,7 +166,12 @@
             gone: false,
             place_of: Vec::new(),
         };
-        State { group, next: 2, members: [(1, first)].into(), ..State::default() }
+        State {
+            group,
+            next: 2,
+            members: [(1, first)].into(),
+            ..State::default()
+        }
     }
 
     /// The form of the log: what its entries and states may hold.
@@ -198,18 +203,28 @@
 
     /// The incarnation in which a member is in the group now.
     pub fn incarnation(&self, name: &str) -> Option<(u64, &Incarnation)> {
-        self.members.iter().rev().find(|(_, m)| m.name == name && !m.gone).map(|(id, m)| (*id, m))
+        self.members
+            .iter()
+            .rev()
+            .find(|(_, m)| m.name == name && !m.gone)
+            .map(|(id, m)| (*id, m))
     }
 
     /// Whose folder has this nonce.
     pub fn admitted(&self, name: &str, nonce: u64) -> Option<u64> {
-        self.incarnation(name).filter(|(_, m)| m.nonce == nonce).map(|(id, _)| id)
+        self.incarnation(name)
+            .filter(|(_, m)| m.nonce == nonce)
+            .map(|(id, _)| id)
     }
 
     /// Those who are to vote: each member in its latest incarnation.
     pub fn wanted(&self) -> Vec<u64> {
-        let latest: BTreeMap<&str, u64> =
-            self.members.iter().filter(|(_, m)| !m.gone).map(|(id, m)| (m.name.as_str(), *id)).collect();
+        let latest: BTreeMap<&str, u64> = self
+            .members
+            .iter()
+            .filter(|(_, m)| !m.gone)
+            .map(|(id, m)| (m.name.as_str(), *id))
+            .collect();
         let mut ids: Vec<u64> = latest.into_values().collect();
         ids.sort_unstable();
         ids
@@ -217,7 +232,11 @@
 
     /// Carries out an entry of the log; what has become of it.
     pub fn apply(&mut self, index: u64, asked: &Asked) -> Outcome {
-        while self.recent.front().is_some_and(|(at, ..)| at + REMEMBERED < index) {
+        while self
+            .recent
+            .front()
+            .is_some_and(|(at, ..)| at + REMEMBERED < index)
+        {
             self.recent.pop_front();
         }
         if asked.made_at + REMEMBERED < index {
@@ -264,17 +283,30 @@
                 if held != *number {
                     return Outcome::Newer(held);
                 }
-                self.documents.insert(*kind, Document { number: held + 1, bytes: bytes.clone() });
+                self.documents.insert(
+                    *kind,
+                    Document {
+                        number: held + 1,
+                        bytes: bytes.clone(),
+                    },
+                );
                 Outcome::Written(held + 1)
             }
-            Wish::Admit { name, address, nonce } => {
+            Wish::Admit {
+                name,
+                address,
+                nonce,
+            } => {
                 if let Some(id) = self.admitted(name, *nonce) {
                     return Outcome::Admitted(id);
                 }
                 let instead = self.invited.get(name).and_then(|i| i.instead_of.clone());
                 let old = |m: &Incarnation| m.name == *name || Some(&m.name) == instead.as_ref();
                 let grows = !self.members.values().any(|m| !m.gone && old(m));
-                if !is_name(name) || address.len() > 64 || (grows && self.wanted().len() >= MOST_MEMBERS) {
+                if !is_name(name)
+                    || address.len() > 64
+                    || (grows && self.wanted().len() >= MOST_MEMBERS)
+                {
                     return Outcome::Refused;
                 }
                 let id = self.next;
@@ -287,11 +319,21 @@
                 }
                 self.invited.remove(name);
                 let (name, address) = (name.clone(), address.clone());
-                let member = Incarnation { name, address, nonce: *nonce, gone: false, place_of };
+                let member = Incarnation {
+                    name,
+                    address,
+                    nonce: *nonce,
+                    gone: false,
+                    place_of,
+                };
                 self.members.insert(id, member);
                 Outcome::Admitted(id)
             }
-            Wish::Invite { name, address, instead_of } => {
+            Wish::Invite {
+                name,
+                address,
+                instead_of,
+            } => {
                 let known = |name: &String| self.incarnation(name).is_some();
                 if known(name) {
                     return Outcome::Before;
@@ -300,15 +342,24 @@
                     return Outcome::Unknown;
                 }
                 let full = instead_of.is_none() && self.wanted().len() >= MOST_MEMBERS;
-                if !is_name(name) || address.len() > 64 || full || self.invited.len() >= MOST_MEMBERS {
+                if !is_name(name)
+                    || address.len() > 64
+                    || full
+                    || self.invited.len() >= MOST_MEMBERS
+                {
                     return Outcome::Refused;
                 }
-                let invitation = Invitation { address: address.clone(), instead_of: instead_of.clone() };
+                let invitation = Invitation {
+                    address: address.clone(),
+                    instead_of: instead_of.clone(),
+                };
                 self.invited.insert(name.clone(), invitation);
                 Outcome::Done
             }
             Wish::Remove(name) => {
-                let Some((id, _)) = self.incarnation(name) else { return Outcome::Unknown };
+                let Some((id, _)) = self.incarnation(name) else {
+                    return Outcome::Unknown;
+                };
                 if self.wanted().len() <= LEAST_MEMBERS {
                     return Outcome::Refused;
                 }
@@ -332,7 +383,13 @@
     pub fn alone(mut self, group: u64, name: &str, address: &str, nonce: u64) -> (State, u64) {
         let id = self.next.max(1);
         let (name, address) = (name.to_string(), address.to_string());
-        let only = Incarnation { name, address, nonce, gone: false, place_of: Vec::new() };
+        let only = Incarnation {
+            name,
+            address,
+            nonce,
+            gone: false,
+            place_of: Vec::new(),
+        };
         (self.group, self.next, self.members) = (group, id + 1, [(id, only)].into());
         self.invited.clear();
         (self, id)
--- a/crates/group/tests/faults.rs
+++ b/crates/group/tests/faults.rs
@@ -23,13 +23,20 @@
         println!("seed {seed}: a leader again after {ms} ms");
         let call = world.call((leader + 1) % 3, What::Read(None)).unwrap();
         world.until(1000.0, |w| w.seen[call].ended.is_some());
-        assert_eq!(world.seen[call].what, What::Read(Some(["a".to_string()].into())), "seed {seed}");
+        assert_eq!(
+            world.seen[call].what,
+            What::Read(Some(["a".to_string()].into())),
+            "seed {seed}"
+        );
         // The machine comes back without its disk: as another incarnation, with all that was promised.
         world.lose(leader);
         world.start(leader);
         world.until(15_000.0, World::whole);
         let back = world.nodes[leader].member().unwrap();
-        assert!(back.id() > 3 && back.state().out.contains_key("a"), "seed {seed}");
+        assert!(
+            back.id() > 3 && back.state().out.contains_key("a"),
+            "seed {seed}"
+        );
     }
 }
 
@@ -45,17 +52,28 @@
         let first = world.seen.len();
         for i in 0..200 {
             let name = format!("s-{}", (made + i) % 300);
-            let what = if (made / 300) % 2 == 0 { suspend(&name) } else { What::Restore(name) };
+            let what = if (made / 300) % 2 == 0 {
+                suspend(&name)
+            } else {
+                What::Restore(name)
+            };
             world.call(leader, what).unwrap();
         }
-        world.until(5000.0, |w| w.seen[first..].iter().all(|call| call.ended.is_some()));
+        world.until(5000.0, |w| {
+            w.seen[first..].iter().all(|call| call.ended.is_some())
+        });
         made += 200;
     }
     let sent = world.sent.1;
     let want = world.nodes[leader].member().unwrap().applied();
     world.start(gone);
-    let ms = world.until(10_000.0, |w| w.nodes[gone].member().is_some_and(|m| m.applied() >= want));
-    let (held, state) = (world.nodes[gone].member().unwrap(), world.nodes[leader].member().unwrap().state());
+    let ms = world.until(10_000.0, |w| {
+        w.nodes[gone].member().is_some_and(|m| m.applied() >= want)
+    });
+    let (held, state) = (
+        world.nodes[gone].member().unwrap(),
+        world.nodes[leader].member().unwrap().state(),
+    );
     assert_eq!(held.state().out, state.out);
     // The log is bounded: what is older than a few states is in none of them.
     let log = world.nodes[leader].disk.as_ref().unwrap().entries.len();
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -29,12 +29,27 @@
         let names: Vec<String> = (0..members).map(|i| format!("m{i}")).collect();
         let beside = (0..followers).map(|f| {
             let members = names.iter().map(String::as_str);
-            let follower =
-                Follower::new(&format!("f{f}"), 1 << 40 | f as u64, members, Copy::default(), world.now);
-            Beside { follower, link: None }
+            let follower = Follower::new(
+                &format!("f{f}"),
+                1 << 40 | f as u64,
+                members,
+                Copy::default(),
+                world.now,
+            );
+            Beside {
+                follower,
+                link: None,
+            }
         });
         let beside = beside.collect();
-        Fleet { world, beside, next: 0, opened: Vec::new(), ended: Vec::new(), bytes: 0 }
+        Fleet {
+            world,
+            beside,
+            next: 0,
+            opened: Vec::new(),
+            ended: Vec::new(),
+            bytes: 0,
+        }
     }
 
     fn run(&mut self, ms: f64) {
@@ -43,10 +58,16 @@
             self.world.run(5.0);
             let now = self.world.now;
             let mut count = BTreeMap::new();
-            self.beside.iter().filter_map(|b| b.link).for_each(|(m, _)| *count.entry(m).or_insert(0) += 1);
+            self.beside
+                .iter()
+                .filter_map(|b| b.link)
+                .for_each(|(m, _)| *count.entry(m).or_insert(0) += 1);
             for (member, to, frame) in std::mem::take(&mut self.world.to_fans) {
                 self.bytes += frame.bytes().len() as u64;
-                let beside = self.beside.iter_mut().find(|b| b.link == Some((member, to)));
+                let beside = self
+                    .beside
+                    .iter_mut()
+                    .find(|b| b.link == Some((member, to)));
                 if let Some(beside) = beside {
                     beside.follower.hear(now, frame);
                 }
@@ -75,7 +96,10 @@
                     let member: usize = member[1..].parse().unwrap();
                     self.opened.push((now, member));
                     let full = count.get(&member).is_some_and(|n| *n >= 160);
-                    if self.world.nodes[member].up && self.world.nodes[member].member().is_some() && !full {
+                    if self.world.nodes[member].up
+                        && self.world.nodes[member].member().is_some()
+                        && !full
+                    {
                         *count.entry(member).or_insert(0) += 1;
                         self.next += 1;
                         beside.link = Some((member, self.next));
@@ -85,7 +109,8 @@
                     }
                 }
                 let frames: Vec<Frame> = follower.frames();
-                self.ended.extend(follower.ended().into_iter().map(|(n, a)| (f, n, a)));
+                self.ended
+                    .extend(follower.ended().into_iter().map(|(n, a)| (f, n, a)));
                 if let Some((member, number)) = beside.link {
                     if let Some(peer) = &mut self.world.nodes[member].peer {
                         for frame in frames {
@@ -100,18 +125,29 @@
     fn until(&mut self, most: f64, so: impl Fn(&Fleet) -> bool) -> f64 {
         let began = self.world.now;
         while !so(self) {
-            assert!(self.world.now - began < most, "seed {}: nothing in {most} ms", self.world.seed);
+            assert!(
+                self.world.now - began < most,
+                "seed {}: nothing in {most} ms",
+                self.world.seed
+            );
             self.run(5.0);
         }
         self.world.now - began
     }
 
     fn all_hold(&self, name: &str) -> bool {
-        self.beside.iter().all(|b| b.follower.copy().out.contains(name))
+        self.beside
+            .iter()
+            .all(|b| b.follower.copy().out.contains(name))
     }
 
     fn by_member(&self) -> Vec<usize> {
-        let count = |m: usize| self.beside.iter().filter(|b| b.link.is_some_and(|(at, _)| at == m)).count();
+        let count = |m: usize| {
+            self.beside
+                .iter()
+                .filter(|b| b.link.is_some_and(|(at, _)| at == m))
+                .count()
+        };
         (0..self.world.nodes.len()).map(count).collect()
     }
 }
@@ -122,9 +158,15 @@
         let mut fleet = Fleet::new(3, 300, seed);
         fleet.run(3000.0);
         let spread = fleet.by_member();
-        assert!(spread.iter().all(|n| (60..=160).contains(n)), "seed {seed}: {spread:?}");
+        assert!(
+            spread.iter().all(|n| (60..=160).contains(n)),
+            "seed {seed}: {spread:?}"
+        );
         // A call through a follower, and one through a member, reach everyone.
-        let number = fleet.beside[7].follower.ask(fleet.world.now, Some(Wish::Suspend("a".into()))).unwrap();
+        let number = fleet.beside[7]
+            .follower
+            .ask(fleet.world.now, Some(Wish::Suspend("a".into())))
+            .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
         assert!(matches!(fleet.ended[0], (7, n, Answered::Done(_)) if n == number));
         let leader = fleet.world.leader().unwrap();
@@ -136,7 +178,10 @@
         fleet.run(10.0);
         let moved = fleet.until(10_000.0, |f| f.beside.iter().all(|b| b.link.is_some()));
         let mut at_once: BTreeMap<(u64, usize), usize> = BTreeMap::new();
-        fleet.opened.iter().for_each(|(at, m)| *at_once.entry((*at as u64 / 50, *m)).or_default() += 1);
+        fleet
+            .opened
+            .iter()
+            .for_each(|(at, m)| *at_once.entry((*at as u64 / 50, *m)).or_default() += 1);
         let most = at_once.values().max().copied().unwrap_or(0);
         println!("seed {seed}: {spread:?}, calls at all after {first} and {second} ms, after a kill {:?}, all linked after {moved} ms, {most} opened at one member in 50 ms at most", fleet.by_member());
         assert!(most <= 60, "seed {seed}: {most} at once");
@@ -144,10 +189,17 @@
         fleet.opened.clear();
         fleet.world.start(leader);
         fleet.run(10_000.0);
-        assert!(fleet.opened.len() < 20, "seed {seed}: {} opened", fleet.opened.len());
+        assert!(
+            fleet.opened.len() < 20,
+            "seed {seed}: {} opened",
+            fleet.opened.len()
+        );
         let holds = |c: &Copy| c.out.len() == 2;
         assert!(fleet.beside.iter().all(|b| holds(b.follower.copy())));
-        let ages = fleet.beside.iter().filter_map(|b| b.follower.age_ms(fleet.world.now));
+        let ages = fleet
+            .beside
+            .iter()
+            .filter_map(|b| b.follower.age_ms(fleet.world.now));
         let oldest = ages.fold(0.0, f64::max);
         assert!(oldest < 2000.0, "seed {seed}: a copy is {oldest} ms old");
     }
@@ -164,7 +216,9 @@
     for turn in 0..16 {
         for call in 0..3 {
             let (f, name) = (pick(200), format!("s{turn}-{call}"));
-            let number = fleet.beside[f].follower.ask(fleet.world.now, Some(Wish::Suspend(name.clone())));
+            let number = fleet.beside[f]
+                .follower
+                .ask(fleet.world.now, Some(Wish::Suspend(name.clone())));
             asked.insert((f, number.unwrap()), name);
         }
         let (i, j) = (pick(3), pick(3));
@@ -204,10 +258,19 @@
         }
     }
     fleet.until(60_000.0, |f| f.world.whole());
-    let done = |(f, n, a): &(usize, u64, Answered)| matches!(a, Answered::Done(_)).then_some((*f, *n));
-    let promised: Vec<String> =
-        fleet.ended.iter().filter_map(done).map(|call| asked[&call].clone()).collect();
-    let has = |b: &Beside| promised.iter().all(|name| b.follower.copy().out.contains(name));
+    let done =
+        |(f, n, a): &(usize, u64, Answered)| matches!(a, Answered::Done(_)).then_some((*f, *n));
+    let promised: Vec<String> = fleet
+        .ended
+        .iter()
+        .filter_map(done)
+        .map(|call| asked[&call].clone())
+        .collect();
+    let has = |b: &Beside| {
+        promised
+            .iter()
+            .all(|name| b.follower.copy().out.contains(name))
+    };
     let ms = fleet.until(40_000.0, |f| f.beside.iter().all(has));
     println!(
         "seed {seed}: {} of {} calls had a yes; all 200 have them {ms} ms later",
@@ -250,7 +313,10 @@
         let mut fleet = Fleet::new(3, 3, seed);
         fleet.run(1000.0);
         let (at, _) = fleet.beside[0].link.unwrap();
-        fleet.beside[0].follower.ask(fleet.world.now, Some(Wish::Suspend("a".into()))).unwrap();
+        fleet.beside[0]
+            .follower
+            .ask(fleet.world.now, Some(Wish::Suspend("a".into())))
+            .unwrap();
         fleet.run(5.0 * (seed % 4) as f64);
         // Somebody else puts it back meanwhile: the repeat must not take it out again.
         fleet.world.kill(at);
--- a/crates/group/tests/partial.rs
+++ b/crates/group/tests/partial.rs
@@ -61,23 +61,47 @@
         note("chain of 3, leader at its end", seed, agreed(&mut w), 500.0);
         let (mut w, _, o) = set(5, seed);
         star(&mut w, o[0]);
-        note("star of 5, leader is not the hub", seed, agreed(&mut w), 3000.0);
+        note(
+            "star of 5, leader is not the hub",
+            seed,
+            agreed(&mut w),
+            3000.0,
+        );
         let (mut w, l, o) = set(5, seed);
         cut(&mut w, l, o[0]);
         let _ = w.call(l, What::Suspend("x".into()));
         w.run(100.0);
         star(&mut w, o[0]);
-        note("star of 5, hub lags, leader cut off", seed, agreed(&mut w), 3000.0);
+        note(
+            "star of 5, hub lags, leader cut off",
+            seed,
+            agreed(&mut w),
+            3000.0,
+        );
         let (mut w, l, o) = set(3, seed);
         w.cut.extend(o.iter().map(|x| (l, *x)));
-        note("leader hears and is not heard", seed, agreed(&mut w), 3000.0);
+        note(
+            "leader hears and is not heard",
+            seed,
+            agreed(&mut w),
+            3000.0,
+        );
         let (mut w, l, o) = set(3, seed);
         w.cut.extend(o.iter().map(|x| (*x, l)));
-        note("leader is heard and does not hear", seed, agreed(&mut w), 4000.0);
+        note(
+            "leader is heard and does not hear",
+            seed,
+            agreed(&mut w),
+            4000.0,
+        );
     }
     for (what, mut all) in figures {
         all.sort_by(f64::total_cmp);
-        println!("{what}: {:.0} ms in the middle, {:.0} at most", all[all.len() / 2], all[all.len() - 1]);
+        println!(
+            "{what}: {:.0} ms in the middle, {:.0} at most",
+            all[all.len() / 2],
+            all[all.len() - 1]
+        );
     }
 }
 
@@ -93,6 +117,10 @@
             w.run(700.0);
         }
         assert_eq!(w.leader(), Some(l), "seed {seed}");
-        assert_eq!(w.nodes[l].member().unwrap().status(w.now).term, term, "seed {seed}");
+        assert_eq!(
+            w.nodes[l].member().unwrap().status(w.now).term,
+            term,
+            "seed {seed}"
+        );
     }
 }
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -54,7 +54,11 @@
     world.until(20_000.0, World::whole);
     world.planted = planted;
     // A slow disk leaves more on its way when the power goes.
-    world.fsync_ms = if planted == Planted::NoSync { (200.0, 400.0) } else { (0.5, 100.0) };
+    world.fsync_ms = if planted == Planted::NoSync {
+        (200.0, 400.0)
+    } else {
+        (0.5, 100.0)
+    };
     let mut rand = Rand64::new(u128::from(seed) << 32 | 1);
     let mut pick = |n: usize| rand.rand_range(0..n as u64) as usize;
     for _ in 0..40 {
@@ -63,7 +67,11 @@
         match pick(20) {
             0..=8 => {
                 let name = ["a", "b"][pick(2)].to_string();
-                let what = [What::Suspend(name.clone()), What::Restore(name), What::Read(None)];
+                let what = [
+                    What::Suspend(name.clone()),
+                    What::Restore(name),
+                    What::Read(None),
+                ];
                 let _ = world.call(i, what[pick(3)].clone());
             }
             9 if world.nodes[i].up => world.kill(i),
@@ -106,7 +114,10 @@
     while !world.whole() {
         world.run(20.0);
         if world.now - began > 60_000.0 {
-            return Err(format!("it does not come back once the faults are over\n{}", world.standing()));
+            return Err(format!(
+                "it does not come back once the faults are over\n{}",
+                world.standing()
+            ));
         }
         if let Some(i) = world.nodes.iter().position(|n| n.lost) {
             return Err(format!("m{i} {LOST}"));
@@ -175,7 +186,10 @@
     for (planted, name) in [
         (Planted::EarlyYes, "a yes before the copy"),
         (Planted::VoteAfterLoss, "a vote after a lost folder"),
-        (Planted::NoSync, "a copy that counts before it is on the disk"),
+        (
+            Planted::NoSync,
+            "a copy that counts before it is on the disk",
+        ),
     ] {
         let found = found(planted);
         println!("{name}: found by {found} of 60 schedules");
--- a/crates/group/tests/waiting.rs
+++ b/crates/group/tests/waiting.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 
 fn settings(name: &str) -> Settings {
-    let members = ["m0", "m1", "m2"].map(|member| (member.to_string(), format!("10.0.0.{}:1", &member[1..])));
+    let members =
+        ["m0", "m1", "m2"].map(|member| (member.to_string(), format!("10.0.0.{}:1", &member[1..])));
     Settings::new(name, 1, BTreeMap::from(members))
 }
 
@@ -34,7 +35,15 @@
 fn an_ingress_that_is_not_let_in_passes_nothing_on_and_asks_again() {
     let mut waiting = Peer::waiting(settings("m2"), 9);
     waiting.hear(0.0, "m1", 2, Frame::Idle);
-    waiting.hear(0.0, "m0", 1, Frame::Hears { of: "m0".into(), hears: vec!["m1".into()] });
+    waiting.hear(
+        0.0,
+        "m0",
+        1,
+        Frame::Hears {
+            of: "m0".into(),
+            hears: vec!["m1".into()],
+        },
+    );
     waiting.hear(0.0, "m0", 1, Frame::Round(message_to_m1()));
     let mut joins = Vec::new();
     for now in [0.0, 250.0, 501.0] {
@@ -46,14 +55,19 @@
             }
         }
     }
-    let all = [0.0, 501.0].map(|now| ["m0", "m1"].map(|to| (now, to.to_string()))).concat();
+    let all = [0.0, 501.0]
+        .map(|now| ["m0", "m1"].map(|to| (now, to.to_string())))
+        .concat();
     assert_eq!(joins, all);
 }
 
 #[test]
 fn a_link_carries_only_what_its_sender_has_greeted_as() {
     let message = message_to_m1();
-    let hears = Frame::Hears { of: "m0".into(), hears: Vec::new() };
+    let hears = Frame::Hears {
+        of: "m0".into(),
+        hears: Vec::new(),
+    };
     for (frame, from_none, from_its_sender, from_another) in [
         (Frame::Idle, true, true, true),
         (Frame::Join { nonce: 1 }, true, true, true),
@@ -61,10 +75,23 @@
         (Frame::Round(message.clone()), false, true, true),
         (Frame::Passed(message), false, true, true),
         (hears, false, true, true),
-        (Frame::Admitted { group: 77, id: 3, nonce: 1 }, false, true, true),
+        (
+            Frame::Admitted {
+                group: 77,
+                id: 3,
+                nonce: 1,
+            },
+            false,
+            true,
+            true,
+        ),
         (Frame::Follow { have: Vec::new() }, true, false, false),
     ] {
         let allowed = [0, 1, 2].map(|incarnation| frame.is_allowed_from(incarnation));
-        assert_eq!(allowed, [from_none, from_its_sender, from_another], "{frame:?}");
+        assert_eq!(
+            allowed,
+            [from_none, from_its_sender, from_another],
+            "{frame:?}"
+        );
     }
 }
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -133,7 +133,9 @@
             to_fans: Vec::new(),
             net: BTreeMap::new(),
             number: 0,
-            members: (0..members).map(|i| (name(i), format!("10.0.0.{i}:1"))).collect(),
+            members: (0..members)
+                .map(|i| (name(i), format!("10.0.0.{i}:1")))
+                .collect(),
         };
         for i in 0..members {
             let disk = (i == 0).then(|| Loaded::first(77, &name(0), "10.0.0.0:1", 1));
@@ -188,15 +190,22 @@
         self.kill(i);
         let vote = self.planted == Planted::VoteAfterLoss;
         let node = &mut self.nodes[i];
-        node.disk = node
-            .disk
-            .take()
-            .filter(|_| vote)
-            .map(|old| Loaded { snapshot: old.snapshot.clone(), ..Loaded::first(77, "m0", "10.0.0.0:1", 1) });
+        node.disk = node.disk.take().filter(|_| vote).map(|old| Loaded {
+            snapshot: old.snapshot.clone(),
+            ..Loaded::first(77, "m0", "10.0.0.0:1", 1)
+        });
         if let Some(disk) = &mut node.disk {
             // Under its old number, with the log as it was at the beginning.
-            let id = self.members.keys().position(|n| *n == node.name).unwrap_or(0) as u64 + 1;
-            *disk = Loaded { id, ..Loaded::first(77, "m0", "10.0.0.0:1", 1) };
+            let id = self
+                .members
+                .keys()
+                .position(|n| *n == node.name)
+                .unwrap_or(0) as u64
+                + 1;
+            *disk = Loaded {
+                id,
+                ..Loaded::first(77, "m0", "10.0.0.0:1", 1)
+            };
         }
     }
 
@@ -226,7 +235,11 @@
                 if self.nodes[to].up {
                     // A real link ends at such a frame, and what waits behind it is lost.
                     let allowed = frame.is_allowed_from(id);
-                    assert!(allowed, "seed {}: m{from} sends as incarnation {id}: {frame:?}", self.seed);
+                    assert!(
+                        allowed,
+                        "seed {}: m{from} sends as incarnation {id}: {frame:?}",
+                        self.seed
+                    );
                     self.nodes[to].inbox.push((from, id, frame));
                 }
             }
@@ -257,14 +270,19 @@
             let Some(job) = peer.job(now) else { break };
             let empty = job == Job::Write(Box::default());
             if !empty {
-                let ms = self.fsync_ms.0 + self.rand.rand_float() * (self.fsync_ms.1 - self.fsync_ms.0);
+                let ms =
+                    self.fsync_ms.0 + self.rand.rand_float() * (self.fsync_ms.1 - self.fsync_ms.0);
                 node.writing = Some((now + ms, job));
             }
             if empty || no_sync {
                 peer.done(now).unwrap();
             }
         }
-        self.to_fans.extend(peer.to_followers(now).into_iter().map(|(to, frame)| (i, to, frame)));
+        self.to_fans.extend(
+            peer.to_followers(now)
+                .into_iter()
+                .map(|(to, frame)| (i, to, frame)),
+        );
         let events = peer.events(now);
         let frames = peer.frames(now);
         if peer.member().is_some_and(|m| m.lost().is_some()) {
@@ -295,7 +313,9 @@
             }
             Event::Changed | Event::DoneFor(..) | Event::ExpiredFor(..) => return,
         };
-        let Some(seen) = self.nodes[i].calls.remove(&number).filter(|_| done) else { return };
+        let Some(seen) = self.nodes[i].calls.remove(&number).filter(|_| done) else {
+            return;
+        };
         if let What::Read(held) = &mut self.seen[seen].what {
             let state = self.nodes[i].member().unwrap().state();
             *held = Some(state.out.keys().cloned().collect());
@@ -319,7 +339,13 @@
         };
         let early = self.planted == Planted::EarlyYes && !matches!(what, What::Read(_));
         let (caller, ended) = (self.seen.len(), early.then_some(now + 0.5));
-        let seen = Seen { caller, began: now, ended, changed: true, what };
+        let seen = Seen {
+            caller,
+            began: now,
+            ended,
+            changed: true,
+            what,
+        };
         self.seen.push(seen);
         self.nodes[i].calls.insert(number, self.seen.len() - 1);
         Ok(self.seen.len() - 1)
@@ -327,10 +353,12 @@
 
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &Node| n.member().is_some_and(Member::leads);
-        (0..self.nodes.len()).filter(|i| leads(&self.nodes[*i])).max_by_key(|i| {
-            let status = self.nodes[*i].member().unwrap().status(self.now);
-            status.term
-        })
+        (0..self.nodes.len())
+            .filter(|i| leads(&self.nodes[*i]))
+            .max_by_key(|i| {
+                let status = self.nodes[*i].member().unwrap().status(self.now);
+                status.term
+            })
     }
 
     /// Runs until it is so; how long that took.
@@ -350,8 +378,16 @@
     pub fn standing(&self) -> String {
         let one = |n: &Node| {
             let status = n.member().map(|m| (m.id(), m.status(self.now)));
-            let disk = n.disk.as_ref().map(|d| (d.hard, d.snapshot.index, d.cut, d.entries.len()));
-            format!("{} up={} writing={} {disk:?} {status:?}\n", n.name, n.up, n.writing.is_some())
+            let disk = n
+                .disk
+                .as_ref()
+                .map(|d| (d.hard, d.snapshot.index, d.cut, d.entries.len()));
+            format!(
+                "{} up={} writing={} {disk:?} {status:?}\n",
+                n.name,
+                n.up,
+                n.writing.is_some()
+            )
         };
         self.nodes.iter().map(one).collect()
     }
@@ -359,7 +395,8 @@
     /// Whether every member votes and somebody leads.
     pub fn whole(&self) -> bool {
         let wanted = self.nodes.len();
-        self.leader().is_some_and(|l| self.nodes[l].member().unwrap().voters() == wanted)
+        self.leader()
+            .is_some_and(|l| self.nodes[l].member().unwrap().voters() == wanted)
             && self.nodes.iter().all(|n| {
                 n.member().is_some_and(|m| {
                     let status = m.status(self.now);
--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -9,9 +9,17 @@
     let mut text = String::from("name,address,zone,cell,weight,state,rack\n");
     for i in 0..hosts {
         let (a, b, c) = (i >> 16, i >> 8 & 255, i & 255);
-        let _ = writeln!(text, "node-{i},10.{a}.{b}.{c}:6379,building-1,{},1.5,active,r{}", i % 7, i % 40);
+        let _ = writeln!(
+            text,
+            "node-{i},10.{a}.{b}.{c}:6379,building-1,{},1.5,active,r{}",
+            i % 7,
+            i % 40
+        );
+    }
+    File {
+        path: "nodes.csv".into(),
+        bytes: text.into_bytes(),
     }
-    File { path: "nodes.csv".into(), bytes: text.into_bytes() }
 }
 
 fn yaml(hosts: usize) -> File {
@@ -20,13 +28,23 @@
     );
     for i in 0..hosts {
         let (a, b, c) = (i >> 16, i >> 8 & 255, i & 255);
-        let _ = writeln!(text, "        node-{i}: {{ansible_host: 10.{a}.{b}.{c}, rack: r{}}}", i % 40);
+        let _ = writeln!(
+            text,
+            "        node-{i}: {{ansible_host: 10.{a}.{b}.{c}, rack: r{}}}",
+            i % 40
+        );
+    }
+    File {
+        path: "nodes.yml".into(),
+        bytes: text.into_bytes(),
     }
-    File { path: "nodes.yml".into(), bytes: text.into_bytes() }
 }
 
 fn reading(c: &mut Criterion) {
-    let schema = Schema { zones: vec!["building-1".into()], ..Schema::default() };
+    let schema = Schema {
+        zones: vec!["building-1".into()],
+        ..Schema::default()
+    };
     let mut group = c.benchmark_group("read");
     for size in [100, 10_000, 100_000] {
         for (name, file) in [("csv", csv(size)), ("yaml", yaml(size))] {
--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -43,10 +43,21 @@
 }
 
 fn place(file: &Arc<str>, at: &At, path: &str) -> Place {
-    Place { file: file.clone(), line: at.line, column: at.column, path: path.into() }
+    Place {
+        file: file.clone(),
+        line: at.line,
+        column: at.column,
+        path: path.into(),
+    }
 }
 
-fn vars(of: Option<&At>, file: &Arc<str>, path: &str, schema: &Schema, faults: &mut Faults) -> Vars {
+fn vars(
+    of: Option<&At>,
+    file: &Arc<str>,
+    path: &str,
+    schema: &Schema,
+    faults: &mut Faults,
+) -> Vars {
     let Some(of) = of else { return Vars::new() };
     match &of.tree {
         Tree::Null => Vars::new(),
@@ -57,9 +68,15 @@
                     Tree::Null => Some(String::new()),
                     _ => None,
                 };
-                Arc::new(Raw { text, place: place(file, at, path) })
+                Arc::new(Raw {
+                    text,
+                    place: place(file, at, path),
+                })
             };
-            entries.iter().map(|(name, at)| (schema.field(name).to_string(), raw(at))).collect()
+            entries
+                .iter()
+                .map(|(name, at)| (schema.field(name).to_string(), raw(at)))
+                .collect()
         }
         _ => {
             faults.error(&place(file, of, path), "vars", "", "is not a mapping", "");
@@ -90,8 +107,10 @@
                 let path = format!("_meta.hostvars.{name}");
                 let found = vars(Some(own), file, &path, schema, faults);
                 let place = place(file, own, &path);
-                let entry =
-                    self.hosts.entry(name.clone()).or_insert_with(|| Entry { own: Vars::new(), place });
+                let entry = self.hosts.entry(name.clone()).or_insert_with(|| Entry {
+                    own: Vars::new(),
+                    place,
+                });
                 entry.own.extend(found);
             }
         }
@@ -109,7 +128,11 @@
     ) {
         let path = format!("{}_vars.{name}", if of_host { "host" } else { "group" });
         let found = vars(Some(root), file, &path, schema, faults);
-        let files = if of_host { &mut self.host_files } else { &mut self.group_files };
+        let files = if of_host {
+            &mut self.host_files
+        } else {
+            &mut self.group_files
+        };
         files.entry(name.to_string()).or_default().extend(found);
     }
 
@@ -154,8 +177,9 @@
                 "hosts" => self.members(name, part, file, path, schema, faults),
                 "vars" => {
                     let found = vars(Some(part), file, path, schema, faults);
-                    let priority =
-                        found.get("ansible_group_priority").and_then(|raw| raw.text.as_deref()?.parse().ok());
+                    let priority = found
+                        .get("ansible_group_priority")
+                        .and_then(|raw| raw.text.as_deref()?.parse().ok());
                     if let Some(group) = self.groups.get_mut(name) {
                         group.priority = priority.unwrap_or(group.priority);
                         group.vars.extend(found);
@@ -181,14 +205,27 @@
                             self.groups.entry(child.to_string()).or_default();
                         }
                     }
-                    _ => faults.error(&place(file, part, path), "children", "", "is not a mapping", ""),
+                    _ => faults.error(
+                        &place(file, part, path),
+                        "children",
+                        "",
+                        "is not a mapping",
+                        "",
+                    ),
                 },
                 other => {
-                    let help = match crate::host::near(other, ["hosts", "vars", "children"].into_iter()) {
-                        Some(near) => format!("{near} was meant?"),
-                        None => "a group has hosts, vars and children".into(),
-                    };
-                    faults.error(&place(file, part, path), "", other, "is no part of a group", help);
+                    let help =
+                        match crate::host::near(other, ["hosts", "vars", "children"].into_iter()) {
+                            Some(near) => format!("{near} was meant?"),
+                            None => "a group has hosts, vars and children".into(),
+                        };
+                    faults.error(
+                        &place(file, part, path),
+                        "",
+                        other,
+                        "is no part of a group",
+                        help,
+                    );
                 }
             }
         }
@@ -203,13 +240,21 @@
         schema: &Schema,
         faults: &mut Faults,
     ) {
-        let nothing = At { line: at.line, column: at.column, tree: Tree::Null };
+        let nothing = At {
+            line: at.line,
+            column: at.column,
+            tree: Tree::Null,
+        };
         let listed: Vec<(&str, &At)> = match &at.tree {
             Tree::Null => Vec::new(),
-            Tree::Map(hosts) => hosts.iter().map(|(name, own)| (name.as_str(), own)).collect(),
-            Tree::List(hosts) if hosts.iter().all(|at| at.scalar().is_some()) => {
-                hosts.iter().filter_map(|at| Some((at.scalar()?, &nothing))).collect()
-            }
+            Tree::Map(hosts) => hosts
+                .iter()
+                .map(|(name, own)| (name.as_str(), own))
+                .collect(),
+            Tree::List(hosts) if hosts.iter().all(|at| at.scalar().is_some()) => hosts
+                .iter()
+                .filter_map(|at| Some((at.scalar()?, &nothing)))
+                .collect(),
             _ => return faults.error(&place(file, at, path), "hosts", "", "is not a mapping", ""),
         };
         for (pattern, own) in listed {
@@ -223,15 +268,23 @@
                 }
             };
             if self.hosts.len() + names.len() > MOST_HOSTS {
-                return faults.error(&at, "", "", format!("there are more than {MOST_HOSTS} hosts"), "");
+                return faults.error(
+                    &at,
+                    "",
+                    "",
+                    format!("there are more than {MOST_HOSTS} hosts"),
+                    "",
+                );
             }
             let found = vars(Some(own), file, &path, schema, faults);
             for name in names {
                 if let Some(group) = self.groups.get_mut(group) {
                     group.hosts.insert(name.clone());
                 }
-                let entry =
-                    self.hosts.entry(name).or_insert_with(|| Entry { own: Vars::new(), place: at.clone() });
+                let entry = self.hosts.entry(name).or_insert_with(|| Entry {
+                    own: Vars::new(),
+                    place: at.clone(),
+                });
                 for (field, raw) in &found {
                     // Said twice of one host, and not the same: neither may silently win.
                     let before = entry.own.insert(field.clone(), raw.clone());
@@ -280,13 +333,26 @@
                 .map(|group| (*group, self.groups.get(*group).unwrap_or(&empty)))
                 .collect();
             groups.sort_by_key(|(name, group)| {
-                (if *name == "all" { 0 } else { group.depth + 1 }, group.priority, *name)
+                (
+                    if *name == "all" { 0 } else { group.depth + 1 },
+                    group.priority,
+                    *name,
+                )
             });
             let inline = groups.iter().map(|(_, group)| &group.vars);
-            let files = groups.iter().filter_map(|(name, _)| self.group_files.get(*name));
+            let files = groups
+                .iter()
+                .filter_map(|(name, _)| self.group_files.get(*name));
             let mut values: BTreeMap<String, Raw> = BTreeMap::new();
-            for vars in inline.chain(files).chain([&entry.own]).chain(self.host_files.get(name)) {
-                values.extend(vars.iter().map(|(field, raw)| (field.clone(), (**raw).clone())));
+            for vars in inline
+                .chain(files)
+                .chain([&entry.own])
+                .chain(self.host_files.get(name))
+            {
+                values.extend(
+                    vars.iter()
+                        .map(|(field, raw)| (field.clone(), (**raw).clone())),
+                );
             }
             let mut names: Vec<String> = groups.iter().map(|(name, _)| name.to_string()).collect();
             names.sort();
@@ -301,10 +367,16 @@
         for _ in 0..=MOST_DEPTH {
             let mut changed = false;
             for name in &names {
-                let Some(group) = self.groups.get(name) else { continue };
+                let Some(group) = self.groups.get(name) else {
+                    continue;
+                };
                 let (depth, children) = (group.depth + 1, group.children.clone());
                 for child in children {
-                    if let Some(group) = self.groups.get_mut(&child).filter(|group| group.depth < depth) {
+                    if let Some(group) = self
+                        .groups
+                        .get_mut(&child)
+                        .filter(|group| group.depth < depth)
+                    {
                         group.depth = depth;
                         changed = true;
                     }
@@ -314,6 +386,12 @@
                 return;
             }
         }
-        faults.error(&Place::default(), "children", "", "groups are children of each other in a ring", "");
+        faults.error(
+            &Place::default(),
+            "children",
+            "",
+            "groups are children of each other in a ring",
+            "",
+        );
     }
 }
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -64,7 +64,11 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = if self.weight == Weight::Warning { "warning: " } else { "" };
+        let word = if self.weight == Weight::Warning {
+            "warning: "
+        } else {
+            ""
+        };
         write!(f, "{}: {word}", self.place)?;
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
@@ -94,7 +98,14 @@
         problem: impl Into<String>,
         help: impl Into<String>,
     ) {
-        self.note(Weight::Error, place, field, value, problem.into(), help.into());
+        self.note(
+            Weight::Error,
+            place,
+            field,
+            value,
+            problem.into(),
+            help.into(),
+        );
     }
 
     pub(crate) fn warning(
@@ -105,7 +116,14 @@
         problem: impl Into<String>,
         help: impl Into<String>,
     ) {
-        self.note(Weight::Warning, place, field, value, problem.into(), help.into());
+        self.note(
+            Weight::Warning,
+            place,
+            field,
+            value,
+            problem.into(),
+            help.into(),
+        );
     }
 
     fn note(
@@ -123,7 +141,14 @@
             return;
         }
         let value: String = value.chars().take(60).collect();
-        self.0.push(Fault { weight, place: place.clone(), field: field.into(), value, problem, help });
+        self.0.push(Fault {
+            weight,
+            place: place.clone(),
+            field: field.into(),
+            value,
+            problem,
+            help,
+        });
     }
 }
 
@@ -131,7 +156,10 @@
 pub fn summary(faults: &[Fault]) -> Vec<String> {
     let mut kinds: BTreeMap<(Weight, &str, &str), (usize, &Fault)> = BTreeMap::new();
     for fault in faults {
-        kinds.entry((fault.weight, &fault.field, &fault.problem)).or_insert((0, fault)).0 += 1;
+        kinds
+            .entry((fault.weight, &fault.field, &fault.problem))
+            .or_insert((0, fault))
+            .0 += 1;
     }
     let told = kinds.into_values().map(|(count, first)| match count {
         1 => first.to_string(),
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -124,18 +124,36 @@
         (!text.is_empty()).then_some((text, &raw.place))
     };
     if name.is_empty() || name.len() > MOST_NAME || name.chars().any(char::is_control) {
-        faults.error(place, "name", name, "cannot be a name", format!("1 to {MOST_NAME} characters"));
+        faults.error(
+            place,
+            "name",
+            name,
+            "cannot be a name",
+            format!("1 to {MOST_NAME} characters"),
+        );
     }
     let address = address(name, place, &get, faults);
     let mut number = |field: &str, absent: f64, least: f64, most: f64, whole: bool| {
-        let Some((text, at)) = get(field) else { return absent };
-        let value =
-            text.parse::<f64>().ok().filter(|v| *v >= least && *v <= most && !(whole && v.fract() != 0.0));
+        let Some((text, at)) = get(field) else {
+            return absent;
+        };
+        let value = text
+            .parse::<f64>()
+            .ok()
+            .filter(|v| *v >= least && *v <= most && !(whole && v.fract() != 0.0));
         // Only what is written in digits: Rust also reads `inf` and `1e9`.
-        let plain = text.bytes().all(|b| b.is_ascii_digit() || matches!(b, b'.' | b'-'));
+        let plain = text
+            .bytes()
+            .all(|b| b.is_ascii_digit() || matches!(b, b'.' | b'-'));
         value.filter(|_| plain).unwrap_or_else(|| {
             let kind = if whole { "a whole number" } else { "a number" };
-            faults.error(at, field, text, format!("is not {kind} from {least} to {most}"), "");
+            faults.error(
+                at,
+                field,
+                text,
+                format!("is not {kind} from {least} to {most}"),
+                "",
+            );
             absent
         })
     };
@@ -148,7 +166,13 @@
         None | Some(("resp", _)) => Protocol::Resp,
         Some(("http2", _)) => Protocol::Http2,
         Some((text, at)) => {
-            faults.error(at, "protocol", text, "is no protocol", "resp or http2 was expected");
+            faults.error(
+                at,
+                "protocol",
+                text,
+                "is no protocol",
+                "resp or http2 was expected",
+            );
             Protocol::Resp
         }
     };
@@ -199,13 +223,23 @@
     });
     let labels = values.iter().filter(|(name, raw)| {
         let own = FIELDS.contains(&name.as_str()) || name.starts_with("ansible_");
-        !own && raw.text.as_deref().is_some_and(|text| !text.trim().is_empty() && text.len() <= MOST_NAME)
+        !own && raw
+            .text
+            .as_deref()
+            .is_some_and(|text| !text.trim().is_empty() && text.len() <= MOST_NAME)
     });
-    let labels = labels.filter_map(|(name, raw)| Some((name.clone(), raw.text.clone()?.trim().to_string())));
+    let labels =
+        labels.filter_map(|(name, raw)| Some((name.clone(), raw.text.clone()?.trim().to_string())));
     let labels = labels.take(MOST_LABELS).collect();
-    let failed = faults.0[before.min(faults.0.len())..].iter().any(|f| f.weight == crate::Weight::Error);
+    let failed = faults.0[before.min(faults.0.len())..]
+        .iter()
+        .any(|f| f.weight == crate::Weight::Error);
     let address = address.filter(|_| !failed)?;
-    let (name, place, capacity) = (name.to_string(), place.clone(), (capacity >= 0.0).then_some(capacity));
+    let (name, place, capacity) = (
+        name.to_string(),
+        place.clone(),
+        (capacity >= 0.0).then_some(capacity),
+    );
     Some(Host {
         name,
         address,
@@ -239,7 +273,10 @@
         },
     };
     if let Some((text, at)) = get("address") {
-        let found = text.parse::<SocketAddr>().ok().filter(|addr| addr.port() > 0);
+        let found = text
+            .parse::<SocketAddr>()
+            .ok()
+            .filter(|addr| addr.port() > 0);
         if found.is_none() {
             faults.error(
                 at,
@@ -251,18 +288,38 @@
         }
         return found;
     }
-    let ip = |text: &str| text.trim_start_matches('[').trim_end_matches(']').parse::<IpAddr>().ok();
+    let ip = |text: &str| {
+        text.trim_start_matches('[')
+            .trim_end_matches(']')
+            .parse::<IpAddr>()
+            .ok()
+    };
     if let Some((text, at)) = get("ansible_host") {
         let found = ip(text).map(|ip| SocketAddr::new(ip, port));
         if found.is_none() {
-            faults.error(at, "ansible_host", text, "is not an IP address", "names are not looked up here");
+            faults.error(
+                at,
+                "ansible_host",
+                text,
+                "is not an IP address",
+                "names are not looked up here",
+            );
         }
         return found;
     }
     // A host's name may be its address.
-    let found = name.parse::<SocketAddr>().ok().or_else(|| ip(name).map(|ip| SocketAddr::new(ip, port)));
+    let found = name
+        .parse::<SocketAddr>()
+        .ok()
+        .or_else(|| ip(name).map(|ip| SocketAddr::new(ip, port)));
     if found.is_none() {
-        faults.error(place, "address", "", "is missing", "give address, or ansible_host with an IP address");
+        faults.error(
+            place,
+            "address",
+            "",
+            "is missing",
+            "give address, or ansible_host with an IP address",
+        );
     }
     found
 }
@@ -273,6 +330,10 @@
         return None;
     }
     let most = (wrong.chars().count() / 3).clamp(1, 2);
-    let nearest = known.map(|name| (strsim::damerau_levenshtein(wrong, name), name)).min();
-    nearest.filter(|(distance, _)| *distance <= most).map(|(_, name)| name)
+    let nearest = known
+        .map(|name| (strsim::damerau_levenshtein(wrong, name), name))
+        .min();
+    nearest
+        .filter(|(distance, _)| *distance <= most)
+        .map(|(_, name)| name)
 }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -49,7 +49,9 @@
 impl Reading {
     /// Whether nothing but warnings was found.
     pub fn holds(&self) -> bool {
-        self.faults.iter().all(|fault| fault.weight == Weight::Warning)
+        self.faults
+            .iter()
+            .all(|fault| fault.weight == Weight::Warning)
     }
 }
 
@@ -63,7 +65,10 @@
     let mut declared: Option<usize> = None;
     for file in sorted {
         let name: Arc<str> = file.path.as_str().into();
-        let top = Place { file: name.clone(), ..Place::default() };
+        let top = Place {
+            file: name.clone(),
+            ..Place::default()
+        };
         if file.bytes.len() > MOST_FILE {
             faults.error(
                 &top,
@@ -75,12 +80,23 @@
             continue;
         }
         // A byte order mark is none of the text.
-        let bytes = file.bytes.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&file.bytes);
+        let bytes = file
+            .bytes
+            .strip_prefix(b"\xef\xbb\xbf")
+            .unwrap_or(&file.bytes);
         let text = match std::str::from_utf8(bytes) {
             Ok(text) => text,
             Err(e) => {
-                let line = bytes[..e.valid_up_to()].iter().filter(|b| **b == b'\n').count() as u64 + 1;
-                let at = Place { line, column: 1, ..top };
+                let line = bytes[..e.valid_up_to()]
+                    .iter()
+                    .filter(|b| **b == b'\n')
+                    .count() as u64
+                    + 1;
+                let at = Place {
+                    line,
+                    column: 1,
+                    ..top
+                };
                 faults.error(&at, "", "", "is not UTF-8 from here", "");
                 continue;
             }
@@ -97,7 +113,11 @@
         let root = match tree::parse(text) {
             Ok(root) => root,
             Err(e) => {
-                let at = Place { line: e.line, column: e.column, ..top };
+                let at = Place {
+                    line: e.line,
+                    column: e.column,
+                    ..top
+                };
                 faults.error(&at, "", "", e.problem, "");
                 continue;
             }
@@ -105,7 +125,14 @@
         let stem = last.rsplit_once('.').map_or(last, |(stem, _)| stem);
         match folder {
             "group_vars" | "host_vars" => {
-                ansible.add_vars(folder == "host_vars", stem, &root, &name, schema, &mut faults);
+                ansible.add_vars(
+                    folder == "host_vars",
+                    stem,
+                    &root,
+                    &name,
+                    schema,
+                    &mut faults,
+                );
             }
             _ => ansible.add(&root, &name, schema, &mut faults),
         }
@@ -115,8 +142,17 @@
     judge::outliers(&hosts, &mut faults);
     if let Some(count) = declared.filter(|count| *count != hosts.len()) {
         let problem = format!("{count} hosts are declared, {} were read", hosts.len());
-        faults.error(&Place::default(), "", "", problem, "the file may have been read half-written");
+        faults.error(
+            &Place::default(),
+            "",
+            "",
+            problem,
+            "the file may have been read half-written",
+        );
     }
     hosts.sort_by(|a, b| a.name.cmp(&b.name));
-    Reading { hosts, faults: faults.0 }
+    Reading {
+        hosts,
+        faults: faults.0,
+    }
 }
--- a/crates/inventory/src/table.rs
+++ b/crates/inventory/src/table.rs
@@ -7,20 +7,33 @@
 use std::sync::Arc;
 
 pub(crate) fn read(text: &str, file: &Arc<str>, schema: &Schema, faults: &mut Faults) -> Vec<Host> {
-    let header = text.lines().find(|line| !line.trim().is_empty() && !line.starts_with('#')).unwrap_or("");
+    let header = text
+        .lines()
+        .find(|line| !line.trim().is_empty() && !line.starts_with('#'))
+        .unwrap_or("");
     let count = |sign: char| header.matches(sign).count();
     let signs = [',', ';', '\t'];
-    let delimiter = signs.into_iter().max_by_key(|sign| (count(*sign), *sign == ',')).unwrap_or(',');
+    let delimiter = signs
+        .into_iter()
+        .max_by_key(|sign| (count(*sign), *sign == ','))
+        .unwrap_or(',');
     let mut reader = csv::ReaderBuilder::new()
         .delimiter(delimiter as u8)
         .comment(Some(b'#'))
         .trim(csv::Trim::All)
         .flexible(true)
         .from_reader(text.as_bytes());
-    let place =
-        |line: u64, column: u64, path: &str| Place { file: file.clone(), line, column, path: path.into() };
+    let place = |line: u64, column: u64, path: &str| Place {
+        file: file.clone(),
+        line,
+        column,
+        path: path.into(),
+    };
     let names: Vec<String> = match reader.headers() {
-        Ok(header) => header.iter().map(|name| schema.field(name).to_string()).collect(),
+        Ok(header) => header
+            .iter()
+            .map(|name| schema.field(name).to_string())
+            .collect(),
         Err(e) => {
             faults.error(&place(1, 1, "header"), "", "", e.to_string(), "");
             return Vec::new();
@@ -33,8 +46,17 @@
         }
     }
     if !names.iter().any(|name| name == "name") {
-        let help = format!("the header has {}", names.join(", ").chars().take(100).collect::<String>());
-        faults.error(&place(1, 1, "header"), "name", "", "is no column of the header", help);
+        let help = format!(
+            "the header has {}",
+            names.join(", ").chars().take(100).collect::<String>()
+        );
+        faults.error(
+            &place(1, 1, "header"),
+            "name",
+            "",
+            "is no column of the header",
+            help,
+        );
         return Vec::new();
     }
     let mut hosts = Vec::new();
@@ -67,11 +89,17 @@
         let mut column = 1;
         for (name, value) in names.iter().zip(row.iter()) {
             // The column as far as it can be told: quotes and blanks around values are gone.
-            let raw = Raw { text: Some(value.to_string()), place: place(line, column, &path) };
+            let raw = Raw {
+                text: Some(value.to_string()),
+                place: place(line, column, &path),
+            };
             column += value.chars().count() as u64 + 1;
             values.insert(name.clone(), raw);
         }
-        let name = values.get("name").and_then(|raw| raw.text.clone()).unwrap_or_default();
+        let name = values
+            .get("name")
+            .and_then(|raw| raw.text.clone())
+            .unwrap_or_default();
         hosts.extend(host(name.trim(), &at, &values, Vec::new(), schema, faults));
     }
 }
--- a/crates/inventory/src/tree.rs
+++ b/crates/inventory/src/tree.rs
@@ -31,7 +31,10 @@
 impl At {
     pub(crate) fn get(&self, key: &str) -> Option<&At> {
         match &self.tree {
-            Tree::Map(entries) => entries.iter().find(|(name, _)| name == key).map(|(_, at)| at),
+            Tree::Map(entries) => entries
+                .iter()
+                .find(|(name, _)| name == key)
+                .map(|(_, at)| at),
             _ => None,
         }
     }
@@ -109,7 +112,11 @@
 }
 
 fn at(item: Spanned<Tree>) -> At {
-    At { line: item.referenced.line(), column: item.referenced.column(), tree: item.value }
+    At {
+        line: item.referenced.line(),
+        column: item.referenced.column(),
+        tree: item.value,
+    }
 }
 
 /// A text that is no YAML, and where.
@@ -133,7 +140,17 @@
     read.map(at).map_err(|e| {
         let (line, column) = e.location().map_or((0, 0), |at| (at.line(), at.column()));
         let told = e.to_string();
-        let problem = told.lines().next().unwrap_or("this is no YAML").chars().take(160).collect();
-        NotYaml { line, column, problem }
+        let problem = told
+            .lines()
+            .next()
+            .unwrap_or("this is no YAML")
+            .chars()
+            .take(160)
+            .collect();
+        NotYaml {
+            line,
+            column,
+            problem,
+        }
     })
 }
--- a/crates/inventory/tests/random.rs
+++ b/crates/inventory/tests/random.rs
@@ -5,11 +5,20 @@
 use std::collections::BTreeSet;
 
 fn schema() -> Schema {
-    Schema { zones: vec!["building-1".into()], ..Schema::default() }
+    Schema {
+        zones: vec!["building-1".into()],
+        ..Schema::default()
+    }
 }
 
 fn take(path: &str, bytes: Vec<u8>) -> Reading {
-    read(&[File { path: path.into(), bytes }], &schema())
+    read(
+        &[File {
+            path: path.into(),
+            bytes,
+        }],
+        &schema(),
+    )
 }
 
 fn good_csv() -> String {
@@ -21,8 +30,12 @@
 }
 
 fn good_yaml() -> String {
-    let hosts =
-        (0..20).map(|i| format!("        n{i}: {{ansible_host: 10.0.0.{i}, weight: {}}}\n", 1 + i % 3));
+    let hosts = (0..20).map(|i| {
+        format!(
+            "        n{i}: {{ansible_host: 10.0.0.{i}, weight: {}}}\n",
+            1 + i % 3
+        )
+    });
     format!(
         "# driftgap: hosts=20\n# driftgap: ends\nall:\n  vars: {{zone: building-1}}\n  children:\n    g:\n      hosts:\n{}# driftgap: end\n",
         hosts.collect::<String>()
@@ -53,9 +66,16 @@
     if reading.holds() {
         prop_assert_eq!(reading.hosts.len(), 20);
     } else {
-        prop_assert!(reading.faults.iter().any(|fault| fault.weight == Weight::Error));
+        prop_assert!(reading
+            .faults
+            .iter()
+            .any(|fault| fault.weight == Weight::Error));
     }
-    let names: BTreeSet<&str> = reading.hosts.iter().map(|host| host.name.as_str()).collect();
+    let names: BTreeSet<&str> = reading
+        .hosts
+        .iter()
+        .map(|host| host.name.as_str())
+        .collect();
     let addresses: BTreeSet<_> = reading.hosts.iter().map(|host| host.address).collect();
     let twice = names.len() < reading.hosts.len() || addresses.len() < reading.hosts.len();
     prop_assert!(!(twice && reading.holds()));
--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -15,7 +15,10 @@
 fn files(all: &[(&str, &str)]) -> Reading {
     let files: Vec<File> = all
         .iter()
-        .map(|(path, text)| File { path: path.to_string(), bytes: text.as_bytes().to_vec() })
+        .map(|(path, text)| File {
+            path: path.to_string(),
+            bytes: text.as_bytes().to_vec(),
+        })
         .collect();
     read(&files, &schema())
 }
@@ -115,8 +118,9 @@
     assert!(got.faults.is_empty(), "{:?}", told(&got));
     assert_eq!(plain(&got.hosts), plain(&want.hosts));
     // Anchors, merged; a host whose name is its address.
-    let anchored =
-        yaml("all:\n  hosts:\n    10.0.0.9: &one {zone: building-2, rack: x}\n    '10.0.0.8:99': *one\n");
+    let anchored = yaml(
+        "all:\n  hosts:\n    10.0.0.9: &one {zone: building-2, rack: x}\n    '10.0.0.8:99': *one\n",
+    );
     assert!(anchored.faults.is_empty(), "{:?}", told(&anchored));
     assert_eq!(anchored.hosts[0].address.to_string(), "10.0.0.8:99");
     assert_eq!(anchored.hosts[1].address.to_string(), "10.0.0.9:6379");
@@ -160,14 +164,23 @@
         "row 7: name: cannot be a name",
         "row 8: address: \"10.0.0.7:0\"",
     ] {
-        assert!(all.iter().any(|f| f.contains(want)), "{want}\nnot among\n{}", all.join("\n"));
+        assert!(
+            all.iter().any(|f| f.contains(want)),
+            "{want}\nnot among\n{}",
+            all.join("\n")
+        );
     }
     assert_eq!(all.len(), 11, "{}", all.join("\n"));
     assert!(!reading.holds());
-    let many: String = (0..500).map(|i| format!("n{i},10.0.{}.{}:7001,moon\n", i / 250, i % 250)).collect();
+    let many: String = (0..500)
+        .map(|i| format!("n{i},10.0.{}.{}:7001,moon\n", i / 250, i % 250))
+        .collect();
     let reading = csv(&format!("name,address,zone\n{many}"));
     let short = summary(&reading.faults);
-    assert!(short.len() == 1 && short[0].contains("and 499 more like it"), "{short:?}");
+    assert!(
+        short.len() == 1 && short[0].contains("and 499 more like it"),
+        "{short:?}"
+    );
 }
 
 #[test]
@@ -177,7 +190,10 @@
             "n1,10.0.0.1:1,5\nn1,10.0.0.1:1,9\n",
             "row 3: capacity: \"9\" \"n1\" stands at nodes.csv:2:1: row 2 with 5 already",
         ),
-        ("n1,10.0.0.1:1,5\nn1,10.0.0.1:1,5\n", "row 3: name: \"n1\" stands at nodes.csv:2:1: row 2 already"),
+        (
+            "n1,10.0.0.1:1,5\nn1,10.0.0.1:1,5\n",
+            "row 3: name: \"n1\" stands at nodes.csv:2:1: row 2 already",
+        ),
         (
             "n1,10.0.0.1:1,5\nn2,10.0.0.1:1,9\n",
             "row 3: address: \"10.0.0.1:1\" is the address of \"n1\" at nodes.csv:2:1",
@@ -185,18 +201,28 @@
     ];
     for (rows, want) in cases {
         let reading = csv(&format!("name,address,capacity\n{rows}"));
-        assert!(!reading.holds() && told(&reading).iter().any(|f| f.contains(want)), "{:?}", told(&reading));
+        assert!(
+            !reading.holds() && told(&reading).iter().any(|f| f.contains(want)),
+            "{:?}",
+            told(&reading)
+        );
     }
     let twice = yaml("all:\n  children:\n    a: {hosts: {n1: {ansible_host: 10.0.0.1, capacity: 5}}}\n    b: {hosts: {n1: {capacity: 9}}}\n");
     assert!(
-        told(&twice).iter().any(|f| f.contains("capacity: \"9\" says otherwise than nodes.yml:3")),
+        told(&twice)
+            .iter()
+            .any(|f| f.contains("capacity: \"9\" says otherwise than nodes.yml:3")),
         "{:?}",
         told(&twice)
     );
-    let two =
-        files(&[("a.csv", "name,address\nn1,10.0.0.1:1\n"), ("b.csv", "name,address\nn1,10.0.0.2:1\n")]);
+    let two = files(&[
+        ("a.csv", "name,address\nn1,10.0.0.1:1\n"),
+        ("b.csv", "name,address\nn1,10.0.0.2:1\n"),
+    ]);
     assert!(
-        told(&two).iter().any(|f| f.contains("b.csv:2:1: row 2: name") && f.contains("a.csv:2:1")),
+        told(&two)
+            .iter()
+            .any(|f| f.contains("b.csv:2:1: row 2: name") && f.contains("a.csv:2:1")),
         "{:?}",
         told(&two)
     );
@@ -204,9 +230,12 @@
 
 #[test]
 fn a_file_cut_anywhere_is_never_taken_for_a_shorter_one() {
-    let rows: String = (0..30).map(|i| format!("n{i},10.0.0.{i}:70{i:02},building-1\n")).collect();
-    let marked =
-        format!("# driftgap: hosts=30\n# driftgap: ends\nname,address,zone\n{rows}# driftgap: end\n");
+    let rows: String = (0..30)
+        .map(|i| format!("n{i},10.0.0.{i}:70{i:02},building-1\n"))
+        .collect();
+    let marked = format!(
+        "# driftgap: hosts=30\n# driftgap: ends\nname,address,zone\n{rows}# driftgap: end\n"
+    );
     assert!(csv(&marked).holds(), "{:?}", told(&csv(&marked)));
     for cut in 0..marked.len() - 1 {
         assert!(!csv(&marked[..cut]).holds(), "cut at {cut}");
@@ -224,13 +253,18 @@
         }
     }
     let wrong = csv("# driftgap: hosts=3\nname,address\nn1,10.0.0.1:1\n");
-    assert!(told(&wrong).iter().any(|f| f.contains("3 hosts are declared, 1 were read")));
+    assert!(told(&wrong)
+        .iter()
+        .any(|f| f.contains("3 hosts are declared, 1 were read")));
 }
 
 #[test]
 fn a_list_that_takes_out_too_much_must_be_confirmed() {
     let list = |states: &[&str]| {
-        let rows = states.iter().enumerate().map(|(i, state)| format!("n{i},10.0.0.{i}:1,{state}\n"));
+        let rows = states
+            .iter()
+            .enumerate()
+            .map(|(i, state)| format!("n{i},10.0.0.{i}:1,{state}\n"));
         csv(&format!("name,address,state\n{}", rows.collect::<String>())).hosts
     };
     let shares = Shares::default();
@@ -243,7 +277,9 @@
     assert_eq!(with(3, "draining"), None);
     assert!(with(4, "draining").unwrap().contains("takes out 4 of 10"));
     assert!(with(4, "out").is_some() && suspicious(&[], &old, shares).is_none());
-    assert!(suspicious(&old, &old[..6], shares).unwrap().contains("4 hosts of 10 are missing"));
+    assert!(suspicious(&old, &old[..6], shares)
+        .unwrap()
+        .contains("4 hosts of 10 are missing"));
 }
 
 #[test]
@@ -252,19 +288,30 @@
         + &(1..12)
             .map(|i| {
                 let (name, last) = ((b'a' + i) as char, (b'a' + i - 1) as char);
-                format!("{name}: &{name} [{}]\n", vec![format!("*{last}"); 9].join(","))
+                format!(
+                    "{name}: &{name} [{}]\n",
+                    vec![format!("*{last}"); 9].join(",")
+                )
             })
             .collect::<String>();
     let deep = "[".repeat(100_000) + "\n";
     let ring = "all: {children: {a: {children: {b: }}, b: {children: {a: }}}}\n".to_string();
-    let nested = (0..200)
-        .fold("x: {hosts: {}}".to_string(), |inner, i| format!("g{i}: {{children: {{{inner}}}}}"))
-        + "\n";
+    let nested = (0..200).fold("x: {hosts: {}}".to_string(), |inner, i| {
+        format!("g{i}: {{children: {{{inner}}}}}")
+    }) + "\n";
     let ranges = "all: {hosts: {'n[0:99999][0:99999]': {}}}\n".to_string();
-    for (i, text) in
-        [bomb, deep, ring, nested, ranges, "- a\n- b\n".into(), "just text\n".into(), "\u{0}\u{1}\n".into()]
-            .iter()
-            .enumerate()
+    for (i, text) in [
+        bomb,
+        deep,
+        ring,
+        nested,
+        ranges,
+        "- a\n- b\n".into(),
+        "just text\n".into(),
+        "\u{0}\u{1}\n".into(),
+    ]
+    .iter()
+    .enumerate()
     {
         let begun = Instant::now();
         let reading = yaml(text);
@@ -276,12 +323,27 @@
         );
         assert!(told(&reading).iter().all(|f| f.len() < 600), "case {i}");
     }
-    let long = File { path: "x.csv".into(), bytes: vec![b'a'; 33 << 20] };
+    let long = File {
+        path: "x.csv".into(),
+        bytes: vec![b'a'; 33 << 20],
+    };
     assert!(!read(&[long], &schema()).holds());
-    let latin = File { path: "x.csv".into(), bytes: b"name,address\nn\xe9,10.0.0.1:1\n".to_vec() };
+    let latin = File {
+        path: "x.csv".into(),
+        bytes: b"name,address\nn\xe9,10.0.0.1:1\n".to_vec(),
+    };
     let reading = read(&[latin], &schema());
-    assert!(told(&reading)[0].starts_with("x.csv:2:1: is not UTF-8"), "{:?}", told(&reading));
-    let weights =
-        csv("name,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\nd,10.0.0.4:1,50\n");
-    assert!(weights.holds() && weights.faults[0].weight == Weight::Warning, "{:?}", told(&weights));
+    assert!(
+        told(&reading)[0].starts_with("x.csv:2:1: is not UTF-8"),
+        "{:?}",
+        told(&reading)
+    );
+    let weights = csv(
+        "name,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\nd,10.0.0.4:1,50\n",
+    );
+    assert!(
+        weights.holds() && weights.faults[0].weight == Weight::Warning,
+        "{:?}",
+        told(&weights)
+    );
 }
--- a/crates/operations/src/bans.rs
+++ b/crates/operations/src/bans.rs
@@ -123,7 +123,10 @@
         assert_eq!(bans.restore("s-1"), Ban::Done);
         assert_eq!(bans.restore("s-1"), Ban::Before);
         assert!(!bans.is_out("s-1"));
-        assert_eq!((bans.suspend("s-2"), bans.restore("s-2")), (Ban::Unknown, Ban::Unknown));
+        assert_eq!(
+            (bans.suspend("s-2"), bans.restore("s-2")),
+            (Ban::Unknown, Ban::Unknown)
+        );
     }
 
     #[test]
@@ -132,17 +135,24 @@
         bans.listed("s-1");
         bans.suspend("s-1");
         (0..2 * MOST_SEEN).for_each(|i| bans.listed(&format!("n-{i}")));
-        assert!(bans.is_out("s-1") && bans.seen.len() == MOST_SEEN && bans.order.len() == MOST_SEEN);
+        assert!(
+            bans.is_out("s-1") && bans.seen.len() == MOST_SEEN && bans.order.len() == MOST_SEEN
+        );
         assert_eq!(bans.suspend("s-1"), Ban::Before);
         assert_eq!(bans.restore("s-1"), Ban::Done);
-        let full = (0..MOST_BANS).all(|i| bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - i)) == Ban::Done);
-        assert!(full && bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - MOST_BANS)) == Ban::TooMany);
+        let full = (0..MOST_BANS)
+            .all(|i| bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - i)) == Ban::Done);
+        assert!(
+            full && bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - MOST_BANS)) == Ban::TooMany
+        );
     }
 
     #[test]
     fn another_process_says_what_is_out() {
         let mut bans = Bans::default();
-        ["s-1", "s-2", "s-3"].iter().for_each(|name| bans.listed(name));
+        ["s-1", "s-2", "s-3"]
+            .iter()
+            .for_each(|name| bans.listed(name));
         bans.suspend("s-1");
         bans.suspend("s-2");
         let changed = bans.take_over(["s-2".to_string(), "s-4".to_string()].into());
--- a/crates/operations/src/call.rs
+++ b/crates/operations/src/call.rs
@@ -76,7 +76,11 @@
     /// The line is no call, or will never be one.
     pub fn read(bytes: &[u8]) -> Result<Option<Call>, BadCall> {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-            return if bytes.len() >= MOST_LINE { Err(BadCall::Long) } else { Ok(None) };
+            return if bytes.len() >= MOST_LINE {
+                Err(BadCall::Long)
+            } else {
+                Ok(None)
+            };
         };
         if end >= MOST_LINE {
             return Err(BadCall::Long);
@@ -102,7 +106,10 @@
     }
 }
 
-fn group(words: &[&str], id: impl Fn(&str) -> Result<String, BadCall>) -> Result<GroupCall, BadCall> {
+fn group(
+    words: &[&str],
+    id: impl Fn(&str) -> Result<String, BadCall>,
+) -> Result<GroupCall, BadCall> {
     let at = |text: &str| text.parse().map_err(|_| BadCall::Address);
     match words {
         ["STATUS"] => Ok(GroupCall::Status),
@@ -127,12 +134,18 @@
 impl Answer {
     /// A yes.
     pub fn yes(text: impl Into<String>) -> Answer {
-        Answer { yes: true, text: text.into() }
+        Answer {
+            yes: true,
+            text: text.into(),
+        }
     }
 
     /// A no.
     pub fn no(text: impl Into<String>) -> Answer {
-        Answer { yes: false, text: text.into() }
+        Answer {
+            yes: false,
+            text: text.into(),
+        }
     }
 
     /// The line.
@@ -154,16 +167,25 @@
         }
         assert_eq!(Call::read(all), Ok(Some(Call::Suspend("s-12".into()))));
         assert_eq!(Call::read(b"STATUS\nPAUSE\n"), Ok(Some(Call::Status)));
-        assert_eq!(Call::read(b" RESTORE  s-1 \n"), Ok(Some(Call::Restore("s-1".into()))));
+        assert_eq!(
+            Call::read(b" RESTORE  s-1 \n"),
+            Ok(Some(Call::Restore("s-1".into())))
+        );
     }
 
     #[test]
     fn what_is_no_call_is_named() {
         let long = [b"SUSPEND ".as_slice(), &[b'x'; MOST_LINE]].concat();
         let id = [b"SUSPEND ".as_slice(), &[b'x'; MOST_ID + 1], b"\n"].concat();
-        assert_eq!(Call::read(b"RESTORE s-1 HERE\n"), Ok(Some(Call::RestoreHere("s-1".into()))));
+        assert_eq!(
+            Call::read(b"RESTORE s-1 HERE\n"),
+            Ok(Some(Call::RestoreHere("s-1".into())))
+        );
         let add = GroupCall::Add("n4".into(), ([10, 0, 0, 4], 700).into());
-        assert_eq!(Call::read(b"GROUP ADD n4 10.0.0.4:700\n"), Ok(Some(Call::Group(add))));
+        assert_eq!(
+            Call::read(b"GROUP ADD n4 10.0.0.4:700\n"),
+            Ok(Some(Call::Group(add)))
+        );
         let cases: [(&[u8], BadCall); 12] = [
             (b"SUSPEND s-1 THERE\n", BadCall::Words),
             (b"GROUP\n", BadCall::Name),
--- a/crates/operations/src/door.rs
+++ b/crates/operations/src/door.rs
@@ -56,17 +56,13 @@
 
     /// What becomes of clients now.
     pub fn way(&self, now: f64) -> Way {
-        let stopped =
-            self.stopped.map_or(
-                Way::Open,
-                |(since, notice)| {
-                    if now - since < notice {
-                        Way::Notice
-                    } else {
-                        Way::Emptying
-                    }
-                },
-            );
+        let stopped = self.stopped.map_or(Way::Open, |(since, notice)| {
+            if now - since < notice {
+                Way::Notice
+            } else {
+                Way::Emptying
+            }
+        });
         let paused = self.paused.map_or(Way::Open, |since| match now - since {
             ms if ms < NOTICE_MS => Way::Notice,
             ms if ms < EMPTY_MS => Way::Emptying,
@@ -84,11 +80,21 @@
     fn a_call_empties_it_by_stages_and_another_takes_clients_again() {
         let mut door = Door::default();
         assert_eq!(door.way(1e12), Way::Open);
-        assert!(door.pause(1000.0) && !door.pause(1300.0), "a repeated call does not begin anew");
+        assert!(
+            door.pause(1000.0) && !door.pause(1300.0),
+            "a repeated call does not begin anew"
+        );
         let way = |ms: f64| door.way(ms);
         assert_eq!(
             [1000.0, 1399.0, 1400.0, 2499.0, 2500.0, 1e9].map(way),
-            [Way::Notice, Way::Notice, Way::Emptying, Way::Emptying, Way::Empty, Way::Empty]
+            [
+                Way::Notice,
+                Way::Notice,
+                Way::Emptying,
+                Way::Emptying,
+                Way::Empty,
+                Way::Empty
+            ]
         );
         assert!(door.paused() && door.resume() && !door.resume() && !door.paused());
         assert_eq!(door.way(5000.0), Way::Open);
@@ -99,7 +105,10 @@
         let mut door = Door::default();
         door.stop(1000.0, 500.0);
         door.stop(9000.0, 0.0);
-        assert_eq!([1499.0, 1500.0, 1e9].map(|ms| door.way(ms)), [Way::Notice, Way::Emptying, Way::Emptying]);
+        assert_eq!(
+            [1499.0, 1500.0, 1e9].map(|ms| door.way(ms)),
+            [Way::Notice, Way::Emptying, Way::Emptying]
+        );
         assert!(!door.resume() && door.stopped() && !door.paused());
         door.pause(1400.0);
         assert_eq!(
--- a/crates/routes/benches/rules.rs
+++ b/crates/routes/benches/rules.rs
@@ -5,7 +5,9 @@
 use cel_interpreter::{Context, Program};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_expr::{Expression, FieldId, Input, Scratch, Value};
-use driftgap_routes::{request_schema, Catalog, Effect, NoHeaders, Request, Router, Rules, Verdict};
+use driftgap_routes::{
+    request_schema, Catalog, Effect, NoHeaders, Request, Router, Rules, Verdict,
+};
 use rhai::{Engine, Map, Scope, AST};
 use std::hint::black_box;
 use std::net::IpAddr;
@@ -63,7 +65,12 @@
 
 /// A router over so many rules with these tests, each of which does something small.
 fn router(size: usize, test: impl Fn(usize) -> String) -> Router {
-    let rule = |i| format!("[[rule]]\nname = 'r{i}'\nwhen = '''{}'''\npool = '\"any\"'\n", test(i));
+    let rule = |i| {
+        format!(
+            "[[rule]]\nname = 'r{i}'\nwhen = '''{}'''\npool = '\"any\"'\n",
+            test(i)
+        )
+    };
     let text: String = (0..size).map(rule).collect();
     let text = format!("[cost]\nexpression = 100000\nrequest = 10000000\n{text}");
     Router::new(Rules::read(&text, "bench", &catalog()).expect("rules"))
@@ -81,7 +88,9 @@
                 _ => 0,
             });
         });
-        let mut equal = router(size, |i| format!("request.path == \"/programmes/{i}/audio\""));
+        let mut equal = router(size, |i| {
+            format!("request.path == \"/programmes/{i}/audio\"")
+        });
         group.bench_function(BenchmarkId::new("equal", size), |b| {
             b.iter(|| equal.route(black_box(&request), 0.0))
         });
@@ -104,17 +113,22 @@
         let path = format!("/programmes/{}/audio", size - 1);
         // One by one as well, without the index.
         let schema = request_schema();
-        let own: Vec<Expression> =
-            (0..size).map(|i| Expression::new(&test(i), &schema).expect("own")).collect();
+        let own: Vec<Expression> = (0..size)
+            .map(|i| Expression::new(&test(i), &schema).expect("own"))
+            .collect();
         let (input, mut scratch) = (Prepared { path: path.clone() }, Scratch::default());
         group.bench_function(BenchmarkId::new("driftgap-expr", size), |b| {
-            b.iter(|| own.iter().position(|test| test.test(black_box(&input), &mut scratch) == Ok(true)));
+            b.iter(|| {
+                own.iter()
+                    .position(|test| test.test(black_box(&input), &mut scratch) == Ok(true))
+            });
         });
         let engine = Engine::new();
         let rhai: Vec<AST> = (0..size)
             .map(|i| {
-                let text =
-                    format!("request.method == \"GET\" && request.path.starts_with(\"/programmes/{i}/\")");
+                let text = format!(
+                    "request.method == \"GET\" && request.path.starts_with(\"/programmes/{i}/\")"
+                );
                 engine.compile_expression(text).expect("rhai")
             })
             .collect();
@@ -125,15 +139,24 @@
         scope.push_constant("request", map);
         group.bench_function(BenchmarkId::new("rhai", size), |b| {
             b.iter(|| {
-                rhai.iter().position(|test| engine.eval_ast_with_scope::<bool>(&mut scope, test).unwrap())
+                rhai.iter().position(|test| {
+                    engine
+                        .eval_ast_with_scope::<bool>(&mut scope, test)
+                        .unwrap()
+                })
             });
         });
-        let cel: Vec<Program> = (0..size).map(|i| Program::compile(&test(i)).expect("cel")).collect();
+        let cel: Vec<Program> = (0..size)
+            .map(|i| Program::compile(&test(i)).expect("cel"))
+            .collect();
         let mut context = Context::default();
         let fields = std::collections::HashMap::from([("method", "GET"), ("path", path.as_str())]);
         context.add_variable("request", fields).expect("variable");
         group.bench_function(BenchmarkId::new("cel-interpreter", size), |b| {
-            b.iter(|| cel.iter().position(|test| test.execute(&context).unwrap() == true.into()));
+            b.iter(|| {
+                cel.iter()
+                    .position(|test| test.execute(&context).unwrap() == true.into())
+            });
         });
     }
     group.finish();
--- a/crates/routes/src/content.rs
+++ b/crates/routes/src/content.rs
@@ -4,7 +4,8 @@
 use std::sync::LazyLock;
 
 /// The secret keys of this process's hashes.
-static KEYS: LazyLock<[RandomState; 2]> = LazyLock::new(|| [RandomState::new(), RandomState::new()]);
+static KEYS: LazyLock<[RandomState; 2]> =
+    LazyLock::new(|| [RandomState::new(), RandomState::new()]);
 
 /// A hash of 128 bits: SipHash under two keys drawn at the start of the process.
 ///
--- a/crates/routes/src/cost.rs
+++ b/crates/routes/src/cost.rs
@@ -32,13 +32,22 @@
         let texts = texts.iter().map(|text| (&**text, cost));
         fields.entry(field).or_default().extend(texts);
     }
-    fields.into_values().map(worst_text).fold(always, u64::saturating_add)
+    fields
+        .into_values()
+        .map(worst_text)
+        .fold(always, u64::saturating_add)
 }
 
 /// The field and the texts that a rule is found by, and what it costs for them; none: it is always looked at.
 fn found_by(rule: &Rule) -> Option<(FieldId, &[Arc<str>], TextCost)> {
-    let equal = TextCost { equal: rule.cost, prefix: 0 };
-    let prefix = TextCost { equal: 0, prefix: rule.cost };
+    let equal = TextCost {
+        equal: rule.cost,
+        prefix: 0,
+    };
+    let prefix = TextCost {
+        equal: 0,
+        prefix: rule.cost,
+    };
     match &rule.key {
         SelectKey::Always | SelectKey::Never => None,
         SelectKey::Equals(field, text) => Some((*field, std::slice::from_ref(text), equal)),
@@ -57,9 +66,14 @@
     for group in texts.chunk_by(|(a, _), (b, _)| a == b) {
         let text = group[0].0;
         let sum = |cost: fn(&TextCost) -> u64| {
-            group.iter().fold(0u64, |sum, (_, costs)| sum.saturating_add(cost(costs)))
+            group
+                .iter()
+                .fold(0u64, |sum, (_, costs)| sum.saturating_add(cost(costs)))
         };
-        while chain.last().is_some_and(|(prefix, _)| !text.starts_with(prefix)) {
+        while chain
+            .last()
+            .is_some_and(|(prefix, _)| !text.starts_with(prefix))
+        {
             chain.pop();
         }
         let before = chain.last().map_or(0, |(_, reached)| *reached);
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -34,8 +34,14 @@
 impl<'t> Excerpt<'t> {
     /// These bytes of the file.
     pub(crate) fn range(text: &'t str, range: Range<usize>) -> Excerpt<'t> {
-        let pieces = vec![Piece { start: 0, offset: range.start }];
-        Excerpt { text: Cow::Borrowed(text.get(range).unwrap_or("")), pieces }
+        let pieces = vec![Piece {
+            start: 0,
+            offset: range.start,
+        }];
+        Excerpt {
+            text: Cow::Borrowed(text.get(range).unwrap_or("")),
+            pieces,
+        }
     }
 
     /// Its text.
@@ -46,13 +52,20 @@
     /// Where these of its bytes are in the file.
     pub(crate) fn in_file(&self, span: &Range<usize>) -> Range<usize> {
         let start = self.offset(span.start);
-        let end = if span.end > span.start { self.offset(span.end - 1) + 1 } else { start };
+        let end = if span.end > span.start {
+            self.offset(span.end - 1) + 1
+        } else {
+            start
+        };
         start..end.max(start)
     }
 
     fn offset(&self, at: usize) -> usize {
         let following = self.pieces.partition_point(|piece| piece.start <= at);
-        match following.checked_sub(1).and_then(|last| self.pieces.get(last)) {
+        match following
+            .checked_sub(1)
+            .and_then(|last| self.pieces.get(last))
+        {
             Some(piece) => piece.offset + (at - piece.start),
             None => at,
         }
@@ -63,7 +76,10 @@
         if range.is_empty() {
             return;
         }
-        self.pieces.push(Piece { start: self.text.len(), offset: range.start });
+        self.pieces.push(Piece {
+            start: self.text.len(),
+            offset: range.start,
+        });
         self.text.to_mut().push_str(text.get(range).unwrap_or(""));
     }
 }
@@ -80,15 +96,22 @@
     /// Cuts a file whose rules are those of the table `part`, or its own.
     pub(crate) fn split(text: &'t str, part: Option<&str>) -> Document<'t> {
         let path: Vec<&str> = part.into_iter().chain([RULES]).collect();
-        let mut skeleton = Excerpt { text: Cow::Owned(String::new()), pieces: Vec::new() };
+        let mut skeleton = Excerpt {
+            text: Cow::Owned(String::new()),
+            pieces: Vec::new(),
+        };
         let mut sections = Vec::new();
         let mut open = 0;
         let mut in_rule = false;
         for header in Headers::new(text, &path) {
             match (header.kind, in_rule) {
-                (HeaderKind::Unresolved, _) | (HeaderKind::OfRule, false) => return Document::whole(text),
+                (HeaderKind::Unresolved, _) | (HeaderKind::OfRule, false) => {
+                    return Document::whole(text)
+                }
                 (HeaderKind::OfRule, true) | (HeaderKind::Other, false) => continue,
-                (HeaderKind::Rule | HeaderKind::Other, true) => sections.push(open..header.span.start),
+                (HeaderKind::Rule | HeaderKind::Other, true) => {
+                    sections.push(open..header.span.start)
+                }
                 (HeaderKind::Rule, false) => {
                     skeleton.push(text, open..header.span.end);
                     skeleton.text.to_mut().push('\n');
@@ -107,7 +130,10 @@
 
     /// A file that is parsed in one piece.
     fn whole(text: &'t str) -> Document<'t> {
-        Document { skeleton: Excerpt::range(text, 0..text.len()), sections: Vec::new() }
+        Document {
+            skeleton: Excerpt::range(text, 0..text.len()),
+            sections: Vec::new(),
+        }
     }
 }
 
@@ -143,7 +169,13 @@
 
 impl<'t, 'p> Headers<'t, 'p> {
     fn new(text: &'t str, path: &'p [&'p str]) -> Headers<'t, 'p> {
-        Headers { text, path, lexer: Source::new(text).lex(), depth: 0, line_start: Some(0) }
+        Headers {
+            text,
+            path,
+            lexer: Source::new(text).lex(),
+            depth: 0,
+            line_start: Some(0),
+        }
     }
 
     /// The header whose first bracket has just been read, up to the end of its line.
@@ -161,14 +193,25 @@
         }
         let (kind, length) = self.kind(&tokens);
         let last = tokens.get(length.saturating_sub(1)).unwrap_or(&bracket);
-        Header { kind, span: line_start..last.span().end() }
+        Header {
+            kind,
+            span: line_start..last.span().end(),
+        }
     }
 
     /// What a header's tokens are to the rules, and how many of them are the header itself. A malformed header
     /// is no rule's: the parser finds it in the skeleton.
     fn kind(&self, tokens: &[Token]) -> (HeaderKind, usize) {
-        let opens = |at: usize| tokens.get(at).is_some_and(|t| t.kind() == TokenKind::LeftSquareBracket);
-        let closes = |at: usize| tokens.get(at).is_some_and(|t| t.kind() == TokenKind::RightSquareBracket);
+        let opens = |at: usize| {
+            tokens
+                .get(at)
+                .is_some_and(|t| t.kind() == TokenKind::LeftSquareBracket)
+        };
+        let closes = |at: usize| {
+            tokens
+                .get(at)
+                .is_some_and(|t| t.kind() == TokenKind::RightSquareBracket)
+        };
         let brackets = if opens(1) { 2 } else { 1 };
         let mut at = brackets;
         let mut path = Vec::new();
@@ -179,7 +222,10 @@
                 Some(Key::None) | None => return (HeaderKind::Other, tokens.len()),
             }
             at += 1;
-            if tokens.get(at).is_none_or(|token| token.kind() != TokenKind::Dot) {
+            if tokens
+                .get(at)
+                .is_none_or(|token| token.kind() != TokenKind::Dot)
+            {
                 break;
             }
             at += 1;
@@ -196,8 +242,14 @@
     }
 
     fn key(&self, token: &Token) -> Key<'t> {
-        let raw = self.text.get(token.span().start()..token.span().end()).unwrap_or("");
-        let within = |quote: char| raw.strip_prefix(quote).and_then(|rest| rest.strip_suffix(quote));
+        let raw = self
+            .text
+            .get(token.span().start()..token.span().end())
+            .unwrap_or("");
+        let within = |quote: char| {
+            raw.strip_prefix(quote)
+                .and_then(|rest| rest.strip_suffix(quote))
+        };
         let quoted = match token.kind() {
             TokenKind::Atom => return Key::Plain(raw),
             TokenKind::LiteralString => within('\''),
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -52,7 +52,10 @@
     /// RFC 9110's safe methods are pure, every other has an effect.
     fn default() -> Declared {
         let safe = ["GET", "HEAD", "OPTIONS"].map(|m| (m.to_string(), Effect::Pure));
-        Declared { methods: safe.into(), paths: Vec::new() }
+        Declared {
+            methods: safe.into(),
+            paths: Vec::new(),
+        }
     }
 }
 
@@ -71,8 +74,15 @@
         match facts.texts(&Path::Field(field::METHOD)) {
             Some(methods) => {
                 for method in methods {
-                    let effect = self.methods.get(method).copied().unwrap_or(Effect::SideEffect);
-                    note(effect, format!("the method may be {method}, which is {}", effect.told()));
+                    let effect = self
+                        .methods
+                        .get(method)
+                        .copied()
+                        .unwrap_or(Effect::SideEffect);
+                    note(
+                        effect,
+                        format!("the method may be {method}, which is {}", effect.told()),
+                    );
                 }
             }
             None => {
@@ -83,7 +93,13 @@
         let path = facts.get(&Path::Field(field::PATH));
         for (prefix, effect) in &self.paths {
             if !path.is_some_and(|fact| fact.never_begins(prefix)) {
-                note(*effect, format!("the path may begin with {prefix}, which is {}", effect.told()));
+                note(
+                    *effect,
+                    format!(
+                        "the path may begin with {prefix}, which is {}",
+                        effect.told()
+                    ),
+                );
             }
         }
         found
@@ -99,7 +115,9 @@
 
 /// Whether a rule may match a command of the platform's own.
 pub(crate) fn may_be_command(facts: &Facts) -> bool {
-    !facts.get(&Path::Field(field::PATH)).is_some_and(|fact| fact.never_begins(COMMANDS))
+    !facts
+        .get(&Path::Field(field::PATH))
+        .is_some_and(|fact| fact.never_begins(COMMANDS))
 }
 
 /// Judges the class that a rule gives.
@@ -110,9 +128,15 @@
     nearest: impl Fn(&str) -> String,
 ) -> Vec<Unfit> {
     let Some(ways) = expression.ways() else {
-        let (problem, help) =
-            ("the class has too many ways to tell apart", "a table with [key].orValue(...) is flatter");
-        return vec![Unfit { span: 0..expression.text().len(), problem: problem.into(), help: help.into() }];
+        let (problem, help) = (
+            "the class has too many ways to tell apart",
+            "a table with [key].orValue(...) is flatter",
+        );
+        return vec![Unfit {
+            span: 0..expression.text().len(),
+            problem: problem.into(),
+            help: help.into(),
+        }];
     };
     let mut unfit = Vec::new();
     for way in ways {
@@ -124,12 +148,20 @@
                     "this class is not known before use",
                     "a class is written out on every branch, so that its effect is known when the file is read",
                 );
-                unfit.push(Unfit { span, problem: problem.into(), help: help.into() });
+                unfit.push(Unfit {
+                    span,
+                    problem: problem.into(),
+                    help: help.into(),
+                });
                 continue;
             }
         };
         let Some(effect) = effect_of(name) else {
-            unfit.push(Unfit { span, problem: format!("there is no class {name:?}"), help: nearest(name) });
+            unfit.push(Unfit {
+                span,
+                problem: format!("there is no class {name:?}"),
+                help: nearest(name),
+            });
             continue;
         };
         let (needed, why) = declared.strictest(&way.facts);
@@ -154,8 +186,15 @@
     };
     let ways = expression.ways().unwrap_or(&[]);
     if expression.ways().is_none() {
-        let (problem, help) = ("the units have too many ways to tell apart", "fewer branches");
-        return vec![Unfit { span: 0..expression.text().len(), problem: problem.into(), help: help.into() }];
+        let (problem, help) = (
+            "the units have too many ways to tell apart",
+            "fewer branches",
+        );
+        return vec![Unfit {
+            span: 0..expression.text().len(),
+            problem: problem.into(),
+            help: help.into(),
+        }];
     }
     let wrong = ways.iter().filter(|way| !fits(way));
     wrong
--- a/crates/routes/src/environment.rs
+++ b/crates/routes/src/environment.rs
@@ -58,17 +58,26 @@
             }
         }
     }
-    Ceilings { expression: expression as u64, request: request as u64 }
+    Ceilings {
+        expression: expression as u64,
+        request: request as u64,
+    }
 }
 
 /// Reads the effects that requests are declared to have.
 pub(crate) fn effects(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> Declared {
     let mut declared = Declared::default();
-    let Some(effects) = table.get("effects").and_then(|effects| values.table(effects)) else {
+    let Some(effects) = table
+        .get("effects")
+        .and_then(|effects| values.table(effects))
+    else {
         return declared;
     };
     values.known_keys(effects, &["methods", "paths"]);
-    if let Some(methods) = effects.get("methods").and_then(|methods| values.table(methods)) {
+    if let Some(methods) = effects
+        .get("methods")
+        .and_then(|methods| values.table(methods))
+    {
         for (name, value) in methods.iter() {
             let name: &str = name.get_ref();
             if let Some(effect) = effect(values, value) {
@@ -79,7 +88,9 @@
     if let Some(paths) = effects.get("paths").and_then(|paths| values.table(paths)) {
         for (name, value) in paths.iter() {
             let name: &str = name.get_ref();
-            let Some(effect) = effect(values, value) else { continue };
+            let Some(effect) = effect(values, value) else {
+                continue;
+            };
             if name.starts_with('/') {
                 declared.paths.push((name.to_string(), effect));
             } else {
@@ -96,7 +107,11 @@
     let effect = Effect::named(&text.text);
     if effect.is_none() {
         let help = Some("pure, token or side_effect was expected".into());
-        values.fault(text.span, format!("there is no effect {:?}", text.text), help);
+        values.fault(
+            text.span,
+            format!("there is no effect {:?}", text.text),
+            help,
+        );
     }
     effect
 }
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -42,7 +42,12 @@
         catalog: &Catalog,
     ) -> Result<Explainer, Vec<Fault>> {
         let mut checked = Vec::new();
-        let input = Input { text, file, part, catalog };
+        let input = Input {
+            text,
+            file,
+            part,
+            catalog,
+        };
         let rules = read(&input, &ReadOptions::default(), Some(&mut checked))?;
         Ok(Explainer { rules, checked })
     }
@@ -65,10 +70,19 @@
             let matched = rule.when.test(&view, &mut Scratch::default()) == Ok(true);
             let mut parts = vec![("when".to_string(), rule.when.explain(&view))];
             if matched && !behind {
-                let actions = rule.parts.iter().map(|(name, part)| (name.to_string(), part.explain(&view)));
+                let actions = rule
+                    .parts
+                    .iter()
+                    .map(|(name, part)| (name.to_string(), part.explain(&view)));
                 parts.extend(actions);
             }
-            all.push(Explained { rule: rule.name.clone(), matched, ruled_out, behind, parts });
+            all.push(Explained {
+                rule: rule.name.clone(),
+                matched,
+                ruled_out,
+                behind,
+                parts,
+            });
             behind |= matched && !rule.goes_on;
         }
         all
--- a/crates/routes/src/fault.rs
+++ b/crates/routes/src/fault.rs
@@ -14,6 +14,9 @@
     /// A fault of the file as a whole.
     pub(crate) fn of_file(file: &str, problem: &str) -> Fault {
         let line = format!("{file}: {problem}");
-        Fault { shown: line.clone(), line }
+        Fault {
+            shown: line.clone(),
+            line,
+        }
     }
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -39,8 +39,8 @@
 pub use pool::{ANY, MOST_POOLS};
 pub use read::{ReadOptions, ReadReport, DEFAULT_MOST_BYTES};
 pub use request::{
-    bound, instance_schema, request_schema, Headers, Instance, NoHeaders, Request, MOST_HEADER, MOST_HEADERS,
-    MOST_LABELS, MOST_NAME, MOST_PATH,
+    bound, instance_schema, request_schema, Headers, Instance, NoHeaders, Request, MOST_HEADER,
+    MOST_HEADERS, MOST_LABELS, MOST_NAME, MOST_PATH,
 };
 pub use route::{Mapped, Replaced, Route, Router, TooSoon, Verdict, ALL};
 pub use rules::Rules;
--- a/crates/routes/src/limit.rs
+++ b/crates/routes/src/limit.rs
@@ -73,7 +73,9 @@
 
 impl std::fmt::Debug for Ticket {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Ticket").field("key", &self.key).finish_non_exhaustive()
+        f.debug_struct("Ticket")
+            .field("key", &self.key)
+            .finish_non_exhaustive()
     }
 }
 
@@ -96,7 +98,12 @@
             Allowance::Rate { .. } => keys.div_ceil(WAYS).next_power_of_two(),
             Allowance::AtOnce { .. } => 0,
         };
-        Limit { allowance, sets, hasher: RandomState::new(), state: Mutex::default() }
+        Limit {
+            allowance,
+            sets,
+            hasher: RandomState::new(),
+            state: Mutex::default(),
+        }
     }
 
     /// What it remembers. A thread that panicked while it held the lock left whole figures behind.
@@ -106,7 +113,8 @@
 
     /// Bytes that it takes once requests have met it, roughly.
     pub fn memory(&self) -> usize {
-        self.sets * WAYS * size_of::<Place>() + self.state().under_way.capacity() * size_of::<(u64, u32)>()
+        self.sets * WAYS * size_of::<Place>()
+            + self.state().under_way.capacity() * size_of::<(u64, u32)>()
     }
 
     /// Refusals so far, and keys that had to take over another's place.
@@ -165,7 +173,10 @@
             }
             Allowance::AtOnce { .. } => {
                 *state.under_way.entry(key).or_default() += 1;
-                Some(Ticket { limit: self.clone(), key })
+                Some(Ticket {
+                    limit: self.clone(),
+                    key,
+                })
             }
         }
     }
--- a/crates/routes/src/mapping.rs
+++ b/crates/routes/src/mapping.rs
@@ -9,7 +9,9 @@
 use driftgap_expr::{Expression, Facts, FieldId, Outcome, Path, Type};
 
 /// Keys that make sense beside `class` only.
-const KEYS: [&str; 8] = ["plan", "partner", "units", "id", "deadline", "spread", "first", "terms"];
+const KEYS: [&str; 8] = [
+    "plan", "partner", "units", "id", "deadline", "spread", "first", "terms",
+];
 /// Names of the platform's own terms, which a rule may not set.
 const OWN_TERMS: [&str; 7] = ["c", "t", "d", "r", "units", "spread", "first"];
 /// Longest name of a term.
@@ -51,13 +53,23 @@
         let spread = part("spread", PartName::Spread, Type::Int);
         let first = part("first", PartName::First, Type::Int);
         let terms = self.named(fields.table, "terms", matched.facts, is_term);
-        let Some(class) = class else { return Parts::new() };
+        let Some(class) = class else {
+            return Parts::new();
+        };
         let plan = plan.map(|plan| (PartName::Plan, plan));
         let units = units.map(|units| (PartName::Units, units));
         // In the order in which they are evaluated.
         let mut parts = vec![(PartName::Class, class)];
-        parts.extend([plan, partner, id, units, deadline, spread, first].into_iter().flatten());
-        parts.extend(terms.into_iter().map(|(name, term)| (PartName::Term(name), term)));
+        parts.extend(
+            [plan, partner, id, units, deadline, spread, first]
+                .into_iter()
+                .flatten(),
+        );
+        parts.extend(
+            terms
+                .into_iter()
+                .map(|(name, term)| (PartName::Term(name), term)),
+        );
         parts
     }
 
@@ -65,7 +77,11 @@
         for key in KEYS {
             if let Some(value) = fields.table.get(key) {
                 let help = Some("a rule with `class` makes a command of a request".into());
-                self.values.fault(value.span(), format!("`{key}` stands without `class`"), help);
+                self.values.fault(
+                    value.span(),
+                    format!("`{key}` stands without `class`"),
+                    help,
+                );
             }
         }
     }
@@ -81,7 +97,10 @@
         );
         let problem =
             "the rule may match a command of the platform's own, whose class and units are the client's word";
-        let span = fields.table.get("class").map_or(fields.span.clone(), |class| class.span());
+        let span = fields
+            .table
+            .get("class")
+            .map_or(fields.span.clone(), |class| class.span());
         self.values.fault(span, problem, Some(help));
     }
 
@@ -110,10 +129,13 @@
         let (plan, text) = self.part(fields.table, "plan", matched.facts, &Type::Text)?;
         let plans = &self.environment.catalog.plans;
         for way in plan.ways().unwrap_or(&[]) {
-            let Outcome::Text(name) = &way.outcome else { continue };
+            let Outcome::Text(name) = &way.outcome else {
+                continue;
+            };
             if !plans.contains(name) {
                 let help = nearest(name, plans.iter().map(String::as_str));
-                let error = plan.fault(way.span.clone(), format!("there is no plan {name:?}"), help);
+                let error =
+                    plan.fault(way.span.clone(), format!("there is no plan {name:?}"), help);
                 self.values.expression_fault(&text, &error);
             }
         }
@@ -134,10 +156,18 @@
         matched: &Matched<'_>,
         class: Option<&Expression>,
     ) {
-        for (key, place) in [("plan", field::PLAN), ("partner", field::PARTNER), ("units", field::UNITS)] {
+        for (key, place) in [
+            ("plan", field::PLAN),
+            ("partner", field::PARTNER),
+            ("units", field::UNITS),
+        ] {
             if matched.lacks(fields, key, place) {
                 let help = format!("give it, or test has(request.{key}) in `when`");
-                self.values.fault(fields.span.clone(), format!("a command needs `{key}`"), Some(help));
+                self.values.fault(
+                    fields.span.clone(),
+                    format!("a command needs `{key}`"),
+                    Some(help),
+                );
             }
         }
         let discards = class.is_some_and(|class| self.discards_repeats(class));
@@ -150,7 +180,11 @@
 
     fn discards_repeats(&self, class: &Expression) -> bool {
         let classes = &self.environment.catalog.classes;
-        let is_token = |name: &str| classes.iter().any(|(n, effect)| n == name && *effect == Effect::Token);
+        let is_token = |name: &str| {
+            classes
+                .iter()
+                .any(|(n, effect)| n == name && *effect == Effect::Token)
+        };
         let mut ways = class.ways().unwrap_or(&[]).iter();
         ways.any(|way| matches!(&way.outcome, Outcome::Text(name) if is_token(name)))
     }
--- a/crates/routes/src/names.rs
+++ b/crates/routes/src/names.rs
@@ -15,7 +15,11 @@
 }
 
 /// The name of a rule or a pool.
-pub(crate) fn name(values: &mut Values<'_, '_>, fields: &DeTable<'_>, span: Range<usize>) -> Option<Text> {
+pub(crate) fn name(
+    values: &mut Values<'_, '_>,
+    fields: &DeTable<'_>,
+    span: Range<usize>,
+) -> Option<Text> {
     let Some(name) = fields.get("name") else {
         values.fault(span, "`name` is missing", None);
         return None;
@@ -31,11 +35,17 @@
 
 /// The known name that is nearest, or the first of them.
 pub(crate) fn nearest<'a>(wrong: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
-    let nearest = known.clone().map(|name| (strsim::damerau_levenshtein(wrong, name), name)).min();
+    let nearest = known
+        .clone()
+        .map(|name| (strsim::damerau_levenshtein(wrong, name), name))
+        .min();
     match nearest {
         Some((distance, name)) if distance <= (wrong.len() / 3).clamp(1, 2) => {
             format!("did you mean {name:?}?")
         }
-        _ => format!("known are {}", known.take(MOST_TOLD).collect::<Vec<_>>().join(", ")),
+        _ => format!(
+            "known are {}",
+            known.take(MOST_TOLD).collect::<Vec<_>>().join(", ")
+        ),
     }
 }
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -43,10 +43,16 @@
 
 /// The list of pools of a file.
 pub(crate) fn list<'v, 'd>(values: &mut Values<'_, '_>, table: &'v DeTable<'d>) -> &'v [Value<'d>] {
-    let Some(list) = table.get("pool") else { return &[] };
+    let Some(list) = table.get("pool") else {
+        return &[];
+    };
     let list = values.array(list);
     if list.len() > MOST_POOLS {
-        values.fault(list[MOST_POOLS].span(), format!("more than {MOST_POOLS} pools"), None);
+        values.fault(
+            list[MOST_POOLS].span(),
+            format!("more than {MOST_POOLS} pools"),
+            None,
+        );
         return &[];
     }
     list
@@ -56,10 +62,18 @@
 pub(crate) fn names(values: &mut Values<'_, '_>, list: &[Value<'_>]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for value in list {
-        let Some(fields) = values.table(value) else { continue };
-        let Some(name) = name(values, fields, value.span()) else { continue };
+        let Some(fields) = values.table(value) else {
+            continue;
+        };
+        let Some(name) = name(values, fields, value.span()) else {
+            continue;
+        };
         if names.contains(&name.text) || name.text == ANY {
-            let help = if name.text == ANY { "it stands for all instances" } else { "there is one already" };
+            let help = if name.text == ANY {
+                "it stands for all instances"
+            } else {
+                "there is one already"
+            };
             let problem = format!("no further pool can be named {:?}", name.text);
             values.fault(name.span, problem, Some(help.into()));
         }
@@ -78,7 +92,9 @@
     let schema = instance_schema();
     let mut pools = Vec::with_capacity(list.len());
     for (value, name) in list.iter().zip(names) {
-        let Some(fields) = values.table(value) else { continue };
+        let Some(fields) = values.table(value) else {
+            continue;
+        };
         pools.extend(pool(values, value, fields, name, names, &schema, interner));
     }
     refuse_rings(values, list, &pools);
@@ -104,14 +120,26 @@
     let when = values.string(when)?;
     let checked = values.expression(&when, schema, &Default::default(), &Type::Bool)?;
     let (name, text) = (name.to_string(), when.text);
-    Some(Pool { name, text, when: checked.compile(interner), fallback, after_ms })
+    Some(Pool {
+        name,
+        text,
+        when: checked.compile(interner),
+        fallback,
+        after_ms,
+    })
 }
 
 fn fallback(values: &mut Values<'_, '_>, fields: &DeTable<'_>, names: &[String]) -> Fallback {
-    let Some(text) = fields.get("fallback").and_then(|fallback| values.string(fallback)) else {
+    let Some(text) = fields
+        .get("fallback")
+        .and_then(|fallback| values.string(fallback))
+    else {
         return Fallback::Refuse;
     };
-    match (text.text.as_str(), names.iter().position(|name| *name == text.text)) {
+    match (
+        text.text.as_str(),
+        names.iter().position(|name| *name == text.text),
+    ) {
         ("refuse", _) => Fallback::Refuse,
         (ANY, _) => Fallback::Any,
         (_, Some(other)) => Fallback::Pool(other),
@@ -148,7 +176,12 @@
 }
 
 /// A time after which a client is to come back, ms.
-pub(crate) fn time(values: &mut Values<'_, '_>, fields: &DeTable<'_>, key: &str, absent: f64) -> f64 {
+pub(crate) fn time(
+    values: &mut Values<'_, '_>,
+    fields: &DeTable<'_>,
+    key: &str,
+    absent: f64,
+) -> f64 {
     let Some(text) = fields.get(key).and_then(|after| values.string(after)) else {
         return absent;
     };
@@ -156,7 +189,11 @@
         Some(ms) => ms,
         None => {
             let help = Some("a time up to 10m, such as \"250ms\" or \"1.5s\", was expected".into());
-            values.fault(text.span, format!("{:?} is no time to come back", text.text), help);
+            values.fault(
+                text.span,
+                format!("{:?} is no time to come back", text.text),
+                help,
+            );
             absent
         }
     }
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -41,7 +41,10 @@
 
 impl Default for ReadOptions<'_> {
     fn default() -> Self {
-        ReadOptions { previous: None, most_bytes: DEFAULT_MOST_BYTES }
+        ReadOptions {
+            previous: None,
+            most_bytes: DEFAULT_MOST_BYTES,
+        }
     }
 }
 
@@ -72,10 +75,15 @@
 ) -> Result<Rules, Vec<Fault>> {
     let length = input.text.len();
     if length > options.most_bytes {
-        let problem = format!("the file has {length} bytes, {} are the most", options.most_bytes);
+        let problem = format!(
+            "the file has {length} bytes, {} are the most",
+            options.most_bytes
+        );
         return Err(vec![Fault::of_file(input.file, &problem)]);
     }
-    let shared = options.previous.map_or_else(Default::default, |rules| rules.set.shared.clone());
+    let shared = options
+        .previous
+        .map_or_else(Default::default, |rules| rules.set.shared.clone());
     let mut reader = Reader::new(input.text, input.file);
     let mut tables = lock(&shared);
     tables.sweep();
@@ -99,7 +107,13 @@
 
 impl RuleParts {
     fn finish(self, shared: Arc<Mutex<Shared>>) -> RuleSet {
-        let RuleParts { rules, pools, environment, cost, report } = self;
+        let RuleParts {
+            rules,
+            pools,
+            environment,
+            cost,
+            report,
+        } = self;
         let selector = Selector::new(rules.iter().map(|rule| &rule.key));
         RuleSet::new(rules, pools, environment, selector, cost, report, shared)
     }
@@ -177,16 +191,25 @@
             return None;
         }
         let cost = self.worst_cost(&ceilings);
-        let Reading { mut rules, report, .. } = self;
+        let Reading {
+            mut rules, report, ..
+        } = self;
         rules.shrink_to_fit();
-        Some(RuleParts { rules, pools, environment: Arc::new(environment), cost, report })
+        Some(RuleParts {
+            rules,
+            pools,
+            environment: Arc::new(environment),
+            cost,
+            report,
+        })
     }
 
     /// Whether so many bytes may be parsed in one piece.
     fn may_parse(&mut self, length: usize, place: Range<usize>) -> bool {
         let most = self.options.most_bytes / PARSED_FACTOR;
         if length > most {
-            let problem = format!("{length} bytes would be parsed in one piece, {most} are the most");
+            let problem =
+                format!("{length} bytes would be parsed in one piece, {most} are the most");
             let help = "does a bracket or a quote not end? rules that begin with [[rule]] each are parsed one by one";
             self.reader.fault_in_file(place, problem, Some(help.into()));
         }
@@ -194,7 +217,11 @@
     }
 
     /// Reads all but the rules.
-    fn head(&mut self, skeleton: &Excerpt<'_>, table: &DeTable<'_>) -> (Ceilings, Environment, Arc<[Pool]>) {
+    fn head(
+        &mut self,
+        skeleton: &Excerpt<'_>,
+        table: &DeTable<'_>,
+    ) -> (Ceilings, Environment, Arc<[Pool]>) {
         let mut values = Values::new(self.reader, skeleton, u64::MAX);
         known_parts(&mut values, table);
         let ceilings = ceilings(&mut values, table);
@@ -205,7 +232,12 @@
         let pools = pool::pools(&mut values, list, &names, &mut self.shared.interner);
         let catalog = self.input.catalog.clone();
         let expression_cost = ceilings.expression;
-        let environment = Environment { catalog, declared, pools: names, expression_cost };
+        let environment = Environment {
+            catalog,
+            declared,
+            pools: names,
+            expression_cost,
+        };
         (ceilings, environment, pools.into())
     }
 
@@ -213,13 +245,19 @@
     fn find_syntax_faults(&mut self, sections: &[Range<usize>]) {
         for range in sections {
             if self.may_parse(range.len(), range.clone()) {
-                self.reader.parse(&Excerpt::range(self.input.text, range.clone()));
+                self.reader
+                    .parse(&Excerpt::range(self.input.text, range.clone()));
             }
         }
     }
 
     /// Reads the rules, each by itself.
-    fn sections(&mut self, sections: &[Range<usize>], environment: &Environment, previous: &Previous<'_>) {
+    fn sections(
+        &mut self,
+        sections: &[Range<usize>],
+        environment: &Environment,
+        previous: &Previous<'_>,
+    ) {
         self.rules.reserve_exact(sections.len());
         self.names.reserve(sections.len());
         for range in sections {
@@ -246,9 +284,13 @@
     /// Tells where the name of an unchanged rule stands that another one has.
     fn refuse_second(&mut self, range: Range<usize>, environment: &Environment) {
         let excerpt = Excerpt::range(self.input.text, range);
-        let Some(parsed) = self.reader.parse(&excerpt) else { return };
+        let Some(parsed) = self.reader.parse(&excerpt) else {
+            return;
+        };
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else { return };
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+            return;
+        };
         if let Some(name) = names::name(&mut values, fields.table, fields.span) {
             refuse_second(&mut values, &name);
         }
@@ -266,12 +308,16 @@
             return;
         }
         let excerpt = Excerpt::range(self.input.text, range);
-        let Some(parsed) = self.reader.parse(&excerpt) else { return };
+        let Some(parsed) = self.reader.parse(&excerpt) else {
+            return;
+        };
         if !self.reader.well_formed() {
             return;
         }
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else { return };
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+            return;
+        };
         self.rule(&excerpt, &fields, content, environment, previous);
     }
 
@@ -293,7 +339,9 @@
             // The text of such a rule is not known by itself: it is unchanged where the whole file is.
             let content = ContentHash::of(&(file, number));
             let mut values = Values::new(self.reader, skeleton, environment.expression_cost);
-            let Some(fields) = rule_fields(&mut values, value) else { continue };
+            let Some(fields) = rule_fields(&mut values, value) else {
+                continue;
+            };
             match previous.rule(content) {
                 Some(rule) => {
                     self.names.insert(ContentHash::of(&*rule.name));
@@ -318,15 +366,26 @@
         let names = &self.names;
         let is_named = |name: &str| names.contains(&ContentHash::of(name));
         let (schema, is_named) = (&self.schema, &is_named);
-        let read = RuleReader { values: &mut values, environment, schema, is_named }.read(fields);
+        let read = RuleReader {
+            values: &mut values,
+            environment,
+            schema,
+            is_named,
+        }
+        .read(fields);
         if let Some(name) = &read.name {
             self.names.insert(ContentHash::of(&*name.text));
         }
-        let Some(checked) = read.checked.filter(|_| self.reader.clean()) else { return };
+        let Some(checked) = read.checked.filter(|_| self.reader.clean()) else {
+            return;
+        };
         let limit = checked.limit.as_ref().map(|spec| {
             let new = || Arc::new(Limit::new(spec.allowance, spec.keys));
             let limit = previous.limit(&checked.name, spec).unwrap_or_else(new);
-            Box::new(RuleLimit { spec: spec.clone(), limit })
+            Box::new(RuleLimit {
+                spec: spec.clone(),
+                limit,
+            })
         });
         let rule = Arc::new(self.shared.rule(&checked, content, limit));
         self.compiled_bytes += rule.heap_bytes();
@@ -340,7 +399,10 @@
     /// Whether what was read so far fits into memory; if not, that is told at this place.
     fn within_budget(&mut self, place: Range<usize>) -> bool {
         let most = self.options.most_bytes;
-        let (file, held) = (self.input.text.len(), self.options.previous.map_or(0, Rules::heap_bytes));
+        let (file, held) = (
+            self.input.text.len(),
+            self.options.previous.map_or(0, Rules::heap_bytes),
+        );
         let taken = self.compiled_bytes + WORKING_BYTES * self.rules.len();
         let fits = file + held + taken <= most;
         if !fits {
@@ -363,7 +425,11 @@
                 "all rules together may cost {cost} units a request, {} are the most",
                 ceilings.request
             );
-            self.reader.fault_in_file(0..1, problem, Some(format!("rule {costliest:?} costs most")));
+            self.reader.fault_in_file(
+                0..1,
+                problem,
+                Some(format!("rule {costliest:?} costs most")),
+            );
         }
         cost
     }
@@ -373,7 +439,11 @@
 fn section_content(text: &str) -> ContentHash {
     let trimmed = text.trim_end_matches('\n');
     // A carriage return that stands alone would be wrong where one before a newline is not.
-    ContentHash::of(if trimmed.ends_with('\r') { text } else { trimmed })
+    ContentHash::of(if trimmed.ends_with('\r') {
+        text
+    } else {
+        trimmed
+    })
 }
 
 /// The fields of the only rule of a section.
@@ -390,6 +460,12 @@
     rule_fields(values, rules.first()?)
 }
 
-fn rule_fields<'v, 'd>(values: &mut Values<'_, '_>, value: &'v Value<'d>) -> Option<RuleFields<'v, 'd>> {
-    Some(RuleFields { table: values.table(value)?, span: value.span() })
+fn rule_fields<'v, 'd>(
+    values: &mut Values<'_, '_>,
+    value: &'v Value<'d>,
+) -> Option<RuleFields<'v, 'd>> {
+    Some(RuleFields {
+        table: values.table(value)?,
+        span: value.span(),
+    })
 }
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -46,7 +46,13 @@
 
 impl<'t> Reader<'t> {
     pub(crate) fn new(text: &'t str, file: &'t str) -> Reader<'t> {
-        Reader { text, file, faults: Vec::new(), syntax: Vec::new(), lines: OnceCell::new() }
+        Reader {
+            text,
+            file,
+            faults: Vec::new(),
+            syntax: Vec::new(),
+            lines: OnceCell::new(),
+        }
     }
 
     /// The faults found: those of the TOML alone, if there are any, for nothing behind them is certain.
@@ -87,10 +93,15 @@
 
     fn origin(&self, at: usize) -> Origin {
         let newlines = || self.text.match_indices('\n').map(|(at, _)| at + 1);
-        let lines = self.lines.get_or_init(|| std::iter::once(0).chain(newlines()).collect());
+        let lines = self
+            .lines
+            .get_or_init(|| std::iter::once(0).chain(newlines()).collect());
         let line = lines.partition_point(|start| *start <= at).max(1);
         let before = self.text.get(lines[line - 1]..at).unwrap_or("");
-        Origin { line, column: before.chars().count() + 1 }
+        Origin {
+            line,
+            column: before.chars().count() + 1,
+        }
     }
 
     /// Notes a fault at a place of the file.
@@ -107,11 +118,18 @@
         let before = self.text.get(..span.start).unwrap_or("");
         let start = before.rfind('\n').map_or(0, |at| at + 1);
         let line = self.origin(span.start).line;
-        let text = self.text.get(start..).and_then(|rest| rest.lines().next()).unwrap_or("");
+        let text = self
+            .text
+            .get(start..)
+            .and_then(|rest| rest.lines().next())
+            .unwrap_or("");
         let within = |at: usize| at.saturating_sub(start).min(text.len());
         let error = Error::at(within(span.start)..within(span.end), problem, help).located(text);
         let origin = Origin { line, column: 1 };
-        self.note(error.line(self.file, origin), error.render(self.file, origin));
+        self.note(
+            error.line(self.file, origin),
+            error.render(self.file, origin),
+        );
     }
 
     /// Notes a fault of an expression.
@@ -120,7 +138,10 @@
             return;
         }
         let origin = self.origin(text.start);
-        self.note(error.line(self.file, origin), error.render(self.file, origin));
+        self.note(
+            error.line(self.file, origin),
+            error.render(self.file, origin),
+        );
     }
 
     fn note(&mut self, line: String, shown: String) {
@@ -137,13 +158,27 @@
 }
 
 impl<'r, 't> Values<'r, 't> {
-    pub(crate) fn new(reader: &'r mut Reader<'t>, excerpt: &'r Excerpt<'r>, most_cost: u64) -> Self {
-        Values { reader, excerpt, most_cost }
+    pub(crate) fn new(
+        reader: &'r mut Reader<'t>,
+        excerpt: &'r Excerpt<'r>,
+        most_cost: u64,
+    ) -> Self {
+        Values {
+            reader,
+            excerpt,
+            most_cost,
+        }
     }
 
     /// Notes a fault at a place of the excerpt.
-    pub(crate) fn fault(&mut self, span: Range<usize>, problem: impl Into<String>, help: Option<String>) {
-        self.reader.fault_in_file(self.excerpt.in_file(&span), problem, help);
+    pub(crate) fn fault(
+        &mut self,
+        span: Range<usize>,
+        problem: impl Into<String>,
+        help: Option<String>,
+    ) {
+        self.reader
+            .fault_in_file(self.excerpt.in_file(&span), problem, help);
     }
 
     /// Notes a fault of an expression.
@@ -156,14 +191,20 @@
         for key in table.keys() {
             let name: &str = key.get_ref();
             if !keys.contains(&name) {
-                let near = keys.iter().min_by_key(|k| strsim::damerau_levenshtein(name, k));
+                let near = keys
+                    .iter()
+                    .min_by_key(|k| strsim::damerau_levenshtein(name, k));
                 let near = near.filter(|k| strsim::damerau_levenshtein(name, k) <= 2);
                 let help = match near {
                     Some(near) => format!("did you mean `{near}`?"),
                     None => format!("known are {}", keys.join(", ")),
                 };
                 let short: String = name.chars().take(MOST_KEY_SHOWN).collect();
-                self.fault(key.span(), format!("`{short}` is not known here"), Some(help));
+                self.fault(
+                    key.span(),
+                    format!("`{short}` is not known here"),
+                    Some(help),
+                );
             }
         }
     }
@@ -193,12 +234,25 @@
             DeValue::String(text) => {
                 let span = value.span();
                 let raw = self.excerpt.text().get(span.clone()).unwrap_or("");
-                let quotes = if raw.starts_with("'''") || raw.starts_with("\"\"\"") { 3 } else { 1 };
+                let quotes = if raw.starts_with("'''") || raw.starts_with("\"\"\"") {
+                    3
+                } else {
+                    1
+                };
                 // The first line break behind three quotes is none of the text's.
                 let rest = raw.get(quotes..).unwrap_or("");
-                let skip = quotes + if quotes == 3 { usize::from(rest.starts_with('\n')) } else { 0 };
+                let skip = quotes
+                    + if quotes == 3 {
+                        usize::from(rest.starts_with('\n'))
+                    } else {
+                        0
+                    };
                 let start = self.excerpt.in_file(&span).start + skip;
-                Some(Text { text: text.to_string(), span, start })
+                Some(Text {
+                    text: text.to_string(),
+                    span,
+                    start,
+                })
             }
             other => {
                 self.type_fault(value.span(), other, "a text");
@@ -209,9 +263,9 @@
 
     pub(crate) fn number(&mut self, value: &Value<'_>, range: RangeInclusive<f64>) -> Option<f64> {
         let number = match value.get_ref() {
-            DeValue::Integer(number) => {
-                i64::from_str_radix(number.as_str(), number.radix()).ok().map(|n| n as f64)
-            }
+            DeValue::Integer(number) => i64::from_str_radix(number.as_str(), number.radix())
+                .ok()
+                .map(|n| n as f64),
             DeValue::Float(number) => number.as_str().parse::<f64>().ok(),
             other => {
                 self.type_fault(value.span(), other, "a number");
@@ -220,14 +274,22 @@
         };
         let fits = number.filter(|n| range.contains(n));
         if fits.is_none() {
-            let help = format!("a number from {} to {} was expected", range.start(), range.end());
+            let help = format!(
+                "a number from {} to {} was expected",
+                range.start(),
+                range.end()
+            );
             self.fault(value.span(), "the number is out of range", Some(help));
         }
         fits
     }
 
     fn type_fault(&mut self, span: Range<usize>, got: &DeValue, want: &str) {
-        self.fault(span, format!("this is a TOML {}", got.type_str()), Some(format!("{want} was expected")));
+        self.fault(
+            span,
+            format!("this is a TOML {}", got.type_str()),
+            Some(format!("{want} was expected")),
+        );
     }
 
     /// An expression of this type that is evaluated where `facts` hold.
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -92,7 +92,12 @@
         .field("request.path", Type::Text, path, 0)
         .optional("request.query", Type::Text, path, 0)
         .optional("request.host", Type::Text, name, 0)
-        .field("request.headers", Type::Map(Type::Text.into()), MOST_HEADER as u32, MOST_HEADERS as u32)
+        .field(
+            "request.headers",
+            Type::Map(Type::Text.into()),
+            MOST_HEADER as u32,
+            MOST_HEADERS as u32,
+        )
         .optional("request.class", Type::Text, name, 0)
         .optional("request.plan", Type::Text, name, 0)
         .optional("request.partner", Type::Text, name, 0)
@@ -119,7 +124,10 @@
             ("id", long(self.id, MOST_NAME)),
             ("headers", self.headers.count() > MOST_HEADERS),
         ];
-        parts.into_iter().find(|(_, long)| *long).map(|(name, _)| name)
+        parts
+            .into_iter()
+            .find(|(_, long)| *long)
+            .map(|(name, _)| name)
     }
 }
 
@@ -132,7 +140,10 @@
 
 impl<'a> View<'a> {
     pub(crate) fn new(request: &'a Request<'a>) -> View<'a> {
-        View { request, spoilt: Cell::new(false) }
+        View {
+            request,
+            spoilt: Cell::new(false),
+        }
     }
 }
 
@@ -164,7 +175,9 @@
 
     fn lookup(&self, _: FieldId, key: &str) -> Option<Value<'_>> {
         let value = self.request.headers.get(key)?;
-        let text = std::str::from_utf8(value).ok().filter(|text| text.len() <= MOST_HEADER);
+        let text = std::str::from_utf8(value)
+            .ok()
+            .filter(|text| text.len() <= MOST_HEADER);
         if text.is_none() {
             self.spoilt.set(true);
         }
@@ -201,7 +214,12 @@
         .field("instance.weight", Type::Double, 0, 0)
         .field("instance.protocol", Type::Text, 8, 0)
         .field("instance.ip", Type::Ip, 0, 0)
-        .field("instance.labels", Type::Map(Type::Text.into()), name, MOST_LABELS as u32)
+        .field(
+            "instance.labels",
+            Type::Map(Type::Text.into()),
+            name,
+            MOST_LABELS as u32,
+        )
 }
 
 impl Input for Instance<'_> {
@@ -224,7 +242,11 @@
     }
 
     fn lookup(&self, _: FieldId, key: &str) -> Option<Value<'_>> {
-        let label = self.labels.iter().take(MOST_LABELS).find(|(name, _)| name == key);
+        let label = self
+            .labels
+            .iter()
+            .take(MOST_LABELS)
+            .find(|(name, _)| name == key);
         label.map(|(_, value)| Value::Text(cut(value, MOST_NAME)))
     }
 }
@@ -240,7 +262,10 @@
 
 /// The bound of a field, for tests and messages.
 pub fn bound(schema: &Schema, name: &str) -> Option<Bound> {
-    schema.id(name).and_then(|id| schema.get(id)).map(|field| field.bound)
+    schema
+        .id(name)
+        .and_then(|id| schema.get(id))
+        .map(|field| field.bound)
 }
 
 #[cfg(test)]
@@ -284,10 +309,18 @@
         };
         let labels = [("a".to_string(), "b".to_string())];
         let ip = IpAddr::from([127, 0, 0, 1]);
-        let instance =
-            Instance { name: "n", zone: "z", cell: 1, weight: 1.0, protocol: "resp", ip, labels: &labels };
+        let instance = Instance {
+            name: "n",
+            zone: "z",
+            cell: 1,
+            weight: 1.0,
+            protocol: "resp",
+            ip,
+            labels: &labels,
+        };
         let view = View::new(&request);
-        let inputs: [(&dyn Input, Schema); 2] = [(&view, request_schema()), (&instance, instance_schema())];
+        let inputs: [(&dyn Input, Schema); 2] =
+            [(&view, request_schema()), (&instance, instance_schema())];
         for (input, schema) in inputs {
             for (i, field) in schema.fields().iter().enumerate() {
                 let id = FieldId(i as u16);
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -54,7 +54,12 @@
 impl Default for Route {
     /// As without rules.
     fn default() -> Route {
-        Route { command: None, pools: ALL, notes: Vec::new(), tickets: Vec::new() }
+        Route {
+            command: None,
+            pools: ALL,
+            notes: Vec::new(),
+            tickets: Vec::new(),
+        }
     }
 }
 
@@ -113,7 +118,9 @@
 
 impl std::fmt::Debug for Replaced {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Replaced").field("rules", &self.rules).finish_non_exhaustive()
+        f.debug_struct("Replaced")
+            .field("rules", &self.rules)
+            .finish_non_exhaustive()
     }
 }
 
@@ -146,7 +153,15 @@
         let pools = rules.set.pools.len();
         let (bits, ready) = ((0..pools as u8).collect(), vec![0; pools]);
         let (scratch, chosen) = (Scratch::default(), Chosen::default());
-        Router { rules, bits, retired: Vec::new(), ready, scratch, chosen, faults: 0 }
+        Router {
+            rules,
+            bits,
+            retired: Vec::new(),
+            ready,
+            scratch,
+            chosen,
+            faults: 0,
+        }
     }
 
     /// Puts other rules in force at `now`, ms, in a time that depends on the pools alone. Limits that both have
@@ -160,23 +175,52 @@
     /// # Errors
     /// There are too many pools together with those that are still needed; the old rules stay. Whoever does not
     /// want the new ones dropped here holds a clone of them.
-    pub fn replace(&mut self, rules: Rules, now: f64, longest_ms: f64) -> Result<Replaced, TooSoon> {
+    pub fn replace(
+        &mut self,
+        rules: Rules,
+        now: f64,
+        longest_ms: f64,
+    ) -> Result<Replaced, TooSoon> {
         let needed = |retired: &Retired| retired.until > now;
-        let bits = self.bits_for(&rules.set, self.retired.iter().filter(|retired| needed(retired)))?;
-        let old_ready = |bit| self.bits.iter().position(|old| old == bit).map(|at| self.ready[at]);
+        let bits = self.bits_for(
+            &rules.set,
+            self.retired.iter().filter(|retired| needed(retired)),
+        )?;
+        let old_ready = |bit| {
+            self.bits
+                .iter()
+                .position(|old| old == bit)
+                .map(|at| self.ready[at])
+        };
         let ready: Vec<Option<usize>> = bits.iter().map(old_ready).collect();
         let has_new_pools = ready.iter().any(Option::is_none);
         self.ready = ready.into_iter().map(Option::unwrap_or_default).collect();
         let old = std::mem::replace(&mut self.rules, rules);
         let old_bits = std::mem::replace(&mut self.bits, bits);
         let (mut retired, expired): (Vec<Retired>, Vec<Retired>) =
-            std::mem::take(&mut self.retired).into_iter().partition(needed);
+            std::mem::take(&mut self.retired)
+                .into_iter()
+                .partition(needed);
         let until = now + longest_ms;
-        let gone = old.set.pools.iter().zip(old_bits).filter(|(_, bit)| !self.bits.contains(bit));
-        retired.extend(gone.map(|(pool, bit)| Retired { bit, when: pool.when.clone(), until }));
+        let gone = old
+            .set
+            .pools
+            .iter()
+            .zip(old_bits)
+            .filter(|(_, bit)| !self.bits.contains(bit));
+        retired.extend(gone.map(|(pool, bit)| Retired {
+            bit,
+            when: pool.when.clone(),
+            until,
+        }));
         self.retired = retired;
         let shared = old.set.shared.clone();
-        Ok(Replaced { rules: Some(old), retired: expired, shared, has_new_pools })
+        Ok(Replaced {
+            rules: Some(old),
+            retired: expired,
+            shared,
+            has_new_pools,
+        })
     }
 
     /// The bits of other rules' pools: those of the same pools now, and free ones for the others.
@@ -186,11 +230,17 @@
         retired: impl Iterator<Item = &'r Retired>,
     ) -> Result<Vec<u8>, TooSoon> {
         let old = || self.rules.set.pools.iter().zip(self.bits.iter().copied());
-        let used = self.bits.iter().copied().chain(retired.map(|retired| retired.bit));
+        let used = self
+            .bits
+            .iter()
+            .copied()
+            .chain(retired.map(|retired| retired.bit));
         let mut taken = used.fold(0u64, |taken, bit| taken | 1 << bit);
         let mut bits = Vec::with_capacity(set.pools.len());
         for pool in set.pools.iter() {
-            let kept = old().find(|(known, _)| known.is_same(pool)).map(|(_, bit)| bit);
+            let kept = old()
+                .find(|(known, _)| known.is_same(pool))
+                .map(|(_, bit)| bit);
             let bit = kept.unwrap_or_else(|| taken.trailing_ones() as u8);
             if usize::from(bit) >= MOST_POOLS {
                 return Err(TooSoon);
@@ -213,15 +263,29 @@
 
     /// Bytes that all limits take, roughly.
     pub fn memory(&self) -> usize {
-        let limits = self.rules.set.rules.iter().filter_map(|rule| rule.limit.as_deref());
+        let limits = self
+            .rules
+            .set
+            .rules
+            .iter()
+            .filter_map(|rule| rule.limit.as_deref());
         limits.map(|limit| limit.limit.memory()).sum()
     }
 
     /// The pools of an instance, one bit each.
     pub fn pools_of(&mut self, instance: &Instance<'_>) -> u64 {
         let mut pools = ALL;
-        let now = self.rules.set.pools.iter().map(|pool| &pool.when).zip(self.bits.iter().copied());
-        let before = self.retired.iter().map(|retired| (&retired.when, retired.bit));
+        let now = self
+            .rules
+            .set
+            .pools
+            .iter()
+            .map(|pool| &pool.when)
+            .zip(self.bits.iter().copied());
+        let before = self
+            .retired
+            .iter()
+            .map(|retired| (&retired.when, retired.bit));
         for (when, bit) in now.chain(before) {
             // A test that fails on an instance leaves it out.
             if when.test(instance, &mut self.scratch) == Ok(true) {
@@ -243,21 +307,44 @@
 
     /// Ready instances by pool.
     pub fn figures(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.rules.set.pools.iter().map(|pool| pool.name.as_str()).zip(self.ready.iter().copied())
+        self.rules
+            .set
+            .pools
+            .iter()
+            .map(|pool| pool.name.as_str())
+            .zip(self.ready.iter().copied())
     }
 
     /// A request's way at `now`, ms.
     pub fn route(&mut self, request: &Request<'_>, now: f64) -> Verdict {
-        let Router { rules, bits, ready, scratch, chosen, faults, .. } = self;
+        let Router {
+            rules,
+            bits,
+            ready,
+            scratch,
+            chosen,
+            faults,
+            ..
+        } = self;
         let set = &*rules.set;
         if let Some(part) = request.too_long() {
-            return Verdict::Bad { rule: String::new(), why: format!("the {part} is too long") };
+            return Verdict::Bad {
+                rule: String::new(),
+                why: format!("the {part} is too long"),
+            };
         }
         let view = View::new(request);
         set.selector.choose(&view, chosen);
-        let mut way = Way { route: Route::default(), pool: None, asked: Vec::new(), now };
+        let mut way = Way {
+            route: Route::default(),
+            pool: None,
+            asked: Vec::new(),
+            now,
+        };
         for number in chosen.iter() {
-            let Some(rule) = set.rules.get(number) else { break };
+            let Some(rule) = set.rules.get(number) else {
+                break;
+            };
             let matched = rule.when.test(&view, scratch);
             let done = match matched {
                 Ok(true) => way.apply(rule, &view, scratch, set),
@@ -266,21 +353,34 @@
             };
             // Guards every rule against a header that none can read: absent it is not.
             let done = if view.spoilt.get() {
-                Err(End::Bad("a header that it reads is too long or no text".into()))
+                Err(End::Bad(
+                    "a header that it reads is too long or no text".into(),
+                ))
             } else {
                 done
             };
             match done {
                 Ok(()) if matched == Ok(true) && !rule.goes_on => break,
                 Ok(()) => {}
-                Err(End::Nack(after_ms)) => return Verdict::Nack { after_ms, by: rule.name.to_string() },
+                Err(End::Nack(after_ms)) => {
+                    return Verdict::Nack {
+                        after_ms,
+                        by: rule.name.to_string(),
+                    }
+                }
                 Err(End::Bad(why)) => {
                     *faults += 1;
-                    return Verdict::Bad { rule: rule.name.to_string(), why };
+                    return Verdict::Bad {
+                        rule: rule.name.to_string(),
+                        why,
+                    };
                 }
                 Err(End::Fault(fault)) => {
                     *faults += 1;
-                    return Verdict::Bad { rule: rule.name.to_string(), why: fault.to_string() };
+                    return Verdict::Bad {
+                        rule: rule.name.to_string(),
+                        why: fault.to_string(),
+                    };
                 }
             }
         }
@@ -289,7 +389,10 @@
                 Ok(pools) => way.route.pools = pools,
                 Err(refused) => {
                     let pool = &set.pools[refused];
-                    return Verdict::Nack { after_ms: pool.after_ms, by: pool.name.clone() };
+                    return Verdict::Nack {
+                        after_ms: pool.after_ms,
+                        by: pool.name.clone(),
+                    };
                 }
             }
         }
@@ -302,7 +405,12 @@
 }
 
 /// Where a pool's requests go now, or the pool that refuses them.
-fn settle(set: &RuleSet, bits: &[u8], ready: &[usize], mut pool: Option<usize>) -> Result<u64, usize> {
+fn settle(
+    set: &RuleSet,
+    bits: &[u8],
+    ready: &[usize],
+    mut pool: Option<usize>,
+) -> Result<u64, usize> {
     // As many steps as pools: a file with a ring was refused.
     for _ in 0..=set.pools.len() {
         let Some(at) = pool else { return Ok(ALL) };
@@ -362,7 +470,10 @@
                 PartName::LimitKey => self.ask(rule, &part.expression, view, scratch)?,
                 PartName::Class if !commanded => {
                     let class = class(&part.expression, view, scratch, set)?;
-                    self.route.command = Some(Mapped { class, ..Mapped::default() });
+                    self.route.command = Some(Mapped {
+                        class,
+                        ..Mapped::default()
+                    });
                 }
                 _ if commanded => {}
                 _ => {
@@ -384,7 +495,10 @@
     ) -> Result<(), End> {
         let value = cut(text(note, view, scratch)?, MOST_NOTE);
         // What no header can carry is not passed on.
-        let value: String = value.chars().map(|c| if matches!(c, ' '..='~') { c } else { '?' }).collect();
+        let value: String = value
+            .chars()
+            .map(|c| if matches!(c, ' '..='~') { c } else { '?' })
+            .collect();
         if !self.route.notes.iter().any(|(known, _)| **known == **name) {
             self.route.notes.push((name.to_string(), value));
         }
@@ -398,7 +512,9 @@
         view: &View<'_>,
         scratch: &mut Scratch,
     ) -> Result<(), End> {
-        let Some(held) = rule.limit.as_deref() else { return Ok(()) };
+        let Some(held) = rule.limit.as_deref() else {
+            return Ok(());
+        };
         let key = text(key, view, scratch)?;
         let hash = held.limit.ask(key, self.now).map_err(End::Nack)?;
         self.asked.push((held.limit.clone(), hash));
@@ -424,15 +540,28 @@
 ) -> Result<Option<usize>, Fault> {
     match text(pool, view, scratch)? {
         ANY => Ok(None),
-        name => set.pools.iter().position(|pool| pool.name == name).map(Some).ok_or(Fault::Input),
+        name => set
+            .pools
+            .iter()
+            .position(|pool| pool.name == name)
+            .map(Some)
+            .ok_or(Fault::Input),
     }
 }
 
 /// The number of the class that a rule names.
-fn class(class: &Compiled, view: &View<'_>, scratch: &mut Scratch, set: &RuleSet) -> Result<usize, Fault> {
+fn class(
+    class: &Compiled,
+    view: &View<'_>,
+    scratch: &mut Scratch,
+    set: &RuleSet,
+) -> Result<usize, Fault> {
     let class = text(class, view, scratch)?;
     let classes = &set.environment.catalog.classes;
-    classes.iter().position(|(known, _)| known == class).ok_or(Fault::Input)
+    classes
+        .iter()
+        .position(|(known, _)| known == class)
+        .ok_or(Fault::Input)
 }
 
 fn text<'b>(
@@ -461,7 +590,12 @@
 }
 
 /// Sets a part of a command.
-fn map(command: &mut Mapped, part: &Part, view: &View<'_>, scratch: &mut Scratch) -> Result<(), End> {
+fn map(
+    command: &mut Mapped,
+    part: &Part,
+    view: &View<'_>,
+    scratch: &mut Scratch,
+) -> Result<(), End> {
     let expression = &part.expression;
     match &part.name {
         PartName::Plan => command.plan = Some(text(expression, view, scratch)?.to_string()),
@@ -474,13 +608,18 @@
         PartName::Term(name) => {
             let value = text(expression, view, scratch)?;
             // Guards the platform's wire, on which a comma would begin a further term.
-            let plain = value.len() <= MOST_TERM && value.bytes().all(|b| b.is_ascii_graphic() && b != b',');
+            let plain = value.len() <= MOST_TERM
+                && value.bytes().all(|b| b.is_ascii_graphic() && b != b',');
             if !plain {
                 return Err(End::Bad(format!("the term `{name}` cannot be carried")));
             }
             command.terms.push((name.to_string(), value.to_string()));
         }
-        PartName::Nack | PartName::Pool | PartName::Note(_) | PartName::Class | PartName::LimitKey => {}
+        PartName::Nack
+        | PartName::Pool
+        | PartName::Note(_)
+        | PartName::Class
+        | PartName::LimitKey => {}
     }
     Ok(())
 }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -89,7 +89,10 @@
 impl Body {
     /// Bytes on the heap, with its share of the parts that others have as well.
     fn heap_bytes(&self) -> usize {
-        let parts = self.parts.iter().map(|part| size_of::<Arc<Part>>() + share(part, part.heap_bytes()));
+        let parts = self
+            .parts
+            .iter()
+            .map(|part| size_of::<Arc<Part>>() + share(part, part.heap_bytes()));
         ARC_HEADER + size_of::<Body>() + parts.sum::<usize>()
     }
 }
@@ -153,7 +156,10 @@
         SelectKey::EqualsAny(_, texts) | SelectKey::BeginsWithAny(_, texts) => {
             ARC_HEADER + size_of_val::<[Arc<str>]>(texts)
         }
-        SelectKey::Always | SelectKey::Never | SelectKey::Equals(..) | SelectKey::BeginsWith(..) => 0,
+        SelectKey::Always
+        | SelectKey::Never
+        | SelectKey::Equals(..)
+        | SelectKey::BeginsWith(..) => 0,
     }
 }
 
@@ -179,12 +185,25 @@
         let cost = checked.when.cost() + parts_cost;
         let body = self.body(checked);
         let name = checked.name.as_str().into();
-        Rule { name, when, key, body, limit, cost, content, goes_on: checked.goes_on }
+        Rule {
+            name,
+            when,
+            key,
+            body,
+            limit,
+            cost,
+            content,
+            goes_on: checked.goes_on,
+        }
     }
 
     /// What a rule does; one that does the same is shared.
     fn body(&mut self, checked: &CheckedRule) -> Arc<Body> {
-        let parts = checked.parts.iter().map(|(name, part)| self.part(name, part)).collect();
+        let parts = checked
+            .parts
+            .iter()
+            .map(|(name, part)| self.part(name, part))
+            .collect();
         intern(&mut self.bodies, Body { parts })
     }
 
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -15,8 +15,8 @@
 
 /// Keys of a rule.
 const KEYS: [&str; 16] = [
-    "name", "when", "class", "plan", "partner", "units", "id", "deadline", "spread", "first", "terms",
-    "pool", "limit", "notes", "nack", "go_on",
+    "name", "when", "class", "plan", "partner", "units", "id", "deadline", "spread", "first",
+    "terms", "pool", "limit", "notes", "nack", "go_on",
 ];
 /// Keys that make a rule do something.
 const ACTIONS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
@@ -61,31 +61,50 @@
             refuse_second(self.values, name);
         }
         let when = self.when(fields.table);
-        let facts = when.as_ref().and_then(|when| when.when_true().cloned()).unwrap_or_default();
-        let matched = Matched { facts: &facts, certain: when.is_some() };
+        let facts = when
+            .as_ref()
+            .and_then(|when| when.when_true().cloned())
+            .unwrap_or_default();
+        let matched = Matched {
+            facts: &facts,
+            certain: when.is_some(),
+        };
         let mapping = self.mapping(fields, &matched);
         let pool = self.pool(fields.table, &facts);
         let limit = self.limit(fields.table, &facts);
         let notes = self.named(fields.table, "notes", &facts, is_note);
-        let nack = self.part(fields.table, "nack", &facts, &Type::Duration).map(|(nack, _)| nack);
+        let nack = self
+            .part(fields.table, "nack", &facts, &Type::Duration)
+            .map(|(nack, _)| nack);
         let goes_on = self.goes_on(fields.table);
         let acts = ACTIONS.iter().any(|key| fields.table.contains_key(*key));
         if !acts && goes_on {
             let help = Some("class, pool, limit, notes or nack was expected".into());
-            self.values.fault(fields.span.clone(), "the rule does nothing", help);
+            self.values
+                .fault(fields.span.clone(), "the rule does nothing", help);
         }
         let (limit_key, limit) = limit.unzip();
         // In the order in which they are evaluated.
         let mut parts = Parts::new();
         parts.extend(nack.map(|nack| (PartName::Nack, nack)));
         parts.extend(pool.map(|pool| (PartName::Pool, pool)));
-        parts.extend(notes.into_iter().map(|(name, note)| (PartName::Note(name), note)));
+        parts.extend(
+            notes
+                .into_iter()
+                .map(|(name, note)| (PartName::Note(name), note)),
+        );
         parts.extend(mapping);
         parts.extend(limit_key.map(|key| (PartName::LimitKey, key)));
         let checked = match (&name, when) {
             (Some(name), Some(when)) => {
                 let name = name.text.clone();
-                Some(CheckedRule { name, when, parts, limit, goes_on })
+                Some(CheckedRule {
+                    name,
+                    when,
+                    parts,
+                    limit,
+                    goes_on,
+                })
             }
             _ => None,
         };
@@ -99,7 +118,11 @@
         }
         let (when, text) = self.part(table, "when", &Facts::default(), &Type::Bool)?;
         if when.when_true().is_none() {
-            let error = when.fault(0..when.text().len(), "this is never true", "the rule has no effect");
+            let error = when.fault(
+                0..when.text().len(),
+                "this is never true",
+                "the rule has no effect",
+            );
             self.values.expression_fault(&text, &error);
         }
         Some(when)
@@ -127,19 +150,32 @@
         fits: impl Fn(&str) -> bool,
     ) -> BTreeMap<Arc<str>, Expression> {
         let mut found = BTreeMap::new();
-        let Some(value) = table.get(key) else { return found };
-        let Some(table) = self.values.table(value) else { return found };
+        let Some(value) = table.get(key) else {
+            return found;
+        };
+        let Some(table) = self.values.table(value) else {
+            return found;
+        };
         if table.len() > MOST_NOTES {
-            self.values.fault(value.span(), format!("more than {MOST_NOTES} {key}"), None);
+            self.values
+                .fault(value.span(), format!("more than {MOST_NOTES} {key}"), None);
         }
         for (name, value) in table.iter().take(MOST_NOTES) {
             let text: &str = name.get_ref();
             if text.is_empty() || !fits(text) {
-                self.values.fault(name.span(), format!("the name cannot stand in `{key}`"), None);
+                self.values.fault(
+                    name.span(),
+                    format!("the name cannot stand in `{key}`"),
+                    None,
+                );
                 continue;
             }
-            let Some(part) = self.values.string(value) else { continue };
-            let expression = self.values.expression(&part, self.schema, facts, &Type::Text);
+            let Some(part) = self.values.string(value) else {
+                continue;
+            };
+            let expression = self
+                .values
+                .expression(&part, self.schema, facts, &Type::Text);
             found.extend(expression.map(|expression| (text.into(), expression)));
         }
         found
@@ -157,7 +193,10 @@
         for way in ways {
             let (problem, help) = match &way.outcome {
                 Outcome::Text(name) if name == ANY || pools.contains(name) => continue,
-                Outcome::Text(name) => (format!("there is no pool {name:?}"), nearest_pool(name, pools)),
+                Outcome::Text(name) => (
+                    format!("there is no pool {name:?}"),
+                    nearest_pool(name, pools),
+                ),
                 _ => (
                     "this pool is not known before use".to_string(),
                     "a pool is written out on every branch".to_string(),
@@ -174,39 +213,60 @@
         let value = table.get("limit")?;
         let span = value.span();
         let limit = self.values.table(value)?;
-        self.values.known_keys(limit, &["key", "rate", "burst", "at_once", "after", "keys"]);
+        self.values
+            .known_keys(limit, &["key", "rate", "burst", "at_once", "after", "keys"]);
         if limit.get("key").is_none() {
             let help = "key = '\"all\"' is one for all requests";
-            self.values.fault(span.clone(), "a limit needs `key`", Some(help.into()));
+            self.values
+                .fault(span.clone(), "a limit needs `key`", Some(help.into()));
         }
         let key = self.part(limit, "key", facts, &Type::Text);
         let mut number = |name: &str, least: f64, most: f64| {
-            limit.get(name).map(|value| self.values.number(value, least..=most))
+            limit
+                .get(name)
+                .map(|value| self.values.number(value, least..=most))
         };
         let (rate, burst) = (number("rate", 0.001, 1e6), number("burst", 1.0, 1e6));
         let (at_once, keys) = (number("at_once", 1.0, 1e6), number("keys", 8.0, 1e6));
         let allowance = match (rate, burst, at_once) {
             (Some(rate), burst, None) => {
                 let rate = rate?;
-                Allowance::Rate { rate, burst: burst.unwrap_or(Some(rate.max(1.0)))? }
+                Allowance::Rate {
+                    rate,
+                    burst: burst.unwrap_or(Some(rate.max(1.0)))?,
+                }
             }
             (None, None, Some(most)) => {
                 let after_ms = time(self.values, limit, "after", DEFAULT_LIMIT_AWAY);
-                Allowance::AtOnce { most: most? as u32, after_ms }
+                Allowance::AtOnce {
+                    most: most? as u32,
+                    after_ms,
+                }
             }
             _ => {
-                let help = Some("`rate` with `burst`, or `at_once` with `after`, was expected".into());
+                let help =
+                    Some("`rate` with `burst`, or `at_once` with `after`, was expected".into());
                 self.values.fault(span, "the limit is not whole", help);
                 return None;
             }
         };
         let (key, text) = key?;
         let keys = keys.unwrap_or(Some(DEFAULT_KEYS))? as usize;
-        Some((key, LimitSpec { key: text.text.into(), allowance, keys }))
+        Some((
+            key,
+            LimitSpec {
+                key: text.text.into(),
+                allowance,
+                keys,
+            },
+        ))
     }
 
     fn goes_on(&mut self, table: &DeTable<'_>) -> bool {
-        match table.get("go_on").map(|value| (value.get_ref(), value.span())) {
+        match table
+            .get("go_on")
+            .map(|value| (value.get_ref(), value.span()))
+        {
             None => false,
             Some((DeValue::Boolean(goes_on), _)) => *goes_on,
             Some((_, span)) => {
@@ -219,7 +279,11 @@
 
 /// Refuses a second rule of one name.
 pub(crate) fn refuse_second(values: &mut Values<'_, '_>, name: &Text) {
-    values.fault(name.span.clone(), format!("there is a rule {:?} already", name.text), None);
+    values.fault(
+        name.span.clone(),
+        format!("there is a rule {:?} already", name.text),
+        None,
+    );
 }
 
 fn is_note(name: &str) -> bool {
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -43,16 +43,31 @@
         report: ReadReport,
         shared: Arc<Mutex<Shared>>,
     ) -> RuleSet {
-        let of_rules: usize = rules.iter().map(|rule| size_of::<Arc<Rule>>() + rule.heap_bytes()).sum();
+        let of_rules: usize = rules
+            .iter()
+            .map(|rule| size_of::<Arc<Rule>>() + rule.heap_bytes())
+            .sum();
         let heap_bytes = of_rules + selector.heap_bytes();
-        RuleSet { rules, pools, environment, selector, shared, cost, heap_bytes, report }
+        RuleSet {
+            rules,
+            pools,
+            environment,
+            selector,
+            shared,
+            cost,
+            heap_bytes,
+            report,
+        }
     }
 }
 
 impl std::fmt::Debug for Rules {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let pools = self.set.pools.len();
-        f.debug_struct("Rules").field("rules", &self.len()).field("pools", &pools).finish_non_exhaustive()
+        f.debug_struct("Rules")
+            .field("rules", &self.len())
+            .field("pools", &pools)
+            .finish_non_exhaustive()
     }
 }
 
@@ -78,7 +93,16 @@
         catalog: &Catalog,
         options: &ReadOptions<'_>,
     ) -> Result<Rules, Vec<Fault>> {
-        read(&Input { text, file, part, catalog }, options, None)
+        read(
+            &Input {
+                text,
+                file,
+                part,
+                catalog,
+            },
+            options,
+            None,
+        )
     }
 
     pub(crate) fn new(set: RuleSet) -> Rules {
@@ -119,11 +143,26 @@
     /// The first `count` rules alone, for measurements.
     #[must_use]
     pub fn first(&self, count: usize) -> Rules {
-        let RuleSet { rules, pools, environment, shared, report, .. } = &*self.set;
+        let RuleSet {
+            rules,
+            pools,
+            environment,
+            shared,
+            report,
+            ..
+        } = &*self.set;
         let rules: Vec<Arc<Rule>> = rules.iter().take(count).cloned().collect();
         let selector = Selector::new(rules.iter().map(|rule| &rule.key));
         let cost = worst_request(&rules);
         let (pools, environment, shared) = (pools.clone(), environment.clone(), shared.clone());
-        Rules::new(RuleSet::new(rules, pools, environment, selector, cost, *report, shared))
+        Rules::new(RuleSet::new(
+            rules,
+            pools,
+            environment,
+            selector,
+            cost,
+            *report,
+            shared,
+        ))
     }
 }
--- a/crates/routes/src/takeover.rs
+++ b/crates/routes/src/takeover.rs
@@ -25,19 +25,30 @@
         let comparable = if is_same { rules.len() as u32 } else { 0 };
         let mut by_content: Vec<u32> = (0..comparable).collect();
         by_content.sort_unstable_by_key(|number| rules[*number as usize].content);
-        Previous { rules, by_content, by_name: OnceCell::new() }
+        Previous {
+            rules,
+            by_content,
+            by_name: OnceCell::new(),
+        }
     }
 
     /// The rule that was read from this content in an equal environment.
     pub(crate) fn rule(&self, content: ContentHash) -> Option<&'a Arc<Rule>> {
-        let found =
-            self.by_content.binary_search_by_key(&content, |number| self.rules[*number as usize].content);
+        let found = self
+            .by_content
+            .binary_search_by_key(&content, |number| self.rules[*number as usize].content);
         self.rules.get(self.by_content[found.ok()?] as usize)
     }
 
     /// The state of an equal limit.
     pub(crate) fn limit(&self, rule: &str, spec: &LimitSpec) -> Option<Arc<Limit>> {
-        let names = || self.rules.iter().zip(0..).map(|(rule, number)| (&*rule.name, number)).collect();
+        let names = || {
+            self.rules
+                .iter()
+                .zip(0..)
+                .map(|(rule, number)| (&*rule.name, number))
+                .collect()
+        };
         let number = *self.by_name.get_or_init(names).get(rule)?;
         let held = self.rules.get(number as usize)?.limit.as_deref()?;
         (held.spec == *spec).then(|| held.limit.clone())
