--- a/crates/routes/tests/bounds.rs
+++ b/crates/routes/tests/bounds.rs
@@ -6,7 +6,13 @@
 use driftgap_routes::{ReadOptions, Rules, DEFAULT_MOST_BYTES};
 
 fn within(text: &str, previous: Option<&Rules>, most_bytes: usize) -> Result<Rules, Vec<String>> {
-    read_with(text, &ReadOptions { previous, most_bytes })
+    read_with(
+        text,
+        &ReadOptions {
+            previous,
+            most_bytes,
+        },
+    )
 }
 
 #[test]
@@ -20,7 +26,10 @@
 #[test]
 fn a_file_that_is_longer_than_the_memory_is_refused_at_once() {
     let text = routes(10);
-    let want = format!("rules.toml: the file has {} bytes, 100 are the most", text.len());
+    let want = format!(
+        "rules.toml: the file has {} bytes, 100 are the most",
+        text.len()
+    );
     assert_eq!(within(&text, None, 100).unwrap_err(), [want]);
     assert!(within(&text, None, DEFAULT_MOST_BYTES).is_ok());
 }
@@ -34,10 +43,16 @@
     assert!(within(&text, None, needed + needed / 4).is_ok());
     let faults = within(&text, None, needed - whole.heap_bytes() / 2).unwrap_err();
     assert_eq!(faults.len(), 1, "{faults:?}");
-    assert!(faults[0].contains("the rules up to here take more memory than there is"), "{faults:?}");
+    assert!(
+        faults[0].contains("the rules up to here take more memory than there is"),
+        "{faults:?}"
+    );
     let line: usize = faults[0].split(':').nth(1).unwrap().parse().unwrap();
     // About half of the rules fit.
-    assert!(line > text.lines().count() / 4 && line < text.lines().count() * 3 / 4, "{line}");
+    assert!(
+        line > text.lines().count() / 4 && line < text.lines().count() * 3 / 4,
+        "{line}"
+    );
     assert!(text.lines().nth(line - 1).unwrap().starts_with("[[rule]]"));
 }
 
@@ -82,17 +97,31 @@
     assert_eq!(read_on(&inline(100), None).unwrap().len(), 100);
     let text = inline(2_000);
     let faults = within(&text, None, text.len() * 64).unwrap_err();
-    assert!(faults[0].contains("would be parsed in one piece"), "{faults:?}");
+    assert!(
+        faults[0].contains("would be parsed in one piece"),
+        "{faults:?}"
+    );
     assert!(faults[0].contains("[[rule]]"), "{faults:?}");
     // Cut into rules it passes with as much.
-    let cut: String = (0..2_000).map(|i| format!("[[rule]]\nname = 'r{i}'\n")).collect();
+    let cut: String = (0..2_000)
+        .map(|i| format!("[[rule]]\nname = 'r{i}'\n"))
+        .collect();
     assert!(within(&cut, None, text.len() * 64).is_ok());
     // A bracket that does not end takes all that follows into one rule.
     let torn = cut.replacen("name = 'r7'", "name = 'r7'\npool = [", 1);
     let faults = within(&torn, None, torn.len() * 64).unwrap_err();
-    assert!(faults[0].starts_with("rules.toml:15:1: ") && faults[0].contains("does a bracket"), "{faults:?}");
+    assert!(
+        faults[0].starts_with("rules.toml:15:1: ") && faults[0].contains("does a bracket"),
+        "{faults:?}"
+    );
     // One rule that is as long.
-    let long = format!("[[rule]]\nname = 'a'\nnotes = {{ n = '\"{}\"' }}\n", "x".repeat(300_000));
+    let long = format!(
+        "[[rule]]\nname = 'a'\nnotes = {{ n = '\"{}\"' }}\n",
+        "x".repeat(300_000)
+    );
     let faults = within(&long, None, 4 << 20).unwrap_err();
-    assert!(faults[0].contains("would be parsed in one piece"), "{faults:?}");
+    assert!(
+        faults[0].contains("would be parsed in one piece"),
+        "{faults:?}"
+    );
 }
--- a/crates/routes/tests/common/mod.rs
+++ b/crates/routes/tests/common/mod.rs
@@ -21,7 +21,11 @@
 
 /// A rule that sends what is below one path to a pool.
 pub fn route(number: usize) -> String {
-    let pool = if number.is_multiple_of(2) { "dar" } else { "tanga" };
+    let pool = if number.is_multiple_of(2) {
+        "dar"
+    } else {
+        "tanga"
+    };
     format!(
         "[[rule]]\nname = 'route-{number}'\n\
          when = 'request.method == \"GET\" && request.path.startsWith(\"/programmes/{number}/\")'\n\
@@ -67,7 +71,10 @@
 
 /// Reads a file on top of the rules in force; the lines of its faults where it is wrong.
 pub fn read_on(text: &str, previous: Option<&Rules>) -> Result<Rules, Vec<String>> {
-    let options = ReadOptions { previous, ..ReadOptions::default() };
+    let options = ReadOptions {
+        previous,
+        ..ReadOptions::default()
+    };
     read_with(text, &options)
 }
 
--- a/crates/routes/tests/cost.rs
+++ b/crates/routes/tests/cost.rs
@@ -21,7 +21,11 @@
 }
 
 fn rule(random: &mut Rand32, number: usize) -> String {
-    let (path, other, method) = (one_of(random, &PATHS), one_of(random, &PATHS), one_of(random, &METHODS));
+    let (path, other, method) = (
+        one_of(random, &PATHS),
+        one_of(random, &PATHS),
+        one_of(random, &METHODS),
+    );
     let when = match random.rand_range(0..7) {
         0 => format!("request.path == \"{path}\""),
         1 => format!("request.path.startsWith(\"{path}\")"),
@@ -43,8 +47,14 @@
 
 /// What a request spends, each expression evaluated by itself.
 fn spent(explainer: &Explainer, request: &Request<'_>) -> u64 {
-    let reached = explainer.explain(request).into_iter().filter(|rule| !rule.ruled_out && !rule.behind);
-    reached.flat_map(|rule| rule.parts).filter_map(|(_, steps)| steps.first().map(|whole| whole.cost)).sum()
+    let reached = explainer
+        .explain(request)
+        .into_iter()
+        .filter(|rule| !rule.ruled_out && !rule.behind);
+    reached
+        .flat_map(|rule| rule.parts)
+        .filter_map(|(_, steps)| steps.first().map(|whole| whole.cost))
+        .sum()
 }
 
 #[test]
@@ -67,7 +77,11 @@
             }
             let path = &path;
             let partner = Some(one_of(random, &PATHS));
-            let asked = Request { method: one_of(random, &METHODS), partner, ..request(path) };
+            let asked = Request {
+                method: one_of(random, &METHODS),
+                partner,
+                ..request(path)
+            };
             let spent = spent(&explainer, &asked);
             assert!(spent <= most, "{path}: {spent} of {most}\n{text}");
             nearest = nearest.max(spent as f64 / most as f64);
@@ -81,7 +95,12 @@
 fn rules_that_no_request_reaches_together_are_not_added_up() {
     let few = read_on(&routes(10), None).unwrap();
     let many = read_on(&routes(3_000), None).unwrap();
-    assert!(many.cost() < 2 * few.cost(), "{} {}", many.cost(), few.cost());
+    assert!(
+        many.cost() < 2 * few.cost(),
+        "{} {}",
+        many.cost(),
+        few.cost()
+    );
     // The beginnings of one path are reached together.
     let chain = |length: usize| -> String {
         let prefix = |i: usize| "/a".repeat(i + 1);
@@ -90,7 +109,10 @@
         };
         (0..length).map(rule).collect()
     };
-    let (one, five) = (read_on(&chain(1), None).unwrap().cost(), read_on(&chain(5), None).unwrap().cost());
+    let (one, five) = (
+        read_on(&chain(1), None).unwrap().cost(),
+        read_on(&chain(5), None).unwrap().cost(),
+    );
     assert!(five >= 5 * one, "{five} {one}");
     // Of two fields a request has both.
     let both = format!(
--- a/crates/routes/tests/limit.rs
+++ b/crates/routes/tests/limit.rs
@@ -14,26 +14,42 @@
 #[test]
 fn a_rate_lets_a_burst_through_and_tells_the_time_exactly() {
     let limit = rate(10.0, 5.0, 64);
-    assert_eq!((0..20).filter(|_| passed(&limit, "a", 1000.0).is_ok()).count(), 5);
+    assert_eq!(
+        (0..20)
+            .filter(|_| passed(&limit, "a", 1000.0).is_ok())
+            .count(),
+        5
+    );
     let wait = limit.ask("a", 1000.0).unwrap_err();
     assert!((wait - 100.0).abs() < 1e-6, "{wait}");
     assert!(limit.ask("a", 1000.0 + wait - 0.5).is_err());
     assert!(passed(&limit, "a", 1000.0 + wait).is_ok());
     // Another key has a store of its own; a pause fills this one, and no fuller than it gets.
     assert!(passed(&limit, "b", 1000.0).is_ok());
-    assert_eq!((0..20).filter(|_| passed(&limit, "a", 1e6).is_ok()).count(), 5);
+    assert_eq!(
+        (0..20).filter(|_| passed(&limit, "a", 1e6).is_ok()).count(),
+        5
+    );
 }
 
 #[test]
 fn over_a_long_time_exactly_the_rate_passes() {
     let limit = rate(7.0, 3.0, 64);
-    let count = (0..60_000).filter(|ms| passed(&limit, "a", f64::from(*ms)).is_ok()).count();
+    let count = (0..60_000)
+        .filter(|ms| passed(&limit, "a", f64::from(*ms)).is_ok())
+        .count();
     assert!((420..=423).contains(&count), "{count}");
 }
 
 #[test]
 fn at_once_counts_what_is_under_way_and_forgets_the_rest() {
-    let limit = Arc::new(Limit::new(Allowance::AtOnce { most: 2, after_ms: 250.0 }, 0));
+    let limit = Arc::new(Limit::new(
+        Allowance::AtOnce {
+            most: 2,
+            after_ms: 250.0,
+        },
+        0,
+    ));
     let held: Vec<_> = (0..2).map(|_| passed(&limit, "a", 0.0).unwrap()).collect();
     assert_eq!(limit.ask("a", 0.0), Err(250.0));
     assert!(limit.ask("b", 0.0).is_ok());
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -35,7 +35,9 @@
 impl Region {
     fn new() -> Region {
         ALLOCATOR.reset_peak_usage();
-        Region { before: ALLOCATOR.current_usage() }
+        Region {
+            before: ALLOCATOR.current_usage(),
+        }
     }
 
     /// Bytes that are held now.
@@ -68,8 +70,14 @@
     let rules = read(text, None);
     let each = region.held() as f64 / rules.len() as f64;
     let estimated = rules.heap_bytes() as f64 / rules.len() as f64;
-    println!("{} rules: {each:.0} bytes each, {estimated:.0} by estimate", rules.len());
-    assert!((0.8..=1.25).contains(&(estimated / each)), "{estimated} for {each}");
+    println!(
+        "{} rules: {each:.0} bytes each, {estimated:.0} by estimate",
+        rules.len()
+    );
+    assert!(
+        (0.8..=1.25).contains(&(estimated / each)),
+        "{estimated} for {each}"
+    );
     each
 }
 
@@ -78,10 +86,16 @@
     drop(read(&routes(1), None));
     for count in sizes() {
         let each = bytes_a_rule(&routes(count));
-        assert!(each <= MOST_BYTES_A_ROUTE, "{count} routes: {each} bytes each");
+        assert!(
+            each <= MOST_BYTES_A_ROUTE,
+            "{count} routes: {each} bytes each"
+        );
         let mappings: String = (0..count).map(mapping).collect();
         let each = bytes_a_rule(&mappings);
-        assert!(each <= MOST_BYTES_A_MAPPING, "{count} mappings: {each} bytes each");
+        assert!(
+            each <= MOST_BYTES_A_MAPPING,
+            "{count} mappings: {each} bytes each"
+        );
     }
 }
 
@@ -89,7 +103,10 @@
     const RULES: usize = 5_000;
     let text = routes(RULES);
     let changed = text.replace("/programmes/7/", "/programmes/seven/");
-    let other: String = [POOLS.to_string()].into_iter().chain((RULES..2 * RULES).map(route)).collect();
+    let other: String = [POOLS.to_string()]
+        .into_iter()
+        .chain((RULES..2 * RULES).map(route))
+        .collect();
     let region = Region::new();
     let old = read(&text, None);
     let one_set = region.held();
@@ -117,7 +134,10 @@
         let region = Region::new();
         let new = read(&one, Some(&old));
         let one_change = region.peak();
-        let other: String = [POOLS.to_string()].into_iter().chain((count..2 * count).map(route)).collect();
+        let other: String = [POOLS.to_string()]
+            .into_iter()
+            .chain((count..2 * count).map(route))
+            .collect();
         let region = Region::new();
         let changed = read(&other, Some(&new));
         let all_changed = region.peak();
@@ -125,15 +145,21 @@
         println!("{count} routes, {file} bytes, {set} by estimate: at most {first} to read, {one_change} beside the old ones with one change, {all_changed} with another file");
         let whole = file + set + changed.heap_bytes() + WORKING_BYTES * count;
         assert!(file + set + all_changed <= whole + SMALL, "{all_changed}");
-        assert!(one_change <= WORKING_BYTES * count + changed.heap_bytes() / 8 + SMALL, "{one_change}");
+        assert!(
+            one_change <= WORKING_BYTES * count + changed.heap_bytes() / 8 + SMALL,
+            "{one_change}"
+        );
         assert!(whole < DEFAULT_MOST_BYTES);
     }
 }
 
 fn what_is_parsed_in_one_piece_takes_less_than_is_planned_for() {
     let list = |item: &str| format!("rule = [{}", item.repeat(10_000));
-    let tables =
-        |table: &str| -> String { (0..20_000).map(|i| table.replace('a', &format!("a{i}"))).collect() };
+    let tables = |table: &str| -> String {
+        (0..20_000)
+            .map(|i| table.replace('a', &format!("a{i}")))
+            .collect()
+    };
     let ordinary = [
         list("{ name = 'r', limit = { key = '\"a\"', rate = 1 } },\n"),
         list("1,"),
@@ -149,7 +175,11 @@
         assert!(each <= PARSED_FACTOR, "{each}");
     }
     // Each dot of a key makes a table of its own, which is not planned for.
-    for text in [list("{a.a=1},"), tables("[a.b.c.d]\n"), tables("a.b.c = 1\n")] {
+    for text in [
+        list("{a.a=1},"),
+        tables("[a.b.c.d]\n"),
+        tables("a.b.c = 1\n"),
+    ] {
         parsed_bytes_a_byte(&text);
     }
 }
@@ -159,7 +189,10 @@
     let region = Region::new();
     assert!(read_on(text, None).is_err());
     let each = region.peak() as f64 / text.len() as f64;
-    println!("{:?}: {each:.0} bytes a byte", text.get(..24).unwrap_or(text));
+    println!(
+        "{:?}: {each:.0} bytes a byte",
+        text.get(..24).unwrap_or(text)
+    );
     each
 }
 
@@ -185,8 +218,13 @@
     let mut random = Rand32::new(seed);
     let first: Vec<usize> = (0..RULES).collect();
     let text = |rules: &[usize]| -> String {
-        let rules =
-            rules.iter().map(|number| if number % 3 == 0 { mapping(*number) } else { route(*number) });
+        let rules = rules.iter().map(|number| {
+            if number % 3 == 0 {
+                mapping(*number)
+            } else {
+                route(*number)
+            }
+        });
         [POOLS.to_string()].into_iter().chain(rules).collect()
     };
     let mut router = Router::new(read(&text(&first), None));
@@ -229,7 +267,9 @@
         let begun = Instant::now();
         let replaced = router.replace(new, 0.0, 0.0);
         let replacing = begun.elapsed();
-        println!("{count} routes: {all:?} to read, {one:?} with one change, {replacing:?} to replace");
+        println!(
+            "{count} routes: {all:?} to read, {one:?} with one change, {replacing:?} to replace"
+        );
         if count >= 1_000 {
             assert!(one < all / 2, "{one:?} of {all:?}");
         }
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -11,11 +11,18 @@
 
 fn catalog() -> Catalog {
     let classes = vec![("fetch".to_string(), Effect::Pure)];
-    Catalog { classes, plans: vec!["city".into()], most_units: 3.0 }
+    Catalog {
+        classes,
+        plans: vec!["city".into()],
+        most_units: 3.0,
+    }
 }
 
 fn read(text: &str, previous: Option<&Rules>) -> Rules {
-    let options = ReadOptions { previous, most_bytes: MOST_BYTES };
+    let options = ReadOptions {
+        previous,
+        most_bytes: MOST_BYTES,
+    };
     Rules::read_part(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
@@ -31,18 +38,32 @@
         .map(|zone| {
             let ip = IpAddr::from([127, 0, 0, 1]);
             let (name, cell, weight, protocol) = ("i", 0, 1.0, "resp");
-            router.pools_of(&Instance { name, zone, cell, weight, protocol, ip, labels: &[] })
+            router.pools_of(&Instance {
+                name,
+                zone,
+                cell,
+                weight,
+                protocol,
+                ip,
+                labels: &[],
+            })
         })
         .collect();
     router.ready(pools.into_iter());
 }
 
 fn ready(router: &Router) -> Vec<(String, usize)> {
-    router.figures().map(|(pool, ready)| (pool.to_string(), ready)).collect()
+    router
+        .figures()
+        .map(|(pool, ready)| (pool.to_string(), ready))
+        .collect()
 }
 
 fn named(counts: &[(&str, usize)]) -> Vec<(String, usize)> {
-    counts.iter().map(|(pool, ready)| (pool.to_string(), *ready)).collect()
+    counts
+        .iter()
+        .map(|(pool, ready)| (pool.to_string(), *ready))
+        .collect()
 }
 
 #[test]
@@ -57,7 +78,9 @@
     assert!(!replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("y", 2), ("x", 1)]));
     // One is gone.
-    let replaced = router.replace(read(&pool("x", "north", "refuse"), None), 1.0, 1000.0).unwrap();
+    let replaced = router
+        .replace(read(&pool("x", "north", "refuse"), None), 1.0, 1000.0)
+        .unwrap();
     assert!(!replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("x", 1)]));
     // One of the same name takes other instances.
@@ -71,8 +94,9 @@
 
 /// A file of many rules and some pools, whose rule `changed` is like no other's.
 fn large(changed: usize) -> String {
-    let pools: String =
-        (0..8).map(|zone| pool(&format!("p{zone}"), &format!("zone-{zone}"), "any")).collect();
+    let pools: String = (0..8)
+        .map(|zone| pool(&format!("p{zone}"), &format!("zone-{zone}"), "any"))
+        .collect();
     let rule = |number: usize| {
         let after_ms = if number == changed { 200 } else { 100 };
         format!(
@@ -100,7 +124,11 @@
     let mut router = Router::new(first.clone());
     let mut took: Vec<Duration> = (0..PUTS)
         .map(|turn| {
-            let next = if turn % 2 == 0 { second.clone() } else { first.clone() };
+            let next = if turn % 2 == 0 {
+                second.clone()
+            } else {
+                first.clone()
+            };
             let begun = Instant::now();
             let replaced = router.replace(next, turn as f64, 1000.0).unwrap();
             let took = begun.elapsed();
@@ -109,7 +137,11 @@
         })
         .collect();
     took.sort();
-    println!("put in force: median {:?}, longest {:?}", took[PUTS / 2], took[PUTS - 1]);
+    println!(
+        "put in force: median {:?}, longest {:?}",
+        took[PUTS / 2],
+        took[PUTS - 1]
+    );
     // Not the longest: the machine may run others meanwhile. Half of the puts had no more than this.
     assert!(took[PUTS / 2] < MOST, "{took:?}");
 }
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -1,7 +1,8 @@
 //! Files of rules and the ways of requests through them.
 
 use driftgap_routes::{
-    Catalog, Effect, Explainer, Headers, Instance, Mapped, ReadOptions, Request, Router, Rules, Verdict, ALL,
+    Catalog, Effect, Explainer, Headers, Instance, Mapped, ReadOptions, Request, Router, Rules,
+    Verdict, ALL,
 };
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -25,19 +26,25 @@
         ("book-rebroadcast", Effect::SideEffect),
     ];
     Catalog {
-        classes: classes.map(|(name, effect)| (name.to_string(), effect)).into(),
+        classes: classes
+            .map(|(name, effect)| (name.to_string(), effect))
+            .into(),
         plans: vec!["district".into(), "city".into()],
         most_units: 4.0,
     }
 }
 
 fn read(text: &str) -> Result<Rules, Vec<String>> {
-    Rules::read(text, "rules.toml", &catalog()).map_err(|faults| faults.into_iter().map(|f| f.line).collect())
+    Rules::read(text, "rules.toml", &catalog())
+        .map_err(|faults| faults.into_iter().map(|f| f.line).collect())
 }
 
 /// Reads a file that replaces the rules of a router.
 fn read_again(text: &str, router: &Router) -> Rules {
-    let options = ReadOptions { previous: Some(router.rules()), ..ReadOptions::default() };
+    let options = ReadOptions {
+        previous: Some(router.rules()),
+        ..ReadOptions::default()
+    };
     Rules::read_part(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
@@ -46,7 +53,10 @@
 }
 
 fn headers(pairs: &[(&str, &str)]) -> Map {
-    Map(pairs.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect())
+    Map(pairs
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
+        .collect())
 }
 
 fn request<'a>(method: &'a str, path: &'a str, headers: &'a Map) -> Request<'a> {
@@ -108,18 +118,33 @@
         terms: vec![("episode".into(), "123".into())],
     };
     assert_eq!(route.command, Some(want));
-    assert_eq!(go(router.route(&request("GET", "/episodes/x/audio", &none), 0.0)).command, None);
-    assert_eq!(go(router.route(&request("POST", "/episodes/1/audio", &none), 0.0)).command, None);
+    assert_eq!(
+        go(router.route(&request("GET", "/episodes/x/audio", &none), 0.0)).command,
+        None
+    );
+    assert_eq!(
+        go(router.route(&request("POST", "/episodes/1/audio", &none), 0.0)).command,
+        None
+    );
     // Units that the client names itself stay.
-    let named = Request { units: Some(3.0), ..request("GET", "/episodes/123/audio", &none) };
-    assert_eq!(go(router.route(&named, 0.0)).command.unwrap().units, Some(3.0));
+    let named = Request {
+        units: Some(3.0),
+        ..request("GET", "/episodes/123/audio", &none)
+    };
+    assert_eq!(
+        go(router.route(&named, 0.0)).command.unwrap().units,
+        Some(3.0)
+    );
 }
 
 #[test]
 fn no_branch_may_make_a_booking_safe_to_repeat() {
     let wrong = |when: &str, class: &str, head: &str| {
         let faults = read(&format!("{head}\n{}", mapping(when, class, UNITS))).unwrap_err();
-        assert!(faults.iter().any(|f| f.contains("safe to repeat")), "{when} {class}: {faults:?}");
+        assert!(
+            faults.iter().any(|f| f.contains("safe to repeat")),
+            "{when} {class}: {faults:?}"
+        );
     };
     let right = |when: &str, class: &str, head: &str| {
         read(&format!("{head}\n{}", mapping(when, class, UNITS)))
@@ -129,11 +154,31 @@
     let bookings = "[effects.paths]\n'/bookings/' = 'side_effect'\n'/ratings/' = 'token'";
     // The method may be any.
     wrong("request.path.startsWith('/episodes/')", safe, "");
-    wrong("request.path.startsWith('/episodes/') && request.method != 'POST'", safe, "");
-    wrong("request.path.startsWith('/episodes/') && request.method in ['GET', 'DELETE']", safe, "");
-    wrong("request.path.startsWith('/episodes/') && (request.method == 'GET' || request.retry)", safe, "");
-    right("request.path.startsWith('/episodes/') && request.method == 'GET'", safe, "");
-    right("request.path.startsWith('/episodes/') && request.method in ['GET', 'HEAD']", safe, "");
+    wrong(
+        "request.path.startsWith('/episodes/') && request.method != 'POST'",
+        safe,
+        "",
+    );
+    wrong(
+        "request.path.startsWith('/episodes/') && request.method in ['GET', 'DELETE']",
+        safe,
+        "",
+    );
+    wrong(
+        "request.path.startsWith('/episodes/') && (request.method == 'GET' || request.retry)",
+        safe,
+        "",
+    );
+    right(
+        "request.path.startsWith('/episodes/') && request.method == 'GET'",
+        safe,
+        "",
+    );
+    right(
+        "request.path.startsWith('/episodes/') && request.method in ['GET', 'HEAD']",
+        safe,
+        "",
+    );
     // On one branch only.
     let branch = "request.retry ? \"book-rebroadcast\" : \"fetch-episode\"";
     wrong("request.path.startsWith('/x/')", branch, "");
@@ -148,7 +193,11 @@
     wrong("request.path.startsWith('/x/')", table, "");
     let put = format!(
         "[effects.methods]\nPUT = 'token'\n{}",
-        mapping("request.path.startsWith('/x/')", table, &format!("{UNITS}\nid = '\"x\"'"))
+        mapping(
+            "request.path.startsWith('/x/')",
+            table,
+            &format!("{UNITS}\nid = '\"x\"'")
+        )
     );
     assert!(read(&put).is_ok(), "{:?}", read(&put));
     wrong(
@@ -161,20 +210,41 @@
     right("request.path.startsWith('/x/')", named, "");
     // A path that is declared to have an effect has it whatever the method.
     let get = |path: &str| format!("request.method == 'GET' && {path}");
-    wrong(&get("request.path.startsWith('/bookings/')"), safe, bookings);
+    wrong(
+        &get("request.path.startsWith('/bookings/')"),
+        safe,
+        bookings,
+    );
     wrong(&get("request.path.startsWith('/b')"), safe, bookings);
-    wrong(&get("request.path.startsWith('/bookings/new/')"), safe, bookings);
+    wrong(
+        &get("request.path.startsWith('/bookings/new/')"),
+        safe,
+        bookings,
+    );
     wrong(&get("request.path == '/bookings/7'"), safe, bookings);
-    wrong(&get("request.path.endsWith('/audio') && !request.path.startsWith('/commands/')"), safe, bookings);
-    wrong(&get("(request.path.startsWith('/e/') || request.path.startsWith('/bookings/'))"), safe, bookings);
+    wrong(
+        &get("request.path.endsWith('/audio') && !request.path.startsWith('/commands/')"),
+        safe,
+        bookings,
+    );
+    wrong(
+        &get("(request.path.startsWith('/e/') || request.path.startsWith('/bookings/'))"),
+        safe,
+        bookings,
+    );
     right(&get("request.path.startsWith('/e/')"), safe, bookings);
     right(&get("request.path == '/bookings'"), safe, bookings);
     let others = get("!request.path.startsWith('/bookings/') && !request.path.startsWith('/ratings/') && !request.path.startsWith('/commands/')");
     right(&others, safe, bookings);
     // A class whose repeats are discarded is not enough for what must never run twice.
     let id = format!("{UNITS}\nid = '\"x\"'");
-    let rated =
-        |path: &str| mapping(&get(&format!("request.path.startsWith('{path}')")), "\"rate-episode\"", &id);
+    let rated = |path: &str| {
+        mapping(
+            &get(&format!("request.path.startsWith('{path}')")),
+            "\"rate-episode\"",
+            &id,
+        )
+    };
     assert!(read(&format!("{bookings}\n{}", rated("/ratings/"))).is_ok());
     assert!(read(&format!("{bookings}\n{}", rated("/bookings/"))).is_err());
     // A class that is not written out has no effect that is known.
@@ -183,12 +253,26 @@
         "request.headers['x'].orValue('fetch-episode')",
         UNITS,
     ));
-    assert!(faults.unwrap_err().iter().any(|f| f.contains("not known before use")));
+    assert!(faults
+        .unwrap_err()
+        .iter()
+        .any(|f| f.contains("not known before use")));
     // The platform's own commands keep the class that their client names.
     let faults = read(&mapping("request.method == 'GET'", safe, UNITS)).unwrap_err();
-    assert!(faults.iter().any(|f| f.contains("platform's own")), "{faults:?}");
-    let faults = read(&mapping(&get("request.path.startsWith('/comm')"), safe, UNITS)).unwrap_err();
-    assert!(faults.iter().any(|f| f.contains("platform's own")), "{faults:?}");
+    assert!(
+        faults.iter().any(|f| f.contains("platform's own")),
+        "{faults:?}"
+    );
+    let faults = read(&mapping(
+        &get("request.path.startsWith('/comm')"),
+        safe,
+        UNITS,
+    ))
+    .unwrap_err();
+    assert!(
+        faults.iter().any(|f| f.contains("platform's own")),
+        "{faults:?}"
+    );
 }
 
 #[test]
@@ -200,16 +284,27 @@
         Err(faults) => faults.join("\n"),
     };
     assert!(faults(get, "").contains("a command needs `units`"));
-    for changed in
-        ["1.0", "request.units.orValue(1.0) * 2.0", "request.retry ? request.units.orValue(1.0) : 1.0"]
-    {
-        assert!(faults(get, &format!("units = '{changed}'")).contains("change the units"), "{changed}");
+    for changed in [
+        "1.0",
+        "request.units.orValue(1.0) * 2.0",
+        "request.retry ? request.units.orValue(1.0) : 1.0",
+    ] {
+        assert!(
+            faults(get, &format!("units = '{changed}'")).contains("change the units"),
+            "{changed}"
+        );
     }
     assert!(faults(get, "units = 'request.units.orValue(0.0)'").contains("0 units"));
     assert!(faults(get, "units = 'request.units.orValue(5.0)'").contains("5 units"));
     assert_eq!(faults(get, UNITS), "");
-    assert_eq!(faults(get, "units = 'has(request.units) ? request.units : 2.0'"), "");
-    assert_eq!(faults(&format!("{get} && !has(request.units)"), "units = '2.0'"), "");
+    assert_eq!(
+        faults(get, "units = 'has(request.units) ? request.units : 2.0'"),
+        ""
+    );
+    assert_eq!(
+        faults(&format!("{get} && !has(request.units)"), "units = '2.0'"),
+        ""
+    );
     assert_eq!(faults(&format!("{get} && has(request.units)"), ""), "");
 }
 
@@ -269,16 +364,27 @@
         "rules.toml:34:9: this is never true; the rule has no effect",
     ];
     for line in want {
-        assert!(faults.iter().any(|f| f.starts_with(line)), "{line}\nnot among\n{}", faults.join("\n"));
+        assert!(
+            faults.iter().any(|f| f.starts_with(line)),
+            "{line}\nnot among\n{}",
+            faults.join("\n")
+        );
     }
     assert_eq!(faults.len(), want.len(), "{}", faults.join("\n"));
     let broken = read("[[rule]\nname = 1\n").unwrap_err();
-    assert!(!broken.is_empty() && broken[0].starts_with("rules.toml:1:"), "{broken:?}");
+    assert!(
+        !broken.is_empty() && broken[0].starts_with("rules.toml:1:"),
+        "{broken:?}"
+    );
 }
 
 #[test]
 fn hostile_files_are_refused() {
-    let deep = format!("[[rule]]\nname = 'a'\nwhen = '{}true{}'\n", "(".repeat(8000), ")".repeat(8000));
+    let deep = format!(
+        "[[rule]]\nname = 'a'\nwhen = '{}true{}'\n",
+        "(".repeat(8000),
+        ")".repeat(8000)
+    );
     let many = "[[rule]]\nname = 'a'\n".repeat(10_002);
     let tables = format!("a = {}1{}", "{b=".repeat(5000), "}".repeat(5000));
     let arrays = format!("rule = {}1{}", "[".repeat(5000), "]".repeat(5000));
@@ -292,7 +398,10 @@
         (many, "already"),
         (tables, ""),
         (arrays, ""),
-        (format!("[cost]\nexpression = 1000\n\n{dear}"), "this part of it costs"),
+        (
+            format!("[cost]\nexpression = 1000\n\n{dear}"),
+            "this part of it costs",
+        ),
         (sum, "all rules together may cost"),
         ("x".repeat(5 << 20), "are the most"),
         ("\u{0}\u{1}".into(), ""),
@@ -336,7 +445,15 @@
     let slow = [("disk".to_string(), "slow".to_string())];
     let mut bits = |zone: &str, weight: f64, labels: &[(String, String)]| {
         let ip = IpAddr::from([10, 0, 0, 1]);
-        router.pools_of(&Instance { name: "n", zone, cell: 1, weight, protocol: "resp", ip, labels })
+        router.pools_of(&Instance {
+            name: "n",
+            zone,
+            cell: 1,
+            weight,
+            protocol: "resp",
+            ip,
+            labels,
+        })
     };
     assert_eq!(bits("dar", 1.0, &[]), ALL | 0b011);
     assert_eq!(bits("dar", 1.0, &slow), ALL | 0b010);
@@ -353,13 +470,28 @@
         }
     };
     assert_eq!(pools(&[ALL | 0b011, ALL], &station, "/"), Ok(0b001));
-    assert_eq!(pools(&[ALL | 0b010, ALL], &station, "/"), Ok(0b010), "falls back on the coast");
-    assert_eq!(pools(&[ALL], &station, "/"), Err((1000.0, "coast".into())), "no silent spill");
-    assert_eq!(pools(&[ALL], &none, "/big"), Ok(ALL), "any by the file's word");
+    assert_eq!(
+        pools(&[ALL | 0b010, ALL], &station, "/"),
+        Ok(0b010),
+        "falls back on the coast"
+    );
+    assert_eq!(
+        pools(&[ALL], &station, "/"),
+        Err((1000.0, "coast".into())),
+        "no silent spill"
+    );
+    assert_eq!(
+        pools(&[ALL], &none, "/big"),
+        Ok(ALL),
+        "any by the file's word"
+    );
     assert_eq!(pools(&[], &none, "/"), Ok(ALL), "no rule, no pool");
     let ring =
         "[[pool]]\nname='a'\nwhen='true'\nfallback='b'\n[[pool]]\nname='b'\nwhen='true'\nfallback='a'\n";
-    assert!(read(ring).unwrap_err().iter().all(|f| f.contains("falls back on itself")));
+    assert!(read(ring)
+        .unwrap_err()
+        .iter()
+        .all(|f| f.contains("falls back on itself")));
 }
 
 #[test]
@@ -369,7 +501,10 @@
     let mut first = router(&text);
     let none = headers(&[]);
     let pass = |router: &mut Router, partner: &str, now: f64| {
-        let request = Request { partner: Some(partner), ..request("GET", "/a", &none) };
+        let request = Request {
+            partner: Some(partner),
+            ..request("GET", "/a", &none)
+        };
         match router.route(&request, now) {
             Verdict::Go(_) => 0.0,
             Verdict::Nack { after_ms, by } => {
@@ -379,12 +514,22 @@
             bad => panic!("{bad:?}"),
         }
     };
-    assert_eq!((0..5).map(|_| pass(&mut first, "a", 0.0)).collect::<Vec<_>>(), [0.0, 0.0, 0.0, 500.0, 500.0]);
+    assert_eq!(
+        (0..5)
+            .map(|_| pass(&mut first, "a", 0.0))
+            .collect::<Vec<_>>(),
+        [0.0, 0.0, 0.0, 500.0, 500.0]
+    );
     assert_eq!(pass(&mut first, "b", 0.0), 0.0);
     // Another rule beside it: the limit keeps its state. Another rate: it begins anew.
-    let more =
-        format!("[[rule]]\nname = 'x'\nwhen = 'request.path == \"/x\"'\nnack = 'duration(\"1s\")'\n{text}");
-    drop(first.replace(read_again(&more, &first), 400.0, 3000.0).unwrap());
+    let more = format!(
+        "[[rule]]\nname = 'x'\nwhen = 'request.path == \"/x\"'\nnack = 'duration(\"1s\")'\n{text}"
+    );
+    drop(
+        first
+            .replace(read_again(&more, &first), 400.0, 3000.0)
+            .unwrap(),
+    );
     assert_eq!(pass(&mut first, "a", 400.0), 100.0);
     assert_eq!(pass(&mut first, "a", 500.0), 0.0);
     let faster = read_again(&text.replace("rate = 2", "rate = 4"), &first);
@@ -408,7 +553,13 @@
     drop(held);
     let held = go(router.route(&request("GET", "/", &none), 0.0));
     drop(held);
-    assert!(matches!(router.route(&request("GET", "/", &none), 0.0), Verdict::Nack { after_ms: 1000.0, .. }));
+    assert!(matches!(
+        router.route(&request("GET", "/", &none), 0.0),
+        Verdict::Nack {
+            after_ms: 1000.0,
+            ..
+        }
+    ));
 }
 
 #[test]
@@ -432,14 +583,36 @@
                 [[rule]]\nname = 'd'\nnack = 'duration(\"250ms\")'\n";
     let (mut router, none) = (router(text), headers(&[]));
     let route = go(router.route(&request("GET", "/stop", &none), 0.0));
-    let notes: Vec<String> = route.notes.iter().map(|(name, value)| format!("{name}={value}")).collect();
+    let notes: Vec<String> = route
+        .notes
+        .iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect();
     assert_eq!(notes, ["x=1", "y=?/stop", "z=3"]);
-    assert!(matches!(router.route(&request("GET", "/", &none), 0.0), Verdict::Nack { after_ms: 250.0, .. }));
-    let explainer = Explainer::read(text, "rules.toml", None, &catalog()).ok().unwrap();
+    assert!(matches!(
+        router.route(&request("GET", "/", &none), 0.0),
+        Verdict::Nack {
+            after_ms: 250.0,
+            ..
+        }
+    ));
+    let explainer = Explainer::read(text, "rules.toml", None, &catalog())
+        .ok()
+        .unwrap();
     let explained = explainer.explain(&request("GET", "/stop", &none));
-    let told: Vec<(&str, bool, bool)> =
-        explained.iter().map(|e| (&e.rule[..], e.matched, e.behind)).collect();
-    assert_eq!(told, [("a", true, false), ("b", true, false), ("c", true, false), ("d", true, true)]);
+    let told: Vec<(&str, bool, bool)> = explained
+        .iter()
+        .map(|e| (&e.rule[..], e.matched, e.behind))
+        .collect();
+    assert_eq!(
+        told,
+        [
+            ("a", true, false),
+            ("b", true, false),
+            ("c", true, false),
+            ("d", true, true)
+        ]
+    );
     let put = explainer.explain(&request("PUT", "/", &none));
     assert!(put[2].ruled_out && !put[2].matched && put[2].parts[0].1[0].value == "false");
 }
@@ -463,7 +636,10 @@
         matches!(router.route(&request("GET", "/", &headers(&[])), 0.0), Verdict::Bad { rule, .. } if rule == "div")
     );
     let path = "/".repeat(2000);
-    assert!(matches!(router.route(&request("GET", &path, &headers(&[])), 0.0), Verdict::Bad { .. }));
+    assert!(matches!(
+        router.route(&request("GET", &path, &headers(&[])), 0.0),
+        Verdict::Bad { .. }
+    ));
     assert_eq!(router.faults(), 3);
 }
 
@@ -473,41 +649,67 @@
         .map(|i| format!("[[rule]]\nname = 'r{i}'\nwhen = 'request.method == \"GET\" && request.path.startsWith(\"/p{i}/\")'\nnotes = {{ n = '\"{i}\"' }}\n"))
         .collect();
     let mut router = router(&text);
-    assert_eq!((router.rules().len(), router.rules().unindexed()), (1000, 0));
+    assert_eq!(
+        (router.rules().len(), router.rules().unindexed()),
+        (1000, 0)
+    );
     let none = headers(&[]);
     for i in [0, 7, 77, 777, 999] {
         let route = go(router.route(&request("GET", &format!("/p{i}/x"), &none), 0.0));
         assert_eq!(route.notes, [("n".to_string(), i.to_string())]);
     }
-    assert!(go(router.route(&request("GET", "/p1000/x", &none), 0.0)).notes.is_empty());
+    assert!(go(router.route(&request("GET", "/p1000/x", &none), 0.0))
+        .notes
+        .is_empty());
 }
 
 #[test]
 fn commands_end_under_the_pools_that_they_began_with() {
     let pools = |names: &[&str]| -> Rules {
-        let pool = |name: &&str| format!("[[pool]]\nname = '{name}'\nwhen = 'instance.zone == \"{name}\"'\n");
+        let pool = |name: &&str| {
+            format!("[[pool]]\nname = '{name}'\nwhen = 'instance.zone == \"{name}\"'\n")
+        };
         let first = names[0];
         let rule = format!("[[rule]]\nname = 'r'\npool = '\"{first}\"'\n");
         read(&(names.iter().map(pool).collect::<String>() + &rule)).unwrap()
     };
     let ip = IpAddr::from([10, 0, 0, 1]);
-    let at = |zone| Instance { name: "n", zone, cell: 1, weight: 1.0, protocol: "resp", ip, labels: &[] };
+    let at = |zone| Instance {
+        name: "n",
+        zone,
+        cell: 1,
+        weight: 1.0,
+        protocol: "resp",
+        ip,
+        labels: &[],
+    };
     let none = headers(&[]);
     let mut router = Router::new(pools(&["dar", "tanga"]));
     let chosen = |router: &mut Router, zone: &'static str| {
         let bits = router.pools_of(&at(zone));
         router.ready([bits].into_iter());
-        (go(router.route(&request("GET", "/", &none), 0.0)).pools, bits)
+        (
+            go(router.route(&request("GET", "/", &none), 0.0)).pools,
+            bits,
+        )
     };
     let (dar, of_dar) = chosen(&mut router, "dar");
     assert_eq!(dar & of_dar, dar);
     // Another order, and one pool less: the bits stay, those of the one that is gone as long as it may be needed.
-    drop(router.replace(pools(&["mbeya", "dar"]), 1000.0, 3000.0).unwrap());
+    drop(
+        router
+            .replace(pools(&["mbeya", "dar"]), 1000.0, 3000.0)
+            .unwrap(),
+    );
     assert_eq!(router.pools_of(&at("dar")) & dar, dar);
     let tanga = router.pools_of(&at("tanga")) & !ALL;
     let (mbeya, _) = chosen(&mut router, "mbeya");
     assert!(tanga != 0 && mbeya & (dar | tanga) == 0);
-    drop(router.replace(pools(&["mbeya", "dar"]), 4001.0, 3000.0).unwrap());
+    drop(
+        router
+            .replace(pools(&["mbeya", "dar"]), 4001.0, 3000.0)
+            .unwrap(),
+    );
     assert_eq!(router.pools_of(&at("tanga")), ALL);
     // No bit is given anew that commands under way still need.
     let many: Vec<String> = (0..40).map(|i| format!("z{i}")).collect();
@@ -515,6 +717,13 @@
     drop(router.replace(pools(&many), 5000.0, 3000.0).unwrap());
     let other: Vec<String> = (0..40).map(|i| format!("y{i}")).collect();
     let other: Vec<&str> = other.iter().map(String::as_str).collect();
-    assert_eq!(router.replace(pools(&other), 5001.0, 3000.0).err(), Some(driftgap_routes::TooSoon));
-    assert_eq!(router.pools_of(&at("z7")).count_ones(), 2, "the old rules stay");
+    assert_eq!(
+        router.replace(pools(&other), 5001.0, 3000.0).err(),
+        Some(driftgap_routes::TooSoon)
+    );
+    assert_eq!(
+        router.pools_of(&at("z7")).count_ones(),
+        2,
+        "the old rules stay"
+    );
 }
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -14,7 +14,9 @@
 const SEEDS: Range<u64> = 0..8;
 
 fn seeds() -> Range<u64> {
-    let Ok(named) = std::env::var("DRIFTGAP_SEEDS") else { return SEEDS };
+    let Ok(named) = std::env::var("DRIFTGAP_SEEDS") else {
+        return SEEDS;
+    };
     let (first, last) = named.split_once('-').expect("FIRST-LAST");
     first.parse().expect("a number")..last.parse().expect("a number")
 }
@@ -74,7 +76,12 @@
 
 impl File {
     fn new(random: &mut Rand32) -> File {
-        let mut file = File { head: POOLS.to_string(), tail: String::new(), rules: Vec::new(), names: 0 };
+        let mut file = File {
+            head: POOLS.to_string(),
+            tail: String::new(),
+            rules: Vec::new(),
+            names: 0,
+        };
         for _ in 0..20 {
             file.insert(random);
         }
@@ -84,7 +91,13 @@
     fn text(&self) -> String {
         // A part of the head stands between the rules.
         let (first, second) = self.rules.split_at(self.rules.len() / 2);
-        [&self.head[..], &first.concat(), &self.tail, &second.concat()].concat()
+        [
+            &self.head[..],
+            &first.concat(),
+            &self.tail,
+            &second.concat(),
+        ]
+        .concat()
     }
 
     fn insert(&mut self, random: &mut Rand32) {
@@ -108,7 +121,9 @@
                 let other = below(random, self.rules.len());
                 self.rules.swap(at, other);
             }
-            7 => self.rules.insert(at.min(self.rules.len()), broken(random, self.names)),
+            7 => self
+                .rules
+                .insert(at.min(self.rules.len()), broken(random, self.names)),
             8 => {
                 let tails = [
                     "",
@@ -150,7 +165,13 @@
 fn decided(verdict: Verdict) -> String {
     match verdict {
         Verdict::Go(route) => {
-            format!("{:?} {:x} {:?} {}", route.command, route.pools, route.notes, route.tickets.len())
+            format!(
+                "{:?} {:x} {:?} {}",
+                route.command,
+                route.pools,
+                route.notes,
+                route.tickets.len()
+            )
         }
         refused => format!("{refused:?}"),
     }
@@ -164,8 +185,15 @@
     }
     for _ in 0..40 {
         let (path, get) = random_request(random);
-        let request = Request { method: if get { "GET" } else { "POST" }, ..request(&path) };
-        assert_eq!(decided(taken.route(&request, now)), decided(anew.route(&request, now)), "{path}");
+        let request = Request {
+            method: if get { "GET" } else { "POST" },
+            ..request(&path)
+        };
+        assert_eq!(
+            decided(taken.route(&request, now)),
+            decided(anew.route(&request, now)),
+            "{path}"
+        );
     }
 }
 
@@ -192,7 +220,13 @@
                     assert_eq!(figures(&taken), figures(&anew));
                     let report = taken.report();
                     assert_eq!(report.taken_over + report.compiled, taken.len());
-                    assert_eq!(anew.report(), ReadReport { taken_over: 0, compiled: anew.len() });
+                    assert_eq!(
+                        anew.report(),
+                        ReadReport {
+                            taken_over: 0,
+                            compiled: anew.len()
+                        }
+                    );
                     taken_over += report.taken_over;
                     (held, right) = (taken, right + 1);
                 }
@@ -204,7 +238,10 @@
             }
         }
         println!("{right} right, {wrong} wrong, {taken_over} rules taken over");
-        assert!(right > 5 && wrong > 5 && taken_over > 50, "{right} {wrong} {taken_over}");
+        assert!(
+            right > 5 && wrong > 5 && taken_over > 50,
+            "{right} {wrong} {taken_over}"
+        );
     }
 }
 
@@ -213,7 +250,11 @@
 
 /// The line of the file that a fault names.
 fn line_of(fault: &str) -> usize {
-    fault.split(':').nth(1).and_then(|line| line.parse().ok()).expect("FILE:LINE:COLUMN")
+    fault
+        .split(':')
+        .nth(1)
+        .and_then(|line| line.parse().ok())
+        .expect("FILE:LINE:COLUMN")
 }
 
 /// The same file in a spelling that is parsed in one piece: a key with an escape, as long as the plain one.
@@ -250,7 +291,10 @@
                             line_of(&whole[MOST_FAULTS - 1])
                         };
                         let mut reached = cut.iter().filter(|fault| line_of(fault) < reached);
-                        assert!(reached.all(|fault| whole.contains(fault)), "{cut:#?} {whole:#?}\n{text}");
+                        assert!(
+                            reached.all(|fault| whole.contains(fault)),
+                            "{cut:#?} {whole:#?}\n{text}"
+                        );
                     } else {
                         assert_eq!(cut, whole, "{text}");
                     }
@@ -266,7 +310,11 @@
 fn replace(router: &mut Router, text: &str, now: f64) -> ReadReport {
     let rules = read_on(text, Some(router.rules())).unwrap_or_else(|faults| panic!("{faults:?}"));
     let report = rules.report();
-    drop(router.replace(rules, now, 3000.0).expect("bits for the pools"));
+    drop(
+        router
+            .replace(rules, now, 3000.0)
+            .expect("bits for the pools"),
+    );
     report
 }
 
@@ -347,19 +395,32 @@
                 [[routes.rule]]\nname = 'a'\npool = '\"any\"'\n[routes.rule.notes]\nn = '\"1\"'\n\
                 [other]\nrule = 1\n[[other.list]]\n[[\"routes\".'rule']]\nname = 'b'\n";
     let read = |text: &str, previous| {
-        let options = ReadOptions { previous, ..ReadOptions::default() };
+        let options = ReadOptions {
+            previous,
+            ..ReadOptions::default()
+        };
         let read = Rules::read_part(text, "operator.toml", Some("routes"), &catalog(), &options);
         read.map_err(|faults| faults[0].line.clone())
     };
     let first = read(text, None).unwrap();
     assert_eq!((first.len(), first.report().compiled), (2, 2));
-    let moved = read(&text.replace("listen", "# Another line.\nlisten"), Some(&first)).unwrap();
+    let moved = read(
+        &text.replace("listen", "# Another line.\nlisten"),
+        Some(&first),
+    )
+    .unwrap();
     assert_eq!((moved.report().taken_over, moved.report().compiled), (2, 0));
     let wrong = read(&text.replace("name = 'b'", "nam = 'b'"), Some(&first)).unwrap_err();
-    assert!(wrong.starts_with("operator.toml:13:1: `nam` is not known here"), "{wrong}");
+    assert!(
+        wrong.starts_with("operator.toml:13:1: `nam` is not known here"),
+        "{wrong}"
+    );
     assert_eq!(read("listen = 1\n", Some(&first)).unwrap().len(), 0);
     let wrong = read("routes = 1\n", None).unwrap_err();
-    assert!(wrong.starts_with("operator.toml:1:10: this is a TOML integer"), "{wrong}");
+    assert!(
+        wrong.starts_with("operator.toml:1:10: this is a TOML integer"),
+        "{wrong}"
+    );
     // A list of tables has no rules of its own, wherever they seem to stand.
     assert!(read("[[routes]]\n[[routes.rule]]\nname = 'a'\n", None).is_err());
 }
@@ -369,7 +430,10 @@
     const RULES: usize = 300;
     let text = routes(RULES);
     let mut router = Router::new(read_on(&text, None).unwrap());
-    let taken = |taken_over, compiled| ReadReport { taken_over, compiled };
+    let taken = |taken_over, compiled| ReadReport {
+        taken_over,
+        compiled,
+    };
     assert_eq!(router.rules().report(), taken(0, RULES));
     assert_eq!(replace(&mut router, &text, 0.0), taken(RULES, 0));
     let one = text.replace("/programmes/7/", "/programmes/seven/");
@@ -378,7 +442,10 @@
     assert_eq!(replace(&mut router, &appended, 0.0), taken(RULES, 1));
     // The order is none of a rule's own; the one that had changed is as before again.
     let reversed: String = (0..RULES).rev().map(route).collect();
-    assert_eq!(replace(&mut router, &format!("{POOLS}{reversed}"), 0.0), taken(RULES - 1, 1));
+    assert_eq!(
+        replace(&mut router, &format!("{POOLS}{reversed}"), 0.0),
+        taken(RULES - 1, 1)
+    );
     // Another test of a pool changes no rule.
     let pools = text.replace("instance.zone ==", "instance.name ==");
     assert_eq!(replace(&mut router, &pools, 0.0), taken(RULES, 0));
@@ -388,22 +455,51 @@
         "[effects.paths]\n'/bookings/' = 'side_effect'\n",
         "[cost]\nexpression = 5000\n",
     ] {
-        assert_eq!(replace(&mut router, &format!("{head}{text}"), 0.0), taken(0, RULES), "{head}");
+        assert_eq!(
+            replace(&mut router, &format!("{head}{text}"), 0.0),
+            taken(0, RULES),
+            "{head}"
+        );
         assert_eq!(replace(&mut router, &text, 0.0), taken(0, RULES));
     }
     // The ceiling of a request is none of a rule.
-    assert_eq!(replace(&mut router, &format!("[cost]\nrequest = 100000\n{text}"), 0.0), taken(RULES, 0));
+    assert_eq!(
+        replace(
+            &mut router,
+            &format!("[cost]\nrequest = 100000\n{text}"),
+            0.0
+        ),
+        taken(RULES, 0)
+    );
 }
 
 #[test]
 fn rules_in_one_piece_are_taken_over_with_the_whole_file_only() {
     let text = "rule = [{ name = 'a', nack = 'duration(\"1s\")' }, { name = 'b' }]\n";
     let first = read_on(text, None).unwrap();
-    assert_eq!(first.report(), ReadReport { taken_over: 0, compiled: 2 });
+    assert_eq!(
+        first.report(),
+        ReadReport {
+            taken_over: 0,
+            compiled: 2
+        }
+    );
     let same = read_on(text, Some(&first)).unwrap();
-    assert_eq!(same.report(), ReadReport { taken_over: 2, compiled: 0 });
+    assert_eq!(
+        same.report(),
+        ReadReport {
+            taken_over: 2,
+            compiled: 0
+        }
+    );
     let other = read_on(&text.replace("'b'", "'c'"), Some(&first)).unwrap();
-    assert_eq!(other.report(), ReadReport { taken_over: 0, compiled: 2 });
+    assert_eq!(
+        other.report(),
+        ReadReport {
+            taken_over: 0,
+            compiled: 2
+        }
+    );
 }
 
 #[test]
@@ -412,7 +508,10 @@
     let held = read_on(&text, None).unwrap();
     let twice = format!("{text}{}", route(1));
     let line = 1 + text.lines().count();
-    let want = format!("rules.toml:{}:8: there is a rule \"route-1\" already", line + 1);
+    let want = format!(
+        "rules.toml:{}:8: there is a rule \"route-1\" already",
+        line + 1
+    );
     assert_eq!(read_on(&twice, Some(&held)).unwrap_err(), [want]);
 }
 
@@ -429,14 +528,19 @@
         "[[\"rul\\u0065\"]]\nname = 'a'\n",
     ];
     for head in wrong {
-        for text in [format!("{head}{section}"), format!("{section}[cost]\n{head}")] {
+        for text in [
+            format!("{head}{section}"),
+            format!("{section}[cost]\n{head}"),
+        ] {
             assert!(read_on(&text, Some(&held)).is_err(), "{text}");
         }
     }
     // A sub-table that stands apart from its rule is that rule's all the same.
     let apart = format!("{section}[cost]\nrequest = 1000\n[rule.notes]\nn = '\"1\"'\n");
     let mut router = Router::new(read_on(&apart, Some(&held)).unwrap());
-    let Verdict::Go(way) = router.route(&request("/"), 0.0) else { panic!("refused") };
+    let Verdict::Go(way) = router.route(&request("/"), 0.0) else {
+        panic!("refused")
+    };
     assert_eq!(way.notes, [("n".to_string(), "1".to_string())]);
 }
 
@@ -444,7 +548,8 @@
 const LIMIT: &str = "[[rule]]\nname = 'limit'\ngo_on = true\n\
                      limit = { key = 'request.partner.orValue(\"\")', rate = 0.001, burst = 1, keys = 64 }\n";
 /// A rule that lets one request through at once.
-const AT_ONCE: &str = "[[rule]]\nname = 'at-once'\nwhen = 'request.path == \"/once\"'\ngo_on = true\n\
+const AT_ONCE: &str =
+    "[[rule]]\nname = 'at-once'\nwhen = 'request.path == \"/once\"'\ngo_on = true\n\
                        limit = { key = '\"all\"', at_once = 1 }\n";
 
 #[test]
@@ -453,37 +558,61 @@
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
         let mut file = File::new(random);
-        file.rules.retain(|rule| !rule.contains("limit") && !rule.contains("nack"));
-        let with =
-            |file: &File, limit: &str| format!("{POOLS}{AT_ONCE}{}{limit}", file.text().replace(POOLS, ""));
+        file.rules
+            .retain(|rule| !rule.contains("limit") && !rule.contains("nack"));
+        let with = |file: &File, limit: &str| {
+            format!("{POOLS}{AT_ONCE}{}{limit}", file.text().replace(POOLS, ""))
+        };
         let mut router = Router::new(read_on(&with(&file, LIMIT), None).unwrap());
         router.ready([u64::MAX].into_iter());
-        let other = Request { partner: Some("other"), ..request("/once") };
-        let Verdict::Go(held) = router.route(&other, 0.0) else { panic!("refused at first") };
+        let other = Request {
+            partner: Some("other"),
+            ..request("/once")
+        };
+        let Verdict::Go(held) = router.route(&other, 0.0) else {
+            panic!("refused at first")
+        };
         assert_eq!(held.tickets.len(), 1);
-        assert!(matches!(router.route(&request("/none"), 0.0), Verdict::Go(_)));
+        assert!(matches!(
+            router.route(&request("/none"), 0.0),
+            Verdict::Go(_)
+        ));
         for _ in 0..20 {
             file.edit(random);
-            file.rules.retain(|rule| !rule.contains("limit") && !rule.contains("nack"));
+            file.rules
+                .retain(|rule| !rule.contains("limit") && !rule.contains("nack"));
             file.mend();
             // The rule itself is read anew now and then, by a comment in it or by other effects.
-            let comment = if below(random, 3) == 0 { "# again\n" } else { "" };
+            let comment = if below(random, 3) == 0 {
+                "# again\n"
+            } else {
+                ""
+            };
             if below(random, 4) == 0 {
                 file.tail = format!("[effects.paths]\n'/{}/' = 'token'\n", below(random, 9));
             }
             replace(&mut router, &with(&file, &format!("{LIMIT}{comment}")), 1.0);
             router.ready([u64::MAX].into_iter());
             let refused = router.route(&request("/none"), 1.0);
-            assert!(matches!(&refused, Verdict::Nack { by, .. } if by == "limit"), "{refused:?}");
+            assert!(
+                matches!(&refused, Verdict::Nack { by, .. } if by == "limit"),
+                "{refused:?}"
+            );
             let refused = router.route(&request("/once"), 1.0);
-            assert!(matches!(&refused, Verdict::Nack { by, .. } if by == "at-once"), "{refused:?}");
+            assert!(
+                matches!(&refused, Verdict::Nack { by, .. } if by == "at-once"),
+                "{refused:?}"
+            );
         }
         drop(held);
         // Another rate is another limit, which begins anew.
         let faster = LIMIT.replace("rate = 0.001", "rate = 0.002");
         replace(&mut router, &with(&file, &faster), 1.0);
         router.ready([u64::MAX].into_iter());
-        assert!(matches!(router.route(&request("/once"), 1.0), Verdict::Go(_)));
+        assert!(matches!(
+            router.route(&request("/once"), 1.0),
+            Verdict::Go(_)
+        ));
     }
 }
 
--- a/crates/scale/src/check.rs
+++ b/crates/scale/src/check.rs
@@ -59,10 +59,24 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:>4} followers {:<32} real {:>12.1}", self.followers, self.quantity, self.real)?;
-        let (Some(hollow), Some(difference)) = (self.hollow, self.difference) else { return Ok(()) };
-        let verdict = if difference.abs() <= AGREES_WITHIN { "" } else { "  differs" };
-        write!(f, " hollow {hollow:>12.1} {:>+7.1}%{verdict}", 100.0 * difference)
+        write!(
+            f,
+            "{:>4} followers {:<32} real {:>12.1}",
+            self.followers, self.quantity, self.real
+        )?;
+        let (Some(hollow), Some(difference)) = (self.hollow, self.difference) else {
+            return Ok(());
+        };
+        let verdict = if difference.abs() <= AGREES_WITHIN {
+            ""
+        } else {
+            "  differs"
+        };
+        write!(
+            f,
+            " hollow {hollow:>12.1} {:>+7.1}%{verdict}",
+            100.0 * difference
+        )
     }
 }
 
@@ -77,11 +91,18 @@
         let real = RealGroup::start(program, *size as usize)?.idle_second(WATCHED)?;
         rows.extend(real.iter().map(|real| row(*size, &hollow, real)));
     }
-    Ok(CheckFile { commit: commit(), machine: Machine::here(), seed, rows })
+    Ok(CheckFile {
+        commit: commit(),
+        machine: Machine::here(),
+        seed,
+        rows,
+    })
 }
 
 fn row(followers: u64, hollow: &[Measurement], real: &Measurement) -> Row {
-    let same = hollow.iter().find(|hollow| hollow.quantity == real.quantity);
+    let same = hollow
+        .iter()
+        .find(|hollow| hollow.quantity == real.quantity);
     Row {
         followers,
         quantity: real.quantity.clone(),
--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -59,12 +59,22 @@
 impl Measurement {
     /// A quantity that is the same on every run with the same seed.
     pub fn counted(quantity: impl Into<String>, unit: Unit, value: f64) -> Measurement {
-        Measurement { quantity: quantity.into(), unit, value, counted: true }
+        Measurement {
+            quantity: quantity.into(),
+            unit,
+            value,
+            counted: true,
+        }
     }
 
     /// A quantity that depends on the machine: processor time, elapsed time, resident memory.
     pub fn timed(quantity: impl Into<String>, unit: Unit, value: f64) -> Measurement {
-        Measurement { quantity: quantity.into(), unit, value, counted: false }
+        Measurement {
+            quantity: quantity.into(),
+            unit,
+            value,
+            counted: false,
+        }
     }
 }
 
--- a/crates/scale/src/experiments/backends.rs
+++ b/crates/scale/src/experiments/backends.rs
@@ -77,8 +77,10 @@
         results.extend(idle_cost(&ingress));
         results.extend(choice_cost(&ingress)?);
 
-        let changes: [(&str, FleetChange); 2] =
-            [("one_changed", Fleet::toggle_one), ("all_changed", Fleet::restart_all)];
+        let changes: [(&str, FleetChange); 2] = [
+            ("one_changed", Fleet::toggle_one),
+            ("all_changed", Fleet::restart_all),
+        ];
         for (step, change) in changes {
             change(&mut fleet);
             folder.write(&fleet)?;
@@ -117,7 +119,11 @@
         let mut results = Vec::new();
 
         let whole = fleet.whole_list(1);
-        results.push(Measurement::counted("whole_list_bytes", Unit::Bytes, whole.len() as f64));
+        results.push(Measurement::counted(
+            "whole_list_bytes",
+            Unit::Bytes,
+            whole.len() as f64,
+        ));
         let (started, cost) = measure(|| ingress.take_list(whole.clone()));
         started?;
         drop(whole);
@@ -128,7 +134,11 @@
 
         fleet.toggle_one();
         let change = fleet.change_list(2);
-        results.push(Measurement::counted("change_bytes", Unit::Bytes, change.len() as f64));
+        results.push(Measurement::counted(
+            "change_bytes",
+            Unit::Bytes,
+            change.len() as f64,
+        ));
         let (changed, cost) = measure(|| ingress.take_list(change.clone()));
         changed?;
         results.extend(cost.measurements("one_changed"));
--- a/crates/scale/src/experiments/changes.rs
+++ b/crates/scale/src/experiments/changes.rs
@@ -1,6 +1,8 @@
 //! What changes cost a group and its followers: by changes a second, and what members keep of those made before.
 
-use super::group::{delays, document, heaps, load, loads, start, Reading, DOCUMENT_BYTES, IN_FORCE_MS};
+use super::group::{
+    delays, document, heaps, load, loads, start, Reading, DOCUMENT_BYTES, IN_FORCE_MS,
+};
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::group::GroupWorld;
 use driftgap_group::{Kind, Wish};
@@ -50,7 +52,11 @@
             Changed::ListEntry if number.is_multiple_of(2) => Wish::Suspend(instance),
             Changed::ListEntry => Wish::Restore(instance),
             Changed::Document => {
-                let held = world.state()?.documents.get(&Kind::Rules).map_or(0, |document| document.number);
+                let held = world
+                    .state()?
+                    .documents
+                    .get(&Kind::Rules)
+                    .map_or(0, |document| document.number);
                 Wish::Write(Kind::Rules, held, document(DOCUMENT_BYTES, number))
             }
         })
@@ -108,11 +114,27 @@
         world.run_until_in_force(IN_FORCE_MS)?;
         let leader = world.leader()?;
         let made = world.take_delays();
-        let mut results = vec![Measurement::counted("changes_in_force", Unit::Count, made.len() as f64)];
+        let mut results = vec![Measurement::counted(
+            "changes_in_force",
+            Unit::Count,
+            made.len() as f64,
+        )];
         results.extend(delays(&made));
-        results.extend(load("leader_second", load_of.members[leader], CHANGING_SECONDS));
-        results.extend(load("member_second", load_of.busiest_follower_of(leader), CHANGING_SECONDS));
-        results.extend(loads("follower_second", &load_of.followers, CHANGING_SECONDS));
+        results.extend(load(
+            "leader_second",
+            load_of.members[leader],
+            CHANGING_SECONDS,
+        ));
+        results.extend(load(
+            "member_second",
+            load_of.busiest_follower_of(leader),
+            CHANGING_SECONDS,
+        ));
+        results.extend(loads(
+            "follower_second",
+            &load_of.followers,
+            CHANGING_SECONDS,
+        ));
         results.extend(heaps(world, leader));
         Ok(results)
     }
@@ -145,13 +167,21 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(1, seed)?;
         for number in 0..size {
-            world.ask(Wish::Write(Kind::Rules, number, document(KEPT_DOCUMENT_BYTES, number)))?;
+            world.ask(Wish::Write(
+                Kind::Rules,
+                number,
+                document(KEPT_DOCUMENT_BYTES, number),
+            ))?;
             world.run(MADE_EACH_MS)?;
         }
         world.run_until_in_force(IN_FORCE_MS)?;
         let made = world.take_delays().len();
         let leader = world.leader()?;
-        let mut results = vec![Measurement::counted("changes_in_force", Unit::Count, made as f64)];
+        let mut results = vec![Measurement::counted(
+            "changes_in_force",
+            Unit::Count,
+            made as f64,
+        )];
         results.extend(heaps(world, leader));
         Ok(results)
     }
--- a/crates/scale/src/experiments/fleet.rs
+++ b/crates/scale/src/experiments/fleet.rs
@@ -37,14 +37,21 @@
         let mut random = Rand32::new(seed);
         let backend = |number: usize| Backend {
             name: format!("backend-{number:06}"),
-            address: format!("10.{}.{}.{}:6379", 100 + (number >> 16), (number >> 8) & 255, number & 255),
+            address: format!(
+                "10.{}.{}.{}:6379",
+                100 + (number >> 16),
+                (number >> 8) & 255,
+                number & 255
+            ),
             zone: random.rand_range(0..zones),
             cell: number / CELL_SIZE,
             service: random.rand_range(0..services),
             started: 1_700_000_000,
             draining: false,
         };
-        Fleet { backends: (0..size as usize).map(backend).collect() }
+        Fleet {
+            backends: (0..size as usize).map(backend).collect(),
+        }
     }
 
     /// The backend in the middle of the list leaves, or comes back.
@@ -55,7 +62,9 @@
 
     /// Every backend is started again.
     pub fn restart_all(&mut self) {
-        self.backends.iter_mut().for_each(|backend| backend.started += 1);
+        self.backends
+            .iter_mut()
+            .for_each(|backend| backend.started += 1);
     }
 
     /// All backends as an inventory in CSV.
@@ -63,8 +72,19 @@
         let mut text = String::from("name,address,zone,cell,weight,started,state,service\n");
         for backend in &self.backends {
             let zone = Deployment::zone(backend.zone);
-            let state = if backend.draining { "draining" } else { "active" };
-            let Backend { name, address, cell, service, started, .. } = backend;
+            let state = if backend.draining {
+                "draining"
+            } else {
+                "active"
+            };
+            let Backend {
+                name,
+                address,
+                cell,
+                service,
+                started,
+                ..
+            } = backend;
             // Writing to memory does not fail.
             let _ = writeln!(
                 text,
@@ -106,7 +126,9 @@
         })
     };
     let servers: Vec<serde_json::Value> = backends.iter().map(server).collect();
-    serde_json::json!({"version": version, "full": full, "servers": servers}).to_string().into_bytes()
+    serde_json::json!({"version": version, "full": full, "servers": servers})
+        .to_string()
+        .into_bytes()
 }
 
 /// An inventory in a folder of its own, which is removed with it.
@@ -140,6 +162,9 @@
     /// It cannot be written.
     pub fn write(&self, fleet: &Fleet) -> Result<(), ExperimentError> {
         let path: &Path = self.folder.path();
-        Ok(std::fs::write(path.join(INVENTORY_FILE), fleet.inventory())?)
+        Ok(std::fs::write(
+            path.join(INVENTORY_FILE),
+            fleet.inventory(),
+        )?)
     }
 }
--- a/crates/scale/src/experiments/group.rs
+++ b/crates/scale/src/experiments/group.rs
@@ -41,13 +41,19 @@
 
 impl Reading {
     pub(super) fn take(world: &GroupWorld) -> Reading {
-        Reading { members: world.member_loads().to_vec(), followers: world.follower_loads().to_vec() }
+        Reading {
+            members: world.member_loads().to_vec(),
+            followers: world.follower_loads().to_vec(),
+        }
     }
 
     /// Loads since an earlier reading.
     pub(super) fn since(self, earlier: &Reading) -> Reading {
         let since = |now: Vec<Load>, then: &[Load]| {
-            now.iter().zip(then).map(|(now, then)| now.since(*then)).collect()
+            now.iter()
+                .zip(then)
+                .map(|(now, then)| now.since(*then))
+                .collect()
         };
         Reading {
             members: since(self.members, &earlier.members),
@@ -57,9 +63,15 @@
 
     /// The member beside the leader that has sent most.
     pub(super) fn busiest_follower_of(&self, leader: usize) -> Load {
-        let others =
-            self.members.iter().enumerate().filter(|(index, _)| *index != leader).map(|(_, load)| *load);
-        others.max_by_key(|load| load.sent.bytes).unwrap_or_default()
+        let others = self
+            .members
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| *index != leader)
+            .map(|(_, load)| *load);
+        others
+            .max_by_key(|load| load.sent.bytes)
+            .unwrap_or_default()
     }
 }
 
@@ -76,10 +88,16 @@
         Measurement::counted(format!("{role}_{name}"), unit, mean(figure))
     };
     vec![
-        counted("sent_messages", Unit::Messages, &|load| load.sent.messages as f64),
+        counted("sent_messages", Unit::Messages, &|load| {
+            load.sent.messages as f64
+        }),
         counted("sent_bytes", Unit::Bytes, &|load| load.sent.bytes as f64),
-        counted("received_messages", Unit::Messages, &|load| load.received.messages as f64),
-        counted("received_bytes", Unit::Bytes, &|load| load.received.bytes as f64),
+        counted("received_messages", Unit::Messages, &|load| {
+            load.received.messages as f64
+        }),
+        counted("received_bytes", Unit::Bytes, &|load| {
+            load.received.bytes as f64
+        }),
         Measurement::timed(
             format!("{role}_cpu"),
             Unit::Microseconds,
@@ -92,12 +110,21 @@
 pub(super) fn delays(delays: &[Delay]) -> Vec<Measurement> {
     let mut last: Vec<f64> = delays.iter().map(|delay| delay.last_ms).collect();
     last.sort_by(f64::total_cmp);
-    let agreed = delays.iter().map(|delay| delay.agreed_ms).fold(0.0, f64::max);
+    let agreed = delays
+        .iter()
+        .map(|delay| delay.agreed_ms)
+        .fold(0.0, f64::max);
     let counted = |name: &str, value| Measurement::counted(name, Unit::Milliseconds, value);
     vec![
         counted("change_agreed_delay_max", agreed),
-        counted("change_last_follower_delay_median", last.get(last.len() / 2).copied().unwrap_or(0.0)),
-        counted("change_last_follower_delay_max", last.last().copied().unwrap_or(0.0)),
+        counted(
+            "change_last_follower_delay_median",
+            last.get(last.len() / 2).copied().unwrap_or(0.0),
+        ),
+        counted(
+            "change_last_follower_delay_max",
+            last.last().copied().unwrap_or(0.0),
+        ),
     ]
 }
 
@@ -111,7 +138,11 @@
     let (members, followers) = world.into_nodes();
     let (members, followers) = (heap_of(members), heap_of(followers));
     let follower = followers.iter().sum::<f64>() / followers.len().max(1) as f64;
-    let others = members.iter().enumerate().filter(|(index, _)| *index != leader).map(|(_, heap)| *heap);
+    let others = members
+        .iter()
+        .enumerate()
+        .filter(|(index, _)| *index != leader)
+        .map(|(_, heap)| *heap);
     vec![
         Measurement::counted("leader_heap", Unit::Bytes, members[leader]),
         Measurement::counted("member_heap", Unit::Bytes, others.fold(0.0, f64::max)),
@@ -150,9 +181,17 @@
         let idle = Reading::take(&world).since(&before);
         let leader = world.leader()?;
         let most = world.followers_by_member().into_iter().max().unwrap_or(0);
-        let mut results = vec![Measurement::counted("most_followers_of_a_member", Unit::Count, most as f64)];
+        let mut results = vec![Measurement::counted(
+            "most_followers_of_a_member",
+            Unit::Count,
+            most as f64,
+        )];
         results.extend(load("leader_second", idle.members[leader], IDLE_SECONDS));
-        results.extend(load("member_second", idle.busiest_follower_of(leader), IDLE_SECONDS));
+        results.extend(load(
+            "member_second",
+            idle.busiest_follower_of(leader),
+            IDLE_SECONDS,
+        ));
         results.extend(loads("follower_second", &idle.followers, IDLE_SECONDS));
         results.extend(heaps(world, leader));
         Ok(results)
@@ -193,9 +232,17 @@
         let leader = world.leader()?;
         let burst = world.take_largest_burst();
         let mut results = delays(&world.take_delays());
-        results.push(Measurement::counted("member_largest_burst", Unit::Bytes, burst as f64));
+        results.push(Measurement::counted(
+            "member_largest_burst",
+            Unit::Bytes,
+            burst as f64,
+        ));
         results.extend(load("leader_document", change.members[leader], 1));
-        results.extend(load("member_document", change.busiest_follower_of(leader), 1));
+        results.extend(load(
+            "member_document",
+            change.busiest_follower_of(leader),
+            1,
+        ));
         results.extend(loads("follower_document", &change.followers, 1));
         results.extend(heaps(world, leader));
         Ok(results)
--- a/crates/scale/src/experiments/ingresses.rs
+++ b/crates/scale/src/experiments/ingresses.rs
@@ -166,12 +166,21 @@
         let before = sound.seen();
         let counts = count(&mut sound);
         let seen = sound.seen();
-        let mean =
-            |figure: &dyn Fn(usize) -> f64| (0..seen.len()).map(figure).sum::<f64>() / seen.len() as f64;
+        let mean = |figure: &dyn Fn(usize) -> f64| {
+            (0..seen.len()).map(figure).sum::<f64>() / seen.len() as f64
+        };
         let counted = Measurement::counted;
         let mut results = vec![
-            counted("ingresses_in_a_minute", Unit::Count, mean(&|b| seen[b].ingresses as f64)),
-            counted("connections", Unit::Count, mean(&|b| seen[b].connections as f64)),
+            counted(
+                "ingresses_in_a_minute",
+                Unit::Count,
+                mean(&|b| seen[b].ingresses as f64),
+            ),
+            counted(
+                "connections",
+                Unit::Count,
+                mean(&|b| seen[b].connections as f64),
+            ),
             counted(
                 "second_opened_connections",
                 Unit::Count,
@@ -183,13 +192,21 @@
         let before = down.seen();
         count(&mut down);
         let seen = down.seen();
-        results.push(per_second("down_second_probes", Unit::Messages, seen[0].probes - before[0].probes));
+        results.push(per_second(
+            "down_second_probes",
+            Unit::Messages,
+            seen[0].probes - before[0].probes,
+        ));
         results.push(per_second(
             "down_second_attempts",
             Unit::Messages,
             seen[0].attempts - before[0].attempts,
         ));
-        results.push(counted("down_probing_ingresses", Unit::Count, seen[0].probing as f64));
+        results.push(counted(
+            "down_probing_ingresses",
+            Unit::Count,
+            seen[0].probing as f64,
+        ));
         Ok(results)
     }
 }
--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -46,7 +46,9 @@
     /// # Errors
     /// The text holds faults; the first of them.
     pub fn start(text: &str) -> Result<RouteTable, ExperimentError> {
-        let mut table = RouteTable { router: Router::new(read(text, None)?) };
+        let mut table = RouteTable {
+            router: Router::new(read(text, None)?),
+        };
         table.pools_are_ready();
         Ok(table)
     }
@@ -105,9 +107,14 @@
         plans: vec!["city".into()],
         most_units: 4.0,
     };
-    let options = ReadOptions { previous, most_bytes: MOST_BYTES };
+    let options = ReadOptions {
+        previous,
+        most_bytes: MOST_BYTES,
+    };
     Rules::read_part(text, "routes.toml", None, &catalog, &options).map_err(|faults| {
-        let first = faults.first().map_or(String::new(), |fault| fault.line.clone());
+        let first = faults
+            .first()
+            .map_or(String::new(), |fault| fault.line.clone());
         ExperimentError::Refused(first)
     })
 }
@@ -147,7 +154,10 @@
         if self == Form::Mixed {
             for pool in 0..POOLS {
                 // Writing to memory does not fail.
-                let _ = writeln!(text, "[[pool]]\nname = 'pool-{pool:02}'\nwhen = 'instance.cell == {pool}'");
+                let _ = writeln!(
+                    text,
+                    "[[pool]]\nname = 'pool-{pool:02}'\nwhen = 'instance.cell == {pool}'"
+                );
             }
         }
         for route in routes {
@@ -161,7 +171,10 @@
         let _ = writeln!(text, "[[rule]]\nname = 'route-{number:06}'");
         match self {
             Form::Simple => {
-                let _ = writeln!(text, "when = 'request.path.startsWith(\"{path}\")'\npool = '\"any\"'");
+                let _ = writeln!(
+                    text,
+                    "when = 'request.path.startsWith(\"{path}\")'\npool = '\"any\"'"
+                );
             }
             Form::Mixed => {
                 let pool = number % POOLS;
@@ -185,7 +198,12 @@
 }
 
 fn routes(size: u64, random: &mut Rand32) -> Vec<Route> {
-    (0..size).map(|number| Route { number, token: random.rand_u32() }).collect()
+    (0..size)
+        .map(|number| Route {
+            number,
+            token: random.rand_u32(),
+        })
+        .collect()
 }
 
 /// Routes of one form.
@@ -218,7 +236,10 @@
         let mut look_up_all = || {
             for number in 0..LOOK_UPS {
                 let (host, path) = &targets[(number % TARGETS) as usize];
-                table.look_up(&Target { host: Some(host), path });
+                table.look_up(&Target {
+                    host: Some(host),
+                    path,
+                });
             }
         };
         // Once beforehand: buffers grow to their size.
@@ -229,7 +250,11 @@
 }
 
 /// What it costs to replace the routes in force by those of a text: all of it, and what the thread that serves does.
-fn replacement(table: &mut RouteTable, text: &str, step: &str) -> Result<Vec<Measurement>, ExperimentError> {
+fn replacement(
+    table: &mut RouteTable,
+    text: &str,
+    step: &str,
+) -> Result<Vec<Measurement>, ExperimentError> {
     let (rules, reading) = measure(|| table.read(text));
     let rules = rules?;
     let (replaced, exchange) = measure(|| table.exchange(rules));
@@ -282,13 +307,21 @@
         let mut results = Vec::new();
 
         let text = self.form.text(&current);
-        results.push(Measurement::counted("file_bytes", Unit::Bytes, text.len() as f64));
+        results.push(Measurement::counted(
+            "file_bytes",
+            Unit::Bytes,
+            text.len() as f64,
+        ));
         let before = resident();
         let (table, cost) = measure(|| RouteTable::start(&text));
         let mut table = table?;
         results.extend(cost.measurements("start"));
         let growth = resident().saturating_sub(before);
-        results.push(Measurement::timed("start_resident", Unit::Bytes, growth as f64));
+        results.push(Measurement::timed(
+            "start_resident",
+            Unit::Bytes,
+            growth as f64,
+        ));
         results.extend(self.look_up_cost(&mut table, &current, &mut random));
 
         let middle = current.len() / 2;
--- a/crates/scale/src/experiments/services.rs
+++ b/crates/scale/src/experiments/services.rs
@@ -82,8 +82,9 @@
         results.extend(cost.measurements("one_changed"));
 
         let mut table = RouteTable::start(&text)?;
-        let paths: Vec<String> =
-            (0..size).map(|number| format!("/{}/episodes", service_name(number as u32))).collect();
+        let paths: Vec<String> = (0..size)
+            .map(|number| format!("/{}/episodes", service_name(number as u32)))
+            .collect();
         let ((), cost) = measure(|| {
             for number in 0..LOOK_UPS {
                 let path = &paths[(number % size) as usize];
--- a/crates/scale/src/experiments/tenants.rs
+++ b/crates/scale/src/experiments/tenants.rs
@@ -40,7 +40,11 @@
 }
 
 /// Each of these tenants sends one command, spread evenly over a time.
-fn round(ingress: &SimulatedIngress, tenants: u64, milliseconds: f64) -> Result<(), ExperimentError> {
+fn round(
+    ingress: &SimulatedIngress,
+    tenants: u64,
+    milliseconds: f64,
+) -> Result<(), ExperimentError> {
     let steps = (milliseconds / STEP_MS).ceil() as u64;
     let mut sent = 0;
     for step in 1..=steps {
@@ -91,7 +95,11 @@
         met?;
         results.extend(known.measurements("known"));
         let refused = ingress.traffic().refused - before.refused;
-        results.push(Measurement::counted("known_refused", Unit::Count, refused as f64));
+        results.push(Measurement::counted(
+            "known_refused",
+            Unit::Count,
+            refused as f64,
+        ));
         let waited = idle_seconds(&ingress);
         results.extend(waited.each(IDLE_SECONDS).effort("idle_second"));
 
@@ -101,13 +109,25 @@
         let after = ingress.traffic();
         results.extend(active.measurements("active_second"));
         let calls = after.counter_calls - before.counter_calls;
-        results.push(Measurement::counted("active_second_counter_calls", Unit::Messages, calls as f64));
+        results.push(Measurement::counted(
+            "active_second_counter_calls",
+            Unit::Messages,
+            calls as f64,
+        ));
         let refused = after.refused - before.refused;
-        results.push(Measurement::counted("active_second_refused", Unit::Count, refused as f64));
+        results.push(Measurement::counted(
+            "active_second_refused",
+            Unit::Count,
+            refused as f64,
+        ));
 
         let ((), idle) = measure(|| ingress.advance(FORGOTTEN_MS));
         let kept = known.heap + waited.heap + active.heap + idle.heap;
-        results.push(Measurement::counted("kept_after_idle_heap", Unit::Bytes, kept as f64));
+        results.push(Measurement::counted(
+            "kept_after_idle_heap",
+            Unit::Bytes,
+            kept as f64,
+        ));
         Ok(results)
     }
 }
@@ -146,7 +166,11 @@
         let kept = come.heap + idle.heap;
         let refused = ingress.traffic().refused - before.refused;
         let mut results = come.measurements("come").to_vec();
-        results.push(Measurement::counted("kept_after_idle_heap", Unit::Bytes, kept as f64));
+        results.push(Measurement::counted(
+            "kept_after_idle_heap",
+            Unit::Bytes,
+            kept as f64,
+        ));
         results.push(Measurement::counted("refused", Unit::Count, refused as f64));
         Ok(results)
     }
--- a/crates/scale/src/experiments/traffic.rs
+++ b/crates/scale/src/experiments/traffic.rs
@@ -33,12 +33,23 @@
     of_plan(platform, UNMETERED_TENANT, id, UNMETERED)
 }
 
-fn of_plan(platform: &Platform, tenant: u64, id: u64, plan: &str) -> Result<Command, ExperimentError> {
+fn of_plan(
+    platform: &Platform,
+    tenant: u64,
+    id: u64,
+    plan: &str,
+) -> Result<Command, ExperimentError> {
     let ingresses = platform.module.gateways;
     let (spread, first) = (SPREAD.min(ingresses), tenant % u64::from(ingresses));
     let terms = format!("c=bulk-fetch,t={plan},d=1000,units=1,spread={spread},first={first}");
-    Command::new(platform, &format!("{tenant:016x}"), &id.to_string(), terms, None)
-        .map_err(|e| ExperimentError::Refused(e.to_string()))
+    Command::new(
+        platform,
+        &format!("{tenant:016x}"),
+        &id.to_string(),
+        terms,
+        None,
+    )
+    .map_err(|e| ExperimentError::Refused(e.to_string()))
 }
 
 /// What it costs to accept one command without a quota and to choose a backend for it.
@@ -68,5 +79,8 @@
 
 /// What an idle second costs: timers alone.
 pub fn idle_cost(ingress: &SimulatedIngress) -> Vec<Measurement> {
-    idle_seconds(ingress).each(IDLE_SECONDS).effort("idle_second").to_vec()
+    idle_seconds(ingress)
+        .each(IDLE_SECONDS)
+        .effort("idle_second")
+        .to_vec()
 }
--- a/crates/scale/src/experiments/zones.rs
+++ b/crates/scale/src/experiments/zones.rs
@@ -37,7 +37,11 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let zones = size as u32;
         let fleet = Fleet::new(BACKENDS, zones, 1, seed);
-        let config = Deployment { zones, ..Deployment::TARGET }.config()?;
+        let config = Deployment {
+            zones,
+            ..Deployment::TARGET
+        }
+        .config()?;
         let ingress = SimulatedIngress::new(&config, seed)?;
         let mut results = Vec::new();
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -51,11 +51,21 @@
         if points.iter().all(|(size, _)| *size == points[0].0) {
             return Err(FitError::OneSize);
         }
-        let rows: Vec<f64> = points.iter().flat_map(|(size, value)| [*value, 1.0, *size]).collect();
+        let rows: Vec<f64> = points
+            .iter()
+            .flat_map(|(size, value)| [*value, 1.0, *size])
+            .collect();
         let model = fit_low_level_regression_model(&rows, points.len(), COLUMNS)?;
         let (parameters, errors) = (model.parameters(), model.se());
-        let largest = points.iter().map(|(_, value)| value.abs()).fold(0.0, f64::max);
-        let furthest = model.residuals().iter().map(|residual| residual.abs()).fold(0.0, f64::max);
+        let largest = points
+            .iter()
+            .map(|(_, value)| value.abs())
+            .fold(0.0, f64::max);
+        let furthest = model
+            .residuals()
+            .iter()
+            .map(|residual| residual.abs())
+            .fold(0.0, f64::max);
         Ok(Line {
             intercept: parameters[0],
             slope: parameters[1],
--- a/crates/scale/src/hollow/cpu.rs
+++ b/crates/scale/src/hollow/cpu.rs
@@ -19,9 +19,13 @@
 impl CpuTimer {
     /// A timer whose own cost has been measured on this thread.
     pub fn calibrated() -> CpuTimer {
-        let bare = CpuTimer { overhead: Duration::ZERO };
+        let bare = CpuTimer {
+            overhead: Duration::ZERO,
+        };
         let total: Duration = (0..READINGS).map(|_| bare.end(bare.begin())).sum();
-        CpuTimer { overhead: total / READINGS }
+        CpuTimer {
+            overhead: total / READINGS,
+        }
     }
 
     /// Begins a piece of work.
--- a/crates/scale/src/hollow/gateways/backend.rs
+++ b/crates/scale/src/hollow/gateways/backend.rs
@@ -54,7 +54,9 @@
 
     /// It has ended; its connection is kept where it was a sound one.
     pub(super) fn ended(&mut self, now_ms: f64, ingress: usize, keeps: bool) {
-        let Some(pool) = self.pools.get_mut(&ingress) else { return };
+        let Some(pool) = self.pools.get_mut(&ingress) else {
+            return;
+        };
         pool.busy -= 1;
         if keeps {
             pool.idle_since_ms.push(now_ms);
@@ -77,7 +79,11 @@
         self.pools.values_mut().for_each(|pool| pool.retire(now_ms));
         Seen {
             ingresses: self.pools.len(),
-            connections: self.pools.values().map(|pool| pool.busy + pool.idle_since_ms.len()).sum(),
+            connections: self
+                .pools
+                .values()
+                .map(|pool| pool.busy + pool.idle_since_ms.len())
+                .sum(),
             opened: self.opened,
             attempts: self.attempts,
             probes: self.probes,
@@ -88,6 +94,7 @@
 
 impl Pool {
     fn retire(&mut self, now_ms: f64) {
-        self.idle_since_ms.retain(|since| now_ms - since < RETIRE_MS);
+        self.idle_since_ms
+            .retain(|since| now_ms - since < RETIRE_MS);
     }
 }
--- a/crates/scale/src/hollow/gateways/mod.rs
+++ b/crates/scale/src/hollow/gateways/mod.rs
@@ -76,9 +76,23 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival,
-    AttemptEnds { ingress: usize, backend: u32, command: CommandId, attempt: u32, outcome: Outcome },
-    CounterAnswers { ingress: usize, name: u64, total: f64 },
-    ProbeEnds { ingress: usize, backend: u32, outcome: Outcome },
+    AttemptEnds {
+        ingress: usize,
+        backend: u32,
+        command: CommandId,
+        attempt: u32,
+        outcome: Outcome,
+    },
+    CounterAnswers {
+        ingress: usize,
+        name: u64,
+        total: f64,
+    },
+    ProbeEnds {
+        ingress: usize,
+        backend: u32,
+        outcome: Outcome,
+    },
     Wake(usize),
 }
 
@@ -126,7 +140,12 @@
             let mut facade = Facade::new(settings, seed)?;
             facade.report(now, Report::Names(ListKind::Full, backends.clone()));
             let attempts = HashMap::new();
-            fleet.ingresses.push(Ingress { facade, next_command: 1, attempts, wake_ms: f64::INFINITY });
+            fleet.ingresses.push(Ingress {
+                facade,
+                next_command: 1,
+                attempts,
+                wake_ms: f64::INFINITY,
+            });
             fleet.settle(position as usize);
         }
         fleet.schedule.after(0.0, Event::Arrival);
@@ -149,24 +168,48 @@
     /// What each backend sees now.
     pub fn seen(&mut self) -> Vec<Seen> {
         let now = self.schedule.now_ms();
-        self.backends.iter_mut().map(|backend| backend.seen(now)).collect()
+        self.backends
+            .iter_mut()
+            .map(|backend| backend.seen(now))
+            .collect()
     }
 
     fn take(&mut self, event: Event) {
         let now = self.schedule.now_ms();
         match event {
             Event::Arrival => self.arrive(),
-            Event::AttemptEnds { ingress, backend, command, attempt, outcome } => {
+            Event::AttemptEnds {
+                ingress,
+                backend,
+                command,
+                attempt,
+                outcome,
+            } => {
                 self.backends[backend as usize].ended(now, ingress, outcome == Outcome::Ok);
                 let finished = outcome == Outcome::Ok;
                 let (load, cost) = (Vec::new(), None);
-                let end = Ended { command, attempt, outcome, finished, load, cost };
+                let end = Ended {
+                    command,
+                    attempt,
+                    outcome,
+                    finished,
+                    load,
+                    cost,
+                };
                 self.report(ingress, Report::Ended(end));
             }
-            Event::CounterAnswers { ingress, name, total } => {
+            Event::CounterAnswers {
+                ingress,
+                name,
+                total,
+            } => {
                 self.report(ingress, Report::Counted(name, Outcome::Ok, total));
             }
-            Event::ProbeEnds { ingress, backend, outcome } => {
+            Event::ProbeEnds {
+                ingress,
+                backend,
+                outcome,
+            } => {
                 self.report(ingress, Report::Probed(backend, outcome, Vec::new()));
             }
             Event::Wake(ingress) => {
@@ -193,7 +236,8 @@
         let all = self.plan.ingresses;
         let first = (tenant % u64::from(all)) as u32;
         let spread = self.plan.spread.min(all);
-        let ingress = ((first + self.random.rand_range(0..u64::from(spread)) as u32) % all) as usize;
+        let ingress =
+            ((first + self.random.rand_range(0..u64::from(spread)) as u32) % all) as usize;
         let ask = Ask {
             class: 0,
             plan: 0,
@@ -207,7 +251,9 @@
         self.counts.requests += 1;
         let command = self.ingresses[ingress].next_command;
         self.ingresses[ingress].next_command += 1;
-        let verdict = self.ingresses[ingress].facade.pick(now, command, &ask, now + PATIENCE_MS);
+        let verdict = self.ingresses[ingress]
+            .facade
+            .pick(now, command, &ask, now + PATIENCE_MS);
         self.carry_out(ingress, command, verdict);
         self.settle(ingress);
     }
@@ -224,7 +270,12 @@
             }
         }
         let of = &mut self.ingresses[ingress];
-        if let Some(due) = of.facade.next_due().map(|due| due + ROUNDING_MS).filter(|due| *due < of.wake_ms) {
+        if let Some(due) = of
+            .facade
+            .next_due()
+            .map(|due| due + ROUNDING_MS)
+            .filter(|due| *due < of.wake_ms)
+        {
             of.wake_ms = due;
             self.schedule.at(due, Event::Wake(ingress));
         }
@@ -250,7 +301,13 @@
         let now = self.schedule.now_ms();
         self.backends[backend as usize].begun(now, ingress);
         let outcome = self.outcome(backend);
-        let ends = Event::AttemptEnds { ingress, backend, command, attempt, outcome };
+        let ends = Event::AttemptEnds {
+            ingress,
+            backend,
+            command,
+            attempt,
+            outcome,
+        };
         self.schedule.after(SERVICE_MS, ends);
     }
 
@@ -261,7 +318,14 @@
                 self.counts.probes += 1;
                 self.backends[backend as usize].probed(ingress);
                 let outcome = self.outcome(backend);
-                self.schedule.after(SERVICE_MS, Event::ProbeEnds { ingress, backend, outcome });
+                self.schedule.after(
+                    SERVICE_MS,
+                    Event::ProbeEnds {
+                        ingress,
+                        backend,
+                        outcome,
+                    },
+                );
             }
             Errand::Cancel(..) | Errand::Follow => {}
         }
@@ -271,7 +335,11 @@
         self.counts.counter_calls += 1;
         let total = self.totals.entry(add.name).or_insert(0.0);
         *total += add.amount;
-        let answer = Event::CounterAnswers { ingress, name: add.name, total: *total };
+        let answer = Event::CounterAnswers {
+            ingress,
+            name: add.name,
+            total: *total,
+        };
         self.schedule.after(COUNTER_MS, answer);
     }
 
@@ -291,5 +359,13 @@
 
 fn entry(host: u32) -> HostEntry {
     let state = HostState::Ready;
-    HostEntry { host, zone: 0, cell: 0, state, size: 1.0, started: 0.0, pools: ALL_HOSTS }
+    HostEntry {
+        host,
+        zone: 0,
+        cell: 0,
+        state,
+        size: 1.0,
+        started: 0.0,
+        pools: ALL_HOSTS,
+    }
 }
--- a/crates/scale/src/hollow/group/change.rs
+++ b/crates/scale/src/hollow/group/change.rs
@@ -40,13 +40,27 @@
 
     /// A call has ended, at this place of the log; so many followers lack that place. One that changed nothing is
     /// forgotten.
-    pub(super) fn agreed(&mut self, now_ms: f64, call: Call, outcome: Outcome, index: u64, lacking: usize) {
-        let Some(asked_at_ms) = self.asked.remove(&call) else { return };
+    pub(super) fn agreed(
+        &mut self,
+        now_ms: f64,
+        call: Call,
+        outcome: Outcome,
+        index: u64,
+        lacking: usize,
+    ) {
+        let Some(asked_at_ms) = self.asked.remove(&call) else {
+            return;
+        };
         if !matches!(outcome, Outcome::Done | Outcome::Written(_)) {
             return;
         }
         let agreed_ms = now_ms - asked_at_ms;
-        self.agreed.push(Agreed { index, asked_at_ms, agreed_ms, lacking });
+        self.agreed.push(Agreed {
+            index,
+            asked_at_ms,
+            agreed_ms,
+            lacking,
+        });
         self.settle(now_ms);
     }
 
@@ -62,9 +76,10 @@
 
     fn settle(&mut self, now_ms: f64) {
         let done = self.agreed.extract_if(.., |change| change.lacking == 0);
-        self.delays.extend(
-            done.map(|change| Delay { agreed_ms: change.agreed_ms, last_ms: now_ms - change.asked_at_ms }),
-        );
+        self.delays.extend(done.map(|change| Delay {
+            agreed_ms: change.agreed_ms,
+            last_ms: now_ms - change.asked_at_ms,
+        }));
     }
 
     /// Whether nothing is under way.
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -26,7 +26,10 @@
     pub(super) fn new(name: &str, origin: u64, members: &[String], now_ms: f64) -> HollowFollower {
         let members = members.iter().map(String::as_str);
         let follower = Follower::new(name, origin, members, Copy::default(), now_ms);
-        HollowFollower { follower, view: View::default() }
+        HollowFollower {
+            follower,
+            view: View::default(),
+        }
     }
 
     /// A member of this group has welcomed it.
@@ -36,7 +39,9 @@
 
     /// Takes in what its member has sent; false: it was no frame.
     pub(super) fn hear(&mut self, now_ms: f64, bytes: &[u8]) -> bool {
-        let Some(frame) = decode(bytes) else { return false };
+        let Some(frame) = decode(bytes) else {
+            return false;
+        };
         self.follower.hear(now_ms, frame);
         true
     }
@@ -55,7 +60,12 @@
         if wants == Wants::Nothing && !connecting && !self.follower.is_up() && now_ms >= due {
             wants = Wants::Connect(member.into());
         }
-        let frames = self.follower.frames().iter().map(driftgap_group::Frame::bytes).collect();
+        let frames = self
+            .follower
+            .frames()
+            .iter()
+            .map(driftgap_group::Frame::bytes)
+            .collect();
         if self.follower.changed() {
             self.update_view();
         }
@@ -74,7 +84,11 @@
 
     /// Whether what its ingress sees has this instance as out, and documents of this number.
     pub fn holds(&self, instance: &str, number: u64) -> bool {
-        let numbered = self.view.documents.values().any(|document| document.number == number);
+        let numbered = self
+            .view
+            .documents
+            .values()
+            .any(|document| document.number == number);
         self.view.out.contains(instance) && numbered
     }
 
--- a/crates/scale/src/hollow/group/link.rs
+++ b/crates/scale/src/hollow/group/link.rs
@@ -44,7 +44,12 @@
 
 impl Link {
     pub(super) fn new(from: Node, to: Node, now_ms: f64) -> Link {
-        Link { from, to, written_ms: now_ms, arrival_ms: now_ms }
+        Link {
+            from,
+            to,
+            written_ms: now_ms,
+            arrival_ms: now_ms,
+        }
     }
 
     /// Whether nothing has been sent for so long that it is to say that it is there.
@@ -84,7 +89,13 @@
 
     /// Sends something that keeps the interface busy for so long, and is on its way for so long; when it arrives. None:
     /// the link has ended.
-    pub(super) fn send(&mut self, id: LinkId, now_ms: f64, busy_ms: f64, delay_ms: f64) -> Option<f64> {
+    pub(super) fn send(
+        &mut self,
+        id: LinkId,
+        now_ms: f64,
+        busy_ms: f64,
+        delay_ms: f64,
+    ) -> Option<f64> {
         let link = self.links.get_mut(&id)?;
         let free = self.free_ms.entry(link.from).or_insert(now_ms);
         *free = free.max(now_ms) + busy_ms;
--- a/crates/scale/src/hollow/group/member.rs
+++ b/crates/scale/src/hollow/group/member.rs
@@ -28,7 +28,12 @@
 
 impl HollowMember {
     pub(super) fn new(name: &str, peer: Peer) -> HollowMember {
-        HollowMember { name: name.into(), peer, view: View::default(), writing: false }
+        HollowMember {
+            name: name.into(),
+            peer,
+            view: View::default(),
+            writing: false,
+        }
     }
 
     /// The member itself; none: it has not been let in yet.
@@ -38,14 +43,18 @@
 
     /// Takes in what another member has sent; false: it was no frame.
     pub(super) fn hear(&mut self, now_ms: f64, from: &str, id: u64, bytes: &[u8]) -> bool {
-        let Some(frame) = decode(bytes) else { return false };
+        let Some(frame) = decode(bytes) else {
+            return false;
+        };
         self.peer.hear(now_ms, from, id, frame);
         true
     }
 
     /// Takes in what a follower has sent; false: it was no frame, or there is nothing to follow.
     pub(super) fn hear_follower(&mut self, now_ms: f64, connection: u64, bytes: &[u8]) -> bool {
-        let Some(frame) = decode(bytes) else { return false };
+        let Some(frame) = decode(bytes) else {
+            return false;
+        };
         self.peer.hear_follower(now_ms, connection, frame)
     }
 
@@ -60,7 +69,9 @@
         let mut turn = Turn::default();
         self.peer.pass(now_ms);
         while !self.writing {
-            let Some(job) = self.peer.job(now_ms) else { break };
+            let Some(job) = self.peer.job(now_ms) else {
+                break;
+            };
             if job == Job::Write(Box::default()) {
                 self.peer.done(now_ms)?;
             } else {
@@ -68,9 +79,15 @@
             }
         }
         let frames = self.peer.frames(now_ms);
-        turn.to_members = frames.into_iter().map(|(to, frame)| (to, frame.bytes())).collect();
+        turn.to_members = frames
+            .into_iter()
+            .map(|(to, frame)| (to, frame.bytes()))
+            .collect();
         let frames = self.peer.to_followers(now_ms);
-        turn.to_followers = frames.into_iter().map(|(to, frame)| (to, frame.bytes())).collect();
+        turn.to_followers = frames
+            .into_iter()
+            .map(|(to, frame)| (to, frame.bytes()))
+            .collect();
         turn.events = self.peer.events(now_ms);
         if turn.events.contains(&Event::Changed) {
             self.update_view();
@@ -80,7 +97,9 @@
 
     /// Keeps what the rest of the ingress sees of the group, as the group's thread does.
     fn update_view(&mut self) {
-        let Some(member) = self.peer.member() else { return };
+        let Some(member) = self.peer.member() else {
+            return;
+        };
         let state = member.state();
         if !self.view.out.iter().eq(state.out.keys()) {
             self.view.out = Arc::new(state.out.keys().cloned().collect());
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -13,8 +13,8 @@
 use super::{CpuTimer, Schedule, Traffic, Wire};
 use change::Changes;
 use driftgap_group::{
-    Event as MemberEvent, Frame, Hello, Loaded, Lost, Member, Peer, Role, Settings, Standing, Welcome, Wish,
-    FORMS,
+    Event as MemberEvent, Frame, Hello, Loaded, Lost, Member, Peer, Role, Settings, Standing,
+    Welcome, Wish, FORMS,
 };
 use follower::Wants;
 use link::{Link, LinkId, Links, Node};
@@ -151,8 +151,11 @@
 
     fn empty(members: usize, followers: usize, seed: u64) -> Result<GroupWorld, WorldError> {
         let names: Vec<String> = (0..members).map(|index| format!("m{index}")).collect();
-        let addresses: BTreeMap<String, String> =
-            names.iter().enumerate().map(|(index, name)| (name.clone(), address(index))).collect();
+        let addresses: BTreeMap<String, String> = names
+            .iter()
+            .enumerate()
+            .map(|(index, name)| (name.clone(), address(index)))
+            .collect();
         let schedule = Schedule::new(1000.0);
         let now = schedule.now_ms();
         let mut world = GroupWorld {
@@ -181,7 +184,11 @@
             settings.seed = seed ^ (index as u64) << 8;
             let nonce = world.random.rand_u64();
             let peer = match index {
-                0 => Peer::sitting(settings, Loaded::first(GROUP, name, &address(0), nonce), now)?,
+                0 => Peer::sitting(
+                    settings,
+                    Loaded::first(GROUP, name, &address(0), nonce),
+                    now,
+                )?,
                 _ => Peer::waiting(settings, nonce),
             };
             world.members.push(HollowMember::new(name, peer));
@@ -240,7 +247,9 @@
     /// # Errors
     /// They are not within so long, ms.
     pub fn run_until_in_force(&mut self, within_ms: f64) -> Result<(), WorldError> {
-        self.run_until("a change at every follower", within_ms, |world| world.changes.all_in_force())
+        self.run_until("a change at every follower", within_ms, |world| {
+            world.changes.all_in_force()
+        })
     }
 
     /// Whether all members vote under one leader and nobody's place is being changed.
@@ -258,7 +267,10 @@
 
     fn all_follow(&self) -> bool {
         self.connections.iter().all(Option::is_some)
-            && self.followers.iter().all(|follower| follower.copy().applied > 0)
+            && self
+                .followers
+                .iter()
+                .all(|follower| follower.copy().applied > 0)
     }
 
     /// The member that leads.
@@ -267,7 +279,10 @@
     /// None does.
     pub fn leader(&self) -> Result<usize, WorldError> {
         let leads = |m: &HollowMember| m.member().is_some_and(Member::leads);
-        self.members.iter().position(leads).ok_or(WorldError::NoLeader)
+        self.members
+            .iter()
+            .position(leads)
+            .ok_or(WorldError::NoLeader)
     }
 
     /// Asks the leader for a change.
@@ -277,7 +292,10 @@
     pub fn ask(&mut self, wish: Wish) -> Result<(), WorldError> {
         let now = self.now_ms();
         let leader = self.leader()?;
-        let member = self.members[leader].peer.member_mut().ok_or(WorldError::NoLeader)?;
+        let member = self.members[leader]
+            .peer
+            .member_mut()
+            .ok_or(WorldError::NoLeader)?;
         let number = member.ask(now, wish)?;
         self.changes.asked(now, (leader, number));
         self.member_turn(leader)
@@ -289,7 +307,10 @@
     /// There is none.
     pub fn state(&self) -> Result<&driftgap_group::State, WorldError> {
         let leader = self.leader()?;
-        self.members[leader].member().map(Member::state).ok_or(WorldError::NoLeader)
+        self.members[leader]
+            .member()
+            .map(Member::state)
+            .ok_or(WorldError::NoLeader)
     }
 
     /// What each member has sent, received and computed.
@@ -304,7 +325,13 @@
 
     /// How many follow each member.
     pub fn followers_by_member(&self) -> Vec<usize> {
-        let count = |member| self.connections.iter().flatten().filter(|c| c.member == member).count();
+        let count = |member| {
+            self.connections
+                .iter()
+                .flatten()
+                .filter(|c| c.member == member)
+                .count()
+        };
         (0..self.members.len()).map(count).collect()
     }
 
@@ -327,11 +354,13 @@
         let now = self.now_ms();
         match event {
             Event::MemberTick(index) => {
-                self.schedule.after(MEMBER_TICK_MS, Event::MemberTick(index));
+                self.schedule
+                    .after(MEMBER_TICK_MS, Event::MemberTick(index));
                 self.member_turn(index)
             }
             Event::FollowerTick(index) => {
-                self.schedule.after(FOLLOWER_TICK_MS, Event::FollowerTick(index));
+                self.schedule
+                    .after(FOLLOWER_TICK_MS, Event::FollowerTick(index));
                 self.follower_turn(index);
                 Ok(())
             }
@@ -352,7 +381,9 @@
     }
 
     fn arrive(&mut self, id: LinkId, bytes: &[u8]) -> Result<(), WorldError> {
-        let Some(link) = self.links.get(id) else { return Ok(()) };
+        let Some(link) = self.links.get(id) else {
+            return Ok(());
+        };
         let (from, to) = (link.from, link.to);
         self.load(to).received.count(bytes.len());
         match (from, to) {
@@ -376,8 +407,15 @@
         }
     }
 
-    fn member_hears_follower(&mut self, from: usize, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
-        let Some(connection) = self.connections[from] else { return Ok(()) };
+    fn member_hears_follower(
+        &mut self,
+        from: usize,
+        to: usize,
+        bytes: &[u8],
+    ) -> Result<(), WorldError> {
+        let Some(connection) = self.connections[from] else {
+            return Ok(());
+        };
         let now = self.now_ms();
         let span = self.timer.begin();
         let read = self.members[to].hear_follower(now, connection.down.number(), bytes);
@@ -420,7 +458,9 @@
         self.largest_burst = self.largest_burst.max(burst as u64);
         for (name, bytes) in turn.to_members {
             let to = self.members.iter().position(|member| member.name == name);
-            let link = to.and_then(|to| self.member_links.get(&(index, to))).copied();
+            let link = to
+                .and_then(|to| self.member_links.get(&(index, to)))
+                .copied();
             if let Some(link) = link {
                 self.send(link, bytes);
             }
@@ -436,8 +476,13 @@
         let applied = self.members[index].member().map_or(0, Member::applied);
         for event in events {
             if let MemberEvent::Done(number, outcome) = event {
-                let lacking = self.followers.iter().filter(|f| f.copy().applied < applied).count();
-                self.changes.agreed(now, (index, *number), *outcome, applied, lacking);
+                let lacking = self
+                    .followers
+                    .iter()
+                    .filter(|f| f.copy().applied < applied)
+                    .count();
+                self.changes
+                    .agreed(now, (index, *number), *outcome, applied, lacking);
             }
         }
     }
@@ -458,7 +503,9 @@
             }
         }
         if let Some(connection) = self.connections[index] {
-            frames.into_iter().for_each(|bytes| self.send(connection.up, bytes));
+            frames
+                .into_iter()
+                .for_each(|bytes| self.send(connection.up, bytes));
         }
     }
 
@@ -466,14 +513,23 @@
     fn greet(&mut self, follower: usize, member: usize) {
         self.connecting[follower] = true;
         let name = &self.members[member].name;
-        let hello = Hello::new(FORMS.1, 0, 0, &format!("f{follower}"), name).bytes().len();
-        let welcome = Welcome { form: FORMS.1, group: GROUP, id: member as u64 + 1 }.bytes().len();
+        let hello = Hello::new(FORMS.1, 0, 0, &format!("f{follower}"), name)
+            .bytes()
+            .len();
+        let welcome = Welcome {
+            form: FORMS.1,
+            group: GROUP,
+            id: member as u64 + 1,
+        }
+        .bytes()
+        .len();
         self.follower_loads[follower].sent.count(hello);
         self.member_loads[member].received.count(hello);
         self.member_loads[member].sent.count(welcome);
         self.follower_loads[follower].received.count(welcome);
         let delay = self.wire.delay() + self.wire.delay();
-        self.schedule.after(delay, Event::Welcomed { follower, member });
+        self.schedule
+            .after(delay, Event::Welcomed { follower, member });
     }
 
     fn connect(&mut self, follower: usize, member: usize) {
@@ -487,8 +543,12 @@
     }
 
     fn disconnect(&mut self, follower: usize) {
-        let Some(connection) = self.connections[follower].take() else { return };
-        self.members[connection.member].peer.follower_gone(connection.down.number());
+        let Some(connection) = self.connections[follower].take() else {
+            return;
+        };
+        self.members[connection.member]
+            .peer
+            .follower_gone(connection.down.number());
         self.links.close(connection.up);
         self.links.close(connection.down);
     }
@@ -504,7 +564,9 @@
     /// Says that a link is there, if nothing has been sent over it for long enough.
     fn keep_alive(&mut self, id: LinkId) {
         let now = self.now_ms();
-        let Some(link) = self.links.get(id) else { return };
+        let Some(link) = self.links.get(id) else {
+            return;
+        };
         if link.is_idle(now) {
             self.send(id, Frame::Idle.bytes());
         }
@@ -516,7 +578,9 @@
     fn send(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now_ms();
         let (busy, delay) = (self.wire.busy_ms(bytes.len()), self.wire.delay());
-        let Some(arrival) = self.links.send(id, now, busy, delay) else { return };
+        let Some(arrival) = self.links.send(id, now, busy, delay) else {
+            return;
+        };
         if let Some(from) = self.links.get(id).map(|link| link.from) {
             self.load(from).sent.count(bytes.len());
         }
--- a/crates/scale/src/hollow/schedule.rs
+++ b/crates/scale/src/hollow/schedule.rs
@@ -16,7 +16,11 @@
 impl<E> Schedule<E> {
     /// An empty schedule at this time, ms.
     pub fn new(now_ms: f64) -> Schedule<E> {
-        Schedule { now: to_micros(now_ms), next: 0, events: BTreeMap::new() }
+        Schedule {
+            now: to_micros(now_ms),
+            next: 0,
+            events: BTreeMap::new(),
+        }
     }
 
     /// The time now, ms.
--- a/crates/scale/src/hollow/wire.rs
+++ b/crates/scale/src/hollow/wire.rs
@@ -20,7 +20,10 @@
 
     /// What came in after an earlier reading.
     pub fn since(self, earlier: Traffic) -> Traffic {
-        Traffic { messages: self.messages - earlier.messages, bytes: self.bytes - earlier.bytes }
+        Traffic {
+            messages: self.messages - earlier.messages,
+            bytes: self.bytes - earlier.bytes,
+        }
     }
 }
 
@@ -37,7 +40,11 @@
 impl Wire {
     /// One millisecond on a network of one zone to the next, at 1 Gbit/s a machine.
     pub fn new(seed: u64) -> Wire {
-        Wire { delay_ms: (0.2, 2.0), bytes_per_ms: 125_000.0, random: Rand64::new(seed.into()) }
+        Wire {
+            delay_ms: (0.2, 2.0),
+            bytes_per_ms: 125_000.0,
+            random: Rand64::new(seed.into()),
+        }
     }
 
     /// A number from 0 up to 1, from the wire's own source.
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -45,7 +45,10 @@
 
 impl Deployment {
     /// The target size: 2,500 ingresses in 3 regions with 7 zones each.
-    pub const TARGET: Deployment = Deployment { ingresses: 2500, zones: 21 };
+    pub const TARGET: Deployment = Deployment {
+        ingresses: 2500,
+        zones: 21,
+    };
 
     /// The name of a zone by its number.
     pub fn zone(number: u32) -> String {
@@ -58,7 +61,8 @@
     /// The settings make no sense.
     pub fn config(&self) -> Result<Config, ExperimentError> {
         let wrong = |e: &dyn std::fmt::Display| ExperimentError::Settings(e.to_string());
-        let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).map_err(|e| wrong(&e))?;
+        let mut settings: serde_json::Value =
+            serde_json::from_str(SETTINGS).map_err(|e| wrong(&e))?;
         settings["balancers"] = self.ingresses.into();
         settings["zones"] = (0..self.zones).map(Deployment::zone).collect();
         let config = serde_json::json!({"listen": "127.0.0.1:1", "settings": settings});
@@ -125,7 +129,11 @@
 
     fn due_call(&self, now: f64) -> Option<Add> {
         let mut calls = self.calls.borrow_mut();
-        calls.front().is_some_and(|(due, _)| *due <= now).then(|| calls.pop_front())?.map(|(_, add)| add)
+        calls
+            .front()
+            .is_some_and(|(due, _)| *due <= now)
+            .then(|| calls.pop_front())?
+            .map(|(_, add)| add)
     }
 
     /// Adds to a number on the counter; its total.
@@ -184,13 +192,22 @@
     /// # Errors
     /// The settings make no sense.
     pub fn new(config: &Config, seed: u64) -> Result<SimulatedIngress, ExperimentError> {
-        let config = Config { seed, ..config.clone() };
+        let config = Config {
+            seed,
+            ..config.clone()
+        };
         let hub = Hub::new(&config, MEMORY_MB, None, Clock::fixed(START_MS), true);
         let hub = hub.map_err(|e| ExperimentError::Settings(e.to_string()))?;
         let peers = Peers::new();
-        let (network, client): (Rc<dyn Network>, Rc<dyn ServiceClient>) = (peers.clone(), peers.clone());
+        let (network, client): (Rc<dyn Network>, Rc<dyn ServiceClient>) =
+            (peers.clone(), peers.clone());
         hub.carried_by(&network);
-        Ok(SimulatedIngress { hub, peers, network, client })
+        Ok(SimulatedIngress {
+            hub,
+            peers,
+            network,
+            client,
+        })
     }
 
     /// The shared state of the ingress.
@@ -226,7 +243,11 @@
     /// # Errors
     /// It is no list.
     pub fn take_list(&self, body: Vec<u8>) -> Result<(), ExperimentError> {
-        let answer = HttpAnswer { status: 200, body, close: false };
+        let answer = HttpAnswer {
+            status: 200,
+            body,
+            close: false,
+        };
         discovery::take(&self.hub, &answer).map_err(ExperimentError::Refused)?;
         Ok(())
     }
@@ -238,18 +259,24 @@
     pub fn put_rules(&self, text: &str) -> Result<(), ExperimentError> {
         let source = Source::file(RULES_FILE.into(), MEMORY_MB);
         let in_force = self.hub.rules();
-        let rules =
-            source.judge(text, &catalog(self.hub.platform()), in_force.as_ref()).map_err(|faults| {
-                let first = faults.first().map_or(String::new(), |fault| fault.line.clone());
+        let rules = source
+            .judge(text, &catalog(self.hub.platform()), in_force.as_ref())
+            .map_err(|faults| {
+                let first = faults
+                    .first()
+                    .map_or(String::new(), |fault| fault.line.clone());
                 ExperimentError::Refused(first)
             })?;
-        self.hub.put_rules(rules).map_err(|e| ExperimentError::Refused(e.to_string()))?;
+        self.hub
+            .put_rules(rules)
+            .map_err(|e| ExperimentError::Refused(e.to_string()))?;
         Ok(())
     }
 
     /// Takes a command; its answer comes with time.
     pub fn arrive(&self, command: Command) {
-        self.hub.arrive(command, self.client.clone(), 0, Vec::new(), |_| {});
+        self.hub
+            .arrive(command, self.client.clone(), 0, Vec::new(), |_| {});
     }
 
     /// Lets time pass: timers come due and peers answer.
@@ -274,11 +301,16 @@
         let now = self.hub.now();
         while let Some(add) = self.peers.due_call(now) {
             let total = self.peers.add(add);
-            self.hub.with_core(|core, now| core.counted(now, add.name, Outcome::Ok, total));
+            self.hub
+                .with_core(|core, now| core.counted(now, add.name, Outcome::Ok, total));
         }
         while let Some(start) = self.peers.due_attempt(now) {
-            let end = End { value: Some(Value::Whole(Vec::new())), ..End::without(Outcome::Ok) };
-            self.hub.with_core(|core, now| core.attempt_ended(now, start.id, start.attempt, end));
+            let end = End {
+                value: Some(Value::Whole(Vec::new())),
+                ..End::without(Outcome::Ok)
+            };
+            self.hub
+                .with_core(|core, now| core.attempt_ended(now, start.id, start.attempt, end));
         }
     }
 }
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -23,7 +23,11 @@
         Machine {
             cores: std::thread::available_parallelism().map_or(1, usize::from),
             memory_bytes: kilobytes(&read("/proc/meminfo"), "MemTotal:") * 1024,
-            load_average: load.split_whitespace().next().and_then(|word| word.parse().ok()).unwrap_or(0.0),
+            load_average: load
+                .split_whitespace()
+                .next()
+                .and_then(|word| word.parse().ok())
+                .unwrap_or(0.0),
         }
     }
 }
@@ -36,9 +40,11 @@
         let text = String::from_utf8(output.stdout).ok()?;
         output.status.success().then(|| text.trim().to_string())
     };
-    let Some(commit) = git(&["rev-parse", "--short=12", "HEAD"]) else { return "unknown".into() };
-    let changed =
-        git(&["status", "--porcelain", "--untracked-files=no"]).is_some_and(|text| !text.is_empty());
+    let Some(commit) = git(&["rev-parse", "--short=12", "HEAD"]) else {
+        return "unknown".into();
+    };
+    let changed = git(&["status", "--porcelain", "--untracked-files=no"])
+        .is_some_and(|text| !text.is_empty());
     if changed {
         format!("{commit}+changes")
     } else {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -135,10 +135,18 @@
 fn write_report(results: &Path, out: Option<PathBuf>, slopes: Option<PathBuf>) -> Result<()> {
     let report = out.unwrap_or_else(|| results.join("report"));
     let slopes = slopes.unwrap_or_else(|| report.clone());
-    let folders = Folders { results: results.into(), report, slopes };
+    let folders = Folders {
+        results: results.into(),
+        report,
+        slopes,
+    };
     let files = report::write(&folders)?;
     println!("{}", folders.report.join(TABLES).display());
-    for slope in files.iter().flat_map(|file| &file.slopes).filter(|slope| !slope.linear) {
+    for slope in files
+        .iter()
+        .flat_map(|file| &file.slopes)
+        .filter(|slope| !slope.linear)
+    {
         println!("not linear: {} {}", slope.experiment, slope.quantity);
     }
     Ok(())
@@ -148,7 +156,11 @@
     let files = PageFiles::of_repository(root);
     if mode.write {
         let changed = files.write()?;
-        println!("{}: {}", files.page.display(), if changed { "written" } else { "unchanged" });
+        println!(
+            "{}: {}",
+            files.page.display(),
+            if changed { "written" } else { "unchanged" }
+        );
     } else {
         files.check()?;
     }
@@ -179,18 +191,50 @@
 
 fn carry_out(action: Action) -> Result<()> {
     match action {
-        Action::Run { experiments, quick, sizes, seed, repeats, out } => {
-            let repeats = repeats.unwrap_or(if quick { REPEATS.1 } else { REPEATS.0 }).max(1);
-            run_all(&experiments, &Plan { quick, sizes, seed, repeats, out })
+        Action::Run {
+            experiments,
+            quick,
+            sizes,
+            seed,
+            repeats,
+            out,
+        } => {
+            let repeats = repeats
+                .unwrap_or(if quick { REPEATS.1 } else { REPEATS.0 })
+                .max(1);
+            run_all(
+                &experiments,
+                &Plan {
+                    quick,
+                    sizes,
+                    seed,
+                    repeats,
+                    out,
+                },
+            )
         }
         Action::List => {
             list();
             Ok(())
         }
-        Action::Report { results, out, slopes } => write_report(&results, out, slopes),
+        Action::Report {
+            results,
+            out,
+            slopes,
+        } => write_report(&results, out, slopes),
         Action::Page { mode, root } => page(&mode, &root),
-        Action::Check { program, followers, seed, out } => check_hollow(program, &followers, seed, &out),
-        Action::Measure { experiment, size, seed, repeat } => measure(&experiment, size, seed, repeat),
+        Action::Check {
+            program,
+            followers,
+            seed,
+            out,
+        } => check_hollow(program, &followers, seed, &out),
+        Action::Measure {
+            experiment,
+            size,
+            seed,
+            repeat,
+        } => measure(&experiment, size, seed, repeat),
     }
 }
 
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -91,8 +91,11 @@
     /// The page as it stands, and as its files give it.
     fn versions(&self) -> Result<(String, String), PageError> {
         let page = read(&self.page)?;
-        let targets = Targets::parse(&read(&self.targets)?)
-            .map_err(|source| PageError::Targets { path: self.targets.clone(), source: Box::new(source) })?;
+        let targets =
+            Targets::parse(&read(&self.targets)?).map_err(|source| PageError::Targets {
+                path: self.targets.clone(),
+                source: Box::new(source),
+            })?;
         let measurements = Measurements::read(&self.measurements)?;
         let rendered = render(&page, &targets, &measurements)?;
         Ok((page, rendered))
@@ -107,8 +110,10 @@
         if page == rendered {
             return Ok(false);
         }
-        std::fs::write(&self.page, rendered)
-            .map_err(|source| PageError::File { path: self.page.clone(), source })?;
+        std::fs::write(&self.page, rendered).map_err(|source| PageError::File {
+            path: self.page.clone(),
+            source,
+        })?;
         Ok(true)
     }
 
@@ -128,7 +133,11 @@
             let (found, expected) = (found.next(), expected.next());
             if found != expected || found.is_none() {
                 let text = |line: Option<&str>| line.unwrap_or("(end of the page)").to_string();
-                return Err(PageError::Stale { line, found: text(found), expected: text(expected) });
+                return Err(PageError::Stale {
+                    line,
+                    found: text(found),
+                    expected: text(expected),
+                });
             }
             line += 1;
         }
@@ -136,7 +145,10 @@
 }
 
 fn read(path: &Path) -> Result<String, PageError> {
-    std::fs::read_to_string(path).map_err(|source| PageError::File { path: path.into(), source })
+    std::fs::read_to_string(path).map_err(|source| PageError::File {
+        path: path.into(),
+        source,
+    })
 }
 
 const BEGIN: &str = "<!-- begin table ";
@@ -152,7 +164,11 @@
 ///
 /// # Errors
 /// A marker without its other half, a table without rows, rows without a table, or a row that cannot be worked out.
-pub fn render(page: &str, targets: &Targets, measurements: &Measurements) -> Result<String, PageError> {
+pub fn render(
+    page: &str,
+    targets: &Targets,
+    measurements: &Measurements,
+) -> Result<String, PageError> {
     let mut rendered = String::new();
     let mut made = Vec::new();
     let mut lines = page.lines();
@@ -161,13 +177,17 @@
         rendered.push('\n');
         let Some(name) = marker(line, BEGIN) else {
             if let Some(name) = marker(line, END) {
-                return Err(PageError::Markers(format!("table {name:?} ends without its begin")));
+                return Err(PageError::Markers(format!(
+                    "table {name:?} ends without its begin"
+                )));
             }
             continue;
         };
         let end = lines.find(|line| marker(line, END).is_some() || marker(line, BEGIN).is_some());
         let Some(end) = end.filter(|end| marker(end, END) == Some(name)) else {
-            return Err(PageError::Markers(format!("table {name:?} begins without its end")));
+            return Err(PageError::Markers(format!(
+                "table {name:?} begins without its end"
+            )));
         };
         rendered.push_str(&table::render(name, targets, measurements)?);
         rendered.push_str(end);
@@ -175,7 +195,9 @@
         made.push(name);
     }
     match targets.tables().find(|table| !made.contains(table)) {
-        Some(table) => Err(PageError::Markers(format!("no place for the rows of table {table:?}"))),
+        Some(table) => Err(PageError::Markers(format!(
+            "no place for the rows of table {table:?}"
+        ))),
         None => Ok(rendered),
     }
 }
--- a/crates/scale/src/page/measurement.rs
+++ b/crates/scale/src/page/measurement.rs
@@ -30,7 +30,10 @@
     }
 
     fn read_folder(&mut self, folder: &Path, prefix: &str) -> Result<(), PageError> {
-        let files = json_files(folder).map_err(|source| PageError::File { path: folder.into(), source })?;
+        let files = json_files(folder).map_err(|source| PageError::File {
+            path: folder.into(),
+            source,
+        })?;
         for path in files {
             let file: SlopeFile = read(&path).map_err(PageError::Measurements)?;
             for mut slope in file.slopes {
@@ -44,18 +47,23 @@
     fn add(&mut self, slope: Slope) -> Result<(), PageError> {
         let name = (slope.experiment.clone(), slope.quantity.clone());
         match self.found.insert(name, slope) {
-            Some(old) => Err(PageError::Doubled { experiment: old.experiment, quantity: old.quantity }),
+            Some(old) => Err(PageError::Doubled {
+                experiment: old.experiment,
+                quantity: old.quantity,
+            }),
             None => Ok(()),
         }
     }
 
     /// One of them.
     pub fn get(&self, experiment: &str, quantity: &str) -> Option<&Slope> {
-        self.found.get(&(experiment.to_string(), quantity.to_string()))
+        self.found
+            .get(&(experiment.to_string(), quantity.to_string()))
     }
 
     /// One of them, if it is of the program as it stands.
     pub fn current(&self, experiment: &str, quantity: &str) -> Option<&Slope> {
-        self.get(experiment, quantity).filter(|slope| !slope.experiment.starts_with(BEFORE))
+        self.get(experiment, quantity)
+            .filter(|slope| !slope.experiment.starts_with(BEFORE))
     }
 }
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -126,28 +126,59 @@
     ///
     /// # Errors
     /// It names a measurement, target or assumption that there is not.
-    pub fn of(row: &Row, targets: &Targets, measurements: &'a Measurements) -> Result<Need<'a>, PageError> {
-        let lacks = |problem: String| PageError::Row { row: row.name.clone(), problem };
+    pub fn of(
+        row: &Row,
+        targets: &Targets,
+        measurements: &'a Measurements,
+    ) -> Result<Need<'a>, PageError> {
+        let lacks = |problem: String| PageError::Row {
+            row: row.name.clone(),
+            problem,
+        };
         let named = |name: &String| {
-            targets.named(name).ok_or_else(|| lacks(format!("no target or assumption {name:?}")))
+            targets
+                .named(name)
+                .ok_or_else(|| lacks(format!("no target or assumption {name:?}")))
         };
         let all = |names: &[String]| names.iter().map(named).collect::<Result<Vec<_>, _>>();
         let mut parts = Vec::with_capacity(row.terms.len());
         for term in &row.terms {
             parts.push(match term {
-                Term::Measured { experiment, quantity, at, times, factor } => {
+                Term::Measured {
+                    experiment,
+                    quantity,
+                    at,
+                    times,
+                    factor,
+                } => {
                     let line = measurements.get(experiment, quantity);
-                    let line =
-                        line.ok_or_else(|| lacks(format!("no measurement {experiment}/{quantity}")))?;
+                    let line = line
+                        .ok_or_else(|| lacks(format!("no measurement {experiment}/{quantity}")))?;
                     let line = Some((line, all(at)?));
-                    Part { line, value: 0.0, times: all(times)?, factor: *factor }
-                }
-                Term::Given { value, times, factor, .. } => {
-                    Part { line: None, value: *value, times: all(times)?, factor: *factor }
+                    Part {
+                        line,
+                        value: 0.0,
+                        times: all(times)?,
+                        factor: *factor,
+                    }
                 }
+                Term::Given {
+                    value,
+                    times,
+                    factor,
+                    ..
+                } => Part {
+                    line: None,
+                    value: *value,
+                    times: all(times)?,
+                    factor: *factor,
+                },
             });
         }
-        Ok(Need { parts, basis: Basis::of(&row.terms) })
+        Ok(Need {
+            parts,
+            basis: Basis::of(&row.terms),
+        })
     }
 
     /// The need at a share of the target.
@@ -157,7 +188,11 @@
 
     /// The standard error of the need at the target.
     pub fn error(&self) -> f64 {
-        self.parts.iter().map(|part| part.error().powi(2)).sum::<f64>().sqrt()
+        self.parts
+            .iter()
+            .map(|part| part.error().powi(2))
+            .sum::<f64>()
+            .sqrt()
     }
 
     /// The share of the target at which this budget is spent.
--- a/crates/scale/src/page/number.rs
+++ b/crates/scale/src/page/number.rs
@@ -8,18 +8,28 @@
 /// A number with three digits that count.
 pub(super) fn number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
-        return if value == 0.0 { "0".into() } else { value.to_string() };
+        return if value == 0.0 {
+            "0".into()
+        } else {
+            value.to_string()
+        };
     }
     let places = DIGITS - 1 - value.abs().log10().floor() as i32;
     let step = 10f64.powi(places);
     let rounded = (value * step).round() / step;
     let text = format!("{rounded:.*}", places.max(0) as usize);
-    apart(if places > 0 { text.trim_end_matches('0').trim_end_matches('.') } else { &text })
+    apart(if places > 0 {
+        text.trim_end_matches('0').trim_end_matches('.')
+    } else {
+        &text
+    })
 }
 
 /// A number with its whole part in groups of three digits.
 fn apart(text: &str) -> String {
-    let (sign, digits) = text.strip_prefix('-').map_or(("", text), |digits| ("-", digits));
+    let (sign, digits) = text
+        .strip_prefix('-')
+        .map_or(("", text), |digits| ("-", digits));
     let (whole, fraction) = digits.split_once('.').unwrap_or((digits, ""));
     let mut grouped = String::from(sign);
     for (place, digit) in whole.chars().enumerate() {
@@ -50,8 +60,30 @@
 
     #[test]
     fn three_digits_count_and_thousands_stand_apart() {
-        let written = [0.0, 0.000_123_46, 1.0, 64.0, 99.96, 1234.0, 1_100_000.0, -20_480.4].map(number);
-        assert_eq!(written, ["0", "0.000123", "1", "64", "100", "1,230", "1,100,000", "-20,500"]);
+        let written = [
+            0.0,
+            0.000_123_46,
+            1.0,
+            64.0,
+            99.96,
+            1234.0,
+            1_100_000.0,
+            -20_480.4,
+        ]
+        .map(number);
+        assert_eq!(
+            written,
+            [
+                "0",
+                "0.000123",
+                "1",
+                "64",
+                "100",
+                "1,230",
+                "1,100,000",
+                "-20,500"
+            ]
+        );
         assert_eq!(share(Share::At(0.048_76)), "4.88%");
     }
 }
--- a/crates/scale/src/page/table.rs
+++ b/crates/scale/src/page/table.rs
@@ -26,7 +26,11 @@
     measurements: &Measurements,
 ) -> Result<String, PageError> {
     match name {
-        RANKING => ranking(targets.rows.iter().filter(|row| !row.before), targets, measurements),
+        RANKING => ranking(
+            targets.rows.iter().filter(|row| !row.before),
+            targets,
+            measurements,
+        ),
         RANKING_BEFORE => ranking(targets.rows_before(), targets, measurements),
         NUMBERS => Ok(numbers(targets)),
         _ => role(name, targets, measurements),
@@ -37,8 +41,14 @@
     let mut text = String::from("| name | at the target | grows with the share of the target |\n");
     text.push_str("| --- | ---: | --- |\n");
     let rows = targets.targets.iter().map(|entry| (entry, "yes"));
-    for ((name, value), grows) in rows.chain(targets.assumptions.iter().map(|entry| (entry, "no"))) {
-        let _ = writeln!(text, "| {} | {} | {grows} |", name.replace('_', " "), number(*value));
+    for ((name, value), grows) in rows.chain(targets.assumptions.iter().map(|entry| (entry, "no")))
+    {
+        let _ = writeln!(
+            text,
+            "| {} | {} | {grows} |",
+            name.replace('_', " "),
+            number(*value)
+        );
     }
     text
 }
@@ -48,15 +58,25 @@
         "| what | need at the target | from | budget | need / budget | gives out at | carried by |\n",
     );
     text.push_str("| --- | ---: | --- | ---: | ---: | ---: | --- |\n");
-    let mut rows = targets.rows.iter().filter(|row| row.table == name).peekable();
+    let mut rows = targets
+        .rows
+        .iter()
+        .filter(|row| row.table == name)
+        .peekable();
     if rows.peek().is_none() {
         return Err(PageError::Markers(format!("table {name:?} has no rows")));
     }
     for row in rows {
         let need = Need::of(row, targets, measurements)?;
-        let budget = row.budget.map_or("-".into(), |budget| format!("{} {}", number(budget), row.unit));
-        let ratio = row.budget.map_or("-".into(), |budget| number(need.at_share(1.0) / budget));
-        let gives_out = row.budget.map_or("-".into(), |budget| share(need.gives_out(budget)));
+        let budget = row.budget.map_or("-".into(), |budget| {
+            format!("{} {}", number(budget), row.unit)
+        });
+        let ratio = row
+            .budget
+            .map_or("-".into(), |budget| number(need.at_share(1.0) / budget));
+        let gives_out = row
+            .budget
+            .map_or("-".into(), |budget| share(need.gives_out(budget)));
         let _ = writeln!(
             text,
             "| {} | {} | {} | {budget} | {ratio} | {gives_out} | {} |",
@@ -130,13 +150,26 @@
 
 /// Slopes, errors, runs and sources that the need is added up from.
 fn formula(row: &Row, need: &Need) -> String {
-    let terms = row.terms.iter().zip(&need.parts).map(|(term, part)| term_text(term, part));
+    let terms = row
+        .terms
+        .iter()
+        .zip(&need.parts)
+        .map(|(term, part)| term_text(term, part));
     terms.collect::<Vec<_>>().join("; ")
 }
 
 fn term_text(term: &Term, part: &Part) -> String {
     match (term, &part.line) {
-        (Term::Measured { experiment, quantity, at, times, .. }, Some((line, _))) => {
+        (
+            Term::Measured {
+                experiment,
+                quantity,
+                at,
+                times,
+                ..
+            },
+            Some((line, _)),
+        ) => {
             let bent = if line.linear { "" } else { ", not linear" };
             format!(
                 "{} + {} ± {} {}{}{} (`{experiment}/{quantity}`{bent})",
@@ -148,13 +181,31 @@
                 multiplied(times),
             )
         }
-        (Term::Given { value, times, source, .. }, _) => {
+        (
+            Term::Given {
+                value,
+                times,
+                source,
+                ..
+            },
+            _,
+        ) => {
             format!("{}{} ({source})", number(*value), multiplied(times))
         }
-        (Term::Measured { experiment, quantity, .. }, None) => format!("`{experiment}/{quantity}`"),
+        (
+            Term::Measured {
+                experiment,
+                quantity,
+                ..
+            },
+            None,
+        ) => format!("`{experiment}/{quantity}`"),
     }
 }
 
 fn multiplied(times: &[String]) -> String {
-    times.iter().map(|name| format!(" x {}", name.replace('_', " "))).collect()
+    times
+        .iter()
+        .map(|name| format!(" x {}", name.replace('_', " ")))
+        .collect()
 }
--- a/crates/scale/src/page/targets.rs
+++ b/crates/scale/src/page/targets.rs
@@ -133,14 +133,26 @@
 
     /// A target or an assumption.
     pub fn named(&self, name: &str) -> Option<Named> {
-        let target = self.targets.get(name).map(|value| Named { value: *value, grows: true });
-        target.or_else(|| self.assumptions.get(name).map(|value| Named { value: *value, grows: false }))
+        let target = self.targets.get(name).map(|value| Named {
+            value: *value,
+            grows: true,
+        });
+        target.or_else(|| {
+            self.assumptions.get(name).map(|value| Named {
+                value: *value,
+                grows: false,
+            })
+        })
     }
 
     /// The rows of the program before the last mechanism was built: those that tell of it, and all others that have no
     /// such row of the same name.
     pub fn rows_before(&self) -> impl Iterator<Item = &Row> {
-        let told = |row: &&Row| self.rows.iter().any(|other| other.before && other.name == row.name);
+        let told = |row: &&Row| {
+            self.rows
+                .iter()
+                .any(|other| other.before && other.name == row.name)
+        };
         self.rows.iter().filter(move |row| row.before || !told(row))
     }
 
--- a/crates/scale/src/probe.rs
+++ b/crates/scale/src/probe.rs
@@ -29,7 +29,12 @@
         done = Some(work());
         cpu = start.elapsed().as_secs_f64() * 1e6;
     });
-    let cost = Cost { heap: heap.bytes_current, peak: heap.bytes_max, allocations: heap.count_total, cpu };
+    let cost = Cost {
+        heap: heap.bytes_current,
+        peak: heap.bytes_max,
+        allocations: heap.count_total,
+        cpu,
+    };
     // The closure above has run once.
     (done.expect("the work was done"), cost)
 }
@@ -45,7 +50,11 @@
         [
             Measurement::counted(format!("{step}_heap"), Unit::Bytes, self.heap as f64),
             Measurement::counted(format!("{step}_peak_heap"), Unit::Bytes, self.peak as f64),
-            Measurement::counted(format!("{step}_allocations"), Unit::Allocations, self.allocations as f64),
+            Measurement::counted(
+                format!("{step}_allocations"),
+                Unit::Allocations,
+                self.allocations as f64,
+            ),
             self.cpu_measurement(step),
         ]
     }
@@ -53,7 +62,11 @@
     /// Allocations and processor time alone, for work that leaves nothing behind.
     pub fn effort(&self, step: &str) -> [Measurement; 2] {
         [
-            Measurement::counted(format!("{step}_allocations"), Unit::Allocations, self.allocations as f64),
+            Measurement::counted(
+                format!("{step}_allocations"),
+                Unit::Allocations,
+                self.allocations as f64,
+            ),
             self.cpu_measurement(step),
         ]
     }
@@ -92,5 +105,6 @@
 /// The kilobytes that a line `KEY  NUMBER kB` of a file under `/proc` gives.
 pub(crate) fn kilobytes(text: &str, key: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(key));
-    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/scale/src/real/group.rs
+++ b/crates/scale/src/real/group.rs
@@ -99,7 +99,9 @@
     }
 
     fn address(&self, port: usize) -> Result<SocketAddr, RealError> {
-        format!("{}:{port}", self.host).parse().map_err(|e| RealError::System(io::Error::other(e)))
+        format!("{}:{port}", self.host)
+            .parse()
+            .map_err(|e| RealError::System(io::Error::other(e)))
     }
 
     fn start_relays(&mut self) -> Result<(), RealError> {
@@ -109,7 +111,8 @@
             self.follower_relays.push(Relay::start(listen, link)?);
             for from in (0..MEMBERS).filter(|from| *from != to) {
                 let listen = self.address(member_relay_port(from, to))?;
-                self.member_relays.insert((from, to), Relay::start(listen, link)?);
+                self.member_relays
+                    .insert((from, to), Relay::start(listen, link)?);
             }
         }
         Ok(())
@@ -139,7 +142,12 @@
         let mut text = String::from("[group]\n");
         if place < MEMBERS {
             // Writing to memory does not fail.
-            let _ = writeln!(text, "listen = \"{}:{}\"\nfolder = \"group\"", self.host, LINK_PORT + place);
+            let _ = writeln!(
+                text,
+                "listen = \"{}:{}\"\nfolder = \"group\"",
+                self.host,
+                LINK_PORT + place
+            );
         }
         text.push_str("[group.members]\n");
         for member in 0..MEMBERS {
@@ -168,11 +176,17 @@
     }
 
     fn begin(&self) -> Result<(), RealError> {
-        let output = self.command(0)?.args(["group", "init"]).stderr(Stdio::piped()).output()?;
+        let output = self
+            .command(0)?
+            .args(["group", "init"])
+            .stderr(Stdio::piped())
+            .output()?;
         if output.status.success() {
             return Ok(());
         }
-        Err(RealError::Init(String::from_utf8_lossy(&output.stderr).trim().into()))
+        Err(RealError::Init(
+            String::from_utf8_lossy(&output.stderr).trim().into(),
+        ))
     }
 
     /// An operator's call and its answer; empty: there was none.
@@ -217,9 +231,14 @@
     }
 
     fn counts(&self) -> Result<Counts, RealError> {
-        let cpu: io::Result<Vec<Duration>> = self.processes.iter().map(Process::group_cpu).collect();
+        let cpu: io::Result<Vec<Duration>> =
+            self.processes.iter().map(Process::group_cpu).collect();
         Ok(Counts {
-            members: self.member_relays.iter().map(|(link, relay)| (*link, relay.counts())).collect(),
+            members: self
+                .member_relays
+                .iter()
+                .map(|(link, relay)| (*link, relay.counts()))
+                .collect(),
             followers: self.follower_relays.iter().map(Relay::counts).collect(),
             cpu: cpu?,
         })
@@ -230,7 +249,9 @@
     /// # Errors
     /// A process has ended, or nobody leads.
     pub fn idle_second(&self, over: Duration) -> Result<Vec<Measurement>, RealError> {
-        let leader = self.leader().ok_or_else(|| RealError::NotWhole("nobody leads".into()))?;
+        let leader = self
+            .leader()
+            .ok_or_else(|| RealError::NotWhole("nobody leads".into()))?;
         let (began, before) = (Instant::now(), self.counts()?);
         sleep(over);
         let (seconds, after) = (began.elapsed().as_secs_f64(), self.counts()?);
@@ -245,7 +266,11 @@
         results.extend(since.follower_second(followers, seconds));
         let resident = |place: usize| self.processes[place].resident().map(|bytes| bytes as f64);
         let all: io::Result<Vec<f64>> = (MEMBERS..self.processes.len()).map(resident).collect();
-        results.push(Measurement::timed("leader_resident", Unit::Bytes, resident(leader)?));
+        results.push(Measurement::timed(
+            "leader_resident",
+            Unit::Bytes,
+            resident(leader)?,
+        ));
         results.push(Measurement::timed(
             "follower_resident",
             Unit::Bytes,
@@ -261,7 +286,11 @@
         let followers = self.followers.iter().zip(&earlier.followers);
         let cpu = self.cpu.iter().zip(&earlier.cpu);
         Counts {
-            members: self.members.iter().map(|(link, counts)| (*link, counts.since(then(link)))).collect(),
+            members: self
+                .members
+                .iter()
+                .map(|(link, counts)| (*link, counts.since(then(link))))
+                .collect(),
             followers: followers.map(|(now, then)| now.since(*then)).collect(),
             cpu: cpu.map(|(now, then)| now.saturating_sub(*then)).collect(),
         }
@@ -269,19 +298,31 @@
 
     /// What a member has sent to other members and to its followers.
     fn sent_by(&self, member: usize) -> Traffic {
-        let to_members =
-            self.members.iter().filter(|((from, _), _)| *from == member).map(|(_, counts)| counts.there);
+        let to_members = self
+            .members
+            .iter()
+            .filter(|((from, _), _)| *from == member)
+            .map(|(_, counts)| counts.there);
         sum(to_members.chain([self.followers[member].back]))
     }
 
     fn received_by(&self, member: usize) -> Traffic {
-        let from_members =
-            self.members.iter().filter(|((_, to), _)| *to == member).map(|(_, counts)| counts.there);
+        let from_members = self
+            .members
+            .iter()
+            .filter(|((_, to), _)| *to == member)
+            .map(|(_, counts)| counts.there);
         sum(from_members.chain([self.followers[member].there]))
     }
 
     fn member_second(&self, role: &str, member: usize, seconds: f64) -> Vec<Measurement> {
-        second(role, self.sent_by(member), self.received_by(member), self.cpu[member], seconds)
+        second(
+            role,
+            self.sent_by(member),
+            self.received_by(member),
+            self.cpu[member],
+            seconds,
+        )
     }
 
     /// The mean follower's second.
@@ -289,7 +330,13 @@
         let sent = sum(self.followers.iter().map(|counts| counts.there));
         let received = sum(self.followers.iter().map(|counts| counts.back));
         let cpu = self.cpu[MEMBERS..].iter().sum();
-        second("follower_second", sent, received, cpu, seconds * followers as f64)
+        second(
+            "follower_second",
+            sent,
+            received,
+            cpu,
+            seconds * followers as f64,
+        )
     }
 }
 
@@ -300,13 +347,24 @@
     })
 }
 
-fn second(role: &str, sent: Traffic, received: Traffic, cpu: Duration, seconds: f64) -> Vec<Measurement> {
-    let each =
-        |name: &str, unit, value: f64| Measurement::timed(format!("{role}_{name}"), unit, value / seconds);
+fn second(
+    role: &str,
+    sent: Traffic,
+    received: Traffic,
+    cpu: Duration,
+    seconds: f64,
+) -> Vec<Measurement> {
+    let each = |name: &str, unit, value: f64| {
+        Measurement::timed(format!("{role}_{name}"), unit, value / seconds)
+    };
     vec![
         each("sent_messages", Unit::Messages, sent.messages as f64),
         each("sent_bytes", Unit::Bytes, sent.bytes as f64),
-        each("received_messages", Unit::Messages, received.messages as f64),
+        each(
+            "received_messages",
+            Unit::Messages,
+            received.messages as f64,
+        ),
         each("received_bytes", Unit::Bytes, received.bytes as f64),
         each("cpu", Unit::Microseconds, cpu.as_secs_f64() * 1e6),
     ]
--- a/crates/scale/src/real/process.rs
+++ b/crates/scale/src/real/process.rs
@@ -30,7 +30,10 @@
             let path = task?.path();
             if read_to_string(path.join("comm"))?.trim() == GROUP_THREAD {
                 let times = read_to_string(path.join("schedstat"))?;
-                let nanoseconds = times.split_whitespace().next().and_then(|text| text.parse().ok());
+                let nanoseconds = times
+                    .split_whitespace()
+                    .next()
+                    .and_then(|text| text.parse().ok());
                 total += Duration::from_nanos(nanoseconds.unwrap_or(0));
             }
         }
--- a/crates/scale/src/real/relay.rs
+++ b/crates/scale/src/real/relay.rs
@@ -24,7 +24,11 @@
     /// Takes in the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let wanted = if self.body_left > 0 { self.body_left } else { HEAD_BYTES - self.head.len() };
+            let wanted = if self.body_left > 0 {
+                self.body_left
+            } else {
+                HEAD_BYTES - self.head.len()
+            };
             let (piece, rest) = bytes.split_at(wanted.min(bytes.len()));
             bytes = rest;
             if self.body_left > 0 {
@@ -67,7 +71,10 @@
     /// What came in after an earlier reading.
     #[must_use]
     pub fn since(self, earlier: RelayCounts) -> RelayCounts {
-        RelayCounts { there: self.there.since(earlier.there), back: self.back.since(earlier.back) }
+        RelayCounts {
+            there: self.there.since(earlier.there),
+            back: self.back.since(earlier.back),
+        }
     }
 }
 
@@ -94,7 +101,11 @@
     pub fn start(listen: SocketAddr, to: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
-        let relay = Relay { address, counts: Arc::default(), ended: Arc::default() };
+        let relay = Relay {
+            address,
+            counts: Arc::default(),
+            ended: Arc::default(),
+        };
         let (counts, ended) = (relay.counts.clone(), relay.ended.clone());
         thread::spawn(move || accept(&listener, to, &counts, &ended));
         Ok(relay)
@@ -119,13 +130,22 @@
     }
 }
 
-fn accept(listener: &TcpListener, to: SocketAddr, counts: &Arc<Mutex<RelayCounts>>, ended: &AtomicBool) {
+fn accept(
+    listener: &TcpListener,
+    to: SocketAddr,
+    counts: &Arc<Mutex<RelayCounts>>,
+    ended: &AtomicBool,
+) {
     while let Ok((near, _)) = listener.accept() {
         if ended.load(Ordering::SeqCst) {
             return;
         }
-        let Ok(far) = TcpStream::connect(to) else { continue };
-        let (Ok(near_reader), Ok(far_reader)) = (near.try_clone(), far.try_clone()) else { continue };
+        let Ok(far) = TcpStream::connect(to) else {
+            continue;
+        };
+        let (Ok(near_reader), Ok(far_reader)) = (near.try_clone(), far.try_clone()) else {
+            continue;
+        };
         let _ = (near.set_nodelay(true), far.set_nodelay(true));
         let (there, back) = (counts.clone(), counts.clone());
         thread::spawn(move || pass(near_reader, far, Direction::There, &there));
--- a/crates/scale/src/registry.rs
+++ b/crates/scale/src/registry.rs
@@ -27,5 +27,7 @@
 
 /// The experiment of this name.
 pub fn find(name: &str) -> Option<Box<dyn Experiment>> {
-    all().into_iter().find(|experiment| experiment.name() == name)
+    all()
+        .into_iter()
+        .find(|experiment| experiment.name() == name)
 }
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -53,7 +53,12 @@
         let name = &file.provenance.experiment;
         results::write(&folders.slopes.join(format!("{name}.json")), file)?;
         for slope in &file.slopes {
-            plot::draw(&folders.report.join(format!("{name}-{}.svg", slope.quantity)), slope)?;
+            plot::draw(
+                &folders
+                    .report
+                    .join(format!("{name}-{}.svg", slope.quantity)),
+                slope,
+            )?;
         }
     }
     std::fs::write(folders.report.join(TABLES), tables(&slopes))?;
@@ -67,7 +72,8 @@
     }
     let fit = |path: &PathBuf| {
         let run: RunFile = results::read(path)?;
-        run.slopes().map_err(|e| ReportError::Fit(run.provenance.experiment.clone(), e))
+        run.slopes()
+            .map_err(|e| ReportError::Fit(run.provenance.experiment.clone(), e))
     };
     files.iter().map(fit).collect()
 }
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -32,8 +32,12 @@
     area: &DrawingArea<B, Shift>,
     slope: &Slope,
 ) -> Result<(), DrawingAreaErrorKind<B::ErrorType>> {
-    let points: Vec<(f64, f64)> =
-        slope.sizes.iter().map(|size| *size as f64).zip(slope.points.iter().copied()).collect();
+    let points: Vec<(f64, f64)> = slope
+        .sizes
+        .iter()
+        .map(|size| *size as f64)
+        .zip(slope.points.iter().copied())
+        .collect();
     let line = slope.line();
     let right = points.last().map_or(1.0, |(size, _)| *size);
     let ends = [(0.0, line.at(0.0)), (right, line.at(right))];
@@ -49,8 +53,16 @@
         .x_label_area_size(LABEL_HEIGHT)
         .y_label_area_size(LABEL_WIDTH)
         .build_cartesian_2d(0.0..right, bottom..top * HEADROOM)?;
-    chart.configure_mesh().x_desc(&slope.axis).y_desc(slope.unit.label()).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc(&slope.axis)
+        .y_desc(slope.unit.label())
+        .draw()?;
     chart.draw_series(LineSeries::new(ends, &BLUE))?;
-    chart.draw_series(points.iter().map(|point| Circle::new(*point, POINT_RADIUS, RED.filled())))?;
+    chart.draw_series(
+        points
+            .iter()
+            .map(|point| Circle::new(*point, POINT_RADIUS, RED.filled())),
+    )?;
     area.present()
 }
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -15,8 +15,16 @@
 
 fn section(text: &mut String, file: &SlopeFile) -> std::fmt::Result {
     let source = &file.provenance;
-    writeln!(text, "## {}\n\n{}.\n", source.experiment, source.description)?;
-    let sizes = if source.quick { "quick sizes" } else { "full sizes" };
+    writeln!(
+        text,
+        "## {}\n\n{}.\n",
+        source.experiment, source.description
+    )?;
+    let sizes = if source.quick {
+        "quick sizes"
+    } else {
+        "full sizes"
+    };
     writeln!(
         text,
         "Commit {}, seed {}, {sizes}; {} cores, {:.0} GB, load average {:.1}.\n",
@@ -30,7 +38,10 @@
         text,
         "| quantity | unit | sizes | at the largest | for each | +- | at 0 | residual | growth | counted |"
     )?;
-    writeln!(text, "| --- | --- | --- | ---: | ---: | ---: | ---: | ---: | --- | --- |")?;
+    writeln!(
+        text,
+        "| --- | --- | --- | ---: | ---: | ---: | ---: | ---: | --- | --- |"
+    )?;
     for slope in &file.slopes {
         row(text, slope)?;
     }
@@ -38,7 +49,10 @@
 }
 
 fn row(text: &mut String, slope: &Slope) -> std::fmt::Result {
-    let (first, last) = (slope.sizes.first().unwrap_or(&0), slope.sizes.last().unwrap_or(&0));
+    let (first, last) = (
+        slope.sizes.first().unwrap_or(&0),
+        slope.sizes.last().unwrap_or(&0),
+    );
     writeln!(
         text,
         "| {} | {} | {first} to {last} {} | {} | {} | {} | {} | {} | {} | {} |",
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -117,16 +117,25 @@
     /// # Errors
     /// There are too few sizes for a line.
     pub fn slopes(&self) -> Result<SlopeFile, FitError> {
-        let slopes: Result<Vec<Slope>, FitError> =
-            self.quantities().into_iter().map(|quantity| self.slope(&self.series(quantity))).collect();
-        Ok(SlopeFile { provenance: self.provenance.clone(), slopes: slopes? })
+        let slopes: Result<Vec<Slope>, FitError> = self
+            .quantities()
+            .into_iter()
+            .map(|quantity| self.slope(&self.series(quantity)))
+            .collect();
+        Ok(SlopeFile {
+            provenance: self.provenance.clone(),
+            slopes: slopes?,
+        })
     }
 
     /// Each quantity's first measurement, in the order in which they were measured.
     fn quantities(&self) -> Vec<&Measurement> {
         let mut found: Vec<&Measurement> = Vec::new();
         for measurement in self.points.iter().flat_map(|point| &point.measurements) {
-            if !found.iter().any(|known| known.quantity == measurement.quantity) {
+            if !found
+                .iter()
+                .any(|known| known.quantity == measurement.quantity)
+            {
                 found.push(measurement);
             }
         }
@@ -136,15 +145,24 @@
     fn series<'a>(&'a self, first: &'a Measurement) -> Series<'a> {
         let mut values: BTreeMap<u64, Vec<f64>> = BTreeMap::new();
         for point in &self.points {
-            let found = point.measurements.iter().find(|measurement| measurement.quantity == first.quantity);
-            values.entry(point.size).or_default().extend(found.map(|found| found.value));
+            let found = point
+                .measurements
+                .iter()
+                .find(|measurement| measurement.quantity == first.quantity);
+            values
+                .entry(point.size)
+                .or_default()
+                .extend(found.map(|found| found.value));
         }
         values.retain(|_, repeats| !repeats.is_empty());
         Series {
             first,
             sizes: values.keys().copied().collect(),
             points: values.values().map(|repeats| least(repeats)).collect(),
-            spread: values.values().map(|repeats| spread(repeats)).fold(0.0, f64::max),
+            spread: values
+                .values()
+                .map(|repeats| spread(repeats))
+                .fold(0.0, f64::max),
         }
     }
 
@@ -152,7 +170,10 @@
         let sizes = series.sizes.iter().map(|size| *size as f64);
         let points: Vec<(f64, f64)> = sizes.zip(series.points.iter().copied()).collect();
         let line = Line::through(&points)?;
-        let negligible = series.points.iter().all(|value| value.abs() < series.first.unit.negligible());
+        let negligible = series
+            .points
+            .iter()
+            .all(|value| value.abs() < series.first.unit.negligible());
         Ok(Slope {
             experiment: self.provenance.experiment.clone(),
             quantity: series.first.quantity.clone(),
@@ -215,8 +236,9 @@
 /// # Errors
 /// The file cannot be read, or is not of this form; the error names it.
 pub fn read<T: DeserializeOwned>(path: &Path) -> std::io::Result<T> {
-    let named =
-        |e: &dyn std::fmt::Display| Error::new(ErrorKind::InvalidData, format!("{}: {e}", path.display()));
+    let named = |e: &dyn std::fmt::Display| {
+        Error::new(ErrorKind::InvalidData, format!("{}: {e}", path.display()))
+    };
     let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
     serde_json::from_str(&text).map_err(|e| named(&e))
 }
@@ -226,10 +248,14 @@
 /// # Errors
 /// The folder cannot be read.
 pub fn json_files(folder: &Path) -> std::io::Result<Vec<PathBuf>> {
-    let entries: Result<Vec<_>, Error> =
-        std::fs::read_dir(folder)?.map(|entry| entry.map(|entry| entry.path())).collect();
+    let entries: Result<Vec<_>, Error> = std::fs::read_dir(folder)?
+        .map(|entry| entry.map(|entry| entry.path()))
+        .collect();
     let mut files = entries?;
-    files.retain(|path| path.extension().is_some_and(|extension| extension == "json"));
+    files.retain(|path| {
+        path.extension()
+            .is_some_and(|extension| extension == "json")
+    });
     files.sort();
     Ok(files)
 }
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -44,7 +44,11 @@
 impl Plan {
     /// The sizes of an experiment, smallest first.
     pub fn sizes_of(&self, experiment: &dyn Experiment) -> Vec<u64> {
-        let mut sizes = if self.sizes.is_empty() { experiment.sizes(self.quick) } else { self.sizes.clone() };
+        let mut sizes = if self.sizes.is_empty() {
+            experiment.sizes(self.quick)
+        } else {
+            self.sizes.clone()
+        };
         sizes.sort_unstable();
         sizes.dedup();
         sizes
@@ -62,7 +66,12 @@
     repeat: u32,
 ) -> Result<Point, ExperimentError> {
     let measurements = experiment.measure(size, seed)?;
-    Ok(Point { size, repeat, peak_resident: peak_resident(), measurements })
+    Ok(Point {
+        size,
+        repeat,
+        peak_resident: peak_resident(),
+        measurements,
+    })
 }
 
 /// Runs experiments and writes a result file for each; the files.
@@ -71,17 +80,27 @@
 /// A size cannot be measured; what was measured before is written.
 pub fn run(experiments: &[Box<dyn Experiment>], plan: &Plan) -> Result<Vec<PathBuf>, RunError> {
     std::fs::create_dir_all(&plan.out)?;
-    let points: usize = experiments.iter().map(|experiment| plan.sizes_of(experiment.as_ref()).len()).sum();
+    let points: usize = experiments
+        .iter()
+        .map(|experiment| plan.sizes_of(experiment.as_ref()).len())
+        .sum();
     let progress = ProgressBar::new(points as u64 * u64::from(plan.repeats));
     // The template is constant and holds no unknown key.
     let style = ProgressStyle::with_template("{elapsed_precise} [{bar:40}] {pos}/{len} {msg}");
     progress.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
-    let files = experiments.iter().map(|experiment| run_one(experiment.as_ref(), plan, &progress)).collect();
+    let files = experiments
+        .iter()
+        .map(|experiment| run_one(experiment.as_ref(), plan, &progress))
+        .collect();
     progress.finish_and_clear();
     files
 }
 
-fn run_one(experiment: &dyn Experiment, plan: &Plan, progress: &ProgressBar) -> Result<PathBuf, RunError> {
+fn run_one(
+    experiment: &dyn Experiment,
+    plan: &Plan,
+    progress: &ProgressBar,
+) -> Result<PathBuf, RunError> {
     let provenance = Provenance {
         format: FORMAT,
         experiment: experiment.name().into(),
@@ -112,7 +131,11 @@
     seed: u64,
     repeat: u32,
 ) -> Result<Point, RunError> {
-    let failed = |problem: String| RunError::Point { experiment: experiment.name().into(), size, problem };
+    let failed = |problem: String| RunError::Point {
+        experiment: experiment.name().into(),
+        size,
+        problem,
+    };
     let program: &Path = &std::env::current_exe()?;
     let output = Command::new(program)
         .args(["measure", experiment.name()])
@@ -121,7 +144,9 @@
         .args(["--repeat", &repeat.to_string()])
         .output()?;
     if !output.status.success() {
-        return Err(failed(String::from_utf8_lossy(&output.stderr).trim().to_string()));
+        return Err(failed(
+            String::from_utf8_lossy(&output.stderr).trim().to_string(),
+        ));
     }
     serde_json::from_slice(&output.stdout).map_err(|e| failed(e.to_string()))
 }
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -5,20 +5,41 @@
 use std::process::{Command, Output};
 
 fn scale(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_driftgap-scale")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_driftgap-scale"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn run(folder: &Path) -> RunFile {
     let out = folder.to_str().unwrap();
-    let sizes = ["--sizes", "40,80,120,160", "--repeats", "2", "--seed", "5", "--out", out];
+    let sizes = [
+        "--sizes",
+        "40,80,120,160",
+        "--repeats",
+        "2",
+        "--seed",
+        "5",
+        "--out",
+        out,
+    ];
     let output = scale(&[&["run", "backends-discovery"], sizes.as_slice()].concat());
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     results::read(&folder.join("backends-discovery.json")).unwrap()
 }
 
 fn counts(point: &Point) -> Vec<(&str, f64)> {
-    let counted = point.measurements.iter().filter(|measurement| measurement.counted);
-    counted.map(|measurement| (measurement.quantity.as_str(), measurement.value)).collect()
+    let counted = point
+        .measurements
+        .iter()
+        .filter(|measurement| measurement.counted);
+    counted
+        .map(|measurement| (measurement.quantity.as_str(), measurement.value))
+        .collect()
 }
 
 #[test]
@@ -30,29 +51,61 @@
         assert_eq!((a.size, a.repeat, counts(a)), (b.size, b.repeat, counts(b)));
     }
     let output = scale(&["report", first.path().to_str().unwrap()]);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     let report = first.path().join("report");
     let slopes: SlopeFile = results::read(&report.join("backends-discovery.json")).unwrap();
-    let heap = slopes.slopes.iter().find(|slope| slope.quantity == "start_heap").unwrap();
-    assert!(heap.counted && heap.slope > 100.0 && heap.sizes == [40, 80, 120, 160], "{heap:?}");
-    assert!(slopes.slopes.iter().any(|slope| slope.quantity == "start_cpu" && !slope.counted));
+    let heap = slopes
+        .slopes
+        .iter()
+        .find(|slope| slope.quantity == "start_heap")
+        .unwrap();
+    assert!(
+        heap.counted && heap.slope > 100.0 && heap.sizes == [40, 80, 120, 160],
+        "{heap:?}"
+    );
+    assert!(slopes
+        .slopes
+        .iter()
+        .any(|slope| slope.quantity == "start_cpu" && !slope.counted));
     let tables = std::fs::read_to_string(report.join("tables.md")).unwrap();
-    assert!(tables.contains("| start_heap | bytes | 40 to 160 backends |"), "{tables}");
+    assert!(
+        tables.contains("| start_heap | bytes | 40 to 160 backends |"),
+        "{tables}"
+    );
     let plot = std::fs::read_to_string(report.join("backends-discovery-start_heap.svg")).unwrap();
-    assert!(plot.starts_with("<svg") && plot.contains("circle"), "{plot}");
+    assert!(
+        plot.starts_with("<svg") && plot.contains("circle"),
+        "{plot}"
+    );
 }
 
 #[test]
 fn what_cannot_be_measured_is_said() {
     let unknown = scale(&["run", "nothing-of-the-kind"]);
     assert!(!unknown.status.success());
-    assert!(String::from_utf8_lossy(&unknown.stderr).contains("no experiment \"nothing-of-the-kind\""));
+    assert!(
+        String::from_utf8_lossy(&unknown.stderr).contains("no experiment \"nothing-of-the-kind\"")
+    );
     // There are 62 pools at most.
     let folder = tempfile::tempdir().unwrap();
-    let beyond = scale(&["run", "services", "--sizes", "63", "--out", folder.path().to_str().unwrap()]);
+    let beyond = scale(&[
+        "run",
+        "services",
+        "--sizes",
+        "63",
+        "--out",
+        folder.path().to_str().unwrap(),
+    ]);
     assert!(!beyond.status.success());
     let said = String::from_utf8_lossy(&beyond.stderr).to_string();
-    assert!(said.contains("services at 63") && said.contains("pools"), "{said}");
+    assert!(
+        said.contains("services at 63") && said.contains("pools"),
+        "{said}"
+    );
     let empty = scale(&["report", folder.path().to_str().unwrap()]);
     assert!(!empty.status.success());
     assert!(String::from_utf8_lossy(&empty.stderr).contains("no result files"));
--- a/crates/scale/tests/experiments.rs
+++ b/crates/scale/tests/experiments.rs
@@ -10,14 +10,22 @@
 
 fn counted(experiment: &dyn Experiment, seed: u64) -> Vec<Measurement> {
     let size = experiment.sizes(true)[0];
-    let measured = experiment.measure(size, seed).unwrap_or_else(|e| panic!("{}: {e}", experiment.name()));
-    measured.into_iter().filter(|measurement| measurement.counted).collect()
+    let measured = experiment
+        .measure(size, seed)
+        .unwrap_or_else(|e| panic!("{}: {e}", experiment.name()));
+    measured
+        .into_iter()
+        .filter(|measurement| measurement.counted)
+        .collect()
 }
 
 #[test]
 fn the_same_seed_gives_the_same_counts() {
     for experiment in registry::all() {
-        let (first, second) = (counted(experiment.as_ref(), 7), counted(experiment.as_ref(), 7));
+        let (first, second) = (
+            counted(experiment.as_ref(), 7),
+            counted(experiment.as_ref(), 7),
+        );
         assert!(!first.is_empty(), "{} counts nothing", experiment.name());
         for (first, second) in first.iter().zip(&second) {
             assert_eq!(first, second, "{}", experiment.name());
@@ -32,13 +40,22 @@
     for experiment in registry::all() {
         let name = experiment.name();
         assert!(names.insert(name), "{name} stands twice");
-        assert!(name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-'), "{name}");
+        assert!(
+            name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-'),
+            "{name}"
+        );
         assert!(registry::find(name).is_some_and(|found| found.name() == name));
         for quick in [true, false] {
             let sizes = experiment.sizes(quick);
             assert!(sizes.len() >= FEWEST_SIZES, "{name}: {sizes:?}");
-            assert!(sizes.windows(2).all(|pair| pair[0] < pair[1]), "{name}: {sizes:?}");
-            assert!(sizes[sizes.len() - 1] >= LEAST_RANGE * sizes[0], "{name}: {sizes:?}");
+            assert!(
+                sizes.windows(2).all(|pair| pair[0] < pair[1]),
+                "{name}: {sizes:?}"
+            );
+            assert!(
+                sizes[sizes.len() - 1] >= LEAST_RANGE * sizes[0],
+                "{name}: {sizes:?}"
+            );
         }
     }
 }
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -13,7 +13,10 @@
     let line = Line::through(&points(|size| 40_000.0 + 1_200.0 * size)).unwrap();
     assert!((line.slope - 1_200.0).abs() < 1e-6, "{line:?}");
     assert!((line.intercept - 40_000.0).abs() < 1e-3, "{line:?}");
-    assert!(line.residual < 1e-3 && line.standard_error < 1e-6 && line.linear, "{line:?}");
+    assert!(
+        line.residual < 1e-3 && line.standard_error < 1e-6 && line.linear,
+        "{line:?}"
+    );
     assert!((line.at(95_000.0) - 114_040_000.0).abs() < 1.0, "{line:?}");
 }
 
@@ -21,9 +24,15 @@
 fn noise_shows_in_the_errors() {
     // Slope and errors as of the textbook formula, computed by hand for these four points.
     let line = Line::through(&[(1.0, 3.1), (2.0, 4.9), (3.0, 7.2), (4.0, 8.8)]).unwrap();
-    assert!((line.slope - 1.94).abs() < 1e-9 && (line.intercept - 1.15).abs() < 1e-9, "{line:?}");
+    assert!(
+        (line.slope - 1.94).abs() < 1e-9 && (line.intercept - 1.15).abs() < 1e-9,
+        "{line:?}"
+    );
     assert!((line.residual - 0.041f64.sqrt()).abs() < 1e-9, "{line:?}");
-    assert!((line.standard_error - (0.041f64 / 5.0).sqrt()).abs() < 1e-9 && line.linear, "{line:?}");
+    assert!(
+        (line.standard_error - (0.041f64 / 5.0).sqrt()).abs() < 1e-9 && line.linear,
+        "{line:?}"
+    );
 }
 
 #[test]
@@ -39,7 +48,10 @@
 
 #[test]
 fn too_few_points_and_equal_sizes_have_no_line() {
-    assert!(matches!(Line::through(&[(1.0, 1.0), (2.0, 2.0)]), Err(FitError::TooFewPoints(2))));
+    assert!(matches!(
+        Line::through(&[(1.0, 1.0), (2.0, 2.0)]),
+        Err(FitError::TooFewPoints(2))
+    ));
     let one_size = Line::through(&[(1.0, 1.0), (1.0, 2.0), (1.0, 3.0)]);
     assert!(matches!(one_size, Err(FitError::OneSize)), "{one_size:?}");
 }
--- a/crates/scale/tests/hollow_gateways.rs
+++ b/crates/scale/tests/hollow_gateways.rs
@@ -33,15 +33,26 @@
     let (counts, seen) = (fleet.counts(), fleet.seen());
     assert!((2700..=3300).contains(&counts.requests), "{counts:?}");
     assert!(counts.refused * 20 < counts.requests, "{counts:?}");
-    assert_eq!(counts.attempts, seen.iter().map(|backend| backend.attempts).sum::<u64>());
+    assert_eq!(
+        counts.attempts,
+        seen.iter().map(|backend| backend.attempts).sum::<u64>()
+    );
     assert_eq!(fleet.busy_ingresses(), 10);
-    assert!(seen.iter().all(|backend| backend.ingresses == 10 && backend.connections >= 9), "{seen:?}");
+    assert!(
+        seen.iter()
+            .all(|backend| backend.ingresses == 10 && backend.connections >= 9),
+        "{seen:?}"
+    );
     assert_eq!(counts.probes, 0, "nothing is wrong with any backend");
 }
 
 #[test]
 fn every_ingress_probes_a_backend_that_turns_connections_away() {
-    let mut fleet = Fleet::start(FleetPlan { first_is_down: true, ..plan() }).unwrap();
+    let mut fleet = Fleet::start(FleetPlan {
+        first_is_down: true,
+        ..plan()
+    })
+    .unwrap();
     fleet.run(30.0);
     let seen = fleet.seen();
     assert!(seen[0].probing >= 8 && seen[0].probes > 20, "{:?}", seen[0]);
--- a/crates/scale/tests/hollow_group.rs
+++ b/crates/scale/tests/hollow_group.rs
@@ -27,7 +27,10 @@
 fn followers_spread_over_the_members_and_hear_twice_a_second() {
     let mut world = GroupWorld::start(MEMBERS, 300, 3).unwrap();
     let spread = world.followers_by_member();
-    assert!(spread.iter().all(|count| (60..=160).contains(count)), "{spread:?}");
+    assert!(
+        spread.iter().all(|count| (60..=160).contains(count)),
+        "{spread:?}"
+    );
     let before = world.follower_loads()[7];
     world.run(10_000.0).unwrap();
     let load = world.follower_loads()[7].since(before);
@@ -41,22 +44,32 @@
     let mut world = GroupWorld::start(MEMBERS, 50, 4).unwrap();
     world.ask(Wish::Suspend("instance-1".into())).unwrap();
     world.run_until_in_force(2_000.0).unwrap();
-    world.ask(Wish::Write(Kind::Rules, 0, vec![b'r'; 100_000])).unwrap();
+    world
+        .ask(Wish::Write(Kind::Rules, 0, vec![b'r'; 100_000]))
+        .unwrap();
     world.run_until_in_force(4_000.0).unwrap();
     let delays = world.take_delays();
     assert_eq!(delays.len(), 2);
     assert!(
-        delays.iter().all(|delay| 0.0 < delay.agreed_ms && delay.agreed_ms < delay.last_ms),
+        delays
+            .iter()
+            .all(|delay| 0.0 < delay.agreed_ms && delay.agreed_ms < delay.last_ms),
         "{delays:?}"
     );
     assert!(
         world.take_largest_burst() > 10 * 100_000,
         "a member hands a document to all its followers at once"
     );
-    let received: u64 = world.follower_loads().iter().map(|load| load.received.bytes).sum();
+    let received: u64 = world
+        .follower_loads()
+        .iter()
+        .map(|load| load.received.bytes)
+        .sum();
     assert!(received > 50 * 100_000);
     let (_, followers) = world.into_nodes();
-    assert!(followers.iter().all(|follower| follower.holds("instance-1", 1)));
+    assert!(followers
+        .iter()
+        .all(|follower| follower.holds("instance-1", 1)));
 }
 
 #[test]
--- a/crates/scale/tests/measured_again.rs
+++ b/crates/scale/tests/measured_again.rs
@@ -26,14 +26,20 @@
     }
     let step = (quoted.sizes[1] - quoted.sizes[0]) as f64;
     let slope = |values: &[f64]| (values[1] - values[0]) / step;
-    found.extend(differs("the slope".into(), slope(&quoted.points), slope(measured)));
+    found.extend(differs(
+        "the slope".into(),
+        slope(&quoted.points),
+        slope(measured),
+    ));
     found
 }
 
 /// Measures an experiment again at the smallest sizes of the lines that are quoted of it; what differs.
 fn measure_again(experiment: &str, quoted: &[Slope]) -> Vec<String> {
     let Some(known) = registry::find(experiment) else {
-        return vec![format!("{experiment}: the page quotes it, and there is no such experiment")];
+        return vec![format!(
+            "{experiment}: the page quotes it, and there is no such experiment"
+        )];
     };
     let mut points = Vec::new();
     for size in &quoted[0].sizes[..SIZES] {
@@ -46,14 +52,20 @@
         let value = |point: &Vec<_>| value_of(point, &slope.quantity);
         match points.iter().map(value).collect::<Option<Vec<f64>>>() {
             Some(measured) => differences(slope, &measured),
-            None => vec![format!("{experiment}/{}: not measured any more", slope.quantity)],
+            None => vec![format!(
+                "{experiment}/{}: not measured any more",
+                slope.quantity
+            )],
         }
     };
     quoted.iter().flat_map(again).collect()
 }
 
 fn value_of(point: &[driftgap_scale::experiment::Measurement], quantity: &str) -> Option<f64> {
-    point.iter().find(|measurement| measurement.quantity == quantity).map(|measurement| measurement.value)
+    point
+        .iter()
+        .find(|measurement| measurement.quantity == quantity)
+        .map(|measurement| measurement.value)
 }
 
 /// The counted lines that the page's rows name, by experiment.
@@ -63,12 +75,25 @@
     let measurements = Measurements::read(&files.measurements).unwrap();
     let mut quoted: BTreeMap<String, Vec<Slope>> = BTreeMap::new();
     for term in targets.rows.iter().flat_map(|row| &row.terms) {
-        let Term::Measured { experiment, quantity, .. } = term else { continue };
-        let Some(slope) = measurements.current(experiment, quantity).filter(|slope| slope.counted) else {
+        let Term::Measured {
+            experiment,
+            quantity,
+            ..
+        } = term
+        else {
+            continue;
+        };
+        let Some(slope) = measurements
+            .current(experiment, quantity)
+            .filter(|slope| slope.counted)
+        else {
             continue;
         };
         let of_experiment = quoted.entry(experiment.clone()).or_default();
-        if !of_experiment.iter().any(|known| known.quantity == *quantity) {
+        if !of_experiment
+            .iter()
+            .any(|known| known.quantity == *quantity)
+        {
             of_experiment.push(slope.clone());
         }
     }
@@ -78,12 +103,24 @@
 #[test]
 fn counted_lines_of_the_page_are_what_is_measured_at_their_smallest_sizes() {
     let quoted = quoted_lines();
-    assert!(!quoted.is_empty(), "the page quotes nothing that is counted");
+    assert!(
+        !quoted.is_empty(),
+        "the page quotes nothing that is counted"
+    );
     // The heap is counted by thread: experiments do not disturb each other.
-    let threads = quoted.into_iter().map(|(name, lines)| thread::spawn(move || measure_again(&name, &lines)));
+    let threads = quoted
+        .into_iter()
+        .map(|(name, lines)| thread::spawn(move || measure_again(&name, &lines)));
     let threads: Vec<_> = threads.collect();
-    let found: Vec<String> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-    assert!(found.is_empty(), "measure again with `driftgap-scale run`:\n{}", found.join("\n"));
+    let found: Vec<String> = threads
+        .into_iter()
+        .flat_map(|thread| thread.join().unwrap())
+        .collect();
+    assert!(
+        found.is_empty(),
+        "measure again with `driftgap-scale run`:\n{}",
+        found.join("\n")
+    );
 }
 
 #[test]
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -15,7 +15,11 @@
 }
 
 fn rendered(page: &str, targets: &str) -> Result<String, PageError> {
-    render(page, &Targets::parse(targets).unwrap(), &sample_measurements())
+    render(
+        page,
+        &Targets::parse(targets).unwrap(),
+        &sample_measurements(),
+    )
 }
 
 /// A folder of this test process, gone with its owner.
@@ -23,7 +27,8 @@
 
 impl Scratch {
     fn with_page(name: &str, page: &str) -> (Scratch, PageFiles) {
-        let folder = std::env::temp_dir().join(format!("driftgap-page-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("driftgap-page-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let files = PageFiles {
             page: folder.join("page.md"),
@@ -71,7 +76,10 @@
         "| 1 | 2.5% | before | heap of backends | program | measured |",
     ];
     for row in rows {
-        assert!(page.lines().any(|line| line == row), "no line {row:?} in\n{page}");
+        assert!(
+            page.lines().any(|line| line == row),
+            "no line {row:?} in\n{page}"
+        );
     }
     assert!(!page.contains("what was here before"));
     assert!(page.starts_with("# A sample page\n") && page.ends_with("The end.\n"));
@@ -86,10 +94,17 @@
 #[test]
 fn a_page_with_a_figure_that_its_files_do_not_give_is_refused_with_its_line() {
     let page = rendered(SAMPLE_PAGE, SAMPLE_TARGETS).unwrap();
-    let (_scratch, files) = Scratch::with_page("stale", &page.replace("1,200 ± 12.5", "1,100 ± 12.5"));
+    let (_scratch, files) =
+        Scratch::with_page("stale", &page.replace("1,200 ± 12.5", "1,100 ± 12.5"));
     let error = files.check().unwrap_err();
-    let line = 1 + page.lines().position(|line| line.contains("1,200 ± 12.5")).unwrap();
-    assert!(matches!(&error, PageError::Stale { line: found, .. } if *found == line), "{error}");
+    let line = 1 + page
+        .lines()
+        .position(|line| line.contains("1,200 ± 12.5"))
+        .unwrap();
+    assert!(
+        matches!(&error, PageError::Stale { line: found, .. } if *found == line),
+        "{error}"
+    );
     assert!(files.write().unwrap());
     files.check().unwrap();
     assert!(!files.write().unwrap());
@@ -112,11 +127,16 @@
         SAMPLE_PAGE.replace("<!-- end table counter -->", ""),
         SAMPLE_PAGE.replace("<!-- begin table counter -->", ""),
         SAMPLE_PAGE.replace("table counter -->", "table elsewhere -->"),
-        SAMPLE_PAGE.replace("<!-- begin table counter -->\n", "").replace("<!-- end table counter -->\n", ""),
+        SAMPLE_PAGE
+            .replace("<!-- begin table counter -->\n", "")
+            .replace("<!-- end table counter -->\n", ""),
     ];
     for page in broken {
         let result = rendered(&page, SAMPLE_TARGETS);
-        assert!(matches!(result, Err(PageError::Markers(_))), "{result:?} of\n{page}");
+        assert!(
+            matches!(result, Err(PageError::Markers(_))),
+            "{result:?} of\n{page}"
+        );
     }
 }
 
@@ -152,7 +172,9 @@
 /// The share of the target at which a row of the sample has spent a budget.
 fn gives_out(targets: &str, row: usize, budget: f64) -> Share {
     let targets = Targets::parse(targets).unwrap();
-    Need::of(&targets.rows[row], &targets, &sample_measurements()).unwrap().gives_out(budget)
+    Need::of(&targets.rows[row], &targets, &sample_measurements())
+        .unwrap()
+        .gives_out(budget)
 }
 
 fn assert_at(share: Share, expected: f64) {
@@ -164,7 +186,10 @@
 
 #[test]
 fn a_budget_is_spent_at_no_load_at_a_share_or_beyond_ten_times_the_target() {
-    let fixed = SAMPLE_TARGETS.replace("value = 1.2, times = [\"requests_a_second\"]", "value = 1.2");
+    let fixed = SAMPLE_TARGETS.replace(
+        "value = 1.2, times = [\"requests_a_second\"]",
+        "value = 1.2",
+    );
     assert_eq!(gives_out(&fixed, 3, 1.1), Share::Never);
     assert_eq!(gives_out(&fixed, 3, 1.3), Share::Beyond);
     assert_at(gives_out(SAMPLE_TARGETS, 0, 1.202), 1.0);
--- a/crates/scale/tests/relay.rs
+++ b/crates/scale/tests/relay.rs
@@ -7,10 +7,14 @@
 use std::net::{TcpListener, TcpStream};
 
 fn frames() -> Vec<u8> {
-    [Frame::Idle, Frame::Follow { have: Vec::new() }, Frame::Join { nonce: 7 }]
-        .iter()
-        .flat_map(Frame::bytes)
-        .collect()
+    [
+        Frame::Idle,
+        Frame::Follow { have: Vec::new() },
+        Frame::Join { nonce: 7 },
+    ]
+    .iter()
+    .flat_map(Frame::bytes)
+    .collect()
 }
 
 #[test]
@@ -29,7 +33,11 @@
 #[test]
 fn a_relay_passes_both_ways_and_counts_each() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let relay = Relay::start("127.0.0.1:0".parse().unwrap(), listener.local_addr().unwrap()).unwrap();
+    let relay = Relay::start(
+        "127.0.0.1:0".parse().unwrap(),
+        listener.local_addr().unwrap(),
+    )
+    .unwrap();
     let mut near = TcpStream::connect(relay.address()).unwrap();
     let (mut far, _) = listener.accept().unwrap();
     let bytes = frames();
@@ -40,8 +48,23 @@
     drop(far);
     let mut back = Vec::new();
     near.read_to_end(&mut back).unwrap();
-    assert_eq!((there, back.len()), (bytes.clone(), Frame::Idle.bytes().len()));
+    assert_eq!(
+        (there, back.len()),
+        (bytes.clone(), Frame::Idle.bytes().len())
+    );
     let counts = relay.counts();
-    assert_eq!(counts.there, Traffic { messages: 3, bytes: bytes.len() as u64 });
-    assert_eq!(counts.back, Traffic { messages: 1, bytes: back.len() as u64 });
+    assert_eq!(
+        counts.there,
+        Traffic {
+            messages: 3,
+            bytes: bytes.len() as u64
+        }
+    );
+    assert_eq!(
+        counts.back,
+        Traffic {
+            messages: 1,
+            bytes: back.len() as u64
+        }
+    );
 }
--- a/crates/scale/tests/results.rs
+++ b/crates/scale/tests/results.rs
@@ -13,7 +13,11 @@
         seed: 3,
         quick: true,
         commit: "unknown".into(),
-        machine: Machine { cores: 1, memory_bytes: 1, load_average: 0.0 },
+        machine: Machine {
+            cores: 1,
+            memory_bytes: 1,
+            load_average: 0.0,
+        },
     };
     RunFile { provenance, points }
 }
@@ -21,23 +25,36 @@
 /// Points of one quantity: `value(size, repeat)` in two repeats of four sizes.
 fn slope(measurement: impl Fn(u64, u32) -> Measurement) -> Slope {
     let sizes = [10, 30, 100, 300];
-    let repeats = sizes.iter().flat_map(|size| [0, 1].map(|repeat| (*size, repeat)));
+    let repeats = sizes
+        .iter()
+        .flat_map(|size| [0, 1].map(|repeat| (*size, repeat)));
     let point = |(size, repeat)| Point {
         size,
         repeat,
         peak_resident: 0,
         measurements: vec![measurement(size, repeat)],
     };
-    run(repeats.map(point).collect()).slopes().unwrap().slopes.remove(0)
+    run(repeats.map(point).collect())
+        .slopes()
+        .unwrap()
+        .slopes
+        .remove(0)
 }
 
 #[test]
 fn of_timed_repeats_the_smallest_counts() {
     let slope = slope(|size, repeat| {
-        Measurement::timed("cpu", Unit::Microseconds, 5.0 * size as f64 + f64::from(repeat) * 100.0)
+        Measurement::timed(
+            "cpu",
+            Unit::Microseconds,
+            5.0 * size as f64 + f64::from(repeat) * 100.0,
+        )
     });
     assert_eq!(slope.points, [50.0, 150.0, 500.0, 1500.0]);
-    assert!((slope.slope - 5.0).abs() < 1e-9 && slope.linear && !slope.counted, "{slope:?}");
+    assert!(
+        (slope.slope - 5.0).abs() < 1e-9 && slope.linear && !slope.counted,
+        "{slope:?}"
+    );
     assert!((slope.spread - 100.0 / 150.0).abs() < 1e-9, "{slope:?}");
 }
 
@@ -45,7 +62,11 @@
 fn counts_that_differ_between_repeats_are_not_called_counted() {
     let counts = |share: f64| {
         slope(move |size, repeat| {
-            Measurement::counted("heap", Unit::Bytes, 1e6 * size as f64 * (1.0 + share * f64::from(repeat)))
+            Measurement::counted(
+                "heap",
+                Unit::Bytes,
+                1e6 * size as f64 * (1.0 + share * f64::from(repeat)),
+            )
         })
     };
     assert!(counts(0.0).counted && counts(0.0).spread == 0.0);
@@ -56,8 +77,9 @@
 #[test]
 fn what_is_negligible_does_not_count_as_growth() {
     let heap = |most: f64| {
-        let value =
-            move |size, _| Measurement::counted("heap", Unit::Bytes, if size == 100 { most } else { 0.0 });
+        let value = move |size, _| {
+            Measurement::counted("heap", Unit::Bytes, if size == 100 { most } else { 0.0 })
+        };
         slope(value)
     };
     assert!(heap(500.0).linear);
@@ -68,7 +90,12 @@
 fn slopes_have_a_stable_form() {
     let slope = slope(|size, _| Measurement::counted("calls", Unit::Messages, 2.0 * size as f64));
     let json = serde_json::to_value(&slope).unwrap();
-    let keys: Vec<&str> = json.as_object().unwrap().keys().map(String::as_str).collect();
+    let keys: Vec<&str> = json
+        .as_object()
+        .unwrap()
+        .keys()
+        .map(String::as_str)
+        .collect();
     let mut expected = [
         "experiment",
         "quantity",
@@ -89,5 +116,8 @@
     let mut keys = keys;
     keys.sort_unstable();
     assert_eq!(keys, expected);
-    assert_eq!((&json["unit"], &json["seed"]), (&"messages".into(), &3.into()));
+    assert_eq!(
+        (&json["unit"], &json["seed"]),
+        (&"messages".into(), &3.into())
+    );
 }
--- a/examples/toy_instance.rs
+++ b/examples/toy_instance.rs
@@ -11,8 +11,9 @@
     loop {
         let reply = match command_words(&held) {
             Ok(Parsed::Whole(words, n)) => {
-                let text =
-                    |i: usize| String::from_utf8_lossy(words.get(i).unwrap_or(&b"".as_slice())).to_string();
+                let text = |i: usize| {
+                    String::from_utf8_lossy(words.get(i).unwrap_or(&b"".as_slice())).to_string()
+                };
                 let reply = match text(0).as_str() {
                     "SVC.QUERY" | "SVC.SUBMIT" => {
                         std::thread::sleep(Duration::from_millis(40));
@@ -42,7 +43,9 @@
 }
 
 fn main() -> std::io::Result<()> {
-    let address = std::env::args().nth(1).unwrap_or_else(|| "127.0.0.1:7001".into());
+    let address = std::env::args()
+        .nth(1)
+        .unwrap_or_else(|| "127.0.0.1:7001".into());
     let listener = TcpListener::bind(&address)?;
     println!("toy instance on {address}");
     for stream in listener.incoming() {
--- a/src/api.rs
+++ b/src/api.rs
@@ -376,7 +376,12 @@
     /// The first field that does not.
     pub fn check(&self) -> Result<(), SettingsError> {
         let set = self;
-        let wrong = |field: String, problem: &str| Err(SettingsError { field, problem: problem.to_string() });
+        let wrong = |field: String, problem: &str| {
+            Err(SettingsError {
+                field,
+                problem: problem.to_string(),
+            })
+        };
         let sound = |x: f64| x.is_finite() && x >= 0.0;
         if set.gateways == 0 {
             return wrong("gateways".into(), "there must be one at least");
@@ -399,7 +404,11 @@
                     return wrong(format!("classes[{i}].{name}"), "must be above 0");
                 }
             }
-            for (name, x) in [("window", c.window), ("late_share", c.late_share), ("worth", c.worth)] {
+            for (name, x) in [
+                ("window", c.window),
+                ("late_share", c.late_share),
+                ("worth", c.worth),
+            ] {
                 if !sound(x) {
                     return wrong(format!("classes[{i}].{name}"), "must be 0 or more");
                 }
@@ -420,7 +429,10 @@
                 }
             }
             if p.rate > 0.0 && p.burst <= 0.0 {
-                return wrong(format!("plans[{i}].burst"), "must be above 0 where there is a rate");
+                return wrong(
+                    format!("plans[{i}].burst"),
+                    "must be above 0 where there is a rate",
+                );
             }
         }
         let rest = [
