--- a/src/balance.rs
+++ b/src/balance.rs
@@ -129,7 +129,11 @@
             base: vec![(0.9, 0.5); set.plans.len()],
             ..Memory::default()
         };
-        Ok(Gateway { rng: oorandom::Rand32::new(seed), m, set })
+        Ok(Gateway {
+            rng: oorandom::Rand32::new(seed),
+            m,
+            set,
+        })
     }
 
     /// Takes one event and appends what is to be done.
@@ -137,11 +141,17 @@
         if !self.m.started {
             self.m.started = true;
             (self.m.boot, self.m.warm_at, self.m.paced_at) = (now, now, now);
-            actions.push(Action::Timer { after: TICK, token: 0 });
+            actions.push(Action::Timer {
+                after: TICK,
+                token: 0,
+            });
             actions.extend(self.set.list_on_request.then_some(Action::FollowList));
         }
         match event {
-            Event::Hosts { kind: ListKind::Failed, .. } => {
+            Event::Hosts {
+                kind: ListKind::Failed,
+                ..
+            } => {
                 actions.extend(self.set.list_on_request.then_some(Action::FollowList));
             }
             Event::Hosts { kind, entries } => self.m.list(kind == ListKind::Delta, entries),
@@ -149,16 +159,33 @@
             Event::Ended(end) => self.ended(now, &end, actions),
             Event::ClientGone { id } => self.m.finish(id),
             Event::StreamStarted { id, .. } => self.m.streams(id),
-            Event::Probed { host, outcome, report } => self.probed(now, host, outcome, &report),
+            Event::Probed {
+                host,
+                outcome,
+                report,
+            } => self.probed(now, host, outcome, &report),
             Event::Timer { token: 0 } => self.tick(now, actions),
             // The answer timer: whatever happens, the client hears in time.
             Event::Timer { token } => {
-                if self.m.requests.get(&(token as RequestId)).is_some_and(|o| !o.streaming) {
+                if self
+                    .m
+                    .requests
+                    .get(&(token as RequestId))
+                    .is_some_and(|o| !o.streaming)
+                {
                     self.answer(token as RequestId, actions);
                 }
             }
-            Event::Counted { name, outcome, total } => self.counted(now, name, outcome, total, actions),
-            Event::CountedLate { name, amount, total } => {
+            Event::Counted {
+                name,
+                outcome,
+                total,
+            } => self.counted(now, name, outcome, total, actions),
+            Event::CountedLate {
+                name,
+                amount,
+                total,
+            } => {
                 self.counted_late(now, name, (amount, total), actions);
             }
         }
@@ -172,7 +199,10 @@
             return;
         }
         if !request.sound(now, &self.set) {
-            return actions.push(Action::Refuse { id, retry_after: 0.0 });
+            return actions.push(Action::Refuse {
+                id,
+                retry_after: 0.0,
+            });
         }
         self.reading(now, true);
         let class = &self.set.classes[request.class];
@@ -189,7 +219,10 @@
             return self.refuse(id, wait.max(0.5), actions);
         }
         let after = (request.give_up - now - self.set.resolution).max(0.0);
-        actions.push(Action::Timer { after, token: (1 << 32) | u64::from(id) });
+        actions.push(Action::Timer {
+            after,
+            token: (1 << 32) | u64::from(id),
+        });
         self.m.requests.insert(id, Open::new(request));
         if !matches!(drawn, Draw::Held) {
             self.admit(now, id, actions);
@@ -198,19 +231,27 @@
 
     /// First attempt of a request that its quota lets in, or a refusal where no host can take it.
     fn admit(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.m.requests.get(&id).filter(|o| !o.done) else { return };
+        let Some(open) = self.m.requests.get(&id).filter(|o| !o.done) else {
+            return;
+        };
         let (of, customer, units) = (open.ask(), open.request.customer, open.request.units);
         self.m.wanted += 1.0;
         if let Some(host) = self.choose(now, of, &[], None) {
             self.m.tokens = (self.m.tokens + EARN).min(SAVED);
             return self.send(now, id, host, actions);
         }
-        self.m.customers.entry(customer).and_modify(|c| c.hand += units);
+        self.m
+            .customers
+            .entry(customer)
+            .and_modify(|c| c.hand += units);
         self.answer(id, actions);
     }
 
     fn refuse(&self, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::Refuse { id, retry_after: wait.min(self.set.max_retry_after) });
+        actions.push(Action::Refuse {
+            id,
+            retry_after: wait.min(self.set.max_retry_after),
+        });
     }
 
     fn dice(&mut self, chance: f64) -> bool {
@@ -228,11 +269,23 @@
         }
         let next = self.m.threshold * if self.m.level == 0 { 1.0 } else { LEVEL2 };
         let own = self.m.threshold * if self.m.level == 2 { LEVEL2 } else { 1.0 };
-        self.m.above = if self.m.level < 2 && count > next { self.m.above + 1 } else { 0 };
-        self.m.below = if self.m.level > 0 && count < own { self.m.below + 1 } else { 0 };
+        self.m.above = if self.m.level < 2 && count > next {
+            self.m.above + 1
+        } else {
+            0
+        };
+        self.m.below = if self.m.level > 0 && count < own {
+            self.m.below + 1
+        } else {
+            0
+        };
         let (up, down) = (self.m.above >= READINGS, self.m.below >= READINGS);
         if up || down {
-            self.m.level = if up { self.m.level + 1 } else { self.m.level - 1 };
+            self.m.level = if up {
+                self.m.level + 1
+            } else {
+                self.m.level - 1
+            };
             (self.m.above, self.m.below) = (0, 0);
         }
     }
@@ -241,7 +294,11 @@
     /// few attempts a host for all gateways together are in order. Harm: it lags a load after an idle spell.
     fn learn(&mut self, now: f64) {
         self.m.pass_time(now, PACE_OF, PACE);
-        let able = self.m.hosts.values().filter(|h| h.ready && h.ejected.is_none());
+        let able = self
+            .m
+            .hosts
+            .values()
+            .filter(|h| h.ready && h.ejected.is_none());
         let hosts: f64 = able.map(|h| self.warmth(now, h)).sum();
         let least = LEAST * hosts / f64::from(self.set.gateways);
         self.m.threshold = (AIMS * self.m.aims).max(least);
@@ -264,7 +321,8 @@
             let units_each = THIN * spread * (1.0 + self.set.most_units.max(1.0)) / 2.0;
             let thin = self.set.counter && plan.ceiling_rate <= 0.0 && plan.burst < units_each;
             let mut fresh = Customer::new(request, thin, spread, now);
-            (fresh.carry, fresh.share, fresh.reserve_at) = (plan.burst, plan.burst / spread, self.m.boot);
+            (fresh.carry, fresh.share, fresh.reserve_at) =
+                (plan.burst, plan.burst / spread, self.m.boot);
             // One that has just started may have served it a moment ago: it reads the last total.
             if plan.rate > 0.0 && now - self.m.boot < YOUNG * plan.window() {
                 (fresh.window, fresh.known) = ((now / plan.window()).floor() as i64 - 1, true);
@@ -275,7 +333,9 @@
         let silent = self.m.call_fails >= SILENT;
         let hold = silent && self.dice(self.m.strain);
         let outage = self.m.outage_at;
-        let Some(c) = self.m.customers.get_mut(&id) else { return Draw::Beyond(0.0) };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return Draw::Beyond(0.0);
+        };
         c.demand = c.demand * (-(now - c.last) / BLOCK.1).exp() + units / BLOCK.1;
         c.units += 0.05 * (units - c.units);
         c.last = now;
@@ -319,7 +379,9 @@
         if !hold {
             self.ask(now, id, alone, actions);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else { return drawn };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return drawn;
+        };
         if c.in_flight.is_none() && c.held.pop().is_some() {
             let room = c.avail(now, &plan);
             drawn = Draw::Beyond((units - room).max(0.0) / plan.rate);
@@ -329,7 +391,9 @@
 
     /// Answers what waits for a block: let in as far as the hand or, after a failed call, the share lasts.
     fn settle(&mut self, now: f64, id: CustomerId, failed: bool, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
         let plan = &self.set.plans[c.plan];
         let (mut served, mut left) = (Vec::new(), Vec::new());
         let alone = c.window as f64 * plan.window() < self.m.outage_at;
@@ -350,7 +414,9 @@
         for request in served {
             self.admit(now, request, actions);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
         if failed || c.in_flight.is_none_or(|f| f.0 < 0.0) {
             for (request, _) in std::mem::take(&mut c.held) {
                 self.answer(request, actions);
@@ -361,16 +427,35 @@
     /// Where a gateway's part of a quota is a request or less, blocks and shares would strand it: the store
     /// is on the counter, asked for each request. What a strained one is not asked fares as what was
     /// asked, less its price, and weighs on it. Harm: a call a request, one more for each refused.
-    fn draw_thin(&mut self, now: f64, request: &Request, plan: &Plan, actions: &mut Vec<Action>) -> Draw {
+    fn draw_thin(
+        &mut self,
+        now: f64,
+        request: &Request,
+        plan: &Plan,
+        actions: &mut Vec<Action>,
+    ) -> Draw {
         let (odds, silent) = (1.0 - self.m.strain, self.m.call_fails >= SILENT);
         let [asks, luck] = [(); 2].map(|()| f64::from(self.rng.rand_float()));
-        let Some(c) = self.m.customers.get_mut(&request.customer) else { return Draw::Beyond(0.0) };
+        let Some(c) = self.m.customers.get_mut(&request.customer) else {
+            return Draw::Beyond(0.0);
+        };
         if now < c.blocked_until || now - c.blocked_until < BESET.0 && luck >= BESET.1 {
             return Draw::Beyond(c.blocked_until - now);
         }
         if asks >= odds {
-            let fits = luck < c.unasked(now, request.units, plan, silent, self.m.base[request.plan].0);
-            return if fits { Draw::Granted } else { Draw::Beyond(plan.burst / plan.rate) };
+            let fits = luck
+                < c.unasked(
+                    now,
+                    request.units,
+                    plan,
+                    silent,
+                    self.m.base[request.plan].0,
+                );
+            return if fits {
+                Draw::Granted
+            } else {
+                Draw::Beyond(plan.burst / plan.rate)
+            };
         }
         c.held.push((request.id, request.units / odds));
         if c.in_flight.is_none() {
@@ -381,10 +466,15 @@
 
     /// Takes from the store for all that wait, together with what is to be put right.
     fn ask_store(&mut self, now: f64, id: CustomerId, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
         c.covered = c.held.len();
         let amount = c.held.iter().map(|h| h.1).sum::<f64>() - std::mem::take(&mut c.hand);
-        actions.push(self.m.call(now, id, store_window(now, id).0, amount, 2.2 * STORE));
+        actions.push(
+            self.m
+                .call(now, id, store_window(now, id).0, amount, 2.2 * STORE),
+        );
     }
 
     /// The store's number after a call: the units taken, less what comes in with time, are what it lacks.
@@ -397,7 +487,9 @@
         to: &mut Vec<Action>,
     ) {
         let silent = self.m.call_fails >= SILENT;
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
         let plan = self.set.plans[c.plan].clone();
         let asked: Vec<_> = c.held.drain(..std::mem::take(&mut c.covered)).collect();
         let need: f64 = asked.iter().map(|h| h.1).sum();
@@ -420,10 +512,11 @@
             }
         }
         let (luck, base) = (f64::from(self.rng.rand_float()), self.m.base[c.plan].0);
-        let (let_in, refused): (Vec<_>, Vec<_>) = asked.into_iter().partition(|h| match &mut lacks {
-            Some(lacks) => c.fits(now, h.1, lacks, &plan),
-            None => luck < c.unasked(now, c.units, &plan, silent, base),
-        });
+        let (let_in, refused): (Vec<_>, Vec<_>) =
+            asked.into_iter().partition(|h| match &mut lacks {
+                Some(lacks) => c.fits(now, h.1, lacks, &plan),
+                None => luck < c.unasked(now, c.units, &plan, silent, base),
+            });
         if lacks.is_some() && let_in.len() + refused.len() > 0 {
             let part = let_in.len() as f64 / (let_in.len() + refused.len()) as f64;
             fare(&mut self.m.base[c.plan], part, BASE);
@@ -434,7 +527,9 @@
         } else if !c.held.is_empty() || c.hand.abs() >= 0.5 {
             self.ask_store(now, id, to);
         }
-        let_in.into_iter().for_each(|(request, _)| self.admit(now, request, to));
+        let_in
+            .into_iter()
+            .for_each(|(request, _)| self.admit(now, request, to));
         for (request, _) in refused {
             self.refuse(request, wait, to);
             self.m.finish(request);
@@ -443,7 +538,9 @@
 
     /// One counter add for a demand-sized block, before the hand is empty; at most one in flight.
     fn ask(&mut self, now: f64, id: CustomerId, alone: bool, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
         let plan = &self.set.plans[c.plan];
         if !self.set.counter || c.in_flight.is_some() {
             return;
@@ -457,18 +554,30 @@
             (c.window - 1, 0.0)
         } else {
             // Units held in blocks come on top of what the store holds: under a ceiling they stay few.
-            let most = if plan.ceiling_rate > 0.0 { HOARD / c.spread } else { 0.5 } * plan.burst;
-            let block = (c.demand * BLOCK.0).max(c.units).max(1.0).min(most.max(c.units));
+            let most = if plan.ceiling_rate > 0.0 {
+                HOARD / c.spread
+            } else {
+                0.5
+            } * plan.burst;
+            let block = (c.demand * BLOCK.0)
+                .max(c.units)
+                .max(1.0)
+                .min(most.max(c.units));
             let need: f64 = c.held.iter().map(|h| h.1).sum();
             // A block of one request is not refilled ahead: one at each gateway is most of a small store.
             let ahead = c.demand * BLOCK.0 >= c.units;
             if need <= 0.0 && (!ahead || c.hand >= block / 2.0) || now < c.blocked_until {
                 return;
             }
-            let avail = if c.known { c.avail(now, plan) } else { plan.burst };
+            let avail = if c.known {
+                c.avail(now, plan)
+            } else {
+                plan.burst
+            };
             let amount = (block + need - c.hand).min(avail.max(-c.hand));
             if amount < 1.0 {
-                c.blocked_until = now + (c.units - avail).clamp(0.1 * c.units, plan.burst) / plan.rate;
+                c.blocked_until =
+                    now + (c.units - avail).clamp(0.1 * c.units, plan.burst) / plan.rate;
                 return;
             }
             (c.window, amount)
@@ -477,17 +586,35 @@
         actions.push(self.m.call(now, id, window, amount, lives));
     }
 
-    fn counted(&mut self, now: f64, name: u64, outcome: Outcome, total: f64, actions: &mut Vec<Action>) {
-        let Some(&(id, ..)) = self.m.calls.get(&name) else { return };
+    fn counted(
+        &mut self,
+        now: f64,
+        name: u64,
+        outcome: Outcome,
+        total: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(&(id, ..)) = self.m.calls.get(&name) else {
+            return;
+        };
         if outcome != Outcome::Timeout {
             self.m.calls.remove(&name);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else { return };
-        let Some((mut amount, window)) = c.in_flight.take() else { return };
+        let Some(c) = self.m.customers.get_mut(&id) else {
+            return;
+        };
+        let Some((mut amount, window)) = c.in_flight.take() else {
+            return;
+        };
         let plan = self.set.plans[c.plan].clone();
-        let good = outcome == Outcome::Ok && now - c.asked_at < SLOW_CALL * self.set.counter_timeout;
+        let good =
+            outcome == Outcome::Ok && now - c.asked_at < SLOW_CALL * self.set.counter_timeout;
         let strain = self.m.strain;
-        self.m.strain = if good { strain - STRAIN.2 } else { strain + STRAIN.1 * (1.0 - strain) };
+        self.m.strain = if good {
+            strain - STRAIN.2
+        } else {
+            strain + STRAIN.1 * (1.0 - strain)
+        };
         self.m.strain = self.m.strain.clamp(0.0, STRAIN.3);
         let failed = outcome != Outcome::Ok || !total.is_finite();
         // One that turns calls away is there.
@@ -497,14 +624,26 @@
         }
         self.m.call_fails = if mute { self.m.call_fails + 1 } else { 0 };
         if c.thin {
-            return self.tally(now, id, (amount, window), (!failed).then_some(total), actions);
+            return self.tally(
+                now,
+                id,
+                (amount, window),
+                (!failed).then_some(total),
+                actions,
+            );
         }
         if failed {
-            let (added, may_be) =
-                (outcome == Outcome::Error, !matches!(outcome, Outcome::Full | Outcome::ConnectFailed));
+            let (added, may_be) = (
+                outcome == Outcome::Error,
+                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed),
+            );
             if window == c.window {
                 c.lost += if added { amount } else { 0.0 };
-                c.unsure += if may_be && !added { amount.max(0.0) } else { 0.0 };
+                c.unsure += if may_be && !added {
+                    amount.max(0.0)
+                } else {
+                    0.0
+                };
             }
             // Spoilt or broken off, not silent: the next total tells what it grants, at once as a rule.
             if matches!(outcome, Outcome::Error | Outcome::Reset) && self.m.call_fails < SILENT {
@@ -556,9 +695,24 @@
     }
 
     /// A total that came too late for its call, whose amount was held to be used up.
-    fn counted_late(&mut self, now: f64, name: u64, (amount, total): (f64, f64), actions: &mut Vec<Action>) {
-        let Some(&(id, window, _)) = self.m.calls.get(&name) else { return };
-        let Some(c) = self.m.customers.get_mut(&id).filter(|c| !c.thin && c.window == window) else { return };
+    fn counted_late(
+        &mut self,
+        now: f64,
+        name: u64,
+        (amount, total): (f64, f64),
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(&(id, window, _)) = self.m.calls.get(&name) else {
+            return;
+        };
+        let Some(c) = self
+            .m
+            .customers
+            .get_mut(&id)
+            .filter(|c| !c.thin && c.window == window)
+        else {
+            return;
+        };
         c.lost += amount;
         c.unsure = (c.unsure - amount.max(0.0)).max(0.0);
         if c.in_flight.is_none() {
@@ -572,7 +726,8 @@
         let plans = &self.set.plans;
         self.m.customers.retain(|_, c| {
             let plan = &plans[c.plan];
-            let fill = (plan.ceiling_burst - plan.burst) / (plan.ceiling_rate - plan.rate).max(1e-3);
+            let fill =
+                (plan.ceiling_burst - plan.burst) / (plan.ceiling_rate - plan.rate).max(1e-3);
             let window = if plan.rate > 0.0 { plan.window() } else { 0.0 };
             let busy = c.out > 0 || c.in_flight.is_some() || c.hand < 0.0;
             busy || now - c.last <= (IDLE * window).max(fill)
@@ -591,12 +746,28 @@
 
     // ---- Choice ----
 
-    fn choose(&mut self, now: f64, of: Ask, tried: &[HostId], group: Option<Peers>) -> Option<HostId> {
+    fn choose(
+        &mut self,
+        now: f64,
+        of: Ask,
+        tried: &[HostId],
+        group: Option<Peers>,
+    ) -> Option<HostId> {
         let (kind, pools) = of;
         let may = |h: &Host| h.ready && h.pools & pools != 0;
         let ready = self.m.hosts.values().filter(|h| may(h)).count();
-        let ejected = self.m.hosts.values().filter(|h| may(h) && h.ejected.is_some()).count();
-        let left_out = self.m.hosts.values().filter(|h| may(h) && h.left_out(now, kind)).count();
+        let ejected = self
+            .m
+            .hosts
+            .values()
+            .filter(|h| may(h) && h.ejected.is_some())
+            .count();
+        let left_out = self
+            .m
+            .hosts
+            .values()
+            .filter(|h| may(h) && h.left_out(now, kind))
+            .count();
         let load = left_out as f64 > EJECT_SHARE * ready as f64;
         let mut best: Option<(f64, HostId)> = None;
         for round in 0..2 {
@@ -610,7 +781,11 @@
                 // With everything out, something must still be tried.
                 let out = h.ejected.is_some() && (round == 0 || ejected < ready);
                 let skip = !may(h) || !in_group || tried.contains(&id) || late || out;
-                let room = if skip { 0.0 } else { self.cold_room(now, id, h) };
+                let room = if skip {
+                    0.0
+                } else {
+                    self.cold_room(now, id, h)
+                };
                 if room <= 0.0 {
                     continue;
                 }
@@ -654,15 +829,23 @@
         let luck = lot(place, turn as i64);
         // Where it, or the rate, becomes known in mid-span all would draw at once, and soon after once more.
         let known = (turn - phase) * span >= h.started.max(self.m.rated_at);
-        f64::from(u8::from(known && sent <= 0.0 && luck < room)) * if luck < part { DRAWN } else { 1.0 }
+        f64::from(u8::from(known && sent <= 0.0 && luck < room))
+            * if luck < part { DRAWN } else { 1.0 }
     }
 
     // ---- Health ----
 
     fn eject(&mut self, now: f64, id: HostId) {
         let ready = self.m.hosts.values().filter(|h| h.ready).count();
-        let out = self.m.hosts.values().filter(|h| h.ready && h.ejected.is_some()).count();
-        let Some(h) = self.m.hosts.get_mut(&id) else { return };
+        let out = self
+            .m
+            .hosts
+            .values()
+            .filter(|h| h.ready && h.ejected.is_some())
+            .count();
+        let Some(h) = self.m.hosts.get_mut(&id) else {
+            return;
+        };
         // Most of the fleet failing alike is not one host's fault; ejecting it would crush the rest.
         if h.ejected.is_some() || (out + 1) as f64 > EJECT_SHARE * ready as f64 {
             return;
@@ -671,7 +854,9 @@
     }
 
     fn probed(&mut self, now: f64, host: HostId, outcome: Outcome, report: &[f64]) {
-        let Some(h) = self.m.hosts.get_mut(&host) else { return };
+        let Some(h) = self.m.hosts.get_mut(&host) else {
+            return;
+        };
         if h.ejected.is_some() {
             if outcome == Outcome::Ok {
                 (h.ejected, h.trial) = (None, true);
@@ -683,7 +868,10 @@
     }
 
     fn tick(&mut self, now: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { after: TICK, token: 0 });
+        actions.push(Action::Timer {
+            after: TICK,
+            token: 0,
+        });
         self.learn(now);
         if now - self.m.warm_at >= 1.0 {
             self.forget_idle(now);
@@ -710,27 +898,53 @@
 
     fn send(&mut self, now: f64, id: RequestId, host: HostId, actions: &mut Vec<Action>) {
         self.m.sent(now, id, host);
-        let cold = self.m.hosts.get(&host).is_some_and(|h| self.warmth(now, h) < 1.0);
+        let cold = self
+            .m
+            .hosts
+            .get(&host)
+            .is_some_and(|h| self.warmth(now, h) < 1.0);
         if let Some(h) = self.m.hosts.get_mut(&host).filter(|_| cold) {
             h.cold_sent.retain(|s| *s > now - self.set.tip_after);
             h.cold_sent.push_back(now);
         }
-        actions.push(Action::Send { id, host, timeout: 0.0 });
+        actions.push(Action::Send {
+            id,
+            host,
+            timeout: 0.0,
+        });
     }
 
     fn ended(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.id, end.outcome);
-        let Some(open) = self.m.requests.get_mut(&id) else { return };
-        let Some(a) = open.attempts.get_mut(end.attempt as usize).filter(|a| !a.over) else { return };
+        let Some(open) = self.m.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = open
+            .attempts
+            .get_mut(end.attempt as usize)
+            .filter(|a| !a.over)
+        else {
+            return;
+        };
         a.over = true;
         self.m.out -= a.uncount();
-        self.m.slow_share -= if a.slow { 0.0 } else { SLOW.0 * self.m.slow_share };
-        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        self.m.slow_share -= if a.slow {
+            0.0
+        } else {
+            SLOW.0 * self.m.slow_share
+        };
+        a.may_have_run = !matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         let (a, (class, plan)) = (a.clone(), open.kind());
         open.done |= end.finished || outcome == Outcome::Ok;
         if let Some(c) = self.m.customers.get_mut(&open.request.customer) {
             c.out = c.out.saturating_sub(1);
-            if let Some(real) = end.settled.filter(|r| r.is_finite() && self.set.settled_later) {
+            if let Some(real) = end
+                .settled
+                .filter(|r| r.is_finite() && self.set.settled_later)
+            {
                 c.hand -= real - open.request.units;
             }
         }
@@ -739,12 +953,17 @@
             h.report(now, &self.set.report, &end.report);
         }
         self.reading(now, false);
-        let Some(open) = self.m.requests.get_mut(&id) else { return };
+        let Some(open) = self.m.requests.get_mut(&id) else {
+            return;
+        };
         if open.done {
             // The other copies are waste now.
             if self.set.may_cancel {
                 for (i, _) in open.attempts.iter().enumerate().filter(|(_, a)| !a.over) {
-                    actions.push(Action::Cancel { id, attempt: i as u32 });
+                    actions.push(Action::Cancel {
+                        id,
+                        attempt: i as u32,
+                    });
                 }
             }
             self.m.finish(id);
@@ -758,10 +977,16 @@
     /// What an outcome tells of the host and of the load.
     fn outcome(&mut self, now: f64, a: &Attempt, o: Outcome, (class, plan): Kind) {
         let (typical, took) = (self.m.latency[class], now - a.sent);
-        let warm = self.m.hosts.get(&a.host).is_some_and(|h| self.warmth(now, h) >= 1.0);
+        let warm = self
+            .m
+            .hosts
+            .get(&a.host)
+            .is_some_and(|h| self.warmth(now, h) >= 1.0);
         let ran = !matches!(o, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
         self.m.warm_taken += f64::from(u8::from(warm && ran));
-        let Some(h) = self.m.hosts.get_mut(&a.host) else { return };
+        let Some(h) = self.m.hosts.get_mut(&a.host) else {
+            return;
+        };
         h.out = h.out.saturating_sub(1);
         match o {
             Outcome::Ok => {
@@ -770,7 +995,8 @@
                 h.ratio += SLOWLY.0 * (sample - h.ratio);
                 h.ratio_at = now;
                 (h.fails, h.ejected, h.last_answer) = (0, None, now);
-                h.avoid.retain(|m| m.what != Err(class) && m.what != Ok(plan));
+                h.avoid
+                    .retain(|m| m.what != Err(class) && m.what != Ok(plan));
                 if h.trial {
                     h.trial = false;
                 } else {
@@ -800,7 +1026,9 @@
     /// A failure at a host; after some in a row it is ejected. Lateness counts only while the host answers
     /// nobody: else it may just be busy. Harm: the rest of the fleet carries more.
     fn blame(&mut self, now: f64, host: HostId, (o, sent): (Outcome, f64)) {
-        let Some(h) = self.m.hosts.get_mut(&host) else { return };
+        let Some(h) = self.m.hosts.get_mut(&host) else {
+            return;
+        };
         h.fails += u32::from(o != Outcome::Full && (o != Outcome::Timeout || h.last_answer < sent));
         if matches!(o, Outcome::Full | Outcome::Error) {
             h.last_answer = now;
@@ -812,7 +1040,9 @@
 
     /// Sends a further attempt if class, time, number and budget allow it.
     fn again(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(open) = self.m.requests.get(&id) else { return false };
+        let Some(open) = self.m.requests.get(&id) else {
+            return false;
+        };
         let class = &self.set.classes[open.request.class];
         let ran = open.attempts.iter().find(|a| a.may_have_run);
         let mut group = None;
@@ -825,7 +1055,9 @@
                         return false;
                     }
                     // Without knowing the host's group any more, no group is safe.
-                    let Some(h) = self.m.hosts.get(&a.host) else { return false };
+                    let Some(h) = self.m.hosts.get(&a.host) else {
+                        return false;
+                    };
                     group = Some((class.group, h.zone, h.cell));
                 }
             }
@@ -840,7 +1072,9 @@
         }
         let tried: Vec<HostId> = open.attempts.iter().map(|a| a.host).collect();
         let of = open.ask();
-        let Some(host) = self.choose(now, of, &tried, group) else { return false };
+        let Some(host) = self.choose(now, of, &tried, group) else {
+            return false;
+        };
         self.m.tokens -= 1.0;
         self.send(now, id, host, actions);
         true
@@ -857,7 +1091,11 @@
             let tries = open.attempts.len();
             let mut all = !(open.attempts.is_empty() || open.done || open.streaming);
             for a in open.attempts.iter_mut().filter(|a| !a.over) {
-                let lost = self.m.hosts.get(&a.host).is_none_or(|h| h.ejected.is_some() || h.gone);
+                let lost = self
+                    .m
+                    .hosts
+                    .get(&a.host)
+                    .is_none_or(|h| h.ejected.is_some() || h.gone);
                 if a.sent < stuck && !a.slow {
                     a.slow = true;
                     self.m.slow_share += SLOW.0 * (1.0 - self.m.slow_share);
@@ -886,7 +1124,9 @@
 
     /// Final answer without success: refused where a retry is harmless by class, else failed.
     fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.m.requests.get(&id).filter(|o| !o.done) else { return };
+        let Some(open) = self.m.requests.get(&id).filter(|o| !o.done) else {
+            return;
+        };
         let class = &self.set.classes[open.request.class];
         let ran = open.attempts.iter().any(|a| a.may_have_run);
         let harmless = match class.effect {
@@ -937,12 +1177,17 @@
         if self.window == window - 1 && self.known {
             let left = self.carry + plan.rate * plan.window() - self.total;
             // Where others may have used the rest, the last total is read once.
-            self.read_last = self.spread > 1.0 && (left < 1.3 * plan.burst || plan.ceiling_rate > 0.0);
+            self.read_last =
+                self.spread > 1.0 && (left < 1.3 * plan.burst || plan.ceiling_rate > 0.0);
             self.allowed_last = self.carry + plan.rate * plan.window();
             self.carry = left.clamp(0.0, plan.burst);
         } else {
             // Not met in the last window: others may have used it, and the one before, up.
-            self.carry = if plan.ceiling_rate > 0.0 { 0.0 } else { plan.burst };
+            self.carry = if plan.ceiling_rate > 0.0 {
+                0.0
+            } else {
+                plan.burst
+            };
             self.allowed_last = plan.rate * plan.window();
             self.read_last = plan.ceiling_rate > 0.0;
             self.hand = self.hand.min(0.0);
@@ -985,19 +1230,26 @@
         // What was sent before the host was left out says nothing new.
         let (until, spell) = match old {
             Some(m) if now < m.until => (m.until.max(now + first), m.spell),
-            Some(m) => (now + (2.0 * m.spell).min(AVOID.0), (2.0 * m.spell).min(AVOID.0)),
+            Some(m) => (
+                now + (2.0 * m.spell).min(AVOID.0),
+                (2.0 * m.spell).min(AVOID.0),
+            ),
             None => (now + first, first),
         };
         self.avoid.push(Avoid { what, until, spell });
     }
 
     fn left_out(&self, now: f64, (class, plan): Kind) -> bool {
-        self.avoid.iter().any(|m| now < m.until && (m.what == Err(class) || m.what == Ok(plan)))
+        self.avoid
+            .iter()
+            .any(|m| now < m.until && (m.what == Err(class) || m.what == Ok(plan)))
     }
 
     /// Expected wait for one more attempt, in latencies. All gateways choose alike, each has as much out.
     fn wait(&self, now: f64, warmth: f64, all: u32) -> f64 {
-        let queue = self.waiting.map_or(0.0, |(at, queue)| queue * (1.0 - (now - at) / FRESH).max(0.0));
+        let queue = self.waiting.map_or(0.0, |(at, queue)| {
+            queue * (1.0 - (now - at) / FRESH).max(0.0)
+        });
         let ratio = 1.0 + (self.ratio - 1.0) * (-(now - self.ratio_at) / FORGET).exp();
         ((f64::from(self.out * all) + queue) / warmth + 1.0) * ratio.max(0.3) / self.size
     }
--- a/src/bin/driftgap-adapter/main.rs
+++ b/src/bin/driftgap-adapter/main.rs
@@ -34,8 +34,8 @@
     while let Some(record) = reader.record()? {
         match record {
             Record::Born { who, seed, setup } => {
-                let settings =
-                    settings::settings(&setup).map_err(|e| format!("Born of instance {who}: {e}"))?;
+                let settings = settings::settings(&setup)
+                    .map_err(|e| format!("Born of instance {who}: {e}"))?;
                 let gateway = Gateway::new(settings, seed)
                     .map_err(|e| format!("Born of instance {who}: settings: {e}"))?;
                 hosted.insert(who, gateway);
--- a/src/bin/driftgap-adapter/wire.rs
+++ b/src/bin/driftgap-adapter/wire.rs
@@ -27,13 +27,20 @@
 impl<'a> Reader<'a> {
     /// Reads `bytes`, the clock or the records of a frame.
     pub fn new(bytes: &'a [u8]) -> Self {
-        Reader { bytes, at: 0, what: "header" }
+        Reader {
+            bytes,
+            at: 0,
+            what: "header",
+        }
     }
 
     fn take(&mut self, n: usize) -> Res<&'a [u8]> {
         let left = self.bytes.len() - self.at;
         if n > left {
-            return Err(format!("{} at byte {}: {n} more bytes wanted, {left} left", self.what, self.at));
+            return Err(format!(
+                "{} at byte {}: {n} more bytes wanted, {left} left",
+                self.what, self.at
+            ));
         }
         self.at += n;
         Ok(&self.bytes[self.at - n..self.at])
@@ -81,7 +88,13 @@
             60 => Outcome::Reset,
             70 => Outcome::Cancelled,
             80 => Outcome::Moot,
-            _ => return Err(format!("{} at byte {}: unknown outcome {code}", self.what, self.at - 1)),
+            _ => {
+                return Err(format!(
+                    "{} at byte {}: unknown outcome {code}",
+                    self.what,
+                    self.at - 1
+                ))
+            }
         })
     }
 
@@ -92,7 +105,12 @@
             0 => HostState::Ready,
             1 => HostState::Gone,
             2 => HostState::Draining,
-            other => return Err(format!("Entry at byte {}: unknown state {other}", self.at - 1)),
+            other => {
+                return Err(format!(
+                    "Entry at byte {}: unknown state {other}",
+                    self.at - 1
+                ))
+            }
         };
         Ok(HostEntry {
             host,
@@ -142,7 +160,12 @@
                     1 => ListKind::Full,
                     2 => ListKind::Cached,
                     3 => ListKind::Failed,
-                    other => return Err(format!("Targets at byte {}: unknown kind {other}", self.at - 1)),
+                    other => {
+                        return Err(format!(
+                            "Targets at byte {}: unknown kind {other}",
+                            self.at - 1
+                        ))
+                    }
                 };
                 let (_version, n) = (self.u32()?, self.u32()?);
                 let entries = (0..n).map(|_| self.entry()).collect::<Res<Vec<_>>>()?;
@@ -179,13 +202,24 @@
                 let (_used, units) = (self.u16()?, self.u16()?);
                 let settled = (units > 0).then_some(f64::from(units));
                 let report = self.stats()?;
-                Event::Ended(AttemptEnd { id, attempt, outcome, finished, settled, report })
+                Event::Ended(AttemptEnd {
+                    id,
+                    attempt,
+                    outcome,
+                    finished,
+                    settled,
+                    report,
+                })
             }
             6 => Event::ClientGone { id: self.u32()? },
             7 => Event::Timer { token: self.u64()? },
             8 => {
                 let (host, outcome, _took) = (self.u32()?, self.outcome()?, self.f64()?);
-                Event::Probed { host, outcome, report: self.stats()? }
+                Event::Probed {
+                    host,
+                    outcome,
+                    report: self.stats()?,
+                }
             }
             9 => {
                 let (_from, n) = (self.u32()?, self.u16()?);
@@ -196,7 +230,11 @@
             _ => {
                 let (name, outcome, total) = (self.u64()?, self.outcome()?, self.f32()?);
                 let _took = self.f64()?;
-                Event::Counted { name, outcome, total }
+                Event::Counted {
+                    name,
+                    outcome,
+                    total,
+                }
             }
         };
         Ok(Some(Record::For { who, event }))
@@ -243,7 +281,11 @@
             head(out, 11, who);
             out.push(1);
         }
-        Action::Count { name, amount, lives } => {
+        Action::Count {
+            name,
+            amount,
+            lives,
+        } => {
             head(out, 13, who);
             out.extend(name.to_be_bytes());
             out.extend((amount as f32).to_be_bytes());
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -35,9 +35,9 @@
 fn agreed(hub: &Hub, call: &Call, outcome: Outcome) -> Answer {
     let name = match call {
         Call::Suspend(name) | Call::Restore(name) => name,
-        Call::Group(GroupCall::Add(name, _) | GroupCall::Remove(name) | GroupCall::Replace(_, name, _)) => {
-            name
-        }
+        Call::Group(
+            GroupCall::Add(name, _) | GroupCall::Remove(name) | GroupCall::Replace(_, name, _),
+        ) => name,
         _ => "",
     };
     let done = match call {
@@ -48,9 +48,15 @@
     };
     match outcome {
         Outcome::Done | Outcome::Before => {
-            let word = if outcome == Outcome::Done { done.0 } else { done.1 };
+            let word = if outcome == Outcome::Done {
+                done.0
+            } else {
+                done.1
+            };
             if matches!(call, Call::Restore(_)) && hub.is_out_here(name) {
-                return Answer::yes(format!("{name} {word}, but is suspended here: RESTORE {name} HERE"));
+                return Answer::yes(format!(
+                    "{name} {word}, but is suspended here: RESTORE {name} HERE"
+                ));
             }
             Answer::yes(format!("{name} {word}"))
         }
@@ -74,10 +80,16 @@
 fn seat(seat: Seat) -> Answer {
     let status = match seat {
         Seat::Waiting => {
-            return Answer::no("not in the group yet: the folder is empty, and nobody has let it in")
+            return Answer::no(
+                "not in the group yet: the folder is empty, and nobody has let it in",
+            )
         }
         Seat::Lost(why) => return Answer::no(format!("votes no more: {why}")),
-        Seat::Following { member, applied, age_ms } => {
+        Seat::Following {
+            member,
+            applied,
+            age_ms,
+        } => {
             let (yes, member) = (member.is_some(), member.unwrap_or_else(|| "none".into()));
             let age = age(age_ms.unwrap_or(f64::INFINITY));
             return Answer {
@@ -95,7 +107,12 @@
     };
     let members = status.members.iter().map(|m| {
         let lag = m.lag.map_or(String::new(), |lag| format!(":lag={lag}"));
-        format!("{}:{}:{}{lag}", m.name, m.id, if m.votes { "votes" } else { "copies" })
+        format!(
+            "{}:{}:{}{lag}",
+            m.name,
+            m.id,
+            if m.votes { "votes" } else { "copies" }
+        )
     });
     let text = format!(
         "role={role} leader={} term={} applied={} agreed={} age_ms={} changing={} form={} members={}",
@@ -108,7 +125,10 @@
         status.form,
         members.collect::<Vec<_>>().join(",")
     );
-    Answer { yes: status.leader.is_some(), text }
+    Answer {
+        yes: status.leader.is_some(),
+        text,
+    }
 }
 
 /// The place where staff call.
@@ -125,7 +145,14 @@
     /// No callers yet.
     pub fn new(hub: Rc<Hub>, keeper: Option<Rc<dyn Keeper>>, group: Option<Group>) -> Rc<Calls> {
         let (callers, next, waiting) = Default::default();
-        Rc::new(Calls { hub, keeper, group, waiting, callers, next })
+        Rc::new(Calls {
+            hub,
+            keeper,
+            group,
+            waiting,
+            callers,
+            next,
+        })
     }
 
     /// Takes in callers until its task is ended.
@@ -211,7 +238,10 @@
             }
             _ => self.answer(&call),
         };
-        if !matches!(call, Call::Status | Call::Group(GroupCall::Status | GroupCall::Out)) {
+        if !matches!(
+            call,
+            Call::Status | Call::Group(GroupCall::Status | GroupCall::Out)
+        ) {
             tracing::info!(call = ?call, yes = answer.yes, answer = answer.text, "operator");
         }
         answer
@@ -231,11 +261,19 @@
             Call::Pause => {
                 let now = hub.now();
                 let first = hub.door().pause(now);
-                Answer::yes(if first { "emptying" } else { "emptying since before" })
+                Answer::yes(if first {
+                    "emptying"
+                } else {
+                    "emptying since before"
+                })
             }
             Call::Resume => {
                 let first = hub.door().resume();
-                Answer::yes(if first { "taking clients" } else { "was taking clients" })
+                Answer::yes(if first {
+                    "taking clients"
+                } else {
+                    "was taking clients"
+                })
             }
             Call::Suspend(name) => self.ban(name, true),
             Call::Restore(name) => self.ban(name, false),
@@ -257,12 +295,16 @@
             }
             Call::Suspend(name) => Wish::Suspend(name.clone()),
             Call::Restore(name) => Wish::Restore(name.clone()),
-            Call::Group(GroupCall::Add(name, at)) => {
-                Wish::Invite { name: name.clone(), address: at.to_string(), instead_of: None }
-            }
-            Call::Group(GroupCall::Replace(old, name, at)) => {
-                Wish::Invite { name: name.clone(), address: at.to_string(), instead_of: Some(old.clone()) }
-            }
+            Call::Group(GroupCall::Add(name, at)) => Wish::Invite {
+                name: name.clone(),
+                address: at.to_string(),
+                instead_of: None,
+            },
+            Call::Group(GroupCall::Replace(old, name, at)) => Wish::Invite {
+                name: name.clone(),
+                address: at.to_string(),
+                instead_of: Some(old.clone()),
+            },
             Call::Group(GroupCall::Remove(name)) => Wish::Remove(name.clone()),
             Call::Group(GroupCall::Status) => return seat(group.seat().await),
             _ => {
@@ -285,14 +327,19 @@
                 agreed(&self.hub, call, outcome)
             }
             Ended::Refused(why) => Answer::no(format!("not done: {why}")),
-            Ended::Open => Answer::no("not known whether it will be done: ask GROUP OUT, or repeat the call"),
+            Ended::Open => {
+                Answer::no("not known whether it will be done: ask GROUP OUT, or repeat the call")
+            }
         }
     }
 
     fn ban(&self, name: &str, out: bool) -> Answer {
         let done = self.hub.ban(name, out);
-        let (word, before) =
-            if out { ("suspended", "was suspended") } else { ("restored", "was not suspended") };
+        let (word, before) = if out {
+            ("suspended", "was suspended")
+        } else {
+            ("restored", "was not suspended")
+        };
         let word = match done {
             Ban::Done => word,
             Ban::Before => before,
--- a/src/check.rs
+++ b/src/check.rs
@@ -25,7 +25,11 @@
 /// Reads all that `serve` would read.
 pub fn look(config: Option<&Path>, operator: Option<&Path>) -> Findings {
     let text = config.map(Config::text);
-    let config = text.as_ref().map(|text| text.as_ref().map_err(Clone::clone).and_then(|t| Config::parse(t)));
+    let config = text.as_ref().map(|text| {
+        text.as_ref()
+            .map_err(Clone::clone)
+            .and_then(|t| Config::parse(t))
+    });
     let mut findings = Findings::default();
     if let (Some(Ok(text)), Some(Ok(config))) = (&text, &config) {
         let value: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
@@ -39,7 +43,10 @@
 fn faults(config: Option<Result<Config, ConfigError>>, operator: Option<&Path>) -> Vec<String> {
     let mut faults = Vec::new();
     let mut note = |place: &str, problem: &dyn std::fmt::Display| {
-        faults.push(format!("{place}: {}", problem.to_string().replace('\n', " ")));
+        faults.push(format!(
+            "{place}: {}",
+            problem.to_string().replace('\n', " ")
+        ));
     };
     let config = match config {
         None => {
@@ -52,7 +59,9 @@
         }
         Some(Ok(config)) => Some(config),
     };
-    let zones = config.as_ref().map_or(Vec::new(), |config| config.platform.zones.clone());
+    let zones = config
+        .as_ref()
+        .map_or(Vec::new(), |config| config.platform.zones.clone());
     let mut table = NameTable::new(zones);
     if let Some(config) = &config {
         if let Err(e) = Facade::new(config.platform.module.clone(), config.seed) {
@@ -83,7 +92,8 @@
         }
     }
     if let Some(config) = &config {
-        let rules = Source::of(&operator, config.memory_mb).map(|rules| rules.read(&config.platform));
+        let rules =
+            Source::of(&operator, config.memory_mb).map(|rules| rules.read(&config.platform));
         for fault in rules.and_then(Result::err).unwrap_or_default() {
             note("routes", &fault);
         }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -17,13 +17,23 @@
 impl Clock {
     /// A clock that runs with the system's, from the system's present time.
     pub fn system() -> Clock {
-        let anchor = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1e3);
-        Clock { start: Instant::now(), anchor, set: Cell::new(None) }
+        let anchor = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0.0, |d| d.as_secs_f64() * 1e3);
+        Clock {
+            start: Instant::now(),
+            anchor,
+            set: Cell::new(None),
+        }
     }
 
     /// A clock for tests: it stands at `ms` until it is set again.
     pub fn fixed(ms: f64) -> Clock {
-        Clock { start: Instant::now(), anchor: ms, set: Cell::new(Some(ms)) }
+        Clock {
+            start: Instant::now(),
+            anchor: ms,
+            set: Cell::new(Some(ms)),
+        }
     }
 
     /// Sets a test's clock; it never goes back.
@@ -33,7 +43,9 @@
 
     /// The time.
     pub fn now(&self) -> f64 {
-        self.set.get().unwrap_or_else(|| self.anchor + self.start.elapsed().as_secs_f64() * 1e3)
+        self.set
+            .get()
+            .unwrap_or_else(|| self.anchor + self.start.elapsed().as_secs_f64() * 1e3)
     }
 
     /// The instant at which this clock shows `ms`, for a timer.
@@ -53,13 +65,20 @@
         clock.set(1e12 + 5.0);
         clock.set(1e12);
         assert_eq!(clock.now(), 1e12 + 5.0);
-        assert_eq!(clock.instant(1e12 + 20.0) - clock.instant(1e12), std::time::Duration::from_millis(20));
+        assert_eq!(
+            clock.instant(1e12 + 20.0) - clock.instant(1e12),
+            std::time::Duration::from_millis(20)
+        );
     }
 
     #[test]
     fn the_systems_clock_shows_unix_time_and_runs_on() {
         let clock = Clock::system();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1e3;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_secs_f64()
+            * 1e3;
         let first = clock.now();
         assert!((first - unix).abs() < 1000.0, "{first} beside {unix}");
         assert!(clock.now() >= first);
--- a/src/core.rs
+++ b/src/core.rs
@@ -3,7 +3,9 @@
 //! write a socket, know RESP or HTTP, or ask the system for the time; and it decides nothing about whom to
 //! serve: that is the module's, behind the facade.
 
-use crate::api::{Class, Effect as Repeat, Group, HostEntry, HostState, ListKind, Outcome, ALL_HOSTS};
+use crate::api::{
+    Class, Effect as Repeat, Group, HostEntry, HostState, ListKind, Outcome, ALL_HOSTS,
+};
 use crate::facade::{Add, Ask, CommandId, Ended, Errand, Facade, InstanceId, Report, Verdict};
 use crate::flow::Outlet;
 use crate::settings::Platform;
@@ -61,7 +63,9 @@
 /// `1e9`, `+2`) is none to an instance.
 pub fn decimal(text: &str) -> Option<f64> {
     let plain = text.len() <= 32 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|_| plain && text.starts_with(|c: char| c.is_ascii_digit()))
+    text.parse()
+        .ok()
+        .filter(|_| plain && text.starts_with(|c: char| c.is_ascii_digit()))
 }
 
 /// The names and values of `a=1,b=2`.
@@ -84,7 +88,8 @@
         let settings = &platform.module;
         // Guards instances, which close on what they cannot read, whatever else waits on the connection: only
         // what is readable throughout goes on.
-        let readable = |text: &str, most| text.len() <= most && text.bytes().all(|b| b.is_ascii_graphic());
+        let readable =
+            |text: &str, most| text.len() <= most && text.bytes().all(|b| b.is_ascii_graphic());
         if !readable(&terms, MOST_TERMS) || terms.split(',').any(|term| !term.contains('=')) {
             return Err(BadCommand::Term("terms"));
         }
@@ -93,7 +98,10 @@
         }
         let find = |name: &str| pairs(&terms).find(|(n, _)| *n == name).map(|(_, v)| v);
         let number = |name: &'static str, most: f64| {
-            find(name).and_then(decimal).filter(|v| *v <= most).ok_or(BadCommand::Term(name))
+            find(name)
+                .and_then(decimal)
+                .filter(|v| *v <= most)
+                .ok_or(BadCommand::Term(name))
         };
         let whole = |name, least: f64, most| {
             let value = number(name, most)?;
@@ -104,7 +112,9 @@
             }
         };
         let digits = customer.len() == 16 && customer.bytes().all(|b| b.is_ascii_hexdigit());
-        let customer_id = u64::from_str_radix(customer, 16).ok().filter(|id| digits && *id < CUSTOMERS);
+        let customer_id = u64::from_str_radix(customer, 16)
+            .ok()
+            .filter(|id| digits && *id < CUSTOMERS);
         let class = find("c").and_then(|c| platform.classes.iter().position(|n| n == c));
         let plan = find("t").and_then(|t| platform.plans.iter().position(|n| n == t));
         let ask = Ask {
@@ -141,7 +151,15 @@
             }
         }
         let (customer, id, notes) = (customer.into(), id.into(), Vec::new());
-        let mut command = Command { ask, customer, id, terms, patience_ms, body: None, notes };
+        let mut command = Command {
+            ask,
+            customer,
+            id,
+            terms,
+            patience_ms,
+            body: None,
+            notes,
+        };
         command.take_body(platform, body)?;
         Ok(command)
     }
@@ -150,7 +168,11 @@
     ///
     /// # Errors
     /// A body that its class does not have.
-    pub fn take_body(&mut self, platform: &Platform, body: Option<Vec<u8>>) -> Result<(), BadCommand> {
+    pub fn take_body(
+        &mut self,
+        platform: &Platform,
+        body: Option<Vec<u8>>,
+    ) -> Result<(), BadCommand> {
         // Guards the instances' grammar: a query never has a body, whatever else never lacks one.
         let safe = platform.module.classes[self.ask.class].effect == Repeat::Safe;
         self.body = match (safe, body) {
@@ -241,7 +263,12 @@
 impl End {
     /// An end that brought nothing.
     pub fn without(outcome: Outcome) -> End {
-        End { outcome, value: None, load: Vec::new(), cost: None }
+        End {
+            outcome,
+            value: None,
+            load: Vec::new(),
+            cost: None,
+        }
     }
 }
 
@@ -269,7 +296,11 @@
 
     /// The attempts that are out.
     fn out(&self) -> Vec<u32> {
-        (0..).zip(&self.attempts).filter(|(_, a)| a.out).map(|(i, _)| i).collect()
+        (0..)
+            .zip(&self.attempts)
+            .filter(|(_, a)| a.out)
+            .map(|(i, _)| i)
+            .collect()
     }
 
     /// Whether sending it once more, to an instance that stands there, can do no harm: what may have run, or may
@@ -350,7 +381,9 @@
         self.next = self.next.wrapping_add(1).max(1);
         self.tally.taken += 1;
         // Guards memory: nothing has been sent on, so the refusal is harmless for every class.
-        if self.held.len() >= self.platform.most_held || self.bytes + command.size() > self.most_bytes {
+        if self.held.len() >= self.platform.most_held
+            || self.bytes + command.size() > self.most_bytes
+        {
             self.turn_away(id, 500.0);
             return id;
         }
@@ -359,7 +392,12 @@
         let give_up = now + command.patience_ms.min(longest);
         self.bytes += command.size();
         let command = Rc::new(command);
-        let held = Held { command: command.clone(), give_up, answered: false, attempts: Vec::new() };
+        let held = Held {
+            command: command.clone(),
+            give_up,
+            answered: false,
+            attempts: Vec::new(),
+        };
         self.held.insert(id, held);
         self.open += 1;
         let verdict = self.facade.pick(now, id, &command.ask, give_up);
@@ -379,12 +417,15 @@
 
     fn turn_away(&mut self, id: CommandId, after_ms: f64) {
         self.tally.nacked += 1;
-        self.effects.push_back(Effect::Reply(id, Answer::Nack { after_ms }));
+        self.effects
+            .push_back(Effect::Reply(id, Answer::Nack { after_ms }));
     }
 
     /// The service client has gone: nothing is owed, and its attempts are abandoned.
     pub fn client_gone(&mut self, now: f64, id: CommandId) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.answered) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| !h.answered) else {
+            return;
+        };
         held.answered = true;
         let out = held.out();
         self.open -= 1;
@@ -400,11 +441,17 @@
     /// The process ends before the deadlines of what it holds: each command gets its final answer now, a refusal
     /// (come back after so long) where trying again is harmless.
     pub fn give_up(&mut self, now: f64, after_ms: f64) {
-        let mut ids: Vec<CommandId> =
-            self.held.iter().filter(|(_, h)| !h.answered).map(|(id, _)| *id).collect();
+        let mut ids: Vec<CommandId> = self
+            .held
+            .iter()
+            .filter(|(_, h)| !h.answered)
+            .map(|(id, _)| *id)
+            .collect();
         ids.sort_unstable();
         for id in ids {
-            let Some(held) = self.held.get(&id) else { continue };
+            let Some(held) = self.held.get(&id) else {
+                continue;
+            };
             let out = held.out();
             let answer = self.refusal(id, after_ms, true);
             // For the module it is as if its client had gone: nothing is sent again.
@@ -425,32 +472,42 @@
 
     /// A counter call has ended.
     pub fn counted(&mut self, now: f64, name: u64, outcome: Outcome, total: f64) {
-        self.facade.report(now, Report::Counted(name, outcome, total));
+        self.facade
+            .report(now, Report::Counted(name, outcome, total));
         self.settle(now);
     }
 
     /// The total of a call that was given up before has come after all.
     pub fn counted_late(&mut self, now: f64, add: Add, total: f64) {
-        self.facade.report(now, Report::CountedLate(add.name, add.amount, total));
+        self.facade
+            .report(now, Report::CountedLate(add.name, add.amount, total));
         self.settle(now);
     }
 
     /// A probe has ended.
     pub fn probed(&mut self, now: f64, instance: InstanceId, outcome: Outcome, load: Vec<f64>) {
-        self.facade.report(now, Report::Probed(instance, outcome, load));
+        self.facade
+            .report(now, Report::Probed(instance, outcome, load));
         self.settle(now);
     }
 
     /// The name table has news.
     pub fn names(&mut self, now: f64, kind: ListKind, entries: Vec<HostEntry>) {
         if kind != ListKind::Delta {
-            self.ready.values_mut().for_each(|(ready, _)| *ready = false);
+            self.ready
+                .values_mut()
+                .for_each(|(ready, _)| *ready = false);
         }
         for entry in &entries {
             let place = (entry.zone, entry.cell);
-            self.ready.insert(entry.host, (entry.state == HostState::Ready, place));
+            self.ready
+                .insert(entry.host, (entry.state == HostState::Ready, place));
         }
-        let left = self.ready.iter().filter(|(_, (ready, _))| !ready).map(|(id, _)| *id);
+        let left = self
+            .ready
+            .iter()
+            .filter(|(_, (ready, _))| !ready)
+            .map(|(id, _)| *id);
         self.effects.extend(left.map(Effect::Release));
         self.ready.retain(|_, (ready, _)| *ready);
         self.facade.report(now, Report::Names(kind, entries));
@@ -481,10 +538,17 @@
     /// When [`Core::tick`] must be called at the latest. Deadlines of attempts that are over are dropped here:
     /// each would cost a wake-up for nothing.
     pub fn next_due(&mut self) -> Option<f64> {
-        while self.expiries.peek().is_some_and(|Reverse((_, id, attempt))| !self.is_out(*id, *attempt)) {
+        while self
+            .expiries
+            .peek()
+            .is_some_and(|Reverse((_, id, attempt))| !self.is_out(*id, *attempt))
+        {
             self.expiries.pop();
         }
-        let expiry = self.expiries.peek().map(|Reverse((due, _, _))| *due as f64 / 1e3);
+        let expiry = self
+            .expiries
+            .peek()
+            .map(|Reverse((due, _, _))| *due as f64 / 1e3);
         match (self.facade.next_due(), expiry) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
@@ -512,7 +576,10 @@
     }
 
     fn is_out(&self, id: CommandId, attempt: u32) -> bool {
-        self.held.get(&id).and_then(|h| h.attempts.get(attempt as usize)).is_some_and(|a| a.out)
+        self.held
+            .get(&id)
+            .and_then(|h| h.attempts.get(attempt as usize))
+            .is_some_and(|a| a.out)
     }
 
     /// Carries out what the facade left: verdicts may bring further ones.
@@ -543,7 +610,10 @@
     fn carry_out(&mut self, now: f64, id: CommandId, verdict: Verdict) {
         match verdict {
             Verdict::Hold => {}
-            Verdict::Send { instance, patience_ms } => self.send(now, id, instance, patience_ms),
+            Verdict::Send {
+                instance,
+                patience_ms,
+            } => self.send(now, id, instance, patience_ms),
             Verdict::Nack { after_ms } => {
                 let answer = self.refusal(id, after_ms, false);
                 self.finish(id, answer);
@@ -567,7 +637,9 @@
     }
 
     fn send(&mut self, now: f64, id: CommandId, instance: InstanceId, patience_ms: f64) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         let attempt = held.attempts.len() as u32;
         let class = &self.platform.module.classes[held.command.ask.class];
         let settings = &self.platform.module;
@@ -580,18 +652,41 @@
             && attempt < settings.max_attempts
             && now < held.give_up;
         let place = place.unwrap_or_default();
-        held.attempts.push(Attempt { out: allowed, may_have_run: allowed, sent: now, place });
+        held.attempts.push(Attempt {
+            out: allowed,
+            may_have_run: allowed,
+            sent: now,
+            place,
+        });
         if !allowed {
             let finished = held.answered;
             let outcome = Outcome::Moot;
-            let end = Ended { command: id, attempt, outcome, finished, load: Vec::new(), cost: None };
+            let end = Ended {
+                command: id,
+                attempt,
+                outcome,
+                finished,
+                load: Vec::new(),
+                cost: None,
+            };
             return self.facade.report(now, Report::Ended(end));
         }
-        let until = if patience_ms > 0.0 { held.give_up.min(now + patience_ms) } else { held.give_up };
+        let until = if patience_ms > 0.0 {
+            held.give_up.min(now + patience_ms)
+        } else {
+            held.give_up
+        };
         let command = held.command.clone();
         self.tally.attempts += 1;
-        self.expiries.push(Reverse(((until * 1e3) as u64, id, attempt)));
-        self.effects.push_back(Effect::Start(Start { id, attempt, instance, command, until }));
+        self.expiries
+            .push(Reverse(((until * 1e3) as u64, id, attempt)));
+        self.effects.push_back(Effect::Start(Start {
+            id,
+            attempt,
+            instance,
+            command,
+            until,
+        }));
     }
 
     fn abandon(&mut self, now: f64, id: CommandId, attempt: u32, outcome: Outcome) {
@@ -600,23 +695,44 @@
     }
 
     fn end(&mut self, now: f64, id: CommandId, attempt: u32, end: End) {
-        let End { outcome, value, load, cost } = end;
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(a) = held.attempts.get_mut(attempt as usize).filter(|a| a.out) else { return };
+        let End {
+            outcome,
+            value,
+            load,
+            cost,
+        } = end;
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = held.attempts.get_mut(attempt as usize).filter(|a| a.out) else {
+            return;
+        };
         a.out = false;
-        a.may_have_run = !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        a.may_have_run = !matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         if let Some(value) = value.filter(|_| outcome == Outcome::Ok) {
             self.finish(id, Answer::Served(value));
         }
         let finished = self.held.get(&id).is_none_or(|h| h.answered);
-        let end = Ended { command: id, attempt, outcome, finished, load, cost };
+        let end = Ended {
+            command: id,
+            attempt,
+            outcome,
+            finished,
+            load,
+            cost,
+        };
         self.facade.report(now, Report::Ended(end));
         self.forget(id);
     }
 
     /// The one place where a command gets its answer, once.
     fn finish(&mut self, id: CommandId, answer: Answer) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.answered) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|h| !h.answered) else {
+            return;
+        };
         held.answered = true;
         self.open -= 1;
         match answer {
@@ -629,7 +745,11 @@
     }
 
     fn forget(&mut self, id: CommandId) {
-        if let Some(held) = self.held.get(&id).filter(|h| h.answered && h.attempts.iter().all(|a| !a.out)) {
+        if let Some(held) = self
+            .held
+            .get(&id)
+            .filter(|h| h.answered && h.attempts.iter().all(|a| !a.out))
+        {
             self.bytes -= held.command.size();
             self.held.remove(&id);
         }
--- a/src/counter.rs
+++ b/src/counter.rs
@@ -73,11 +73,18 @@
 impl Place {
     fn new(addr: SocketAddr) -> Rc<Place> {
         let (lanes, wake) = Default::default();
-        Rc::new(Place { addr, lanes, wake, left: Cell::new(false) })
+        Rc::new(Place {
+            addr,
+            lanes,
+            wake,
+            left: Cell::new(false),
+        })
     }
 
     fn under_way(&self) -> bool {
-        self.lanes.iter().any(|lane| lane.borrow().written.iter().any(|c| !c.told))
+        self.lanes
+            .iter()
+            .any(|lane| lane.borrow().written.iter().any(|c| !c.told))
     }
 
     /// The connection for the next call: one that is up and free, else a new one, else that with the fewest.
@@ -88,7 +95,9 @@
             (calls, calls == 0 && lane.stream.is_none())
         };
         let lanes = self.lanes.iter().enumerate();
-        lanes.min_by_key(|(_, lane)| order(lane)).map_or(0, |(lane_no, _)| lane_no)
+        lanes
+            .min_by_key(|(_, lane)| order(lane))
+            .map_or(0, |(lane_no, _)| lane_no)
     }
 
     fn call(self: &Rc<Self>, hub: &Rc<Hub>, wait_ms: f64, call: Call) {
@@ -116,7 +125,11 @@
         for (lane, wake) in self.lanes.iter().zip(&self.wake) {
             let mut lane = lane.borrow_mut();
             // An answer that has begun is one to the oldest call: it was added.
-            let mut outcome = if lane.begun { Outcome::Error } else { Outcome::Timeout };
+            let mut outcome = if lane.begun {
+                Outcome::Error
+            } else {
+                Outcome::Timeout
+            };
             for call in lane.written.iter_mut().take_while(|c| c.made <= late) {
                 if !std::mem::replace(&mut call.told, true) {
                     ended.push((call.add.name, outcome));
@@ -125,11 +138,16 @@
             }
             // Never written, so nothing was added; dropped, so nothing ever will be.
             while lane.waiting.front().is_some_and(|c| c.made <= late) {
-                ended.extend(lane.waiting.pop_front().map(|c| (c.add.name, Outcome::ConnectFailed)));
+                ended.extend(
+                    lane.waiting
+                        .pop_front()
+                        .map(|c| (c.add.name, Outcome::ConnectFailed)),
+                );
             }
             let spoilt = lane.begun && lane.written.front().is_some_and(|c| c.told);
             let dead = spoilt || lane.written.front().is_some_and(|c| now - c.made > DEAD_MS);
-            let idle = lane.written.is_empty() && lane.waiting.is_empty() && now - lane.used > IDLE_MS;
+            let idle =
+                lane.written.is_empty() && lane.waiting.is_empty() && now - lane.used > IDLE_MS;
             if lane.stream.is_some() && (dead || idle) {
                 ended.extend(lane.broke());
                 wake.notify_one();
@@ -141,12 +159,23 @@
 impl Counter {
     /// A counter at an address, if there is one; calls wait this long for their answers.
     pub fn new(addr: Option<SocketAddr>, wait_ms: f64) -> Counter {
-        Counter { wait_ms, place: RefCell::new(addr.map(Place::new)), left: RefCell::default() }
+        Counter {
+            wait_ms,
+            place: RefCell::new(addr.map(Place::new)),
+            left: RefCell::default(),
+        }
     }
 
     /// Makes a call; its end is told to the hub.
     pub fn add(&self, hub: &Rc<Hub>, add: Add) {
-        self.call(hub, Call { add, made: hub.now(), told: false });
+        self.call(
+            hub,
+            Call {
+                add,
+                made: hub.now(),
+                told: false,
+            },
+        );
     }
 
     fn call(&self, hub: &Rc<Hub>, call: Call) {
@@ -163,10 +192,15 @@
         if self.place.borrow().as_ref().map(|p| p.addr) == addr {
             return;
         }
-        let Some(old) = self.place.replace(addr.map(Place::new)) else { return };
+        let Some(old) = self.place.replace(addr.map(Place::new)) else {
+            return;
+        };
         old.left.set(true);
-        let unwritten: Vec<Call> =
-            old.lanes.iter().flat_map(|lane| std::mem::take(&mut lane.borrow_mut().waiting)).collect();
+        let unwritten: Vec<Call> = old
+            .lanes
+            .iter()
+            .flat_map(|lane| std::mem::take(&mut lane.borrow_mut().waiting))
+            .collect();
         self.left.borrow_mut().push(old);
         for call in unwritten {
             self.call(hub, call);
@@ -183,7 +217,10 @@
         };
         let (place, left) = (self.place.borrow(), self.left.borrow());
         let lanes = place.iter().chain(left.iter()).flat_map(|p| &p.lanes);
-        lanes.filter_map(due).min_by(f64::total_cmp).map(|made| made + self.wait_ms)
+        lanes
+            .filter_map(due)
+            .min_by(f64::total_cmp)
+            .map(|made| made + self.wait_ms)
     }
 
     /// Ends the calls that have waited long enough and closes what is idle, dead or left behind.
@@ -195,7 +232,10 @@
         self.left.borrow_mut().retain(|place| {
             let under_way = place.under_way();
             if !under_way {
-                place.lanes.iter().for_each(|lane| lane.borrow_mut().stream = None);
+                place
+                    .lanes
+                    .iter()
+                    .for_each(|lane| lane.borrow_mut().stream = None);
                 place.wake.iter().for_each(Notify::notify_one);
             }
             under_way
@@ -213,8 +253,14 @@
 impl Lane {
     /// Writes a call behind those already written, or gives it back, unwritten, where there is no room.
     fn send(&mut self, call: Call, host: SocketAddr) -> Result<(), Call> {
-        let (Some(stream), Some(output)) = (&self.stream, &mut self.output) else { return Err(call) };
-        let Add { name, amount, lives_ms } = call.add;
+        let (Some(stream), Some(output)) = (&self.stream, &mut self.output) else {
+            return Err(call);
+        };
+        let Add {
+            name,
+            amount,
+            lives_ms,
+        } = call.add;
         let keep = lives_ms.clamp(1.0, 60_000.0) as u64;
         let mut text = Vec::with_capacity(128);
         // Writing to memory does not fail.
@@ -222,7 +268,11 @@
             text,
             "POST /tally/{name:016x}?n={amount}&keep_ms={keep} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
         );
-        let direct = if output.is_empty() { stream.try_write(&text).unwrap_or(0) } else { 0 };
+        let direct = if output.is_empty() {
+            stream.try_write(&text).unwrap_or(0)
+        } else {
+            0
+        };
         if output.push(&text[direct..]).is_err() {
             return Err(call);
         }
@@ -234,9 +284,17 @@
     /// Calls still in the ring were not written whole, but telling which would gain little: they "may have".
     fn broke(&mut self) -> Vec<(u64, Outcome)> {
         (self.stream, self.output) = (None, None);
-        let first = if std::mem::take(&mut self.begun) { Outcome::Error } else { Outcome::Reset };
+        let first = if std::mem::take(&mut self.begun) {
+            Outcome::Error
+        } else {
+            Outcome::Reset
+        };
         let outcomes = std::iter::once(first).chain(std::iter::repeat(Outcome::Reset));
-        let ended = self.written.drain(..).zip(outcomes).filter(|(c, _)| !c.told);
+        let ended = self
+            .written
+            .drain(..)
+            .zip(outcomes)
+            .filter(|(c, _)| !c.told);
         ended.map(|(c, outcome)| (c.add.name, outcome)).collect()
     }
 }
@@ -251,8 +309,12 @@
         return;
     }
     let Ok(Ok(stream)) = connected else {
-        let failed: Vec<_> =
-            lane.borrow_mut().waiting.drain(..).map(|c| (c.add.name, Outcome::ConnectFailed)).collect();
+        let failed: Vec<_> = lane
+            .borrow_mut()
+            .waiting
+            .drain(..)
+            .map(|c| (c.add.name, Outcome::ConnectFailed))
+            .collect();
         return tell(&hub, failed);
     };
     let _ = stream.set_nodelay(true);
@@ -270,7 +332,11 @@
     }
     let mut input = Ring::new(MOST);
     while exchange(&place, &hub, lane_no, &stream, &mut read, &mut input).await {}
-    let mine = lane.borrow().stream.as_ref().is_some_and(|s| Rc::ptr_eq(s, &stream));
+    let mine = lane
+        .borrow()
+        .stream
+        .as_ref()
+        .is_some_and(|s| Rc::ptr_eq(s, &stream));
     if mine {
         let ended = lane.borrow_mut().broke();
         tell(&hub, ended);
@@ -288,7 +354,9 @@
 ) -> bool {
     let lane = &place.lanes[lane_no];
     let more = lane.borrow().output.as_ref().is_some_and(|o| !o.is_empty());
-    let Ok(spare) = input.spare() else { return false };
+    let Ok(spare) = input.spare() else {
+        return false;
+    };
     let (got, ended) = tokio::select! {
         got = read.read(spare) => match got {
             Ok(n) => (n, n == 0),
@@ -315,7 +383,11 @@
         if input.is_empty() {
             return !ended;
         }
-        let parsed = if ended { http_answer_at_end(input.whole()) } else { http_answer(input.whole()) };
+        let parsed = if ended {
+            http_answer_at_end(input.whole())
+        } else {
+            http_answer(input.whole())
+        };
         let answer = match parsed {
             Ok(Parsed::Whole(answer, n)) => {
                 input.consume(n);
@@ -331,10 +403,14 @@
         let call = {
             let mut lane = lane.borrow_mut();
             lane.begun = false;
-            let Some(call) = lane.written.pop_front() else { return false };
+            let Some(call) = lane.written.pop_front() else {
+                return false;
+            };
             call
         };
-        let total = std::str::from_utf8(&answer.body).ok().and_then(|t| t.trim().parse::<f64>().ok());
+        let total = std::str::from_utf8(&answer.body)
+            .ok()
+            .and_then(|t| t.trim().parse::<f64>().ok());
         let (outcome, total) = match (answer.status, total) {
             (200, Some(total)) if total.is_finite() => (Outcome::Ok, total),
             // Added, but the total cannot be read.
@@ -344,11 +420,15 @@
             _ => (Outcome::Timeout, 0.0),
         };
         match call {
-            Call { told: true, add, .. } if outcome == Outcome::Ok => {
+            Call {
+                told: true, add, ..
+            } if outcome == Outcome::Ok => {
                 hub.with_core(|core, now| core.counted_late(now, add, total));
             }
             Call { told: true, .. } => {}
-            Call { add, .. } => hub.with_core(|core, now| core.counted(now, add.name, outcome, total)),
+            Call { add, .. } => {
+                hub.with_core(|core, now| core.counted(now, add.name, outcome, total))
+            }
         }
         // Guards against a connection on which an answer came spoilt: what follows on it may be the rest of
         // that, and would be taken for the totals of other calls.
--- a/src/discovery.rs
+++ b/src/discovery.rs
@@ -50,7 +50,10 @@
             Err(e) => return Err(Error::new(ErrorKind::InvalidData, e)),
         }
         poll.stream.readable().await?;
-        let spare = poll.ring.spare().map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
+        let spare = poll
+            .ring
+            .spare()
+            .map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
         match poll.stream.try_read(spare) {
             // Without a length the end is the end of the connection; a reset is none.
             Ok(0) => match http_answer_at_end(poll.ring.whole()) {
@@ -70,8 +73,13 @@
 /// all ingresses of a fleet at their start, is what an overbooked discovery can bear least.
 pub async fn follow(hub: Rc<Hub>, agent: SocketAddr, mut version: Option<u64>, seed: u64) {
     let settings = &hub.platform().module;
-    let pace = Pace::of(settings.list_on_request, settings.gateways, settings.position);
-    let (mut failures, mut poll, mut dice) = (Failures::default(), None, oorandom::Rand32::new(seed));
+    let pace = Pace::of(
+        settings.list_on_request,
+        settings.gateways,
+        settings.position,
+    );
+    let (mut failures, mut poll, mut dice) =
+        (Failures::default(), None, oorandom::Rand32::new(seed));
     let mut complained = false;
     if version.is_some() {
         let first = pace.first_call(hub.now(), f64::from(dice.rand_float()));
@@ -83,7 +91,10 @@
         let watches = failures.count == 0 && version.is_some();
         let wait = if watches { pace.watch } else { AT_ONCE_MS };
         let began = hub.now();
-        let turn = pace.turns().filter(|_| !watches).map(|turns| turns.next(began + pace.answer));
+        let turn = pace
+            .turns()
+            .filter(|_| !watches)
+            .map(|turns| turns.next(began + pace.answer));
         let result = step(&mut poll, agent, version, wait, &pace);
         let result = match turn {
             Some(turn) => until(hub.clock(), turn, result).await,
@@ -154,11 +165,18 @@
 ) -> Result<HttpAnswer, String> {
     if poll.is_none() {
         let dial = timeout(span(pace.dial), TcpStream::connect(agent)).await;
-        let stream = dial.map_err(|_| "no connection".to_string())?.map_err(|e| e.to_string())?;
+        let stream = dial
+            .map_err(|_| "no connection".to_string())?
+            .map_err(|e| e.to_string())?;
         let _ = stream.set_nodelay(true);
-        *poll = Some(Poll { stream, ring: Ring::new(8 * 1024 * 1024) });
+        *poll = Some(Poll {
+            stream,
+            ring: Ring::new(8 * 1024 * 1024),
+        });
     }
-    let Some(connection) = poll.as_mut() else { return Err("no connection".into()) };
+    let Some(connection) = poll.as_mut() else {
+        return Err("no connection".into());
+    };
     let path = match version {
         None => "/api/targets".to_string(),
         Some(v) => watch(v, wait),
@@ -172,7 +190,9 @@
     };
     let answer = call(connection, &path, agent);
     let answer = match within {
-        Some(within) => timeout(span(within), answer).await.map_err(|_| SILENT.to_string())?,
+        Some(within) => timeout(span(within), answer)
+            .await
+            .map_err(|_| SILENT.to_string())?,
         None => answer.await,
     };
     let answer = answer.map_err(|e| e.to_string())?;
@@ -197,9 +217,13 @@
     if news.kind == ListKind::Full || !news.entries.is_empty() {
         let (kind, entries) = (news.kind, news.entries);
         // One answer may say several things of an instance: the last one counts, as for the core.
-        let last: HashMap<_, _> = entries.iter().map(|e| (e.host, e.state == HostState::Gone)).collect();
+        let last: HashMap<_, _> = entries
+            .iter()
+            .map(|e| (e.host, e.state == HostState::Gone))
+            .collect();
         hub.names(kind, entries);
-        hub.table().forget(|id| last.get(&id).copied().unwrap_or(kind == ListKind::Full));
+        hub.table()
+            .forget(|id| last.get(&id).copied().unwrap_or(kind == ListKind::Full));
     }
     Ok(version)
 }
--- a/src/discovery/pace.rs
+++ b/src/discovery/pace.rs
@@ -56,7 +56,11 @@
     fn of(round: f64, position: u32, gateways: u32) -> Turns {
         // A position beyond the fleet, as during a change of its size, shares another one's turn.
         let rank = position % gateways;
-        Turns { round, rank, offset: round * f64::from(rank) / f64::from(gateways) }
+        Turns {
+            round,
+            rank,
+            offset: round * f64::from(rank) / f64::from(gateways),
+        }
     }
 
     /// The number of the round whose turn is the first after this time.
@@ -82,9 +86,11 @@
         if turned_away == 0 {
             return self.turn(next);
         }
-        let parts = f64::from(1u32 << turned_away.min(16)).min((LONGEST_ROUND_MS / self.round).floor());
+        let parts =
+            f64::from(1u32 << turned_away.min(16)).min((LONGEST_ROUND_MS / self.round).floor());
         // Ingresses next to each other in rank are of different parts.
-        let of_own_part = |number: f64| number + (-(number + f64::from(self.rank))).rem_euclid(parts);
+        let of_own_part =
+            |number: f64| number + (-(number + f64::from(self.rank))).rem_euclid(parts);
         let spared = self.turn(of_own_part(next + 1.0));
         if spared - now <= LONGEST_ROUND_MS {
             spared
@@ -108,7 +114,11 @@
         self.count = self.count.saturating_add(1);
         // At once it is away; late, the call has stood in its queue.
         let overbooked = refused_after.is_some_and(|ms| ms >= LATE_MS);
-        self.turned_away = if overbooked { self.turned_away.saturating_add(1) } else { 0 };
+        self.turned_away = if overbooked {
+            self.turned_away.saturating_add(1)
+        } else {
+            0
+        };
     }
 }
 
@@ -118,7 +128,10 @@
     grace: 500.0,
     answer: 500.0,
     dial: 300.0,
-    retry: Retry::BackOff { first: 20.0, longest: 100.0 },
+    retry: Retry::BackOff {
+        first: 20.0,
+        longest: 100.0,
+    },
     first: First::Within(0.0),
 };
 /// On request: so long for what comes behind a watch's wait, for an answer and for a connection.
@@ -173,16 +186,28 @@
         }
         // One call of each fits into the time after which a change counts as told, or cannot, in any order.
         let prompt = work <= TOLD_MS;
-        let longest = if prompt { PROMPT_ROUND_MS } else { LONGEST_ROUND_MS };
+        let longest = if prompt {
+            PROMPT_ROUND_MS
+        } else {
+            LONGEST_ROUND_MS
+        };
         let round = work.clamp(SHORTEST_ROUND_MS, longest);
         let spare = TOLD_MS - DIAL_MS - round;
         Pace {
             watch,
             grace: GRACE_MS,
-            answer: if prompt { spare.min(ANSWER_MS) } else { ANSWER_MS },
+            answer: if prompt {
+                spare.min(ANSWER_MS)
+            } else {
+                ANSWER_MS
+            },
             dial: DIAL_MS,
             retry: Retry::Turns(Turns::of(round, position, gateways)),
-            first: if prompt { First::Turn } else { First::Within(FIRST_MS) },
+            first: if prompt {
+                First::Turn
+            } else {
+                First::Within(FIRST_MS)
+            },
         }
     }
 
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -13,13 +13,21 @@
 fn told(gateways: u32, each_ms: f64) -> f64 {
     let mut dice = oorandom::Rand32::new(7);
     let mut random = || f64::from(dice.rand_float());
-    let paces: Vec<Pace> = (0..gateways).map(|position| Pace::of(true, gateways, position)).collect();
-    let mut due: Vec<(f64, Failures)> =
-        paces.iter().map(|pace| (pace.first_call(0.0, random()), Failures::default())).collect();
+    let paces: Vec<Pace> = (0..gateways)
+        .map(|position| Pace::of(true, gateways, position))
+        .collect();
+    let mut due: Vec<(f64, Failures)> = paces
+        .iter()
+        .map(|pace| (pace.first_call(0.0, random()), Failures::default()))
+        .collect();
     let (mut free, mut told) = (0.0_f64, 0);
     loop {
-        let (i, now) =
-            due.iter().enumerate().map(|(i, d)| (i, d.0)).min_by(|a, b| a.1.total_cmp(&b.1)).unwrap();
+        let (i, now) = due
+            .iter()
+            .enumerate()
+            .map(|(i, d)| (i, d.0))
+            .min_by(|a, b| a.1.total_cmp(&b.1))
+            .unwrap();
         if now > 60_000.0 {
             return f64::INFINITY;
         }
@@ -40,13 +48,33 @@
 
 #[test]
 fn a_fleet_of_any_size_does_not_keep_discovery_overbooked() {
-    for (gateways, each_ms) in [(2, 20.0), (10, 100.0), (30, 200.0), (48, 200.0), (100, 100.0), (300, 40.0)] {
+    for (gateways, each_ms) in [
+        (2, 20.0),
+        (10, 100.0),
+        (30, 200.0),
+        (48, 200.0),
+        (100, 100.0),
+        (300, 40.0),
+    ] {
         let by = told(gateways, each_ms);
         let least = 0.9 * f64::from(gateways) * each_ms / 1e3;
-        assert!(by < 3.0 * least + 2.0, "{gateways} ingresses have their list after {by} s, not {least}");
+        assert!(
+            by < 3.0 * least + 2.0,
+            "{gateways} ingresses have their list after {by} s, not {least}"
+        );
     }
-    let back_off = pace_of(true, 2).again(0.0, Failures { count: 1, turned_away: 0 }, 1.0);
-    assert!(pace_of(true, 10).first == First::Within(0.0) && back_off < 50.0, "a small fleet asks at once");
+    let back_off = pace_of(true, 2).again(
+        0.0,
+        Failures {
+            count: 1,
+            turned_away: 0,
+        },
+        1.0,
+    );
+    assert!(
+        pace_of(true, 10).first == First::Within(0.0) && back_off < 50.0,
+        "a small fleet asks at once"
+    );
     assert!(longest_pause(&pace_of(true, 1_000_000)) <= 15_000.0);
 }
 
@@ -58,7 +86,14 @@
 /// The longest from a failure to the call that is made anew.
 fn longest_pause(pace: &Pace) -> f64 {
     match pace.retry {
-        Retry::BackOff { .. } => pace.again(0.0, Failures { count: u32::MAX, turned_away: 0 }, 1.0),
+        Retry::BackOff { .. } => pace.again(
+            0.0,
+            Failures {
+                count: u32::MAX,
+                turned_away: 0,
+            },
+            1.0,
+        ),
         Retry::Turns(turns) => turns.round,
     }
 }
@@ -84,8 +119,16 @@
     for gateways in FLEETS {
         let pace = pace_of(false, gateways);
         // Told 6 s after the fall; at once where discovery comes back, and then there is the least grace, 1 s.
-        assert!(silent(&pace) + pace.answer <= 6000.0, "{gateways}: {} ms", silent(&pace));
-        assert!(reached(&pace) <= 1000.0, "{gateways}: {} ms", reached(&pace));
+        assert!(
+            silent(&pace) + pace.answer <= 6000.0,
+            "{gateways}: {} ms",
+            silent(&pace)
+        );
+        assert!(
+            reached(&pace) <= 1000.0,
+            "{gateways}: {} ms",
+            reached(&pace)
+        );
         assert!(first_call(&pace) <= 0.0);
     }
 }
@@ -95,7 +138,11 @@
     for gateways in FLEETS {
         let pace = pace_of(true, gateways);
         let told = f64::max(6000.0, pace.watch + 2000.0);
-        assert!(silent(&pace) <= told, "{gateways}: {} ms, told after {told}", silent(&pace));
+        assert!(
+            silent(&pace) <= told,
+            "{gateways}: {} ms, told after {told}",
+            silent(&pace)
+        );
         assert!(first_call(&pace) + pace.dial <= 6000.0);
     }
 }
@@ -114,8 +161,8 @@
 }
 
 #[test]
-fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_fleet_whose_calls_fit_into_them()
-{
+fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_fleet_whose_calls_fit_into_them(
+) {
     for gateways in 11..=30 {
         assert!(work(gateways) <= TOLD_MS);
         let by = reached(&pace_of(true, gateways));
@@ -130,10 +177,17 @@
         let turns = pace.turns().expect("turns");
         // In no order can each have an answer within 6 s.
         assert!(work(gateways) > TOLD_MS, "{gateways}");
-        assert!((turns.round - work(gateways).min(15_000.0)).abs() < 1e-6, "{gateways}: {}", turns.round);
+        assert!(
+            (turns.round - work(gateways).min(15_000.0)).abs() < 1e-6,
+            "{gateways}: {}",
+            turns.round
+        );
         // With back-off by chance it was 17.5 s for 30 and more.
         let by = reached(&pace);
-        assert!(by <= (work(gateways) + 2500.0).min(17_500.0), "{gateways}: {by} ms");
+        assert!(
+            by <= (work(gateways) + 2500.0).min(17_500.0),
+            "{gateways}: {by} ms"
+        );
     }
 }
 
@@ -143,9 +197,19 @@
 fn recoveries(fleet: &Fleet) -> impl Iterator<Item = (String, Recovery)> + '_ {
     SEEDS.flat_map(move |seed| {
         [Outage::Refused, Outage::Silent].map(|outage| {
-            let recovery = Fleet { outage, ..fleet.clone() }.recover(seed);
+            let recovery = Fleet {
+                outage,
+                ..fleet.clone()
+            }
+            .recover(seed);
             let ingresses = fleet.ingresses.len();
-            (format!("seed {seed}, {outage:?}, {ingresses} ingresses, {} ms", fleet.call_ms), recovery)
+            (
+                format!(
+                    "seed {seed}, {outage:?}, {ingresses} ingresses, {} ms",
+                    fleet.call_ms
+                ),
+                recovery,
+            )
         })
     })
 }
@@ -158,7 +222,13 @@
 
 #[test]
 fn turns_bring_each_ingress_its_answer_by_one_call() {
-    for (gateways, call_ms) in [(11, 200.0), (12, 200.0), (20, 200.0), (30, 20.0), (30, 200.0)] {
+    for (gateways, call_ms) in [
+        (11, 200.0),
+        (12, 200.0),
+        (20, 200.0),
+        (30, 20.0),
+        (30, 200.0),
+    ] {
         for (which, recovery) in recoveries(&Fleet::sound(gateways, call_ms, Outage::Refused)) {
             assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
             let bound = one_call_of_each(gateways, call_ms) + call_ms;
@@ -182,11 +252,20 @@
 #[test]
 fn turns_bear_clocks_that_are_off() {
     for clock_error_ms in [50.0, 100.0, 300.0] {
-        let fleet = Fleet { clock_error_ms, ..Fleet::sound(30, CALL_MS, Outage::Refused) };
+        let fleet = Fleet {
+            clock_error_ms,
+            ..Fleet::sound(30, CALL_MS, Outage::Refused)
+        };
         for (which, recovery) in recoveries(&fleet) {
-            assert!(recovery.last_reached() <= 6000.0, "{which}, {clock_error_ms}: {recovery:?}");
+            assert!(
+                recovery.last_reached() <= 6000.0,
+                "{which}, {clock_error_ms}: {recovery:?}"
+            );
             let bound = one_call_of_each(30, CALL_MS) + CALL_MS + 2.0 * clock_error_ms;
-            assert!(recovery.last_answered() <= bound, "{which}, {clock_error_ms}: {recovery:?}");
+            assert!(
+                recovery.last_answered() <= bound,
+                "{which}, {clock_error_ms}: {recovery:?}"
+            );
         }
     }
 }
@@ -194,38 +273,84 @@
 #[test]
 fn turns_bear_ingresses_that_are_down() {
     let mut fleet = Fleet::sound(30, CALL_MS, Outage::Refused);
-    fleet.ingresses.retain(|ingress| ingress.position % 3 == 0 || ingress.position > 20);
+    fleet
+        .ingresses
+        .retain(|ingress| ingress.position % 3 == 0 || ingress.position > 20);
     for (which, recovery) in recoveries(&fleet) {
         assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
         let bound = one_call_of_each(30, CALL_MS) + CALL_MS;
         assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
-        assert_eq!(recovery.calls, fleet.ingresses.len(), "{which}: {recovery:?}");
+        assert_eq!(
+            recovery.calls,
+            fleet.ingresses.len(),
+            "{which}: {recovery:?}"
+        );
     }
 }
 
 /// As for a fleet that starts: its list takes less than three times what the work takes, and 2 s.
 fn is_not_overbooked(which: &str, work: f64, recovery: &Recovery) {
-    assert!(recovery.last_answered() < 3.0 * work + 2000.0, "{which}: {recovery:?}");
+    assert!(
+        recovery.last_answered() < 3.0 * work + 2000.0,
+        "{which}: {recovery:?}"
+    );
 }
 
 #[test]
 fn turns_bear_wrong_settings() {
     let all = |configured: fn(u32) -> Configured| (0..30).map(configured).collect::<Vec<_>>();
     let wrong: [(&str, f64, Vec<Configured>); 5] = [
-        ("too few", 6000.0, all(|position| Configured { gateways: 20, position })),
-        ("too many", 17_500.0, all(|position| Configured { gateways: 45, position })),
-        ("one place for all", 6000.0, all(|_| Configured { gateways: 30, position: 0 })),
-        ("places beyond the fleet", 6000.0, all(|i| Configured { gateways: 30, position: 1000 + 7 * i })),
+        (
+            "too few",
+            6000.0,
+            all(|position| Configured {
+                gateways: 20,
+                position,
+            }),
+        ),
+        (
+            "too many",
+            17_500.0,
+            all(|position| Configured {
+                gateways: 45,
+                position,
+            }),
+        ),
+        (
+            "one place for all",
+            6000.0,
+            all(|_| Configured {
+                gateways: 30,
+                position: 0,
+            }),
+        ),
+        (
+            "places beyond the fleet",
+            6000.0,
+            all(|i| Configured {
+                gateways: 30,
+                position: 1000 + 7 * i,
+            }),
+        ),
         (
             "changed for half",
             6000.0,
-            all(|i| Configured { gateways: if i % 2 == 0 { 30 } else { 24 }, position: i }),
+            all(|i| Configured {
+                gateways: if i % 2 == 0 { 30 } else { 24 },
+                position: i,
+            }),
         ),
     ];
     for (kind, reached, ingresses) in wrong {
-        let fleet = Fleet { ingresses, ..Fleet::sound(30, CALL_MS, Outage::Refused) };
+        let fleet = Fleet {
+            ingresses,
+            ..Fleet::sound(30, CALL_MS, Outage::Refused)
+        };
         for (which, recovery) in recoveries(&fleet) {
-            assert!(recovery.last_reached() <= reached, "{kind}, {which}: {recovery:?}");
+            assert!(
+                recovery.last_reached() <= reached,
+                "{kind}, {which}: {recovery:?}"
+            );
             is_not_overbooked(&format!("{kind}, {which}"), work(30), &recovery);
         }
     }
@@ -233,7 +358,13 @@
 
 #[test]
 fn turns_bear_calls_that_take_twice_as_long() {
-    for (gateways, call_ms) in [(11, 400.0), (30, 300.0), (30, 400.0), (48, 400.0), (100, 200.0)] {
+    for (gateways, call_ms) in [
+        (11, 400.0),
+        (30, 300.0),
+        (30, 400.0),
+        (48, 400.0),
+        (100, 200.0),
+    ] {
         let reached = if gateways <= 30 { 6000.0 } else { 17_500.0 };
         for (which, recovery) in recoveries(&Fleet::sound(gateways, call_ms, Outage::Refused)) {
             assert!(recovery.last_reached() <= reached, "{which}: {recovery:?}");
@@ -249,8 +380,14 @@
         turns_away_after_ms: 2000.0,
         ..Fleet::sound(gateways, call_ms, Outage::Refused)
     };
-    for (gateways, call_ms) in [(11, 200.0), (20, 200.0), (30, 200.0), (48, 200.0), (75, 200.0), (300, 40.0)]
-    {
+    for (gateways, call_ms) in [
+        (11, 200.0),
+        (20, 200.0),
+        (30, 200.0),
+        (48, 200.0),
+        (75, 200.0),
+        (300, 40.0),
+    ] {
         for (which, recovery) in recoveries(&fleet(gateways, call_ms)) {
             let bound = one_call_of_each(gateways, call_ms) + call_ms;
             assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
@@ -264,7 +401,10 @@
     for (gateways, call_ms) in [(11, 400.0), (30, 400.0), (48, 300.0)] {
         for (which, recovery) in recoveries(&fleet(gateways, call_ms)) {
             let work = f64::from(gateways) * call_ms;
-            assert!(recovery.last_answered() < 4.0 * work + 2000.0, "{which}: {recovery:?}");
+            assert!(
+                recovery.last_answered() < 4.0 * work + 2000.0,
+                "{which}: {recovery:?}"
+            );
         }
     }
 }
@@ -295,14 +435,20 @@
         failures.add(Some(2000.0));
         failures.add(refused_after);
         let pause = pace.again(1e12, failures, 0.5) - 1e12;
-        assert!(pause <= longest_pause(&pace), "what is away at once is called in the next turn: {pause} ms");
+        assert!(
+            pause <= longest_pause(&pace),
+            "what is away at once is called in the next turn: {pause} ms"
+        );
     }
 }
 
 #[test]
 fn turns_bear_watches_that_cost_a_call_behind_each_answer() {
     for gateways in [11, 30, 48] {
-        let fleet = Fleet { watches_cost: true, ..Fleet::sound(gateways, CALL_MS, Outage::Refused) };
+        let fleet = Fleet {
+            watches_cost: true,
+            ..Fleet::sound(gateways, CALL_MS, Outage::Refused)
+        };
         for (which, recovery) in recoveries(&fleet) {
             is_not_overbooked(&which, 2.0 * work(gateways), &recovery);
         }
@@ -311,9 +457,18 @@
 
 #[test]
 fn turns_are_a_round_apart_and_have_their_places_in_it() {
-    let next = |position, now| Pace::of(true, 30, position).turns().expect("turns").next(now);
+    let next = |position, now| {
+        Pace::of(true, 30, position)
+            .turns()
+            .expect("turns")
+            .next(now)
+    };
     let round = next(0, 0.0);
-    assert_eq!(next(0, round), 2.0 * round, "a turn is over once it has come");
+    assert_eq!(
+        next(0, round),
+        2.0 * round,
+        "a turn is over once it has come"
+    );
     for position in 0..30 {
         let first = next(position, round - 0.5);
         let place = f64::from(position) * round / 30.0;
@@ -323,7 +478,14 @@
 
 #[test]
 fn watches_opened_anew_leave_discovery_time_for_others() {
-    for (gateways, each_ms) in [(2, 20.0), (10, 100.0), (30, 200.0), (48, 200.0), (100, 100.0), (300, 40.0)] {
+    for (gateways, each_ms) in [
+        (2, 20.0),
+        (10, 100.0),
+        (30, 200.0),
+        (48, 200.0),
+        (100, 100.0),
+        (300, 40.0),
+    ] {
         let part = f64::from(gateways) * each_ms / pace_of(true, gateways).watch;
         assert!(part <= 0.65, "{gateways} ingresses take {part} of its time");
     }
--- a/src/discovery/tests/fleet.rs
+++ b/src/discovery/tests/fleet.rs
@@ -87,11 +87,13 @@
         let again = match end {
             End::Refused(at) => {
                 self.failures.add(None);
-                self.pace.again(at + self.clock_error, self.failures, random)
+                self.pace
+                    .again(at + self.clock_error, self.failures, random)
             }
             End::TurnedAway(at) => {
                 self.failures.add(Some(at - began));
-                self.pace.again(at + self.clock_error, self.failures, random)
+                self.pace
+                    .again(at + self.clock_error, self.failures, random)
             }
             End::GivenUp(at) => {
                 self.failures.add(None);
@@ -121,7 +123,9 @@
 impl Fleet {
     /// A fleet that is configured as it is, with good clocks.
     pub fn sound(gateways: u32, call_ms: f64, outage: Outage) -> Fleet {
-        let ingresses = (0..gateways).map(|position| Configured { gateways, position }).collect();
+        let ingresses = (0..gateways)
+            .map(|position| Configured { gateways, position })
+            .collect();
         Fleet {
             ingresses,
             call_ms,
@@ -145,14 +149,24 @@
             let mut failures = Failures::default();
             failures.add(None);
             let due = pace.again(lost + clock_error, failures, random.rand_float()) - clock_error;
-            ingresses.push(Ingress { pace, clock_error, failures, due: Some(due) });
+            ingresses.push(Ingress {
+                pace,
+                clock_error,
+                failures,
+                due: Some(due),
+            });
         }
         let mut reached = vec![f64::INFINITY; count];
         let mut answered = vec![f64::INFINITY; count];
         let (mut free, mut calls) = (back, 0);
         loop {
-            let due = ingresses.iter().enumerate().filter_map(|(i, ingress)| Some((i, ingress.due?)));
-            let Some((i, now)) = due.min_by(|a, b| a.1.total_cmp(&b.1)) else { break };
+            let due = ingresses
+                .iter()
+                .enumerate()
+                .filter_map(|(i, ingress)| Some((i, ingress.due?)));
+            let Some((i, now)) = due.min_by(|a, b| a.1.total_cmp(&b.1)) else {
+                break;
+            };
             if now > back + END_MS {
                 break;
             }
@@ -180,6 +194,10 @@
             };
             ingress.call_again(now, end, random.rand_float());
         }
-        Recovery { reached, answered, calls }
+        Recovery {
+            reached,
+            answered,
+            calls,
+        }
     }
 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -4,7 +4,8 @@
 //! beyond the figures that the module asks for.
 
 use crate::api::{
-    Action, AttemptEnd, Event, HostEntry, ListKind, Outcome, Pools, Request, Settings, SettingsError,
+    Action, AttemptEnd, Event, HostEntry, ListKind, Outcome, Pools, Request, Settings,
+    SettingsError,
 };
 use crate::balance::Gateway;
 use std::cmp::Reverse;
@@ -159,7 +160,10 @@
         };
         self.handle(now, Event::Arrived(request));
         match self.verdicts.iter().position(|(command, _)| *command == id) {
-            Some(at) => self.verdicts.remove(at).map_or(Verdict::Hold, |(_, verdict)| verdict),
+            Some(at) => self
+                .verdicts
+                .remove(at)
+                .map_or(Verdict::Hold, |(_, verdict)| verdict),
             None => Verdict::Hold,
         }
     }
@@ -177,11 +181,21 @@
                 report: end.load,
             }),
             Report::ClientGone(command) => Event::ClientGone { id: command },
-            Report::Probed(instance, outcome, load) => {
-                Event::Probed { host: instance, outcome, report: load }
-            }
-            Report::Counted(name, outcome, total) => Event::Counted { name, outcome, total },
-            Report::CountedLate(name, amount, total) => Event::CountedLate { name, amount, total },
+            Report::Probed(instance, outcome, load) => Event::Probed {
+                host: instance,
+                outcome,
+                report: load,
+            },
+            Report::Counted(name, outcome, total) => Event::Counted {
+                name,
+                outcome,
+                total,
+            },
+            Report::CountedLate(name, amount, total) => Event::CountedLate {
+                name,
+                amount,
+                total,
+            },
         };
         self.handle(now, event);
     }
@@ -201,10 +215,16 @@
     /// When the next timer comes due. Those that the module has no use for any more are dropped here: most
     /// are the answer timers of commands that were served long before.
     pub fn next_due(&mut self) -> Option<f64> {
-        while self.timers.peek().is_some_and(|Reverse((_, token))| !self.gateway.awaits(*token)) {
+        while self
+            .timers
+            .peek()
+            .is_some_and(|Reverse((_, token))| !self.gateway.awaits(*token))
+        {
             self.timers.pop();
         }
-        self.timers.peek().map(|Reverse((due, _))| *due as f64 / 1e3)
+        self.timers
+            .peek()
+            .map(|Reverse((due, _))| *due as f64 / 1e3)
     }
 
     /// The next verdict that an earlier call left, for a command that was held or lost an attempt.
@@ -222,11 +242,20 @@
         self.gateway.handle(now / 1e3, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { id, host, timeout } => self
-                    .verdicts
-                    .push_back((id, Verdict::Send { instance: host, patience_ms: timeout * 1e3 })),
+                Action::Send { id, host, timeout } => self.verdicts.push_back((
+                    id,
+                    Verdict::Send {
+                        instance: host,
+                        patience_ms: timeout * 1e3,
+                    },
+                )),
                 Action::Refuse { id, retry_after } => {
-                    self.verdicts.push_back((id, Verdict::Nack { after_ms: retry_after * 1e3 }));
+                    self.verdicts.push_back((
+                        id,
+                        Verdict::Nack {
+                            after_ms: retry_after * 1e3,
+                        },
+                    ));
                 }
                 Action::Fail { id } => self.verdicts.push_back((id, Verdict::Fail)),
                 Action::Cancel { id, attempt } => {
@@ -234,12 +263,23 @@
                 }
                 // One microsecond on at least, so that a timer never comes due within its own call.
                 Action::Timer { after, token } => {
-                    self.timers.push(Reverse((micros(now + after * 1e3).max(micros(now) + 1), token)));
+                    self.timers.push(Reverse((
+                        micros(now + after * 1e3).max(micros(now) + 1),
+                        token,
+                    )));
                 }
                 Action::Probe { host } => self.errands.push_back(Errand::Probe(host)),
                 Action::FollowList => self.errands.push_back(Errand::Follow),
-                Action::Count { name, amount, lives } => {
-                    self.errands.push_back(Errand::Count(Add { name, amount, lives_ms: lives * 1e3 }));
+                Action::Count {
+                    name,
+                    amount,
+                    lives,
+                } => {
+                    self.errands.push_back(Errand::Count(Add {
+                        name,
+                        amount,
+                        lives_ms: lives * 1e3,
+                    }));
                 }
             }
         }
--- a/src/flow.rs
+++ b/src/flow.rs
@@ -46,13 +46,20 @@
 impl Ways {
     /// None yet; beyond `most` bytes in all, further ones get a small ring each.
     pub fn new(most: usize) -> Ways {
-        Ways { open: Rc::default(), most }
+        Ways {
+            open: Rc::default(),
+            most,
+        }
     }
 
     /// A further value.
     pub fn open(&self, size: usize) -> (Intake, Outlet) {
         let roomy = (self.open.get() + 1) * MOST_ON_WAY.0 <= self.most;
-        flow(size, if roomy { MOST_ON_WAY.0 } else { MOST_ON_WAY.1 }, &self.open)
+        flow(
+            size,
+            if roomy { MOST_ON_WAY.0 } else { MOST_ON_WAY.1 },
+            &self.open,
+        )
     }
 }
 
@@ -84,7 +91,10 @@
     }
 
     /// Takes in what `read` writes to the room that there is, no more than the value's rest; none: there is no room.
-    pub fn fill<E>(&self, read: impl FnOnce(&mut [u8]) -> Result<usize, E>) -> Option<Result<usize, E>> {
+    pub fn fill<E>(
+        &self,
+        read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
+    ) -> Option<Result<usize, E>> {
         let mut ring = self.0.ring.borrow_mut();
         let spare = ring.spare().ok()?;
         let most = spare.len().min(self.0.left.get());
@@ -176,7 +186,12 @@
 
 impl fmt::Debug for Outlet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Outlet({} bytes, {} to come)", self.0.size, self.0.left.get())
+        write!(
+            f,
+            "Outlet({} bytes, {} to come)",
+            self.0.size,
+            self.0.left.get()
+        )
     }
 }
 
--- a/src/front/http2.rs
+++ b/src/front/http2.rs
@@ -9,8 +9,8 @@
 use crate::routing::{self, HeaderView};
 use crate::wire::MOST_VALUE;
 use crate::wire_http2::{
-    plain, push_body, push_coming, terms, text, wording, Body, COMMANDS, CUSTOMER, DEADLINE, ID, PLAN, RETRY,
-    TERMS,
+    plain, push_body, push_coming, terms, text, wording, Body, COMMANDS, CUSTOMER, DEADLINE, ID,
+    PLAN, RETRY, TERMS,
 };
 use bytes::Bytes;
 use driftgap_operations::Way;
@@ -88,7 +88,12 @@
 impl Http2Front {
     /// A front with these bounds.
     pub fn new(hub: Rc<Hub>, limits: Limits) -> Rc<Http2Front> {
-        Rc::new(Http2Front { hub, limits, connections: RefCell::default(), next: Cell::new(0) })
+        Rc::new(Http2Front {
+            hub,
+            limits,
+            connections: RefCell::default(),
+            next: Cell::new(0),
+        })
     }
 
     /// Takes in connections until its task is ended.
@@ -122,7 +127,9 @@
         });
         let number = self.next.get();
         self.next.set(number + 1);
-        self.connections.borrow_mut().insert(number, Rc::downgrade(&connection));
+        self.connections
+            .borrow_mut()
+            .insert(number, Rc::downgrade(&connection));
         if self.hub.way() >= Way::Emptying {
             connection.leave();
         }
@@ -160,7 +167,12 @@
 
     /// Sends GOAWAY everywhere; open streams are finished.
     pub fn leave(&self) {
-        let all: Vec<_> = self.connections.borrow().values().filter_map(Weak::upgrade).collect();
+        let all: Vec<_> = self
+            .connections
+            .borrow()
+            .values()
+            .filter_map(Weak::upgrade)
+            .collect();
         all.iter().for_each(|c| c.leave());
     }
 
@@ -170,7 +182,11 @@
     }
 }
 
-async fn serve(front: &Rc<Http2Front>, this: &Rc<Connection>, stream: TcpStream) -> Result<(), h2::Error> {
+async fn serve(
+    front: &Rc<Http2Front>,
+    this: &Rc<Connection>,
+    stream: TcpStream,
+) -> Result<(), h2::Error> {
     let mut builder = h2::server::Builder::new();
     builder
         .max_concurrent_streams(front.limits.streams)
@@ -246,9 +262,13 @@
             hub.arrive(*command, client, 0, places, |number| id.set(number));
         }
         Ok(Wanted::Away(after_ms)) => hub.refuse(after_ms, client, 0, |number| id.set(number)),
-        Ok(Wanted::Word(status, word)) => return send(hub, respond, plain(status), word.into()).await,
+        Ok(Wanted::Word(status, word)) => {
+            return send(hub, respond, plain(status), word.into()).await
+        }
         Err(Refused::Reset(reason)) => return respond.send_reset(reason),
-        Err(Refused::Status(status, why)) => return send(hub, respond, plain(status), why.into()).await,
+        Err(Refused::Status(status, why)) => {
+            return send(hub, respond, plain(status), why.into()).await
+        }
     }
     let answer = tokio::select! {
         biased;
@@ -263,7 +283,9 @@
         match body {
             Body::Whole(body) => send(hub, respond, response, body).await,
             Body::Coming(value) => {
-                let Ok(mut stream) = respond.send_response(response, false) else { return };
+                let Ok(mut stream) = respond.send_response(response, false) else {
+                    return;
+                };
                 // What is not whole must be seen not to be.
                 if !push_coming(&mut stream, &value, PATIENCE).await {
                     stream.send_reset(Reason::INTERNAL_ERROR);
@@ -287,7 +309,11 @@
 
 fn count_reset(hub: &Hub, this: &Connection) {
     let (now, (count, since)) = (hub.now(), this.resets.get());
-    let (count, since) = if now - since > RESETS.1 { (1, now) } else { (count + 1, since) };
+    let (count, since) = if now - since > RESETS.1 {
+        (1, now)
+    } else {
+        (count + 1, since)
+    };
     this.resets.set((count, since));
     if count > RESETS.0 {
         this.flood.notify_one();
@@ -320,7 +346,11 @@
         _ => {}
     }
     let class = head.uri.path().strip_prefix(COMMANDS);
-    let route = if hub.has_rules() { routed(hub, peer, &head, class)? } else { Ok(Box::default()) };
+    let route = if hub.has_rules() {
+        routed(hub, peer, &head, class)?
+    } else {
+        Ok(Box::default())
+    };
     let route = match route {
         Ok(route) => *route,
         Err(after_ms) => return Ok(Wanted::Away(after_ms)),
@@ -336,12 +366,18 @@
         }
         (None, Some(class)) => {
             if head.method != Method::POST && head.method != Method::GET {
-                return Err(Refused::Status(StatusCode::METHOD_NOT_ALLOWED, "POST or GET".into()));
+                return Err(Refused::Status(
+                    StatusCode::METHOD_NOT_ALLOWED,
+                    "POST or GET".into(),
+                ));
             }
             let (terms, wait) = terms(&head.headers, class).map_err(bad)?;
             let header = |name| text(&head.headers, name).map_err(bad);
             let (customer, id) = (header(CUSTOMER)?, header(ID)?);
-            (Command::new(hub.platform(), customer, id, terms, None).map_err(refusal)?, wait)
+            (
+                Command::new(hub.platform(), customer, id, terms, None).map_err(refusal)?,
+                wait,
+            )
         }
         (None, None) => return Ok(Wanted::Word(StatusCode::NOT_FOUND, "no such path")),
     };
@@ -363,7 +399,12 @@
 
 /// A request as the operator's rules see it. What its headers say of a command counts as far as it makes sense;
 /// what does not is told where the command is made.
-fn seen<'a>(peer: IpAddr, head: &'a Parts, class: Option<&'a str>, headers: &'a dyn Headers) -> Seen<'a> {
+fn seen<'a>(
+    peer: IpAddr,
+    head: &'a Parts,
+    class: Option<&'a str>,
+    headers: &'a dyn Headers,
+) -> Seen<'a> {
     let named = |name| text(&head.headers, name).ok();
     let units = named(TERMS).and_then(|list| pairs(list).find(|(name, _)| *name == "units"));
     let deadline = named(DEADLINE).and_then(|ms| ms.parse::<f64>().ok());
@@ -378,8 +419,12 @@
         plan: named(PLAN),
         partner: named(CUSTOMER),
         id: named(ID),
-        units: units.and_then(|(_, units)| units.parse().ok()).filter(|units: &f64| units.is_finite()),
-        deadline_ms: deadline.filter(|ms| (0.0..=3.6e6).contains(ms)).map(|ms| ms as i64),
+        units: units
+            .and_then(|(_, units)| units.parse().ok())
+            .filter(|units: &f64| units.is_finite()),
+        deadline_ms: deadline
+            .filter(|ms| (0.0..=3.6e6).contains(ms))
+            .map(|ms| ms as i64),
         retry: head.headers.get(RETRY).is_some_and(|r| r == "1"),
         length: named("content-length").and_then(|length| length.parse().ok()),
         client: peer,
@@ -437,7 +482,9 @@
     if !unsent.add(body.len()) {
         return respond.send_reset(Reason::ENHANCE_YOUR_CALM);
     }
-    let Ok(mut stream) = respond.send_response(response, body.is_empty()) else { return };
+    let Ok(mut stream) = respond.send_response(response, body.is_empty()) else {
+        return;
+    };
     if body.is_empty() {
         return;
     }
--- a/src/front/resp.rs
+++ b/src/front/resp.rs
@@ -102,7 +102,12 @@
 impl RespFront {
     /// A front that holds `budget` connections at most.
     pub fn new(hub: Rc<Hub>, budget: usize) -> Rc<RespFront> {
-        Rc::new(RespFront { hub, clients: RefCell::default(), next: Cell::new(0), budget: Cell::new(budget) })
+        Rc::new(RespFront {
+            hub,
+            clients: RefCell::default(),
+            next: Cell::new(0),
+            budget: Cell::new(budget),
+        })
     }
 
     /// Keeps to so many connections from now on, and ends idle ones above that.
@@ -141,7 +146,9 @@
 
     fn open(self: &Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let peer = stream.peer_addr().map_or(IpAddr::from([0, 0, 0, 0]), |addr| addr.ip());
+        let peer = stream
+            .peer_addr()
+            .map_or(IpAddr::from([0, 0, 0, 0]), |addr| addr.ip());
         let (read, write) = stream.into_split();
         let client = Rc::new(Client {
             stream: write,
@@ -165,7 +172,9 @@
         });
         let number = self.next.get();
         self.next.set(number + 1);
-        self.clients.borrow_mut().insert(number, Rc::downgrade(&client));
+        self.clients
+            .borrow_mut()
+            .insert(number, Rc::downgrade(&client));
         let front = self.clone();
         spawn_local(async move {
             serve(&client, read).await;
@@ -188,7 +197,12 @@
             for client in self.clients.borrow().values().filter_map(Weak::upgrade) {
                 let owed = client.owes();
                 let stuck = now - client.used.get() > STALE_MS && client.unsent_now();
-                if !owed && client.coming.get().is_some_and(|since| now - since > WHOLE_MS) {
+                if !owed
+                    && client
+                        .coming
+                        .get()
+                        .is_some_and(|since| now - since > WHOLE_MS)
+                {
                     client.expired.set(true);
                     client.wake.notify_one();
                 } else if stuck && (!owed || client.passing.borrow().is_some()) {
@@ -204,7 +218,10 @@
     /// command may be under way.
     fn shed(&self) -> bool {
         let (clients, now) = (self.clients.borrow(), self.hub.now());
-        let idle = clients.values().filter_map(Weak::upgrade).filter(|c| c.idle() && !c.leaving.get());
+        let idle = clients
+            .values()
+            .filter_map(Weak::upgrade)
+            .filter(|c| c.idle() && !c.leaving.get());
         let idle = idle.filter(|c| c.spoken.get() || now - c.used.get() > FRESH_MS);
         let order = |c: &Rc<Client>| (!c.lingers.get(), c.spoken.get(), c.used.get());
         match idle.min_by(|a, b| order(a).partial_cmp(&order(b)).unwrap_or(Ordering::Equal)) {
@@ -247,7 +264,12 @@
 
     /// Whether there are bytes that the client has not taken.
     fn unsent_now(&self) -> bool {
-        !self.output.borrow().is_empty() || self.passing.borrow().as_ref().is_some_and(|value| !value.dry())
+        !self.output.borrow().is_empty()
+            || self
+                .passing
+                .borrow()
+                .as_ref()
+                .is_some_and(|value| !value.dry())
     }
 
     fn leave(&self) {
@@ -285,8 +307,12 @@
         let full = self.slots.borrow().len() >= MOST_PIPELINED;
         {
             let mut slots = self.slots.borrow_mut();
-            let Some(at) = ticket.checked_sub(self.first.get()) else { return };
-            let Some(slot) = slots.get_mut(at as usize) else { return };
+            let Some(at) = ticket.checked_sub(self.first.get()) else {
+                return;
+            };
+            let Some(slot) = slots.get_mut(at as usize) else {
+                return;
+            };
             if matches!(&filled, Slot::Answered(bytes) if !self.unsent.add(bytes.len())) {
                 self.broken.set(true);
             }
@@ -339,7 +365,9 @@
                     Err(_) => return self.broken.set(true),
                 }
             }
-            let Some(value) = self.passing.borrow().clone() else { return };
+            let Some(value) = self.passing.borrow().clone() else {
+                return;
+            };
             if value.over() {
                 *self.passing.borrow_mut() = None;
                 // Room for an end of line is always there: the ring has just been emptied.
@@ -505,10 +533,19 @@
                     }
                 };
                 match routed(client, &mut command) {
-                    Ok(places) => client.hub.arrive(*command, client.clone(), ticket, places, known),
-                    Err(Turned::Away(after_ms)) => client.hub.refuse(after_ms, client.clone(), ticket, known),
+                    Ok(places) => {
+                        client
+                            .hub
+                            .arrive(*command, client.clone(), ticket, places, known)
+                    }
+                    Err(Turned::Away(after_ms)) => {
+                        client.hub.refuse(after_ms, client.clone(), ticket, known)
+                    }
                     Err(Turned::Down) => {
-                        client.fill(ticket, b"-ERR failed: the command makes no sense\r\n".to_vec());
+                        client.fill(
+                            ticket,
+                            b"-ERR failed: the command makes no sense\r\n".to_vec(),
+                        );
                     }
                 }
             }
@@ -547,7 +584,10 @@
         }
         if client.expired.take() && going {
             going = false;
-            client.fill(client.ticket(), b"-ERR no whole command in time\r\n".to_vec());
+            client.fill(
+                client.ticket(),
+                b"-ERR no whole command in time\r\n".to_vec(),
+            );
         }
         let passing = client.passing.borrow().clone();
         let owed = client.slots.borrow().len() + usize::from(passing.is_some());
--- a/src/group/engine.rs
+++ b/src/group/engine.rs
@@ -23,7 +23,12 @@
 const MOST_AT_ONCE: usize = 256;
 
 /// The disk's thread: it may hang for as long as it likes, and the member goes on listening.
-fn keep(mut store: Store, name: String, jobs: std::sync::mpsc::Receiver<Job>, done: mpsc::Sender<Wrote>) {
+fn keep(
+    mut store: Store,
+    name: String,
+    jobs: std::sync::mpsc::Receiver<Job>,
+    done: mpsc::Sender<Wrote>,
+) {
     for job in jobs {
         let result = match job {
             Job::Begin { group, id, nonce } => {
@@ -78,12 +83,18 @@
         let loaded = identity.map(|_| store.load());
         let (disk, jobs) = std::sync::mpsc::channel();
         let (done, wrote) = mpsc::channel(4);
-        std::thread::Builder::new().name("group-disk".into()).spawn({
-            let name = name.clone();
-            move || keep(store, name, jobs, done)
-        })?;
+        std::thread::Builder::new()
+            .name("group-disk".into())
+            .spawn({
+                let name = name.clone();
+                move || keep(store, name, jobs, done)
+            })?;
         let newest = settings.newest();
-        let who = Own { name, newest, ..Own::default() };
+        let who = Own {
+            name,
+            newest,
+            ..Own::default()
+        };
         let mut engine = Engine {
             settings,
             disk,
@@ -108,7 +119,12 @@
                 let (group, id, entries) = (loaded.group, loaded.id, loaded.entries.len());
                 match Peer::sitting(settings, loaded, 0.0) {
                     Ok(peer) => {
-                        tracing::info!(group = format!("{group:x}"), id, entries, "member of the group");
+                        tracing::info!(
+                            group = format!("{group:x}"),
+                            id,
+                            entries,
+                            "member of the group"
+                        );
                         engine.place = Place::In(Box::new(peer));
                     }
                     Err(e) => engine.lose(format!("its folder cannot be used: {e}")),
@@ -163,7 +179,12 @@
     ) -> std::io::Result<()> {
         let (news, mut heard) = mpsc::channel(1024);
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        tokio::task::spawn_local(listen(listener, self.who.clone(), news.clone(), self.counts.clone()));
+        tokio::task::spawn_local(listen(
+            listener,
+            self.who.clone(),
+            news.clone(),
+            self.counts.clone(),
+        ));
         self.keep_links(&news);
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -202,7 +223,9 @@
     /// there were any.
     fn end_dead_links(&mut self) -> bool {
         let now = self.now();
-        let Place::In(peer) = &self.place else { return false };
+        let Place::In(peer) = &self.place else {
+            return false;
+        };
         let mut ended = false;
         for name in peer.unheard_by(now) {
             if self.links.get(&name).is_some_and(Link::is_old) {
@@ -220,16 +243,26 @@
         let others = peer.others();
         self.links.retain(|name, link| {
             // One that was let go and let in elsewhere is another way.
-            let stays = others.get(name).is_some_and(|address| *address == link.address.to_string());
+            let stays = others
+                .get(name)
+                .is_some_and(|address| *address == link.address.to_string());
             if !stays {
                 link.end();
             }
             stays
         });
         for (name, address) in others {
-            let Ok(address) = address.parse() else { continue };
+            let Ok(address) = address.parse() else {
+                continue;
+            };
             self.links.entry(name.clone()).or_insert_with(|| {
-                Link::keep(self.who.clone(), name, address, news.clone(), self.counts.clone())
+                Link::keep(
+                    self.who.clone(),
+                    name,
+                    address,
+                    news.clone(),
+                    self.counts.clone(),
+                )
             });
         }
     }
@@ -238,10 +271,14 @@
     fn wrote(&mut self, done: Wrote) {
         let now = self.now();
         self.writing = None;
-        let Place::In(peer) = &mut self.place else { return };
+        let Place::In(peer) = &mut self.place else {
+            return;
+        };
         let new = peer.member().is_none();
         let done = match done {
-            Ok(()) => peer.done(now).map_err(|e| format!("its folder cannot be used: {e}")),
+            Ok(()) => peer
+                .done(now)
+                .map_err(|e| format!("its folder cannot be used: {e}")),
             Err(e) => Err(format!("its disk has failed: {e}")),
         };
         match done {
@@ -256,7 +293,9 @@
 
     fn take(&mut self, news: News) {
         let now = self.now();
-        let Place::In(peer) = &mut self.place else { return };
+        let Place::In(peer) = &mut self.place else {
+            return;
+        };
         match news {
             News::Greeted(name, newest) => peer.greeted(&name, newest),
             News::Frame(name, id, frame) => peer.hear(now, &name, id, *frame),
@@ -270,7 +309,8 @@
                 }
             }
             News::FanFrame(number, frame) => {
-                let served = self.fans.contains_key(&number) && peer.hear_follower(now, number, *frame);
+                let served =
+                    self.fans.contains_key(&number) && peer.hear_follower(now, number, *frame);
                 if !served {
                     self.fans.remove(&number).inspect(|outlet| outlet.close());
                 }
@@ -314,7 +354,8 @@
                 self.await_end(number, answer);
             }
             (Request::Wish(_, answer) | Request::Read(answer), Err(why)) => {
-                let why = why.unwrap_or_else(|| "this ingress has not been let into the group yet".into());
+                let why = why
+                    .unwrap_or_else(|| "this ingress has not been let into the group yet".into());
                 let _ = answer.send(Ended::Refused(why));
             }
         }
@@ -352,7 +393,9 @@
     /// Has written what has to be, and lets out what follows from that. True: who is in the group may have changed.
     fn settle(&mut self) -> bool {
         let now = self.now();
-        let Place::In(peer) = &mut self.place else { return false };
+        let Place::In(peer) = &mut self.place else {
+            return false;
+        };
         while self.writing.is_none() {
             let Some(job) = peer.job(now) else { break };
             if job == Job::Write(Box::default()) {
@@ -376,7 +419,9 @@
             }
         }
         let events = peer.events(now);
-        let Some(member) = peer.member() else { return false };
+        let Some(member) = peer.member() else {
+            return false;
+        };
         if let Some(lost) = member.lost() {
             self.lose(lost.to_string());
             return false;
@@ -385,23 +430,45 @@
         if changed {
             if self.who.form.get() < member.state().form() {
                 self.who.form.set(member.state().form());
-                tracing::info!(form = member.state().form(), "the group has raised its form");
+                tracing::info!(
+                    form = member.state().form(),
+                    "the group has raised its form"
+                );
             }
             let applied = member.applied();
             let held = self.view.borrow().out.clone();
             let same = held.iter().eq(member.state().out.keys());
-            let out = if same { held } else { Arc::new(member.state().out.keys().cloned().collect()) };
+            let out = if same {
+                held
+            } else {
+                Arc::new(member.state().out.keys().cloned().collect())
+            };
             let held = self.view.borrow().documents.clone();
             let same = *held == member.state().documents;
-            let documents = if same { held } else { Arc::new(member.state().documents.clone()) };
-            self.view.send_replace(View { out, documents, applied });
+            let documents = if same {
+                held
+            } else {
+                Arc::new(member.state().documents.clone())
+            };
+            self.view.send_replace(View {
+                out,
+                documents,
+                applied,
+            });
         }
         for event in events {
             let (number, ended) = match event {
-                Event::Done(number, outcome) => (number, Ended::Done(outcome, self.view.borrow().clone())),
-                Event::Read(number) => (number, Ended::Done(Outcome::Done, self.view.borrow().clone())),
+                Event::Done(number, outcome) => {
+                    (number, Ended::Done(outcome, self.view.borrow().clone()))
+                }
+                Event::Read(number) => (
+                    number,
+                    Ended::Done(Outcome::Done, self.view.borrow().clone()),
+                ),
                 Event::Expired(number, true) => (number, Ended::Open),
-                Event::Expired(number, false) => (number, Ended::Refused("no leader in time".into())),
+                Event::Expired(number, false) => {
+                    (number, Ended::Refused("no leader in time".into()))
+                }
                 Event::Changed | Event::DoneFor(..) | Event::ExpiredFor(..) => continue,
             };
             if let Some((answer, began)) = self.waiting.remove(&number) {
@@ -430,15 +497,22 @@
     fn log_figures(&mut self, now: f64) {
         let Some(member) = self.member() else { return };
         let status = member.status(now);
-        let lags: Vec<String> =
-            status.members.iter().filter_map(|m| m.lag.map(|lag| format!("{}={lag}", m.name))).collect();
+        let lags: Vec<String> = status
+            .members
+            .iter()
+            .filter_map(|m| m.lag.map(|lag| format!("{}={lag}", m.name)))
+            .collect();
         self.promises.sort_by(f64::total_cmp);
         let part = |share: f64| {
             let at = (self.promises.len() as f64 * share) as usize;
             self.promises.get(at).map(|ms| (ms * 10.0).round() / 10.0)
         };
-        let up: BTreeSet<&str> =
-            self.links.iter().filter(|(_, l)| l.is_up()).map(|(n, _)| n.as_str()).collect();
+        let up: BTreeSet<&str> = self
+            .links
+            .iter()
+            .filter(|(_, l)| l.is_up())
+            .map(|(n, _)| n.as_str())
+            .collect();
         tracing::info!(
             leader = status.leader,
             term = status.term,
--- a/src/group/follow.rs
+++ b/src/group/follow.rs
@@ -62,7 +62,11 @@
             keeping: kept.map(Kept::keep).transpose()?,
             logged: 0.0,
             settings,
-            who: Rc::new(Own { name, newest: FORMS.1, ..Own::default() }),
+            who: Rc::new(Own {
+                name,
+                newest: FORMS.1,
+                ..Own::default()
+            }),
             follower,
             outlet: None,
             task: None,
@@ -100,7 +104,12 @@
                 self.logged = now;
                 let member = self.follower.is_up().then(|| self.follower.next().0);
                 let age_ms = self.follower.age_ms(now).map(f64::round);
-                tracing::info!(member, applied = self.follower.copy().applied, age_ms, "beside the group");
+                tracing::info!(
+                    member,
+                    applied = self.follower.copy().applied,
+                    age_ms,
+                    "beside the group"
+                );
             }
             if self.follower.silent(now) {
                 self.drop_link();
@@ -109,7 +118,8 @@
             if self.task.is_none() && now >= due {
                 if let Some(address) = self.settings.members.get(member) {
                     let (who, to) = (self.who.clone(), member.to_string());
-                    let task = spawn_local(connect(who, to, *address, lines.clone(), counts.clone()));
+                    let task =
+                        spawn_local(connect(who, to, *address, lines.clone(), counts.clone()));
                     self.task = Some(task.abort_handle());
                 }
             }
@@ -151,11 +161,15 @@
         }
         if self.follower.changed() {
             let copy = self.follower.copy();
-            self.keeping.iter().for_each(|keeping| keeping.put(copy.clone()));
+            self.keeping
+                .iter()
+                .for_each(|keeping| keeping.put(copy.clone()));
             self.view.send_replace(shown(copy));
         }
         for (number, answered) in self.follower.ended() {
-            let Some(answer) = self.waiting.remove(&number) else { continue };
+            let Some(answer) = self.waiting.remove(&number) else {
+                continue;
+            };
             let mut view = self.view.borrow().clone();
             view.applied = self.follower.copy().applied;
             let _ = answer.send(match answered {
@@ -174,7 +188,10 @@
             Request::Read(answer) => (None, answer),
             Request::Seat(answer) => {
                 let _ = answer.send(Seat::Following {
-                    member: self.follower.is_up().then(|| self.follower.next().0.to_string()),
+                    member: self
+                        .follower
+                        .is_up()
+                        .then(|| self.follower.next().0.to_string()),
                     applied: self.follower.copy().applied,
                     age_ms: self.follower.age_ms(now),
                 });
--- a/src/group/kept.rs
+++ b/src/group/kept.rs
@@ -34,9 +34,15 @@
     /// Opens the folder, made if it is not there.
     pub(super) fn open(folder: &Path) -> Result<Kept, KeptError> {
         std::fs::create_dir_all(folder)?;
-        let lock = File::options().create(true).append(true).open(folder.join(LOCK))?;
+        let lock = File::options()
+            .create(true)
+            .append(true)
+            .open(folder.join(LOCK))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Kept { folder: folder.to_path_buf(), _lock: lock }),
+            Ok(()) => Ok(Kept {
+                folder: folder.to_path_buf(),
+                _lock: lock,
+            }),
             Err(TryLockError::WouldBlock) => Err(KeptError::Held),
             Err(TryLockError::Error(e)) => Err(e.into()),
         }
@@ -53,7 +59,10 @@
                 out = copy.out.len(),
                 "goes on with the copy of an earlier start until a member is heard"
             ),
-            None => tracing::warn!(bytes = bytes.len(), "the copy on the disk is torn or spoilt: not used"),
+            None => tracing::warn!(
+                bytes = bytes.len(),
+                "the copy on the disk is torn or spoilt: not used"
+            ),
         }
         copy
     }
@@ -141,7 +150,12 @@
 
     #[test]
     fn a_copy_comes_back_whole_or_not_at_all() {
-        let copy = Copy { group: 7, applied: 12, out: ["a".to_string()].into(), ..Copy::default() };
+        let copy = Copy {
+            group: 7,
+            applied: 12,
+            out: ["a".to_string()].into(),
+            ..Copy::default()
+        };
         let bytes = written(&copy);
         assert_eq!(read(&bytes), Some(copy));
         for at in 0..bytes.len() {
--- a/src/group/link_error.rs
+++ b/src/group/link_error.rs
@@ -111,7 +111,10 @@
     /// As `cause=number`, for the log.
     pub(super) fn by_cause(&self) -> String {
         let counts = self.0.borrow();
-        let words: Vec<String> = counts.iter().map(|(cause, count)| format!("{cause}={count}")).collect();
+        let words: Vec<String> = counts
+            .iter()
+            .map(|(cause, count)| format!("{cause}={count}"))
+            .collect();
         words.join(" ")
     }
 }
--- a/src/group/links.rs
+++ b/src/group/links.rs
@@ -81,7 +81,13 @@
 impl Outlet {
     fn new(counts: Rc<Counts>, up: bool) -> Rc<Outlet> {
         let (queue, more, since) = (RefCell::default(), Notify::new(), Cell::new(None));
-        Rc::new(Outlet { queue, more, up: Cell::new(up), since, counts })
+        Rc::new(Outlet {
+            queue,
+            more,
+            up: Cell::new(up),
+            since,
+            counts,
+        })
     }
 
     /// Sends a frame, if the connection is up and its reader keeps up; false: it is lost.
@@ -164,16 +170,29 @@
                 kept.close();
                 let _ = news.send(News::Broken(to.clone())).await;
                 // One that held for a while is tried again at once.
-                pause = if began.elapsed() > PATIENCE { AGAIN.0 } else { (pause * 2).min(AGAIN.1) };
+                pause = if began.elapsed() > PATIENCE {
+                    AGAIN.0
+                } else {
+                    (pause * 2).min(AGAIN.1)
+                };
                 sleep(pause).await;
             }
         });
-        Link { outlet, task: task.abort_handle(), address }
+        Link {
+            outlet,
+            task: task.abort_handle(),
+            address,
+        }
     }
 
     /// Whether it has been up for longer than a sound one takes to be heard.
     pub(super) fn is_old(&self) -> bool {
-        self.is_up() && self.outlet.since.get().is_some_and(|at| at.elapsed() > PATIENCE)
+        self.is_up()
+            && self
+                .outlet
+                .since
+                .get()
+                .is_some_and(|at| at.elapsed() > PATIENCE)
     }
 
     /// Ends it: the member is none any more, or another link takes its place.
@@ -183,7 +202,11 @@
 }
 
 /// A connection to a member that has welcomed this one.
-async fn greeted(who: &Own, to: &str, address: SocketAddr) -> Result<(TcpStream, Welcome), LinkError> {
+async fn greeted(
+    who: &Own,
+    to: &str,
+    address: SocketAddr,
+) -> Result<(TcpStream, Welcome), LinkError> {
     let connect = timeout(PATIENCE, TcpStream::connect(address)).await;
     let mut stream = connect.map_err(|_| LinkError::ConnectTimeout)??;
     let _ = stream.set_nodelay(true);
@@ -255,7 +278,10 @@
 }
 
 /// Writes all of it, as long as the reader takes something every while.
-async fn write(stream: &mut (impl AsyncWriteExt + Unpin), mut bytes: &[u8]) -> Result<(), LinkError> {
+async fn write(
+    stream: &mut (impl AsyncWriteExt + Unpin),
+    mut bytes: &[u8],
+) -> Result<(), LinkError> {
     while !bytes.is_empty() {
         match timeout(PATIENCE, stream.write(bytes)).await {
             Ok(Ok(n)) if n > 0 => bytes = &bytes[n..],
@@ -278,10 +304,18 @@
         }
         // Byte by byte as far as the length is not known: what comes behind is the link's.
         let need = match bytes.first_chunk::<4>() {
-            Some(length) if bytes.len() >= 8 => 8 + u32::from_le_bytes(*length) as usize - bytes.len(),
+            Some(length) if bytes.len() >= 8 => {
+                8 + u32::from_le_bytes(*length) as usize - bytes.len()
+            }
             _ => 8 - bytes.len(),
         };
-        if (&mut *stream).take(need as u64).read_buf(&mut bytes).await.ok()? == 0 {
+        if (&mut *stream)
+            .take(need as u64)
+            .read_buf(&mut bytes)
+            .await
+            .ok()?
+            == 0
+        {
             return None;
         }
     }
@@ -331,7 +365,10 @@
 
 impl Frames {
     /// The next one; none: the connection has ended where it may.
-    async fn next(&mut self, stream: &mut (impl AsyncReadExt + Unpin)) -> Result<Option<Frame>, LinkError> {
+    async fn next(
+        &mut self,
+        stream: &mut (impl AsyncReadExt + Unpin),
+    ) -> Result<Option<Frame>, LinkError> {
         loop {
             if let Some((frame, used)) = read_frame(&self.bytes, MOST_FRAME)? {
                 self.bytes.drain(..used);
@@ -342,7 +379,9 @@
                 }
                 return Ok(Some(frame));
             }
-            if !self.bytes.is_empty() && self.begun.get_or_insert_with(Instant::now).elapsed() > WHOLE {
+            if !self.bytes.is_empty()
+                && self.begun.get_or_insert_with(Instant::now).elapsed() > WHOLE
+            {
                 return Err(LinkError::FrameTimeout);
             }
             match timeout(PATIENCE, stream.read_buf(&mut self.bytes)).await {
@@ -367,10 +406,18 @@
 ) -> Result<(), LinkError> {
     let _ = stream.set_nodelay(true);
     let hello = timeout(PATIENCE, first::<Hello>(&mut stream)).await;
-    let hello = hello.map_err(|_| LinkError::GreetingTimeout)?.ok_or(LinkError::NoGreeting)?;
+    let hello = hello
+        .map_err(|_| LinkError::GreetingTimeout)?
+        .ok_or(LinkError::NoGreeting)?;
     let form = hello.judge((who.form.get(), who.newest), who.group.get(), &who.name)?;
-    let _ = news.send(News::Greeted(hello.name.clone(), hello.forms.1)).await;
-    let welcome = Welcome { form, group: who.group.get(), id: who.id.get() };
+    let _ = news
+        .send(News::Greeted(hello.name.clone(), hello.forms.1))
+        .await;
+    let welcome = Welcome {
+        form,
+        group: who.group.get(),
+        id: who.id.get(),
+    };
     write(&mut stream, &welcome.bytes()).await?;
     let (mut reader, writer) = stream.into_split();
     let mut frames = Frames::default();
@@ -385,17 +432,34 @@
             let outlet = Outlet::new(counts.clone(), true);
             let fan = News::Fan(number, hello.name.clone(), outlet.clone());
             let begun = news.send(fan).await.is_ok()
-                && news.send(News::FanFrame(number, Box::new(frame))).await.is_ok();
+                && news
+                    .send(News::FanFrame(number, Box::new(frame)))
+                    .await
+                    .is_ok();
             let read = async {
                 while let Some(frame) = frames.next(&mut reader).await? {
-                    let known = matches!(frame, Frame::Follow { .. } | Frame::Ask { .. } | Frame::Idle);
-                    if !known || news.send(News::FanFrame(number, Box::new(frame))).await.is_err() {
+                    let known = matches!(
+                        frame,
+                        Frame::Follow { .. } | Frame::Ask { .. } | Frame::Idle
+                    );
+                    if !known
+                        || news
+                            .send(News::FanFrame(number, Box::new(frame)))
+                            .await
+                            .is_err()
+                    {
                         return Err(LinkError::FollowerFrameNotAllowed);
                     }
                 }
                 Ok(())
             };
-            let stays = || if outlet.up.get() { Ok(()) } else { Err(LinkError::FollowerDropped) };
+            let stays = || {
+                if outlet.up.get() {
+                    Ok(())
+                } else {
+                    Err(LinkError::FollowerDropped)
+                }
+            };
             let ended = tokio::select! {
                 ended = outlet.pump(&mut writer, stays) => ended,
                 ended = read => ended,
@@ -403,7 +467,11 @@
             let _ = news.send(News::FanGone(number)).await;
             return if begun { ended } else { Ok(()) };
         }
-        if news.send(News::Frame(hello.name.clone(), hello.id, Box::new(frame))).await.is_err() {
+        if news
+            .send(News::Frame(hello.name.clone(), hello.id, Box::new(frame)))
+            .await
+            .is_err()
+        {
             return Ok(());
         }
     }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -72,7 +72,8 @@
     }
 
     fn listen_of(&self, name: &str) -> Result<SocketAddr, GroupError> {
-        self.listen.ok_or_else(|| GroupError::Missing("listen", name.into()))
+        self.listen
+            .ok_or_else(|| GroupError::Missing("listen", name.into()))
     }
 
     /// The newest form that a member may speak.
@@ -85,12 +86,17 @@
         if !self.members.contains_key(name) {
             return Err(GroupError::Name(name.into()));
         }
-        self.folder.as_deref().ok_or_else(|| GroupError::Missing("folder", name.into()))
+        self.folder
+            .as_deref()
+            .ok_or_else(|| GroupError::Missing("folder", name.into()))
     }
 
     /// The members' addresses as the group's log has them.
     fn texts(&self) -> BTreeMap<String, String> {
-        self.members.iter().map(|(name, address)| (name.clone(), address.to_string())).collect()
+        self.members
+            .iter()
+            .map(|(name, address)| (name.clone(), address.to_string()))
+            .collect()
     }
 
     /// Judges the section for the ingress of this name.
@@ -103,9 +109,15 @@
         }
         let (least, most) = (driftgap_group::LEAST_MEMBERS, driftgap_group::MOST_MEMBERS);
         if !(least..=most).contains(&self.members.len()) {
-            return Err(("group.members", format!("must be {least} to {most} members")));
+            return Err((
+                "group.members",
+                format!("must be {least} to {most} members"),
+            ));
         }
-        if self.form.is_some_and(|form| !(FORMS.0..=FORMS.1).contains(&form)) {
+        if self
+            .form
+            .is_some_and(|form| !(FORMS.0..=FORMS.1).contains(&form))
+        {
             return Err(("group.form", format!("must be {} to {}", FORMS.0, FORMS.1)));
         }
         let addresses: BTreeSet<SocketAddr> = self.members.values().copied().collect();
@@ -198,7 +210,10 @@
 
 impl Group {
     /// What the group's thread answers; else whether it has been asked at all.
-    async fn request<T>(&self, request: impl FnOnce(oneshot::Sender<T>) -> Request) -> Result<T, bool> {
+    async fn request<T>(
+        &self,
+        request: impl FnOnce(oneshot::Sender<T>) -> Request,
+    ) -> Result<T, bool> {
         let (answer, answered) = oneshot::channel();
         self.requests.try_send(request(answer)).map_err(|_| false)?;
         match tokio::time::timeout(PATIENCE, answered).await {
@@ -209,20 +224,26 @@
 
     /// Asks the group for something; back when it is agreed, or will not be known to be in time.
     pub async fn ask(&self, wish: Wish) -> Ended {
-        self.request(|answer| Request::Wish(wish, answer)).await.unwrap_or_else(|asked| match asked {
-            true => Ended::Open,
-            false => Ended::Refused(SILENT.into()),
-        })
+        self.request(|answer| Request::Wish(wish, answer))
+            .await
+            .unwrap_or_else(|asked| match asked {
+                true => Ended::Open,
+                false => Ended::Refused(SILENT.into()),
+            })
     }
 
     /// What the group holds now: all that anybody was told is in it.
     pub async fn read(&self) -> Ended {
-        self.request(Request::Read).await.unwrap_or_else(|_| Ended::Refused(SILENT.into()))
+        self.request(Request::Read)
+            .await
+            .unwrap_or_else(|_| Ended::Refused(SILENT.into()))
     }
 
     /// How it stands.
     pub async fn seat(&self) -> Seat {
-        self.request(Request::Seat).await.unwrap_or_else(|_| Seat::Lost(SILENT.into()))
+        self.request(Request::Seat)
+            .await
+            .unwrap_or_else(|_| Seat::Lost(SILENT.into()))
     }
 
     /// Gives leadership away before the process ends.
@@ -234,8 +255,14 @@
     /// neither has one, the first is waited for: nothing can be handed in before enough members vote, so a group that
     /// has just come up answers before it keeps anything.
     pub async fn document(&self, kind: Kind) -> Option<Document> {
-        if tokio::time::timeout(ANSWER_AT_START, self.answers()).await.is_err() {
-            tracing::warn!(?kind, "the group cannot be asked: what is known here may be old");
+        if tokio::time::timeout(ANSWER_AT_START, self.answers())
+            .await
+            .is_err()
+        {
+            tracing::warn!(
+                ?kind,
+                "the group cannot be asked: what is known here may be old"
+            );
         }
         if let Some(known) = self.known(kind) {
             return Some(known);
@@ -262,14 +289,22 @@
 
     /// Back once a version of the document is known here, or never will be: the group's part has ended.
     async fn first_version(&self, kind: Kind) {
-        let _ = self.view.clone().wait_for(|view| view.documents.contains_key(&kind)).await;
+        let _ = self
+            .view
+            .clone()
+            .wait_for(|view| view.documents.contains_key(&kind))
+            .await;
     }
 
     /// Hands in what was accepted here, until the group has it or a later one. At a start the group's own is left as
     /// it is: a file that was forgotten on one machine is no news.
     pub async fn hand_in(self, kind: Kind, bytes: Vec<u8>, at_start: bool) {
         if bytes.len() > MOST_DOCUMENT {
-            return tracing::warn!(?kind, bytes = bytes.len(), "too large to be kept by the group");
+            return tracing::warn!(
+                ?kind,
+                bytes = bytes.len(),
+                "too large to be kept by the group"
+            );
         }
         // What the group holds has to be known before anything is compared with it.
         while !matches!(self.read().await, Ended::Done(..)) {
@@ -293,7 +328,9 @@
                 Ended::Done(Outcome::Written(number), _) => {
                     return tracing::info!(?kind, number, "kept by the group");
                 }
-                Ended::Done(Outcome::Refused, _) => return tracing::warn!(?kind, "refused by the group"),
+                Ended::Done(Outcome::Refused, _) => {
+                    return tracing::warn!(?kind, "refused by the group")
+                }
                 _ => tokio::time::sleep(HAND_IN).await,
             }
         }
@@ -316,11 +353,18 @@
 /// # Errors
 /// The folder holds a member already, or cannot be used.
 pub fn init(settings: &GroupSettings, folder: &Path, name: &str) -> Result<u64, GroupError> {
-    let address = settings.members.get(name).ok_or_else(|| GroupError::Name(name.into()))?.to_string();
+    let address = settings
+        .members
+        .get(name)
+        .ok_or_else(|| GroupError::Name(name.into()))?
+        .to_string();
     let mut store = Store::open(&folder.join(settings.folder(name)?))?;
     let (group, nonce) = (fresh(), fresh());
     let identity = Identity::new(group, name, 1, nonce);
-    store.begin(&identity, &driftgap_group::Loaded::first(group, name, &address, nonce))?;
+    store.begin(
+        &identity,
+        &driftgap_group::Loaded::first(group, name, &address, nonce),
+    )?;
     Ok(group)
 }
 
@@ -335,7 +379,11 @@
     name: &str,
     from: &Path,
 ) -> Result<String, GroupError> {
-    let address = settings.members.get(name).ok_or_else(|| GroupError::Name(name.into()))?.to_string();
+    let address = settings
+        .members
+        .get(name)
+        .ok_or_else(|| GroupError::Name(name.into()))?
+        .to_string();
     let mut store = Store::open(&folder.join(settings.folder(name)?))?;
     let newest = settings.newest().into();
     if store.identity(name, newest)?.is_some() {
@@ -364,10 +412,17 @@
     let path = folder.join(settings.folder(name)?);
     let store = Store::open(&path)?;
     let Some(identity) = store.identity(name, store::FORMAT)? else {
-        return Ok(format!("{}: empty; {name} will ask to be let in", path.display()));
+        return Ok(format!(
+            "{}: empty; {name} will ask to be let in",
+            path.display()
+        ));
     };
     let loaded = store.load()?;
-    let (entries, state, term) = (loaded.entries.len(), loaded.snapshot.index, loaded.hard.term);
+    let (entries, state, term) = (
+        loaded.entries.len(),
+        loaded.snapshot.index,
+        loaded.hard.term,
+    );
     let out = Member::new(Settings::new(name, 0, settings.texts()), loaded, 0.0)
         .map_err(|e| StoreError::Disk(e.to_string()))?
         .state()
@@ -393,7 +448,8 @@
             let store = Store::open(&folder.join(settings.folder(name)?))?;
             let identity = store.identity(name, settings.newest().into())?;
             let listen = settings.listen_of(name)?;
-            let listener = std::net::TcpListener::bind(listen).map_err(|e| GroupError::Listen(listen, e))?;
+            let listener =
+                std::net::TcpListener::bind(listen).map_err(|e| GroupError::Listen(listen, e))?;
             listener.set_nonblocking(true)?;
             Some((store, identity, listener))
         }
@@ -409,26 +465,35 @@
     let (requests, asked) = mpsc::channel(MOST_WAITING);
     let (viewed, view) = watch::channel(View::default());
     let (settings, name) = (settings.clone(), name.to_string());
-    std::thread::Builder::new().name("group".into()).spawn(move || {
-        // Whatever goes wrong there ends there: calls are told so, and commands are served on.
-        let run = std::panic::AssertUnwindSafe(|| -> std::io::Result<()> {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default())?;
-            runtime.block_on(async {
-                match member {
-                    Some((store, identity, listener)) => {
-                        let engine = Engine::new(settings, name, store, identity, viewed)?;
-                        engine.run(listener, asked).await
+    std::thread::Builder::new()
+        .name("group".into())
+        .spawn(move || {
+            // Whatever goes wrong there ends there: calls are told so, and commands are served on.
+            let run = std::panic::AssertUnwindSafe(|| -> std::io::Result<()> {
+                let runtime = tokio::runtime::Builder::new_current_thread()
+                    .enable_all()
+                    .build_local(Default::default())?;
+                runtime.block_on(async {
+                    match member {
+                        Some((store, identity, listener)) => {
+                            let engine = Engine::new(settings, name, store, identity, viewed)?;
+                            engine.run(listener, asked).await
+                        }
+                        None => {
+                            Following::new(settings, name, fresh(), kept, viewed)?
+                                .run(asked)
+                                .await
+                        }
                     }
-                    None => Following::new(settings, name, fresh(), kept, viewed)?.run(asked).await,
-                }
-            })
-        });
-        match std::panic::catch_unwind(run) {
-            Ok(Ok(())) => {}
-            Ok(Err(e)) => tracing::error!(error = %e, "the group's part has ended"),
-            Err(_) => tracing::error!("the group's part has ended by a fault; this member votes no more"),
-        }
-    })?;
+                })
+            });
+            match std::panic::catch_unwind(run) {
+                Ok(Ok(())) => {}
+                Ok(Err(e)) => tracing::error!(error = %e, "the group's part has ended"),
+                Err(_) => tracing::error!(
+                    "the group's part has ended by a fault; this member votes no more"
+                ),
+            }
+        })?;
     Ok(Group { requests, view })
 }
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -38,7 +38,13 @@
 impl Identity {
     /// A new folder's.
     pub fn new(group: u64, name: &str, id: u64, nonce: u64) -> Identity {
-        Identity { format: 1, group, name: name.into(), id, nonce }
+        Identity {
+            format: 1,
+            group,
+            name: name.into(),
+            id,
+            nonce,
+        }
     }
 }
 
@@ -109,11 +115,18 @@
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
         std::fs::create_dir_all(folder).map_err(|e| disk(format!("{}: {e}", folder.display())))?;
         let path = folder.join(FILE);
-        let database = Builder::new().set_cache_size(CACHE).create(&path).map_err(|e| match e {
-            DatabaseError::DatabaseAlreadyOpen => StoreError::Held(folder.to_path_buf()),
-            e => disk(format!("{}: {e}", path.display())),
-        })?;
-        Ok(Store { database, path: folder.to_path_buf(), broken: false })
+        let database = Builder::new()
+            .set_cache_size(CACHE)
+            .create(&path)
+            .map_err(|e| match e {
+                DatabaseError::DatabaseAlreadyOpen => StoreError::Held(folder.to_path_buf()),
+                e => disk(format!("{}: {e}", path.display())),
+            })?;
+        Ok(Store {
+            database,
+            path: folder.to_path_buf(),
+            broken: false,
+        })
     }
 
     /// The same on any storage, as tests have it that fails.
@@ -121,8 +134,15 @@
     /// # Errors
     /// It refuses.
     pub fn on(backend: impl StorageBackend) -> Result<Store, StoreError> {
-        let database = Builder::new().set_cache_size(CACHE).create_with_backend(backend).map_err(disk)?;
-        Ok(Store { database, path: PathBuf::new(), broken: false })
+        let database = Builder::new()
+            .set_cache_size(CACHE)
+            .create_with_backend(backend)
+            .map_err(disk)?;
+        Ok(Store {
+            database,
+            path: PathBuf::new(),
+            broken: false,
+        })
     }
 
     fn head<T: DeserializeOwned>(&self, key: &str) -> Result<Option<T>, StoreError> {
@@ -151,7 +171,9 @@
     pub fn identity(&self, name: &str, newest: u32) -> Result<Option<Identity>, StoreError> {
         // The form comes first, by itself: what follows it may look different in another one.
         match self.format()? {
-            Some(format) if format > FORMAT => return Err(StoreError::Newer(self.path.clone(), format)),
+            Some(format) if format > FORMAT => {
+                return Err(StoreError::Newer(self.path.clone(), format))
+            }
             Some(format) if format > newest => {
                 return Err(StoreError::Form(self.path.clone(), format, newest))
             }
@@ -159,9 +181,11 @@
         }
         let identity: Option<Identity> = self.head("identity")?;
         match identity {
-            Some(held) if held.name != name => {
-                Err(StoreError::Member(self.path.clone(), held.name, name.into()))
-            }
+            Some(held) if held.name != name => Err(StoreError::Member(
+                self.path.clone(),
+                held.name,
+                name.into(),
+            )),
             held => Ok(held),
         }
     }
@@ -190,8 +214,9 @@
     /// # Errors
     /// A record is spoilt, or none of it is there.
     pub fn load(&self) -> Result<Loaded, StoreError> {
-        let identity: Identity =
-            self.head("identity")?.ok_or_else(|| StoreError::Empty(self.path.clone()))?;
+        let identity: Identity = self
+            .head("identity")?
+            .ok_or_else(|| StoreError::Empty(self.path.clone()))?;
         let missing = |key: &str| StoreError::Spoilt(key.to_string());
         let hard: HardRecord = self.head("hard")?.ok_or_else(|| missing("hard"))?;
         let snapshot: SnapshotRecord = self.head("snapshot")?.ok_or_else(|| missing("snapshot"))?;
@@ -213,7 +238,14 @@
             Err(redb::TableError::TableDoesNotExist(_)) => {}
             Err(e) => return Err(disk(e)),
         }
-        Ok(Loaded { group: identity.group, id: identity.id, hard, snapshot, cut, entries })
+        Ok(Loaded {
+            group: identity.group,
+            id: identity.id,
+            hard,
+            snapshot,
+            cut,
+            entries,
+        })
     }
 
     /// Writes a batch in one piece. It is on the disk when this returns.
@@ -263,7 +295,11 @@
         }
         let all = || -> Result<(), redb::Error> {
             let mut change = self.database.begin_write()?;
-            change.set_durability(if sync { Durability::Immediate } else { Durability::None })?;
+            change.set_durability(if sync {
+                Durability::Immediate
+            } else {
+                Durability::None
+            })?;
             {
                 let mut head = change.open_table(HEAD)?;
                 let mut log = change.open_table(LOG)?;
@@ -318,7 +354,10 @@
         fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
             let disk = self.0.lock().unwrap();
             let at = offset as usize;
-            let bytes = disk.now.get(at..at + out.len()).ok_or(std::io::ErrorKind::UnexpectedEof)?;
+            let bytes = disk
+                .now
+                .get(at..at + out.len())
+                .ok_or(std::io::ErrorKind::UnexpectedEof)?;
             out.copy_from_slice(bytes);
             Ok(())
         }
@@ -361,7 +400,11 @@
                     }
                 }
             }
-            Disk(Arc::new(Mutex::new(Platter { now: bytes.clone(), safe: bytes, ..Platter::default() })))
+            Disk(Arc::new(Mutex::new(Platter {
+                now: bytes.clone(),
+                safe: bytes,
+                ..Platter::default()
+            })))
         }
     }
 
@@ -371,9 +414,23 @@
 
     fn batch(index: u64, rand: &mut Rand64) -> Batch {
         let data = vec![index as u8; 1 + rand.rand_range(0..3000) as usize];
-        let entry = EntryRecord { kind: 0, term: 1, index, data, context: Vec::new() };
-        let hard = Some(HardRecord { term: 1, vote: 0, commit: index });
-        Batch { entries: vec![entry], hard, ..Batch::default() }
+        let entry = EntryRecord {
+            kind: 0,
+            term: 1,
+            index,
+            data,
+            context: Vec::new(),
+        };
+        let hard = Some(HardRecord {
+            term: 1,
+            vote: 0,
+            commit: index,
+        });
+        Batch {
+            entries: vec![entry],
+            hard,
+            ..Batch::default()
+        }
     }
 
     fn begun(disk: &Disk) -> Result<Store, StoreError> {
@@ -400,11 +457,18 @@
                 held.extend(batch.entries);
             }
             let after = disk.power_cut(&mut rand);
-            let loaded =
-                Store::on(after).and_then(|s| s.load()).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-            let with: Vec<EntryRecord> =
-                held.iter().chain(tried.iter().flat_map(|b| &b.entries)).cloned().collect();
-            assert!(loaded.entries == held || loaded.entries == with, "seed {seed}");
+            let loaded = Store::on(after)
+                .and_then(|s| s.load())
+                .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+            let with: Vec<EntryRecord> = held
+                .iter()
+                .chain(tried.iter().flat_map(|b| &b.entries))
+                .cloned()
+                .collect();
+            assert!(
+                loaded.entries == held || loaded.entries == with,
+                "seed {seed}"
+            );
             let commit = loaded.entries.last().map_or(1, |e| e.index);
             assert_eq!(loaded.hard.commit, commit, "seed {seed}: a batch is whole");
         }
@@ -426,7 +490,10 @@
             assert!(failed.is_some(), "{left:?} {no_room}");
             (disk.0.lock().unwrap().left, disk.0.lock().unwrap().no_room) = (None, false);
             let again = store.write(&batch(failed.unwrap(), &mut rand));
-            assert!(again.is_err(), "the disk is well again, and what it lost is not known");
+            assert!(
+                again.is_err(),
+                "the disk is well again, and what it lost is not known"
+            );
         }
     }
 
@@ -445,8 +512,11 @@
             let mut bytes = whole.clone();
             let at = rand.rand_range(0..bytes.len() as u64) as usize;
             bytes[at] ^= 1 << rand.rand_range(0..8);
-            let spoilt =
-                Disk(Arc::new(Mutex::new(Platter { now: bytes.clone(), safe: bytes, ..Platter::default() })));
+            let spoilt = Disk(Arc::new(Mutex::new(Platter {
+                now: bytes.clone(),
+                safe: bytes,
+                ..Platter::default()
+            })));
             // The store's own checks may stop at a page that makes no sense.
             let read = std::panic::catch_unwind(|| Store::on(spoilt).and_then(|s| s.load()));
             match read {
@@ -466,17 +536,35 @@
         let disk = Disk::default();
         let store = begun(&disk).unwrap();
         assert_eq!(store.identity("m0", FORMAT).unwrap(), Some(identity()));
-        assert!(matches!(store.identity("m1", FORMAT), Err(StoreError::Member(..))));
+        assert!(matches!(
+            store.identity("m1", FORMAT),
+            Err(StoreError::Member(..))
+        ));
         let mut store = store;
         // A folder goes up with the log in it, and is of the oldest form until then.
         assert_eq!(store.format().unwrap(), Some(1));
-        store.write(&Batch { form: Some(2), ..Batch::default() }).unwrap();
-        assert!(matches!(store.identity("m0", 1), Err(StoreError::Form(_, 2, 1))));
-        assert!(matches!(store.begin(&identity(), &Loaded::default()), Err(StoreError::Taken(_))));
+        store
+            .write(&Batch {
+                form: Some(2),
+                ..Batch::default()
+            })
+            .unwrap();
+        assert!(matches!(
+            store.identity("m0", 1),
+            Err(StoreError::Form(_, 2, 1))
+        ));
+        assert!(matches!(
+            store.begin(&identity(), &Loaded::default()),
+            Err(StoreError::Taken(_))
+        ));
         let newer = |head: &mut redb::Table<'_, &'static str, &'static [u8]>| {
-            head.insert("format", sealed(&(FORMAT + 1)).as_slice()).map(drop)
+            head.insert("format", sealed(&(FORMAT + 1)).as_slice())
+                .map(drop)
         };
         store.commit(true, |head, _| newer(head)).unwrap();
-        assert!(matches!(store.identity("m0", FORMAT), Err(StoreError::Newer(..))));
+        assert!(matches!(
+            store.identity("m0", FORMAT),
+            Err(StoreError::Newer(..))
+        ));
     }
 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -35,9 +35,17 @@
         let open = |end: &str| {
             let mut name = folder.as_os_str().to_os_string();
             name.push(end);
-            File::options().create(true).truncate(false).write(true).open(PathBuf::from(name))
+            File::options()
+                .create(true)
+                .truncate(false)
+                .write(true)
+                .open(PathBuf::from(name))
         };
-        Ok(Beside { first: open(".first")?, second: open(".second")?, holds: Cell::default() })
+        Ok(Beside {
+            first: open(".first")?,
+            second: open(".second")?,
+            holds: Cell::default(),
+        })
     }
 
     fn look(&self) -> bool {
@@ -76,9 +84,14 @@
 }
 
 fn name_of(file: &str) -> Option<String> {
-    let pair = |i: usize| file.get(i..i + 2).and_then(|hex| u8::from_str_radix(hex, 16).ok());
+    let pair = |i: usize| {
+        file.get(i..i + 2)
+            .and_then(|hex| u8::from_str_radix(hex, 16).ok())
+    };
     let bytes: Option<Vec<u8>> = (0..file.len()).step_by(2).map(pair).collect();
-    String::from_utf8(bytes?).ok().filter(|name| !name.is_empty() && name.len() <= MOST_ID)
+    String::from_utf8(bytes?)
+        .ok()
+        .filter(|name| !name.is_empty() && name.len() <= MOST_ID)
 }
 
 impl Handover {
@@ -90,7 +103,11 @@
         let path = base.join(format!("driftgap-{}-out", file_name(ingress)));
         std::fs::create_dir_all(&path)?;
         let beside = Beside::open(&path)?;
-        Ok(Handover { path, unkept: RefCell::default(), beside })
+        Ok(Handover {
+            path,
+            unkept: RefCell::default(),
+            beside,
+        })
     }
 
     /// Whether another process of this ingress is there now.
@@ -197,7 +214,10 @@
     #[test]
     fn names_go_over_as_they_are_and_what_cannot_be_written_holds_here() {
         let base = std::env::temp_dir().join(format!("driftgap-handover-{}", std::process::id()));
-        let (old, new) = (Handover::open(&base, "n/0").unwrap(), Handover::open(&base, "n/0").unwrap());
+        let (old, new) = (
+            Handover::open(&base, "n/0").unwrap(),
+            Handover::open(&base, "n/0").unwrap(),
+        );
         let names = ["s-1", "../../etc/x", "a b", "ü"];
         names.iter().for_each(|name| old.keep(name, true).unwrap());
         std::fs::write(old.path.join("no hex"), "").unwrap();
@@ -205,7 +225,11 @@
         new.keep("s-1", false).unwrap();
         new.keep("s-1", false).unwrap();
         assert!(!old.read().unwrap().contains("s-1"));
-        assert!(Handover::open(&base, "n1").unwrap().read().unwrap().is_empty());
+        assert!(Handover::open(&base, "n1")
+            .unwrap()
+            .read()
+            .unwrap()
+            .is_empty());
         // A folder in the place of the file: it can be neither made nor removed.
         std::fs::create_dir(old.path.join(file_name("s-9"))).unwrap();
         assert!(old.keep("s-9", false).is_err() && !old.read().unwrap().contains("s-9"));
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -48,7 +48,11 @@
 impl Unsent {
     /// Nothing yet; `all` is shared by all clients.
     pub fn new(all: Rc<Cell<usize>>, most: usize) -> Unsent {
-        Unsent { all, most, mine: Cell::new(0) }
+        Unsent {
+            all,
+            most,
+            mine: Cell::new(0),
+        }
     }
 
     /// Notes bytes that wait to be sent; false: there are too many, and this client is to be cut off.
@@ -246,18 +250,28 @@
 
     /// How many instances staff have taken out.
     pub fn out(&self) -> usize {
-        self.bans.as_ref().map_or(0, |bans| bans.borrow().out().count())
+        self.bans
+            .as_ref()
+            .map_or(0, |bans| bans.borrow().out().count())
     }
 
     /// Whether staff have taken this one out.
     pub fn is_out(&self, name: &str) -> bool {
-        self.bans.as_ref().is_some_and(|bans| bans.borrow().is_out(name))
+        self.bans
+            .as_ref()
+            .is_some_and(|bans| bans.borrow().is_out(name))
     }
 
     /// Takes an instance out, whatever the lists say, or puts it back.
     pub fn ban(&self, name: &str, out: bool) -> Ban {
-        let Some(bans) = &self.bans else { return Ban::Unknown };
-        let done = if out { bans.borrow_mut().suspend(name) } else { bans.borrow_mut().restore(name) };
+        let Some(bans) = &self.bans else {
+            return Ban::Unknown;
+        };
+        let done = if out {
+            bans.borrow_mut().suspend(name)
+        } else {
+            bans.borrow_mut().restore(name)
+        };
         if done == Ban::Done {
             self.tell_again(&[name.to_string()]);
         }
@@ -266,7 +280,9 @@
 
     /// Another process of this ingress says which instances are out; the names that have changed.
     pub fn take_over(&self, out: BTreeSet<String>) -> Vec<String> {
-        let Some(bans) = &self.bans else { return Vec::new() };
+        let Some(bans) = &self.bans else {
+            return Vec::new();
+        };
         let changed = bans.borrow_mut().take_over(out);
         if !changed.is_empty() {
             self.tell_again(&changed);
@@ -276,12 +292,16 @@
 
     /// Whether a call here has taken this one out.
     pub fn is_out_here(&self, name: &str) -> bool {
-        self.bans.as_ref().is_some_and(|bans| bans.borrow().is_out_here(name))
+        self.bans
+            .as_ref()
+            .is_some_and(|bans| bans.borrow().is_out_here(name))
     }
 
     /// Whether any list has named this one.
     pub fn was_listed(&self, name: &str) -> bool {
-        self.bans.as_ref().is_some_and(|bans| bans.borrow().was_listed(name))
+        self.bans
+            .as_ref()
+            .is_some_and(|bans| bans.borrow().was_listed(name))
     }
 
     /// The group of ingresses holds these instances as taken out, from now on.
@@ -289,17 +309,29 @@
         let Some(bans) = &self.bans else { return };
         let changed = bans.borrow_mut().group_holds(out);
         if !changed.is_empty() {
-            tracing::info!(changed = changed.join(" "), "taken out or put back by the group");
+            tracing::info!(
+                changed = changed.join(" "),
+                "taken out or put back by the group"
+            );
             self.tell_again(&changed);
         }
     }
 
     /// Tells the core once more of these instances, as far as a list holds them.
     fn tell_again(&self, names: &[String]) {
-        let named =
-            |id: InstanceId| self.table.borrow().instance(id).is_some_and(|i| names.contains(&i.name));
-        let entries: Vec<HostEntry> =
-            self.told.borrow().values().filter(|e| named(e.host)).cloned().collect();
+        let named = |id: InstanceId| {
+            self.table
+                .borrow()
+                .instance(id)
+                .is_some_and(|i| names.contains(&i.name))
+        };
+        let entries: Vec<HostEntry> = self
+            .told
+            .borrow()
+            .values()
+            .filter(|e| named(e.host))
+            .cloned()
+            .collect();
         if !entries.is_empty() {
             self.names(ListKind::Delta, entries);
         }
@@ -308,7 +340,11 @@
     /// Keeps what a list says, and marks those that staff have taken out as draining.
     fn hold_back(&self, kind: ListKind, entries: &mut [HostEntry]) {
         let Some(bans) = &self.bans else { return };
-        let (table, mut bans, mut told) = (self.table.borrow(), bans.borrow_mut(), self.told.borrow_mut());
+        let (table, mut bans, mut told) = (
+            self.table.borrow(),
+            bans.borrow_mut(),
+            self.told.borrow_mut(),
+        );
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             told.clear();
         }
@@ -318,7 +354,9 @@
                 continue;
             }
             told.insert(entry.host, entry.clone());
-            let Some(instance) = table.instance(entry.host) else { continue };
+            let Some(instance) = table.instance(entry.host) else {
+                continue;
+            };
             bans.listed(&instance.name);
             if entry.state == HostState::Ready && bans.is_out(&instance.name) {
                 entry.state = HostState::Draining;
@@ -351,7 +389,10 @@
         if self.door.borrow().way(now) == Way::Empty {
             return self.refuse(AWAY_MS, client, ticket, known);
         }
-        let wish = self.plugin.as_ref().map(|plugin| plugin.decide(now, &self.platform, &command));
+        let wish = self
+            .plugin
+            .as_ref()
+            .map(|plugin| plugin.decide(now, &self.platform, &command));
         let id = match wish {
             Some(Wish::Nack(after_ms)) => self.core.borrow_mut().refuse(after_ms),
             wish => {
@@ -362,7 +403,9 @@
                 self.core.borrow_mut().arrive(now, command)
             }
         };
-        self.clients.borrow_mut().insert(id, (client, ticket, places));
+        self.clients
+            .borrow_mut()
+            .insert(id, (client, ticket, places));
         known(id);
         self.pump();
     }
@@ -376,7 +419,9 @@
         known: impl FnOnce(CommandId),
     ) {
         let id = self.core.borrow_mut().refuse(after_ms);
-        self.clients.borrow_mut().insert(id, (client, ticket, Vec::new()));
+        self.clients
+            .borrow_mut()
+            .insert(id, (client, ticket, Vec::new()));
         known(id);
         self.pump();
     }
@@ -402,7 +447,10 @@
 
     /// The rules in force.
     pub fn rules(&self) -> Option<Rules> {
-        self.router.borrow().as_ref().map(|router| router.rules().clone())
+        self.router
+            .borrow()
+            .as_ref()
+            .map(|router| router.rules().clone())
     }
 
     /// Puts rules in force; what they replace is to be dropped on another thread. Commands under way end under
@@ -411,7 +459,13 @@
     /// # Errors
     /// Those still need too many pools; the old rules stay.
     pub fn put_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
-        let longest = self.platform.module.classes.iter().map(|c| 1e3 * c.deadline).fold(0.0, f64::max);
+        let longest = self
+            .platform
+            .module
+            .classes
+            .iter()
+            .map(|c| 1e3 * c.deadline)
+            .fold(0.0, f64::max);
         let replaced = match &mut *self.router.borrow_mut() {
             Some(router) => Some(router.replace(rules, self.clock.now(), longest)?),
             none => {
@@ -431,7 +485,10 @@
     pub fn pools(&self) -> Option<(String, u64)> {
         let router = self.router.borrow();
         let router = router.as_ref()?;
-        let ready: Vec<String> = router.figures().map(|(pool, ready)| format!("{pool}={ready}")).collect();
+        let ready: Vec<String> = router
+            .figures()
+            .map(|(pool, ready)| format!("{pool}={ready}"))
+            .collect();
         Some((ready.join(" "), router.faults()))
     }
 
@@ -441,11 +498,18 @@
         if let Some(router) = &mut *self.router.borrow_mut() {
             let table = self.table.borrow();
             let mut listed = self.listed.borrow_mut();
-            for entry in entries.iter_mut().filter(|entry| entry.state == HostState::Ready) {
+            for entry in entries
+                .iter_mut()
+                .filter(|entry| entry.state == HostState::Ready)
+            {
                 entry.pools = match table.instance(entry.host) {
                     Some(instance) => router.pools_of(&Instance {
                         name: &instance.name,
-                        zone: self.platform.zones.get(entry.zone as usize).map_or("", String::as_str),
+                        zone: self
+                            .platform
+                            .zones
+                            .get(entry.zone as usize)
+                            .map_or("", String::as_str),
                         cell: entry.cell,
                         weight: entry.size,
                         protocol: instance.speaks.name(),
@@ -521,7 +585,10 @@
     #[test]
     fn what_clients_leave_unread_is_bounded_over_all_of_them() {
         let all = Rc::default();
-        let (a, b) = (Unsent::new(Rc::clone(&all), 100), Unsent::new(Rc::clone(&all), 100));
+        let (a, b) = (
+            Unsent::new(Rc::clone(&all), 100),
+            Unsent::new(Rc::clone(&all), 100),
+        );
         assert!(a.add(60) && b.add(40) && !b.add(1));
         a.sent(30);
         assert!(b.add(10) && !b.add(60));
--- a/src/inventory.rs
+++ b/src/inventory.rs
@@ -55,7 +55,9 @@
     #[error("it changed while it was read: it may be half-written")]
     Changing,
     /// A folder with too much in it.
-    #[error("the folder holds more than {MOST_FILES} files, or folders more than {MOST_DEPTH} deep")]
+    #[error(
+        "the folder holds more than {MOST_FILES} files, or folders more than {MOST_DEPTH} deep"
+    )]
     Folder,
     /// It is wrong; all that is, the worst first.
     #[error("{}", told(.0))]
@@ -67,7 +69,10 @@
 
 /// The first fault in a line, and how many there are besides.
 fn told(faults: &[Fault]) -> String {
-    let errors: Vec<&Fault> = faults.iter().filter(|fault| fault.weight == Weight::Error).collect();
+    let errors: Vec<&Fault> = faults
+        .iter()
+        .filter(|fault| fault.weight == Weight::Error)
+        .collect();
     match errors.as_slice() {
         [] => "no fault".into(),
         [one] => one.to_string(),
@@ -107,7 +112,16 @@
         let path = folder.join(&settings.file);
         let (hosts, named, draining, dropped) = Default::default();
         let accepted = Vec::new();
-        Inventory { settings, path, hosts, named, draining, dropped, held: None, accepted }
+        Inventory {
+            settings,
+            path,
+            hosts,
+            named,
+            draining,
+            dropped,
+            held: None,
+            accepted,
+        }
     }
 
     /// The file or the folder.
@@ -135,7 +149,11 @@
 
     /// The files that the list in force was read from, as one text that [`Inventory::restore`] reads.
     pub fn accepted(&self) -> Vec<u8> {
-        let files: Vec<(&str, &[u8])> = self.accepted.iter().map(|f| (&*f.path, &*f.bytes)).collect();
+        let files: Vec<(&str, &[u8])> = self
+            .accepted
+            .iter()
+            .map(|f| (&*f.path, &*f.bytes))
+            .collect();
         postcard::to_stdvec(&files).unwrap_or_default()
     }
 
@@ -151,7 +169,10 @@
     ) -> Result<(Vec<HostEntry>, Vec<Fault>), InventoryError> {
         let files: Vec<(String, Vec<u8>)> = postcard::from_bytes(accepted)
             .map_err(|e| std::io::Error::new(std::io::ErrorKind::InvalidData, e.to_string()))?;
-        let files = files.into_iter().map(|(path, bytes)| File { path, bytes }).collect();
+        let files = files
+            .into_iter()
+            .map(|(path, bytes)| File { path, bytes })
+            .collect();
         self.take(files, table, now)
     }
 
@@ -161,7 +182,10 @@
         table: &mut NameTable,
         now: f64,
     ) -> Result<(Vec<HostEntry>, Vec<Fault>), InventoryError> {
-        let schema = Schema { zones: table.zones().to_vec(), columns: self.settings.columns.clone() };
+        let schema = Schema {
+            zones: table.zones().to_vec(),
+            columns: self.settings.columns.clone(),
+        };
         let reading = read(&files, &schema);
         if !reading.holds() {
             return Err(InventoryError::Faults(reading.faults));
@@ -180,10 +204,30 @@
                 State::Draining(_) => HostState::Draining,
                 State::Out => HostState::Gone,
             };
-            let labels = host.labels.iter().map(|(name, value)| (name.clone(), value.clone())).collect();
-            table.place(id, Instance { name: host.name.clone(), addr: host.address, speaks, labels });
+            let labels = host
+                .labels
+                .iter()
+                .map(|(name, value)| (name.clone(), value.clone()))
+                .collect();
+            table.place(
+                id,
+                Instance {
+                    name: host.name.clone(),
+                    addr: host.address,
+                    speaks,
+                    labels,
+                },
+            );
             let (cell, size, started) = (host.cell, host.weight, host.started);
-            entries.push(HostEntry { host: id, zone, cell, state, size, started, pools: ALL_HOSTS });
+            entries.push(HostEntry {
+                host: id,
+                zone,
+                cell,
+                state,
+                size,
+                started,
+                pools: ALL_HOSTS,
+            });
         }
         let named: BTreeSet<InstanceId> = entries.iter().map(|e| e.host).collect();
         self.dropped = self.draining.difference(&named).copied().collect();
@@ -206,9 +250,14 @@
     /// Guards the service against a list that is right in form and wrong in substance: one that takes out much at
     /// once holds only when it is read again, unchanged, some time later.
     fn confirm(&mut self, hosts: &[Host], now: f64) -> Result<(), InventoryError> {
-        let shares = Shares { shorter: self.settings.shorter, taken_out: self.settings.taken_out };
+        let shares = Shares {
+            shorter: self.settings.shorter,
+            taken_out: self.settings.taken_out,
+        };
         let held = self.held.take();
-        let Some(why) = suspicious(&self.hosts, hosts, shares) else { return Ok(()) };
+        let Some(why) = suspicious(&self.hosts, hosts, shares) else {
+            return Ok(());
+        };
         let since = match held {
             Some((list, since)) if list == hosts => since,
             _ => now,
@@ -227,16 +276,25 @@
     if path.is_dir() {
         gather(path, path, 0, &mut found)?;
     } else {
-        let name = path.file_name().map_or(String::new(), |name| name.to_string_lossy().to_string());
+        let name = path
+            .file_name()
+            .map_or(String::new(), |name| name.to_string_lossy().to_string());
         found.push(file(path, name)?);
     }
     Ok(found)
 }
 
-fn gather(root: &Path, folder: &Path, depth: usize, found: &mut Vec<File>) -> Result<(), InventoryError> {
+fn gather(
+    root: &Path,
+    folder: &Path,
+    depth: usize,
+    found: &mut Vec<File>,
+) -> Result<(), InventoryError> {
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
-        let name = path.file_name().map_or(String::new(), |name| name.to_string_lossy().to_string());
+        let name = path
+            .file_name()
+            .map_or(String::new(), |name| name.to_string_lossy().to_string());
         if name.starts_with('.')
             || name.ends_with(['~', '#'])
             || name.ends_with(".swp")
@@ -250,7 +308,11 @@
         if path.is_dir() {
             gather(root, &path, depth + 1, found)?;
         } else {
-            let name = path.strip_prefix(root).unwrap_or(&path).to_string_lossy().to_string();
+            let name = path
+                .strip_prefix(root)
+                .unwrap_or(&path)
+                .to_string_lossy()
+                .to_string();
             found.push(file(&path, name)?);
         }
     }
@@ -263,8 +325,15 @@
     let before = state()?;
     // Guards memory: what is too long is refused by its length alone.
     if before.0 > driftgap_inventory::MOST_FILE as u64 {
-        let place = driftgap_inventory::Place { file: name.into(), ..Default::default() };
-        let problem = format!("has {} bytes, {} are the most", before.0, driftgap_inventory::MOST_FILE);
+        let place = driftgap_inventory::Place {
+            file: name.into(),
+            ..Default::default()
+        };
+        let problem = format!(
+            "has {} bytes, {} are the most",
+            before.0,
+            driftgap_inventory::MOST_FILE
+        );
         let (field, value, help) = Default::default();
         return Err(InventoryError::Faults(vec![Fault {
             weight: Weight::Error,
@@ -287,7 +356,10 @@
     use super::*;
 
     fn inventory(name: &str) -> (Inventory, PathBuf) {
-        let path = std::env::temp_dir().join(format!("driftgap-inventory-{}-{name}.csv", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "driftgap-inventory-{}-{name}.csv",
+            std::process::id()
+        ));
         let settings = InventorySettings {
             file: path.clone(),
             columns: BTreeMap::new(),
@@ -309,7 +381,9 @@
         let mut table = NameTable::new(vec![]);
         let mut load = |text: &str, now: f64| {
             std::fs::write(&path, text).unwrap();
-            inventory.load(&mut table, now).map(|(entries, _)| entries.len())
+            inventory
+                .load(&mut table, now)
+                .map(|(entries, _)| entries.len())
         };
         assert_eq!(load(&list(0..20, "active"), 0.0).unwrap(), 20);
         let half = list(0..10, "active");
@@ -318,7 +392,11 @@
         // Another list in between: the time begins anew.
         assert_eq!(load(&list(0..19, "active"), 5500.0).unwrap(), 20);
         assert!(matches!(load(&half, 6500.0), Err(InventoryError::Held(_))));
-        assert_eq!(load(&half, 11_500.0).unwrap(), 19, "ten of them and nine that drain");
+        assert_eq!(
+            load(&half, 11_500.0).unwrap(),
+            19,
+            "ten of them and nine that drain"
+        );
         std::fs::remove_file(&path).unwrap();
     }
 
@@ -333,11 +411,19 @@
         .unwrap();
         let (entries, _) = inventory.load(&mut table, 0.0).unwrap();
         let states: Vec<(HostState, f64)> = entries.iter().map(|e| (e.state, e.started)).collect();
-        assert_eq!(states, [(HostState::Ready, 7.0), (HostState::Draining, 0.0), (HostState::Gone, 0.0)]);
+        assert_eq!(
+            states,
+            [
+                (HostState::Ready, 7.0),
+                (HostState::Draining, 0.0),
+                (HostState::Gone, 0.0)
+            ]
+        );
         std::fs::write(&path, "name,address\na,10.0.0.1:1\nb,here\nc,there\n").unwrap();
         let error = inventory.load(&mut table, 0.0).unwrap_err();
         assert!(
-            error.to_string().contains("row 3: address") && error.to_string().ends_with("(and 1 more)"),
+            error.to_string().contains("row 3: address")
+                && error.to_string().ends_with("(and 1 more)"),
             "{error}"
         );
         assert_eq!(error.lines().len(), 1, "{:?}", error.lines());
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -21,7 +21,9 @@
 pub fn start(format: LogFormat) -> Result<(), tracing_subscriber::util::TryInitError> {
     use tracing_subscriber::util::SubscriberInitExt;
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
-    let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     match format {
         LogFormat::Text => lines.with_ansi(false).finish().try_init(),
         LogFormat::Json => lines.json().flatten_event(true).finish().try_init(),
--- a/src/main.rs
+++ b/src/main.rs
@@ -32,7 +32,13 @@
     #[arg(long, env = "DRIFTGAP_OPERATOR", global = true, hide_env_values = true)]
     operator: Option<PathBuf>,
     /// How log lines look.
-    #[arg(long, env = "DRIFTGAP_LOG_FORMAT", global = true, default_value = "text", hide_env_values = true)]
+    #[arg(
+        long,
+        env = "DRIFTGAP_LOG_FORMAT",
+        global = true,
+        default_value = "text",
+        hide_env_values = true
+    )]
     log_format: LogFormat,
     #[command(subcommand)]
     task: Option<Task>,
@@ -132,7 +138,9 @@
 /// environment alone.
 fn operators_address(config: &Config) -> Result<Option<SocketAddr>, String> {
     match text("EDGE_OPERATOR")? {
-        Some(calls) => address_of("EDGE_OPERATOR", &calls).map(Some).map_err(|e| e.to_string()),
+        Some(calls) => address_of("EDGE_OPERATOR", &calls)
+            .map(Some)
+            .map_err(|e| e.to_string()),
         None => Ok(config.operator),
     }
 }
@@ -145,7 +153,9 @@
     // only looked at to get a second one of our own, which fails if there is none.
     #[allow(unsafe_code)]
     let inherited = unsafe { BorrowedFd::borrow_raw(number) };
-    let owned = inherited.try_clone_to_owned().map_err(|e| format!("descriptor {number}: {e}"))?;
+    let owned = inherited
+        .try_clone_to_owned()
+        .map_err(|e| format!("descriptor {number}: {e}"))?;
     Ok(Socket::from(owned))
 }
 
@@ -155,13 +165,17 @@
     let path = config.ok_or("EDGE_CONFIG: not set")?;
     let mut config = Config::read(&path).map_err(|e| format!("EDGE_CONFIG: {e}"))?;
     config.operator = operators_address(&config)?;
-    let clients = text("EDGE_ACCEPT_FD")?.map(|number| adopt(&number)).transpose();
+    let clients = text("EDGE_ACCEPT_FD")?
+        .map(|number| adopt(&number))
+        .transpose();
     let clients = clients.map_err(|e| format!("EDGE_ACCEPT_FD: {e}"))?;
     let operator = match operator {
         Some(path) => Operator::read(&path).map_err(|e| format!("{}: {e}", path.display()))?,
         None => Operator::default(),
     };
-    node::run(signals, path, config, operator, clients).await.map_err(|e| e.to_string())
+    node::run(signals, path, config, operator, clients)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 fn serve(line: Line) -> ExitCode {
@@ -169,7 +183,9 @@
         eprintln!("driftgap: no log: {e}");
     }
     // A local runtime, not a LocalSet: the latter writes to its own wake-up descriptor for each task it wakes.
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default());
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(Default::default());
     let served = runtime
         .map_err(|e| e.to_string())
         .and_then(|runtime| runtime.block_on(start(line.config, line.operator)));
@@ -183,7 +199,8 @@
 }
 
 fn rules(config: Option<PathBuf>, task: &RulesTask) -> Result<String, Vec<String>> {
-    let path = config.ok_or_else(|| vec!["EDGE_CONFIG: not set; rules are judged by its classes".into()])?;
+    let path = config
+        .ok_or_else(|| vec!["EDGE_CONFIG: not set; rules are judged by its classes".into()])?;
     let config = Config::read(&path).map_err(|e| vec![format!("EDGE_CONFIG: {e}")])?;
     let sample = |request: &PathBuf| Sample::read(request).map_err(|e| vec![e]);
     match task {
@@ -216,11 +233,14 @@
 ) -> Result<(bool, String), String> {
     let path = config.ok_or("EDGE_CONFIG: not set")?;
     let config = Config::read(&path).map_err(|e| format!("EDGE_CONFIG: {e}"))?;
-    let told = |text: String| call(&config, &text).map(|answer| (answer.starts_with("ACK"), answer));
+    let told =
+        |text: String| call(&config, &text).map(|answer| (answer.starts_with("ACK"), answer));
     let file = || -> Result<(group::GroupSettings, PathBuf), String> {
         let path = operator.clone().ok_or("DRIFTGAP_OPERATOR: not set")?;
         let operator = Operator::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let settings = operator.group.ok_or_else(|| format!("{}: has no [group]", path.display()))?;
+        let settings = operator
+            .group
+            .ok_or_else(|| format!("{}: has no [group]", path.display()))?;
         Ok((settings, operator.folder))
     };
     match task {
@@ -236,13 +256,16 @@
         }
         GroupTask::Recover { from } => {
             let (settings, folder) = file()?;
-            let said = group::recover(&settings, &folder, &config.name, from).map_err(|e| e.to_string())?;
+            let said = group::recover(&settings, &folder, &config.name, from)
+                .map_err(|e| e.to_string())?;
             Ok((true, said))
         }
         GroupTask::Status => told("GROUP STATUS".into()),
         GroupTask::Add { name, address } => told(format!("GROUP ADD {name} {address}")),
         GroupTask::Remove { name } => told(format!("GROUP REMOVE {name}")),
-        GroupTask::Replace { old, new, address } => told(format!("GROUP REPLACE {old} {new} {address}")),
+        GroupTask::Replace { old, new, address } => {
+            told(format!("GROUP REPLACE {old} {new} {address}"))
+        }
     }
 }
 
@@ -275,11 +298,16 @@
             }
         },
         Some(Task::Check) => {
-            let check::Findings { faults, unknown, words } =
-                check::look(line.config.as_deref(), line.operator.as_deref());
+            let check::Findings {
+                faults,
+                unknown,
+                words,
+            } = check::look(line.config.as_deref(), line.operator.as_deref());
             faults.iter().for_each(|fault| eprintln!("{fault}"));
             if faults.is_empty() {
-                unknown.iter().for_each(|key| eprintln!("warning: settings.{key}: unknown, and not read"));
+                unknown
+                    .iter()
+                    .for_each(|key| eprintln!("warning: settings.{key}: unknown, and not read"));
                 words.iter().for_each(|line| println!("{line}"));
                 println!("ok");
                 ExitCode::SUCCESS
