--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -54,7 +54,10 @@
 }
 
 fn proves_it_never_ran(o: Option<Outcome>) -> bool {
-    matches!(o, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+    matches!(
+        o,
+        Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    )
 }
 
 impl World {
@@ -66,13 +69,20 @@
                     assert!(!self.draining.contains(&host), "sent to a draining host");
                     let seen = self.seen.get_mut(&id).unwrap();
                     assert_eq!(seen.answers, 0, "sent after the final answer");
-                    let maybe: Vec<_> = seen.sent.iter().filter(|s| !proves_it_never_ran(s.2)).collect();
+                    let maybe: Vec<_> = seen
+                        .sent
+                        .iter()
+                        .filter(|s| !proves_it_never_ran(s.2))
+                        .collect();
                     match seen.class {
                         2 => assert!(maybe.is_empty(), "unsafe, and may have run"),
                         1 | 3 => {
                             for s in maybe {
                                 assert!(now - s.1 < 1.0, "keyed, and its window is over");
-                                assert!(seen.class == 3 || s.0 / 4 == host / 4, "keyed, another cell");
+                                assert!(
+                                    seen.class == 3 || s.0 / 4 == host / 4,
+                                    "keyed, another cell"
+                                );
                             }
                         }
                         _ => {}
@@ -83,7 +93,10 @@
                     let seen = self.seen.get_mut(&id).unwrap();
                     seen.answers += 1;
                     let ran = seen.sent.iter().any(|s| !proves_it_never_ran(s.2));
-                    assert!(!(ran && matches!(seen.class, 1 | 2)), "refused, and may have run");
+                    assert!(
+                        !(ran && matches!(seen.class, 1 | 2)),
+                        "refused, and may have run"
+                    );
                 }
                 Action::Fail { id } => self.seen.get_mut(&id).unwrap().answers += 1,
                 Action::Timer { after, token } => self.timers.push((now + after, token)),
@@ -97,7 +110,11 @@
 
 #[test]
 fn one_answer_in_time_effects_and_drains_are_kept() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&proptest::collection::vec(step(), 1..200), |steps| {
@@ -109,14 +126,25 @@
                 Step::Ask(class, customer, units) => {
                     let give_up = bed.now + 2.0;
                     let next = world.seen.len() as RequestId + 1;
-                    world.seen.insert(next, Seen { class, give_up, ..Seen::default() });
+                    world.seen.insert(
+                        next,
+                        Seen {
+                            class,
+                            give_up,
+                            ..Seen::default()
+                        },
+                    );
                     assert_eq!(bed.ask(class, 1, customer, f64::from(units)), next);
                     world.carry_out(bed.now, &bed.last);
                 }
                 Step::End(i, o) => {
                     let mut open = Vec::new();
                     for (id, s) in &world.seen {
-                        open.extend((0..s.sent.len()).filter(|k| s.sent[*k].2.is_none()).map(|k| (*id, k)));
+                        open.extend(
+                            (0..s.sent.len())
+                                .filter(|k| s.sent[*k].2.is_none())
+                                .map(|k| (*id, k)),
+                        );
                     }
                     if open.is_empty() {
                         continue;
@@ -137,13 +165,20 @@
                         world.draining.push(h);
                         entry.state = HostState::Draining;
                     }
-                    bed.tell(Event::Hosts { kind: ListKind::Delta, entries: vec![entry] });
+                    bed.tell(Event::Hosts {
+                        kind: ListKind::Delta,
+                        entries: vec![entry],
+                    });
                     world.carry_out(bed.now, &bed.last);
                 }
                 Step::Count(o) => {
                     if let Some((name, amount)) = world.calls.pop() {
                         let outcome = OUTCOMES[o];
-                        bed.tell(Event::Counted { name, outcome, total: amount });
+                        bed.tell(Event::Counted {
+                            name,
+                            outcome,
+                            total: amount,
+                        });
                         world.carry_out(bed.now, &bed.last);
                     }
                 }
@@ -163,7 +198,13 @@
                 }
             }
             let now = bed.now;
-            assert!(world.seen.values().all(|s| s.answers == 1 || s.give_up > now), "not answered in time");
+            assert!(
+                world
+                    .seen
+                    .values()
+                    .all(|s| s.answers == 1 || s.give_up > now),
+                "not answered in time"
+            );
         }
         Ok(())
     });
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -53,19 +53,32 @@
 impl File {
     fn new(rules: usize) -> File {
         let others = (0..rules).map(|name| Other { name, changed: 0 }).collect();
-        File { number: 0, others, next: rules }
+        File {
+            number: 0,
+            others,
+            next: rules,
+        }
     }
 
     /// The next file: some rules are changed, some replaced by new ones, some in other places.
     fn edit(&mut self, random: &mut Rand64) {
         self.number += 1;
         for _ in 0..1 + pick(random, 20) {
-            let (at, to) = (pick(random, self.others.len()), pick(random, self.others.len()));
+            let (at, to) = (
+                pick(random, self.others.len()),
+                pick(random, self.others.len()),
+            );
             match pick(random, 3) {
                 0 => self.others[at].changed = self.number,
                 1 => {
                     self.others.remove(at);
-                    self.others.insert(to, Other { name: self.next, changed: self.number });
+                    self.others.insert(
+                        to,
+                        Other {
+                            name: self.next,
+                            changed: self.number,
+                        },
+                    );
                     self.next += 1;
                 }
                 _ => self.others.swap(at, to),
@@ -82,16 +95,25 @@
         };
         let mut text = refuses("always", ALWAYS, ALWAYS_MS + self.number);
         if refuses_every_other(self.number) {
-            text.push_str(&refuses("every-other", EVERY_OTHER, EVERY_OTHER_MS + self.number));
+            text.push_str(&refuses(
+                "every-other",
+                EVERY_OTHER,
+                EVERY_OTHER_MS + self.number,
+            ));
         }
-        self.others.iter().for_each(|other| text.push_str(&other.text()));
+        self.others
+            .iter()
+            .for_each(|other| text.push_str(&other.text()));
         text
     }
 
     /// The file as it is while something writes it that breaks off: within a text, so that it is never whole.
     fn torn(&self, random: &mut Rand64) -> String {
         let text = self.text();
-        let quotes: Vec<usize> = text.match_indices("when = '").map(|(at, quote)| at + quote.len()).collect();
+        let quotes: Vec<usize> = text
+            .match_indices("when = '")
+            .map(|(at, quote)| at + quote.len())
+            .collect();
         text[..quotes[pick(random, quotes.len())]].to_string()
     }
 
@@ -102,8 +124,16 @@
             "when = 'true'",
             "name = 'wrong'\npool = '\"nowhere\"'",
         ];
-        let wrong = File { number: self.number + NO_FILE, others: self.others.clone(), next: self.next };
-        format!("{}[[rule]]\n{}\n", wrong.text(), WRONG[pick(random, WRONG.len())])
+        let wrong = File {
+            number: self.number + NO_FILE,
+            others: self.others.clone(),
+            next: self.next,
+        };
+        format!(
+            "{}[[rule]]\n{}\n",
+            wrong.text(),
+            WRONG[pick(random, WRONG.len())]
+        )
     }
 }
 
@@ -118,7 +148,9 @@
 
 /// A generator whose seed is printed; `DRIFTGAP_SEED` sets it.
 fn random(test: &str) -> Rand64 {
-    let given = std::env::var("DRIFTGAP_SEED").ok().and_then(|seed| seed.parse().ok());
+    let given = std::env::var("DRIFTGAP_SEED")
+        .ok()
+        .and_then(|seed| seed.parse().ok());
     let seed = given.unwrap_or_else(|| u128::from(std::process::id()));
     println!("{test}: DRIFTGAP_SEED={seed}");
     Rand64::new(seed)
@@ -145,7 +177,11 @@
 
 /// Runs a test that ends in time.
 fn play(test: impl Future<Output = ()>) {
-    run(async { tokio::time::timeout(LONGEST, test).await.expect("the test does not come to its end") });
+    run(async {
+        tokio::time::timeout(LONGEST, test)
+            .await
+            .expect("the test does not come to its end")
+    });
 }
 
 /// Each command has the answer that some good file gives it, one at most of those with an effect has run, and no
@@ -154,7 +190,10 @@
     let mut latest: HashMap<(bool, u64), u64> = HashMap::new();
     for command in sent {
         let ran = runs.get(&command.id).copied().unwrap_or(0);
-        assert!(ran <= 1 || command.class == Class::Fetch, "ran {ran} times: {command:?}");
+        assert!(
+            ran <= 1 || command.class == Class::Fetch,
+            "ran {ran} times: {command:?}"
+        );
         match &command.told {
             Told::Served(value) => {
                 assert_eq!(*value, command.id, "another's answer");
@@ -162,10 +201,16 @@
             }
             Told::Refused(_) => {
                 let file = refused_by(command).filter(|file| good.contains(file));
-                let file = file.unwrap_or_else(|| panic!("refused by no rule of a good file: {command:?}"));
-                assert!(command.partner == ALWAYS || refuses_every_other(file), "{command:?}");
+                let file = file
+                    .unwrap_or_else(|| panic!("refused by no rule of a good file: {command:?}"));
+                assert!(
+                    command.partner == ALWAYS || refuses_every_other(file),
+                    "{command:?}"
+                );
                 assert_eq!(ran, 0, "{command:?}");
-                let latest = latest.entry((command.front == Wire::Resp, command.partner)).or_default();
+                let latest = latest
+                    .entry((command.front == Wire::Resp, command.partner))
+                    .or_default();
                 assert!(*latest <= file, "file {file} behind {latest}: {command:?}");
                 *latest = file;
             }
@@ -223,7 +268,9 @@
             stage.signal("-HUP");
         }
         let last = file.number;
-        steady.until(|sent| sent.partner == ALWAYS && refused_by(sent) == Some(last)).await;
+        steady
+            .until(|sent| sent.partner == ALWAYS && refused_by(sent) == Some(last))
+            .await;
         // The last good file it is, not the last one. A reading of the good one may still be under way.
         let kept = stage.readings().kept;
         stage.put_rules(&file.torn(&mut random));
@@ -234,14 +281,22 @@
         }
         let settled = steady.count();
         steady.further(100).await;
-        for sent in steady.since(settled).iter().filter(|sent| sent.partner != FREE) {
+        for sent in steady
+            .since(settled)
+            .iter()
+            .filter(|sent| sent.partner != FREE)
+        {
             let refused = sent.partner == ALWAYS || refuses_every_other(file.number);
             assert_eq!(refused_by(sent), refused.then_some(last), "{sent:?}");
         }
         let sent = steady.stop().await;
         judge(&sent, &stage.runs(), &good);
         let readings = stage.readings();
-        println!("storm: {} commands, {} good files, {readings:?}", sent.len(), good.len());
+        println!(
+            "storm: {} commands, {} good files, {readings:?}",
+            sent.len(),
+            good.len()
+        );
     });
 }
 
@@ -270,7 +325,10 @@
             "memory: {first_mb:.1} MB after {FIRST}, {last_mb:.1} after {RELOADS}, {most_mb:.1} at most"
         );
         assert_eq!(stage.readings().replaced, RELOADS);
-        assert!(last_mb - first_mb <= GROWTH_MB, "{first_mb} MB, then {last_mb}");
+        assert!(
+            last_mb - first_mb <= GROWTH_MB,
+            "{first_mb} MB, then {last_mb}"
+        );
     });
 }
 
@@ -294,20 +352,39 @@
         for turn in 1..=2 {
             // Every rule is another one: none can be taken over.
             let mut file = File::new(LARGE);
-            file.others.iter_mut().for_each(|other| other.changed = turn);
+            file.others
+                .iter_mut()
+                .for_each(|other| other.changed = turn);
             stage.put_rules(&file.text());
             let (begun, before) = (std::time::Instant::now(), steady.count());
             stage.read_again().await;
             let (took, during) = (begun.elapsed(), steady.since(before));
-            println!("reading {LARGE} rules: {took:?}, {} commands, {}", during.len(), round_trips(&during));
-            assert!(during.len() >= LEAST_ANSWERS, "{} answers in {took:?}", during.len());
-            let longest = during.iter().map(|sent| sent.took).max().unwrap_or_default();
-            assert!(longest * LONGEST_PART < took, "an answer after {longest:?} in {took:?}");
+            println!(
+                "reading {LARGE} rules: {took:?}, {} commands, {}",
+                during.len(),
+                round_trips(&during)
+            );
+            assert!(
+                during.len() >= LEAST_ANSWERS,
+                "{} answers in {took:?}",
+                during.len()
+            );
+            let longest = during
+                .iter()
+                .map(|sent| sent.took)
+                .max()
+                .unwrap_or_default();
+            assert!(
+                longest * LONGEST_PART < took,
+                "an answer after {longest:?} in {took:?}"
+            );
         }
         println!("without a reading: {calm}");
         stage.calm().await;
         let sent = steady.stop().await;
-        assert!(sent.iter().all(|sent| sent.told == Told::Served(sent.id.clone())));
+        assert!(sent
+            .iter()
+            .all(|sent| sent.told == Told::Served(sent.id.clone())));
     });
 }
 
@@ -316,7 +393,12 @@
     let mut took: Vec<Duration> = sent.iter().map(|sent| sent.took).collect();
     took.sort();
     let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-    format!("round trips {:?}, p99 {:?}, longest {:?}", at(0.5), at(0.99), at(1.0))
+    format!(
+        "round trips {:?}, p99 {:?}, longest {:?}",
+        at(0.5),
+        at(0.99),
+        at(1.0)
+    )
 }
 
 #[test]
@@ -330,8 +412,15 @@
         stage.put_rules(&File::new(1).text());
         stage.signal("-HUP");
         let after = stage.readings_after(before).await;
-        assert_eq!((after.replaced, after.kept), (before.replaced + 1, before.kept));
-        for line in ["answer * k1 value booked", "expect c k1 served booked", "expect exit"] {
+        assert_eq!(
+            (after.replaced, after.kept),
+            (before.replaced + 1, before.kept)
+        );
+        for line in [
+            "answer * k1 value booked",
+            "expect c k1 served booked",
+            "expect exit",
+        ] {
             stage.step(line).await;
         }
     });
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -230,8 +230,9 @@
 
 #[test]
 fn rules_are_replaced_under_load_with_every_command_answered_once() {
-    let file =
-        |i: usize| format!("{POOLS}[[rule]]\\nname = 'r{i}'\\ngo_on = true\\nnotes = {{ n = '\"{i}\"' }}\\n");
+    let file = |i: usize| {
+        format!("{POOLS}[[rule]]\\nname = 'r{i}'\\ngo_on = true\\nnotes = {{ n = '\"{i}\"' }}\\n")
+    };
     // Few together: more than a few attempts an instance are load to the module, which refuses some then.
     let mut lines = vec![
         format!("rules {}", file(0)),
@@ -241,7 +242,10 @@
     ];
     for round in 1..16 {
         for i in 0..4 {
-            lines.push(format!("send c k{round}x{i} fetch-episode city {} units=0.01", 7 + i % 2));
+            lines.push(format!(
+                "send c k{round}x{i} fetch-episode city {} units=0.01",
+                7 + i % 2
+            ));
         }
         lines.push(format!("rules {}", file(round)));
         for i in 0..4 {
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -130,10 +130,16 @@
         *self.runs.borrow_mut().entry(id.to_string()).or_default() += 1;
         if let Some(how) = &*self.always.borrow() {
             let echo = how == "echo";
-            let _ = tell.send(if echo { format!("value {id}") } else { how.clone() });
+            let _ = tell.send(if echo {
+                format!("value {id}")
+            } else {
+                how.clone()
+            });
             return told;
         }
-        self.arrived.borrow_mut().insert((instance.to_string(), id.to_string()), tell);
+        self.arrived
+            .borrow_mut()
+            .insert((instance.to_string(), id.to_string()), tell);
         told
     }
 }
@@ -154,7 +160,9 @@
 
 /// A large value: its bytes tell their places.
 fn large(n: &str) -> Vec<u8> {
-    (0..n.parse::<u32>().unwrap()).map(|i| (i % 251) as u8).collect()
+    (0..n.parse::<u32>().unwrap())
+        .map(|i| (i % 251) as u8)
+        .collect()
 }
 
 /// A large value in the parts in which an instance sends it, with a pause behind each.
@@ -176,7 +184,10 @@
     let (parts, whole) = match how {
         "torn" => (vec![value[..half].to_vec()], false),
         "vain" => (vec![b"nine-long".to_vec()], true),
-        "pieces" => (value.chunks(value.len() / 12).map(<[u8]>::to_vec).collect(), true),
+        "pieces" => (
+            value.chunks(value.len() / 12).map(<[u8]>::to_vec).collect(),
+            true,
+        ),
         _ => (vec![value], true),
     };
     Some(Parts { size, parts, whole })
@@ -202,7 +213,12 @@
     loop {
         let (id, used) = loop {
             if let Ok(Parsed::Whole(words, n)) = command_words(&buffer) {
-                break (words.get(2).map(|id| String::from_utf8_lossy(id).to_string()), n);
+                break (
+                    words
+                        .get(2)
+                        .map(|id| String::from_utf8_lossy(id).to_string()),
+                    n,
+                );
             }
             if !read_some(&mut stream, &mut buffer).await {
                 return;
@@ -211,12 +227,18 @@
         buffer.drain(..used);
         let Some(id) = id else {
             // A probe.
-            let _ = stream.write_all(format!("${}\r\n{LOAD}\r\n", LOAD.len()).as_bytes()).await;
+            let _ = stream
+                .write_all(format!("${}\r\n{LOAD}\r\n", LOAD.len()).as_bytes())
+                .await;
             continue;
         };
-        let Ok(how) = shared.arrive(&name, &id).await else { return };
+        let Ok(how) = shared.arrive(&name, &id).await else {
+            return;
+        };
         if let Some(Parts { size, parts, whole }) = parts(&how) {
-            let _ = stream.write_all(format!("*3\r\n${size}\r\n").as_bytes()).await;
+            let _ = stream
+                .write_all(format!("*3\r\n${size}\r\n").as_bytes())
+                .await;
             for part in parts {
                 let _ = stream.write_all(&part).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
@@ -228,10 +250,16 @@
             continue;
         }
         let reply = match how.split_once(' ').unwrap_or((&how, "")) {
-            ("value" | "last" | "tardy", v) => format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len()),
+            ("value" | "last" | "tardy", v) => {
+                format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
+            }
             ("cost", v) => {
                 let (figures, v) = figured(v);
-                format!("*3\r\n${}\r\n{v}\r\n${}\r\n{figures}\r\n$-1\r\n", v.len(), figures.len())
+                format!(
+                    "*3\r\n${}\r\n{v}\r\n${}\r\n{figures}\r\n$-1\r\n",
+                    v.len(),
+                    figures.len()
+                )
             }
             ("busy" | "refuse", _) => "-BUSY\r\n".to_string(),
             ("error", _) => "-ERR failed\r\n".to_string(),
@@ -251,7 +279,10 @@
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
-        if matches!(how.split(' ').next(), Some("half" | "reset" | "goaway" | "last")) {
+        if matches!(
+            how.split(' ').next(),
+            Some("half" | "reset" | "goaway" | "last")
+        ) {
             return;
         }
     }
@@ -273,7 +304,9 @@
         false
     };
     while !headers(&buffer) && read_some(&mut stream, &mut buffer).await {}
-    let _ = stream.write_all(&[0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]).await;
+    let _ = stream
+        .write_all(&[0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0])
+        .await;
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
@@ -282,7 +315,9 @@
         return unseen(stream).await;
     }
     let socket = socket2::SockRef::from(&stream).try_clone().unwrap();
-    let Ok(mut connection) = h2::server::handshake(stream).await else { return };
+    let Ok(mut connection) = h2::server::handshake(stream).await else {
+        return;
+    };
     let abrupt = Rc::new(tokio::sync::Notify::new());
     let cut = Rc::new(tokio::sync::Notify::new());
     loop {
@@ -291,15 +326,23 @@
             () = cut.notified() => return socket.set_linger(Some(Duration::ZERO)).unwrap(),
             () = abrupt.notified() => { connection.abrupt_shutdown(h2::Reason::NO_ERROR); continue }
         };
-        let Some(Ok((request, mut respond))) = next else { return };
+        let Some(Ok((request, mut respond))) = next else {
+            return;
+        };
         let (name, shared) = (name.clone(), shared.clone());
         let (abrupt, cut) = (abrupt.clone(), cut.clone());
         spawn_local(async move {
-            let Some(id) = request.headers().get("req-id").map(|id| id.to_str().unwrap().to_string()) else {
+            let Some(id) = request
+                .headers()
+                .get("req-id")
+                .map(|id| id.to_str().unwrap().to_string())
+            else {
                 // A probe.
                 let load = http::Response::new(());
                 let mut send = respond.send_response(load, false).unwrap();
-                return send.send_data(Bytes::from_static(LOAD.as_bytes()), true).unwrap();
+                return send
+                    .send_data(Bytes::from_static(LOAD.as_bytes()), true)
+                    .unwrap();
             };
             let mut body = request.into_body();
             while let Some(Ok(part)) = body.data().await {
@@ -336,25 +379,34 @@
                         let (figures, value) = figured(v);
                         (head, v) = (head.header("srv-use", figures), value);
                     }
-                    let mut send = respond.send_response(head.body(()).unwrap(), false).unwrap();
-                    send.send_data(Bytes::copy_from_slice(v.as_bytes()), true).unwrap();
+                    let mut send = respond
+                        .send_response(head.body(()).unwrap(), false)
+                        .unwrap();
+                    send.send_data(Bytes::copy_from_slice(v.as_bytes()), true)
+                        .unwrap();
                 }
                 ("busy", _) => {
                     let declined = head(503).header("srv-declined", "1").body(()).unwrap();
                     respond.send_response(declined, true).unwrap();
                 }
                 ("error" | "garbage", _) => {
-                    respond.send_response(head(500).body(()).unwrap(), true).unwrap();
+                    respond
+                        .send_response(head(500).body(()).unwrap(), true)
+                        .unwrap();
                 }
                 ("half", _) => {
-                    let mut send = respond.send_response(head(200).body(()).unwrap(), false).unwrap();
+                    let mut send = respond
+                        .send_response(head(200).body(()).unwrap(), false)
+                        .unwrap();
                     send.send_data(Bytes::from_static(b"abc"), false).unwrap();
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     send.send_reset(h2::Reason::INTERNAL_ERROR);
                 }
                 ("refuse", _) => respond.send_reset(h2::Reason::REFUSED_STREAM),
                 ("hang", _) => {
-                    let mut send = respond.send_response(head(200).body(()).unwrap(), false).unwrap();
+                    let mut send = respond
+                        .send_response(head(200).body(()).unwrap(), false)
+                        .unwrap();
                     send.send_data(Bytes::from_static(b"abc"), false).unwrap();
                     std::future::pending::<()>().await;
                 }
@@ -380,7 +432,11 @@
             let head = String::from_utf8_lossy(&buffer[..end]).to_string();
             buffer.drain(..end + 4);
             let path = head.split(' ').nth(1).unwrap();
-            let (name, query) = path.strip_prefix("/tally/").unwrap().split_once('?').unwrap();
+            let (name, query) = path
+                .strip_prefix("/tally/")
+                .unwrap()
+                .split_once('?')
+                .unwrap();
             let amount = query.split('&').find_map(|p| p.strip_prefix("n=")).unwrap();
             let total = {
                 let mut totals = shared.totals.borrow_mut();
@@ -388,7 +444,10 @@
                 *total += amount.parse::<f64>().unwrap();
                 total.to_string()
             };
-            let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}", total.len());
+            let mut answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}",
+                total.len()
+            );
             let how = shared.counter.borrow().clone();
             match how.as_str() {
                 "silent" => continue,
@@ -426,7 +485,8 @@
             value.split(['&', ' ']).next()?.parse::<usize>().ok()
         };
         let held = asked("index=");
-        let until = tokio::time::Instant::now() + Duration::from_millis(asked("wait=").unwrap_or(0) as u64);
+        let until =
+            tokio::time::Instant::now() + Duration::from_millis(asked("wait=").unwrap_or(0) as u64);
         while changes.borrow().len() <= held.unwrap_or(0) {
             match tokio::time::timeout_at(until, changes.changed()).await {
                 Ok(Ok(())) => {}
@@ -445,13 +505,26 @@
         }
         let (full, version, servers) = match held {
             None => (true, 1, changes.borrow()[0].clone()),
-            Some(held) => (false, changes.borrow().len(), changes.borrow()[held..].join(",")),
+            Some(held) => (
+                false,
+                changes.borrow().len(),
+                changes.borrow()[held..].join(","),
+            ),
         };
         let body = format!(r#"{{"version":{version},"full":{full},"servers":[{servers}]}}"#);
-        let mut answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let mut answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         if how == "endless" || how == "torn" {
-            let half = if how == "torn" { body.len() - 1 } else { body.len() };
-            let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..half]).as_bytes()).await;
+            let half = if how == "torn" {
+                body.len() - 1
+            } else {
+                body.len()
+            };
+            let _ = stream
+                .write_all(format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..half]).as_bytes())
+                .await;
             // What was written must have been read before a reset, or it goes with it.
             tokio::time::sleep(Duration::from_millis(30)).await;
             if how == "torn" {
@@ -464,7 +537,10 @@
             "indented" => {
                 let list: serde_json::Value = serde_json::from_str(&body).unwrap();
                 let body = serde_json::to_string_pretty(&list).unwrap();
-                answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                answer = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                );
             }
             "error" => answer = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".into(),
             "nonsense" => answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]".into(),
@@ -496,20 +572,34 @@
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     if tight {
         socket.set_recv_buffer_size(TIGHT_ROOM as u32).unwrap();
-        socket2::SockRef::from(&socket).set_tcp_mss(TIGHT_SEGMENT).unwrap();
+        socket2::SockRef::from(&socket)
+            .set_tcp_mss(TIGHT_SEGMENT)
+            .unwrap();
     }
     socket.connect(address.parse().unwrap()).await.unwrap()
 }
 
 enum Client {
-    Resp { stream: TcpStream, buffer: Vec<u8>, sent: VecDeque<String> },
-    Http2 { send: h2::client::SendRequest<Bytes>, streams: HashMap<String, Stream>, ended: Rc<RefCell<bool>> },
+    Resp {
+        stream: TcpStream,
+        buffer: Vec<u8>,
+        sent: VecDeque<String>,
+    },
+    Http2 {
+        send: h2::client::SendRequest<Bytes>,
+        streams: HashMap<String, Stream>,
+        ended: Rc<RefCell<bool>>,
+    },
 }
 
 type Stream = (h2::client::ResponseFuture, h2::SendStream<Bytes>);
 
 /// A listener whose line is full, and those who stand in it.
-type Clogged = (String, socket2::Socket, Vec<tokio::task::JoinHandle<std::io::Result<TcpStream>>>);
+type Clogged = (
+    String,
+    socket2::Socket,
+    Vec<tokio::task::JoinHandle<std::io::Result<TcpStream>>>,
+);
 
 /// The program and everything round it.
 pub struct Stage {
@@ -550,8 +640,9 @@
     for change in changes.split_whitespace() {
         let (path, value) = change.split_once('=').unwrap();
         let pointer = format!("/{}", path.replace('.', "/"));
-        *settings.pointer_mut(&pointer).unwrap_or_else(|| panic!("no setting {path}")) =
-            serde_json::from_str(value).unwrap();
+        *settings
+            .pointer_mut(&pointer)
+            .unwrap_or_else(|| panic!("no setting {path}")) = serde_json::from_str(value).unwrap();
     }
     settings.to_string()
 }
@@ -560,7 +651,12 @@
 fn own_address() -> String {
     static STAGES: AtomicU32 = AtomicU32::new(0);
     let (stage, process) = (STAGES.fetch_add(1, Ordering::Relaxed), std::process::id());
-    format!("127.{}.{}.{}", 10 + process % 200, process / 200 % 250, 1 + stage % 250)
+    format!(
+        "127.{}.{}.{}",
+        10 + process % 200,
+        process / 200 % 250,
+        1 + stage % 250
+    )
 }
 
 fn entry(name: &str, port: u16, wire: Wire, state: &str) -> String {
@@ -580,16 +676,23 @@
         for name in ["a", "b", "extra"] {
             let shared = shared.clone();
             let port = match wire {
-                Wire::Resp => stand_in(move |s| resp_instance(name.into(), s, shared.clone())).await,
-                Wire::Http2 => stand_in(move |s| http2_instance(name.into(), s, shared.clone())).await,
+                Wire::Resp => {
+                    stand_in(move |s| resp_instance(name.into(), s, shared.clone())).await
+                }
+                Wire::Http2 => {
+                    stand_in(move |s| http2_instance(name.into(), s, shared.clone())).await
+                }
             };
             instances.insert(name.to_string(), (port.0, wire));
         }
         let listed = instances.iter().filter(|(name, _)| *name != "extra");
-        let entries: Vec<_> = listed.map(|(n, (p, w))| entry(n, *p, *w, "active")).collect();
+        let entries: Vec<_> = listed
+            .map(|(n, (p, w))| entry(n, *p, *w, "active"))
+            .collect();
         let (list, _) = watch::channel(vec![entries.join(",")]);
         let (host, listen, second) = (own_address(), 6379, 8080);
-        let folder = std::env::temp_dir().join(format!("driftgap-stage-{}-{host}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("driftgap-stage-{}-{host}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let operator = folder.join("operator.toml");
         let sections = format!("[http2]\nlisten = \"{host}:{second}\"\n{OPERATOR}");
@@ -597,13 +700,15 @@
         std::fs::write(folder.join("hook.rhai"), HOOK).unwrap();
         std::fs::write(folder.join("rules.toml"), "").unwrap();
         std::fs::write(folder.join("inventory.csv"), HEADER).unwrap();
-        let ports =
-            [("resp", listen), ("http2", second)].map(|(wire, port)| (wire, format!("{host}:{port}"))).into();
+        let ports = [("resp", listen), ("http2", second)]
+            .map(|(wire, port)| (wire, format!("{host}:{port}")))
+            .into();
         let (clients, parties, answers) = Default::default();
         // Replaced by the program once everything that it needs is there.
         let program = Command::new("true").spawn().unwrap();
         let held = held.then(|| {
-            let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+            let socket =
+                socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             let address: std::net::SocketAddr = format!("{host}:{listen}").parse().unwrap();
             socket.bind(&address.into()).unwrap();
             socket.listen(1024).unwrap();
@@ -618,7 +723,11 @@
             murmurs: Vec::new(),
             clogged: Vec::new(),
             small,
-            sockets: if first == "roomy" { ROOMY_SOCKETS } else { SOCKETS },
+            sockets: if first == "roomy" {
+                ROOMY_SOCKETS
+            } else {
+                SOCKETS
+            },
             tight: false,
             settings: changed(first.strip_prefix("with ").unwrap_or("")),
             front,
@@ -647,7 +756,10 @@
     /// An operator's call and its answer.
     async fn call(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.operators()).await.unwrap();
-        stream.write_all(format!("{text}\n").as_bytes()).await.unwrap();
+        stream
+            .write_all(format!("{text}\n").as_bytes())
+            .await
+            .unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.unwrap();
         answer.trim_end().to_string()
@@ -659,10 +771,16 @@
         for party in parties {
             let shared = self.shared.clone();
             let (name, new) = match *party {
-                "counter" => ("counter", stand_in(move |s| counter(s, shared.clone())).await),
+                "counter" => (
+                    "counter",
+                    stand_in(move |s| counter(s, shared.clone())).await,
+                ),
                 "discovery" => {
                     let list = self.list.clone();
-                    ("discovery", stand_in(move |s| agent(s, list.subscribe(), shared.clone())).await)
+                    (
+                        "discovery",
+                        stand_in(move |s| agent(s, list.subscribe(), shared.clone())).await,
+                    )
                 }
                 other => panic!("no such party: {other}"),
             };
@@ -705,11 +823,19 @@
 
     async fn client(&mut self, name: &str) -> &mut Client {
         if !self.clients.contains_key(name) {
-            let address = if self.front == Wire::Resp { &self.ports["resp"] } else { &self.ports["http2"] };
+            let address = if self.front == Wire::Resp {
+                &self.ports["resp"]
+            } else {
+                &self.ports["http2"]
+            };
             let tight = self.tight && self.front == Wire::Resp;
             let stream = connect(address, tight).await;
             let client = match self.front {
-                Wire::Resp => Client::Resp { stream, buffer: Vec::new(), sent: VecDeque::new() },
+                Wire::Resp => Client::Resp {
+                    stream,
+                    buffer: Vec::new(),
+                    sent: VecDeque::new(),
+                },
                 Wire::Http2 => {
                     let (send, connection) = h2::client::handshake(stream).await.unwrap();
                     let ended = Rc::new(RefCell::new(false));
@@ -718,7 +844,11 @@
                         let _ = connection.await;
                         *end.borrow_mut() = true;
                     });
-                    Client::Http2 { send, streams: HashMap::new(), ended }
+                    Client::Http2 {
+                        send,
+                        streams: HashMap::new(),
+                        ended,
+                    }
                 }
             };
             self.clients.insert(name.to_string(), client);
@@ -727,12 +857,27 @@
     }
 
     async fn send(&mut self, words: &[&str]) {
-        let [name, id, class, plan, partner, rest @ ..] = words else { panic!("{words:?}") };
-        let size = rest.iter().find_map(|w| w.strip_prefix("body=")).unwrap_or("4");
+        let [name, id, class, plan, partner, rest @ ..] = words else {
+            panic!("{words:?}")
+        };
+        let size = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("body="))
+            .unwrap_or("4");
         let safe = *class == "fetch-episode";
-        let content = if safe { String::new() } else { "B".repeat(size.parse().unwrap()) };
-        let d = rest.iter().find_map(|w| w.strip_prefix("d=")).unwrap_or("2000");
-        let units = rest.iter().find_map(|w| w.strip_prefix("units=")).unwrap_or("2");
+        let content = if safe {
+            String::new()
+        } else {
+            "B".repeat(size.parse().unwrap())
+        };
+        let d = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("d="))
+            .unwrap_or("2000");
+        let units = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("units="))
+            .unwrap_or("2");
         let key = rest.iter().find_map(|w| w.strip_prefix("k="));
         match self.client(name).await {
             Client::Resp { stream, sent, .. } => {
@@ -773,17 +918,27 @@
     /// The answer to a command, in the language's words.
     async fn answer(&mut self, name: &str, id: &str) -> String {
         match self.clients.get_mut(name).unwrap() {
-            Client::Resp { stream, buffer, sent } => loop {
+            Client::Resp {
+                stream,
+                buffer,
+                sent,
+            } => loop {
                 let size = buffer.strip_prefix(b"$").and_then(|rest| {
                     let end = rest.iter().position(|b| *b == b'\r')?;
-                    let size = std::str::from_utf8(&rest[..end]).ok()?.parse::<usize>().ok()?;
+                    let size = std::str::from_utf8(&rest[..end])
+                        .ok()?
+                        .parse::<usize>()
+                        .ok()?;
                     Some((end + 3, size))
                 });
                 if let Some((from, size)) = size.filter(|(_, size)| *size > 64 * 1024) {
                     if buffer.len() >= from + size + 2 {
                         let value = named(&buffer[from..from + size]);
                         buffer.drain(..from + size + 2);
-                        assert!(sent.pop_front().is_none_or(|s| s == id), "answers out of order at {id}");
+                        assert!(
+                            sent.pop_front().is_none_or(|s| s == id),
+                            "answers out of order at {id}"
+                        );
                         return format!("served {value}");
                     }
                 } else if let Ok(Parsed::Whole(reply, n)) = instance_reply(buffer) {
@@ -797,7 +952,10 @@
                         other => format!("{other:?}"),
                     };
                     buffer.drain(..n);
-                    assert!(sent.pop_front().is_none_or(|s| s == id), "answers out of order at {id}");
+                    assert!(
+                        sent.pop_front().is_none_or(|s| s == id),
+                        "answers out of order at {id}"
+                    );
                     return word;
                 }
                 if !read_some(stream, buffer).await {
@@ -811,11 +969,15 @@
                     }
                     return "closed".into();
                 };
-                let Ok(response) = response.await else { return "closed".into() };
+                let Ok(response) = response.await else {
+                    return "closed".into();
+                };
                 let (head, mut body) = response.into_parts();
                 let mut value = Vec::new();
                 while let Some(part) = body.data().await {
-                    let Ok(part) = part else { return "closed".into() };
+                    let Ok(part) = part else {
+                        return "closed".into();
+                    };
                     let _ = body.flow_control().release_capacity(part.len());
                     value.extend_from_slice(&part);
                 }
@@ -854,13 +1016,18 @@
     async fn flood(&mut self, name: &str, n: usize) {
         const BATCH: usize = 100;
         for batch in 0..n / BATCH {
-            let ids: Vec<String> = (0..BATCH).map(|i| format!("f{}", batch * BATCH + i)).collect();
+            let ids: Vec<String> = (0..BATCH)
+                .map(|i| format!("f{}", batch * BATCH + i))
+                .collect();
             for id in &ids {
                 self.send(&[name, id, "fetch-episode", "city", "7"]).await;
             }
             for id in &ids {
                 let answer = self.answer(name, id).await;
-                assert!(answer == "busy" || answer.starts_with("served"), "{id}: {answer}");
+                assert!(
+                    answer == "busy" || answer.starts_with("served"),
+                    "{id}: {answer}"
+                );
             }
         }
     }
@@ -878,7 +1045,9 @@
             ["raw", name, ..] => {
                 let text = line.splitn(3, ' ').nth(2).unwrap_or("");
                 let text = text.replace("\\r", "\r").replace("\\n", "\n");
-                let Client::Resp { stream, .. } = self.client(name).await else { panic!("raw is for RESP") };
+                let Client::Resp { stream, .. } = self.client(name).await else {
+                    panic!("raw is for RESP")
+                };
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
             ["burst", name, n] => {
@@ -904,17 +1073,29 @@
                 write_taken(stream, noise.as_bytes()).await;
             }
             ["fin", name] => {
-                let Client::Resp { stream, .. } = self.client(name).await else { panic!("fin is for RESP") };
+                let Client::Resp { stream, .. } = self.client(name).await else {
+                    panic!("fin is for RESP")
+                };
                 stream.shutdown().await.unwrap();
             }
             ["clog", name] => {
                 // A line of connections that nobody takes: further ones do not come up.
                 let socket =
-                    socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-                socket.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
+                    socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+                        .unwrap();
+                socket
+                    .bind(
+                        &"127.0.0.1:0"
+                            .parse::<std::net::SocketAddr>()
+                            .unwrap()
+                            .into(),
+                    )
+                    .unwrap();
                 socket.listen(0).unwrap();
                 let at = socket.local_addr().unwrap().as_socket().unwrap();
-                let line = (0..4).map(|_| spawn_local(TcpStream::connect(at))).collect::<Vec<_>>();
+                let line = (0..4)
+                    .map(|_| spawn_local(TcpStream::connect(at)))
+                    .collect::<Vec<_>>();
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 let wire = self.instances["a"].1;
                 self.instances.insert(name.to_string(), (at.port(), wire));
@@ -923,8 +1104,11 @@
                 self.list.send_modify(|changes| changes.push(entry));
             }
             ["unclog", name] => {
-                let at =
-                    self.clogged.iter().position(|clogged| clogged.0 == *name).expect("one that is clogged");
+                let at = self
+                    .clogged
+                    .iter()
+                    .position(|clogged| clogged.0 == *name)
+                    .expect("one that is clogged");
                 let (name, socket, line) = self.clogged.remove(at);
                 line.iter().for_each(tokio::task::JoinHandle::abort);
                 socket.set_nonblocking(true).unwrap();
@@ -933,16 +1117,25 @@
                 spawn_local(async move {
                     while let Ok((stream, _)) = listener.accept().await {
                         match wire {
-                            Wire::Resp => spawn_local(resp_instance(name.clone(), stream, shared.clone())),
-                            Wire::Http2 => spawn_local(http2_instance(name.clone(), stream, shared.clone())),
+                            Wire::Resp => {
+                                spawn_local(resp_instance(name.clone(), stream, shared.clone()))
+                            }
+                            Wire::Http2 => {
+                                spawn_local(http2_instance(name.clone(), stream, shared.clone()))
+                            }
                         };
                     }
                 });
             }
             ["long", name, n] => {
                 let value = "x".repeat(n.parse::<usize>().unwrap() / 2);
-                let text = format!("*3\r\n$4\r\nPING\r\n${0}\r\n{value}\r\n${0}\r\n{value}\r\n", value.len());
-                let Client::Resp { stream, .. } = self.client(name).await else { panic!("long is for RESP") };
+                let text = format!(
+                    "*3\r\n$4\r\nPING\r\n${0}\r\n{value}\r\n${0}\r\n{value}\r\n",
+                    value.len()
+                );
+                let Client::Resp { stream, .. } = self.client(name).await else {
+                    panic!("long is for RESP")
+                };
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
             ["expect", "exit"] => loop {
@@ -955,12 +1148,18 @@
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             },
-            ["expect", instance, id] if *instance == "*" || self.instances.contains_key(*instance) => {
+            ["expect", instance, id]
+                if *instance == "*" || self.instances.contains_key(*instance) =>
+            {
                 self.arrived(instance, id).await;
             }
             ["expect", name, id, what @ ..] => {
                 let (got, want) = (self.answer(name, id).await, what.join(" "));
-                assert!(got.starts_with(&want), "{:?}: {line}: got {got}", self.front);
+                assert!(
+                    got.starts_with(&want),
+                    "{:?}: {line}: got {got}",
+                    self.front
+                );
                 self.answers.push(got);
             }
             ["answer", instance, id, how @ ..] => {
@@ -971,7 +1170,11 @@
             ["reset", name, id] => match self.clients.get_mut(*name).unwrap() {
                 Client::Resp { .. } => drop(self.clients.remove(*name)),
                 Client::Http2 { streams, .. } => {
-                    streams.remove(*id).unwrap().1.send_reset(h2::Reason::CANCEL);
+                    streams
+                        .remove(*id)
+                        .unwrap()
+                        .1
+                        .send_reset(h2::Reason::CANCEL);
                 }
             },
             ["close", name] => drop(self.clients.remove(*name)),
@@ -995,7 +1198,8 @@
                     }
                 };
                 let rows: String = names.iter().map(row).collect();
-                std::fs::write(self.folder.join("inventory.csv"), format!("{HEADER}{rows}")).unwrap();
+                std::fs::write(self.folder.join("inventory.csv"), format!("{HEADER}{rows}"))
+                    .unwrap();
                 self.read_again().await;
             }
             ["move", parties @ ..] => {
@@ -1005,7 +1209,10 @@
                 old.iter().for_each(AbortHandle::abort);
             }
             ["rules", ..] => {
-                let text = line.split_once(' ').map_or("", |x| x.1).replace("\\n", "\n");
+                let text = line
+                    .split_once(' ')
+                    .map_or("", |x| x.1)
+                    .replace("\\n", "\n");
                 std::fs::write(self.folder.join("rules.toml"), text).unwrap();
                 self.read_again().await;
             }
@@ -1013,7 +1220,8 @@
                 let (port, wire) = self.instances[*name];
                 let entry = entry(name, port, wire, "active");
                 let labels = format!(r#""labels":{{"pool":"{label}"}},"state""#);
-                self.list.send_modify(|changes| changes.push(entry.replace(r#""state""#, &labels)));
+                self.list
+                    .send_modify(|changes| changes.push(entry.replace(r#""state""#, &labels)));
                 tokio::time::sleep(Duration::from_millis(60)).await;
             }
             [method @ ("get" | "post"), name, id, path, headers @ ..] => {
@@ -1046,20 +1254,34 @@
             ["memory"] => self.memory = self.resident(),
             ["memory", most] => {
                 let grown = self.resident() - self.memory;
-                assert!(grown <= most.parse().unwrap(), "{:?}: {line}: {grown} MB", self.front);
+                assert!(
+                    grown <= most.parse().unwrap(),
+                    "{:?}: {line}: {grown} MB",
+                    self.front
+                );
             }
             ["advice", name, id, least, most] => {
                 let ms: u64 = match self.clients.get_mut(*name).unwrap() {
                     Client::Http2 { streams, .. } => {
                         let response = streams.remove(*id).unwrap().0.await.unwrap();
-                        response.headers()["retry-after-ms"].to_str().unwrap().parse().unwrap()
+                        response.headers()["retry-after-ms"]
+                            .to_str()
+                            .unwrap()
+                            .parse()
+                            .unwrap()
                     }
-                    Client::Resp { stream, buffer, sent } => {
+                    Client::Resp {
+                        stream,
+                        buffer,
+                        sent,
+                    } => {
                         while !buffer.ends_with(b"\r\n") && read_some(stream, buffer).await {}
                         let text = String::from_utf8_lossy(buffer).to_string();
                         buffer.clear();
                         sent.pop_front();
-                        let ms = text.strip_prefix("-BUSY ").unwrap_or_else(|| panic!("{line}: {text}"));
+                        let ms = text
+                            .strip_prefix("-BUSY ")
+                            .unwrap_or_else(|| panic!("{line}: {text}"));
                         ms.trim().parse().unwrap()
                     }
                 };
@@ -1078,8 +1300,13 @@
             ["freeze"] => {
                 self.signal("-STOP");
                 let stopped = || {
-                    let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.program.id())).unwrap();
-                    stat.rsplit(')').next().unwrap().trim_start().starts_with('T')
+                    let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.program.id()))
+                        .unwrap();
+                    stat.rsplit(')')
+                        .next()
+                        .unwrap()
+                        .trim_start()
+                        .starts_with('T')
                 };
                 while !stopped() {
                     tokio::time::sleep(Duration::from_millis(1)).await;
@@ -1089,9 +1316,13 @@
             ["held" | "small" | "roomy"] | ["with", ..] => {}
             ["tight"] => self.tight = true,
             ["rush", n] => {
-                let to = &self.ports[if self.front == Wire::Resp { "resp" } else { "http2" }];
-                let connects =
-                    (0..n.parse::<usize>().unwrap()).map(|_| spawn_local(TcpStream::connect(to.clone())));
+                let to = &self.ports[if self.front == Wire::Resp {
+                    "resp"
+                } else {
+                    "http2"
+                }];
+                let connects = (0..n.parse::<usize>().unwrap())
+                    .map(|_| spawn_local(TcpStream::connect(to.clone())));
                 for connect in connects.collect::<Vec<_>>() {
                     self.murmurs.push(connect.await.unwrap().unwrap());
                 }
@@ -1104,7 +1335,8 @@
             }
             ["descriptors", most] => {
                 let of = |program: &Child| {
-                    std::fs::read_dir(format!("/proc/{}/fd", program.id())).map_or(0, Iterator::count)
+                    std::fs::read_dir(format!("/proc/{}/fd", program.id()))
+                        .map_or(0, Iterator::count)
                 };
                 let all = of(&self.program) + self.second.as_ref().map_or(0, of);
                 assert!(all <= most.parse().unwrap(), "{line}: {all}");
@@ -1113,8 +1345,14 @@
                 let head = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n0000000000000007\r\n$1\r\np\r\n";
                 let terms = "c=book-rebroadcast,t=city,d=2000,units=1,spread=1,first=0";
                 let n = n.parse::<usize>().unwrap();
-                let text = format!("{head}${}\r\n{terms}\r\n${n}\r\n{}", terms.len(), "x".repeat(n - 1));
-                let Client::Resp { stream, .. } = self.client(name).await else { panic!("part is for RESP") };
+                let text = format!(
+                    "{head}${}\r\n{terms}\r\n${n}\r\n{}",
+                    terms.len(),
+                    "x".repeat(n - 1)
+                );
+                let Client::Resp { stream, .. } = self.client(name).await else {
+                    panic!("part is for RESP")
+                };
                 // What is not read on stays with the writer.
                 let _ = stream.try_write(text.as_bytes());
             }
@@ -1146,7 +1384,11 @@
             }
             ["call", word, text @ ..] => {
                 let answer = self.call(&text.join(" ")).await;
-                assert!(answer.starts_with(word), "{:?}: {line}: {answer}", self.front);
+                assert!(
+                    answer.starts_with(word),
+                    "{:?}: {line}: {answer}",
+                    self.front
+                );
             }
             ["murmur", text @ ..] => {
                 let mut stream = TcpStream::connect(self.operators()).await.unwrap();
@@ -1161,7 +1403,11 @@
             ["begun", "none"] => assert_eq!(self.attempts(), self.begun, "{line}"),
             ["begun", least] => {
                 self.begun = self.attempts();
-                assert!(self.begun >= least.parse().unwrap(), "{line}: {}", self.begun);
+                assert!(
+                    self.begun >= least.parse().unwrap(),
+                    "{line}: {}",
+                    self.begun
+                );
             }
             ["counted", n] => {
                 let total: f64 = self.shared.totals.borrow().values().sum();
@@ -1176,7 +1422,10 @@
 
 impl Drop for Stage {
     fn drop(&mut self) {
-        for program in [Some(&mut self.program), self.second.as_mut()].into_iter().flatten() {
+        for program in [Some(&mut self.program), self.second.as_mut()]
+            .into_iter()
+            .flatten()
+        {
             let _ = program.kill();
             let _ = program.wait();
         }
@@ -1189,18 +1438,33 @@
 
 /// Runs what a test does by itself, with tasks of its own.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
 /// Plays a scenario with these wires in front and behind; the answers that it expected.
 pub fn play(front: Wire, behind: Wire, scenario: &str) -> Vec<String> {
     run(async {
-        let mut stage = Stage::set(front, behind, scenario.trim().lines().next().unwrap_or("")).await;
-        for line in scenario.lines().map(str::trim).filter(|l| !l.starts_with('#')) {
-            let long = if line.starts_with("flood") { LONG * 20 } else { LONG };
+        let mut stage =
+            Stage::set(front, behind, scenario.trim().lines().next().unwrap_or("")).await;
+        for line in scenario
+            .lines()
+            .map(str::trim)
+            .filter(|l| !l.starts_with('#'))
+        {
+            let long = if line.starts_with("flood") {
+                LONG * 20
+            } else {
+                LONG
+            };
             let done = tokio::time::timeout(long, stage.step(line)).await;
-            assert!(done.is_ok(), "{front:?} to {behind:?}: nothing came of: {line}");
+            assert!(
+                done.is_ok(),
+                "{front:?} to {behind:?}: nothing came of: {line}"
+            );
         }
         std::mem::take(&mut stage.answers)
     })
@@ -1219,7 +1483,11 @@
     for front in [Wire::Resp, Wire::Http2] {
         for behind in [Wire::Resp, Wire::Http2] {
             let answers = play(front, behind, scenario);
-            assert_eq!(first.get_or_insert_with(|| answers.clone()), &answers, "{front:?} to {behind:?}");
+            assert_eq!(
+                first.get_or_insert_with(|| answers.clone()),
+                &answers,
+                "{front:?} to {behind:?}"
+            );
         }
     }
 }
--- a/tests/stage/program.rs
+++ b/tests/stage/program.rs
@@ -39,7 +39,11 @@
         let limit = format!("ulimit -n {}; exec \"$0\"", self.sockets);
         program.args(["-c", &limit, env!("CARGO_BIN_EXE_driftgap")]);
         // Appended to: two processes may write to it, and one that is started again.
-        let log = OpenOptions::new().create(true).append(true).open(self.folder.join("log")).unwrap();
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))
+            .unwrap();
         program
             .env("EDGE_CONFIG", self.folder.join("config.json"))
             .env("DRIFTGAP_OPERATOR", self.folder.join("operator.toml"))
@@ -64,7 +68,11 @@
     /// Sends it a signal.
     pub fn signal(&self, name: &str) {
         let pid = self.program.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Has it read its files again, and waits until it has read the rules.
@@ -92,7 +100,10 @@
     pub fn readings(&self) -> Readings {
         let log = self.log();
         let count = |text| log.lines().filter(|line| line.contains(text)).count();
-        Readings { replaced: count(RULES_REPLACED), kept: count(RULES_KEPT) }
+        Readings {
+            replaced: count(RULES_REPLACED),
+            kept: count(RULES_KEPT),
+        }
     }
 
     /// All that it has logged.
@@ -136,7 +147,8 @@
 
     /// A figure that the system keeps of it.
     fn status(&self, name: &str) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.program.id())).unwrap();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.program.id())).unwrap();
         let line = status.lines().find(|line| line.starts_with(name)).unwrap();
         line.split_whitespace().nth(1).unwrap().parse().unwrap()
     }
--- a/tests/stage/steady.rs
+++ b/tests/stage/steady.rs
@@ -182,7 +182,19 @@
         let number = self.numbers.replace(self.numbers.get() + 1);
         let (id, told) = (format!("s{number}"), Told::Nothing);
         let (at, took, killed) = (Instant::now(), Duration::ZERO, false);
-        (Sent { id, front, partner, class, told, at, took, killed }, self.kills.get())
+        (
+            Sent {
+                id,
+                front,
+                partner,
+                class,
+                told,
+                at,
+                took,
+                killed,
+            },
+            self.kills.get(),
+        )
     }
 
     fn end(&self, (mut sent, kills): (Sent, u64), told: Told) {
@@ -206,7 +218,11 @@
                 }
             }
             // Whoever closes in order has nothing left to read: a second answer would be here.
-            assert!(buffer.is_empty(), "more than one answer: {}", String::from_utf8_lossy(&buffer));
+            assert!(
+                buffer.is_empty(),
+                "more than one answer: {}",
+                String::from_utf8_lossy(&buffer)
+            );
         }
     }
 
@@ -214,7 +230,9 @@
         while self.goes_on().await {
             let kills = self.kills.get();
             let stream = self.connect(Wire::Http2).await;
-            let Ok((mut send, connection)) = h2::client::handshake(stream).await else { continue };
+            let Ok((mut send, connection)) = h2::client::handshake(stream).await else {
+                continue;
+            };
             let connection = spawn_local(connection);
             while self.goes_on_here(kills).await {
                 let begun = self.begin(Wire::Http2, partner, class);
@@ -232,7 +250,10 @@
 }
 
 async fn ask_resp(stream: &mut TcpStream, buffer: &mut Vec<u8>, sent: &Sent) -> Told {
-    let terms = format!("c={},t=city,d={DEADLINE_MS},units={UNITS},spread=1,first=0", sent.class.name());
+    let terms = format!(
+        "c={},t=city,d={DEADLINE_MS},units={UNITS},spread=1,first=0",
+        sent.class.name()
+    );
     let partner = format!("{:016x}", sent.partner);
     let words = match sent.class {
         Class::Fetch => vec!["SVC.QUERY", &partner, &sent.id, &terms],
@@ -248,7 +269,9 @@
     loop {
         if let Ok(Parsed::Whole(reply, used)) = instance_reply(buffer) {
             let told = match reply {
-                Reply::Bulk(Some(value)) => Told::Served(String::from_utf8_lossy(value).to_string()),
+                Reply::Bulk(Some(value)) => {
+                    Told::Served(String::from_utf8_lossy(value).to_string())
+                }
                 Reply::Error(error) => told_by_error(&String::from_utf8_lossy(error)),
                 other => Told::Other(format!("{other:?}")),
             };
@@ -262,7 +285,9 @@
 }
 
 fn told_by_error(error: &str) -> Told {
-    let after_ms = error.strip_prefix("BUSY ").and_then(|ms| ms.trim().parse().ok());
+    let after_ms = error
+        .strip_prefix("BUSY ")
+        .and_then(|ms| ms.trim().parse().ok());
     after_ms.map_or(Told::Other(error.to_string()), Told::Refused)
 }
 
@@ -278,7 +303,11 @@
         .unwrap();
     let mut ready = send.clone().ready().await.ok()?;
     let (response, mut body) = ready.send_request(request, false).ok()?;
-    let content: &[u8] = if sent.class == Class::Booking { b"body" } else { b"" };
+    let content: &[u8] = if sent.class == Class::Booking {
+        b"body"
+    } else {
+        b""
+    };
     body.send_data(Bytes::from_static(content), true).ok()?;
     let (head, mut body) = response.await.ok()?.into_parts();
     let mut value = Vec::new();
@@ -287,7 +316,10 @@
         let _ = body.flow_control().release_capacity(part.len());
         value.extend_from_slice(&part);
     }
-    let after_ms = head.headers.get("retry-after-ms").and_then(|ms| ms.to_str().ok()?.parse().ok());
+    let after_ms = head
+        .headers
+        .get("retry-after-ms")
+        .and_then(|ms| ms.to_str().ok()?.parse().ok());
     let value = String::from_utf8_lossy(&value).to_string();
     Some(match (head.status.as_u16(), after_ms) {
         (200, _) => Told::Served(value),
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -12,7 +12,12 @@
 }
 
 /// The same with a variable of the environment.
-fn refused_with(name: &str, config: &str, operator: &str, variable: Option<(&str, &str)>) -> String {
+fn refused_with(
+    name: &str,
+    config: &str,
+    operator: &str,
+    variable: Option<(&str, &str)>,
+) -> String {
     let folder = std::env::temp_dir().join(format!("driftgap-start-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str, text: &str| -> PathBuf {
@@ -29,7 +34,11 @@
         .unwrap();
     let said = String::from_utf8(out.stderr).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!((out.status.code(), said.lines().count()), (Some(2), 1), "{said}");
+    assert_eq!(
+        (out.status.code(), said.lines().count()),
+        (Some(2), 1),
+        "{said}"
+    );
     said
 }
 
@@ -43,19 +52,46 @@
     let cases = [
         ("{".to_string(), "not JSON"),
         (r#"{"settings":{}}"#.to_string(), "listen is missing"),
-        (r#"{"listen":"127.0.0.1:0"}"#.to_string(), "settings is missing"),
+        (
+            r#"{"listen":"127.0.0.1:0"}"#.to_string(),
+            "settings is missing",
+        ),
         (with("127.0.0.1:0", "localhost"), "listen"),
         (with(r#""listen""#, r#""counter":"x","listen""#), "counter"),
         (with(r#""listen""#, r#""seed":"xyz","listen""#), "seed"),
-        (with(r#""listen""#, r#""limits":{"sockets":3},"listen""#), "limits.sockets"),
-        (with(r#""listen""#, r#""known":{"version":1},"listen""#), "known: servers"),
-        (with(r#""effect": "pure""#, r#""effect": "magic""#), "request_classes[0].effect"),
-        (with(r#""units_per_s": 0.97"#, r#""units_per_s": -1"#), "plans[0].rate"),
+        (
+            with(r#""listen""#, r#""limits":{"sockets":3},"listen""#),
+            "limits.sockets",
+        ),
+        (
+            with(r#""listen""#, r#""known":{"version":1},"listen""#),
+            "known: servers",
+        ),
+        (
+            with(r#""effect": "pure""#, r#""effect": "magic""#),
+            "request_classes[0].effect",
+        ),
+        (
+            with(r#""units_per_s": 0.97"#, r#""units_per_s": -1"#),
+            "plans[0].rate",
+        ),
         (with(r#""balancers": 1"#, r#""balancers": 0"#), "gateways"),
-        (with(r#""conn_idle": 15.0"#, r#""conn_idle": 0"#), "limits.conn_idle"),
-        (with(r#""dial_timeout": 0.25"#, r#""dial_timeout": 1e300"#), "limits.dial_timeout"),
-        (with(r#""count_wait": 0.08"#, r#""count_wait": -1"#), "family_info.count_wait"),
-        (with(r#""listen""#, r#""limits":{"memory_mb":-5},"listen""#), "limits.memory_mb"),
+        (
+            with(r#""conn_idle": 15.0"#, r#""conn_idle": 0"#),
+            "limits.conn_idle",
+        ),
+        (
+            with(r#""dial_timeout": 0.25"#, r#""dial_timeout": 1e300"#),
+            "limits.dial_timeout",
+        ),
+        (
+            with(r#""count_wait": 0.08"#, r#""count_wait": -1"#),
+            "family_info.count_wait",
+        ),
+        (
+            with(r#""listen""#, r#""limits":{"memory_mb":-5},"listen""#),
+            "limits.memory_mb",
+        ),
     ];
     for (i, (config, want)) in cases.iter().enumerate() {
         let said = refused(&format!("config{i}"), config, "");
@@ -85,7 +121,10 @@
     let file = std::fs::File::open("/dev/null").unwrap();
     let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     // Tests' descriptors are not inherited: these numbers are free in the program, or no sockets.
-    let (null, port) = (file.as_raw_fd().to_string(), other.local_addr().unwrap().to_string());
+    let (null, port) = (
+        file.as_raw_fd().to_string(),
+        other.local_addr().unwrap().to_string(),
+    );
     let cases = [
         ("EDGE_OPERATOR", "here"),
         ("EDGE_OPERATOR", "127.0.0.1"),
@@ -106,7 +145,8 @@
 
 #[test]
 fn a_wrong_address_for_calls_is_named() {
-    let config = format!(r#"{{"listen":"127.0.0.1:0","operator":"nowhere","settings":{SETTINGS}}}"#);
+    let config =
+        format!(r#"{{"listen":"127.0.0.1:0","operator":"nowhere","settings":{SETTINGS}}}"#);
     let said = refused("operator", &config, "");
     assert!(said.contains("operator"), "{said}");
 }
@@ -136,8 +176,16 @@
     for (good, bad, field) in [
         (r#""balancers": 1"#, r#""balancers": 1.5"#, "balancers"),
         (r#""at_once": 0"#, r#""at_once": -1"#, "plans[0].at_once"),
-        (r#""most_tries": 4"#, r#""most_tries": "4""#, "limits.most_tries"),
-        (r#""effect": "pure""#, r#""effect": "poor""#, "request_classes[0].effect"),
+        (
+            r#""most_tries": 4"#,
+            r#""most_tries": "4""#,
+            "limits.most_tries",
+        ),
+        (
+            r#""effect": "pure""#,
+            r#""effect": "poor""#,
+            "request_classes[0].effect",
+        ),
     ] {
         let (code, said) = check(&config.replace(good, bad), "");
         assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
@@ -146,7 +194,10 @@
     let operator = "[plugin]\nscript = \"none.rhai\"\n[inventory]\nfile = \"bad.csv\"\n";
     let (code, said) = check(&config, operator);
     assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
-    assert!(said.contains("none.rhai") && said.contains("row 2: address"), "{said}");
+    assert!(
+        said.contains("none.rhai") && said.contains("row 2: address"),
+        "{said}"
+    );
     let (code, said) = check("{", "[http3]\n");
     assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
     std::fs::remove_dir_all(&folder).unwrap();
@@ -160,28 +211,48 @@
     std::fs::write(folder.join("config.json"), config).unwrap();
     let example = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("examples");
     let bad = std::fs::read_to_string(example.join("rules.toml")).unwrap();
-    let bad = bad.replace(r#"request.method == "POST" && "#, "").replace("book-rebroadcast", "fetch-episode");
+    let bad = bad
+        .replace(r#"request.method == "POST" && "#, "")
+        .replace("book-rebroadcast", "fetch-episode");
     std::fs::write(folder.join("bad.toml"), bad).unwrap();
     let run = |words: &[&str], file: PathBuf| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_driftgap"));
-        command.arg("--config").arg(folder.join("config.json")).arg("rules").arg(words[0]).arg(file);
+        command
+            .arg("--config")
+            .arg(folder.join("config.json"))
+            .arg("rules")
+            .arg(words[0])
+            .arg(file);
         if words.len() > 1 {
             command.arg("--request").arg(example.join(words[1]));
         }
         let out = command.output().unwrap();
-        (out.status.code(), String::from_utf8(out.stdout).unwrap() + &String::from_utf8(out.stderr).unwrap())
+        (
+            out.status.code(),
+            String::from_utf8(out.stdout).unwrap() + &String::from_utf8(out.stderr).unwrap(),
+        )
     };
     let (code, said) = run(&["check"], example.join("rules.toml"));
-    assert!(code == Some(0) && said.starts_with("ok: 3 rules, 1 of them"), "{said}");
+    assert!(
+        code == Some(0) && said.starts_with("ok: 3 rules, 1 of them"),
+        "{said}"
+    );
     let (code, said) = run(&["explain", "request.json"], example.join("rules.toml"));
-    for want in
-        ["per-partner: matches", "audio: matches", "booking: behind", "command fetch-episode", "\"7\""]
-    {
+    for want in [
+        "per-partner: matches",
+        "audio: matches",
+        "booking: behind",
+        "command fetch-episode",
+        "\"7\"",
+    ] {
         assert!(code == Some(0) && said.contains(want), "{want} in {said}");
     }
     let (code, said) = run(&["bench", "request.json"], example.join("rules.toml"));
     assert!(code == Some(0) && said.lines().count() == 3, "{said}");
     let (code, said) = run(&["check"], folder.join("bad.toml"));
-    assert!(code == Some(2) && said.contains("safe to repeat") && said.contains("^^^"), "{said}");
+    assert!(
+        code == Some(2) && said.contains("safe to repeat") && said.contains("^^^"),
+        "{said}"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -85,7 +85,12 @@
             let index = number(&head, "index=").expect("each holds a list");
             let wait = number(&head, "wait=").expect("a call after a version");
             let waits = wait > 1;
-            self.calls.borrow_mut().push(Call { ingress, at: Instant::now(), index, waits });
+            self.calls.borrow_mut().push(Call {
+                ingress,
+                at: Instant::now(),
+                index,
+                waits,
+            });
             if waits {
                 self.wait_for_news(index, Duration::from_millis(wait)).await;
             } else {
@@ -95,7 +100,10 @@
             }
             let version = *self.version.borrow();
             let body = format!(r#"{{"version":{version},"full":false,"servers":[]}}"#);
-            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let answer = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             if stream.write_all(answer.as_bytes()).await.is_err() {
                 return;
             }
@@ -111,7 +119,10 @@
     /// Resets what is open and takes nothing new.
     fn go(&self) {
         self.here.set(false);
-        self.connections.borrow_mut().drain(..).for_each(|connection| connection.abort());
+        self.connections
+            .borrow_mut()
+            .drain(..)
+            .for_each(|connection| connection.abort());
     }
 
     fn come_back(&self) -> Instant {
@@ -123,7 +134,12 @@
     /// The first call of each ingress that this holds for.
     fn first(&self, wanted: impl Fn(&Call) -> bool) -> Vec<Option<Instant>> {
         let calls = self.calls.borrow();
-        let of = |i| calls.iter().find(|call| call.ingress == i && wanted(call)).map(|call| call.at);
+        let of = |i| {
+            calls
+                .iter()
+                .find(|call| call.ingress == i && wanted(call))
+                .map(|call| call.at)
+        };
         (0..INGRESSES).map(of).collect()
     }
 
@@ -138,7 +154,8 @@
                 sleep(Duration::from_millis(10)).await;
             }
         });
-        all.await.unwrap_or_else(|_| panic!("not all watch: {:?}", self.calls.borrow()))
+        all.await
+            .unwrap_or_else(|_| panic!("not all watch: {:?}", self.calls.borrow()))
     }
 }
 
@@ -177,8 +194,17 @@
             let file = folder.join(format!("config-{ingress}.json"));
             std::fs::write(&file, config.to_string()).unwrap();
             let mut program = Command::new(env!("CARGO_BIN_EXE_driftgap"));
-            program.env("EDGE_CONFIG", file).env_remove("DRIFTGAP_OPERATOR").env("TMPDIR", &folder);
-            programs.push(program.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap());
+            program
+                .env("EDGE_CONFIG", file)
+                .env_remove("DRIFTGAP_OPERATOR")
+                .env("TMPDIR", &folder);
+            programs.push(
+                program
+                    .stdout(Stdio::null())
+                    .stderr(Stdio::null())
+                    .spawn()
+                    .unwrap(),
+            );
         }
         Processes { programs, folder }
     }
@@ -196,7 +222,10 @@
 
 #[test]
 fn a_discovery_that_comes_back_to_a_dozen_processes_is_called_by_each_once_in_its_turn() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let discovery = Rc::new(Discovery {
             here: Cell::new(true),
@@ -216,15 +245,46 @@
         let informed = discovery.each_watches(2, 2 * ROUND).await;
         let reached: Vec<Instant> = discovery.first(|_| true).into_iter().flatten().collect();
         let by = |times: &[Instant]| times.iter().max().unwrap().duration_since(back);
-        println!("called after {:?} at the latest, informed after {:?}", by(&reached), by(&informed));
-        assert!(by(&reached) <= ROUND + SLACK, "{:?}", discovery.calls.borrow());
-        assert!(by(&informed) <= ROUND + CALL + SLACK, "{:?}", discovery.calls.borrow());
-        let at_once = discovery.calls.borrow().iter().filter(|call| !call.waits).count();
-        assert_eq!(at_once, INGRESSES, "one call of each: {:?}", discovery.calls.borrow());
-        let order: Vec<usize> =
-            discovery.calls.borrow().iter().filter(|c| !c.waits).map(|c| c.ingress).collect();
+        println!(
+            "called after {:?} at the latest, informed after {:?}",
+            by(&reached),
+            by(&informed)
+        );
+        assert!(
+            by(&reached) <= ROUND + SLACK,
+            "{:?}",
+            discovery.calls.borrow()
+        );
+        assert!(
+            by(&informed) <= ROUND + CALL + SLACK,
+            "{:?}",
+            discovery.calls.borrow()
+        );
+        let at_once = discovery
+            .calls
+            .borrow()
+            .iter()
+            .filter(|call| !call.waits)
+            .count();
+        assert_eq!(
+            at_once,
+            INGRESSES,
+            "one call of each: {:?}",
+            discovery.calls.borrow()
+        );
+        let order: Vec<usize> = discovery
+            .calls
+            .borrow()
+            .iter()
+            .filter(|c| !c.waits)
+            .map(|c| c.ingress)
+            .collect();
         let next = order.iter().map(|i| (i + 1) % INGRESSES);
-        let in_turn = order[1..].iter().zip(next).filter(|(i, next)| **i == *next).count();
+        let in_turn = order[1..]
+            .iter()
+            .zip(next)
+            .filter(|(i, next)| **i == *next)
+            .count();
         assert_eq!(in_turn, INGRESSES - 1, "by rank: {order:?}");
     });
 }
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -72,7 +72,10 @@
 fn many_that_read_slowly_do_not_fill_the_memory_and_answers_keep_their_order() {
     let mut scenario = String::from("memory\n");
     for i in 0..24 {
-        scenario += &format!("send c{i} k{i} fetch-episode city {}\nanswer * k{i} large 4000000\n", 10 + i);
+        scenario += &format!(
+            "send c{i} k{i} fetch-episode city {}\nanswer * k{i} large 4000000\n",
+            10 + i
+        );
     }
     scenario += "wait 500\nmemory 12\n";
     scenario += "send c3 after fetch-episode city 7\nanswer * after value news\n";
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -10,22 +10,34 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let hex: String = hex.split_whitespace().collect();
-    (0..hex.len()).step_by(2).map(|i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap()).collect()
+    (0..hex.len())
+        .step_by(2)
+        .map(|i| u8::from_str_radix(&hex[i..i + 2], 16).unwrap())
+        .collect()
 }
 
 fn event(hex: &str) -> Event {
     let body = bytes(hex);
     let mut reader = Reader::new(&body);
-    let Some(Record::For { who: 3, event }) = reader.record().unwrap() else { panic!("not an event for 3") };
+    let Some(Record::For { who: 3, event }) = reader.record().unwrap() else {
+        panic!("not an event for 3")
+    };
     assert_eq!(reader.record(), Ok(None));
     event
 }
 
 #[test]
 fn query() {
-    let e = event("03 0003 5d3a91c4 40214df3b645a1cb 40400000 00 0000 3f800000 0000000000000009 40000000 02");
-    let Event::Arrived(r) = e else { panic!("{e:?}") };
-    assert_eq!((r.id, r.spread, r.first, r.class, r.plan), (0x5d3a_91c4, 3, 1, 0, 0));
+    let e = event(
+        "03 0003 5d3a91c4 40214df3b645a1cb 40400000 00 0000 3f800000 0000000000000009 40000000 02",
+    );
+    let Event::Arrived(r) = e else {
+        panic!("{e:?}")
+    };
+    assert_eq!(
+        (r.id, r.spread, r.first, r.class, r.plan),
+        (0x5d3a_91c4, 3, 1, 0, 0)
+    );
     assert_eq!((r.customer, r.units, r.repeat), (9, 2.0, true));
     assert!((r.give_up - 8.652).abs() < 0.01, "{}", r.give_up);
 }
@@ -37,7 +49,13 @@
          03124a07 00 0000 0005 00 3f800000 0000000000000000
          2c9011f2 01 0000 0006 02 3fc00000 4018000000000000",
     );
-    let Event::Hosts { kind: ListKind::Cached, entries } = e else { panic!("{e:?}") };
+    let Event::Hosts {
+        kind: ListKind::Cached,
+        entries,
+    } = e
+    else {
+        panic!("{e:?}")
+    };
     let first = HostEntry {
         host: 0x0312_4a07,
         zone: 0,
@@ -72,39 +90,89 @@
     });
     assert_eq!(e, want);
     let e = event("08 0003 00000008 32 3fb0000000000000 00");
-    assert_eq!(e, Event::Probed { host: 8, outcome: Outcome::ConnectFailed, report: vec![] });
+    assert_eq!(
+        e,
+        Event::Probed {
+            host: 8,
+            outcome: Outcome::ConnectFailed,
+            report: vec![]
+        }
+    );
 }
 
 #[test]
 fn the_other_events() {
-    assert_eq!(event("06 0003 0e6f2b19"), Event::ClientGone { id: 0x0e6f_2b19 });
-    assert_eq!(event("07 0003 000000000000004d"), Event::Timer { token: 77 });
+    assert_eq!(
+        event("06 0003 0e6f2b19"),
+        Event::ClientGone { id: 0x0e6f_2b19 }
+    );
+    assert_eq!(
+        event("07 0003 000000000000004d"),
+        Event::Timer { token: 77 }
+    );
     let first = event("04 0003 00000007 0002 00000008 3fb0000000000000");
     assert_eq!(first, Event::StreamStarted { id: 7, attempt: 2 });
     let counted = event("0b 0003 000000000089f690 0a 42180000 3f619ce075f6fd22");
-    assert_eq!(counted, Event::Counted { name: 0x0089_f690, outcome: Outcome::Ok, total: 38.0 });
+    assert_eq!(
+        counted,
+        Event::Counted {
+            name: 0x0089_f690,
+            outcome: Outcome::Ok,
+            total: 38.0
+        }
+    );
     let body = bytes("0a 0005 09 0005 00000001 0002 6869 01 0006 0000000000000009 00000002 7b7d");
     let mut reader = Reader::new(&body);
     assert_eq!(reader.record(), Ok(Some(Record::Kill { who: 5 })));
     assert_eq!(reader.record(), Ok(Some(Record::Skip)));
-    assert_eq!(reader.record(), Ok(Some(Record::Born { who: 6, seed: 9, setup: "{}".into() })));
+    assert_eq!(
+        reader.record(),
+        Ok(Some(Record::Born {
+            who: 6,
+            seed: 9,
+            setup: "{}".into()
+        }))
+    );
 }
 
 #[test]
 fn actions() {
     let cases = [
         (
-            Action::Send { id: 0x5d3a_91c4, host: 0x0312_4a07, timeout: 0.08 },
+            Action::Send {
+                id: 0x5d3a_91c4,
+                host: 0x0312_4a07,
+                timeout: 0.08,
+            },
             "01 0003 5d3a91c4 03124a07 3fb47ae147ae147b",
         ),
-        (Action::Refuse { id: 7, retry_after: 0.5 }, "02 0003 00000007 3fe0000000000000"),
+        (
+            Action::Refuse {
+                id: 7,
+                retry_after: 0.5,
+            },
+            "02 0003 00000007 3fe0000000000000",
+        ),
         (Action::Fail { id: 7 }, "03 0003 00000007"),
-        (Action::Cancel { id: 7, attempt: 1 }, "04 0003 00000007 0001"),
-        (Action::Timer { after: 0.5, token: 77 }, "05 0003 3fe0000000000000 000000000000004d"),
+        (
+            Action::Cancel { id: 7, attempt: 1 },
+            "04 0003 00000007 0001",
+        ),
+        (
+            Action::Timer {
+                after: 0.5,
+                token: 77,
+            },
+            "05 0003 3fe0000000000000 000000000000004d",
+        ),
         (Action::Probe { host: 8 }, "06 0003 00000008"),
         (Action::FollowList, "0b 0003 01"),
         (
-            Action::Count { name: 0x0089_f690, amount: 4.0, lives: 3.0 },
+            Action::Count {
+                name: 0x0089_f690,
+                amount: 4.0,
+                lives: 3.0,
+            },
             "0d 0003 000000000089f690 40800000 4008000000000000",
         ),
     ];
@@ -153,12 +221,21 @@
         (bytes("00000005 0000000000000000 06"), "input ends"),
         (frame("63 0003"), "unknown event code 99"),
         (frame("06 0003 0e"), "Aborted"),
-        (frame("05 0003 00000007 0001 00000008 63"), "unknown outcome 99"),
+        (
+            frame("05 0003 00000007 0001 00000008 63"),
+            "unknown outcome 99",
+        ),
         (frame("06 0003 0e6f2b19"), "never born"),
         (born("{"), "not JSON"),
         (born("{}"), "balancers is missing"),
-        (born(r#"{"balancers":0,"request_classes":[],"plans":[]}"#), "gateways"),
-        (born(r#"{"balancers":1,"request_classes":[{"aim":"x"}],"plans":[]}"#), "request_classes[0].effect"),
+        (
+            born(r#"{"balancers":0,"request_classes":[],"plans":[]}"#),
+            "gateways",
+        ),
+        (
+            born(r#"{"balancers":1,"request_classes":[{"aim":"x"}],"plans":[]}"#),
+            "request_classes[0].effect",
+        ),
     ];
     for (input, want) in cases {
         let out = drill(&input);
