--- a/crates/operations/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,10 +5,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bans;
 mod call;
-mod door;
+mod drain;
+mod exclusions;
 
-pub use bans::{Ban, Bans, MOST_BANS};
 pub use call::{Answer, BadCall, Call, GroupCall, MOST_ID, MOST_LINE};
-pub use door::{Door, Way, EMPTY_MS, NOTICE_MS};
+pub use drain::{Door, Way, EMPTY_MS, NOTICE_MS};
+pub use exclusions::{Ban, Bans, MOST_BANS};
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -9,15 +9,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod fans;
 mod follower;
+mod forwarding_routes;
 mod frame;
+mod log_replica;
 mod member;
-mod mirror;
 mod peer;
 mod record;
-mod roads;
 mod state;
+mod subscribers;
 
 pub use follower::{Copy, Follower};
 pub use frame::{
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 use crate::state::{Asked, OpId, Outcome, State, Wish};
-use crate::{mirror::Mirror, FORMS, LEAST_MEMBERS};
+use crate::{log_replica::Mirror, FORMS, LEAST_MEMBERS};
 use raft::eraftpb::{
     ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
     Message, MessageType, Snapshot,
--- a/crates/group/src/peer.rs
+++ b/crates/group/src/peer.rs
@@ -1,11 +1,11 @@
 //! One ingress in the group, from an empty folder on: it asks to be let in, is let in, and is a member from then on. It
 //! owns what goes to whom and by which way. It must never speak as a member before its folder says which one it is.
 
-use crate::fans::Fans;
+use crate::forwarding_routes::{Roads, Way};
 use crate::frame::Frame;
 use crate::member::{Event, Loaded, Lost, Member, Settings};
 use crate::record::{Batch, MessageRecord};
-use crate::roads::{Roads, Way};
+use crate::subscribers::Fans;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A member with an empty folder asks this often to be let in, ms.
--- a/crates/duty/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -9,9 +9,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod keeper;
+mod client;
 pub mod lease;
 mod table;
 
-pub use keeper::{Cause, Change, Duty, Keeper, Rules};
+pub use client::{Cause, Change, Duty, Keeper, Rules};
 pub use table::{Act, Held, Holder, Outcome, Table, Wish, MOST_DUTIES};
--- a/crates/duty/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,7 +1,7 @@
 //! Every order of events of 2 and 3 ingresses with clocks of different rates: messages that come late, twice or never,
 //! stalls between the last look at the clock and the act, members that die. The keepers are the real ones.
 
-use driftgap_duty::{lease, Act, Duty, Holder, Keeper, Outcome, Rules, Table, Wish};
+use driftgap_leases::{lease, Act, Duty, Holder, Keeper, Outcome, Rules, Table, Wish};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::hash::{Hash, Hasher};
 
--- a/crates/scale/src/experiments/fleet.rs
+++ b/crates/scale/src/experiments/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::ExperimentError;
 use crate::ingress::Deployment;
-use driftgap::inventory::{Inventory, InventorySettings};
+use driftgap::discovery::inventory::{Inventory, InventorySettings};
 use oorandom::Rand32;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/scale/src/experiments/traffic.rs
+++ b/crates/scale/src/experiments/traffic.rs
@@ -3,8 +3,8 @@
 use crate::experiment::{ExperimentError, Measurement};
 use crate::ingress::SimulatedIngress;
 use crate::probe::{measure, Cost};
-use driftgap::core::Command;
-use driftgap::settings::Platform;
+use driftgap::config::settings::Platform;
+use driftgap::request::Command;
 
 /// Ingresses that one tenant's commands come through: those of one zone of the target, 2,500 over 21.
 const SPREAD: u32 = 119;
--- a/crates/scale/src/hollow/gateways/mod.rs
+++ b/crates/scale/src/hollow/gateways/mod.rs
@@ -8,8 +8,8 @@
 
 use super::Schedule;
 use backend::Backend;
-use driftgap::facade::{Add, Ask, CommandId, Ended, Errand, Facade, Report, Verdict};
-use driftgap::{HostEntry, HostState, ListKind, Outcome, SettingsError, ALL_HOSTS};
+use driftgap::decision::driver::{Add, Ask, CommandId, Ended, Errand, Facade, Report, Verdict};
+use driftgap::decision::{HostEntry, HostState, ListKind, Outcome, SettingsError, ALL_HOSTS};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
--- a/crates/scale/src/hollow/gateways/settings.rs
+++ b/crates/scale/src/hollow/gateways/settings.rs
@@ -1,6 +1,6 @@
 //! What hollow ingresses are told at their start.
 
-use driftgap::{Class, Effect, Group, Plan, Settings};
+use driftgap::decision::{Class, Effect, Group, Plan, Settings};
 
 /// Most units that can be saved up, in seconds of a quota.
 const BURST_SECONDS: f64 = 2.0;
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -3,16 +3,16 @@
 
 use crate::experiment::ExperimentError;
 use crate::probe::uncounted;
-use driftgap::clock::Clock;
-use driftgap::core::{Answer, Command, Effect, End, Start, Value};
+use driftgap::config::settings::Config;
+use driftgap::decision::driver::Add;
+use driftgap::decision::{ListKind, Outcome};
 use driftgap::discovery;
-use driftgap::facade::Add;
-use driftgap::hub::{Hub, Network, ServiceClient};
-use driftgap::inventory::Inventory;
+use driftgap::discovery::inventory::Inventory;
+use driftgap::protocol::resp::HttpAnswer;
+use driftgap::request::{Answer, Command, Effect, End, Start, Value};
 use driftgap::routing::{catalog, Source};
-use driftgap::settings::Config;
-use driftgap::wire::HttpAnswer;
-use driftgap::{ListKind, Outcome};
+use driftgap::runtime::clock::Clock;
+use driftgap::runtime::dispatcher::{Hub, Network, ServiceClient};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
--- a/examples/toy_instance.rs
+++ b/examples/toy_instance.rs
@@ -1,7 +1,7 @@
 //! A toy catch-up node to try driftgap with: it answers every command of the platform's protocol with the
 //! class it was asked for, after a moment. Usage: toy_instance ADDRESS:PORT
 
-use driftgap::wire::{command_words, Parsed};
+use driftgap::protocol::resp::{command_words, Parsed};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- /dev/null
+++ b/src/admin/mod.rs
@@ -0,0 +1,3 @@
+//! Calls of the staff to a running ingress.
+
+pub mod server;
--- a/src/calls.rs
+++ b/src/admin/server.rs
@@ -1,11 +1,11 @@
 //! Where staff call: one line a connection, one line in answer. It owns the listener, the callers' connections and
 //! their bounds. It must never act on half a line, let a caller that says nothing keep others out, or decide what a
-//! call means: that is `driftgap_operations`'.
+//! call means: that is `driftgap_admin`'.
 
 use crate::group::{Ended, Group, Seat};
-use crate::hub::Hub;
+use crate::runtime::dispatcher::Hub;
+use driftgap_admin::{Answer, BadCall, Ban, Call, GroupCall, MOST_LINE};
 use driftgap_group::{Outcome, Role, Wish};
-use driftgap_operations::{Answer, BadCall, Ban, Call, GroupCall, MOST_LINE};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/src/bin/driftgap-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -3,7 +3,8 @@
 
 mod wire;
 
-use driftgap::{settings, Gateway};
+use driftgap::config::settings;
+use driftgap::decision::Gateway;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
@@ -91,7 +92,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("driftgap-adapter: {e}");
+            eprintln!("driftgap-simulator-adapter: {e}");
             ExitCode::from(2)
         }
     }
--- a/src/bin/driftgap-adapter/wire.rs
+++ b/src/bin/driftgap-simulator-adapter/wire.rs
@@ -1,6 +1,8 @@
 //! Frames and records of the simulator's wire: decoding events, encoding actions. It does not decide.
 
-use driftgap::{Action, AttemptEnd, Event, HostEntry, HostState, ListKind, Outcome, Request};
+use driftgap::decision::{
+    Action, AttemptEnd, Event, HostEntry, HostState, ListKind, Outcome, Request,
+};
 
 /// An event as the wire addresses it: to one instance.
 #[derive(Debug, PartialEq)]
@@ -119,7 +121,7 @@
             state,
             size: self.f32()?,
             started: self.f64()?,
-            pools: driftgap::ALL_HOSTS,
+            pools: driftgap::decision::ALL_HOSTS,
         })
     }
 
@@ -188,7 +190,7 @@
                     spread,
                     first,
                     repeat,
-                    pools: driftgap::ALL_HOSTS,
+                    pools: driftgap::decision::ALL_HOSTS,
                 })
             }
             4 => {
--- a/src/flow.rs
+++ b/src/buffer/body_stream.rs
@@ -2,7 +2,7 @@
 //! takes it. It owns the bytes on the way and the word on how the value ended. It must never hold more than its ring,
 //! know either side's wire, or let one side wait for another that is gone.
 
-use crate::ring::Ring;
+use crate::buffer::ring_buffer::Ring;
 use std::cell::{Cell, RefCell, RefMut};
 use std::fmt;
 use std::rc::Rc;
--- a/src/check.rs
+++ b/src/cli/check.rs
@@ -1,14 +1,14 @@
 //! `driftgap check`: reads all that `serve` would read and names every fault. It owns the order of reading and
 //! nothing else: each part judges its own file. It must never open a socket or change anything.
 
-use crate::facade::Facade;
-use crate::inventory::Inventory;
-use crate::meaning;
-use crate::name_table::NameTable;
-use crate::operator::Operator;
+use crate::config::operator_file::Operator;
+use crate::config::settings::{Config, ConfigError};
+use crate::config::settings_description;
+use crate::decision::driver::Facade;
+use crate::discovery::inventory::Inventory;
+use crate::discovery::registry::NameTable;
 use crate::plugin::Plugin;
 use crate::routing::Source;
-use crate::settings::{Config, ConfigError};
 use std::path::Path;
 
 /// What there is to say of the files that `serve` would read, a line each.
@@ -33,8 +33,10 @@
     let mut findings = Findings::default();
     if let (Some(Ok(text)), Some(Ok(config))) = (&text, &config) {
         let value: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
-        findings.unknown = value.get("settings").map_or(Vec::new(), meaning::unknown);
-        findings.words = meaning::words(&config.platform);
+        findings.unknown = value
+            .get("settings")
+            .map_or(Vec::new(), settings_description::unknown);
+        findings.words = settings_description::words(&config.platform);
     }
     findings.faults = faults(config, operator);
     findings
--- /dev/null
+++ b/src/cli/mod.rs
@@ -0,0 +1,5 @@
+//! What the command line does beside serving, and the log.
+
+pub mod check;
+pub mod logging;
+pub mod rules;
--- a/src/rules.rs
+++ b/src/cli/rules.rs
@@ -2,8 +2,8 @@
 //! of what it prints and of the request's JSON. It must never judge anything itself: the ingress and this read
 //! the same rules by the same code.
 
+use crate::config::settings::Config;
 use crate::routing::{catalog, Source};
-use crate::settings::Config;
 use driftgap_routes::{Explained, Explainer, Fault, Headers, Request, Router, Rules, Verdict};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/src/operator.rs
+++ b/src/config/operator_file.rs
@@ -2,9 +2,9 @@
 //! of its fields and the one-line message on a wrong one. It must never be needed on the platform, and
 //! never repeat a setting of the platform's.
 
-use crate::front::http2::Limits;
+use crate::discovery::inventory::InventorySettings;
+use crate::frontend::http2::Limits;
 use crate::group::GroupSettings;
-use crate::inventory::InventorySettings;
 use crate::plugin::PluginSettings;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -212,13 +212,15 @@
             let said = Operator::parse(text).unwrap_err().to_string();
             assert!(said.contains(want) && said.lines().count() == 1, "{said}");
         }
-        assert!(Operator::parse(include_str!("../deploy/http2.toml"))
+        assert!(Operator::parse(include_str!("../../deploy/http2.toml"))
             .unwrap()
             .http2
             .is_some());
-        assert!(Operator::parse(include_str!("../examples/operator.toml"))
-            .unwrap()
-            .plugin
-            .is_some());
+        assert!(
+            Operator::parse(include_str!("../../examples/operator.toml"))
+                .unwrap()
+                .plugin
+                .is_some()
+        );
     }
 }
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 //! carry the same one. It owns the names and units of that object and the messages on what is wrong with
 //! it. It must never decide anything, fill in what is required, or read anything but the file it is given.
 
-use crate::api::{Class, Effect, Field, Group, Plan, Settings};
+use crate::decision::{Class, Effect, Field, Group, Plan, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/src/meaning.rs
+++ b/src/config/settings_description.rs
@@ -2,8 +2,8 @@
 //! reads it or why nobody does, and what follows from the values. It owns that table and the sentences. It must never
 //! judge a value, which is the parser's, nor be needed to serve.
 
-use crate::api::{Effect, Group, Settings};
-use crate::settings::Platform;
+use crate::config::settings::Platform;
+use crate::decision::{Effect, Group, Settings};
 use serde_json::Value;
 
 /// Keys of the settings, `[]` for each item of a list, and what becomes of them.
@@ -290,9 +290,9 @@
     #[test]
     fn every_setting_has_its_line_here_and_in_the_operators_page() {
         let settings: Value =
-            serde_json::from_str(include_str!("../tests/stage/settings.json")).unwrap();
+            serde_json::from_str(include_str!("../../tests/stage/settings.json")).unwrap();
         assert_eq!(unknown(&settings), Vec::<String>::new());
-        let page = include_str!("../docs/deployments.md");
+        let page = include_str!("../../docs/deployments.md");
         for (key, what) in KEYS {
             assert!(
                 page.contains(&format!("| `{key}` | {what} |")),
--- a/src/counter.rs
+++ b/src/counter/mod.rs
@@ -4,11 +4,11 @@
 //! that may have counted, take a late answer for another call's, use a connection on which an answer made no
 //! sense, or hold a call back beyond the wait in the settings.
 
-use crate::api::Outcome;
-use crate::facade::Add;
-use crate::hub::Hub;
-use crate::ring::Ring;
-use crate::wire::{http_answer, http_answer_at_end, Parsed};
+use crate::buffer::ring_buffer::Ring;
+use crate::decision::driver::Add;
+use crate::decision::Outcome;
+use crate::protocol::resp::{http_answer, http_answer_at_end, Parsed};
+use crate::runtime::dispatcher::Hub;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Write};
--- a/src/balance.rs
+++ b/src/decision/balance.rs
@@ -1,12 +1,12 @@
-//! Every decision, table and tuned value of the library. The interface is `src/api.rs`.
+//! Every decision, table and tuned value of the library. The interface is `src/decision/api.rs`.
 //!
 //! Order of reading: constants, events, admit, ladder, quota, choice, health, attempts.
 //! `docs/design.md` tells what comes from the paper and what departs from it.
 
-use crate::api::*;
-use crate::state::{
+use crate::decision::state::{
     fare, lot, store_window, Ask, Attempt, Avoid, Customer, Host, Kind, Memory, Open, Peers, STORE,
 };
+use crate::decision::*;
 
 /// Housekeeping period, s: short beside any aim, long beside the cost of one pass.
 const TICK: f64 = 0.05;
--- a/src/facade.rs
+++ b/src/decision/driver.rs
@@ -3,11 +3,11 @@
 //! errands, never the module's events or actions. It must never decide anything itself, nor know a command
 //! beyond the figures that the module asks for.
 
-use crate::api::{
+use crate::decision::balance::Gateway;
+use crate::decision::{
     Action, AttemptEnd, Event, HostEntry, ListKind, Outcome, Pools, Request, Settings,
     SettingsError,
 };
-use crate::balance::Gateway;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
--- a/src/state.rs
+++ b/src/decision/state.rs
@@ -1,9 +1,9 @@
-//! What the module remembers: plain data, no decisions. `src/balance.rs` gives it its meaning.
+//! What the module remembers: plain data, no decisions. `src/decision/balance.rs` gives it its meaning.
 
-use crate::api::{
+use crate::decision::balance::Gateway;
+use crate::decision::{
     Action, CustomerId, Field, Group, HostEntry, HostId, HostState, Pools, Request, RequestId,
 };
-use crate::balance::Gateway;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A class and a plan.
--- a/src/inventory.rs
+++ b/src/discovery/inventory.rs
@@ -3,9 +3,9 @@
 //! file that is wrong anywhere or has to be confirmed first, nor drop a host that is no longer named without
 //! letting it drain.
 
-use crate::api::{HostEntry, HostState, ALL_HOSTS};
-use crate::facade::InstanceId;
-use crate::name_table::{Instance, NameTable, Speaks};
+use crate::decision::driver::InstanceId;
+use crate::decision::{HostEntry, HostState, ALL_HOSTS};
+use crate::discovery::registry::{Instance, NameTable, Speaks};
 use driftgap_inventory::{
     read, summary, suspicious, Fault, File, Host, Protocol, Schema, Shares, State, Weight,
 };
--- a/src/discovery.rs
+++ b/src/discovery/mod.rs
@@ -2,14 +2,16 @@
 //! held; `pace` says when it calls. It must never leave more than 200 ms between an answer and the next poll, or
 //! give up the last list for an answer that makes no sense.
 
-mod pace;
+pub mod inventory;
+mod poll_schedule;
+pub mod registry;
 
-use crate::api::{HostState, ListKind};
-use crate::clock::Clock;
-use crate::hub::Hub;
-use crate::ring::Ring;
-use crate::wire::{http_answer, http_answer_at_end, HttpAnswer, Parsed};
-use pace::{Failures, Pace};
+use crate::buffer::ring_buffer::Ring;
+use crate::decision::{HostState, ListKind};
+use crate::protocol::resp::{http_answer, http_answer_at_end, HttpAnswer, Parsed};
+use crate::runtime::clock::Clock;
+use crate::runtime::dispatcher::Hub;
+use poll_schedule::{Failures, Pace};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::future::Future;
--- a/src/name_table.rs
+++ b/src/discovery/registry.rs
@@ -2,8 +2,8 @@
 //! numbering of instances and discovery's form of the list. It must never drop the last list for one that makes
 //! no sense, do any I/O, or decide who gets a command.
 
-use crate::api::{HostEntry, HostState, ListKind, ALL_HOSTS};
-use crate::facade::InstanceId;
+use crate::decision::driver::InstanceId;
+use crate::decision::{HostEntry, HostState, ListKind, ALL_HOSTS};
 use driftgap_routes::MOST_LABELS;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,6 +1,6 @@
 mod fleet;
 
-use super::pace::{Failures, First, Pace, Retry, CALL_MS, TOLD_MS};
+use super::poll_schedule::{Failures, First, Pace, Retry, CALL_MS, TOLD_MS};
 use fleet::{after_given_up, given_up, Configured, Fleet, Outage, Recovery};
 
 /// What an ingress of such a fleet goes by; a place in the round changes none of its bounds.
--- a/src/discovery/tests/fleet.rs
+++ b/src/discovery/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of ingresses that have lost a discovery of fixed capacity, simulated with seeded random numbers.
 
-use crate::discovery::pace::{Failures, Pace, Retry};
+use crate::discovery::poll_schedule::{Failures, Pace, Retry};
 
 /// Unix time at which a simulation begins, ms.
 const START_MS: f64 = 1.7e12;
--- a/src/front/http2.rs
+++ b/src/frontend/http2.rs
@@ -4,16 +4,16 @@
 //! reset means that the service client has gone. One rule of the house is given up here: h2 keeps its own
 //! buffers, so a connection has no ring; the bounds below take its place.
 
-use crate::core::{pairs, Answer, BadCommand, Command};
-use crate::hub::{Hub, ServiceClient};
-use crate::routing::{self, HeaderView};
-use crate::wire::MOST_VALUE;
-use crate::wire_http2::{
+use crate::protocol::http2::{
     plain, push_body, push_coming, terms, text, wording, Body, COMMANDS, CUSTOMER, DEADLINE, ID,
     PLAN, RETRY, TERMS,
 };
+use crate::protocol::resp::MOST_VALUE;
+use crate::request::{pairs, Answer, BadCommand, Command};
+use crate::routing::{self, HeaderView};
+use crate::runtime::dispatcher::{Hub, ServiceClient};
 use bytes::Bytes;
-use driftgap_operations::Way;
+use driftgap_admin::Way;
 use driftgap_routes::{Headers, Request as Seen, Route, Ticket, Verdict};
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
--- a/src/front/resp.rs
+++ b/src/frontend/resp.rs
@@ -3,14 +3,14 @@
 //! turn, read on while too many are unanswered, or decide about a command.
 
 use super::advice;
-use crate::core::{Answer, Command, Value};
-use crate::facade::CommandId;
-use crate::flow::Outlet;
-use crate::hub::{Hub, ServiceClient, Unsent};
-use crate::ring::Ring;
+use crate::buffer::body_stream::Outlet;
+use crate::buffer::ring_buffer::Ring;
+use crate::decision::driver::CommandId;
+use crate::protocol::resp::{command_words, platform_command, Parsed, MOST_VALUE};
+use crate::request::{Answer, Command, Value};
 use crate::routing;
-use crate::wire::{command_words, platform_command, Parsed, MOST_VALUE};
-use driftgap_operations::Way;
+use crate::runtime::dispatcher::{Hub, ServiceClient, Unsent};
+use driftgap_admin::Way;
 use driftgap_routes::{NoHeaders, Ticket, Verdict};
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
--- a/src/group/follow.rs
+++ b/src/group/follower_task.rs
@@ -1,9 +1,9 @@
 //! An ingress beside the group: it keeps one connection to one member. It owns that connection and the turn between it
 //! and the follower's decisions. It must never hold more than one link, or make a call wait for a member that is gone.
 
-use super::engine::FIGURES_MS;
-use super::kept::{Keeping, Kept};
+use super::cached_replica::{Keeping, Kept};
 use super::links::{connect, Counts, Outlet, Own};
+use super::member_task::FIGURES_MS;
 use super::{Ended, GroupSettings, Request, Seat, View};
 use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, FORMS};
 use std::collections::BTreeMap;
--- a/src/group/links.rs
+++ b/src/group/links.rs
@@ -2,7 +2,7 @@
 //! their bounds. It must never hold more for a member that does not read than its bound, take a frame from somebody
 //! who has not said who it is, or let one link's trouble reach another.
 
-use super::follow::Line;
+use super::follower_task::Line;
 use super::link_error::{LinkError, Refusals};
 use driftgap_group::{read_frame, Frame, Hello, HelloError, Welcome, MOST_FRAME, MOST_HELLO};
 use std::cell::{Cell, RefCell};
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -2,20 +2,20 @@
 //! answers and what the group holds come out. It must never let a service client's command wait for the group, nor
 //! exist where the operator's file has no `[group]`: then there is no thread, no listener and no file.
 
-mod engine;
-mod follow;
-mod kept;
+mod cached_replica;
+mod follower_task;
 mod link_error;
 mod links;
+mod member_task;
 pub mod store;
 
+use cached_replica::Kept;
+pub use cached_replica::KeptError;
 use driftgap_group::{
     is_name, Document, Kind, Member, MemberStatus, Outcome, Settings, Wish, FORMS, MOST_DOCUMENT,
 };
-use engine::Engine;
-use follow::Following;
-use kept::Kept;
-pub use kept::KeptError;
+use follower_task::Following;
+use member_task::Engine;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! appends [`Action`]s for the program that embeds it. The same events give the same actions.
 //!
 //! ```
-//! use driftgap::*;
+//! use driftgap::decision::*;
 //!
 //! let settings = Settings {
 //!     gateways: 2,
@@ -99,36 +99,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod api;
-mod balance;
-pub mod calls;
-pub mod check;
-pub mod clock;
-pub mod core;
+pub mod admin;
+pub mod buffer;
+pub mod cli;
+pub mod config;
 pub mod counter;
+pub mod decision;
 pub mod discovery;
-pub mod facade;
-pub mod flow;
-pub mod front;
+pub mod frontend;
 pub mod group;
-pub mod handover;
-pub mod hub;
-pub mod inventory;
-pub mod logging;
-pub mod meaning;
-pub mod name_table;
-pub mod node;
-pub mod operator;
 pub mod plugin;
-pub mod ring;
+pub mod protocol;
+pub mod request;
 pub mod routing;
-pub mod rule_reload;
-pub mod rules;
-pub mod settings;
-mod state;
+pub mod runtime;
 pub mod upstream;
-pub mod wire;
-pub mod wire_http2;
-
-pub use api::*;
-pub use balance::Gateway;
--- a/src/main.rs
+++ b/src/main.rs
@@ -4,13 +4,13 @@
 #![deny(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use driftgap::check;
+use driftgap::cli::check;
+use driftgap::cli::logging::{self, LogFormat};
+use driftgap::cli::rules::{self, Sample};
+use driftgap::config::operator_file::Operator;
+use driftgap::config::settings::{address_of, Config};
 use driftgap::group;
-use driftgap::logging::{self, LogFormat};
-use driftgap::node::{self, Signals};
-use driftgap::operator::Operator;
-use driftgap::rules::{self, Sample};
-use driftgap::settings::{address_of, Config};
+use driftgap::runtime::server::{self, Signals};
 use socket2::Socket;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -173,7 +173,7 @@
         Some(path) => Operator::read(&path).map_err(|e| format!("{}: {e}", path.display()))?,
         None => Operator::default(),
     };
-    node::run(signals, path, config, operator, clients)
+    server::run(signals, path, config, operator, clients)
         .await
         .map_err(|e| e.to_string())
 }
--- a/src/plugin.rs
+++ b/src/plugin/mod.rs
@@ -3,8 +3,8 @@
 //! script a socket, a file or the time, let it touch quotas, a class's effect or an answer, or take the
 //! ingress down: a script that fails at run time is logged, and the operator's setting decides.
 
-use crate::core::Command;
-use crate::settings::Platform;
+use crate::config::settings::Platform;
+use crate::request::Command;
 use rhai::{CallFnOptions, Dynamic, Engine, EvalAltResult, Map, Scope, AST};
 use serde::Deserialize;
 use std::cell::Cell;
@@ -231,7 +231,7 @@
 mod tests {
     use super::*;
 
-    const SETTINGS: &str = include_str!("../tests/stage/settings.json");
+    const SETTINGS: &str = include_str!("../../tests/stage/settings.json");
 
     fn settings(on_error: OnError) -> PluginSettings {
         PluginSettings {
@@ -244,7 +244,9 @@
 
     fn decide(script: &str, on_error: OnError) -> Wish {
         let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
-        let platform = crate::settings::Config::parse(&config).unwrap().platform;
+        let platform = crate::config::settings::Config::parse(&config)
+            .unwrap()
+            .platform;
         let list = "c=book-rebroadcast,t=city,d=900,units=2,spread=1,first=0".to_string();
         let command = Command::new(&platform, "0000000000000007", "k1", list, None).unwrap();
         let plugin = Plugin::new(&settings(on_error), "hook.rhai".into(), script).unwrap();
--- a/src/wire_http2.rs
+++ b/src/protocol/http2.rs
@@ -2,12 +2,12 @@
 //! names of the headers (README documents them), the bounds on bodies, and the word on which failures prove
 //! that a command never ran. It must never open a connection or decide about a command.
 
-use crate::api::{Effect, Outcome};
-use crate::core::{pairs, Answer, Command, Value};
-use crate::flow::Outlet;
-use crate::front::advice;
-use crate::settings::Platform;
-use crate::wire::MOST_VALUE;
+use crate::buffer::body_stream::Outlet;
+use crate::config::settings::Platform;
+use crate::decision::{Effect, Outcome};
+use crate::frontend::advice;
+use crate::protocol::resp::MOST_VALUE;
+use crate::request::{pairs, Answer, Command, Value};
 use bytes::Bytes;
 use h2::{Reason, RecvStream};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
--- a/src/wire.rs
+++ b/src/protocol/resp.rs
@@ -3,8 +3,8 @@
 //! depth, so that no peer can make a connection hold more than its ring's cap. It must never touch a socket
 //! or a clock, nor panic on any input.
 
-use crate::core::{decimal, pairs, BadCommand, Command};
-use crate::settings::Platform;
+use crate::config::settings::Platform;
+use crate::request::{decimal, pairs, BadCommand, Command};
 use std::io::Write;
 use winnow::ascii::crlf;
 use winnow::combinator::{alt, preceded, terminated};
@@ -228,7 +228,7 @@
     let command = Command::new(platform, text(0, "customer")?, text(1, "id")?, terms, body)?;
     // Guards the rule on double effects: a class travels under its own verb only.
     let effect = platform.module.classes[command.ask.class].effect;
-    if (effect == crate::api::Effect::Safe) != safe {
+    if (effect == crate::decision::Effect::Safe) != safe {
         return Err(BadCommand::Class);
     }
     Ok(command)
@@ -236,7 +236,7 @@
 
 /// The same command for an instance, which is told how long this ingress will wait.
 pub fn push_command(out: &mut Vec<u8>, platform: &Platform, command: &Command, wait_ms: f64) {
-    let safe = platform.module.classes[command.ask.class].effect == crate::api::Effect::Safe;
+    let safe = platform.module.classes[command.ask.class].effect == crate::decision::Effect::Safe;
     let verb: &[u8] = if safe { b"SVC.QUERY" } else { b"SVC.SUBMIT" };
     let wait = (wait_ms.max(1.0) as u64).to_string();
     let mut list = String::with_capacity(command.terms.len() + wait.len());
--- a/src/core.rs
+++ b/src/request/mod.rs
@@ -3,12 +3,14 @@
 //! write a socket, know RESP or HTTP, or ask the system for the time; and it decides nothing about whom to
 //! serve: that is the module's, behind the facade.
 
-use crate::api::{
+use crate::buffer::body_stream::Outlet;
+use crate::config::settings::Platform;
+use crate::decision::driver::{
+    Add, Ask, CommandId, Ended, Errand, Facade, InstanceId, Report, Verdict,
+};
+use crate::decision::{
     Class, Effect as Repeat, Group, HostEntry, HostState, ListKind, Outcome, ALL_HOSTS,
 };
-use crate::facade::{Add, Ask, CommandId, Ended, Errand, Facade, InstanceId, Report, Verdict};
-use crate::flow::Outlet;
-use crate::settings::Platform;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 use std::rc::Rc;
--- a/src/routing.rs
+++ b/src/routing/mod.rs
@@ -3,10 +3,12 @@
 //! must never decide where a request belongs (the rules do), whom to serve (the module does), or let a rule
 //! touch what the platform's protocol says of a command.
 
-use crate::api::Effect;
-use crate::core::{BadCommand, Command};
-use crate::operator::Operator;
-use crate::settings::Platform;
+pub mod reload;
+
+use crate::config::operator_file::Operator;
+use crate::config::settings::Platform;
+use crate::decision::Effect;
+use crate::request::{BadCommand, Command};
 use driftgap_routes::{
     Catalog, Effect as RuleEffect, Fault, Headers, Mapped, ReadOptions, Request, Rules,
 };
@@ -227,11 +229,13 @@
     use super::*;
     use driftgap_routes::NoHeaders;
 
-    const SETTINGS: &str = include_str!("../tests/stage/settings.json");
+    const SETTINGS: &str = include_str!("../../tests/stage/settings.json");
 
     fn platform() -> Platform {
         let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
-        crate::settings::Config::parse(&config).unwrap().platform
+        crate::config::settings::Config::parse(&config)
+            .unwrap()
+            .platform
     }
 
     #[test]
--- a/src/hub.rs
+++ b/src/runtime/dispatcher.rs
@@ -3,15 +3,15 @@
 //! else to the [`Network`]) and of news into it. It must never know a wire, a socket or a task, decide about a
 //! command, or hold the core while somebody else runs: the parts know the hub, and it knows none of them.
 
-use crate::api::{HostEntry, HostState, ListKind};
-use crate::clock::Clock;
-use crate::core::{Answer, Command, Core, Effect, Tally};
-use crate::facade::{CommandId, Facade, InstanceId};
-use crate::flow::Ways;
-use crate::name_table::NameTable;
+use crate::buffer::body_stream::Ways;
+use crate::config::settings::{Config, Platform};
+use crate::decision::driver::{CommandId, Facade, InstanceId};
+use crate::decision::{HostEntry, HostState, ListKind};
+use crate::discovery::registry::NameTable;
 use crate::plugin::{Plugin, Wish};
-use crate::settings::{Config, Platform};
-use driftgap_operations::{Ban, Bans, Door, Way};
+use crate::request::{Answer, Command, Core, Effect, Tally};
+use crate::runtime::clock::Clock;
+use driftgap_admin::{Ban, Bans, Door, Way};
 use driftgap_routes::{Instance, Replaced, Request, Router, Rules, Ticket, TooSoon, Verdict, ALL};
 use std::cell::{Cell, OnceCell, RefCell, RefMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -127,7 +127,7 @@
         plugin: Option<Plugin>,
         clock: Clock,
         in_group: bool,
-    ) -> Result<Rc<Hub>, crate::api::SettingsError> {
+    ) -> Result<Rc<Hub>, crate::decision::SettingsError> {
         let platform = Rc::new(config.platform.clone());
         let facade = Facade::new(platform.module.clone(), config.seed)?;
         let most_bytes = (memory_mb * 1e6 / 3.0) as usize;
--- a/src/handover.rs
+++ b/src/runtime/process_takeover.rs
@@ -2,9 +2,9 @@
 //! a folder that all of them see. It owns that folder's form. It must never hold more than names, let two processes
 //! undo each other's work (making and removing a file are single steps), or lose what could not be written.
 
-use crate::calls::Keeper;
-use crate::hub::Hub;
-use driftgap_operations::{MOST_BANS, MOST_ID};
+use crate::admin::server::Keeper;
+use crate::runtime::dispatcher::Hub;
+use driftgap_admin::{MOST_BANS, MOST_ID};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, TryLockError};
--- a/src/node.rs
+++ b/src/runtime/server.rs
@@ -1,23 +1,23 @@
 //! Start and stop of the program: it owns the order in which its parts come up, the timer, what is read again
 //! while it runs, and the drain. It must never decide about a command, nor be needed by any of the parts.
 
-use crate::api::ListKind;
-use crate::calls::{Calls, Keeper, MOST_CALLERS};
-use crate::clock::Clock;
-use crate::core::Effect;
+use crate::admin::server::{Calls, Keeper, MOST_CALLERS};
+use crate::config::operator_file::Operator;
+use crate::config::settings::Config;
 use crate::counter::{Counter, LANES};
+use crate::decision::ListKind;
 use crate::discovery::follow;
-use crate::front::http2::Http2Front;
-use crate::front::resp::RespFront;
+use crate::discovery::inventory::{Inventory, InventoryError};
+use crate::frontend::http2::Http2Front;
+use crate::frontend::resp::RespFront;
 use crate::group::{self, Group, GroupError, View};
-use crate::handover::Handover;
-use crate::hub::{Hub, Network};
-use crate::inventory::{Inventory, InventoryError};
-use crate::operator::Operator;
 use crate::plugin::{Plugin, PluginError};
+use crate::request::Effect;
+use crate::routing::reload::{Reading, ReloadError, RuleReload};
 use crate::routing::{catalog, Source, MEMORY_SHARE};
-use crate::rule_reload::{Reading, ReloadError, RuleReload};
-use crate::settings::Config;
+use crate::runtime::clock::Clock;
+use crate::runtime::dispatcher::{Hub, Network};
+use crate::runtime::process_takeover::Handover;
 use crate::upstream::Upstream;
 use driftgap_group::Kind;
 use socket2::Socket;
@@ -54,10 +54,10 @@
 pub enum StartError {
     /// The settings make no sense to the module.
     #[error("settings: {0}")]
-    Settings(#[from] crate::api::SettingsError),
+    Settings(#[from] crate::decision::SettingsError),
     /// The list in `known` makes no sense.
     #[error("known: {0}")]
-    Known(#[from] crate::name_table::BadList),
+    Known(#[from] crate::discovery::registry::BadList),
     /// The address cannot be listened on.
     #[error("listen: {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
--- a/src/upstream.rs
+++ b/src/upstream/mod.rs
@@ -3,19 +3,19 @@
 //! failed connects, and the word on whether an attempt may have run. It must never send an attempt again of its own accord, leave an
 //! abandoned attempt's connection open, or reuse one whose peer has closed it.
 
-use crate::api::Outcome;
-use crate::core::{pairs, End, Start, Value};
-use crate::facade::{CommandId, InstanceId};
-use crate::flow::Intake;
-use crate::hub::Hub;
-use crate::name_table::Speaks;
-use crate::ring::Ring;
-use crate::settings::Platform;
-use crate::wire::{
+use crate::buffer::body_stream::Intake;
+use crate::buffer::ring_buffer::Ring;
+use crate::config::settings::Platform;
+use crate::decision::driver::{CommandId, InstanceId};
+use crate::decision::Outcome;
+use crate::discovery::registry::Speaks;
+use crate::protocol::http2;
+use crate::protocol::resp::{
     self, instance_reply, large_reply, large_rest, push_command, push_words, Large, Parsed, Reply,
     MOST_PASSED, MOST_VALUE,
 };
-use crate::wire_http2;
+use crate::request::{pairs, End, Start, Value};
+use crate::runtime::dispatcher::Hub;
 use bytes::Bytes;
 use h2::client::SendRequest;
 use h2::{RecvStream, SendStream};
@@ -554,7 +554,7 @@
     }
     shared.used.set(now);
     let wait = attempt.until - now;
-    let Ok(request) = wire_http2::request(hub.platform(), &attempt.command, wait) else {
+    let Ok(request) = http2::request(hub.platform(), &attempt.command, wait) else {
         return never;
     };
     let body = attempt.command.body.as_ref();
@@ -581,19 +581,19 @@
     let platform = up.hub.platform();
     let (head, mut stream) = match response.await {
         Ok(response) => response.into_parts(),
-        Err(e) => return End::without(wire_http2::broken(&e)),
+        Err(e) => return End::without(http2::broken(&e)),
     };
-    let report = head.headers.get(wire_http2::LOAD);
+    let report = head.headers.get(http2::LOAD);
     let load = report.map_or(Vec::new(), |report| load(platform, report.as_bytes()));
-    let outcome = wire_http2::outcome(head.status, &head.headers);
+    let outcome = http2::outcome(head.status, &head.headers);
     if outcome != Outcome::Ok {
         return End {
             load,
             ..End::without(outcome)
         };
     }
-    let figures = head.headers.get(wire_http2::USE);
-    let cost = figures.and_then(|figures| wire::cost(platform, figures.as_bytes()));
+    let figures = head.headers.get(http2::USE);
+    let cost = figures.and_then(|figures| resp::cost(platform, figures.as_bytes()));
     let length = head.headers.get(http::header::CONTENT_LENGTH);
     let length = length.and_then(|length| length.to_str().ok()?.parse::<usize>().ok());
     if let Some(size) = length.filter(|size| (MOST_VALUE + 1..=MOST_PASSED).contains(size)) {
@@ -610,7 +610,7 @@
             cost,
         };
     }
-    match wire_http2::collect(&mut stream, STALLED * up.dial).await {
+    match http2::collect(&mut stream, STALLED * up.dial).await {
         Some(value) => End {
             outcome,
             value: Some(Value::Whole(value)),
@@ -771,7 +771,7 @@
         Reply::Array(items) => match items.as_slice() {
             [Reply::Bulk(Some(value)), rest @ ..] => {
                 let (value, load) = (Some(Value::Whole(value.to_vec())), report(platform, rest));
-                let cost = text_at(rest, 0).and_then(|figures| wire::cost(platform, figures));
+                let cost = text_at(rest, 0).and_then(|figures| resp::cost(platform, figures));
                 Some(End {
                     outcome: Outcome::Ok,
                     value,
@@ -893,7 +893,7 @@
         return (Outcome::Reset, Vec::new());
     };
     let (head, mut stream) = response.into_parts();
-    match wire_http2::collect(&mut stream, STALLED * up.dial).await {
+    match http2::collect(&mut stream, STALLED * up.dial).await {
         Some(report) if head.status == http::StatusCode::OK => {
             shared.heard.set(hub.now());
             (Outcome::Ok, load(hub.platform(), &report))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway under test with its settings, a clock and a record of what it did.
 #![allow(dead_code)]
 
-use driftgap::*;
+use driftgap::decision::*;
 
 pub fn class(effect: Effect, group: Group) -> Class {
     Class {
--- a/tests/module.rs
+++ b/tests/decision.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use driftgap::*;
+use driftgap::decision::*;
 
 /// Jams one host's worth of slow answers until the threshold is learnt, then stops.
 fn bed_with_threshold(settings: Settings) -> Bed {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use driftgap::*;
+use driftgap::decision::*;
 use std::collections::BTreeMap;
 
 /// What the counter does to a call.
--- a/tests/group/peers/instances.rs
+++ b/tests/group/peers/instances.rs
@@ -19,8 +19,8 @@
         spawn_local(async move {
             let mut buffer = Vec::new();
             while stream.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
-                while let Ok(driftgap::wire::Parsed::Whole(_, n)) =
-                    driftgap::wire::command_words(&buffer)
+                while let Ok(driftgap::protocol::resp::Parsed::Whole(_, n)) =
+                    driftgap::protocol::resp::command_words(&buffer)
                 {
                     buffer.drain(..n);
                     arrivals.borrow_mut().insert(name, Instant::now());
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,10 +1,10 @@
 //! Pools of many instances: what it takes to put rules in force while they are listed.
 
-use driftgap::clock::Clock;
-use driftgap::hub::Hub;
+use driftgap::config::settings::Config;
+use driftgap::decision::ListKind;
 use driftgap::routing::catalog;
-use driftgap::settings::Config;
-use driftgap::ListKind;
+use driftgap::runtime::clock::Clock;
+use driftgap::runtime::dispatcher::Hub;
 use driftgap_routes::Rules;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use driftgap::*;
+use driftgap::decision::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/tests/core.rs
+++ b/tests/request_lifecycle.rs
@@ -1,16 +1,16 @@
 //! The core alone, with a clock of the test's: no socket, no wire.
 
-use driftgap::core::{Answer, Command, Core, Effect, End, Start, Value};
-use driftgap::facade::{CommandId, Facade};
-use driftgap::settings::Config;
-use driftgap::{HostEntry, HostState, ListKind, Outcome};
+use driftgap::config::settings::Config;
+use driftgap::decision::driver::{CommandId, Facade};
+use driftgap::decision::{HostEntry, HostState, ListKind, Outcome};
+use driftgap::request::{Answer, Command, Core, Effect, End, Start, Value};
 use std::rc::Rc;
 
 const SETTINGS: &str = include_str!("stage/settings.json");
 const NOW: f64 = 1.0e12;
 
 /// The stage's settings with these texts replaced, each of which must be there.
-fn platform(changes: &[(&str, &str)]) -> Rc<driftgap::settings::Platform> {
+fn platform(changes: &[(&str, &str)]) -> Rc<driftgap::config::settings::Platform> {
     let mut text = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     for (old, new) in changes {
         assert!(text.contains(old), "{old}");
@@ -21,7 +21,7 @@
 
 struct Bed {
     core: Core,
-    platform: Rc<driftgap::settings::Platform>,
+    platform: Rc<driftgap::config::settings::Platform>,
 }
 
 impl Bed {
@@ -81,7 +81,7 @@
         state,
         size: 1.0,
         started: 0.0,
-        pools: driftgap::ALL_HOSTS,
+        pools: driftgap::decision::ALL_HOSTS,
     }
 }
 
@@ -142,7 +142,7 @@
     ]);
     let mut set = platform.module.clone();
     // A module that would send it anywhere: the core must hold it by itself.
-    set.classes[1].group = driftgap::Group::All;
+    set.classes[1].group = driftgap::decision::Group::All;
     for (zones, again) in [([0, 0], true), ([0, 1], false)] {
         let facade = Facade::new(set.clone(), 7).unwrap();
         let mut core = Core::new(platform.clone(), facade, 1 << 20);
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -59,8 +59,8 @@
 pub mod steady;
 
 use bytes::Bytes;
-use driftgap::wire::{command_words, instance_reply, Parsed, Reply};
-use driftgap::wire_http2::push_body;
+use driftgap::protocol::http2::push_body;
+use driftgap::protocol::resp::{command_words, instance_reply, Parsed, Reply};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::future::{poll_fn, Future};
--- a/tests/stage/steady.rs
+++ b/tests/stage/steady.rs
@@ -2,7 +2,7 @@
 
 use super::{read_some, Stage, Wire};
 use bytes::Bytes;
-use driftgap::wire::{instance_reply, Parsed, Reply};
+use driftgap::protocol::resp::{instance_reply, Parsed, Reply};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,9 @@
 //! The adapter's records against bytes worked out by hand from the wire page's layout, and its exits.
 
-#[path = "../src/bin/driftgap-adapter/wire.rs"]
+#[path = "../src/bin/driftgap-simulator-adapter/wire.rs"]
 mod wire;
 
-use driftgap::*;
+use driftgap::decision::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use wire::{encode, Reader, Record};
@@ -184,7 +184,7 @@
 }
 
 fn drill(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_driftgap-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_driftgap-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
