--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -4,16 +4,16 @@
 use std::net::SocketAddr;
 
 /// Longest line, its end included.
-pub const MOST_LINE: usize = 256;
-/// Longest id of an instance in a call.
-pub const MOST_ID: usize = 120;
+pub const MAX_LINE: usize = 256;
+/// Longest id of an endpoint in a call.
+pub const MAX_ID: usize = 120;
 
 /// What staff ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
     Status,
-    /// Take an instance out.
+    /// Take an endpoint out.
     Suspend(String),
     /// Put it back.
     Restore(String),
@@ -21,7 +21,7 @@
     Pause,
     /// Take clients again.
     Resume,
-    /// Take an instance out at this ingress alone, where it is in a group.
+    /// Take an endpoint out at this ingress alone, where it is in a group.
     SuspendHere(String),
     /// Put back what a call took out at this ingress alone.
     RestoreHere(String),
@@ -56,7 +56,7 @@
     /// Words are missing or too many.
     #[error("wrong number of words")]
     Words,
-    /// No instance can have this id.
+    /// No endpoint can have this id.
     #[error("no such id")]
     Id,
     /// No address stands where one has to.
@@ -76,19 +76,19 @@
     /// The line is no call, or will never be one.
     pub fn read(bytes: &[u8]) -> Result<Option<Call>, BadCall> {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-            return if bytes.len() >= MOST_LINE {
+            return if bytes.len() >= MAX_LINE {
                 Err(BadCall::Long)
             } else {
                 Ok(None)
             };
         };
-        if end >= MOST_LINE {
+        if end >= MAX_LINE {
             return Err(BadCall::Long);
         }
         let line = std::str::from_utf8(&bytes[..end]).map_err(|_| BadCall::Name)?;
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         let id = |id: &str| {
-            let plain = id.len() <= MOST_ID && id.bytes().all(|b| b.is_ascii_graphic());
+            let plain = id.len() <= MAX_ID && id.bytes().all(|b| b.is_ascii_graphic());
             plain.then(|| id.to_string()).ok_or(BadCall::Id)
         };
         match words.as_slice() {
@@ -175,8 +175,8 @@
 
     #[test]
     fn what_is_no_call_is_named() {
-        let long = [b"SUSPEND ".as_slice(), &[b'x'; MOST_LINE]].concat();
-        let id = [b"SUSPEND ".as_slice(), &[b'x'; MOST_ID + 1], b"\n"].concat();
+        let long = [b"SUSPEND ".as_slice(), &[b'x'; MAX_LINE]].concat();
+        let id = [b"SUSPEND ".as_slice(), &[b'x'; MAX_ID + 1], b"\n"].concat();
         assert_eq!(
             Call::read(b"RESTORE s-1 HERE\n"),
             Ok(Some(Call::RestoreHere("s-1".into())))
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -3,30 +3,30 @@
 
 /// Those who send clients here hear a no within this long, ms: until then new ones keep coming.
 pub const NOTICE_MS: f64 = 400.0;
-/// So long after a call to empty the ingress, commands that still come are turned away unsent, ms.
-pub const EMPTY_MS: f64 = 1500.0;
+/// So long after a call to empty the ingress, commands that still come are rejected unsent, ms.
+pub const DRAINED_MS: f64 = 1500.0;
 
 /// What becomes of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
+pub enum DrainState {
     /// They are served.
-    Open,
+    Serving,
     /// They are told to go elsewhere, and served: those who send them have not heard of it yet.
     Notice,
     /// Connections end as soon as nothing is owed on them; commands that cross that are served.
-    Emptying,
-    /// As before, but commands are turned away unsent.
-    Empty,
+    Draining,
+    /// As before, but commands are rejected unsent.
+    Drained,
 }
 
 /// The stages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Door {
+pub struct DrainControl {
     paused: Option<f64>,
     stopped: Option<(f64, f64)>,
 }
 
-impl Door {
+impl DrainControl {
     /// A call to empty the ingress; false: it was being emptied before, and goes on from there.
     pub fn pause(&mut self, now: f64) -> bool {
         let first = self.paused.is_none();
@@ -55,19 +55,21 @@
     }
 
     /// What becomes of clients now.
-    pub fn way(&self, now: f64) -> Way {
-        let stopped = self.stopped.map_or(Way::Open, |(since, notice)| {
+    pub fn state(&self, now: f64) -> DrainState {
+        let stopped = self.stopped.map_or(DrainState::Serving, |(since, notice)| {
             if now - since < notice {
-                Way::Notice
+                DrainState::Notice
             } else {
-                Way::Emptying
+                DrainState::Draining
             }
         });
-        let paused = self.paused.map_or(Way::Open, |since| match now - since {
-            ms if ms < NOTICE_MS => Way::Notice,
-            ms if ms < EMPTY_MS => Way::Emptying,
-            _ => Way::Empty,
-        });
+        let paused = self
+            .paused
+            .map_or(DrainState::Serving, |since| match now - since {
+                ms if ms < NOTICE_MS => DrainState::Notice,
+                ms if ms < DRAINED_MS => DrainState::Draining,
+                _ => DrainState::Drained,
+            });
         stopped.max(paused)
     }
 }
@@ -78,42 +80,46 @@
 
     #[test]
     fn a_call_empties_it_by_stages_and_another_takes_clients_again() {
-        let mut door = Door::default();
-        assert_eq!(door.way(1e12), Way::Open);
+        let mut drain = DrainControl::default();
+        assert_eq!(drain.state(1e12), DrainState::Serving);
         assert!(
-            door.pause(1000.0) && !door.pause(1300.0),
+            drain.pause(1000.0) && !drain.pause(1300.0),
             "a repeated call does not begin anew"
         );
-        let way = |ms: f64| door.way(ms);
+        let way = |ms: f64| drain.state(ms);
         assert_eq!(
             [1000.0, 1399.0, 1400.0, 2499.0, 2500.0, 1e9].map(way),
             [
-                Way::Notice,
-                Way::Notice,
-                Way::Emptying,
-                Way::Emptying,
-                Way::Empty,
-                Way::Empty
+                DrainState::Notice,
+                DrainState::Notice,
+                DrainState::Draining,
+                DrainState::Draining,
+                DrainState::Drained,
+                DrainState::Drained
             ]
         );
-        assert!(door.paused() && door.resume() && !door.resume() && !door.paused());
-        assert_eq!(door.way(5000.0), Way::Open);
+        assert!(drain.paused() && drain.resume() && !drain.resume() && !drain.paused());
+        assert_eq!(drain.state(5000.0), DrainState::Serving);
     }
 
     #[test]
     fn a_stop_serves_what_still_comes_and_nothing_takes_it_back() {
-        let mut door = Door::default();
-        door.stop(1000.0, 500.0);
-        door.stop(9000.0, 0.0);
+        let mut drain = DrainControl::default();
+        drain.stop(1000.0, 500.0);
+        drain.stop(9000.0, 0.0);
         assert_eq!(
-            [1499.0, 1500.0, 1e9].map(|ms| door.way(ms)),
-            [Way::Notice, Way::Emptying, Way::Emptying]
+            [1499.0, 1500.0, 1e9].map(|ms| drain.state(ms)),
+            [
+                DrainState::Notice,
+                DrainState::Draining,
+                DrainState::Draining
+            ]
         );
-        assert!(!door.resume() && door.stopped() && !door.paused());
-        door.pause(1400.0);
+        assert!(!drain.resume() && drain.stopped() && !drain.paused());
+        drain.pause(1400.0);
         assert_eq!(
-            [1500.0, 3000.0].map(|ms| door.way(ms)),
-            [Way::Emptying, Way::Empty],
+            [1500.0, 3000.0].map(|ms| drain.state(ms)),
+            [DrainState::Draining, DrainState::Drained],
             "the further one counts"
         );
     }
--- a/crates/admin/src/exclusions.rs
+++ b/crates/admin/src/exclusions.rs
@@ -1,4 +1,4 @@
-//! Instances that staff have taken out. It owns which names are out, and which were ever listed: a call for a name
+//! Endpoints that staff have taken out. It owns which names are out, and which were ever listed: a call for a name
 //! that never was is a slip of the pen and gets a no. It must never forget a name that is out before the call that
 //! puts it back, whatever the lists say meanwhile, nor hold more names than its bounds.
 
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 
 /// Most names that are out at a time.
-pub const MOST_BANS: usize = 1024;
+pub const MAX_EXCLUDED: usize = 1024;
 /// Names remembered as listed once; beyond, those first seen go first. Bounds memory on long days.
-const MOST_SEEN: usize = 8192;
+const MAX_SEEN: usize = 8192;
 
 /// What has become of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ban {
+pub enum ExclusionOutcome {
     /// It is done.
     Done,
     /// It was so before.
     Before,
-    /// No list has ever named such an instance.
+    /// No list has ever named such an endpoint.
     Unknown,
     /// Too many are out.
     TooMany,
@@ -25,7 +25,7 @@
 
 /// Names that are out, and names ever listed.
 #[derive(Clone, Debug, Default)]
-pub struct Bans {
+pub struct ExcludedEndpoints {
     out: BTreeSet<String>,
     /// Those that the group of ingresses has taken out.
     group: Arc<BTreeSet<String>>,
@@ -33,13 +33,13 @@
     order: VecDeque<String>,
 }
 
-impl Bans {
-    /// A list names this instance.
+impl ExcludedEndpoints {
+    /// A list names this endpoint.
     pub fn listed(&mut self, name: &str) {
         if !self.seen.contains(name) {
             self.seen.insert(name.to_string());
             self.order.push_back(name.to_string());
-            if self.order.len() > MOST_SEEN {
+            if self.order.len() > MAX_SEEN {
                 if let Some(first) = self.order.pop_front() {
                     self.seen.remove(&first);
                 }
@@ -58,7 +58,7 @@
     }
 
     /// Whether a call here has taken it out.
-    pub fn is_out_here(&self, name: &str) -> bool {
+    pub fn is_excluded_here(&self, name: &str) -> bool {
         self.out.contains(name)
     }
 
@@ -68,41 +68,41 @@
     }
 
     /// What the group holds from now on; the names that have changed.
-    pub fn group_holds(&mut self, names: Arc<BTreeSet<String>>) -> Vec<String> {
+    pub fn set_group_exclusions(&mut self, names: Arc<BTreeSet<String>>) -> Vec<String> {
         let changed = self.group.symmetric_difference(&names).cloned().collect();
         self.group = names;
         changed
     }
 
     /// Takes one out.
-    pub fn suspend(&mut self, name: &str) -> Ban {
+    pub fn suspend(&mut self, name: &str) -> ExclusionOutcome {
         if self.out.contains(name) {
-            return Ban::Before;
+            return ExclusionOutcome::Before;
         }
         if !self.seen.contains(name) {
-            return Ban::Unknown;
+            return ExclusionOutcome::Unknown;
         }
-        if self.out.len() >= MOST_BANS {
-            return Ban::TooMany;
+        if self.out.len() >= MAX_EXCLUDED {
+            return ExclusionOutcome::TooMany;
         }
         self.out.insert(name.to_string());
-        Ban::Done
+        ExclusionOutcome::Done
     }
 
     /// Puts one back.
-    pub fn restore(&mut self, name: &str) -> Ban {
+    pub fn restore(&mut self, name: &str) -> ExclusionOutcome {
         if self.out.remove(name) {
-            Ban::Done
+            ExclusionOutcome::Done
         } else if self.seen.contains(name) {
-            Ban::Before
+            ExclusionOutcome::Before
         } else {
-            Ban::Unknown
+            ExclusionOutcome::Unknown
         }
     }
 
     /// Takes over what another process of this ingress holds; the names that have changed.
     pub fn take_over(&mut self, names: BTreeSet<String>) -> Vec<String> {
-        let names: BTreeSet<String> = names.into_iter().take(MOST_BANS).collect();
+        let names: BTreeSet<String> = names.into_iter().take(MAX_EXCLUDED).collect();
         let changed = self.out.symmetric_difference(&names).cloned().collect();
         self.out = names;
         changed
@@ -115,60 +115,69 @@
 
     #[test]
     fn calls_out_may_be_repeated_and_one_call_back_ends_it() {
-        let mut bans = Bans::default();
-        bans.listed("s-1");
-        assert_eq!(bans.suspend("s-1"), Ban::Done);
-        assert_eq!(bans.suspend("s-1"), Ban::Before);
-        assert!(bans.is_out("s-1"));
-        assert_eq!(bans.restore("s-1"), Ban::Done);
-        assert_eq!(bans.restore("s-1"), Ban::Before);
-        assert!(!bans.is_out("s-1"));
+        let mut excluded = ExcludedEndpoints::default();
+        excluded.listed("s-1");
+        assert_eq!(excluded.suspend("s-1"), ExclusionOutcome::Done);
+        assert_eq!(excluded.suspend("s-1"), ExclusionOutcome::Before);
+        assert!(excluded.is_out("s-1"));
+        assert_eq!(excluded.restore("s-1"), ExclusionOutcome::Done);
+        assert_eq!(excluded.restore("s-1"), ExclusionOutcome::Before);
+        assert!(!excluded.is_out("s-1"));
         assert_eq!(
-            (bans.suspend("s-2"), bans.restore("s-2")),
-            (Ban::Unknown, Ban::Unknown)
+            (excluded.suspend("s-2"), excluded.restore("s-2")),
+            (ExclusionOutcome::Unknown, ExclusionOutcome::Unknown)
         );
     }
 
     #[test]
     fn what_is_out_stays_out_however_many_names_come_by() {
-        let mut bans = Bans::default();
-        bans.listed("s-1");
-        bans.suspend("s-1");
-        (0..2 * MOST_SEEN).for_each(|i| bans.listed(&format!("n-{i}")));
+        let mut excluded = ExcludedEndpoints::default();
+        excluded.listed("s-1");
+        excluded.suspend("s-1");
+        (0..2 * MAX_SEEN).for_each(|i| excluded.listed(&format!("n-{i}")));
         assert!(
-            bans.is_out("s-1") && bans.seen.len() == MOST_SEEN && bans.order.len() == MOST_SEEN
+            excluded.is_out("s-1")
+                && excluded.seen.len() == MAX_SEEN
+                && excluded.order.len() == MAX_SEEN
         );
-        assert_eq!(bans.suspend("s-1"), Ban::Before);
-        assert_eq!(bans.restore("s-1"), Ban::Done);
-        let full = (0..MOST_BANS)
-            .all(|i| bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - i)) == Ban::Done);
+        assert_eq!(excluded.suspend("s-1"), ExclusionOutcome::Before);
+        assert_eq!(excluded.restore("s-1"), ExclusionOutcome::Done);
+        let full = (0..MAX_EXCLUDED).all(|i| {
+            excluded.suspend(&format!("n-{}", 2 * MAX_SEEN - 1 - i)) == ExclusionOutcome::Done
+        });
         assert!(
-            full && bans.suspend(&format!("n-{}", 2 * MOST_SEEN - 1 - MOST_BANS)) == Ban::TooMany
+            full && excluded.suspend(&format!("n-{}", 2 * MAX_SEEN - 1 - MAX_EXCLUDED))
+                == ExclusionOutcome::TooMany
         );
     }
 
     #[test]
     fn another_process_says_what_is_out() {
-        let mut bans = Bans::default();
+        let mut excluded = ExcludedEndpoints::default();
         ["s-1", "s-2", "s-3"]
             .iter()
-            .for_each(|name| bans.listed(name));
-        bans.suspend("s-1");
-        bans.suspend("s-2");
-        let changed = bans.take_over(["s-2".to_string(), "s-4".to_string()].into());
+            .for_each(|name| excluded.listed(name));
+        excluded.suspend("s-1");
+        excluded.suspend("s-2");
+        let changed = excluded.take_over(["s-2".to_string(), "s-4".to_string()].into());
         assert_eq!(changed, ["s-1", "s-4"]);
-        assert_eq!(bans.out().collect::<Vec<_>>(), ["s-2", "s-4"]);
+        assert_eq!(excluded.out().collect::<Vec<_>>(), ["s-2", "s-4"]);
     }
 
     #[test]
     fn what_the_group_holds_stands_beside_what_was_said_here() {
-        let mut bans = Bans::default();
-        ["s-1", "s-2"].iter().for_each(|name| bans.listed(name));
-        bans.suspend("s-1");
+        let mut excluded = ExcludedEndpoints::default();
+        ["s-1", "s-2"].iter().for_each(|name| excluded.listed(name));
+        excluded.suspend("s-1");
         let held = |names: &[&str]| Arc::new(names.iter().map(|n| n.to_string()).collect());
-        assert_eq!(bans.group_holds(held(&["s-1", "s-2"])), ["s-1", "s-2"]);
-        assert_eq!(bans.out().collect::<Vec<_>>(), ["s-1", "s-2"]);
-        assert_eq!(bans.group_holds(held(&[])), ["s-1", "s-2"]);
-        assert!(bans.is_out("s-1") && bans.is_out_here("s-1") && !bans.is_out("s-2"));
+        assert_eq!(
+            excluded.set_group_exclusions(held(&["s-1", "s-2"])),
+            ["s-1", "s-2"]
+        );
+        assert_eq!(excluded.out().collect::<Vec<_>>(), ["s-1", "s-2"]);
+        assert_eq!(excluded.set_group_exclusions(held(&[])), ["s-1", "s-2"]);
+        assert!(
+            excluded.is_out("s-1") && excluded.is_excluded_here("s-1") && !excluded.is_out("s-2")
+        );
     }
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,6 +1,6 @@
 //! What staff tell a running ingress, as decisions without I/O or a clock: the grammar of their calls, the list of
-//! instances taken out, and how far the ingress has been emptied. It owns what each call means. It must never open
-//! a socket or a file, ask for the time, or decide which instance gets a command.
+//! endpoints taken out, and how far the ingress has been emptied. It owns what each call means. It must never open
+//! a socket or a file, ask for the time, or decide which endpoint gets a command.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -9,6 +9,6 @@
 mod drain;
 mod exclusions;
 
-pub use call::{Answer, BadCall, Call, GroupCall, MOST_ID, MOST_LINE};
-pub use drain::{Door, Way, EMPTY_MS, NOTICE_MS};
-pub use exclusions::{Ban, Bans, MOST_BANS};
+pub use call::{Answer, BadCall, Call, GroupCall, MAX_ID, MAX_LINE};
+pub use drain::{DrainControl, DrainState, DRAINED_MS, NOTICE_MS};
+pub use exclusions::{ExcludedEndpoints, ExclusionOutcome, MAX_EXCLUDED};
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -7,7 +7,7 @@
 use std::ops::Range;
 
 /// Deepest nesting, in nodes.
-pub const MOST_DEPTH: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Binary {
@@ -111,7 +111,7 @@
 }
 
 fn too_deep(span: Range<usize>) -> Error {
-    Error::new(span, format!("nested deeper than {MOST_DEPTH}"))
+    Error::new(span, format!("nested deeper than {MAX_DEPTH}"))
         .help("a `let` or a list with `in` is flatter")
 }
 
@@ -173,14 +173,14 @@
                 .max()
                 .unwrap_or(0),
         };
-        if depth > MOST_DEPTH {
+        if depth > MAX_DEPTH {
             return Err(too_deep(span));
         }
         Ok(Tree { what, span, depth })
     }
 
     fn expression(&mut self) -> Result<Tree, Error> {
-        if self.depth >= MOST_DEPTH {
+        if self.depth >= MAX_DEPTH {
             return Err(too_deep(self.span()));
         }
         self.depth += 1;
@@ -259,9 +259,9 @@
     }
 
     /// Operators that bind at least as tightly as `least`; the recursion is three deep at most.
-    fn binary(&mut self, least: u8) -> Result<Tree, Error> {
+    fn binary(&mut self, min: u8) -> Result<Tree, Error> {
         let mut left = self.unary()?;
-        while let Some((operator, level)) = self.operator().filter(|(_, level)| *level >= least) {
+        while let Some((operator, level)) = self.operator().filter(|(_, level)| *level >= min) {
             self.at += 1;
             let right = self.binary(level + 1)?;
             let span = left.span.start..right.span.end;
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -23,19 +23,19 @@
 use std::sync::Arc;
 
 /// Longest pattern of a regular expression, and most memory that its compiled form may take, bytes.
-pub const MOST_PATTERN: usize = 512;
-/// See [`MOST_PATTERN`].
-pub const MOST_REGEX: usize = 64 * 1024;
+pub const MAX_PATTERN: usize = 512;
+/// See [`MAX_PATTERN`].
+pub const MAX_REGEX: usize = 64 * 1024;
 /// Most regular expressions in one expression.
-pub const MOST_REGEXES: usize = 16;
+pub const MAX_REGEXES: usize = 16;
 /// Most parts that `split` gives.
-pub const MOST_PARTS: i64 = 64;
+pub const MAX_PARTS: i64 = 64;
 /// Most names of the expression's own (`let`, `exists`, `all`), hidden ones of loops included.
-pub const MOST_LOCALS: usize = 32;
+pub const MAX_LOCALS: usize = 32;
 /// Longest text that an expression may make, bytes.
-pub const MOST_MADE: u32 = 64 * 1024;
+pub const MAX_MADE: u32 = 64 * 1024;
 /// Longest duration, ms: 100 years.
-const MOST_DURATION: f64 = 3.2e12;
+const MAX_DURATION: f64 = 3.2e12;
 
 /// A name of the expression's own.
 #[derive(Clone, Debug)]
@@ -226,10 +226,10 @@
             ));
         }
         let slot = self.slots;
-        if usize::from(slot + slots) > MOST_LOCALS {
+        if usize::from(slot + slots) > MAX_LOCALS {
             return Err(Error::new(
                 span,
-                format!("more than {MOST_LOCALS} names of the expression's own"),
+                format!("more than {MAX_LOCALS} names of the expression's own"),
             ));
         }
         self.slots += slots;
@@ -528,9 +528,9 @@
             }
             Binary::Add if ta == Text && tb == Text => {
                 let bytes = a.bound.bytes.saturating_add(b.bound.bytes);
-                if bytes > MOST_MADE {
+                if bytes > MAX_MADE {
                     let problem =
-                        format!("this may make a text of {bytes} bytes, {MOST_MADE} are the most");
+                        format!("this may make a text of {bytes} bytes, {MAX_MADE} are the most");
                     return Err(Error::new(span, problem));
                 }
                 return fit(Text, bounded(bytes, 0), a, b);
@@ -770,7 +770,7 @@
             return Err(mismatch(&a.span, "string", &a));
         }
         match n.as_const() {
-            Some(Const::Int(most)) if *most >= 1 && *most <= i64::from(u32::MAX) => Ok(Node::new(
+            Some(Const::Int(max)) if *max >= 1 && *max <= i64::from(u32::MAX) => Ok(Node::new(
                 Kind::Call(Func::Hash, vec![a, n]),
                 Type::Int,
                 Bound::default(),
@@ -876,23 +876,23 @@
                         "split() takes a text that is written out and not empty",
                     ));
                 }
-                let most = match args.get(1) {
+                let max = match args.get(1) {
                     None => Node::constant(Const::Int(16), span.clone()),
-                    Some(most) => self.check(most, facts)?,
+                    Some(max) => self.check(max, facts)?,
                 };
-                let parts = match most.as_const() {
-                    Some(Const::Int(parts)) if (1..=MOST_PARTS).contains(parts) => *parts as u32,
+                let parts = match max.as_const() {
+                    Some(Const::Int(parts)) if (1..=MAX_PARTS).contains(parts) => *parts as u32,
                     _ => {
                         let problem = format!(
-                            "the most parts must be a number from 1 to {MOST_PARTS}, written out"
+                            "the most parts must be a number from 1 to {MAX_PARTS}, written out"
                         );
-                        return Err(Error::new(most.span, problem));
+                        return Err(Error::new(max.span, problem));
                     }
                 };
                 let bound = bounded(of.bound.bytes, parts);
                 let ty = Type::List(Type::Text.into());
                 Ok(Node::new(
-                    Kind::Call(Func::Split, vec![of, by, most]),
+                    Kind::Call(Func::Split, vec![of, by, max]),
                     ty,
                     bound,
                     span,
@@ -931,23 +931,23 @@
                 .help("a pattern that is computed has no cost that is known before use"));
         };
         self.regexes += 1;
-        if self.regexes > MOST_REGEXES {
+        if self.regexes > MAX_REGEXES {
             return Err(Error::new(
                 span,
-                format!("more than {MOST_REGEXES} regular expressions"),
+                format!("more than {MAX_REGEXES} regular expressions"),
             ));
         }
-        if text.len() > MOST_PATTERN {
+        if text.len() > MAX_PATTERN {
             let problem = format!(
-                "the pattern has {} bytes, {MOST_PATTERN} are the most",
+                "the pattern has {} bytes, {MAX_PATTERN} are the most",
                 text.len()
             );
             return Err(Error::new(pattern.span, problem));
         }
         if let Err(e) = Pattern::new(&text) {
             let problem = match &e {
-                regex::Error::CompiledTooBig(most) => {
-                    format!("the pattern takes more than {most} bytes")
+                regex::Error::CompiledTooBig(max) => {
+                    format!("the pattern takes more than {max} bytes")
                 }
                 e => {
                     let told = e.to_string();
@@ -1098,5 +1098,5 @@
         ms += number * factor;
         rest = &rest[unit.len()..];
     }
-    (ms <= MOST_DURATION).then_some((sign * ms).round() as i64)
+    (ms <= MAX_DURATION).then_some((sign * ms).round() as i64)
 }
--- a/crates/expr/src/check/leaves.rs
+++ b/crates/expr/src/check/leaves.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 
 /// Most values that are told apart of one expression.
-const MOST_LEAVES: usize = 512;
+const MAX_LEAVES: usize = 512;
 
 /// A value that an expression may have, and what is known of the input where it has it.
 pub(crate) enum Leaf {
@@ -35,7 +35,7 @@
         lets: &mut Vec<(u16, &'n Node)>,
         found: &mut Leaves,
     ) -> Option<()> {
-        if found.len() >= MOST_LEAVES {
+        if found.len() >= MAX_LEAVES {
             return None;
         }
         let span = node.span.clone();
@@ -108,6 +108,6 @@
                 found.push((leaf, facts, span));
             }
         }
-        (found.len() <= MOST_LEAVES).then_some(())
+        (found.len() <= MAX_LEAVES).then_some(())
     }
 }
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -257,8 +257,8 @@
     /// It is no pattern, or takes too much memory.
     pub(crate) fn new(text: &Arc<str>) -> Result<Pattern, regex::Error> {
         let regex = RegexBuilder::new(text)
-            .size_limit(crate::check::MOST_REGEX)
-            .dfa_size_limit(crate::check::MOST_REGEX)
+            .size_limit(crate::check::MAX_REGEX)
+            .dfa_size_limit(crate::check::MAX_REGEX)
             .nest_limit(24)
             .build()?;
         Ok(Pattern {
--- a/crates/expr/src/error.rs
+++ b/crates/expr/src/error.rs
@@ -5,7 +5,7 @@
 use std::ops::Range;
 
 /// Longest part of a source line that is shown, in characters.
-const MOST_SHOWN: usize = 120;
+const MAX_SHOWN: usize = 120;
 
 /// Where an expression's text begins in the file that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,16 +88,16 @@
         let line_end = text[start..].find('\n').map_or(text.len(), |at| start + at);
         let column = text[line_start..start].chars().count();
         // A long line is cut so that the caret is in what is left of it.
-        let skipped = column.saturating_sub(MOST_SHOWN / 2);
+        let skipped = column.saturating_sub(MAX_SHOWN / 2);
         let shown: String = text[line_start..line_end]
             .chars()
             .skip(skipped)
-            .take(MOST_SHOWN)
+            .take(MAX_SHOWN)
             .collect();
         let caret = column - skipped;
         let width = text[start..end.min(line_end).max(start)]
             .chars()
-            .take(MOST_SHOWN)
+            .take(MAX_SHOWN)
             .count();
         let room = shown.chars().count().saturating_sub(caret).max(1);
         self.place = Place {
@@ -173,10 +173,10 @@
     if wrong.len() > 64 {
         return None;
     }
-    let most = (wrong.chars().count() / 3).clamp(1, 2);
+    let max = (wrong.chars().count() / 3).clamp(1, 2);
     known
         .map(|name| (strsim::damerau_levenshtein(wrong, name), name))
-        .filter(|(distance, _)| *distance <= most)
+        .filter(|(distance, _)| *distance <= max)
         .min_by_key(|(distance, _)| *distance)
         .map(|(_, name)| name)
 }
--- a/crates/expr/src/explain.rs
+++ b/crates/expr/src/explain.rs
@@ -8,7 +8,7 @@
 use crate::Expression;
 
 /// Most parts that are shown.
-const MOST_STEPS: usize = 200;
+const MAX_STEPS: usize = 200;
 
 /// A part of an expression and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
         lets: &mut Vec<(u16, &'n Node)>,
         steps: &mut Vec<Step>,
     ) -> Option<bool> {
-        if steps.len() >= MOST_STEPS {
+        if steps.len() >= MAX_STEPS {
             return None;
         }
         let text = self
--- a/crates/expr/src/facts.rs
+++ b/crates/expr/src/facts.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Most texts that are kept of one place; beyond that less is known.
-const MOST_TEXTS: usize = 8192;
+const MAX_TEXTS: usize = 8192;
 
 /// A place whose value facts can be about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,7 +72,7 @@
         let prefixes = match (self.known_prefixes(), other.known_prefixes()) {
             // The texts say it all.
             _ if matches!((&self.texts, &other.texts), (Texts::In(_), Texts::In(_))) => None,
-            (Some(a), Some(b)) if a.len() + b.len() <= MOST_TEXTS => {
+            (Some(a), Some(b)) if a.len() + b.len() <= MAX_TEXTS => {
                 Some(a.union(b).cloned().collect())
             }
             _ => None,
@@ -103,7 +103,7 @@
             }
         };
         let texts = match texts {
-            Texts::In(all) if all.len() > MOST_TEXTS => Texts::NotIn(TextSet::new()),
+            Texts::In(all) if all.len() > MAX_TEXTS => Texts::NotIn(TextSet::new()),
             texts => texts,
         };
         let present = if self.present == other.present {
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -6,11 +6,11 @@
 use std::ops::Range;
 
 /// Longest text of one expression, bytes.
-pub const MOST_TEXT: usize = 64 * 1024;
+pub const MAX_TEXT: usize = 64 * 1024;
 /// Most tokens of one expression.
-pub const MOST_TOKENS: usize = 16 * 1024;
+pub const MAX_TOKENS: usize = 16 * 1024;
 /// Longest literal, bytes.
-pub const MOST_LITERAL: usize = 4096;
+pub const MAX_LITERAL: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Token {
@@ -51,9 +51,9 @@
 
 /// Tokens with their places; the last is [`Token::End`].
 pub(crate) fn tokens(text: &str) -> Result<Vec<(Token, Range<usize>)>, Error> {
-    if text.len() > MOST_TEXT {
+    if text.len() > MAX_TEXT {
         let problem = format!(
-            "the expression has {} bytes, {MOST_TEXT} are the most",
+            "the expression has {} bytes, {MAX_TEXT} are the most",
             text.len()
         );
         return Err(Error::new(0..1, problem));
@@ -70,8 +70,8 @@
             at += rest.find('\n').unwrap_or(rest.len());
             continue;
         }
-        if found.len() >= MOST_TOKENS {
-            let problem = format!("the expression has more than {MOST_TOKENS} words and signs");
+        if found.len() >= MAX_TOKENS {
+            let problem = format!("the expression has more than {MAX_TOKENS} words and signs");
             return Err(Error::new(at..at + 1, problem));
         }
         let raw = matches!(first, 'r' | 'R') && rest[1..].starts_with(['"', '\'']);
@@ -163,8 +163,8 @@
             let error = Error::new(at..at + place, "the text does not end");
             return Err(error.help(format!("it began with {close}")));
         };
-        if value.len() >= MOST_LITERAL {
-            let problem = format!("the text is longer than {MOST_LITERAL} bytes");
+        if value.len() >= MAX_LITERAL {
+            let problem = format!("the text is longer than {MAX_LITERAL} bytes");
             return Err(Error::new(at..at + 1, problem));
         }
         if c == '\\' && !raw {
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -54,14 +54,14 @@
 mod select_key;
 mod text_index;
 
-pub use ast::MOST_DEPTH;
-pub use check::{MOST_LOCALS, MOST_MADE, MOST_PARTS, MOST_PATTERN, MOST_REGEX, MOST_REGEXES};
+pub use ast::MAX_DEPTH;
+pub use check::{MAX_LOCALS, MAX_MADE, MAX_PARTS, MAX_PATTERN, MAX_REGEX, MAX_REGEXES};
 pub use compiled::Compiled;
 pub use error::{Error, Origin};
 pub use explain::Step;
 pub use facts::{Fact, Facts, Path, Texts};
 pub use interner::Interner;
-pub use lex::{MOST_LITERAL, MOST_TEXT, MOST_TOKENS};
+pub use lex::{MAX_LITERAL, MAX_TEXT, MAX_TOKENS};
 pub use machine::{Fault, Scratch};
 pub use schema::{Bound, Field, FieldId, Input, Schema, Type, Value};
 pub use select::{Chosen, Selector};
@@ -177,7 +177,7 @@
         schema: &Schema,
         facts: &Facts,
         want: &Type,
-        most: u64,
+        max: u64,
     ) -> Result<Expression, Error> {
         let expression = Expression::knowing(text, schema, facts)?;
         if expression.ty() != want {
@@ -193,10 +193,10 @@
             };
             return Err(error.help(help).located(text));
         }
-        if expression.cost() > most {
+        if expression.cost() > max {
             let (span, cost) = expression.costliest();
             let problem = format!(
-                "the expression may cost {} units, {most} are the most; this part of it costs {cost}",
+                "the expression may cost {} units, {max} are the most; this part of it costs {cost}",
                 expression.cost()
             );
             return Err(Error::new(span, problem).located(text));
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -369,17 +369,17 @@
                     let value = self.call(func, first, second)?;
                     stack.push(value);
                 }
-                Op::Hash(most) => {
+                Op::Hash(max) => {
                     let value = pop!();
                     self.spend(price::hash(self.length(value)))?;
                     let hash = rapidhash::v3::rapidhash_v3(self.text(value)?.as_bytes());
                     stack.push(StackValue::Int(
-                        ((u128::from(hash) * u128::from(most)) >> 64) as i64,
+                        ((u128::from(hash) * u128::from(max)) >> 64) as i64,
                     ));
                 }
-                Op::Split(by, most) => {
+                Op::Split(by, max) => {
                     let value = pop!();
-                    let value = self.split(value, by, usize::from(most))?;
+                    let value = self.split(value, by, usize::from(max))?;
                     stack.push(value);
                 }
                 Op::InSet(c) => {
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 /// Longest text that is read as a number or an address.
-const MOST_READ: usize = 64;
+const MAX_READ: usize = 64;
 
 impl<'a> Machine<'a, '_> {
     pub(super) fn equal(&self, a: StackValue<'a>, b: StackValue<'a>) -> Result<bool, Fault> {
@@ -176,7 +176,7 @@
                     StackValue::Double(_) => StackValue::Absent,
                     a => {
                         let text = self.text(a)?;
-                        let text = Some(text).filter(|t| t.len() <= MOST_READ);
+                        let text = Some(text).filter(|t| t.len() <= MAX_READ);
                         text.and_then(|t| t.parse().ok())
                             .map_or(StackValue::Absent, StackValue::Int)
                     }
@@ -188,7 +188,7 @@
                     StackValue::Int(v) => StackValue::Double(v as f64),
                     a => {
                         let text = self.text(a)?;
-                        let text = Some(text).filter(|t| t.len() <= MOST_READ);
+                        let text = Some(text).filter(|t| t.len() <= MAX_READ);
                         let value = text
                             .and_then(|t| t.parse::<f64>().ok())
                             .filter(|v| v.is_finite());
@@ -198,7 +198,7 @@
             }
             Func::ToIp => {
                 self.spend(price::READ)?;
-                let text = Some(self.text(a)?).filter(|t| t.len() <= MOST_READ);
+                let text = Some(self.text(a)?).filter(|t| t.len() <= MAX_READ);
                 Ok(text
                     .and_then(|t| t.parse().ok())
                     .map_or(StackValue::Absent, StackValue::Ip))
@@ -222,20 +222,16 @@
                 _ => Err(Fault::Input),
             },
             Func::Min | Func::Max => {
-                let least = func == Func::Min;
+                let min = func == Func::Min;
                 match (a, b) {
                     (StackValue::Int(a), StackValue::Int(b)) => {
-                        Ok(StackValue::Int(if least { a.min(b) } else { a.max(b) }))
+                        Ok(StackValue::Int(if min { a.min(b) } else { a.max(b) }))
                     }
                     (StackValue::Duration(a), StackValue::Duration(b)) => {
-                        Ok(StackValue::Duration(if least {
-                            a.min(b)
-                        } else {
-                            a.max(b)
-                        }))
+                        Ok(StackValue::Duration(if min { a.min(b) } else { a.max(b) }))
                     }
                     (StackValue::Double(a), StackValue::Double(b)) => {
-                        Ok(StackValue::Double(if least { a.min(b) } else { a.max(b) }))
+                        Ok(StackValue::Double(if min { a.min(b) } else { a.max(b) }))
                     }
                     _ => Err(Fault::Input),
                 }
@@ -259,7 +255,7 @@
         &mut self,
         value: StackValue<'a>,
         by: u16,
-        most: usize,
+        max: usize,
     ) -> Result<StackValue<'a>, Fault> {
         let Const::Text(by) = self.constant(by)? else {
             return Err(Fault::Input);
@@ -269,9 +265,9 @@
         self.copied(value)?;
         let first = self.scratch.parts.len() as u32;
         let mut from = start;
-        for count in 1..=most {
+        for count in 1..=max {
             let rest = self.scratch.text.get(from..).ok_or(Fault::Input)?;
-            let found = if count < most { rest.find(&**by) } else { None };
+            let found = if count < max { rest.find(&**by) } else { None };
             let to = found.map_or(self.scratch.text.len(), |at| from + at);
             self.spend(2)?;
             self.scratch.parts.push((from as u32, to as u32));
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -85,7 +85,7 @@
 }
 
 /// Most operands: their numbers have 16 bits.
-const MOST_OPERANDS: usize = 1 << 16;
+const MAX_OPERANDS: usize = 1 << 16;
 
 impl Coder<'_> {
     fn emit(&mut self, op: Op) -> usize {
@@ -95,7 +95,7 @@
 
     fn operand(&mut self, value: Operand) -> u16 {
         // The bound on tokens keeps it far below.
-        debug_assert!(self.operands.len() < MOST_OPERANDS);
+        debug_assert!(self.operands.len() < MAX_OPERANDS);
         self.operands.push(value);
         (self.operands.len() - 1) as u16
     }
@@ -304,20 +304,20 @@
         let first = &args[0];
         match func {
             Func::Hash => {
-                let most = match args[1].as_const() {
-                    Some(Const::Int(most)) => *most as u32,
+                let max = match args[1].as_const() {
+                    Some(Const::Int(max)) => *max as u32,
                     _ => 1,
                 };
-                self.unary(first, Op::Hash(most)) + price::hash(bytes(0))
+                self.unary(first, Op::Hash(max)) + price::hash(bytes(0))
             }
             Func::Split => {
-                let (Some(by), Some(Const::Int(most))) = (args[1].as_const(), args[2].as_const())
+                let (Some(by), Some(Const::Int(max))) = (args[1].as_const(), args[2].as_const())
                 else {
                     return 0;
                 };
-                let most = *most as u16;
+                let max = *max as u16;
                 let by = self.operand(Operand::Value(by.clone()));
-                self.unary(first, Op::Split(by, most)) + price::split(bytes(0), u64::from(most))
+                self.unary(first, Op::Split(by, max)) + price::split(bytes(0), u64::from(max))
             }
             Func::StartsWith
                 if self.text_field(first).is_some() && args[1].as_const().is_some() =>
--- a/crates/expr/src/select_key.rs
+++ b/crates/expr/src/select_key.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// A test that could be found by more texts than this is always looked at.
-const MOST_TEXTS: usize = 4096;
+const MAX_TEXTS: usize = 4096;
 
 /// A text that is held less often than this is about as good as one that only this test has.
 const FEW_HOLDERS: usize = 32;
@@ -49,7 +49,7 @@
             _ => return None,
         };
         let shortest = texts.iter().map(|text| text.len()).min()?;
-        let useful = texts.len() <= MOST_TEXTS && shortest > 0;
+        let useful = texts.len() <= MAX_TEXTS && shortest > 0;
         useful.then_some(Candidate {
             field: *field,
             whole,
--- a/crates/expr/tests/heap.rs
+++ b/crates/expr/tests/heap.rs
@@ -13,11 +13,11 @@
 
 const TESTS: usize = 10_000;
 /// Most bytes that one test may take in all, its key and its part of the index included.
-const MOST_BYTES: usize = 200;
+const MAX_BYTES: usize = 200;
 /// Most bytes that a further test may take whose body others have as well: that of its own handle.
-const MOST_SHARED_BYTES: usize = 32;
+const MAX_SHARED_BYTES: usize = 32;
 /// Most bytes a test that building an index may take for a while, beside the index.
-const MOST_TRANSIENT_BYTES: usize = 100;
+const MAX_TRANSIENT_BYTES: usize = 100;
 
 struct Tests {
     compiled: Vec<Compiled>,
@@ -76,7 +76,7 @@
             estimate / TESTS
         );
         assert!(
-            bytes <= MOST_BYTES * TESTS,
+            bytes <= MAX_BYTES * TESTS,
             "{}: {} bytes a test",
             text(0),
             bytes / TESTS
@@ -94,7 +94,7 @@
     let all: Vec<Compiled> = tests(&mut interner, |_| "request.path == '/a'".to_string()).compiled;
     let bytes = held(&region);
     assert!(
-        bytes <= MOST_SHARED_BYTES * TESTS,
+        bytes <= MAX_SHARED_BYTES * TESTS,
         "{} bytes a shared test",
         bytes / TESTS
     );
@@ -129,7 +129,7 @@
         transient / TESTS
     );
     assert!(
-        transient <= MOST_TRANSIENT_BYTES * TESTS,
+        transient <= MAX_TRANSIENT_BYTES * TESTS,
         "{} transient bytes a test",
         transient / TESTS
     );
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -168,7 +168,7 @@
 ];
 
 /// The time that refusing takes in this build, against the 100 ms that an optimised one may take.
-fn most() -> Duration {
+fn max() -> Duration {
     Duration::from_millis(if cfg!(debug_assertions) { 2000 } else { 100 })
 }
 
@@ -254,11 +254,7 @@
         let begun = Instant::now();
         let _ = Expression::new(&text, &schema());
         let took = begun.elapsed();
-        assert!(
-            took < most(),
-            "{took:?} for {}",
-            &text[..text.len().min(80)]
-        );
+        assert!(took < max(), "{took:?} for {}", &text[..text.len().min(80)]);
     }
 }
 
@@ -268,8 +264,8 @@
         "request.method == 'GET' && request.tags.exists(a, request.tags.exists(b, request.tags.exists(c, \
                  (a + b + c).matches('(x|y)+z'))))";
     let facts = driftgap_expr::Facts::default();
-    let most = |text: &str| Expression::within(text, &schema(), &facts, &Type::Bool, 2000);
-    let error = most(loops).unwrap_err();
+    let max = |text: &str| Expression::within(text, &schema(), &facts, &Type::Bool, 2000);
+    let error = max(loops).unwrap_err();
     let told = error.render("rules.toml", driftgap_expr::Origin::default());
     assert!(told.contains("2000 are the most"), "{told}");
     assert_eq!(
@@ -277,7 +273,7 @@
         "(a + b + c).matches('(x|y)+z')",
         "{told}"
     );
-    assert!(most("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
+    assert!(max("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
     let cost = |text| Expression::new(text, &schema()).unwrap().cost();
     assert!(cost("request.path == '/a' || request.path == '/b' || request.path == '/c'") < 20);
 }
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -13,7 +13,7 @@
 /// A wish is given up after this, ms.
 const PATIENCE_MS: f64 = 2000.0;
 /// Most wishes under way.
-const MOST_ASKS: usize = 256;
+const MAX_ASKS: usize = 256;
 /// A member that says nothing for so long is left for another one, ms.
 const SILENT_MS: f64 = 2000.0;
 /// So does one whose own copy is older than this, ms: longer than any change of leaders takes, and short enough for a
@@ -152,9 +152,9 @@
 
     /// Doubles with each of so many times from the first to the most, spread by half: every follower and every `turn` has
     /// another one.
-    fn pause(&self, (first, most): (f64, f64), times: u32, turn: u32) -> f64 {
+    fn pause(&self, (first, max): (f64, f64), times: u32, turn: u32) -> f64 {
         let spread = (hash(&self.name, &turn.to_string()) % 1000) as f64 / 1000.0;
-        (first * f64::from(1u32 << times.min(6))).min(most) * (0.5 + spread)
+        (first * f64::from(1u32 << times.min(6))).min(max) * (0.5 + spread)
     }
 
     /// Whether the link has been silent for too long.
@@ -225,7 +225,7 @@
 
     /// Asks for something, or for a read where there is no wish; the number by which its end is told.
     pub fn ask(&mut self, now: f64, wish: Option<Wish>) -> Option<u64> {
-        if self.asks.len() >= MOST_ASKS {
+        if self.asks.len() >= MAX_ASKS {
             return None;
         }
         self.number += 1;
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -9,9 +9,9 @@
 /// used only once the group has raised its own form, which it does when all members speak it.
 pub const FORMS: (u16, u16) = (1, 2);
 /// Largest frame, bytes: a state with all its documents and room beside it.
-pub const MOST_FRAME: usize = 6 << 20;
+pub const MAX_FRAME: usize = 6 << 20;
 /// Largest greeting, bytes.
-pub const MOST_HELLO: usize = 512;
+pub const MAX_HELLO: usize = 512;
 /// Length and checksum.
 const HEAD: usize = 8;
 const MAGIC: [u8; 4] = *b"DGL1";
@@ -248,14 +248,14 @@
 /// It is none, or longer than `most`.
 pub fn read_frame<T: DeserializeOwned>(
     bytes: &[u8],
-    most: usize,
+    max: usize,
 ) -> Result<Option<(T, usize)>, FrameError> {
     let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
         return Ok(None);
     };
     let [a, b, c, d, e, f, g, h] = *head;
     let length = u32::from_le_bytes([a, b, c, d]) as usize;
-    if length > most {
+    if length > max {
         return Err(FrameError::Long(length));
     }
     let Some(body) = rest.get(..length) else {
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -21,26 +21,26 @@
 
 pub use follower::{Copy, Follower};
 pub use frame::{
-    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMS, MOST_FRAME,
-    MOST_HELLO,
+    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMS, MAX_FRAME,
+    MAX_HELLO,
 };
 pub use member::{Event, Health, Loaded, Lost, Member, MemberStatus, Role, Settings, Standing};
 pub use peer::{Job, Peer};
 pub use record::{Batch, ConfRecord, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 pub use state::{
-    Asked, Document, Incarnation, Invitation, Kind, OpId, Outcome, State, Wish, MOST_DOCUMENT,
-    MOST_OUT,
+    Asked, Document, Incarnation, Invitation, Kind, OpId, Outcome, State, Wish, MAX_DOCUMENT,
+    MAX_OUT,
 };
 
 /// How many members vote at most.
-pub const MOST_MEMBERS: usize = 7;
+pub const MAX_MEMBERS: usize = 7;
 /// Fewer voters than this promise nothing: what they agree on is not copied far enough.
-pub const LEAST_MEMBERS: usize = 3;
+pub const MIN_MEMBERS: usize = 3;
 /// Longest name of a member, bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME: usize = 64;
 
 /// Whether this can be a member's name: it stands in files, frames and lines of the log.
 pub fn is_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
-    !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(plain)
+    !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
 }
--- a/crates/group/src/log_replica.rs
+++ b/crates/group/src/log_replica.rs
@@ -143,10 +143,10 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        let least = request_index.max(self.cut.0);
+        let min = request_index.max(self.cut.0);
         match &self.snapshot {
             // Whom it does not name takes it for another group's.
-            Some(held) if held.get_metadata().index >= least && names(held, to) => Ok(held.clone()),
+            Some(held) if held.get_metadata().index >= min && names(held, to) => Ok(held.clone()),
             _ => {
                 self.wanted.set(true);
                 Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable))
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 use crate::state::{Asked, OpId, Outcome, State, Wish};
-use crate::{log_replica::Mirror, FORMS, LEAST_MEMBERS};
+use crate::{log_replica::Mirror, FORMS, MIN_MEMBERS};
 use raft::eraftpb::{
     ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
     Message, MessageType, Snapshot,
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// Most wishes and reads of one member that are under way.
-const MOST_CALLS: usize = 256;
+const MAX_CALLS: usize = 256;
 /// A wish that has not come back is sent again after this, ms.
 const AGAIN_MS: f64 = 300.0;
 /// Without a leader for so long there is no majority, rather than a change of leaders, ms.
@@ -26,11 +26,11 @@
 /// A copy votes once it lacks so few entries at most.
 const CLOSE: u64 = 64;
 /// A member that was stalled does not make up for more ticks than this: it listens first.
-const MOST_TICKS: u32 = 2;
+const MAX_TICKS: u32 = 2;
 /// Between two wishes for a newer form, ms.
 const RAISE_MS: f64 = 2000.0;
 /// Entries that one message holds at most, bytes.
-const MOST_MESSAGE: u64 = 256 << 10;
+const MAX_MESSAGE: u64 = 256 << 10;
 
 /// How a member behaves.
 #[derive(Clone, Debug)]
@@ -385,7 +385,7 @@
             election_tick: settings.election,
             heartbeat_tick: settings.heartbeat,
             applied,
-            max_size_per_msg: MOST_MESSAGE,
+            max_size_per_msg: MAX_MESSAGE,
             max_inflight_msgs: 64,
             check_quorum: true,
             pre_vote: true,
@@ -455,7 +455,7 @@
         while now - self.ticked >= self.settings.tick_ms {
             self.ticked += self.settings.tick_ms;
             ticks += 1;
-            if ticks > MOST_TICKS {
+            if ticks > MAX_TICKS {
                 self.ticked = now;
                 break;
             }
@@ -524,7 +524,7 @@
         if self.leads()
             && due
             && common > self.state.form()
-            && self.conf.voters.len() >= LEAST_MEMBERS
+            && self.conf.voters.len() >= MIN_MEMBERS
         {
             self.raised = Some(now);
             let _ = self.change(now, Wish::Raise(common));
@@ -579,7 +579,7 @@
     /// It cannot be done now.
     pub fn ask(&mut self, now: f64, wish: Wish) -> Result<u64, Standing> {
         let voters = self.conf.voters.len();
-        if voters < LEAST_MEMBERS {
+        if voters < MIN_MEMBERS {
             return Err(Standing::Few(voters));
         }
         self.go(now, Some(wish))
@@ -619,7 +619,7 @@
         wish: Wish,
     ) -> Result<(), Standing> {
         let voters = self.conf.voters.len();
-        if voters < LEAST_MEMBERS {
+        if voters < MIN_MEMBERS {
             return Err(Standing::Few(voters));
         }
         let number = self.begin(now, None)?;
@@ -635,7 +635,7 @@
         if self.node.raft.leader_id == 0 && now - self.heard > LOST_MS {
             return Err(Standing::NoMajority(now - self.heard));
         }
-        if self.calls.len() >= MOST_CALLS {
+        if self.calls.len() >= MAX_CALLS {
             return Err(Standing::Full);
         }
         self.number += 1;
@@ -951,14 +951,14 @@
     /// repeated. Also notes who leads.
     fn settle(&mut self, now: f64) {
         let raft = &mut self.node.raft;
-        let least = self.settings.election as u64;
+        let min = self.settings.election as u64;
         // Each voter draws from a part of its own, turned with the term: two that seek votes at once get none.
-        let voters = (self.conf.voters.len() as u64).clamp(1, least);
+        let voters = (self.conf.voters.len() as u64).clamp(1, min);
         let place = self.conf.voters.iter().filter(|id| **id < raft.id).count() as u64;
-        let part = least / voters;
+        let part = min / voters;
         let drawn = mixed([self.settings.seed, raft.id, raft.term, raft.state as u64]) % part;
         let drawn = (place + raft.term) % voters * part + drawn;
-        raft.set_randomized_election_timeout((least + drawn) as usize);
+        raft.set_randomized_election_timeout((min + drawn) as usize);
         if raft.state == StateRole::Leader {
             self.led.get_or_insert(now);
             let heard = self.majority_heard(now);
--- a/crates/group/src/state.rs
+++ b/crates/group/src/state.rs
@@ -2,16 +2,16 @@
 //! in the group under which incarnation. It owns the meaning of every entry. The same entries must give the same state
 //! on every member: nothing here asks for a time, a random number or an order that memory happens to have.
 
-use crate::{is_name, FORMS, LEAST_MEMBERS, MOST_MEMBERS};
+use crate::{is_name, FORMS, MAX_MEMBERS, MIN_MEMBERS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Most instances that are out at a time.
-pub const MOST_OUT: usize = 1024;
+pub const MAX_OUT: usize = 1024;
 /// Largest document, bytes.
-pub const MOST_DOCUMENT: usize = 1 << 20;
+pub const MAX_DOCUMENT: usize = 1 << 20;
 /// Longest name of an instance, bytes.
-const MOST_INSTANCE: usize = 120;
+const MAX_INSTANCE: usize = 120;
 /// For so many places of the log a repeated wish is known; one that comes later is refused, since nobody would know.
 const REMEMBERED: u64 = 4096;
 
@@ -259,10 +259,10 @@
                 if self.out.contains_key(name) {
                     return Outcome::Before;
                 }
-                if name.is_empty() || name.len() > MOST_INSTANCE {
+                if name.is_empty() || name.len() > MAX_INSTANCE {
                     return Outcome::Refused;
                 }
-                if self.out.len() >= MOST_OUT {
+                if self.out.len() >= MAX_OUT {
                     return Outcome::TooMany;
                 }
                 self.out.insert(name.clone(), index);
@@ -274,7 +274,7 @@
             },
             Wish::Write(kind, number, bytes) => {
                 let held = self.documents.get(kind).map_or(0, |d| d.number);
-                if bytes.len() > MOST_DOCUMENT {
+                if bytes.len() > MAX_DOCUMENT {
                     return Outcome::Refused;
                 }
                 if self.documents.get(kind).is_some_and(|d| d.bytes == *bytes) {
@@ -305,7 +305,7 @@
                 let grows = !self.members.values().any(|m| !m.gone && old(m));
                 if !is_name(name)
                     || address.len() > 64
-                    || (grows && self.wanted().len() >= MOST_MEMBERS)
+                    || (grows && self.wanted().len() >= MAX_MEMBERS)
                 {
                     return Outcome::Refused;
                 }
@@ -341,11 +341,8 @@
                 if instead_of.as_ref().is_some_and(|old| !known(old)) {
                     return Outcome::Unknown;
                 }
-                let full = instead_of.is_none() && self.wanted().len() >= MOST_MEMBERS;
-                if !is_name(name)
-                    || address.len() > 64
-                    || full
-                    || self.invited.len() >= MOST_MEMBERS
+                let full = instead_of.is_none() && self.wanted().len() >= MAX_MEMBERS;
+                if !is_name(name) || address.len() > 64 || full || self.invited.len() >= MAX_MEMBERS
                 {
                     return Outcome::Refused;
                 }
@@ -360,7 +357,7 @@
                 let Some((id, _)) = self.incarnation(name) else {
                     return Outcome::Unknown;
                 };
-                if self.wanted().len() <= LEAST_MEMBERS {
+                if self.wanted().len() <= MIN_MEMBERS {
                     return Outcome::Refused;
                 }
                 if let Some(member) = self.members.get_mut(&id) {
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -122,12 +122,12 @@
         }
     }
 
-    fn until(&mut self, most: f64, so: impl Fn(&Fleet) -> bool) -> f64 {
+    fn until(&mut self, max: f64, so: impl Fn(&Fleet) -> bool) -> f64 {
         let began = self.world.now;
         while !so(self) {
             assert!(
-                self.world.now - began < most,
-                "seed {}: nothing in {most} ms",
+                self.world.now - began < max,
+                "seed {}: nothing in {max} ms",
                 self.world.seed
             );
             self.run(5.0);
@@ -182,9 +182,9 @@
             .opened
             .iter()
             .for_each(|(at, m)| *at_once.entry((*at as u64 / 50, *m)).or_default() += 1);
-        let most = at_once.values().max().copied().unwrap_or(0);
-        println!("seed {seed}: {spread:?}, calls at all after {first} and {second} ms, after a kill {:?}, all linked after {moved} ms, {most} opened at one member in 50 ms at most", fleet.by_member());
-        assert!(most <= 60, "seed {seed}: {most} at once");
+        let max = at_once.values().max().copied().unwrap_or(0);
+        println!("seed {seed}: {spread:?}, calls at all after {first} and {second} ms, after a kill {:?}, all linked after {moved} ms, {max} opened at one member in 50 ms at most", fleet.by_member());
+        assert!(max <= 60, "seed {seed}: {max} at once");
         // It returns: nobody leaves a member that works.
         fleet.opened.clear();
         fleet.world.start(leader);
--- a/crates/group/tests/partial.rs
+++ b/crates/group/tests/partial.rs
@@ -47,9 +47,9 @@
 #[test]
 fn whoever_reaches_a_majority_in_two_steps_goes_on() {
     let mut figures: Vec<(&str, Vec<f64>)> = Vec::new();
-    let mut note = |what: &'static str, seed: u64, ms: Option<f64>, most: f64| {
+    let mut note = |what: &'static str, seed: u64, ms: Option<f64>, max: f64| {
         let ms = ms.unwrap_or_else(|| panic!("seed {seed}: {what}: nothing in 20 s"));
-        assert!(ms < most, "seed {seed}: {what}: {ms} ms");
+        assert!(ms < max, "seed {seed}: {what}: {ms} ms");
         match figures.iter_mut().find(|(w, _)| *w == what) {
             Some((_, all)) => all.push(ms),
             None => figures.push((what, vec![ms])),
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -362,12 +362,12 @@
     }
 
     /// Runs until it is so; how long that took.
-    pub fn until(&mut self, most_ms: f64, so: impl Fn(&World) -> bool) -> f64 {
+    pub fn until(&mut self, max_ms: f64, so: impl Fn(&World) -> bool) -> f64 {
         let began = self.now;
         while !so(self) {
-            if self.now - began >= most_ms {
+            if self.now - began >= max_ms {
                 println!("{}", self.standing());
-                panic!("seed {}: nothing in {most_ms} ms", self.seed);
+                panic!("seed {}: nothing in {max_ms} ms", self.seed);
             }
             self.run(1.0);
         }
--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 
 /// Deepest nesting of groups.
-const MOST_DEPTH: usize = 32;
+const MAX_DEPTH: usize = 32;
 /// Most hosts of an inventory.
-pub const MOST_HOSTS: usize = 200_000;
+pub const MAX_HOSTS: usize = 200_000;
 
 type Vars = BTreeMap<String, Arc<Raw>>;
 
@@ -147,12 +147,12 @@
         schema: &Schema,
         faults: &mut Faults,
     ) {
-        if depth > MOST_DEPTH {
+        if depth > MAX_DEPTH {
             faults.error(
                 &place(file, at, name),
                 "children",
                 "",
-                format!("groups are nested deeper than {MOST_DEPTH}"),
+                format!("groups are nested deeper than {MAX_DEPTH}"),
                 "",
             );
             return;
@@ -267,12 +267,12 @@
                     continue;
                 }
             };
-            if self.hosts.len() + names.len() > MOST_HOSTS {
+            if self.hosts.len() + names.len() > MAX_HOSTS {
                 return faults.error(
                     &at,
                     "",
                     "",
-                    format!("there are more than {MOST_HOSTS} hosts"),
+                    format!("there are more than {MAX_HOSTS} hosts"),
                     "",
                 );
             }
@@ -364,7 +364,7 @@
     /// How far each group is below the top at most; a ring of groups is a fault.
     fn depths(&mut self, faults: &mut Faults) {
         let names: Vec<String> = self.groups.keys().cloned().collect();
-        for _ in 0..=MOST_DEPTH {
+        for _ in 0..=MAX_DEPTH {
             let mut changed = false;
             for name in &names {
                 let Some(group) = self.groups.get(name) else {
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 /// Most faults that are kept of one reading.
-pub const MOST_FAULTS: usize = 1000;
+pub const MAX_FAULTS: usize = 1000;
 
 /// Where a value stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -135,7 +135,7 @@
         problem: String,
         help: String,
     ) {
-        let full = self.0.len() >= MOST_FAULTS;
+        let full = self.0.len() >= MAX_FAULTS;
         // An error must never be lost to warnings: it decides.
         if full && (weight == Weight::Warning || self.0.iter().any(|f| f.weight == Weight::Error)) {
             return;
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -8,9 +8,9 @@
 /// Port of a host that names none.
 pub const PORT: u16 = 6379;
 /// Longest name of a host, and longest label.
-const MOST_NAME: usize = 128;
+const MAX_NAME: usize = 128;
 /// Most labels of a host.
-pub const MOST_LABELS: usize = 32;
+pub const MAX_LABELS: usize = 32;
 
 /// The fields that are read; whatever else a file holds of a host becomes a label.
 pub const FIELDS: [&str; 12] = [
@@ -123,24 +123,24 @@
         let text = raw.text.as_deref()?.trim();
         (!text.is_empty()).then_some((text, &raw.place))
     };
-    if name.is_empty() || name.len() > MOST_NAME || name.chars().any(char::is_control) {
+    if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
         faults.error(
             place,
             "name",
             name,
             "cannot be a name",
-            format!("1 to {MOST_NAME} characters"),
+            format!("1 to {MAX_NAME} characters"),
         );
     }
     let address = address(name, place, &get, faults);
-    let mut number = |field: &str, absent: f64, least: f64, most: f64, whole: bool| {
+    let mut number = |field: &str, absent: f64, min: f64, max: f64, whole: bool| {
         let Some((text, at)) = get(field) else {
             return absent;
         };
         let value = text
             .parse::<f64>()
             .ok()
-            .filter(|v| *v >= least && *v <= most && !(whole && v.fract() != 0.0));
+            .filter(|v| *v >= min && *v <= max && !(whole && v.fract() != 0.0));
         // Only what is written in digits: Rust also reads `inf` and `1e9`.
         let plain = text
             .bytes()
@@ -151,7 +151,7 @@
                 at,
                 field,
                 text,
-                format!("is not {kind} from {least} to {most}"),
+                format!("is not {kind} from {min} to {max}"),
                 "",
             );
             absent
@@ -226,11 +226,11 @@
         !own && raw
             .text
             .as_deref()
-            .is_some_and(|text| !text.trim().is_empty() && text.len() <= MOST_NAME)
+            .is_some_and(|text| !text.trim().is_empty() && text.len() <= MAX_NAME)
     });
     let labels =
         labels.filter_map(|(name, raw)| Some((name.clone(), raw.text.clone()?.trim().to_string())));
-    let labels = labels.take(MOST_LABELS).collect();
+    let labels = labels.take(MAX_LABELS).collect();
     let failed = faults.0[before.min(faults.0.len())..]
         .iter()
         .any(|f| f.weight == crate::Weight::Error);
@@ -329,11 +329,11 @@
     if wrong.len() > 64 {
         return None;
     }
-    let most = (wrong.chars().count() / 3).clamp(1, 2);
+    let max = (wrong.chars().count() / 3).clamp(1, 2);
     let nearest = known
         .map(|name| (strsim::damerau_levenshtein(wrong, name), name))
         .min();
     nearest
-        .filter(|(distance, _)| *distance <= most)
+        .filter(|(distance, _)| *distance <= max)
         .map(|(_, name)| name)
 }
--- a/crates/inventory/src/judge.rs
+++ b/crates/inventory/src/judge.rs
@@ -149,8 +149,8 @@
         return None;
     }
     let missing = old.len().saturating_sub(new.len());
-    let most = |share: f64, of: usize| (share * of as f64).max(ALWAYS);
-    if missing as f64 > most(shares.shorter, old.len()) {
+    let max = |share: f64, of: usize| (share * of as f64).max(ALWAYS);
+    if missing as f64 > max(shares.shorter, old.len()) {
         return Some(format!(
             "{} hosts of {} are missing from it",
             missing,
@@ -167,7 +167,7 @@
             .is_some_and(|now| now.state == State::Active)
     };
     let out = serving.len() - serving.iter().filter(stays).count();
-    if out as f64 > most(shares.taken_out, serving.len()) {
+    if out as f64 > max(shares.taken_out, serving.len()) {
         return Some(format!(
             "it takes out {out} of {} serving instances at once",
             serving.len()
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -16,17 +16,17 @@
 mod table;
 mod tree;
 
-pub use ansible::MOST_HOSTS;
-pub use fault::{summary, Fault, Place, Weight, MOST_FAULTS};
-pub use host::{Host, Protocol, Schema, State, FIELDS, MOST_LABELS, PORT};
+pub use ansible::MAX_HOSTS;
+pub use fault::{summary, Fault, Place, Weight, MAX_FAULTS};
+pub use host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, PORT};
 pub use judge::{suspicious, Shares};
-pub use range::MOST_NAMES;
+pub use range::MAX_NAMES;
 
 use fault::Faults;
 use std::sync::Arc;
 
 /// Longest file, bytes.
-pub const MOST_FILE: usize = 32 * 1024 * 1024;
+pub const MAX_FILE: usize = 32 * 1024 * 1024;
 
 /// A file of an inventory.
 #[derive(Clone, Debug)]
@@ -69,12 +69,12 @@
             file: name.clone(),
             ..Place::default()
         };
-        if file.bytes.len() > MOST_FILE {
+        if file.bytes.len() > MAX_FILE {
             faults.error(
                 &top,
                 "",
                 "",
-                format!("has {} bytes, {MOST_FILE} are the most", file.bytes.len()),
+                format!("has {} bytes, {MAX_FILE} are the most", file.bytes.len()),
                 "",
             );
             continue;
--- a/crates/inventory/src/range.rs
+++ b/crates/inventory/src/range.rs
@@ -2,7 +2,7 @@
 //! unfolding and its bound.
 
 /// Most names that one pattern unfolds to.
-pub const MOST_NAMES: usize = 100_000;
+pub const MAX_NAMES: usize = 100_000;
 
 /// The names that a pattern stands for.
 ///
@@ -21,8 +21,8 @@
             break;
         }
         let items = range(inner)?;
-        if found.len().saturating_mul(items.len()) > MOST_NAMES {
-            return Err(format!("the ranges stand for more than {MOST_NAMES} names"));
+        if found.len().saturating_mul(items.len()) > MAX_NAMES {
+            return Err(format!("the ranges stand for more than {MAX_NAMES} names"));
         }
         let before = &rest[..open];
         found = found
@@ -85,8 +85,8 @@
             if from > to {
                 return Err(wrong());
             }
-            if (to - from) as usize / step >= MOST_NAMES {
-                return Err(format!("the range stands for more than {MOST_NAMES} names"));
+            if (to - from) as usize / step >= MAX_NAMES {
+                return Err(format!("the range stands for more than {MAX_NAMES} names"));
             }
             (from..=to)
                 .step_by(step)
--- a/crates/inventory/src/tree.rs
+++ b/crates/inventory/src/tree.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 
 /// Deepest nesting of a file.
-const MOST_DEPTH: usize = 32;
+const MAX_DEPTH: usize = 32;
 /// Most values of a file, with all that anchors unfold to.
-const MOST_NODES: usize = 1_500_000;
+const MAX_NODES: usize = 1_500_000;
 
 /// A value.
 #[derive(Clone, Debug, PartialEq)]
@@ -130,10 +130,10 @@
 pub(crate) fn parse(text: &str) -> Result<At, NotYaml> {
     let options = serde_saphyr::options! {
         budget: serde_saphyr::budget! {
-            max_depth: MOST_DEPTH,
-            flow_nesting_limit: MOST_DEPTH,
-            max_nodes: MOST_NODES,
-            max_events: 2 * MOST_NODES,
+            max_depth: MAX_DEPTH,
+            flow_nesting_limit: MAX_DEPTH,
+            max_nodes: MAX_NODES,
+            max_events: 2 * MAX_NODES,
         },
     };
     let read: Result<Spanned<Tree>, _> = serde_saphyr::from_str_with_options(text, options);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -14,4 +14,4 @@
 mod table;
 
 pub use client::{Cause, Change, Duty, Keeper, Rules};
-pub use table::{Act, Held, Holder, Outcome, Table, Wish, MOST_DUTIES};
+pub use table::{Act, Held, Holder, Outcome, Table, Wish, MAX_DUTIES};
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 
 /// Most duties of one group.
-pub const MOST_DUTIES: usize = 64;
+pub const MAX_DUTIES: usize = 64;
 /// Longest name of a duty or holder, bytes.
-const MOST_NAME: usize = 64;
+const MAX_NAME: usize = 64;
 
 /// One life of one ingress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -129,12 +129,12 @@
                 lease_ms,
                 number,
             } => {
-                let named = |name: &str| !name.is_empty() && name.len() <= MOST_NAME;
+                let named = |name: &str| !name.is_empty() && name.len() <= MAX_NAME;
                 let new = !self.duties.contains_key(duty);
                 if !named(duty)
                     || !named(&who.name)
                     || *lease_ms == 0
-                    || new && self.duties.len() >= MOST_DUTIES
+                    || new && self.duties.len() >= MAX_DUTIES
                 {
                     return Outcome::Refused;
                 }
--- a/crates/routes/benches/rules.rs
+++ b/crates/routes/benches/rules.rs
@@ -20,7 +20,7 @@
     Catalog {
         classes: vec![("fetch-episode".into(), Effect::Pure)],
         plans: vec!["city".into()],
-        most_units: 4.0,
+        max_units: 4.0,
     }
 }
 
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -13,7 +13,7 @@
 pub enum Effect {
     /// It may run any number of times.
     Pure,
-    /// Instances discard repeats by its key for a while.
+    /// Endpoints discard repeats by its key for a while.
     Token,
     /// It must never run twice.
     SideEffect,
@@ -177,11 +177,11 @@
 }
 
 /// Judges the units that a rule gives: what the client names must stay.
-pub(crate) fn units(expression: &Expression, most: f64) -> Vec<Unfit> {
+pub(crate) fn units(expression: &Expression, max: f64) -> Vec<Unfit> {
     let named = Path::Field(field::UNITS);
     let fits = |way: &driftgap_expr::Way| match &way.outcome {
         Outcome::Place(place) => *place == named || way.facts.absent(&named),
-        Outcome::Number(number) => way.facts.absent(&named) && *number > 0.0 && *number <= most,
+        Outcome::Number(number) => way.facts.absent(&named) && *number > 0.0 && *number <= max,
         _ => way.facts.absent(&named),
     };
     let ways = expression.ways().unwrap_or(&[]);
@@ -199,10 +199,10 @@
     let wrong = ways.iter().filter(|way| !fits(way));
     wrong
         .map(|way| match &way.outcome {
-            Outcome::Number(number) if !(*number > 0.0 && *number <= most) => Unfit {
+            Outcome::Number(number) if !(*number > 0.0 && *number <= max) => Unfit {
                 span: way.span.clone(),
                 problem: format!("{number} units are none that a request may count"),
-                help: format!("a number above 0, {most} at most, was expected"),
+                help: format!("a number above 0, {max} at most, was expected"),
             },
             _ => Unfit {
                 span: way.span.clone(),
--- a/crates/routes/src/environment.rs
+++ b/crates/routes/src/environment.rs
@@ -12,7 +12,7 @@
 /// Most units that one request may cost unless the file says otherwise.
 const DEFAULT_REQUEST_COST: f64 = 200_000.0;
 /// Highest ceiling that a file may name, in units.
-const MOST_CEILING: f64 = 1e7;
+const MAX_CEILING: f64 = 1e7;
 
 /// What a file of rules is judged by, from the platform's settings.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
     /// Plans.
     pub plans: Vec<String>,
     /// Most units that one request counts.
-    pub most_units: f64,
+    pub max_units: f64,
 }
 
 /// What the rules of one file are judged by.
@@ -54,7 +54,7 @@
         values.known_keys(cost, &["expression", "request"]);
         for (name, ceiling) in [("expression", &mut expression), ("request", &mut request)] {
             if let Some(value) = cost.get(name) {
-                *ceiling = values.number(value, 1.0..=MOST_CEILING).unwrap_or(*ceiling);
+                *ceiling = values.number(value, 1.0..=MAX_CEILING).unwrap_or(*ceiling);
             }
         }
     }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,12 +1,12 @@
 //! Ordered rules that decide where a request belongs before anything else is decided about it: which command it
-//! is, which pool of instances may serve it, which local limits it must pass, what is noted on it, and whether
+//! is, which pool of endpoints may serve it, which local limits it must pass, what is noted on it, and whether
 //! it is turned away at once.
 //!
 //! [`Rules::read`] judges a file whole and names every fault; [`Rules::read_part`] takes over what rules in force
 //! have already. [`Router::route`] takes a request and a time. The rules are expressions of `driftgap-expr`, so that what a request can cost is known when the file is read, and
 //! so is which class it can get: a rule that could make a request with an effect safe to repeat is refused.
 //!
-//! It does no I/O and reads no clock. Which instance of a pool serves a request is not decided here.
+//! It does no I/O and reads no clock. Which endpoint of a pool serves a request is not decided here.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -36,11 +36,11 @@
 pub use explain::{Explained, Explainer};
 pub use fault::Fault;
 pub use limit::{Allowance, Limit, Ticket};
-pub use pool::{ANY, MOST_POOLS};
+pub use pool::{ANY, MAX_POOLS};
 pub use read::{ReadOptions, ReadReport, DEFAULT_MOST_BYTES};
 pub use request::{
-    bound, instance_schema, request_schema, Headers, Instance, NoHeaders, Request, MOST_HEADER,
-    MOST_HEADERS, MOST_LABELS, MOST_NAME, MOST_PATH,
+    bound, endpoint_schema, request_schema, Endpoint, Headers, NoHeaders, Request, MAX_HEADER,
+    MAX_HEADERS, MAX_LABELS, MAX_NAME, MAX_PATH,
 };
 pub use route::{Mapped, Replaced, Route, Router, TooSoon, Verdict, ALL};
 pub use rules::Rules;
--- a/crates/routes/src/limit.rs
+++ b/crates/routes/src/limit.rs
@@ -30,9 +30,9 @@
     /// So many at once; who is refused is told to come back after so long.
     AtOnce {
         /// Requests under way.
-        most: u32,
+        max: u32,
         /// Milliseconds.
-        after_ms: f64,
+        retry_after_ms: f64,
     },
 }
 
@@ -141,12 +141,15 @@
                 // The store holds `burst`: it may lack that many less the one that is asked for.
                 (full.max(now) - now - (burst - 1.0) * gap).max(0.0)
             }
-            Allowance::AtOnce { most, after_ms } => {
+            Allowance::AtOnce {
+                max,
+                retry_after_ms,
+            } => {
                 let count = state.under_way.get(&hash).copied().unwrap_or(0);
-                if count < most {
+                if count < max {
                     0.0
                 } else {
-                    after_ms.max(1.0)
+                    retry_after_ms.max(1.0)
                 }
             }
         };
--- a/crates/routes/src/mapping.rs
+++ b/crates/routes/src/mapping.rs
@@ -15,7 +15,7 @@
 /// Names of the platform's own terms, which a rule may not set.
 const OWN_TERMS: [&str; 7] = ["c", "t", "d", "r", "units", "spread", "first"];
 /// Longest name of a term.
-const MOST_TERM_NAME: usize = 32;
+const MAX_TERM_NAME: usize = 32;
 
 /// What a rule's own test says of the requests that its other parts see.
 pub(crate) struct Matched<'a> {
@@ -119,7 +119,7 @@
     fn units(&mut self, fields: &RuleFields<'_, '_>, matched: &Matched<'_>) -> Option<Expression> {
         let (units, text) = self.part(fields.table, "units", matched.facts, &Type::Double)?;
         if matched.certain {
-            let unfit = effect::units(&units, self.environment.catalog.most_units);
+            let unfit = effect::units(&units, self.environment.catalog.max_units);
             self.refuse_unfit(&units, &text, unfit);
         }
         Some(units)
@@ -192,5 +192,5 @@
 
 fn is_term(name: &str) -> bool {
     let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_');
-    plain && name.len() <= MOST_TERM_NAME && !OWN_TERMS.contains(&name)
+    plain && name.len() <= MAX_TERM_NAME && !OWN_TERMS.contains(&name)
 }
--- a/crates/routes/src/names.rs
+++ b/crates/routes/src/names.rs
@@ -5,13 +5,13 @@
 use toml::de::DeTable;
 
 /// Longest name of a rule or a pool.
-const MOST_NAME: usize = 64;
+const MAX_NAME: usize = 64;
 /// Most known names that are told where none is near.
-const MOST_TOLD: usize = 12;
+const MAX_TOLD: usize = 12;
 
 fn is_plain(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(plain)
+    !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
 }
 
 /// The name of a rule or a pool.
@@ -26,7 +26,7 @@
     };
     let name = values.string(name)?;
     if !is_plain(&name.text) {
-        let help = Some(format!("letters, digits, - _ and . up to {MOST_NAME}"));
+        let help = Some(format!("letters, digits, - _ and . up to {MAX_NAME}"));
         values.fault(name.span, "the name cannot be used", help);
         return None;
     }
@@ -45,7 +45,7 @@
         }
         _ => format!(
             "known are {}",
-            known.take(MOST_TOLD).collect::<Vec<_>>().join(", ")
+            known.take(MAX_TOLD).collect::<Vec<_>>().join(", ")
         ),
     }
 }
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -1,21 +1,21 @@
-//! Pools of instances: which instances are in each, and where its requests go while none of them is ready.
+//! Pools of endpoints: which endpoints are in each, and where its requests go while none of them is ready.
 
 use crate::names::{name, nearest};
 use crate::reader::{Value, Values};
-use crate::request::instance_schema;
+use crate::request::endpoint_schema;
 use driftgap_expr::{Compiled, Expression, FieldId, Input, Interner, Schema, Scratch, Type};
 use toml::de::DeTable;
 
-/// Most pools: an instance's are a word of bits, one of which stands for all instances.
-pub const MOST_POOLS: usize = 62;
-/// The name that stands for all instances.
+/// Most pools: an endpoint's are a word of bits, one of which stands for all endpoints.
+pub const MAX_POOLS: usize = 62;
+/// The name that stands for all endpoints.
 pub const ANY: &str = "any";
 /// Longest time that a rule or a pool sends a client away, ms.
-pub(crate) const MOST_AWAY: f64 = 600_000.0;
-/// When a client is to come back to a pool without a ready instance unless the file says otherwise, ms.
+pub(crate) const MAX_AWAY: f64 = 600_000.0;
+/// When a client is to come back to a pool without a ready endpoint unless the file says otherwise, ms.
 const DEFAULT_AWAY: f64 = 1000.0;
 
-/// Where a pool's requests go while none of its instances is ready.
+/// Where a pool's requests go while none of its endpoints is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
     Refuse,
@@ -23,7 +23,7 @@
     Any,
 }
 
-/// A pool of instances.
+/// A pool of endpoints.
 pub(crate) struct Pool {
     pub(crate) name: String,
     /// The text of its test, by which it is known again in another file.
@@ -31,11 +31,11 @@
     pub(crate) when: Compiled,
     pub(crate) fallback: Fallback,
     /// When a refused client is to come back, ms.
-    pub(crate) after_ms: f64,
+    pub(crate) retry_after_ms: f64,
 }
 
 impl Pool {
-    /// Whether a pool of another file takes the same instances under the same name.
+    /// Whether a pool of another file takes the same endpoints under the same name.
     pub(crate) fn is_same(&self, other: &Pool) -> bool {
         self.name == other.name && self.text == other.text
     }
@@ -47,10 +47,10 @@
         return &[];
     };
     let list = values.array(list);
-    if list.len() > MOST_POOLS {
+    if list.len() > MAX_POOLS {
         values.fault(
-            list[MOST_POOLS].span(),
-            format!("more than {MOST_POOLS} pools"),
+            list[MAX_POOLS].span(),
+            format!("more than {MAX_POOLS} pools"),
             None,
         );
         return &[];
@@ -89,7 +89,7 @@
     names: &[String],
     interner: &mut Interner,
 ) -> Vec<Pool> {
-    let schema = instance_schema();
+    let schema = endpoint_schema();
     let mut pools = Vec::with_capacity(list.len());
     for (value, name) in list.iter().zip(names) {
         let Some(fields) = values.table(value) else {
@@ -112,7 +112,7 @@
 ) -> Option<Pool> {
     values.known_keys(fields, &["name", "when", "fallback", "after"]);
     let fallback = fallback(values, fields, names);
-    let after_ms = time(values, fields, "after", DEFAULT_AWAY);
+    let retry_after_ms = time(values, fields, "after", DEFAULT_AWAY);
     let Some(when) = fields.get("when") else {
         values.fault(value.span(), format!("pool {name:?} has no `when`"), None);
         return None;
@@ -125,7 +125,7 @@
         text,
         when: checked.compile(interner),
         fallback,
-        after_ms,
+        retry_after_ms,
     })
 }
 
@@ -185,7 +185,7 @@
     let Some(text) = fields.get(key).and_then(|after| values.string(after)) else {
         return absent;
     };
-    match duration(&text.text).filter(|ms| (0.0..=MOST_AWAY).contains(ms)) {
+    match duration(&text.text).filter(|ms| (0.0..=MAX_AWAY).contains(ms)) {
         Some(ms) => ms,
         None => {
             let help = Some("a time up to 10m, such as \"250ms\" or \"1.5s\", was expected".into());
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -36,14 +36,14 @@
     pub previous: Option<&'a Rules>,
     /// Bytes that the file's text, the rules in force and those that are compiled anew may take together. A file
     /// that has changed throughout counts in full beside the rules in force, until those are dropped.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for ReadOptions<'_> {
     fn default() -> Self {
         ReadOptions {
             previous: None,
-            most_bytes: DEFAULT_MOST_BYTES,
+            max_bytes: DEFAULT_MOST_BYTES,
         }
     }
 }
@@ -74,10 +74,10 @@
     keep: Option<&mut Vec<CheckedRule>>,
 ) -> Result<Rules, Vec<Fault>> {
     let length = input.text.len();
-    if length > options.most_bytes {
+    if length > options.max_bytes {
         let problem = format!(
             "the file has {length} bytes, {} are the most",
-            options.most_bytes
+            options.max_bytes
         );
         return Err(vec![Fault::of_file(input.file, &problem)]);
     }
@@ -206,14 +206,14 @@
 
     /// Whether so many bytes may be parsed in one piece.
     fn may_parse(&mut self, length: usize, place: Range<usize>) -> bool {
-        let most = self.options.most_bytes / PARSED_FACTOR;
-        if length > most {
+        let max = self.options.max_bytes / PARSED_FACTOR;
+        if length > max {
             let problem =
-                format!("{length} bytes would be parsed in one piece, {most} are the most");
+                format!("{length} bytes would be parsed in one piece, {max} are the most");
             let help = "does a bracket or a quote not end? rules that begin with [[rule]] each are parsed one by one";
             self.reader.fault_in_file(place, problem, Some(help.into()));
         }
-        length <= most
+        length <= max
     }
 
     /// Reads all but the rules.
@@ -398,16 +398,16 @@
 
     /// Whether what was read so far fits into memory; if not, that is told at this place.
     fn within_budget(&mut self, place: Range<usize>) -> bool {
-        let most = self.options.most_bytes;
+        let max = self.options.max_bytes;
         let (file, held) = (
             self.input.text.len(),
             self.options.previous.map_or(0, Rules::heap_bytes),
         );
         let taken = self.compiled_bytes + WORKING_BYTES * self.rules.len();
-        let fits = file + held + taken <= most;
+        let fits = file + held + taken <= max;
         if !fits {
             let problem = format!(
-                "the rules up to here take more memory than there is: {taken} bytes beside {held} of the rules in force and {file} of the file, {most} are the most"
+                "the rules up to here take more memory than there is: {taken} bytes beside {held} of the rules in force and {file} of the file, {max} are the most"
             );
             let help = "fewer rules, fewer keys of limits, or a change in several steps";
             self.reader.fault_in_file(place, problem, Some(help.into()));
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -11,9 +11,9 @@
 use toml::Spanned;
 
 /// Most faults that are told of one file.
-const MOST_FAULTS: usize = 100;
+const MAX_FAULTS: usize = 100;
 /// Longest part of an unknown key that is told, in characters.
-const MOST_KEY_SHOWN: usize = 40;
+const MAX_KEY_SHOWN: usize = 40;
 
 /// A value of the file with its place in the excerpt that it was parsed from.
 pub(crate) type Value<'d> = Spanned<DeValue<'d>>;
@@ -87,7 +87,7 @@
         self.syntax.extend(errors.iter().map(fault));
         // The parser does not tell them in the order of the file, and there may be one for each of its tokens.
         self.syntax.sort_by_key(|fault| fault.span.start);
-        self.syntax.truncate(MOST_FAULTS);
+        self.syntax.truncate(MAX_FAULTS);
         errors.is_empty().then_some(table)
     }
 
@@ -111,7 +111,7 @@
         problem: impl Into<String>,
         help: Option<String>,
     ) {
-        if self.faults.len() >= MOST_FAULTS {
+        if self.faults.len() >= MAX_FAULTS {
             return;
         }
         // Only the first line is shown: a span may be a whole table.
@@ -134,7 +134,7 @@
 
     /// Notes a fault of an expression.
     pub(crate) fn expression_fault(&mut self, text: &Text, error: &Error) {
-        if self.faults.len() >= MOST_FAULTS {
+        if self.faults.len() >= MAX_FAULTS {
             return;
         }
         let origin = self.origin(text.start);
@@ -154,19 +154,15 @@
     pub(crate) reader: &'r mut Reader<'t>,
     excerpt: &'r Excerpt<'r>,
     /// Most cost of one expression.
-    most_cost: u64,
+    max_cost: u64,
 }
 
 impl<'r, 't> Values<'r, 't> {
-    pub(crate) fn new(
-        reader: &'r mut Reader<'t>,
-        excerpt: &'r Excerpt<'r>,
-        most_cost: u64,
-    ) -> Self {
+    pub(crate) fn new(reader: &'r mut Reader<'t>, excerpt: &'r Excerpt<'r>, max_cost: u64) -> Self {
         Values {
             reader,
             excerpt,
-            most_cost,
+            max_cost,
         }
     }
 
@@ -199,7 +195,7 @@
                     Some(near) => format!("did you mean `{near}`?"),
                     None => format!("known are {}", keys.join(", ")),
                 };
-                let short: String = name.chars().take(MOST_KEY_SHOWN).collect();
+                let short: String = name.chars().take(MAX_KEY_SHOWN).collect();
                 self.fault(
                     key.span(),
                     format!("`{short}` is not known here"),
@@ -300,7 +296,7 @@
         facts: &Facts,
         want: &Type,
     ) -> Option<Expression> {
-        match Expression::within(&text.text, schema, facts, want, self.most_cost) {
+        match Expression::within(&text.text, schema, facts, want, self.max_cost) {
             Ok(expression) => Some(expression),
             Err(e) => {
                 self.expression_fault(text, &e);
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -1,4 +1,4 @@
-//! What rules may read of a request and of an instance: the two schemas, and the views through which values come.
+//! What rules may read of a request and of an endpoint: the two schemas, and the views through which values come.
 //!
 //! Values are borrowed, and none is longer than its bound: the costs of expressions are computed from the bounds.
 
@@ -7,15 +7,15 @@
 use std::net::IpAddr;
 
 /// Longest path, bytes; longer ones are turned away before any rule.
-pub const MOST_PATH: usize = 1024;
+pub const MAX_PATH: usize = 1024;
 /// Longest header value that a rule may read, bytes.
-pub const MOST_HEADER: usize = 512;
+pub const MAX_HEADER: usize = 512;
 /// Most headers.
-pub const MOST_HEADERS: usize = 100;
+pub const MAX_HEADERS: usize = 100;
 /// Longest of the other texts, bytes: host, query, partner, id, class, plan.
-pub const MOST_NAME: usize = 128;
-/// Most labels of an instance, and the longest value of one.
-pub const MOST_LABELS: usize = 32;
+pub const MAX_NAME: usize = 128;
+/// Most labels of an endpoint, and the longest value of one.
+pub const MAX_LABELS: usize = 32;
 
 /// The headers of a request, by name in lower case.
 pub trait Headers {
@@ -85,7 +85,7 @@
 
 /// What rules may read of a request, in the order of [`field`].
 pub fn request_schema() -> Schema {
-    let (name, path) = (MOST_NAME as u32, MOST_PATH as u32);
+    let (name, path) = (MAX_NAME as u32, MAX_PATH as u32);
     Schema::new()
         .field("request.protocol", Type::Text, 8, 0)
         .field("request.method", Type::Text, 16, 0)
@@ -95,8 +95,8 @@
         .field(
             "request.headers",
             Type::Map(Type::Text.into()),
-            MOST_HEADER as u32,
-            MOST_HEADERS as u32,
+            MAX_HEADER as u32,
+            MAX_HEADERS as u32,
         )
         .optional("request.class", Type::Text, name, 0)
         .optional("request.plan", Type::Text, name, 0)
@@ -112,17 +112,17 @@
 impl Request<'_> {
     /// The first part that is longer than rules may read, if there is one.
     pub fn too_long(&self) -> Option<&'static str> {
-        let long = |text: Option<&str>, most: usize| text.is_some_and(|t| t.len() > most);
+        let long = |text: Option<&str>, max: usize| text.is_some_and(|t| t.len() > max);
         let parts = [
             ("method", long(Some(self.method), 16)),
-            ("path", long(Some(self.path), MOST_PATH)),
-            ("query", long(self.query, MOST_PATH)),
-            ("host", long(self.host, MOST_NAME)),
-            ("class", long(self.class, MOST_NAME)),
-            ("plan", long(self.plan, MOST_NAME)),
-            ("partner", long(self.partner, MOST_NAME)),
-            ("id", long(self.id, MOST_NAME)),
-            ("headers", self.headers.count() > MOST_HEADERS),
+            ("path", long(Some(self.path), MAX_PATH)),
+            ("query", long(self.query, MAX_PATH)),
+            ("host", long(self.host, MAX_NAME)),
+            ("class", long(self.class, MAX_NAME)),
+            ("plan", long(self.plan, MAX_NAME)),
+            ("partner", long(self.partner, MAX_NAME)),
+            ("id", long(self.id, MAX_NAME)),
+            ("headers", self.headers.count() > MAX_HEADERS),
         ];
         parts
             .into_iter()
@@ -177,7 +177,7 @@
         let value = self.request.headers.get(key)?;
         let text = std::str::from_utf8(value)
             .ok()
-            .filter(|text| text.len() <= MOST_HEADER);
+            .filter(|text| text.len() <= MAX_HEADER);
         if text.is_none() {
             self.spoilt.set(true);
         }
@@ -185,16 +185,16 @@
     }
 }
 
-/// An instance as pools see it.
+/// An endpoint as pools see it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Instance<'a> {
+pub struct Endpoint<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its zone's name.
     pub zone: &'a str,
     /// Its cell.
     pub cell: u32,
-    /// Its weight beside the other instances.
+    /// Its weight beside the other endpoints.
     pub weight: f64,
     /// `resp` or `http2`.
     pub protocol: &'a str,
@@ -204,9 +204,9 @@
     pub labels: &'a [(String, String)],
 }
 
-/// What pools may read of an instance.
-pub fn instance_schema() -> Schema {
-    let name = MOST_NAME as u32;
+/// What pools may read of an endpoint.
+pub fn endpoint_schema() -> Schema {
+    let name = MAX_NAME as u32;
     Schema::new()
         .field("instance.name", Type::Text, name, 0)
         .field("instance.zone", Type::Text, name, 0)
@@ -218,14 +218,14 @@
             "instance.labels",
             Type::Map(Type::Text.into()),
             name,
-            MOST_LABELS as u32,
+            MAX_LABELS as u32,
         )
 }
 
-impl Input for Instance<'_> {
+impl Input for Endpoint<'_> {
     fn get(&self, field: FieldId) -> Option<Value<'_>> {
         // A name that is longer than its bound is read as far as that goes.
-        let text = |text| Some(Value::Text(cut(text, MOST_NAME)));
+        let text = |text| Some(Value::Text(cut(text, MAX_NAME)));
         match field.0 {
             0 => text(self.name),
             1 => text(self.zone),
@@ -238,22 +238,22 @@
     }
 
     fn size(&self, field: FieldId) -> Option<usize> {
-        (field.0 == 6).then(|| self.labels.len().min(MOST_LABELS))
+        (field.0 == 6).then(|| self.labels.len().min(MAX_LABELS))
     }
 
     fn lookup(&self, _: FieldId, key: &str) -> Option<Value<'_>> {
         let label = self
             .labels
             .iter()
-            .take(MOST_LABELS)
+            .take(MAX_LABELS)
             .find(|(name, _)| name == key);
-        label.map(|(_, value)| Value::Text(cut(value, MOST_NAME)))
+        label.map(|(_, value)| Value::Text(cut(value, MAX_NAME)))
     }
 }
 
 /// The beginning of a text, in whole characters.
-pub(crate) fn cut(text: &str, most: usize) -> &str {
-    let mut end = text.len().min(most);
+pub(crate) fn cut(text: &str, max: usize) -> &str {
+    let mut end = text.len().min(max);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -309,7 +309,7 @@
         };
         let labels = [("a".to_string(), "b".to_string())];
         let ip = IpAddr::from([127, 0, 0, 1]);
-        let instance = Instance {
+        let endpoint = Endpoint {
             name: "n",
             zone: "z",
             cell: 1,
@@ -320,7 +320,7 @@
         };
         let view = View::new(&request);
         let inputs: [(&dyn Input, Schema); 2] =
-            [(&view, request_schema()), (&instance, instance_schema())];
+            [(&view, request_schema()), (&endpoint, endpoint_schema())];
         for (input, schema) in inputs {
             for (i, field) in schema.fields().iter().enumerate() {
                 let id = FieldId(i as u16);
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -1,21 +1,21 @@
 //! Where a request belongs: its way through the rules, the choice of its pool, the limits that it must pass. The
-//! router holds the rules in force and which pools have ready instances. It does no I/O, reads no clock, and
-//! chooses no instance: that is the decision module's, among those of the pool.
+//! router holds the rules in force and which pools have ready endpoints. It does no I/O, reads no clock, and
+//! chooses no endpoint: that is the decision module's, among those of the pool.
 
 use crate::limit::{Limit, Ticket};
-use crate::pool::{Fallback, ANY, MOST_AWAY, MOST_POOLS};
-use crate::request::{cut, Instance, Request, View};
+use crate::pool::{Fallback, ANY, MAX_AWAY, MAX_POOLS};
+use crate::request::{cut, Endpoint, Request, View};
 use crate::rule::{Part, PartName, Rule, Shared};
 use crate::rules::{RuleSet, Rules};
 use driftgap_expr::{Chosen, Compiled, Fault, Scratch, Value};
 use std::sync::{Arc, Mutex};
 
-/// The bit that stands for all instances: every instance has it.
+/// The bit that stands for all endpoints: every endpoint has it.
 pub const ALL: u64 = 1 << 63;
 /// Longest note, bytes.
-const MOST_NOTE: usize = 128;
+const MAX_NOTE: usize = 128;
 /// Longest value of a term, bytes.
-const MOST_TERM: usize = 256;
+const MAX_TERM: usize = 256;
 
 /// A request's way.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
     /// It goes on.
     Go(Box<Route>),
     /// It is refused, and harmless to repeat: nothing was sent on.
-    Nack {
+    Reject {
         /// Come back after so long, ms.
-        after_ms: f64,
+        retry_after_ms: f64,
         /// The rule, or the pool, that refuses it.
         by: String,
     },
@@ -43,7 +43,7 @@
 pub struct Route {
     /// The command, where a rule makes one of the request.
     pub command: Option<Mapped>,
-    /// Pools that it may be sent to, one bit each; [`ALL`] for all instances.
+    /// Pools that it may be sent to, one bit each; [`ALL`] for all endpoints.
     pub pools: u64,
     /// Notes by name.
     pub notes: Vec<(String, String)>,
@@ -95,7 +95,7 @@
 
 /// Rules cannot be replaced yet: commands under way still need the pools of earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the pools of earlier rules still serve commands under way, and with these there would be more than {MOST_POOLS}; read the rules again once they have ended")]
+#[error("the pools of earlier rules still serve commands under way, and with these there would be more than {MAX_POOLS}; read the rules again once they have ended")]
 pub struct TooSoon;
 
 /// What rules leave behind that are in force no more. Dropping it frees whatever the new rules do not share,
@@ -109,7 +109,7 @@
 }
 
 impl Replaced {
-    /// Whether the new rules have a pool that the old ones had not: only then must instances be told their pools
+    /// Whether the new rules have a pool that the old ones had not: only then must endpoints be told their pools
     /// anew, with [`Router::pools_of`] and [`Router::ready`].
     pub fn has_new_pools(&self) -> bool {
         self.has_new_pools
@@ -167,7 +167,7 @@
     /// Puts other rules in force at `now`, ms, in a time that depends on the pools alone. Limits that both have
     /// keep their states where the new rules were read with these as [`ReadOptions::previous`]. Pools that both
     /// have keep their bits, and those that are gone keep them for `longest_ms`, until the last command that
-    /// began under the old rules has ended. Instances must be told their pools anew where there are new ones:
+    /// began under the old rules has ended. Endpoints must be told their pools anew where there are new ones:
     /// [`Replaced::has_new_pools`].
     ///
     /// [`ReadOptions::previous`]: crate::ReadOptions::previous
@@ -242,7 +242,7 @@
                 .find(|(known, _)| known.is_same(pool))
                 .map(|(_, bit)| bit);
             let bit = kept.unwrap_or_else(|| taken.trailing_ones() as u8);
-            if usize::from(bit) >= MOST_POOLS {
+            if usize::from(bit) >= MAX_POOLS {
                 return Err(TooSoon);
             }
             taken |= 1 << bit;
@@ -272,8 +272,8 @@
         limits.map(|limit| limit.limit.memory()).sum()
     }
 
-    /// The pools of an instance, one bit each.
-    pub fn pools_of(&mut self, instance: &Instance<'_>) -> u64 {
+    /// The pools of an endpoint, one bit each.
+    pub fn pools_of(&mut self, endpoint: &Endpoint<'_>) -> u64 {
         let mut pools = ALL;
         let now = self
             .rules
@@ -287,25 +287,25 @@
             .iter()
             .map(|retired| (&retired.when, retired.bit));
         for (when, bit) in now.chain(before) {
-            // A test that fails on an instance leaves it out.
-            if when.test(instance, &mut self.scratch) == Ok(true) {
+            // A test that fails on an endpoint leaves it out.
+            if when.test(endpoint, &mut self.scratch) == Ok(true) {
                 pools |= 1 << bit;
             }
         }
         pools
     }
 
-    /// Notes the pools of all ready instances.
-    pub fn ready(&mut self, instances: impl Iterator<Item = u64>) {
+    /// Notes the pools of all ready endpoints.
+    pub fn ready(&mut self, endpoints: impl Iterator<Item = u64>) {
         self.ready.iter_mut().for_each(|count| *count = 0);
-        for pools in instances {
+        for pools in endpoints {
             for (count, bit) in self.ready.iter_mut().zip(&self.bits) {
                 *count += usize::from(pools & (1 << bit) != 0);
             }
         }
     }
 
-    /// Ready instances by pool.
+    /// Ready endpoints by pool.
     pub fn figures(&self) -> impl Iterator<Item = (&str, usize)> {
         self.rules
             .set
@@ -362,9 +362,9 @@
             match done {
                 Ok(()) if matched == Ok(true) && !rule.goes_on => break,
                 Ok(()) => {}
-                Err(End::Nack(after_ms)) => {
-                    return Verdict::Nack {
-                        after_ms,
+                Err(End::Reject(retry_after_ms)) => {
+                    return Verdict::Reject {
+                        retry_after_ms,
                         by: rule.name.to_string(),
                     }
                 }
@@ -389,8 +389,8 @@
                 Ok(pools) => way.route.pools = pools,
                 Err(refused) => {
                     let pool = &set.pools[refused];
-                    return Verdict::Nack {
-                        after_ms: pool.after_ms,
+                    return Verdict::Reject {
+                        retry_after_ms: pool.retry_after_ms,
                         by: pool.name.clone(),
                     };
                 }
@@ -428,7 +428,7 @@
 
 /// Why a way ends before its end.
 enum End {
-    Nack(f64),
+    Reject(f64),
     Bad(String),
     Fault(Fault),
 }
@@ -442,7 +442,7 @@
 /// A way under way.
 struct Way {
     route: Route,
-    /// The pool that was chosen first; within it, none stands for all instances.
+    /// The pool that was chosen first; within it, none stands for all endpoints.
     pool: Option<Option<usize>>,
     /// Limits that have agreed, and the keys.
     asked: Vec<(Arc<Limit>, u64)>,
@@ -461,7 +461,7 @@
         let commanded = self.route.command.is_some();
         for part in &rule.body.parts {
             match &part.name {
-                PartName::Nack => return Err(nack(&part.expression, view, scratch)),
+                PartName::Reject => return Err(nack(&part.expression, view, scratch)),
                 PartName::Pool if self.pool.is_none() => {
                     self.pool = Some(pool(&part.expression, view, scratch, set)?);
                 }
@@ -493,7 +493,7 @@
         view: &View<'_>,
         scratch: &mut Scratch,
     ) -> Result<(), End> {
-        let value = cut(text(note, view, scratch)?, MOST_NOTE);
+        let value = cut(text(note, view, scratch)?, MAX_NOTE);
         // What no header can carry is not passed on.
         let value: String = value
             .chars()
@@ -516,7 +516,7 @@
             return Ok(());
         };
         let key = text(key, view, scratch)?;
-        let hash = held.limit.ask(key, self.now).map_err(End::Nack)?;
+        let hash = held.limit.ask(key, self.now).map_err(End::Reject)?;
         self.asked.push((held.limit.clone(), hash));
         Ok(())
     }
@@ -525,13 +525,13 @@
 /// A refusal by a rule; or why there is none.
 fn nack(nack: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> End {
     match nack.eval(view, scratch) {
-        Ok(Some(Value::Duration(ms))) => End::Nack((ms as f64).clamp(0.0, MOST_AWAY)),
+        Ok(Some(Value::Duration(ms))) => End::Reject((ms as f64).clamp(0.0, MAX_AWAY)),
         Ok(_) => End::Fault(Fault::Input),
         Err(fault) => End::Fault(fault),
     }
 }
 
-/// The pool that a rule names; none: all instances.
+/// The pool that a rule names; none: all endpoints.
 fn pool(
     pool: &Compiled,
     view: &View<'_>,
@@ -608,14 +608,14 @@
         PartName::Term(name) => {
             let value = text(expression, view, scratch)?;
             // Guards the platform's wire, on which a comma would begin a further term.
-            let plain = value.len() <= MOST_TERM
-                && value.bytes().all(|b| b.is_ascii_graphic() && b != b',');
+            let plain =
+                value.len() <= MAX_TERM && value.bytes().all(|b| b.is_ascii_graphic() && b != b',');
             if !plain {
                 return Err(End::Bad(format!("the term `{name}` cannot be carried")));
             }
             command.terms.push((name.to_string(), value.to_string()));
         }
-        PartName::Nack
+        PartName::Reject
         | PartName::Pool
         | PartName::Note(_)
         | PartName::Class
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -17,7 +17,7 @@
 /// What an expression of a rule is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PartName {
-    Nack,
+    Reject,
     Pool,
     Note(Arc<str>),
     Class,
@@ -35,7 +35,7 @@
 impl fmt::Display for PartName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PartName::Nack => "nack",
+            PartName::Reject => "nack",
             PartName::Pool => "pool",
             PartName::Note(name) | PartName::Term(name) => name,
             PartName::Class => "class",
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -21,9 +21,9 @@
 /// Keys that make a rule do something.
 const ACTIONS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
 /// Most notes, and most terms, of one rule.
-const MOST_NOTES: usize = 8;
+const MAX_NOTES: usize = 8;
 /// Longest name of a note.
-const MOST_NOTE_NAME: usize = 32;
+const MAX_NOTE_NAME: usize = 32;
 /// Keys that a limit remembers unless the file says otherwise.
 const DEFAULT_KEYS: f64 = 16_384.0;
 /// When a client is to come back to an at-once limit unless the file says otherwise, ms.
@@ -86,7 +86,7 @@
         let (limit_key, limit) = limit.unzip();
         // In the order in which they are evaluated.
         let mut parts = Parts::new();
-        parts.extend(nack.map(|nack| (PartName::Nack, nack)));
+        parts.extend(nack.map(|nack| (PartName::Reject, nack)));
         parts.extend(pool.map(|pool| (PartName::Pool, pool)));
         parts.extend(
             notes
@@ -156,11 +156,11 @@
         let Some(table) = self.values.table(value) else {
             return found;
         };
-        if table.len() > MOST_NOTES {
+        if table.len() > MAX_NOTES {
             self.values
-                .fault(value.span(), format!("more than {MOST_NOTES} {key}"), None);
+                .fault(value.span(), format!("more than {MAX_NOTES} {key}"), None);
         }
-        for (name, value) in table.iter().take(MOST_NOTES) {
+        for (name, value) in table.iter().take(MAX_NOTES) {
             let text: &str = name.get_ref();
             if text.is_empty() || !fits(text) {
                 self.values.fault(
@@ -221,10 +221,10 @@
                 .fault(span.clone(), "a limit needs `key`", Some(help.into()));
         }
         let key = self.part(limit, "key", facts, &Type::Text);
-        let mut number = |name: &str, least: f64, most: f64| {
+        let mut number = |name: &str, min: f64, max: f64| {
             limit
                 .get(name)
-                .map(|value| self.values.number(value, least..=most))
+                .map(|value| self.values.number(value, min..=max))
         };
         let (rate, burst) = (number("rate", 0.001, 1e6), number("burst", 1.0, 1e6));
         let (at_once, keys) = (number("at_once", 1.0, 1e6), number("keys", 8.0, 1e6));
@@ -236,11 +236,11 @@
                     burst: burst.unwrap_or(Some(rate.max(1.0)))?,
                 }
             }
-            (None, None, Some(most)) => {
-                let after_ms = time(self.values, limit, "after", DEFAULT_LIMIT_AWAY);
+            (None, None, Some(max)) => {
+                let retry_after_ms = time(self.values, limit, "after", DEFAULT_LIMIT_AWAY);
                 Allowance::AtOnce {
-                    most: most? as u32,
-                    after_ms,
+                    max: max? as u32,
+                    retry_after_ms,
                 }
             }
             _ => {
@@ -288,5 +288,5 @@
 
 fn is_note(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    name.bytes().all(plain) && name.len() <= MOST_NOTE_NAME
+    name.bytes().all(plain) && name.len() <= MAX_NOTE_NAME
 }
--- a/crates/routes/tests/bounds.rs
+++ b/crates/routes/tests/bounds.rs
@@ -5,12 +5,12 @@
 use common::{read_on, read_with, route, routes};
 use driftgap_routes::{ReadOptions, Rules, DEFAULT_MOST_BYTES};
 
-fn within(text: &str, previous: Option<&Rules>, most_bytes: usize) -> Result<Rules, Vec<String>> {
+fn within(text: &str, previous: Option<&Rules>, max_bytes: usize) -> Result<Rules, Vec<String>> {
     read_with(
         text,
         &ReadOptions {
             previous,
-            most_bytes,
+            max_bytes,
         },
     )
 }
--- a/crates/routes/tests/common/mod.rs
+++ b/crates/routes/tests/common/mod.rs
@@ -11,7 +11,7 @@
             ("book-rebroadcast".into(), Effect::SideEffect),
         ],
         plans: vec!["district".into(), "city".into()],
-        most_units: 4.0,
+        max_units: 4.0,
     }
 }
 
--- a/crates/routes/tests/cost.rs
+++ b/crates/routes/tests/cost.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{catalog, read_on, request, routes, POOLS};
-use driftgap_routes::{Explainer, Request, MOST_PATH};
+use driftgap_routes::{Explainer, Request, MAX_PATH};
 use oorandom::Rand32;
 
 /// Random files.
@@ -67,13 +67,13 @@
         let text = format!("{POOLS}{rules}");
         let explainer = Explainer::read(&text, "rules.toml", None, &catalog())
             .unwrap_or_else(|faults| panic!("{faults:?}"));
-        let most = explainer.rules().cost();
+        let max = explainer.rules().cost();
         for _ in 0..REQUESTS {
             let mut path = one_of(random, &PATHS).to_string();
             if random.rand_range(0..2) == 0 {
                 // Costs are bounded for the longest texts.
-                path.push_str(&"/a/b/c".repeat(MOST_PATH / 6));
-                path.truncate(MOST_PATH);
+                path.push_str(&"/a/b/c".repeat(MAX_PATH / 6));
+                path.truncate(MAX_PATH);
             }
             let path = &path;
             let partner = Some(one_of(random, &PATHS));
@@ -83,8 +83,8 @@
                 ..request(path)
             };
             let spent = spent(&explainer, &asked);
-            assert!(spent <= most, "{path}: {spent} of {most}\n{text}");
-            nearest = nearest.max(spent as f64 / most as f64);
+            assert!(spent <= max, "{path}: {spent} of {max}\n{text}");
+            nearest = nearest.max(spent as f64 / max as f64);
         }
     }
     println!("at most {nearest:.2} of the bound was spent");
--- a/crates/routes/tests/limit.rs
+++ b/crates/routes/tests/limit.rs
@@ -45,8 +45,8 @@
 fn at_once_counts_what_is_under_way_and_forgets_the_rest() {
     let limit = Arc::new(Limit::new(
         Allowance::AtOnce {
-            most: 2,
-            after_ms: 250.0,
+            max: 2,
+            retry_after_ms: 250.0,
         },
         0,
     ));
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -15,9 +15,9 @@
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
 /// Most heap that a route may take, in bytes.
-const MOST_BYTES_A_ROUTE: f64 = 400.0;
+const MAX_BYTES_A_ROUTE: f64 = 400.0;
 /// Most heap that a rule may take that makes a command with an id of its own, in bytes.
-const MOST_BYTES_A_MAPPING: f64 = 800.0;
+const MAX_BYTES_A_MAPPING: f64 = 800.0;
 /// Bytes that reading takes for a rule on its way.
 const WORKING_BYTES: usize = 100;
 /// Bytes that are planned for each byte of what is parsed in one piece.
@@ -87,13 +87,13 @@
     for count in sizes() {
         let each = bytes_a_rule(&routes(count));
         assert!(
-            each <= MOST_BYTES_A_ROUTE,
+            each <= MAX_BYTES_A_ROUTE,
             "{count} routes: {each} bytes each"
         );
         let mappings: String = (0..count).map(mapping).collect();
         let each = bytes_a_rule(&mappings);
         assert!(
-            each <= MOST_BYTES_A_MAPPING,
+            each <= MAX_BYTES_A_MAPPING,
             "{count} mappings: {each} bytes each"
         );
     }
@@ -236,7 +236,7 @@
     };
     replace(&mut router, &first);
     let region = Region::new();
-    let (mut rules, mut most) = (first.clone(), 0);
+    let (mut rules, mut max) = (first.clone(), 0);
     for _ in 0..CHANGES {
         let at = random.rand_range(0..RULES as u32) as usize;
         // Numbers that were never there before, and some that were.
@@ -245,13 +245,13 @@
         rules.dedup();
         rules.resize_with(RULES, || random.rand_range(1 << 20..1 << 21) as usize);
         replace(&mut router, &rules);
-        most = most.max(region.held());
+        max = max.max(region.held());
     }
     replace(&mut router, &first);
     let (left, whole) = (region.held(), router.rules().heap_bytes() as isize);
-    println!("{left} bytes more after {CHANGES} changes, {most} at most, of {whole}");
+    println!("{left} bytes more after {CHANGES} changes, {max} at most, of {whole}");
     assert!(left.abs() < 2_000, "{left}");
-    assert!(most < whole / 2, "{most} of {whole}");
+    assert!(max < whole / 2, "{max} of {whole}");
     assert!(matches!(router.route(&request("/"), now), Verdict::Go(_)));
 }
 
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -1,44 +1,44 @@
-//! Rules put in force in place of others: what instances must be told anew, and how long it takes.
+//! Rules put in force in place of others: what endpoints must be told anew, and how long it takes.
 
-use driftgap_routes::{Catalog, Effect, Instance, ReadOptions, Router, Rules};
+use driftgap_routes::{Catalog, Effect, Endpoint, ReadOptions, Router, Rules};
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
 /// Rules of the largest file that there has to be room for.
 const LARGE: usize = 63_000;
 /// Bytes that reading it may take here.
-const MOST_BYTES: usize = 256 * 1024 * 1024;
+const MAX_BYTES: usize = 256 * 1024 * 1024;
 
 fn catalog() -> Catalog {
     let classes = vec![("fetch".to_string(), Effect::Pure)];
     Catalog {
         classes,
         plans: vec!["city".into()],
-        most_units: 3.0,
+        max_units: 3.0,
     }
 }
 
 fn read(text: &str, previous: Option<&Rules>) -> Rules {
     let options = ReadOptions {
         previous,
-        most_bytes: MOST_BYTES,
+        max_bytes: MAX_BYTES,
     };
     Rules::read_part(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
-/// A pool of the instances in one zone.
+/// A pool of the endpoints in one zone.
 fn pool(name: &str, zone: &str, fallback: &str) -> String {
     format!("[[pool]]\nname = '{name}'\nwhen = 'instance.zone == \"{zone}\"'\nfallback = '{fallback}'\n")
 }
 
-/// Tells the router of an instance in each zone.
+/// Tells the router of an endpoint in each zone.
 fn tell(router: &mut Router, zones: &[&str]) {
     let pools: Vec<u64> = zones
         .iter()
         .map(|zone| {
             let ip = IpAddr::from([127, 0, 0, 1]);
             let (name, cell, weight, protocol) = ("i", 0, 1.0, "resp");
-            router.pools_of(&Instance {
+            router.pools_of(&Endpoint {
                 name,
                 zone,
                 cell,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn instances_need_be_told_again_only_where_there_is_a_new_pool() {
+fn endpoints_need_be_told_again_only_where_there_is_a_new_pool() {
     let first = [pool("x", "north", "refuse"), pool("y", "south", "x")].concat();
     let mut router = Router::new(read(&first, None));
     tell(&mut router, &["north", "south", "south"]);
@@ -83,7 +83,7 @@
         .unwrap();
     assert!(!replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("x", 1)]));
-    // One of the same name takes other instances.
+    // One of the same name takes other endpoints.
     let other = [pool("x", "south", "refuse"), pool("z", "north", "any")].concat();
     let replaced = router.replace(read(&other, None), 2.0, 1000.0).unwrap();
     assert!(replaced.has_new_pools());
@@ -98,10 +98,10 @@
         .map(|zone| pool(&format!("p{zone}"), &format!("zone-{zone}"), "any"))
         .collect();
     let rule = |number: usize| {
-        let after_ms = if number == changed { 200 } else { 100 };
+        let retry_after_ms = if number == changed { 200 } else { 100 };
         format!(
             "[[rule]]\nname = 'r{number}'\nwhen = 'request.partner.orValue(\"\") == \"{number:016x}\"'\n\
-             nack = 'duration(\"{after_ms}ms\")'\n"
+             nack = 'duration(\"{retry_after_ms}ms\")'\n"
         )
     };
     pools + &(0..LARGE).map(rule).collect::<String>()
@@ -110,7 +110,7 @@
 #[test]
 fn the_largest_file_is_put_in_force_within_a_millisecond() {
     const PUTS: usize = 21;
-    const MOST: Duration = Duration::from_millis(1);
+    const MAX: Duration = Duration::from_millis(1);
     let begun = Instant::now();
     let first = read(&large(usize::MAX), None);
     let read_took = begun.elapsed();
@@ -143,5 +143,5 @@
         took[PUTS - 1]
     );
     // Not the longest: the machine may run others meanwhile. Half of the puts had no more than this.
-    assert!(took[PUTS / 2] < MOST, "{took:?}");
+    assert!(took[PUTS / 2] < MAX, "{took:?}");
 }
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Files of rules and the ways of requests through them.
 
 use driftgap_routes::{
-    Catalog, Effect, Explainer, Headers, Instance, Mapped, ReadOptions, Request, Router, Rules,
+    Catalog, Effect, Endpoint, Explainer, Headers, Mapped, ReadOptions, Request, Router, Rules,
     Verdict, ALL,
 };
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
             .map(|(name, effect)| (name.to_string(), effect))
             .into(),
         plans: vec!["district".into(), "city".into()],
-        most_units: 4.0,
+        max_units: 4.0,
     }
 }
 
@@ -440,12 +440,12 @@
 "#;
 
 #[test]
-fn pools_take_instances_by_their_attributes_and_fall_back_as_stated() {
+fn pools_take_endpoints_by_their_attributes_and_fall_back_as_stated() {
     let mut router = router(POOLS);
     let slow = [("disk".to_string(), "slow".to_string())];
     let mut bits = |zone: &str, weight: f64, labels: &[(String, String)]| {
         let ip = IpAddr::from([10, 0, 0, 1]);
-        router.pools_of(&Instance {
+        router.pools_of(&Endpoint {
             name: "n",
             zone,
             cell: 1,
@@ -465,7 +465,7 @@
         router.ready(ready.iter().copied());
         match router.route(&request("GET", path, headers), 0.0) {
             Verdict::Go(route) => Ok(route.pools),
-            Verdict::Nack { after_ms, by } => Err((after_ms, by)),
+            Verdict::Reject { retry_after_ms, by } => Err((retry_after_ms, by)),
             bad => panic!("{bad:?}"),
         }
     };
@@ -507,9 +507,9 @@
         };
         match router.route(&request, now) {
             Verdict::Go(_) => 0.0,
-            Verdict::Nack { after_ms, by } => {
+            Verdict::Reject { retry_after_ms, by } => {
                 assert_eq!(by, "l");
-                after_ms
+                retry_after_ms
             }
             bad => panic!("{bad:?}"),
         }
@@ -547,7 +547,10 @@
     for _ in 0..10 {
         assert!(matches!(
             router.route(&request("GET", "/", &none), 0.0),
-            Verdict::Nack { after_ms: 70.0, .. }
+            Verdict::Reject {
+                retry_after_ms: 70.0,
+                ..
+            }
         ));
     }
     drop(held);
@@ -555,8 +558,8 @@
     drop(held);
     assert!(matches!(
         router.route(&request("GET", "/", &none), 0.0),
-        Verdict::Nack {
-            after_ms: 1000.0,
+        Verdict::Reject {
+            retry_after_ms: 1000.0,
             ..
         }
     ));
@@ -591,8 +594,8 @@
     assert_eq!(notes, ["x=1", "y=?/stop", "z=3"]);
     assert!(matches!(
         router.route(&request("GET", "/", &none), 0.0),
-        Verdict::Nack {
-            after_ms: 250.0,
+        Verdict::Reject {
+            retry_after_ms: 250.0,
             ..
         }
     ));
@@ -674,7 +677,7 @@
         read(&(names.iter().map(pool).collect::<String>() + &rule)).unwrap()
     };
     let ip = IpAddr::from([10, 0, 0, 1]);
-    let at = |zone| Instance {
+    let at = |zone| Endpoint {
         name: "n",
         zone,
         cell: 1,
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -21,8 +21,8 @@
     first.parse().expect("a number")..last.parse().expect("a number")
 }
 
-fn below(random: &mut Rand32, most: usize) -> usize {
-    random.rand_range(0..most as u32) as usize
+fn below(random: &mut Rand32, max: usize) -> usize {
+    random.rand_range(0..max as u32) as usize
 }
 
 /// A rule of a random kind; `version` changes what it does.
@@ -246,7 +246,7 @@
 }
 
 /// Most faults that are told of one file.
-const MOST_FAULTS: usize = 100;
+const MAX_FAULTS: usize = 100;
 
 /// The line of the file that a fault names.
 fn line_of(fault: &str) -> usize {
@@ -285,10 +285,10 @@
                         // piece it finds more of them twice. What is wrong itself is told alike, as far as
                         // the most faults that are told reach.
                         assert_eq!(cut[0], whole[0]);
-                        let reached = if whole.len() < MOST_FAULTS {
+                        let reached = if whole.len() < MAX_FAULTS {
                             usize::MAX
                         } else {
-                            line_of(&whole[MOST_FAULTS - 1])
+                            line_of(&whole[MAX_FAULTS - 1])
                         };
                         let mut reached = cut.iter().filter(|fault| line_of(fault) < reached);
                         assert!(
@@ -595,12 +595,12 @@
             router.ready([u64::MAX].into_iter());
             let refused = router.route(&request("/none"), 1.0);
             assert!(
-                matches!(&refused, Verdict::Nack { by, .. } if by == "limit"),
+                matches!(&refused, Verdict::Reject { by, .. } if by == "limit"),
                 "{refused:?}"
             );
             let refused = router.route(&request("/once"), 1.0);
             assert!(
-                matches!(&refused, Verdict::Nack { by, .. } if by == "at-once"),
+                matches!(&refused, Verdict::Reject { by, .. } if by == "at-once"),
                 "{refused:?}"
             );
         }
--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -94,13 +94,13 @@
 
 /// A topic that is measured at several sizes along one axis.
 pub trait Experiment {
-    /// Name on the command line and in result files: lower case, words joined by `-`.
+    /// Name on the request line and in result files: lower case, words joined by `-`.
     fn name(&self) -> &'static str;
 
     /// What is measured, in a sentence.
     fn description(&self) -> &'static str;
 
-    /// What the size counts, for instance `backends`.
+    /// What the size counts, for endpoint `backends`.
     fn axis(&self) -> &'static str;
 
     /// Sizes to measure, smallest first: at least four, the largest at least 30 times the smallest. A quick run
--- a/crates/scale/src/experiments/backends.rs
+++ b/crates/scale/src/experiments/backends.rs
@@ -1,5 +1,5 @@
 //! What backends cost an ingress: at the start, while nothing happens, when one or all of them change, and when one
-//! is chosen for a command. Once by the operator's inventory, which is read whole, once by discovery's list, which
+//! is chosen for a request. Once by the operator's inventory, which is read whole, once by discovery's list, which
 //! tells changes.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
--- a/crates/scale/src/experiments/changes.rs
+++ b/crates/scale/src/experiments/changes.rs
@@ -13,7 +13,7 @@
 const FOLLOWERS: usize = 30;
 /// Time in which changes are made, s.
 const CHANGING_SECONDS: u64 = 10;
-/// Instances that are out before changes begin.
+/// Endpoints that are out before changes begin.
 const OUT_BEFORE: u64 = 50;
 /// Changes made one after the other, and the document that they change, bytes.
 const MADE: [u64; 5] = [100, 300, 1_000, 3_000, 6_000];
@@ -25,7 +25,7 @@
 /// What is changed, again and again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Changed {
-    /// An instance is taken out, or put back.
+    /// An endpoint is taken out, or put back.
     ListEntry,
     /// One line of a document of rules.
     Document,
@@ -35,7 +35,7 @@
 pub struct ByChanges(Changed);
 
 impl ByChanges {
-    /// Instances are taken out and put back.
+    /// Endpoints are taken out and put back.
     pub fn of_list_entries() -> ByChanges {
         ByChanges(Changed::ListEntry)
     }
@@ -47,10 +47,10 @@
 
     /// The change of this number.
     fn wish(&self, world: &GroupWorld, number: u64) -> Result<Wish, ExperimentError> {
-        let instance = instance(number / 2);
+        let endpoint = endpoint(number / 2);
         Ok(match self.0 {
-            Changed::ListEntry if number.is_multiple_of(2) => Wish::Suspend(instance),
-            Changed::ListEntry => Wish::Restore(instance),
+            Changed::ListEntry if number.is_multiple_of(2) => Wish::Suspend(endpoint),
+            Changed::ListEntry => Wish::Restore(endpoint),
             Changed::Document => {
                 let held = world
                     .state()?
@@ -63,7 +63,7 @@
     }
 }
 
-fn instance(number: u64) -> String {
+fn endpoint(number: u64) -> String {
     format!("instance-{number:06}")
 }
 
@@ -97,7 +97,7 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(FOLLOWERS, seed)?;
         for number in 0..OUT_BEFORE {
-            world.ask(Wish::Suspend(instance(1_000_000 + number)))?;
+            world.ask(Wish::Suspend(endpoint(1_000_000 + number)))?;
             world.run_until_in_force(IN_FORCE_MS)?;
         }
         world.take_delays();
--- a/crates/scale/src/experiments/group.rs
+++ b/crates/scale/src/experiments/group.rs
@@ -180,11 +180,11 @@
         world.run(1_000.0 * IDLE_SECONDS as f64)?;
         let idle = Reading::take(&world).since(&before);
         let leader = world.leader()?;
-        let most = world.followers_by_member().into_iter().max().unwrap_or(0);
+        let max = world.followers_by_member().into_iter().max().unwrap_or(0);
         let mut results = vec![Measurement::counted(
             "most_followers_of_a_member",
             Unit::Count,
-            most as f64,
+            max as f64,
         )];
         results.extend(load("leader_second", idle.members[leader], IDLE_SECONDS));
         results.extend(load(
--- a/crates/scale/src/experiments/ingresses.rs
+++ b/crates/scale/src/experiments/ingresses.rs
@@ -1,7 +1,7 @@
 //! What a fleet asks of the counter and of one backend, by its ingresses: decision modules on one virtual clock.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
-use crate::hollow::gateways::{Fleet, FleetCounts, FleetPlan};
+use crate::hollow::ingresses::{Fleet, FleetCounts, FleetPlan};
 
 const INGRESSES: [u64; 5] = [10, 30, 100, 300, 1_000];
 const QUICK_INGRESSES: [u64; 4] = [3, 10, 30, 100];
--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -20,7 +20,7 @@
 const EVERY_LIMIT: u64 = 50;
 const EVERY_NOTE: u64 = 10;
 /// Bytes that reading may take: more than an ingress has for it, so that the bound is never what is measured.
-const MOST_BYTES: usize = 1 << 30;
+const MAX_BYTES: usize = 1 << 30;
 /// Virtual time of a replacement, ms.
 const REPLACED_AT_MS: f64 = 60_000.0;
 /// Longest deadline of a request, ms.
@@ -105,11 +105,11 @@
     let catalog = Catalog {
         classes: vec![("fetch-episode".into(), Effect::Pure)],
         plans: vec!["city".into()],
-        most_units: 4.0,
+        max_units: 4.0,
     };
     let options = ReadOptions {
         previous,
-        most_bytes: MOST_BYTES,
+        max_bytes: MAX_BYTES,
     };
     Rules::read_part(text, "routes.toml", None, &catalog, &options).map_err(|faults| {
         let first = faults
--- a/crates/scale/src/experiments/tenants.rs
+++ b/crates/scale/src/experiments/tenants.rs
@@ -3,7 +3,7 @@
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::experiments::fleet::Fleet;
-use crate::experiments::traffic::{command, idle_seconds, unmetered_command, IDLE_SECONDS};
+use crate::experiments::traffic::{idle_seconds, request, unmetered_request, IDLE_SECONDS};
 use crate::ingress::{Deployment, SimulatedIngress};
 use crate::probe::measure;
 
@@ -17,29 +17,29 @@
 const TURNOVER_RATE: u64 = 500;
 /// Backends: few, so that choosing one costs little beside the quota.
 const BACKENDS: u64 = 8;
-/// Time in which every tenant sends a command, ms, and the steps in which they do.
+/// Time in which every tenant sends a request, ms, and the steps in which they do.
 const ROUND_MS: f64 = 1_000.0;
 const STEP_MS: f64 = 5.0;
-/// Commands of an ingress before it is measured.
-const WARM_UP_COMMANDS: u64 = 400;
+/// Requests of an ingress before it is measured.
+const WARM_UP_REQUESTS: u64 = 400;
 /// Time for the last answers and timers behind a round, ms.
 const SETTLING_MS: f64 = 3_000.0;
-/// Behind this long without a command an ingress has forgotten every tenant, ms: three of the longest windows.
+/// Behind this long without a request an ingress has forgotten every tenant, ms: three of the longest windows.
 const FORGOTTEN_MS: f64 = 90_000.0;
 
-/// An ingress that has served commands for a while: before it knows how many are answered in a second, its load ladder
+/// An ingress that has served requests for a while: before it knows how many are answered in a second, its load ladder
 /// refuses some.
 fn start(seed: u64) -> Result<SimulatedIngress, ExperimentError> {
     let ingress = SimulatedIngress::new(&Deployment::TARGET.config()?, seed)?;
     ingress.take_list(Fleet::new(BACKENDS, 1, 1, seed).whole_list(1))?;
-    for id in 0..WARM_UP_COMMANDS {
-        ingress.arrive(unmetered_command(ingress.hub().platform(), id)?);
+    for id in 0..WARM_UP_REQUESTS {
+        ingress.arrive(unmetered_request(ingress.dispatcher().platform(), id)?);
         ingress.advance(STEP_MS);
     }
     Ok(ingress)
 }
 
-/// Each of these tenants sends one command, spread evenly over a time.
+/// Each of these tenants sends one request, spread evenly over a time.
 fn round(
     ingress: &SimulatedIngress,
     tenants: u64,
@@ -50,7 +50,7 @@
     for step in 1..=steps {
         let due = tenants * step / steps;
         while sent < due {
-            ingress.arrive(command(ingress.hub().platform(), sent, sent)?);
+            ingress.arrive(request(ingress.dispatcher().platform(), sent, sent)?);
             sent += 1;
         }
         ingress.advance(STEP_MS);
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -82,14 +82,14 @@
         };
     }
 
-    /// Whether what its ingress sees has this instance as out, and documents of this number.
-    pub fn holds(&self, instance: &str, number: u64) -> bool {
+    /// Whether what its ingress sees has this endpoint as out, and documents of this number.
+    pub fn holds(&self, endpoint: &str, number: u64) -> bool {
         let numbered = self
             .view
             .documents
             .values()
             .any(|document| document.number == number);
-        self.view.out.contains(instance) && numbered
+        self.view.out.contains(endpoint) && numbered
     }
 
     /// What it knows of the group.
--- a/crates/scale/src/hollow/group/member.rs
+++ b/crates/scale/src/hollow/group/member.rs
@@ -2,7 +2,7 @@
 //! would take.
 
 use driftgap::group::View;
-use driftgap_group::{read_frame, Event, Frame, Job, Member, Peer, MOST_FRAME};
+use driftgap_group::{read_frame, Event, Frame, Job, Member, Peer, MAX_FRAME};
 use std::sync::Arc;
 
 /// Frames that a member sends at one turn, as bytes.
@@ -113,7 +113,7 @@
 
 /// The frame that these bytes are.
 pub(super) fn decode(bytes: &[u8]) -> Option<Frame> {
-    match read_frame(bytes, MOST_FRAME) {
+    match read_frame(bytes, MAX_FRAME) {
         Ok(Some((frame, used))) if used == bytes.len() => Some(frame),
         _ => None,
     }
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -449,8 +449,8 @@
         self.member_loads[index].cpu += self.timer.end(span);
         let turn = turn?;
         if turn.writes {
-            let (least, most) = DISK_MS;
-            let ms = least + self.random.rand_float() * (most - least);
+            let (min, max) = DISK_MS;
+            let ms = min + self.random.rand_float() * (max - min);
             self.schedule.after(ms, Event::Written(index));
         }
         self.note_changes(index, &turn.events);
--- a/crates/scale/src/hollow/gateways/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -8,16 +8,21 @@
 
 use super::Schedule;
 use backend::Backend;
-use driftgap::decision::driver::{Add, Ask, CommandId, Ended, Errand, Facade, Report, Verdict};
-use driftgap::decision::{HostEntry, HostState, ListKind, Outcome, SettingsError, ALL_HOSTS};
+use driftgap::decision::driver::{
+    AttemptReport, CounterAdd, DecisionDriver, DriverAction, Observation, RequestAttributes,
+    RequestId, Verdict,
+};
+use driftgap::decision::{
+    EndpointEntry, EndpointState, ListKind, Outcome, SettingsError, ALL_ENDPOINTS,
+};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How long a backend takes for a command, ms.
+/// How long a backend takes for a request, ms.
 const SERVICE_MS: f64 = 50.0;
 /// How long the counter takes for a call, ms.
 const COUNTER_MS: f64 = 5.0;
-/// A client gives a command up after this, ms.
+/// A client gives a request up after this, ms.
 const PATIENCE_MS: f64 = 2000.0;
 /// A timer is awaited so much longer, ms: the schedule's times are rounded.
 const ROUNDING_MS: f64 = 0.002;
@@ -79,7 +84,7 @@
     AttemptEnds {
         ingress: usize,
         backend: u32,
-        command: CommandId,
+        request: RequestId,
         attempt: u32,
         outcome: Outcome,
     },
@@ -97,10 +102,10 @@
 }
 
 struct Ingress {
-    facade: Facade,
-    next_command: CommandId,
-    /// Attempts by command, for their numbers.
-    attempts: HashMap<CommandId, u32>,
+    driver: DecisionDriver,
+    next_request: RequestId,
+    /// Attempts by request, for their numbers.
+    attempts: HashMap<RequestId, u32>,
     /// When its next timer is awaited.
     wake_ms: f64,
 }
@@ -133,16 +138,16 @@
             counts: FleetCounts::default(),
             plan,
         };
-        let backends: Vec<HostEntry> = (0..fleet.plan.backends).map(entry).collect();
+        let backends: Vec<EndpointEntry> = (0..fleet.plan.backends).map(entry).collect();
         for position in 0..fleet.plan.ingresses {
             let settings = settings::settings(fleet.plan.ingresses, position, fleet.plan.quota);
             let seed = fleet.plan.seed << 16 | u64::from(position);
-            let mut facade = Facade::new(settings, seed)?;
-            facade.report(now, Report::Names(ListKind::Full, backends.clone()));
+            let mut driver = DecisionDriver::new(settings, seed)?;
+            driver.report(now, Observation::Names(ListKind::Full, backends.clone()));
             let attempts = HashMap::new();
             fleet.ingresses.push(Ingress {
-                facade,
-                next_command: 1,
+                driver,
+                next_request: 1,
                 attempts,
                 wake_ms: f64::INFINITY,
             });
@@ -181,48 +186,48 @@
             Event::AttemptEnds {
                 ingress,
                 backend,
-                command,
+                request,
                 attempt,
                 outcome,
             } => {
                 self.backends[backend as usize].ended(now, ingress, outcome == Outcome::Ok);
                 let finished = outcome == Outcome::Ok;
                 let (load, cost) = (Vec::new(), None);
-                let end = Ended {
-                    command,
+                let end = AttemptReport {
+                    request,
                     attempt,
                     outcome,
                     finished,
                     load,
                     cost,
                 };
-                self.report(ingress, Report::Ended(end));
+                self.report(ingress, Observation::AttemptEnded(end));
             }
             Event::CounterAnswers {
                 ingress,
                 name,
                 total,
             } => {
-                self.report(ingress, Report::Counted(name, Outcome::Ok, total));
+                self.report(ingress, Observation::Counted(name, Outcome::Ok, total));
             }
             Event::ProbeEnds {
                 ingress,
                 backend,
                 outcome,
             } => {
-                self.report(ingress, Report::Probed(backend, outcome, Vec::new()));
+                self.report(ingress, Observation::Probed(backend, outcome, Vec::new()));
             }
             Event::Wake(ingress) => {
                 self.ingresses[ingress].wake_ms = f64::INFINITY;
-                self.ingresses[ingress].facade.tick(now);
+                self.ingresses[ingress].driver.tick(now);
                 self.settle(ingress);
             }
         }
     }
 
-    fn report(&mut self, ingress: usize, report: Report) {
+    fn report(&mut self, ingress: usize, report: Observation) {
         let now = self.schedule.now_ms();
-        self.ingresses[ingress].facade.report(now, report);
+        self.ingresses[ingress].driver.report(now, report);
         self.settle(ingress);
     }
 
@@ -238,32 +243,32 @@
         let spread = self.plan.spread.min(all);
         let ingress =
             ((first + self.random.rand_range(0..u64::from(spread)) as u32) % all) as usize;
-        let ask = Ask {
+        let ask = RequestAttributes {
             class: 0,
             plan: 0,
-            customer: tenant,
+            tenant,
             units: 1.0,
             spread,
             first,
             repeat: false,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         self.counts.requests += 1;
-        let command = self.ingresses[ingress].next_command;
-        self.ingresses[ingress].next_command += 1;
+        let request = self.ingresses[ingress].next_request;
+        self.ingresses[ingress].next_request += 1;
         let verdict = self.ingresses[ingress]
-            .facade
-            .pick(now, command, &ask, now + PATIENCE_MS);
-        self.carry_out(ingress, command, verdict);
+            .driver
+            .pick(now, request, &ask, now + PATIENCE_MS);
+        self.carry_out(ingress, request, verdict);
         self.settle(ingress);
     }
 
     /// Carries out what an ingress' module has left to do, and awaits its next timer.
     fn settle(&mut self, ingress: usize) {
         loop {
-            if let Some((command, verdict)) = self.ingresses[ingress].facade.next_verdict() {
-                self.carry_out(ingress, command, verdict);
-            } else if let Some(errand) = self.ingresses[ingress].facade.next_errand() {
+            if let Some((request, verdict)) = self.ingresses[ingress].driver.next_verdict() {
+                self.carry_out(ingress, request, verdict);
+            } else if let Some(errand) = self.ingresses[ingress].driver.next_action() {
                 self.run_errand(ingress, errand);
             } else {
                 break;
@@ -271,7 +276,7 @@
         }
         let of = &mut self.ingresses[ingress];
         if let Some(due) = of
-            .facade
+            .driver
             .next_due()
             .map(|due| due + ROUNDING_MS)
             .filter(|due| *due < of.wake_ms)
@@ -281,21 +286,21 @@
         }
     }
 
-    fn carry_out(&mut self, ingress: usize, command: CommandId, verdict: Verdict) {
+    fn carry_out(&mut self, ingress: usize, request: RequestId, verdict: Verdict) {
         match verdict {
             Verdict::Hold => {}
-            Verdict::Send { instance, .. } => self.send(ingress, command, instance),
-            Verdict::Nack { .. } => {
+            Verdict::Send { endpoint, .. } => self.send(ingress, request, endpoint),
+            Verdict::Reject { .. } => {
                 self.counts.refused += 1;
-                self.ingresses[ingress].attempts.remove(&command);
+                self.ingresses[ingress].attempts.remove(&request);
             }
-            Verdict::Fail => drop(self.ingresses[ingress].attempts.remove(&command)),
+            Verdict::Fail => drop(self.ingresses[ingress].attempts.remove(&request)),
         }
     }
 
-    fn send(&mut self, ingress: usize, command: CommandId, backend: u32) {
+    fn send(&mut self, ingress: usize, request: RequestId, backend: u32) {
         self.counts.attempts += 1;
-        let number = self.ingresses[ingress].attempts.entry(command).or_insert(0);
+        let number = self.ingresses[ingress].attempts.entry(request).or_insert(0);
         let attempt = *number;
         *number += 1;
         let now = self.schedule.now_ms();
@@ -304,17 +309,17 @@
         let ends = Event::AttemptEnds {
             ingress,
             backend,
-            command,
+            request,
             attempt,
             outcome,
         };
         self.schedule.after(SERVICE_MS, ends);
     }
 
-    fn run_errand(&mut self, ingress: usize, errand: Errand) {
+    fn run_errand(&mut self, ingress: usize, errand: DriverAction) {
         match errand {
-            Errand::Count(add) => self.count(ingress, add),
-            Errand::Probe(backend) => {
+            DriverAction::Count(add) => self.count(ingress, add),
+            DriverAction::Probe(backend) => {
                 self.counts.probes += 1;
                 self.backends[backend as usize].probed(ingress);
                 let outcome = self.outcome(backend);
@@ -327,11 +332,11 @@
                     },
                 );
             }
-            Errand::Cancel(..) | Errand::Follow => {}
+            DriverAction::Cancel(..) | DriverAction::Follow => {}
         }
     }
 
-    fn count(&mut self, ingress: usize, add: Add) {
+    fn count(&mut self, ingress: usize, add: CounterAdd) {
         self.counts.counter_calls += 1;
         let total = self.totals.entry(add.name).or_insert(0.0);
         *total += add.amount;
@@ -357,15 +362,15 @@
     }
 }
 
-fn entry(host: u32) -> HostEntry {
-    let state = HostState::Ready;
-    HostEntry {
-        host,
+fn entry(host: u32) -> EndpointEntry {
+    let state = EndpointState::Ready;
+    EndpointEntry {
+        endpoint: host,
         zone: 0,
         cell: 0,
         state,
         size: 1.0,
         started: 0.0,
-        pools: ALL_HOSTS,
+        pools: ALL_ENDPOINTS,
     }
 }
--- a/crates/scale/src/hollow/gateways/settings.rs
+++ b/crates/scale/src/hollow/ingresses/settings.rs
@@ -1,6 +1,6 @@
 //! What hollow ingresses are told at their start.
 
-use driftgap::decision::{Class, Effect, Group, Plan, Settings};
+use driftgap::decision::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
 /// Most units that can be saved up, in seconds of a quota.
 const BURST_SECONDS: f64 = 2.0;
@@ -8,13 +8,13 @@
 /// Settings of one ingress among so many, with one class and one plan of so many units a second.
 pub(super) fn settings(ingresses: u32, position: u32, quota: f64) -> Settings {
     let class = Class {
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
-        effect: Effect::Safe,
-        group: Group::All,
+        effect: Idempotency::Safe,
+        group: DeduplicationScope::All,
         window: 1.0,
         late_share: 0.0,
-        worth: 1.0,
+        priority_weight: 1.0,
     };
     let plan = Plan {
         rate: quota,
@@ -26,7 +26,7 @@
         ceiling_burst: 0.0,
     };
     Settings {
-        gateways: ingresses,
+        ingresses,
         position,
         zone: 0,
         classes: vec![class],
@@ -34,13 +34,13 @@
         report: Vec::new(),
         report_by_probe: false,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        second_copies: false,
+        probes_allowed: true,
+        cancellation_allowed: true,
+        hedging: false,
         counter: true,
         counter_timeout: 0.1,
         settled_later: false,
-        most_units: 4.0,
+        max_units: 4.0,
         max_attempts: 4,
         max_retry_after: 2.0,
         resolution: 0.002,
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -2,8 +2,8 @@
 //! time is virtual; sockets, disks and the wait for them are all that is stood in. The same seed gives the same run.
 
 mod cpu;
-pub mod gateways;
 pub mod group;
+pub mod ingresses;
 mod schedule;
 mod wire;
 
--- a/crates/scale/src/hollow/wire.rs
+++ b/crates/scale/src/hollow/wire.rs
@@ -54,8 +54,8 @@
 
     /// A delay between two ends, ms.
     pub fn delay(&mut self) -> f64 {
-        let (least, most) = self.delay_ms;
-        least + self.chance() * (most - least)
+        let (min, max) = self.delay_ms;
+        min + self.chance() * (max - min)
     }
 
     /// How long a machine's interface is busy with so many bytes, ms.
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -1,18 +1,20 @@
-//! A simulated ingress: the control side of the real program (clock, name table, inventory, router, core and decision
+//! A simulated ingress: the control side of the real program (clock, endpoint registry, inventory, router, core and decision
 //! module) without sockets. Backends and the counter are simulated; time passes as fast as the timers allow.
 
 use crate::experiment::ExperimentError;
 use crate::probe::uncounted;
 use driftgap::config::settings::Config;
-use driftgap::decision::driver::Add;
+use driftgap::decision::driver::CounterAdd;
 use driftgap::decision::{ListKind, Outcome};
 use driftgap::discovery;
 use driftgap::discovery::inventory::Inventory;
 use driftgap::protocol::resp::HttpAnswer;
-use driftgap::request::{Answer, Command, Effect, End, Start, Value};
+use driftgap::request::{
+    Action, AttemptResult, AttemptStart, ClientRequest, FinalAnswer, ResponseBody,
+};
 use driftgap::routing::{catalog, Source};
 use driftgap::runtime::clock::Clock;
-use driftgap::runtime::dispatcher::{Hub, Network, ServiceClient};
+use driftgap::runtime::dispatcher::{ActionExecutor, Dispatcher, ResponseSink};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -79,16 +81,16 @@
     pub counter_calls: u64,
     /// Probes of backends.
     pub probes: u64,
-    /// Commands that were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Commands that were refused or failed.
+    /// Requests that were refused or failed.
     pub refused: u64,
 }
 
 /// Simulated backends, counter and clients: they answer after fixed times. What they hold is not counted.
 struct Peers {
-    attempts: RefCell<VecDeque<(f64, Start)>>,
-    calls: RefCell<VecDeque<(f64, Add)>>,
+    attempts: RefCell<VecDeque<(f64, AttemptStart)>>,
+    calls: RefCell<VecDeque<(f64, CounterAdd)>>,
     totals: RefCell<HashMap<u64, f64>>,
     now: Cell<f64>,
     traffic: Cell<Traffic>,
@@ -118,7 +120,7 @@
         attempt.into_iter().chain(call).reduce(f64::min)
     }
 
-    fn due_attempt(&self, now: f64) -> Option<Start> {
+    fn due_attempt(&self, now: f64) -> Option<AttemptStart> {
         let mut attempts = self.attempts.borrow_mut();
         attempts
             .front()
@@ -127,7 +129,7 @@
             .map(|(_, start)| start)
     }
 
-    fn due_call(&self, now: f64) -> Option<Add> {
+    fn due_call(&self, now: f64) -> Option<CounterAdd> {
         let mut calls = self.calls.borrow_mut();
         calls
             .front()
@@ -137,7 +139,7 @@
     }
 
     /// Adds to a number on the counter; its total.
-    fn add(&self, add: Add) -> f64 {
+    fn add(&self, add: CounterAdd) -> f64 {
         let mut total = 0.0;
         uncounted(|| {
             let mut totals = self.totals.borrow_mut();
@@ -149,41 +151,41 @@
     }
 }
 
-impl Network for Peers {
-    fn carry_out(&self, effect: Effect) {
+impl ActionExecutor for Peers {
+    fn carry_out(&self, effect: Action) {
         match effect {
-            Effect::Start(start) => {
+            Action::StartAttempt(start) => {
                 self.count(|traffic| traffic.attempts += 1);
                 let due = self.now.get() + BACKEND_MS;
                 uncounted(|| self.attempts.borrow_mut().push_back((due, start)));
             }
-            Effect::Count(add) => {
+            Action::Count(add) => {
                 self.count(|traffic| traffic.counter_calls += 1);
                 let due = self.now.get() + COUNTER_MS;
                 uncounted(|| self.calls.borrow_mut().push_back((due, add)));
             }
-            Effect::Probe(_) => self.count(|traffic| traffic.probes += 1),
+            Action::Probe(_) => self.count(|traffic| traffic.probes += 1),
             // Answers never come late, so that nothing is abandoned; there are no connections to release.
-            Effect::Abandon(..) | Effect::Release(_) | Effect::Reply(..) => {}
+            Action::Abandon(..) | Action::Release(_) | Action::Reply(..) => {}
         }
     }
 }
 
-impl ServiceClient for Peers {
-    fn answer(&self, _ticket: u64, answer: Answer) {
+impl ResponseSink for Peers {
+    fn answer(&self, _ticket: u64, answer: FinalAnswer) {
         self.count(|traffic| match answer {
-            Answer::Served(_) => traffic.served += 1,
-            Answer::Nack { .. } | Answer::Failed { .. } => traffic.refused += 1,
+            FinalAnswer::Served(_) => traffic.served += 1,
+            FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. } => traffic.refused += 1,
         });
     }
 }
 
 /// An ingress whose sockets, peers and waiting are simulated.
 pub struct SimulatedIngress {
-    hub: Rc<Hub>,
+    dispatcher: Rc<Dispatcher>,
     peers: Rc<Peers>,
-    network: Rc<dyn Network>,
-    client: Rc<dyn ServiceClient>,
+    network: Rc<dyn ActionExecutor>,
+    client: Rc<dyn ResponseSink>,
 }
 
 impl SimulatedIngress {
@@ -196,14 +198,14 @@
             seed,
             ..config.clone()
         };
-        let hub = Hub::new(&config, MEMORY_MB, None, Clock::fixed(START_MS), true);
-        let hub = hub.map_err(|e| ExperimentError::Settings(e.to_string()))?;
+        let dispatcher = Dispatcher::new(&config, MEMORY_MB, None, Clock::fixed(START_MS), true);
+        let dispatcher = dispatcher.map_err(|e| ExperimentError::Settings(e.to_string()))?;
         let peers = Peers::new();
-        let (network, client): (Rc<dyn Network>, Rc<dyn ServiceClient>) =
+        let (network, client): (Rc<dyn ActionExecutor>, Rc<dyn ResponseSink>) =
             (peers.clone(), peers.clone());
-        hub.carried_by(&network);
+        dispatcher.set_executor(&network);
         Ok(SimulatedIngress {
-            hub,
+            dispatcher,
             peers,
             network,
             client,
@@ -211,8 +213,8 @@
     }
 
     /// The shared state of the ingress.
-    pub fn hub(&self) -> &Rc<Hub> {
-        &self.hub
+    pub fn dispatcher(&self) -> &Rc<Dispatcher> {
+        &self.dispatcher
     }
 
     /// Calls and answers so far.
@@ -221,7 +223,7 @@
     }
 
     /// Who carries out what the core wants done.
-    pub fn network(&self) -> &Rc<dyn Network> {
+    pub fn network(&self) -> &Rc<dyn ActionExecutor> {
         &self.network
     }
 
@@ -230,12 +232,12 @@
     /// # Errors
     /// The inventory is wrong.
     pub fn load(&self, inventory: &mut Inventory) -> Result<usize, ExperimentError> {
-        let loaded = inventory.load(&mut self.hub.table(), self.hub.now());
+        let loaded = inventory.load(&mut self.dispatcher.table(), self.dispatcher.now());
         let (entries, _) = loaded.map_err(|e| ExperimentError::Refused(e.to_string()))?;
-        let told = entries.len();
-        self.hub.names(ListKind::Delta, entries);
-        self.hub.table().forget(|id| inventory.dropped(id));
-        Ok(told)
+        let notified = entries.len();
+        self.dispatcher.update_endpoints(ListKind::Delta, entries);
+        self.dispatcher.table().forget(|id| inventory.dropped(id));
+        Ok(notified)
     }
 
     /// Takes an answer of discovery's.
@@ -248,7 +250,7 @@
             body,
             close: false,
         };
-        discovery::take(&self.hub, &answer).map_err(ExperimentError::Refused)?;
+        discovery::take(&self.dispatcher, &answer).map_err(ExperimentError::Refused)?;
         Ok(())
     }
 
@@ -258,59 +260,67 @@
     /// The text holds faults; the first of them.
     pub fn put_rules(&self, text: &str) -> Result<(), ExperimentError> {
         let source = Source::file(RULES_FILE.into(), MEMORY_MB);
-        let in_force = self.hub.rules();
+        let in_force = self.dispatcher.rules();
         let rules = source
-            .judge(text, &catalog(self.hub.platform()), in_force.as_ref())
+            .judge(
+                text,
+                &catalog(self.dispatcher.platform()),
+                in_force.as_ref(),
+            )
             .map_err(|faults| {
                 let first = faults
                     .first()
                     .map_or(String::new(), |fault| fault.line.clone());
                 ExperimentError::Refused(first)
             })?;
-        self.hub
+        self.dispatcher
             .put_rules(rules)
             .map_err(|e| ExperimentError::Refused(e.to_string()))?;
         Ok(())
     }
 
-    /// Takes a command; its answer comes with time.
-    pub fn arrive(&self, command: Command) {
-        self.hub
-            .arrive(command, self.client.clone(), 0, Vec::new(), |_| {});
+    /// Takes a request; its answer comes with time.
+    pub fn arrive(&self, request: ClientRequest) {
+        self.dispatcher
+            .arrive(request, self.client.clone(), 0, Vec::new(), |_| {});
     }
 
     /// Lets time pass: timers come due and peers answer.
     pub fn advance(&self, milliseconds: f64) {
-        let end = self.hub.now() + milliseconds;
-        while self.hub.now() < end {
-            let timers = self.hub.next_due().into_iter().chain(self.peers.next_due());
-            let due = timers.fold(self.hub.now() + LOOK_MS, f64::min);
-            self.set_clock((due.max(self.hub.now()) + LATENESS_MS).min(end));
+        let end = self.dispatcher.now() + milliseconds;
+        while self.dispatcher.now() < end {
+            let timers = self
+                .dispatcher
+                .next_due()
+                .into_iter()
+                .chain(self.peers.next_due());
+            let due = timers.fold(self.dispatcher.now() + LOOK_MS, f64::min);
+            self.set_clock((due.max(self.dispatcher.now()) + LATENESS_MS).min(end));
             self.deliver();
-            self.hub.with_core(|core, now| core.tick(now));
+            self.dispatcher.with_requests(|core, now| core.tick(now));
         }
     }
 
     fn set_clock(&self, milliseconds: f64) {
-        self.hub.clock().set(milliseconds);
+        self.dispatcher.clock().set(milliseconds);
         self.peers.now.set(milliseconds);
     }
 
     /// Hands over every answer that is due.
     fn deliver(&self) {
-        let now = self.hub.now();
+        let now = self.dispatcher.now();
         while let Some(add) = self.peers.due_call(now) {
             let total = self.peers.add(add);
-            self.hub
-                .with_core(|core, now| core.counted(now, add.name, Outcome::Ok, total));
+            self.dispatcher
+                .with_requests(|core, now| core.counted(now, add.name, Outcome::Ok, total));
         }
         while let Some(start) = self.peers.due_attempt(now) {
-            let end = End {
-                value: Some(Value::Whole(Vec::new())),
-                ..End::without(Outcome::Ok)
+            let end = AttemptResult {
+                value: Some(ResponseBody::Complete(Vec::new())),
+                ..AttemptResult::without(Outcome::Ok)
             };
-            self.hub
-                .with_core(|core, now| core.attempt_ended(now, start.id, start.attempt, end));
+            self.dispatcher
+                .with_requests(|core, now| core.attempt_ended(now, start.id, start.attempt, end));
         }
     }
 }
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -5,7 +5,7 @@
 use crate::results::Slope;
 
 /// Beyond this share of the target nothing is looked for.
-const MOST_SHARE: f64 = 10.0;
+const MAX_SHARE: f64 = 10.0;
 /// Halvings of the range in which the share lies: enough for a double's digits.
 const HALVINGS: u32 = 60;
 
@@ -200,10 +200,10 @@
         if self.at_share(0.0) > budget {
             return Share::Never;
         }
-        if self.at_share(MOST_SHARE) <= budget {
+        if self.at_share(MAX_SHARE) <= budget {
             return Share::Beyond;
         }
-        let (mut holds, mut fails) = (0.0, MOST_SHARE);
+        let (mut holds, mut fails) = (0.0, MAX_SHARE);
         for _ in 0..HALVINGS {
             let middle = (holds + fails) / 2.0;
             if self.at_share(middle) <= budget {
--- a/crates/scale/src/page/targets.rs
+++ b/crates/scale/src/page/targets.rs
@@ -148,12 +148,14 @@
     /// The rows of the program before the last mechanism was built: those that tell of it, and all others that have no
     /// such row of the same name.
     pub fn rows_before(&self) -> impl Iterator<Item = &Row> {
-        let told = |row: &&Row| {
+        let notified = |row: &&Row| {
             self.rows
                 .iter()
                 .any(|other| other.before && other.name == row.name)
         };
-        self.rows.iter().filter(move |row| row.before || !told(row))
+        self.rows
+            .iter()
+            .filter(move |row| row.before || !notified(row))
     }
 
     /// The names of all tables, as often as they have rows.
--- a/crates/scale/src/real/group.rs
+++ b/crates/scale/src/real/group.rs
@@ -89,7 +89,7 @@
         // Followers that come before all members vote would all stay beside the first one.
         for places in [0..MEMBERS, MEMBERS..MEMBERS + followers] {
             for place in places {
-                let process = Process::start(&mut group.command(place)?)?;
+                let process = Process::start(&mut group.request(place)?)?;
                 group.processes.push(process);
             }
             group.await_whole()?;
@@ -162,22 +162,22 @@
     }
 
     /// The program as the ingress of this place.
-    fn command(&self, place: usize) -> io::Result<Command> {
+    fn request(&self, place: usize) -> io::Result<Command> {
         let home = self.home(place);
         let log = std::fs::File::create(home.join("log"))?;
-        let mut command = Command::new(&self.program);
-        command
+        let mut request = Command::new(&self.program);
+        request
             .env("EDGE_CONFIG", home.join("config.json"))
             .env("DRIFTGAP_OPERATOR", home.join("operator.toml"))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        Ok(command)
+        Ok(request)
     }
 
     fn begin(&self) -> Result<(), RealError> {
         let output = self
-            .command(0)?
+            .request(0)?
             .args(["group", "init"])
             .stderr(Stdio::piped())
             .output()?;
--- a/crates/scale/src/real/process.rs
+++ b/crates/scale/src/real/process.rs
@@ -13,8 +13,8 @@
 pub(super) struct Process(Child);
 
 impl Process {
-    pub(super) fn start(command: &mut Command) -> io::Result<Process> {
-        Ok(Process(command.spawn()?))
+    pub(super) fn start(request: &mut Command) -> io::Result<Process> {
+        Ok(Process(request.spawn()?))
     }
 
     /// Resident memory, bytes.
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -70,11 +70,11 @@
 }
 
 /// Smaller values are what rounding leaves of 0.
-const LEAST: f64 = 1e-7;
+const MIN: f64 = 1e-7;
 
 /// A number with four significant digits, with thousands apart.
 fn number(value: f64) -> String {
-    if value.abs() < LEAST {
+    if value.abs() < MIN {
         return "0".into();
     }
     let digits = 3 - value.abs().log10().floor() as i32;
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -158,7 +158,7 @@
         Series {
             first,
             sizes: values.keys().copied().collect(),
-            points: values.values().map(|repeats| least(repeats)).collect(),
+            points: values.values().map(|repeats| min(repeats)).collect(),
             spread: values
                 .values()
                 .map(|repeats| spread(repeats))
@@ -193,14 +193,14 @@
     }
 }
 
-fn least(values: &[f64]) -> f64 {
+fn min(values: &[f64]) -> f64 {
     values.iter().copied().fold(f64::INFINITY, f64::min)
 }
 
 /// The largest difference between two values, as a share of the larger one.
 fn spread(values: &[f64]) -> f64 {
     let largest = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    let difference = largest - least(values);
+    let difference = largest - min(values);
     if difference > 0.0 {
         difference / values.iter().map(|value| value.abs()).fold(0.0, f64::max)
     } else {
--- a/crates/scale/tests/experiments.rs
+++ b/crates/scale/tests/experiments.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 /// Least factor between the smallest and the largest size.
-const LEAST_RANGE: u64 = 30;
+const MIN_RANGE: u64 = 30;
 const FEWEST_SIZES: usize = 4;
 
 fn counted(experiment: &dyn Experiment, seed: u64) -> Vec<Measurement> {
@@ -53,7 +53,7 @@
                 "{name}: {sizes:?}"
             );
             assert!(
-                sizes[sizes.len() - 1] >= LEAST_RANGE * sizes[0],
+                sizes[sizes.len() - 1] >= MIN_RANGE * sizes[0],
                 "{name}: {sizes:?}"
             );
         }
--- a/crates/scale/tests/hollow_gateways.rs
+++ b/crates/scale/tests/hollow_gateways.rs
@@ -1,6 +1,6 @@
 //! The hollow fleet of decision modules: counts repeat, requests reach backends, and what a backend sees adds up.
 
-use driftgap_scale::hollow::gateways::{Fleet, FleetPlan};
+use driftgap_scale::hollow::ingresses::{Fleet, FleetPlan};
 
 fn plan() -> FleetPlan {
     FleetPlan {
--- a/crates/scale/tests/hollow_group.rs
+++ b/crates/scale/tests/hollow_group.rs
@@ -75,7 +75,7 @@
 #[test]
 fn a_document_that_is_too_large_is_refused_and_counts_as_no_change() {
     let mut world = GroupWorld::start(MEMBERS, 3, 5).unwrap();
-    let bytes = vec![b'r'; driftgap_group::MOST_DOCUMENT + 1];
+    let bytes = vec![b'r'; driftgap_group::MAX_DOCUMENT + 1];
     world.ask(Wish::Write(Kind::Rules, 0, bytes)).unwrap();
     world.run_until_in_force(2_000.0).unwrap();
     assert!(world.take_delays().is_empty());
--- a/crates/scale/tests/measured_again.rs
+++ b/crates/scale/tests/measured_again.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_value_or_a_slope_that_is_over_a_tenth_off_is_told() {
+fn a_value_or_a_slope_that_is_over_a_tenth_off_is_notified() {
     let quoted = Slope {
         experiment: "heap".into(),
         quantity: "bytes".into(),
--- a/crates/scale/tests/results.rs
+++ b/crates/scale/tests/results.rs
@@ -76,9 +76,9 @@
 
 #[test]
 fn what_is_negligible_does_not_count_as_growth() {
-    let heap = |most: f64| {
+    let heap = |max: f64| {
         let value = move |size, _| {
-            Measurement::counted("heap", Unit::Bytes, if size == 100 { most } else { 0.0 })
+            Measurement::counted("heap", Unit::Bytes, if size == 100 { max } else { 0.0 })
         };
         slope(value)
     };
--- a/examples/toy_instance.rs
+++ b/examples/toy_endpoint.rs
@@ -1,7 +1,7 @@
-//! A toy catch-up node to try driftgap with: it answers every command of the platform's protocol with the
-//! class it was asked for, after a moment. Usage: toy_instance ADDRESS:PORT
+//! A toy catch-up node to try driftgap with: it answers every request of the platform's protocol with the
+//! class it was asked for, after a moment. Usage: toy_endpoint ADDRESS:PORT
 
-use driftgap::protocol::resp::{command_words, Parsed};
+use driftgap::protocol::resp::{request_words, Parsed};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
@@ -9,8 +9,8 @@
 fn serve(mut stream: TcpStream) -> std::io::Result<()> {
     let (mut held, mut part) = (Vec::new(), [0; 4096]);
     loop {
-        let reply = match command_words(&held) {
-            Ok(Parsed::Whole(words, n)) => {
+        let reply = match request_words(&held) {
+            Ok(Parsed::Complete(words, n)) => {
                 let text = |i: usize| {
                     String::from_utf8_lossy(words.get(i).unwrap_or(&b"".as_slice())).to_string()
                 };
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -3,8 +3,8 @@
 //! call means: that is `driftgap_admin`'.
 
 use crate::group::{Ended, Group, Seat};
-use crate::runtime::dispatcher::Hub;
-use driftgap_admin::{Answer, BadCall, Ban, Call, GroupCall, MOST_LINE};
+use crate::runtime::dispatcher::Dispatcher;
+use driftgap_admin::{Answer, BadCall, Call, ExclusionOutcome, GroupCall, MAX_LINE};
 use driftgap_group::{Outcome, Role, Wish};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,15 +16,15 @@
 use tokio::time::timeout;
 
 /// Most callers at a time; the one that has been silent for longest makes room for the next.
-pub const MOST_CALLERS: usize = 16;
+pub const MAX_CALLERS: usize = 16;
 /// Most calls that wait for the group at a time.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 /// A caller has this long for its line, and as long to read the answer.
-const PATIENCE: Duration = Duration::from_millis(2500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Who keeps what staff have taken out over the end of this process.
-pub trait Keeper {
-    /// Notes that an instance is out, or no more.
+pub trait ExclusionStore {
+    /// Notes that an endpoint is out, or no more.
     ///
     /// # Errors
     /// Why it cannot be kept.
@@ -32,7 +32,7 @@
 }
 
 /// What the group agreed on a call, in words.
-fn agreed(hub: &Hub, call: &Call, outcome: Outcome) -> Answer {
+fn agreed(dispatcher: &Dispatcher, call: &Call, outcome: Outcome) -> Answer {
     let name = match call {
         Call::Suspend(name) | Call::Restore(name) => name,
         Call::Group(
@@ -53,7 +53,7 @@
             } else {
                 done.1
             };
-            if matches!(call, Call::Restore(_)) && hub.is_out_here(name) {
+            if matches!(call, Call::Restore(_)) && dispatcher.is_excluded_here(name) {
                 return Answer::yes(format!(
                     "{name} {word}, but is suspended here: RESTORE {name} HERE"
                 ));
@@ -132,21 +132,25 @@
 }
 
 /// The place where staff call.
-pub struct Calls {
-    hub: Rc<Hub>,
-    keeper: Option<Rc<dyn Keeper>>,
+pub struct AdminServer {
+    dispatcher: Rc<Dispatcher>,
+    keeper: Option<Rc<dyn ExclusionStore>>,
     group: Option<Group>,
     waiting: Cell<usize>,
     callers: RefCell<VecDeque<(u64, AbortHandle)>>,
     next: Cell<u64>,
 }
 
-impl Calls {
+impl AdminServer {
     /// No callers yet.
-    pub fn new(hub: Rc<Hub>, keeper: Option<Rc<dyn Keeper>>, group: Option<Group>) -> Rc<Calls> {
+    pub fn new(
+        dispatcher: Rc<Dispatcher>,
+        keeper: Option<Rc<dyn ExclusionStore>>,
+        group: Option<Group>,
+    ) -> Rc<AdminServer> {
         let (callers, next, waiting) = Default::default();
-        Rc::new(Calls {
-            hub,
+        Rc::new(AdminServer {
+            dispatcher,
             keeper,
             group,
             waiting,
@@ -179,7 +183,7 @@
         });
         let mut callers = self.callers.borrow_mut();
         callers.push_back((number, task.abort_handle()));
-        if callers.len() > MOST_CALLERS {
+        if callers.len() > MAX_CALLERS {
             // Calls are carried out as soon as they are whole: whoever is still here after so many others is silent.
             if let Some((_, silent)) = callers.pop_front() {
                 silent.abort();
@@ -194,8 +198,8 @@
 
     async fn hear(&self, mut stream: TcpStream, number: u64) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
-        let mut line = Vec::with_capacity(MOST_LINE);
-        let read = timeout(PATIENCE, async {
+        let mut line = Vec::with_capacity(MAX_LINE);
+        let read = timeout(CLIENT_TIMEOUT, async {
             loop {
                 match Call::read(&line) {
                     Ok(Some(call)) => return Ok(Some(Ok(call))),
@@ -203,7 +207,7 @@
                     Err(problem) => return Ok(Some(Err(Answer::no(problem.to_string())))),
                 }
                 // What comes behind the line is left unread.
-                let mut more = (&mut stream).take((MOST_LINE - line.len()) as u64);
+                let mut more = (&mut stream).take((MAX_LINE - line.len()) as u64);
                 if more.read_buf(&mut line).await? == 0 {
                     return Ok::<_, std::io::Error>(None);
                 }
@@ -221,14 +225,14 @@
             Err(_) => Answer::no("no whole line in time"),
         };
         let text = answer.line();
-        let _ = timeout(PATIENCE, stream.write_all(text.as_bytes())).await;
+        let _ = timeout(CLIENT_TIMEOUT, stream.write_all(text.as_bytes())).await;
         stream.shutdown().await
     }
 
     async fn carry_out(&self, call: Call) -> Answer {
         let answer = match &self.group {
             Some(group) if call.is_for_group() => {
-                if self.waiting.get() >= MOST_WAITING {
+                if self.waiting.get() >= MAX_WAITING {
                     return Answer::no("not done: too many calls wait for the group");
                 }
                 self.waiting.set(self.waiting.get() + 1);
@@ -248,19 +252,19 @@
     }
 
     fn answer(&self, call: &Call) -> Answer {
-        let hub = &self.hub;
+        let dispatcher = &self.dispatcher;
         match call {
             Call::Status => {
-                let out = hub.out();
-                match hub.unready() {
+                let out = dispatcher.out();
+                match dispatcher.unready() {
                     None if out == 0 => Answer::yes("ready"),
                     None => Answer::yes(format!("ready, {out} suspended")),
                     Some(why) => Answer::no(why),
                 }
             }
             Call::Pause => {
-                let now = hub.now();
-                let first = hub.door().pause(now);
+                let now = dispatcher.now();
+                let first = dispatcher.drain().pause(now);
                 Answer::yes(if first {
                     "emptying"
                 } else {
@@ -268,21 +272,21 @@
                 })
             }
             Call::Resume => {
-                let first = hub.door().resume();
+                let first = dispatcher.drain().resume();
                 Answer::yes(if first {
                     "taking clients"
                 } else {
                     "was taking clients"
                 })
             }
-            Call::Suspend(name) => self.ban(name, true),
-            Call::Restore(name) => self.ban(name, false),
+            Call::Suspend(name) => self.set_excluded(name, true),
+            Call::Restore(name) => self.set_excluded(name, false),
             // Without a group there is only here, and no such call.
             Call::SuspendHere(_) | Call::RestoreHere(_) if self.group.is_none() => {
                 Answer::no(BadCall::Words.to_string())
             }
-            Call::SuspendHere(name) => self.ban(name, true),
-            Call::RestoreHere(name) => self.ban(name, false),
+            Call::SuspendHere(name) => self.set_excluded(name, true),
+            Call::RestoreHere(name) => self.set_excluded(name, false),
             Call::Group(_) => Answer::no(BadCall::Name.to_string()),
         }
     }
@@ -290,7 +294,7 @@
     /// A call that the whole group is to obey.
     async fn ask(&self, group: &Group, call: &Call) -> Answer {
         let wish = match call {
-            Call::Suspend(name) | Call::Restore(name) if !self.hub.was_listed(name) => {
+            Call::Suspend(name) | Call::Restore(name) if !self.dispatcher.was_listed(name) => {
                 return Answer::no(format!("{name} was never listed"));
             }
             Call::Suspend(name) => Wish::Suspend(name.clone()),
@@ -323,8 +327,8 @@
                 // The answer says that it holds here: it does, from before the answer goes out. By now the group may
                 // hold something later, which must not be taken back.
                 let latest = group.view().borrow().out.clone();
-                self.hub.group_holds(latest);
-                agreed(&self.hub, call, outcome)
+                self.dispatcher.set_group_exclusions(latest);
+                agreed(&self.dispatcher, call, outcome)
             }
             Ended::Refused(why) => Answer::no(format!("not done: {why}")),
             Ended::Open => {
@@ -333,18 +337,18 @@
         }
     }
 
-    fn ban(&self, name: &str, out: bool) -> Answer {
-        let done = self.hub.ban(name, out);
+    fn set_excluded(&self, name: &str, out: bool) -> Answer {
+        let done = self.dispatcher.set_excluded(name, out);
         let (word, before) = if out {
             ("suspended", "was suspended")
         } else {
             ("restored", "was not suspended")
         };
         let word = match done {
-            Ban::Done => word,
-            Ban::Before => before,
-            Ban::Unknown => return Answer::no(format!("{name} was never listed")),
-            Ban::TooMany => return Answer::no("too many are suspended"),
+            ExclusionOutcome::Done => word,
+            ExclusionOutcome::Before => before,
+            ExclusionOutcome::Unknown => return Answer::no(format!("{name} was never listed")),
+            ExclusionOutcome::TooMany => return Answer::no("too many are suspended"),
         };
         // Kept also where nothing changed here: another process of this ingress may not have heard of it.
         match self.keeper.as_ref().map(|keeper| keeper.keep(name, out)) {
--- a/src/bin/driftgap-simulator-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -1,17 +1,17 @@
-//! The adapter: hosts many gateways on the simulator's wire over standard input and output.
+//! The adapter: endpoints many ingresses on the simulator's wire over standard input and output.
 //! It maps records to events and actions to records, and decides nothing.
 
 mod wire;
 
 use driftgap::config::settings;
-use driftgap::decision::Gateway;
+use driftgap::decision::DecisionEngine;
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 use wire::{encode, Reader, Record};
 
 /// Largest frame taken in; a longer one is a broken length.
-const MOST_FRAME: usize = 1 << 30;
+const MAX_FRAME: usize = 1 << 30;
 
 /// Reads `buffer.len()` bytes; false at a clean end of input before the first byte.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
@@ -29,7 +29,11 @@
 }
 
 /// Carries out one frame and returns the reply's records.
-fn frame(now: f64, body: &[u8], hosted: &mut BTreeMap<u16, Gateway>) -> Result<Vec<u8>, String> {
+fn frame(
+    now: f64,
+    body: &[u8],
+    hosted: &mut BTreeMap<u16, DecisionEngine>,
+) -> Result<Vec<u8>, String> {
     let mut reader = Reader::new(body);
     let (mut reply, mut actions) = (Vec::new(), Vec::new());
     while let Some(record) = reader.record()? {
@@ -37,19 +41,19 @@
             Record::Born { who, seed, setup } => {
                 let settings = settings::settings(&setup)
                     .map_err(|e| format!("Born of instance {who}: {e}"))?;
-                let gateway = Gateway::new(settings, seed)
+                let ingress = DecisionEngine::new(settings, seed)
                     .map_err(|e| format!("Born of instance {who}: settings: {e}"))?;
-                hosted.insert(who, gateway);
+                hosted.insert(who, ingress);
             }
             Record::Kill { who } => {
                 hosted.remove(&who);
             }
             Record::Skip => {}
             Record::For { who, event } => {
-                let gateway = hosted
+                let ingress = hosted
                     .get_mut(&who)
                     .ok_or_else(|| format!("an event for instance {who}, which was never born"))?;
-                gateway.handle(now, event, &mut actions);
+                ingress.handle(now, event, &mut actions);
                 for action in actions.drain(..) {
                     encode(who, &action, &mut reply);
                 }
@@ -69,7 +73,7 @@
         let (length, clock) = header.split_at(4);
         let size = length.iter().fold(0, |n, b| n << 8 | usize::from(*b));
         let now = Reader::new(clock).f64()?;
-        if size > MOST_FRAME {
+        if size > MAX_FRAME {
             return Err(format!("frame {count}: a length of {size} bytes"));
         }
         body.resize(size, 0);
--- a/src/bin/driftgap-simulator-adapter/wire.rs
+++ b/src/bin/driftgap-simulator-adapter/wire.rs
@@ -1,19 +1,19 @@
 //! Frames and records of the simulator's wire: decoding events, encoding actions. It does not decide.
 
 use driftgap::decision::{
-    Action, AttemptEnd, Event, HostEntry, HostState, ListKind, Outcome, Request,
+    Action, AttemptEnd, EndpointEntry, EndpointState, Event, ListKind, Outcome, Request,
 };
 
-/// An event as the wire addresses it: to one instance.
+/// An event as the wire addresses it: to one endpoint.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// A fresh instance with its seed and its settings (JSON text).
+    /// A fresh endpoint with its seed and its settings (JSON text).
     Born { who: u16, seed: u64, setup: String },
-    /// An instance was killed.
+    /// An endpoint was killed.
     Kill { who: u16 },
     /// A record that the module has no use for.
     Skip,
-    /// An event for an instance's module.
+    /// An event for an endpoint's module.
     For { who: u16, event: Event },
 }
 
@@ -100,13 +100,13 @@
         })
     }
 
-    fn entry(&mut self) -> Res<HostEntry> {
-        let (host, zone) = (self.u32()?, u32::from(self.u8()?));
+    fn entry(&mut self) -> Res<EndpointEntry> {
+        let (endpoint, zone) = (self.u32()?, u32::from(self.u8()?));
         let (_kind, cell) = (self.u16()?, u32::from(self.u16()?));
         let state = match self.u8()? {
-            0 => HostState::Ready,
-            1 => HostState::Gone,
-            2 => HostState::Draining,
+            0 => EndpointState::Ready,
+            1 => EndpointState::Gone,
+            2 => EndpointState::Draining,
             other => {
                 return Err(format!(
                     "Entry at byte {}: unknown state {other}",
@@ -114,14 +114,14 @@
                 ))
             }
         };
-        Ok(HostEntry {
-            host,
+        Ok(EndpointEntry {
+            endpoint,
             zone,
             cell,
             state,
             size: self.f32()?,
             started: self.f64()?,
-            pools: driftgap::decision::ALL_HOSTS,
+            pools: driftgap::decision::ALL_ENDPOINTS,
         })
     }
 
@@ -171,35 +171,35 @@
                 };
                 let (_version, n) = (self.u32()?, self.u32()?);
                 let entries = (0..n).map(|_| self.entry()).collect::<Res<Vec<_>>>()?;
-                Event::Hosts { kind, entries }
+                Event::Endpoints { kind, entries }
             }
             3 => {
                 let (id, give_up) = (self.u32()?, self.f64()?);
                 let spread = self.f32()?.clamp(1.0, 65_535.0) as u32;
                 let (class, plan) = (usize::from(self.u8()?), usize::from(self.u16()?));
                 let first = self.f32()?.clamp(0.0, 65_535.0) as u32;
-                let (customer, units, bits) = (self.u64()?, self.f32()?, self.u8()?);
+                let (tenant, units, bits) = (self.u64()?, self.f32()?, self.u8()?);
                 let repeat = bits & 2 != 0;
                 Event::Arrived(Request {
                     id,
                     give_up,
                     class,
                     plan,
-                    customer,
+                    tenant,
                     units,
                     spread,
                     first,
                     repeat,
-                    pools: driftgap::decision::ALL_HOSTS,
+                    pools: driftgap::decision::ALL_ENDPOINTS,
                 })
             }
             4 => {
                 let (id, attempt) = (self.u32()?, u32::from(self.u16()?));
-                let (_host, _took) = (self.u32()?, self.f64()?);
+                let (_endpoint, _took) = (self.u32()?, self.f64()?);
                 Event::StreamStarted { id, attempt }
             }
             5 => {
-                let (id, attempt, _host) = (self.u32()?, u32::from(self.u16()?), self.u32()?);
+                let (id, attempt, _endpoint) = (self.u32()?, u32::from(self.u16()?), self.u32()?);
                 let (outcome, _took, finished) = (self.outcome()?, self.f64()?, self.u8()? != 0);
                 let (_used, units) = (self.u16()?, self.u16()?);
                 let settled = (units > 0).then_some(f64::from(units));
@@ -216,9 +216,9 @@
             6 => Event::ClientGone { id: self.u32()? },
             7 => Event::Timer { token: self.u64()? },
             8 => {
-                let (host, outcome, _took) = (self.u32()?, self.outcome()?, self.f64()?);
+                let (endpoint, outcome, _took) = (self.u32()?, self.outcome()?, self.f64()?);
                 Event::Probed {
-                    host,
+                    endpoint,
                     outcome,
                     report: self.stats()?,
                 }
@@ -243,17 +243,21 @@
     }
 }
 
-/// Appends one action of instance `who` to a reply.
+/// Appends one action of endpoint `who` to a reply.
 pub fn encode(who: u16, action: &Action, out: &mut Vec<u8>) {
     fn head(out: &mut Vec<u8>, code: u8, who: u16) {
         out.push(code);
         out.extend(who.to_be_bytes());
     }
     match *action {
-        Action::Send { id, host, timeout } => {
+        Action::Send {
+            id,
+            endpoint,
+            timeout,
+        } => {
             head(out, 1, who);
             out.extend(id.to_be_bytes());
-            out.extend(host.to_be_bytes());
+            out.extend(endpoint.to_be_bytes());
             out.extend(timeout.to_be_bytes());
         }
         Action::Refuse { id, retry_after } => {
@@ -275,9 +279,9 @@
             out.extend(after.to_be_bytes());
             out.extend(token.to_be_bytes());
         }
-        Action::Probe { host } => {
+        Action::Probe { endpoint } => {
             head(out, 6, who);
-            out.extend(host.to_be_bytes());
+            out.extend(endpoint.to_be_bytes());
         }
         Action::FollowList => {
             head(out, 11, who);
--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -1,19 +1,19 @@
-//! A value that is passed on while it comes: one capped ring between the instance that gives it and the client that
+//! A value that is passed on while it comes: one capped ring between the endpoint that gives it and the client that
 //! takes it. It owns the bytes on the way and the word on how the value ended. It must never hold more than its ring,
 //! know either side's wire, or let one side wait for another that is gone.
 
-use crate::buffer::ring_buffer::Ring;
+use crate::buffer::ring_buffer::RingBuffer;
 use std::cell::{Cell, RefCell, RefMut};
 use std::fmt;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
 /// Most bytes on the way, and where there are many values on the way.
-const MOST_ON_WAY: (usize, usize) = (64 * 1024, 16 * 1024);
+const MAX_ON_WAY: (usize, usize) = (64 * 1024, 16 * 1024);
 
-struct Flow {
+struct BodyStream {
     open: Rc<Cell<usize>>,
-    ring: RefCell<Ring>,
+    ring: RefCell<RingBuffer>,
     size: usize,
     /// Bytes that have not been taken in yet.
     left: Cell<usize>,
@@ -24,51 +24,51 @@
     went: Notify,
 }
 
-impl Drop for Flow {
+impl Drop for BodyStream {
     fn drop(&mut self) {
         self.open.set(self.open.get() - 1);
     }
 }
 
 /// The end that bytes come in by. Dropped before the value is whole, the value has broken off.
-pub struct Intake(Rc<Flow>);
+pub struct BodySender(Rc<BodyStream>);
 
 /// The end that bytes go out by. Dropped, nobody wants the rest.
-pub struct Outlet(Rc<Flow>);
+pub struct BodyReceiver(Rc<BodyStream>);
 
 /// All values on their way, and the memory for them: guards against many clients that read slowly.
 #[derive(Debug)]
-pub struct Ways {
+pub struct BodyStreams {
     open: Rc<Cell<usize>>,
-    most: usize,
+    max: usize,
 }
 
-impl Ways {
+impl BodyStreams {
     /// None yet; beyond `most` bytes in all, further ones get a small ring each.
-    pub fn new(most: usize) -> Ways {
-        Ways {
+    pub fn new(max: usize) -> BodyStreams {
+        BodyStreams {
             open: Rc::default(),
-            most,
+            max,
         }
     }
 
     /// A further value.
-    pub fn open(&self, size: usize) -> (Intake, Outlet) {
-        let roomy = (self.open.get() + 1) * MOST_ON_WAY.0 <= self.most;
+    pub fn open(&self, size: usize) -> (BodySender, BodyReceiver) {
+        let roomy = (self.open.get() + 1) * MAX_ON_WAY.0 <= self.max;
         flow(
             size,
-            if roomy { MOST_ON_WAY.0 } else { MOST_ON_WAY.1 },
+            if roomy { MAX_ON_WAY.0 } else { MAX_ON_WAY.1 },
             &self.open,
         )
     }
 }
 
 /// A value of so many bytes, of which none has come.
-fn flow(size: usize, cap: usize, open: &Rc<Cell<usize>>) -> (Intake, Outlet) {
+fn flow(size: usize, cap: usize, open: &Rc<Cell<usize>>) -> (BodySender, BodyReceiver) {
     open.set(open.get() + 1);
-    let flow = Rc::new(Flow {
+    let flow = Rc::new(BodyStream {
         open: open.clone(),
-        ring: Ring::fixed(cap.min(size)).into(),
+        ring: RingBuffer::fixed(cap.min(size)).into(),
         size,
         left: Cell::new(size),
         ended: Cell::new(false),
@@ -76,10 +76,10 @@
         came: Notify::new(),
         went: Notify::new(),
     });
-    (Intake(flow.clone()), Outlet(flow))
+    (BodySender(flow.clone()), BodyReceiver(flow))
 }
 
-impl Intake {
+impl BodySender {
     /// Bytes still to come.
     pub fn left(&self) -> usize {
         self.0.left.get()
@@ -97,8 +97,8 @@
     ) -> Option<Result<usize, E>> {
         let mut ring = self.0.ring.borrow_mut();
         let spare = ring.spare().ok()?;
-        let most = spare.len().min(self.0.left.get());
-        let read = read(&mut spare[..most]);
+        let max = spare.len().min(self.0.left.get());
+        let read = read(&mut spare[..max]);
         if let Ok(n) = read {
             ring.filled(n);
             self.0.left.set(self.0.left.get() - n);
@@ -132,25 +132,25 @@
     }
 }
 
-impl Drop for Intake {
+impl Drop for BodySender {
     fn drop(&mut self) {
         self.0.ended.set(true);
         self.0.came.notify_one();
     }
 }
 
-impl Outlet {
+impl BodyReceiver {
     /// Bytes of the whole value.
     pub fn size(&self) -> usize {
         self.0.size
     }
 
-    /// What can be taken out now; to be followed by [`Outlet::took`].
-    pub fn bytes(&self) -> RefMut<'_, Ring> {
+    /// What can be taken out now; to be followed by [`BodyReceiver::took`].
+    pub fn bytes(&self) -> RefMut<'_, RingBuffer> {
         self.0.ring.borrow_mut()
     }
 
-    /// Notes that so many bytes of [`Outlet::bytes`] were taken.
+    /// Notes that so many bytes of [`BodyReceiver::bytes`] were taken.
     pub fn took(&self, n: usize) {
         self.0.ring.borrow_mut().consume(n);
         self.0.went.notify_one();
@@ -177,14 +177,14 @@
     }
 }
 
-impl Drop for Outlet {
+impl Drop for BodyReceiver {
     fn drop(&mut self) {
         self.0.gone.set(true);
         self.0.went.notify_one();
     }
 }
 
-impl fmt::Debug for Outlet {
+impl fmt::Debug for BodyReceiver {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -196,8 +196,8 @@
 }
 
 /// Two are the same only if they are one.
-impl PartialEq for Outlet {
-    fn eq(&self, other: &Outlet) -> bool {
+impl PartialEq for BodyReceiver {
+    fn eq(&self, other: &BodyReceiver) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
     }
 }
@@ -209,12 +209,12 @@
     #[test]
     fn a_value_goes_through_a_ring_far_smaller_than_itself() {
         let value: Vec<u8> = (0..1_000_000u32).map(|i| (i % 251) as u8).collect();
-        let ways = Ways::new(1_000_000);
+        let ways = BodyStreams::new(1_000_000);
         let (intake, outlet) = ways.open(value.len());
         let (mut sent, mut got) = (0, Vec::new());
         while !outlet.over() {
             sent += intake.push(&value[sent..]);
-            assert!(outlet.bytes().len() <= MOST_ON_WAY.0 && !outlet.broken());
+            assert!(outlet.bytes().len() <= MAX_ON_WAY.0 && !outlet.broken());
             let n = 777.min(outlet.bytes().front().len());
             got.extend_from_slice(&outlet.bytes().front()[..n]);
             outlet.took(n);
@@ -226,7 +226,7 @@
 
     #[test]
     fn either_side_learns_that_the_other_is_gone() {
-        let ways = Ways::new(0);
+        let ways = BodyStreams::new(0);
         let (intake, outlet) = ways.open(10);
         assert_eq!(intake.push(b"abcdefghijkl"), 10, "nothing beyond the value");
         drop(outlet);
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -10,11 +10,11 @@
 /// The ring is at its cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection's buffer is full")]
-pub struct RingFull;
+pub struct RingBufferFull;
 
 /// A ring buffer.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct RingBuffer {
     bytes: Vec<u8>,
     head: usize,
     len: usize,
@@ -23,20 +23,20 @@
     fixed: bool,
 }
 
-impl Ring {
+impl RingBuffer {
     /// An empty ring that never holds more than `cap` bytes.
-    pub fn new(cap: usize) -> Ring {
-        Ring {
+    pub fn new(cap: usize) -> RingBuffer {
+        RingBuffer {
             cap: cap.max(1),
-            ..Ring::default()
+            ..RingBuffer::default()
         }
     }
 
     /// An empty ring that is as large as `cap` once it is used, and stays so.
-    pub fn fixed(cap: usize) -> Ring {
-        Ring {
+    pub fn fixed(cap: usize) -> RingBuffer {
+        RingBuffer {
             fixed: true,
-            ..Ring::new(cap)
+            ..RingBuffer::new(cap)
         }
     }
 
@@ -50,24 +50,24 @@
         self.len == 0
     }
 
-    fn grow(&mut self, least: usize) -> Result<(), RingFull> {
-        if least > self.cap {
-            return Err(RingFull);
+    fn grow(&mut self, min: usize) -> Result<(), RingBufferFull> {
+        if min > self.cap {
+            return Err(RingBufferFull);
         }
-        if least > self.bytes.len() {
+        if min > self.bytes.len() {
             self.whole();
-            let least = if self.fixed { self.cap } else { least };
-            let size = least.max(FIRST).next_power_of_two().min(self.cap);
+            let min = if self.fixed { self.cap } else { min };
+            let size = min.max(FIRST).next_power_of_two().min(self.cap);
             self.bytes.resize(size, 0);
         }
         Ok(())
     }
 
-    /// Room to read into, in one piece; hand what was filled to [`Ring::filled`].
+    /// Room to read into, in one piece; hand what was filled to [`RingBuffer::filled`].
     ///
     /// # Errors
     /// The ring is full at its cap.
-    pub fn spare(&mut self) -> Result<&mut [u8], RingFull> {
+    pub fn spare(&mut self) -> Result<&mut [u8], RingBufferFull> {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1)?;
         }
@@ -77,7 +77,7 @@
         Ok(&mut self.bytes[tail..end])
     }
 
-    /// Takes in `n` bytes that were written to [`Ring::spare`].
+    /// Takes in `n` bytes that were written to [`RingBuffer::spare`].
     pub fn filled(&mut self, n: usize) {
         self.len = (self.len + n).min(self.bytes.len());
     }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// They would take the ring past its cap; nothing was appended.
-    pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), RingFull> {
+    pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), RingBufferFull> {
         self.grow(self.len + bytes.len())?;
         while !bytes.is_empty() {
             let spare = self.spare()?;
@@ -133,7 +133,7 @@
 
     #[test]
     fn bytes_come_out_in_order_across_the_seam_and_the_cap_holds() {
-        let mut ring = Ring::new(4096);
+        let mut ring = RingBuffer::new(4096);
         let mut expect = 0u8;
         let mut next = 0u8;
         for round in 0..500 {
@@ -153,8 +153,8 @@
         }
         ring.consume(usize::MAX);
         assert!(ring.is_empty());
-        assert_eq!(ring.push(&[0; 4097]), Err(RingFull));
+        assert_eq!(ring.push(&[0; 4097]), Err(RingBufferFull));
         ring.push(&[1; 4096]).unwrap();
-        assert_eq!(ring.spare().err(), Some(RingFull));
+        assert_eq!(ring.spare().err(), Some(RingBufferFull));
     }
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,12 +1,12 @@
 //! `driftgap check`: reads all that `serve` would read and names every fault. It owns the order of reading and
 //! nothing else: each part judges its own file. It must never open a socket or change anything.
 
-use crate::config::operator_file::Operator;
+use crate::config::operator_file::OperatorFile;
 use crate::config::settings::{Config, ConfigError};
 use crate::config::settings_description;
-use crate::decision::driver::Facade;
+use crate::decision::driver::DecisionDriver;
 use crate::discovery::inventory::Inventory;
-use crate::discovery::registry::NameTable;
+use crate::discovery::registry::EndpointRegistry;
 use crate::plugin::Plugin;
 use crate::routing::Source;
 use std::path::Path;
@@ -64,9 +64,9 @@
     let zones = config
         .as_ref()
         .map_or(Vec::new(), |config| config.platform.zones.clone());
-    let mut table = NameTable::new(zones);
+    let mut table = EndpointRegistry::new(zones);
     if let Some(config) = &config {
-        if let Err(e) = Facade::new(config.platform.module.clone(), config.seed) {
+        if let Err(e) = DecisionDriver::new(config.platform.module.clone(), config.seed) {
             note("EDGE_CONFIG: settings", &e);
         }
         if !config.known.is_null() {
@@ -76,7 +76,7 @@
         }
     }
     let Some(path) = operator else { return faults };
-    let operator = match Operator::read(path) {
+    let operator = match OperatorFile::read(path) {
         Ok(operator) => operator,
         Err(e) => {
             note(&path.display().to_string(), &e);
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! What the command line does beside serving, and the log.
+//! What the request line does beside serving, and the log.
 
 pub mod check;
 pub mod logging;
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -141,7 +141,7 @@
     ))
 }
 
-/// A request's way through a file of rules, as if every pool had a ready instance.
+/// A request's way through a file of rules, as if every pool had a ready endpoint.
 ///
 /// # Errors
 /// What is wrong with the file or the request.
@@ -169,8 +169,11 @@
                 route.pools, route.notes
             )
         }
-        Verdict::Nack { after_ms, by } => {
-            writeln!(text, "=> refused by {by}, to come back in {after_ms} ms")
+        Verdict::Reject { retry_after_ms, by } => {
+            writeln!(
+                text,
+                "=> refused by {by}, to come back in {retry_after_ms} ms"
+            )
         }
         Verdict::Bad { rule, why } => writeln!(text, "=> makes no sense to {rule}: {why}"),
     };
