--- a/src/config/operator_file.rs
+++ b/src/config/operator_file.rs
@@ -13,15 +13,15 @@
 /// A file that cannot be used; the text names the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct OperatorError(pub String);
+pub struct OperatorFileError(pub String);
 
 /// The file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorFile {
     /// The HTTP/2 front; off where it is absent.
     pub http2: Option<Http2>,
-    /// Instances beside those that discovery names.
+    /// Endpoints beside those that discovery names.
     pub inventory: Option<InventorySettings>,
     /// The hook before the decision.
     pub plugin: Option<PluginSettings>,
@@ -79,19 +79,20 @@
     }
 }
 
-impl Operator {
+impl OperatorFile {
     /// The file's content from its text.
     ///
     /// # Errors
     /// The first field that makes no sense.
-    pub fn parse(text: &str) -> Result<Operator, OperatorError> {
+    pub fn parse(text: &str) -> Result<OperatorFile, OperatorFileError> {
         let value = toml::Deserializer::parse(text).map_err(|e| one_line(&e, text))?;
-        let operator: Operator = serde_path_to_error::deserialize(value).map_err(|e| {
+        let operator: OperatorFile = serde_path_to_error::deserialize(value).map_err(|e| {
             let path = e.path().to_string();
             let problem = one_line(e.inner(), text);
-            OperatorError(format!("{path}: {problem}"))
+            OperatorFileError(format!("{path}: {problem}"))
         })?;
-        let wrong = |field: &str, problem: &str| Err(OperatorError(format!("{field}: {problem}")));
+        let wrong =
+            |field: &str, problem: &str| Err(OperatorFileError(format!("{field}: {problem}")));
         if let Some(http2) = &operator.http2 {
             if http2.streams == 0 || http2.streams > 10_000 {
                 return wrong("http2.streams", "must be from 1 to 10000");
@@ -141,11 +142,11 @@
     ///
     /// # Errors
     /// It cannot be read, or a field makes no sense.
-    pub fn read(path: &Path) -> Result<Operator, OperatorError> {
-        let text = std::fs::read_to_string(path).map_err(|e| OperatorError(e.to_string()))?;
-        let operator = Operator::parse(&text)?;
+    pub fn read(path: &Path) -> Result<OperatorFile, OperatorFileError> {
+        let text = std::fs::read_to_string(path).map_err(|e| OperatorFileError(e.to_string()))?;
+        let operator = OperatorFile::parse(&text)?;
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
-        Ok(Operator {
+        Ok(OperatorFile {
             folder,
             path: path.to_path_buf(),
             ..operator
@@ -153,11 +154,11 @@
     }
 }
 
-fn one_line(error: &toml::de::Error, text: &str) -> OperatorError {
+fn one_line(error: &toml::de::Error, text: &str) -> OperatorFileError {
     let line = error.span().map_or(0, |span| {
         text[..span.start.min(text.len())].lines().count().max(1)
     });
-    OperatorError(format!(
+    OperatorFileError(format!(
         "line {line}: {}",
         error.message().replace('\n', " ")
     ))
@@ -209,15 +210,15 @@
             ("[http2\n", "line 1"),
         ];
         for (text, want) in cases {
-            let said = Operator::parse(text).unwrap_err().to_string();
+            let said = OperatorFile::parse(text).unwrap_err().to_string();
             assert!(said.contains(want) && said.lines().count() == 1, "{said}");
         }
-        assert!(Operator::parse(include_str!("../../deploy/http2.toml"))
+        assert!(OperatorFile::parse(include_str!("../../deploy/http2.toml"))
             .unwrap()
             .http2
             .is_some());
         assert!(
-            Operator::parse(include_str!("../../examples/operator.toml"))
+            OperatorFile::parse(include_str!("../../examples/operator.toml"))
                 .unwrap()
                 .plugin
                 .is_some()
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 //! carry the same one. It owns the names and units of that object and the messages on what is wrong with
 //! it. It must never decide anything, fill in what is required, or read anything but the file it is given.
 
-use crate::decision::{Class, Effect, Field, Group, Plan, Settings};
+use crate::decision::{Class, DeduplicationScope, Idempotency, LoadReportField, Plan, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -90,18 +90,18 @@
     let effect = at.need("effect")?;
     let group = at.get("group").map_or(Ok("all"), |g| g.text())?;
     Ok(Class {
-        aim: at.need("aim")?.number()?,
+        latency_objective: at.need("aim")?.number()?,
         deadline: at.need("deadline")?.number()?,
         effect: match effect.text()? {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed,
-            "side_effect" => Effect::Unsafe,
+            "pure" => Idempotency::Safe,
+            "token" => Idempotency::Keyed,
+            "side_effect" => Idempotency::Unsafe,
             other => return wrong(format!("settings: {}: unknown effect {other}", effect.path)),
         },
         group: match group {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
             other => {
                 return wrong(format!(
                     "settings: {}.group: unknown group {other}",
@@ -111,7 +111,7 @@
         },
         window: at.number_or("window", 0.0)?,
         late_share: at.number_or("late_share", 0.0)?,
-        worth: at.number_or("credit", 1.0)?,
+        priority_weight: at.number_or("credit", 1.0)?,
     })
 }
 
@@ -127,17 +127,17 @@
     })
 }
 
-fn field(at: &At) -> Res<Field> {
+fn field(at: &At) -> Res<LoadReportField> {
     Ok(match at.text()? {
-        "rif" => Field::InFlight,
-        "q" => Field::Queue,
-        "busy" => Field::Utilization,
-        "lat_ms" => Field::LatencyMs,
-        _ => Field::Other,
+        "rif" => LoadReportField::InFlight,
+        "q" => LoadReportField::Queue,
+        "busy" => LoadReportField::Utilization,
+        "lat_ms" => LoadReportField::LatencyMs,
+        _ => LoadReportField::Other,
     })
 }
 
-/// Settings from the JSON text of a fresh instance.
+/// Settings from the JSON text of a fresh endpoint.
 ///
 /// # Errors
 /// The field that is missing or makes no sense.
@@ -169,7 +169,7 @@
         .get("columns")
         .map_or(Ok(Vec::new()), |c| c.items())?;
     Ok(Settings {
-        gateways: root.need("balancers")?.whole()?,
+        ingresses: root.need("balancers")?.whole()?,
         position: root.whole_or("position", 0)?,
         zone: root.whole_or("my_zone", 0)?,
         classes: root
@@ -187,13 +187,13 @@
         report: columns.iter().map(field).collect::<Res<_>>()?,
         report_by_probe: report.get("how").map_or(Ok(""), |h| h.text())? == "probe",
         list_on_request: root.get("discovery").map_or(Ok(""), |d| d.text())? == "subscribe",
-        may_probe: limits.flag_or("probes", false)?,
-        may_cancel: limits.flag_or("may_cancel", false)?,
-        second_copies: limits.flag_or("parallel_tries", false)?,
+        probes_allowed: limits.flag_or("probes", false)?,
+        cancellation_allowed: limits.flag_or("may_cancel", false)?,
+        hedging: limits.flag_or("parallel_tries", false)?,
         counter: info.flag_or("counter", false)?,
         counter_timeout: info.number_or("count_wait", 0.0)?,
         settled_later: info.flag_or("cost_after", false)?,
-        most_units: info.number_or("most_units", 1.0)?,
+        max_units: info.number_or("most_units", 1.0)?,
         max_attempts: limits.whole_or("most_tries", 1)?,
         max_retry_after: limits.number_or("max_retry_after", 0.0)?,
         resolution: root.number_or("resolution", 0.0)?,
@@ -217,14 +217,14 @@
     pub zones: Vec<String>,
     /// Names in a load report, by column.
     pub columns: Vec<String>,
-    /// An instance closes a connection that was idle this long.
+    /// An endpoint closes a connection that was idle this long.
     pub idle_ms: f64,
     /// A connection that is not up by then has failed.
-    pub dial_ms: f64,
+    pub connect_timeout_ms: f64,
     /// A counter call without an answer by then has timed out.
-    pub count_wait_ms: f64,
-    /// Most commands held at once.
-    pub most_held: usize,
+    pub counter_timeout_ms: f64,
+    /// Most requests held at once.
+    pub max_in_flight_requests: usize,
 }
 
 /// Everything that an ingress is told at its start (`EDGE_CONFIG`).
@@ -232,7 +232,7 @@
 pub struct Config {
     /// Its name, the same after a restart.
     pub name: String,
-    /// Where service clients connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// The discovery agent, if there is one.
     pub discovery: Option<SocketAddr>,
@@ -246,7 +246,7 @@
     pub sockets: usize,
     /// Memory, MB.
     pub memory_mb: f64,
-    /// The last known list of instances, in discovery's form.
+    /// The last known list of endpoints, in discovery's form.
     pub known: Value,
     /// The settings.
     pub platform: Platform,
@@ -291,9 +291,9 @@
         zones: texts(root.get("zones"))?,
         columns: texts(report.and_then(|r| r.get("columns")))?,
         idle_ms: 1e3 * limit("conn_idle", 10.0)?,
-        dial_ms: 1e3 * limit("dial_timeout", 0.25)?,
-        count_wait_ms: 1e3 * count_wait,
-        most_held: limit("most_held", 20_000.0)? as usize,
+        connect_timeout_ms: 1e3 * limit("dial_timeout", 0.25)?,
+        counter_timeout_ms: 1e3 * count_wait,
+        max_in_flight_requests: limit("most_held", 20_000.0)? as usize,
     })
 }
 
@@ -328,7 +328,7 @@
     }
 
     /// The keys in which `new` differs although a running program cannot follow them.
-    pub fn fixed_but_changed(&self, new: &Config) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let changed = [
             ("listen", self.listen != new.listen),
             ("operator", self.operator != new.operator),
--- a/src/config/settings_description.rs
+++ b/src/config/settings_description.rs
@@ -3,7 +3,7 @@
 //! judge a value, which is the parser's, nor be needed to serve.
 
 use crate::config::settings::Platform;
-use crate::decision::{Effect, Group, Settings};
+use crate::decision::{DeduplicationScope, Idempotency, Settings};
 use serde_json::Value;
 
 /// Keys of the settings, `[]` for each item of a list, and what becomes of them.
@@ -213,21 +213,21 @@
     let mut lines = Vec::new();
     for (name, class) in platform.classes.iter().zip(&set.classes) {
         let group = match class.group {
-            Group::All => "all instances",
-            Group::Zone => "those of its zone",
-            Group::Cell => "those of its cell",
+            DeduplicationScope::All => "all instances",
+            DeduplicationScope::Zone => "those of its zone",
+            DeduplicationScope::Cell => "those of its cell",
         };
         let repeat = match class.effect {
-            Effect::Safe => "safe to repeat".to_string(),
-            Effect::Keyed => format!(
+            Idempotency::Safe => "safe to repeat".to_string(),
+            Idempotency::Keyed => format!(
                 "repeated by its key to {group} within {} s, needs k",
                 class.window
             ),
-            Effect::Unsafe => "never sent again once it may have run".to_string(),
+            Idempotency::Unsafe => "never sent again once it may have run".to_string(),
         };
         lines.push(format!(
             "class {name}: wanted within {} s, given up after {} s, {repeat}",
-            class.aim, class.deadline
+            class.latency_objective, class.deadline
         ));
     }
     for (name, plan) in platform.plans.iter().zip(&set.plans) {
@@ -258,7 +258,7 @@
         (false, _) => "quotas: no counter, each ingress has its even share".to_string(),
         (true, settled) => format!(
             "quotas: by the counter, given up after {} ms; units are {}",
-            platform.count_wait_ms,
+            platform.counter_timeout_ms,
             if settled {
                 "guesses, settled by answers"
             } else {
@@ -269,12 +269,12 @@
     lines.push(format!(
         "attempts: {} at most, {}; probes {}",
         set.max_attempts,
-        if set.second_copies {
+        if set.hedging {
             "a second copy may be out"
         } else {
             "never two at once"
         },
-        if set.may_probe {
+        if set.probes_allowed {
             "allowed"
         } else {
             "not allowed"
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -4,11 +4,11 @@
 //! that may have counted, take a late answer for another call's, use a connection on which an answer made no
 //! sense, or hold a call back beyond the wait in the settings.
 
-use crate::buffer::ring_buffer::Ring;
-use crate::decision::driver::Add;
+use crate::buffer::ring_buffer::RingBuffer;
+use crate::decision::driver::CounterAdd;
 use crate::decision::Outcome;
 use crate::protocol::resp::{http_answer, http_answer_at_end, Parsed};
-use crate::runtime::dispatcher::Hub;
+use crate::runtime::dispatcher::Dispatcher;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Write};
@@ -29,13 +29,13 @@
 /// Idle connections are closed after this long, ms, well before the counter does it.
 const IDLE_MS: f64 = 5000.0;
 /// Most bytes queued in a direction.
-const MOST: usize = 256 * 1024;
+const MAX: usize = 256 * 1024;
 
 struct Call {
-    add: Add,
+    add: CounterAdd,
     made: f64,
     /// Its end was told; the answer, if one comes, is dropped.
-    told: bool,
+    notified: bool,
 }
 
 /// One connection and its calls.
@@ -46,7 +46,7 @@
     /// Not written for want of a connection.
     waiting: VecDeque<Call>,
     stream: Option<Rc<OwnedWriteHalf>>,
-    output: Option<Ring>,
+    output: Option<RingBuffer>,
     connecting: bool,
     used: f64,
     /// Bytes of an answer that is not whole have come.
@@ -84,7 +84,7 @@
     fn under_way(&self) -> bool {
         self.lanes
             .iter()
-            .any(|lane| lane.borrow().written.iter().any(|c| !c.told))
+            .any(|lane| lane.borrow().written.iter().any(|c| !c.notified))
     }
 
     /// The connection for the next call: one that is up and free, else a new one, else that with the fewest.
@@ -100,10 +100,10 @@
             .map_or(0, |(lane_no, _)| lane_no)
     }
 
-    fn call(self: &Rc<Self>, hub: &Rc<Hub>, wait_ms: f64, call: Call) {
+    fn call(self: &Rc<Self>, dispatcher: &Rc<Dispatcher>, wait_ms: f64, call: Call) {
         let lane_no = self.lane();
         let mut lane = self.lanes[lane_no].borrow_mut();
-        lane.used = hub.now();
+        lane.used = dispatcher.now();
         if lane.stream.is_some() {
             if let Err(call) = lane.send(call, self.addr) {
                 lane.waiting.push_back(call);
@@ -116,7 +116,7 @@
         lane.waiting.push_back(call);
         if !lane.connecting {
             lane.connecting = true;
-            spawn_local(serve(self.clone(), hub.clone(), wait_ms, lane_no));
+            spawn_local(serve(self.clone(), dispatcher.clone(), wait_ms, lane_no));
         }
     }
 
@@ -131,7 +131,7 @@
                 Outcome::Timeout
             };
             for call in lane.written.iter_mut().take_while(|c| c.made <= late) {
-                if !std::mem::replace(&mut call.told, true) {
+                if !std::mem::replace(&mut call.notified, true) {
                     ended.push((call.add.name, outcome));
                 }
                 outcome = Outcome::Timeout;
@@ -144,7 +144,7 @@
                         .map(|c| (c.add.name, Outcome::ConnectFailed)),
                 );
             }
-            let spoilt = lane.begun && lane.written.front().is_some_and(|c| c.told);
+            let spoilt = lane.begun && lane.written.front().is_some_and(|c| c.notified);
             let dead = spoilt || lane.written.front().is_some_and(|c| now - c.made > DEAD_MS);
             let idle =
                 lane.written.is_empty() && lane.waiting.is_empty() && now - lane.used > IDLE_MS;
@@ -166,29 +166,29 @@
         }
     }
 
-    /// Makes a call; its end is told to the hub.
-    pub fn add(&self, hub: &Rc<Hub>, add: Add) {
+    /// Makes a call; its end is told to the dispatcher.
+    pub fn add(&self, dispatcher: &Rc<Dispatcher>, add: CounterAdd) {
         self.call(
-            hub,
+            dispatcher,
             Call {
                 add,
-                made: hub.now(),
-                told: false,
+                made: dispatcher.now(),
+                notified: false,
             },
         );
     }
 
-    fn call(&self, hub: &Rc<Hub>, call: Call) {
+    fn call(&self, dispatcher: &Rc<Dispatcher>, call: Call) {
         let place = self.place.borrow().clone();
         match place {
-            Some(place) => place.call(hub, self.wait_ms, call),
-            None => tell(hub, vec![(call.add.name, Outcome::ConnectFailed)]),
+            Some(place) => place.call(dispatcher, self.wait_ms, call),
+            None => tell(dispatcher, vec![(call.add.name, Outcome::ConnectFailed)]),
         }
     }
 
     /// The service is elsewhere from now on. What was written to the old place may have counted there and is
     /// not written again; what was not goes to the new one at once.
-    pub fn move_to(&self, hub: &Rc<Hub>, addr: Option<SocketAddr>) {
+    pub fn move_to(&self, dispatcher: &Rc<Dispatcher>, addr: Option<SocketAddr>) {
         if self.place.borrow().as_ref().map(|p| p.addr) == addr {
             return;
         }
@@ -203,7 +203,7 @@
             .collect();
         self.left.borrow_mut().push(old);
         for call in unwritten {
-            self.call(hub, call);
+            self.call(dispatcher, call);
         }
     }
 
@@ -211,7 +211,7 @@
     pub fn next_due(&self) -> Option<f64> {
         let due = |lane: &RefCell<Lane>| {
             let lane = lane.borrow();
-            let written = lane.written.iter().find(|c| !c.told).map(|c| c.made);
+            let written = lane.written.iter().find(|c| !c.notified).map(|c| c.made);
             let waiting = lane.waiting.front().map(|c| c.made);
             written.into_iter().chain(waiting).min_by(f64::total_cmp)
         };
@@ -224,7 +224,7 @@
     }
 
     /// Ends the calls that have waited long enough and closes what is idle, dead or left behind.
-    pub fn expire(&self, hub: &Rc<Hub>, now: f64) {
+    pub fn expire(&self, dispatcher: &Rc<Dispatcher>, now: f64) {
         let mut ended = Vec::new();
         for place in self.place.borrow().iter().chain(self.left.borrow().iter()) {
             place.expire(now, now - self.wait_ms, &mut ended);
@@ -240,23 +240,23 @@
             }
             under_way
         });
-        tell(hub, ended);
+        tell(dispatcher, ended);
     }
 }
 
-fn tell(hub: &Rc<Hub>, ended: Vec<(u64, Outcome)>) {
+fn tell(dispatcher: &Rc<Dispatcher>, ended: Vec<(u64, Outcome)>) {
     for (name, outcome) in ended {
-        hub.with_core(|core, now| core.counted(now, name, outcome, 0.0));
+        dispatcher.with_requests(|core, now| core.counted(now, name, outcome, 0.0));
     }
 }
 
 impl Lane {
     /// Writes a call behind those already written, or gives it back, unwritten, where there is no room.
-    fn send(&mut self, call: Call, host: SocketAddr) -> Result<(), Call> {
+    fn send(&mut self, call: Call, endpoint: SocketAddr) -> Result<(), Call> {
         let (Some(stream), Some(output)) = (&self.stream, &mut self.output) else {
             return Err(call);
         };
-        let Add {
+        let CounterAdd {
             name,
             amount,
             lives_ms,
@@ -266,7 +266,7 @@
         // Writing to memory does not fail.
         let _ = write!(
             text,
-            "POST /tally/{name:016x}?n={amount}&keep_ms={keep} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n"
+            "POST /tally/{name:016x}?n={amount}&keep_ms={keep} HTTP/1.1\r\nHost: {endpoint}\r\nContent-Length: 0\r\n\r\n"
         );
         let direct = if output.is_empty() {
             stream.try_write(&text).unwrap_or(0)
@@ -294,13 +294,13 @@
             .written
             .drain(..)
             .zip(outcomes)
-            .filter(|(c, _)| !c.told);
+            .filter(|(c, _)| !c.notified);
         ended.map(|(c, outcome)| (c.add.name, outcome)).collect()
     }
 }
 
 /// One connection of a lane, from its connect to its end.
-async fn serve(place: Rc<Place>, hub: Rc<Hub>, wait_ms: f64, lane_no: usize) {
+async fn serve(place: Rc<Place>, dispatcher: Rc<Dispatcher>, wait_ms: f64, lane_no: usize) {
     let lane = &place.lanes[lane_no];
     let wait = Duration::from_secs_f64(wait_ms.max(1.0) / 1e3);
     let connected = timeout(wait, TcpStream::connect(place.addr)).await;
@@ -315,14 +315,14 @@
             .drain(..)
             .map(|c| (c.add.name, Outcome::ConnectFailed))
             .collect();
-        return tell(&hub, failed);
+        return tell(&dispatcher, failed);
     };
     let _ = stream.set_nodelay(true);
     let (mut read, write) = stream.into_split();
     let stream = Rc::new(write);
     {
         let mut lane = lane.borrow_mut();
-        (lane.stream, lane.output) = (Some(stream.clone()), Some(Ring::new(MOST)));
+        (lane.stream, lane.output) = (Some(stream.clone()), Some(RingBuffer::new(MAX)));
         while let Some(call) = lane.waiting.pop_front() {
             if let Err(call) = lane.send(call, place.addr) {
                 lane.waiting.push_front(call);
@@ -330,8 +330,8 @@
             }
         }
     }
-    let mut input = Ring::new(MOST);
-    while exchange(&place, &hub, lane_no, &stream, &mut read, &mut input).await {}
+    let mut input = RingBuffer::new(MAX);
+    while exchange(&place, &dispatcher, lane_no, &stream, &mut read, &mut input).await {}
     let mine = lane
         .borrow()
         .stream
@@ -339,18 +339,18 @@
         .is_some_and(|s| Rc::ptr_eq(s, &stream));
     if mine {
         let ended = lane.borrow_mut().broke();
-        tell(&hub, ended);
+        tell(&dispatcher, ended);
     }
 }
 
 /// Waits for bytes to read or room to write; false: the connection has ended.
 async fn exchange(
     place: &Rc<Place>,
-    hub: &Rc<Hub>,
+    dispatcher: &Rc<Dispatcher>,
     lane_no: usize,
     stream: &Rc<OwnedWriteHalf>,
     read: &mut OwnedReadHalf,
-    input: &mut Ring,
+    input: &mut RingBuffer,
 ) -> bool {
     let lane = &place.lanes[lane_no];
     let more = lane.borrow().output.as_ref().is_some_and(|o| !o.is_empty());
@@ -389,7 +389,7 @@
             http_answer(input.whole())
         };
         let answer = match parsed {
-            Ok(Parsed::Whole(answer, n)) => {
+            Ok(Parsed::Complete(answer, n)) => {
                 input.consume(n);
                 answer
             }
@@ -421,13 +421,15 @@
         };
         match call {
             Call {
-                told: true, add, ..
+                notified: true,
+                add,
+                ..
             } if outcome == Outcome::Ok => {
-                hub.with_core(|core, now| core.counted_late(now, add, total));
+                dispatcher.with_requests(|core, now| core.counter_answered_late(now, add, total));
             }
-            Call { told: true, .. } => {}
+            Call { notified: true, .. } => {}
             Call { add, .. } => {
-                hub.with_core(|core, now| core.counted(now, add.name, outcome, total))
+                dispatcher.with_requests(|core, now| core.counted(now, add.name, outcome, total))
             }
         }
         // Guards against a connection on which an answer came spoilt: what follows on it may be the rest of
--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -1,39 +1,39 @@
-//! The interface of the library: what a gateway tells the module ([`Settings`], [`Event`]) and what
+//! The interface of the library: what an ingress tells the module ([`Settings`], [`Event`]) and what
 //! the module asks of it ([`Action`]). Plain data; nothing here decides anything.
 //!
 //! Times are seconds. `now` and absolute times come from one clock that never goes back; window names
-//! on the counter are derived from it, so all gateways of one service should keep it in step.
+//! on the counter are derived from it, so all ingresses of one service should keep it in step.
 
-/// A back-end host.
-pub type HostId = u32;
-/// A client request held by this gateway. Never reused.
+/// A back-end endpoint.
+pub type EndpointId = u32;
+/// A client request held by this ingress. Never reused.
 pub type RequestId = u32;
-/// A customer, the holder of one quota.
-pub type CustomerId = u64;
-/// Pools of hosts, a bit each.
+/// A tenant, the holder of one quota.
+pub type TenantId = u64;
+/// Pools of endpoints, a bit each.
 pub type Pools = u64;
-/// The pool of all hosts.
-pub const ALL_HOSTS: Pools = 1 << 63;
+/// The pool of all endpoints.
+pub const ALL_ENDPOINTS: Pools = 1 << 63;
 
 /// How often a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
     Safe,
-    /// Carries a key: hosts of one group discard repeats for a while.
+    /// Carries a key: endpoints of one group discard repeats for a while.
     Keyed,
     /// Must never run twice.
     Unsafe,
 }
 
-/// Which hosts share the memory that discards repeats of a keyed request.
+/// Which endpoints share the memory that discards repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    /// All hosts.
+pub enum DeduplicationScope {
+    /// All endpoints.
     All,
-    /// The hosts of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// The hosts of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
@@ -41,22 +41,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this many seconds earns full worth.
-    pub aim: f64,
+    pub latency_objective: f64,
     /// Longest the client waits over all its tries, seconds.
     pub deadline: f64,
     /// What repeating it does.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// For keyed classes: who discards repeats.
-    pub group: Group,
+    pub group: DeduplicationScope,
     /// For keyed classes: for how long after the first attempt that may have run, seconds.
     pub window: f64,
     /// Share of the worth that an answer after the aim still earns.
     pub late_share: f64,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
-/// A plan: quotas that hold for each customer over all gateways together.
+/// A plan: quotas that hold for each tenant over all ingresses together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Units a second; 0: no quota by rate.
@@ -75,9 +75,9 @@
     pub ceiling_burst: f64,
 }
 
-/// A value in a host's load report.
+/// A value in an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Field {
+pub enum LoadReportField {
     /// Requests being handled.
     InFlight,
     /// Requests waiting.
@@ -93,28 +93,28 @@
 /// Everything the module is told at start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many gateways there are.
-    pub gateways: u32,
-    /// Number of this gateway among them, from 0.
+    /// How many ingresses there are.
+    pub ingresses: u32,
+    /// Number of this ingress among them, from 0.
     pub position: u32,
-    /// Zone of this gateway.
+    /// Zone of this ingress.
     pub zone: u32,
     /// Request classes, referred to by index.
     pub classes: Vec<Class>,
     /// Plans, referred to by index.
     pub plans: Vec<Plan>,
-    /// Columns of a host's load report.
-    pub report: Vec<Field>,
+    /// Columns of an endpoint's load report.
+    pub report: Vec<LoadReportField>,
     /// Reports come with probes alone, not with answers.
     pub report_by_probe: bool,
-    /// The list of hosts must be asked for.
+    /// The list of endpoints must be asked for.
     pub list_on_request: bool,
     /// Probes are permitted.
-    pub may_probe: bool,
+    pub probes_allowed: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_allowed: bool,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// There is a counter service.
     pub counter: bool,
     /// A counter call that has no answer by then has failed, seconds.
@@ -122,26 +122,26 @@
     /// Units on a request are guesses, settled by its answer.
     pub settled_later: bool,
     /// Most units that one request counts.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// Longest retry-after that clients honour, seconds.
     pub max_retry_after: f64,
     /// Smallest time between two rounds of events, seconds.
     pub resolution: f64,
-    /// A host starts with at least this share of its capacity.
+    /// An endpoint starts with at least this share of its capacity.
     pub cold_share: f64,
     /// And is warm after this many seconds at the latest.
     pub warm_up: f64,
-    /// A cold host sent more than this multiple of what it can do ...
+    /// A cold endpoint sent more than this multiple of what it can do ...
     pub overload_factor: f64,
     /// ... over this many seconds falls over.
     pub tip_after: f64,
 }
 
-/// State of a host on the list.
+/// State of an endpoint on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HostState {
+pub enum EndpointState {
     /// Takes requests.
     Ready,
     /// Finishes its work; gets nothing new.
@@ -150,22 +150,22 @@
     Gone,
 }
 
-/// One line of the list of hosts.
+/// One line of the list of endpoints.
 #[derive(Clone, Debug, PartialEq)]
-pub struct HostEntry {
-    /// The host.
-    pub host: HostId,
+pub struct EndpointEntry {
+    /// The endpoint.
+    pub endpoint: EndpointId,
     /// Its zone.
     pub zone: u32,
-    /// Its cell: hosts that share which keys they have seen.
+    /// Its cell: endpoints that share which keys they have seen.
     pub cell: u32,
     /// Its state.
-    pub state: HostState,
-    /// Its size beside the other hosts.
+    pub state: EndpointState,
+    /// Its size beside the other endpoints.
     pub size: f64,
     /// When it last started; 0: long ago.
     pub started: f64,
-    /// The pools that it is in, [`ALL_HOSTS`] among them.
+    /// The pools that it is in, [`ALL_ENDPOINTS`] among them.
     pub pools: Pools,
 }
 
@@ -174,9 +174,9 @@
 pub enum ListKind {
     /// Only the entries that changed.
     Delta,
-    /// Every host; those missing are gone.
+    /// Every endpoint; those missing are gone.
     Full,
-    /// Every host as last known, perhaps long ago.
+    /// Every endpoint as last known, perhaps long ago.
     Cached,
     /// The call failed; nothing is known anew.
     Failed,
@@ -212,19 +212,19 @@
     pub give_up: f64,
     /// Its class.
     pub class: usize,
-    /// The customer's plan.
+    /// The tenant's plan.
     pub plan: usize,
-    /// The customer.
-    pub customer: CustomerId,
+    /// The tenant.
+    pub tenant: TenantId,
     /// Units it draws from the quota.
     pub units: f64,
-    /// How many gateways this customer's requests can come through.
+    /// How many ingresses this tenant's requests can come through.
     pub spread: u32,
-    /// Number of the first of these; the others follow, and 0 comes after the last gateway.
+    /// Number of the first of these; the others follow, and 0 comes after the last ingress.
     pub first: u32,
     /// Marked by the client as a repeat.
     pub repeat: bool,
-    /// It may be sent to hosts of these pools only.
+    /// It may be sent to endpoints of these pools only.
     pub pools: Pools,
 }
 
@@ -241,19 +241,19 @@
     pub finished: bool,
     /// True units, where they are settled by the answer.
     pub settled: Option<f64>,
-    /// The host's load report; empty: none came.
+    /// The endpoint's load report; empty: none came.
     pub report: Vec<f64>,
 }
 
 /// What has happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of hosts.
-    Hosts {
+    /// News of the list of endpoints.
+    Endpoints {
         /// What the entries mean.
         kind: ListKind,
         /// The entries.
-        entries: Vec<HostEntry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A request has come in; it is owed one final answer.
     Arrived(Request),
@@ -273,11 +273,11 @@
     },
     /// A probe has ended.
     Probed {
-        /// The host.
-        host: HostId,
+        /// The endpoint.
+        endpoint: EndpointId,
         /// How.
         outcome: Outcome,
-        /// The host's load report; empty: none came.
+        /// The endpoint's load report; empty: none came.
         report: Vec<f64>,
     },
     /// A timer set by the module has come due.
@@ -305,7 +305,7 @@
     },
 }
 
-/// What the gateway is to do, in the order given.
+/// What the ingress is to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt. A request's attempts are numbered 0, 1, 2 in the order of these.
@@ -313,7 +313,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        host: HostId,
+        endpoint: EndpointId,
         /// Its time-out, seconds; 0: till the client gives up.
         timeout: f64,
     },
@@ -343,12 +343,12 @@
         /// Given back with the event.
         token: u64,
     },
-    /// Probe a host.
+    /// Probe an endpoint.
     Probe {
-        /// The host.
-        host: HostId,
+        /// The endpoint.
+        endpoint: EndpointId,
     },
-    /// Subscribe to changes of the list of hosts.
+    /// Subscribe to changes of the list of endpoints.
     FollowList,
     /// Add to a number on the counter service; answered by [`Event::Counted`].
     Count {
@@ -383,10 +383,10 @@
             })
         };
         let sound = |x: f64| x.is_finite() && x >= 0.0;
-        if set.gateways == 0 {
+        if set.ingresses == 0 {
             return wrong("gateways".into(), "there must be one at least");
         }
-        if set.position >= set.gateways {
+        if set.position >= set.ingresses {
             return wrong("position".into(), "must be under the number of gateways");
         }
         if set.classes.is_empty() {
@@ -399,7 +399,7 @@
             return wrong("max_attempts".into(), "there must be one at least");
         }
         for (i, c) in set.classes.iter().enumerate() {
-            for (name, x) in [("aim", c.aim), ("deadline", c.deadline)] {
+            for (name, x) in [("aim", c.latency_objective), ("deadline", c.deadline)] {
                 if !(sound(x) && x > 0.0) {
                     return wrong(format!("classes[{i}].{name}"), "must be above 0");
                 }
@@ -407,7 +407,7 @@
             for (name, x) in [
                 ("window", c.window),
                 ("late_share", c.late_share),
-                ("worth", c.worth),
+                ("worth", c.priority_weight),
             ] {
                 if !sound(x) {
                     return wrong(format!("classes[{i}].{name}"), "must be 0 or more");
@@ -436,7 +436,7 @@
             }
         }
         let rest = [
-            ("most_units", set.most_units),
+            ("most_units", set.max_units),
             ("counter_timeout", set.counter_timeout),
             ("max_retry_after", set.max_retry_after),
             ("resolution", set.resolution),
--- a/src/decision/balance.rs
+++ b/src/decision/balance.rs
@@ -4,7 +4,8 @@
 //! `docs/design.md` tells what comes from the paper and what departs from it.
 
 use crate::decision::state::{
-    fare, lot, store_window, Ask, Attempt, Avoid, Customer, Host, Kind, Memory, Open, Peers, STORE,
+    fare, lot, store_window, Ask, Attempt, Avoid, Endpoint, Kind, Memory, Open, Peers, Tenant,
+    STORE,
 };
 use crate::decision::*;
 
@@ -16,7 +17,7 @@
 const CHANCE: [f64; 3] = [0.0, 0.5, 1.0];
 /// Level 2's threshold as a multiple of level 1's (the paper's 45/40).
 const LEVEL2: f64 = 45.0 / 40.0;
-/// The threshold, in aims of what departs a second (for hosts that do much at once), and the memory of
+/// The threshold, in aims of what departs a second (for endpoints that do much at once), and the memory of
 /// departures, s, within `PACE`: as long as it takes to see `PACE_OF` of them.
 const AIMS: f64 = 0.12;
 const PACE: (f64, f64) = (1.5, 6.0);
@@ -25,25 +26,25 @@
 const FEW: f64 = 4.0;
 /// A count this many roots above the threshold is no chance.
 const PLAIN: f64 = 3.0;
-/// Attempts a warm host that all gateways together may always have out.
-const LEAST: f64 = 3.0;
+/// Attempts a warm endpoint that all ingresses together may always have out.
+const MIN: f64 = 3.0;
 
 /// Window lengths, s: burst over rate within these.
 const WINDOW: (f64, f64) = (1.0, 25.0);
 /// A block covers this much demand, s; the demand's memory, s.
 const BLOCK: (f64, f64) = (0.4, 1.5);
-/// Under a ceiling: most of the burst that all gateways together hold in blocks, unspent.
+/// Under a ceiling: most of the burst that all ingresses together hold in blocks, unspent.
 const HOARD: f64 = 0.2;
-/// A customer is thin where a gateway's part of its burst is under this many mean requests.
+/// A tenant is thin where an ingress's part of its burst is under this many mean requests.
 const THIN: f64 = 0.7;
 /// Wait advised with a refusal that says nothing of the quota, in aims: a retry can still earn.
 const ADVICE: f64 = 0.3;
-/// Thin customers, in bursts: what the store may hold too much before it is put right; most of an even share;
+/// Thin tenants, in bursts: what the store may hold too much before it is put right; most of an even share;
 /// and the weight of an answer in how a plan's requests fare.
 const SLACK: f64 = 0.25;
 const LONG: f64 = 3.0;
 const BASE: f64 = 0.03;
-/// For a customer refused this short ago, s, others ask too: only this part of what comes is asked for.
+/// For a tenant refused this short ago, s, others ask too: only this part of what comes is asked for.
 const BESET: (f64, f64) = (3.0, 0.3);
 /// Strain of the counter: start, rise by a bad call, fall by a good one, most; what a second leaves of it; a
 /// call is bad if it fails or takes this share of the wait for an answer.
@@ -53,16 +54,16 @@
 const SILENT: u32 = 3;
 /// A call's total is awaited this long, s.
 const LATE: f64 = 5.0;
-/// Windows after its start in which a gateway reads new customers' last totals; idle ones, to be like new.
+/// Windows after its start in which an ingress reads new tenants' last totals; idle ones, to be like new.
 const YOUNG: f64 = 2.0;
 const IDLE: f64 = 3.0;
-/// Most customers remembered; those idle longest go first.
-const CUSTOMERS: usize = 20_000;
+/// Most tenants remembered; those idle longest go first.
+const TENANT_IDS: usize = 20_000;
 
-/// Weight of the last second in the rate of attempts at a warm host; how much a cold one drawn is preferred.
+/// Weight of the last second in the rate of attempts at a warm endpoint; how much a cold one drawn is preferred.
 const WARM: f64 = 0.2;
 const DRAWN: f64 = 10.0;
-/// Health: failures in a row that eject; first and longest ejection, s; most hosts ejected, or left out for a
+/// Health: failures in a row that eject; first and longest ejection, s; most endpoints ejected, or left out for a
 /// class or plan, as a share: what most of them fail alike is load.
 const FAILS: u32 = 3;
 const EJECT: (f64, f64) = (1.0, 8.0);
@@ -71,12 +72,12 @@
 const STUCK: f64 = 2.5;
 /// Unless so many are: weight of one attempt in their share, and the share that means load.
 const SLOW: (f64, f64) = (0.08, 0.25);
-/// A host that failed a class or plan is left out for it this long, s: at most, and at first if by load.
+/// An endpoint that failed a class or plan is left out for it this long, s: at most, and at first if by load.
 const AVOID: (f64, f64) = (20.0, 2.0);
 /// Latency memory: weight of a sample; most that one counts, in typical latencies; the first, in aims.
 const LEARN: f64 = 0.1;
 const WORST: f64 = 10.0;
-/// The same for a host's slowness: one long answer is not a slow host.
+/// The same for an endpoint's slowness: one long answer is not a slow endpoint.
 const SLOWLY: (f64, f64) = (0.08, 4.0);
 const FIRST_GUESS: f64 = 0.25;
 /// Slowness is forgotten with this time constant, s.
@@ -86,7 +87,7 @@
 /// Retry budget: tokens earned by a first attempt, and most saved.
 const EARN: f64 = 0.2;
 const SAVED: f64 = 20.0;
-/// A second copy is sent after this share of the aim.
+/// A hedged request is sent after this share of the aim.
 const COPY_AT: f64 = 0.75;
 
 /// What a quota says to a request.
@@ -98,29 +99,33 @@
     Held,
 }
 
-/// The decisions of one gateway.
-pub struct Gateway {
+/// The decisions of one ingress.
+pub struct DecisionEngine {
     set: Settings,
     rng: oorandom::Rand32,
     pub(crate) m: Memory,
 }
 
 impl Plan {
-    /// Length of a window of a customer that is not thin.
+    /// Length of a window of a tenant that is not thin.
     fn window(&self) -> f64 {
         (self.burst / self.rate).clamp(WINDOW.0, WINDOW.1)
     }
 }
 
-impl Gateway {
-    /// A gateway that knows nothing yet.
+impl DecisionEngine {
+    /// An ingress that knows nothing yet.
     ///
     /// # Errors
     /// Settings that make no sense, by field.
-    pub fn new(set: Settings, seed: u64) -> Result<Gateway, SettingsError> {
+    pub fn new(set: Settings, seed: u64) -> Result<DecisionEngine, SettingsError> {
         set.check()?;
         let m = Memory {
-            latency: set.classes.iter().map(|c| FIRST_GUESS * c.aim).collect(),
+            latency: set
+                .classes
+                .iter()
+                .map(|c| FIRST_GUESS * c.latency_objective)
+                .collect(),
             threshold: f64::INFINITY,
             outage_at: f64::NEG_INFINITY,
             tokens: SAVED / 2.0,
@@ -129,7 +134,7 @@
             base: vec![(0.9, 0.5); set.plans.len()],
             ..Memory::default()
         };
-        Ok(Gateway {
+        Ok(DecisionEngine {
             rng: oorandom::Rand32::new(seed),
             m,
             set,
@@ -148,22 +153,22 @@
             actions.extend(self.set.list_on_request.then_some(Action::FollowList));
         }
         match event {
-            Event::Hosts {
+            Event::Endpoints {
                 kind: ListKind::Failed,
                 ..
             } => {
                 actions.extend(self.set.list_on_request.then_some(Action::FollowList));
             }
-            Event::Hosts { kind, entries } => self.m.list(kind == ListKind::Delta, entries),
+            Event::Endpoints { kind, entries } => self.m.list(kind == ListKind::Delta, entries),
             Event::Arrived(request) => self.arrived(now, request, actions),
             Event::Ended(end) => self.ended(now, &end, actions),
             Event::ClientGone { id } => self.m.finish(id),
             Event::StreamStarted { id, .. } => self.m.streams(id),
             Event::Probed {
-                host,
+                endpoint,
                 outcome,
                 report,
-            } => self.probed(now, host, outcome, &report),
+            } => self.probed(now, endpoint, outcome, &report),
             Event::Timer { token: 0 } => self.tick(now, actions),
             // The answer timer: whatever happens, the client hears in time.
             Event::Timer { token } => {
@@ -186,7 +191,7 @@
                 amount,
                 total,
             } => {
-                self.counted_late(now, name, (amount, total), actions);
+                self.counter_answered_late(now, name, (amount, total), actions);
             }
         }
     }
@@ -206,13 +211,14 @@
         }
         self.reading(now, true);
         let class = &self.set.classes[request.class];
-        let (aim, latency) = (class.aim, self.m.latency[request.class]);
+        let (latency_objective, latency) = (class.latency_objective, self.m.latency[request.class]);
         // Behind its aim an answer earns the late share alone: under load, such a request goes first.
-        let late = self.m.level > 0 && class.deadline - (request.give_up - now) + latency > aim;
+        let late = self.m.level > 0
+            && class.deadline - (request.give_up - now) + latency > latency_objective;
         let lost = if late { 1.0 - class.late_share } else { 0.0 };
         let chance = CHANCE[self.m.level].max(lost);
         if chance > 0.0 && self.dice(chance) {
-            return self.refuse(id, ADVICE * aim, actions);
+            return self.refuse(id, ADVICE * latency_objective, actions);
         }
         let drawn = self.draw(now, &request, actions);
         if let Draw::Beyond(wait) = drawn {
@@ -229,21 +235,18 @@
         }
     }
 
-    /// First attempt of a request that its quota lets in, or a refusal where no host can take it.
+    /// First attempt of a request that its quota lets in, or a refusal where no endpoint can take it.
     fn admit(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.m.requests.get(&id).filter(|o| !o.done) else {
             return;
         };
-        let (of, customer, units) = (open.ask(), open.request.customer, open.request.units);
+        let (of, tenant, units) = (open.ask(), open.request.tenant, open.request.units);
         self.m.wanted += 1.0;
-        if let Some(host) = self.choose(now, of, &[], None) {
+        if let Some(endpoint) = self.choose(now, of, &[], None) {
             self.m.tokens = (self.m.tokens + EARN).min(SAVED);
-            return self.send(now, id, host, actions);
+            return self.send(now, id, endpoint, actions);
         }
-        self.m
-            .customers
-            .entry(customer)
-            .and_modify(|c| c.hand += units);
+        self.m.tenants.entry(tenant).and_modify(|c| c.hand += units);
         self.answer(id, actions);
     }
 
@@ -291,17 +294,17 @@
     }
 
     /// Little's law: a count of more than `AIMS` aims of what departs a second is not worked off in time. A
-    /// few attempts a host for all gateways together are in order. Harm: it lags a load after an idle spell.
+    /// few attempts an endpoint for all ingresses together are in order. Harm: it lags a load after an idle spell.
     fn learn(&mut self, now: f64) {
         self.m.pass_time(now, PACE_OF, PACE);
         let able = self
             .m
-            .hosts
+            .endpoints
             .values()
             .filter(|h| h.ready && h.ejected.is_none());
-        let hosts: f64 = able.map(|h| self.warmth(now, h)).sum();
-        let least = LEAST * hosts / f64::from(self.set.gateways);
-        self.m.threshold = (AIMS * self.m.aims).max(least);
+        let endpoints: f64 = able.map(|h| self.warmth(now, h)).sum();
+        let min = MIN * endpoints / f64::from(self.set.ingresses);
+        self.m.threshold = (AIMS * self.m.aims).max(min);
     }
 
     // ---- Quota ----
@@ -309,18 +312,18 @@
     /// Takes a request's units, or tells the time until there are some when it is beyond the quota.
     fn draw(&mut self, now: f64, request: &Request, actions: &mut Vec<Action>) -> Draw {
         let plan = self.set.plans[request.plan].clone();
-        let (id, units) = (request.customer, request.units);
-        if !self.m.customers.contains_key(&id) {
-            if self.m.customers.len() >= CUSTOMERS {
+        let (id, units) = (request.tenant, request.units);
+        if !self.m.tenants.contains_key(&id) {
+            if self.m.tenants.len() >= TENANT_IDS {
                 self.forget(now);
-                if self.m.customers.len() >= CUSTOMERS {
+                if self.m.tenants.len() >= TENANT_IDS {
                     return Draw::Beyond(0.0);
                 }
             }
-            let spread = f64::from(request.spread.clamp(1, self.set.gateways));
-            let units_each = THIN * spread * (1.0 + self.set.most_units.max(1.0)) / 2.0;
+            let spread = f64::from(request.spread.clamp(1, self.set.ingresses));
+            let units_each = THIN * spread * (1.0 + self.set.max_units.max(1.0)) / 2.0;
             let thin = self.set.counter && plan.ceiling_rate <= 0.0 && plan.burst < units_each;
-            let mut fresh = Customer::new(request, thin, spread, now);
+            let mut fresh = Tenant::new(request, thin, spread, now);
             (fresh.carry, fresh.share, fresh.reserve_at) =
                 (plan.burst, plan.burst / spread, self.m.boot);
             // One that has just started may have served it a moment ago: it reads the last total.
@@ -328,12 +331,12 @@
                 (fresh.window, fresh.known) = ((now / plan.window()).floor() as i64 - 1, true);
                 (fresh.carry, fresh.total) = (0.5 * plan.burst, 0.5 * plan.burst);
             }
-            self.m.customers.insert(id, fresh);
+            self.m.tenants.insert(id, fresh);
         }
         let silent = self.m.call_fails >= SILENT;
         let hold = silent && self.dice(self.m.strain);
         let outage = self.m.outage_at;
-        let Some(c) = self.m.customers.get_mut(&id) else {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return Draw::Beyond(0.0);
         };
         c.demand = c.demand * (-(now - c.last) / BLOCK.1).exp() + units / BLOCK.1;
@@ -341,8 +344,8 @@
         c.last = now;
         // At-once cap: an even part of it, the odd ones by turn. Harm: uneven traffic leaves parts unused.
         if plan.at_once > 0 {
-            let (n, cap) = (request.spread.clamp(1, self.set.gateways), plan.at_once);
-            let all = self.set.gateways;
+            let (n, cap) = (request.spread.clamp(1, self.set.ingresses), plan.at_once);
+            let all = self.set.ingresses;
             let turn = (self.set.position + all - request.first % all) % all;
             let odd = (turn + (id % u64::from(n)) as u32) % n < cap % n;
             if c.out >= (cap / n + u32::from(odd)).max(1) {
@@ -356,11 +359,11 @@
             return self.draw_thin(now, request, &plan, actions);
         }
         c.roll(now, &plan);
-        // Ceiling: a restart fills nothing, so the reserve starts empty when this gateway does.
+        // Ceiling: a restart fills nothing, so the reserve starts empty when this ingress does.
         if plan.ceiling_rate > 0.0 {
             let rate = (plan.ceiling_rate - plan.rate).max(0.0) / c.spread;
-            let most = (plan.ceiling_burst - (1.0 + 2.0 * HOARD) * plan.burst).max(0.0) / c.spread;
-            c.reserve = (c.reserve + rate * (now - c.reserve_at)).min(most);
+            let max = (plan.ceiling_burst - (1.0 + 2.0 * HOARD) * plan.burst).max(0.0) / c.spread;
+            c.reserve = (c.reserve + rate * (now - c.reserve_at)).min(max);
             c.reserve_at = now;
         }
         let start = c.window as f64 * plan.window();
@@ -379,7 +382,7 @@
         if !hold {
             self.ask(now, id, alone, actions);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return drawn;
         };
         if c.in_flight.is_none() && c.held.pop().is_some() {
@@ -390,8 +393,8 @@
     }
 
     /// Answers what waits for a block: let in as far as the hand or, after a failed call, the share lasts.
-    fn settle(&mut self, now: f64, id: CustomerId, failed: bool, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else {
+    fn settle(&mut self, now: f64, id: TenantId, failed: bool, actions: &mut Vec<Action>) {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         let plan = &self.set.plans[c.plan];
@@ -414,7 +417,7 @@
         for request in served {
             self.admit(now, request, actions);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         if failed || c.in_flight.is_none_or(|f| f.0 < 0.0) {
@@ -424,7 +427,7 @@
         }
     }
 
-    /// Where a gateway's part of a quota is a request or less, blocks and shares would strand it: the store
+    /// Where an ingress's part of a quota is a request or less, blocks and shares would strand it: the store
     /// is on the counter, asked for each request. What a strained one is not asked fares as what was
     /// asked, less its price, and weighs on it. Harm: a call a request, one more for each refused.
     fn draw_thin(
@@ -436,7 +439,7 @@
     ) -> Draw {
         let (odds, silent) = (1.0 - self.m.strain, self.m.call_fails >= SILENT);
         let [asks, luck] = [(); 2].map(|()| f64::from(self.rng.rand_float()));
-        let Some(c) = self.m.customers.get_mut(&request.customer) else {
+        let Some(c) = self.m.tenants.get_mut(&request.tenant) else {
             return Draw::Beyond(0.0);
         };
         if now < c.blocked_until || now - c.blocked_until < BESET.0 && luck >= BESET.1 {
@@ -459,14 +462,14 @@
         }
         c.held.push((request.id, request.units / odds));
         if c.in_flight.is_none() {
-            self.ask_store(now, request.customer, actions);
+            self.ask_store(now, request.tenant, actions);
         }
         Draw::Held
     }
 
     /// Takes from the store for all that wait, together with what is to be put right.
-    fn ask_store(&mut self, now: f64, id: CustomerId, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else {
+    fn ask_store(&mut self, now: f64, id: TenantId, actions: &mut Vec<Action>) {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         c.covered = c.held.len();
@@ -478,16 +481,16 @@
     }
 
     /// The store's number after a call: the units taken, less what comes in with time, are what it lacks.
-    fn tally(
+    fn counts(
         &mut self,
         now: f64,
-        id: CustomerId,
+        id: TenantId,
         call: (f64, i64),
         total: Option<f64>,
         to: &mut Vec<Action>,
     ) {
         let silent = self.m.call_fails >= SILENT;
-        let Some(c) = self.m.customers.get_mut(&id) else {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         let plan = self.set.plans[c.plan].clone();
@@ -506,7 +509,7 @@
                 // A full store takes in nothing: what came in with time beyond it is taken off.
                 c.hand += std::mem::take(l);
             } else if put >= 0.5 && *l >= put {
-                // Another gateway had just put the same right.
+                // Another ingress had just put the same right.
                 c.hand += put;
                 *l -= put;
             }
@@ -537,8 +540,8 @@
     }
 
     /// One counter add for a demand-sized block, before the hand is empty; at most one in flight.
-    fn ask(&mut self, now: f64, id: CustomerId, alone: bool, actions: &mut Vec<Action>) {
-        let Some(c) = self.m.customers.get_mut(&id) else {
+    fn ask(&mut self, now: f64, id: TenantId, alone: bool, actions: &mut Vec<Action>) {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         let plan = &self.set.plans[c.plan];
@@ -554,7 +557,7 @@
             (c.window - 1, 0.0)
         } else {
             // Units held in blocks come on top of what the store holds: under a ceiling they stay few.
-            let most = if plan.ceiling_rate > 0.0 {
+            let max = if plan.ceiling_rate > 0.0 {
                 HOARD / c.spread
             } else {
                 0.5
@@ -562,9 +565,9 @@
             let block = (c.demand * BLOCK.0)
                 .max(c.units)
                 .max(1.0)
-                .min(most.max(c.units));
+                .min(max.max(c.units));
             let need: f64 = c.held.iter().map(|h| h.1).sum();
-            // A block of one request is not refilled ahead: one at each gateway is most of a small store.
+            // A block of one request is not refilled ahead: one at each ingress is most of a small store.
             let ahead = c.demand * BLOCK.0 >= c.units;
             if need <= 0.0 && (!ahead || c.hand >= block / 2.0) || now < c.blocked_until {
                 return;
@@ -600,7 +603,7 @@
         if outcome != Outcome::Timeout {
             self.m.calls.remove(&name);
         }
-        let Some(c) = self.m.customers.get_mut(&id) else {
+        let Some(c) = self.m.tenants.get_mut(&id) else {
             return;
         };
         let Some((mut amount, window)) = c.in_flight.take() else {
@@ -624,7 +627,7 @@
         }
         self.m.call_fails = if mute { self.m.call_fails + 1 } else { 0 };
         if c.thin {
-            return self.tally(
+            return self.counts(
                 now,
                 id,
                 (amount, window),
@@ -695,7 +698,7 @@
     }
 
     /// A total that came too late for its call, whose amount was held to be used up.
-    fn counted_late(
+    fn counter_answered_late(
         &mut self,
         now: f64,
         name: u64,
@@ -707,7 +710,7 @@
         };
         let Some(c) = self
             .m
-            .customers
+            .tenants
             .get_mut(&id)
             .filter(|c| !c.thin && c.window == window)
         else {
@@ -721,10 +724,10 @@
         }
     }
 
-    /// Drops customers of whom nothing is known that a new one would not be given: store, reserve are full.
+    /// Drops tenants of whom nothing is known that a new one would not be given: store, reserve are full.
     fn forget_idle(&mut self, now: f64) {
         let plans = &self.set.plans;
-        self.m.customers.retain(|_, c| {
+        self.m.tenants.retain(|_, c| {
             let plan = &plans[c.plan];
             let fill =
                 (plan.ceiling_burst - plan.burst) / (plan.ceiling_rate - plan.rate).max(1e-3);
@@ -734,13 +737,13 @@
         });
     }
 
-    /// Drops the longest idle customers when the memory is full.
+    /// Drops the longest idle tenants when the memory is full.
     fn forget(&mut self, now: f64) {
-        let mut last: Vec<f64> = self.m.customers.values().map(|c| c.last).collect();
+        let mut last: Vec<f64> = self.m.tenants.values().map(|c| c.last).collect();
         last.sort_unstable_by(f64::total_cmp);
         let cut = last[last.len() / 4];
-        self.m.customers.retain(|_, c| c.last > cut || c.out > 0);
-        // A customer met again must not find its ceiling's reserve full.
+        self.m.tenants.retain(|_, c| c.last > cut || c.out > 0);
+        // A tenant met again must not find its ceiling's reserve full.
         self.m.boot = now;
     }
 
@@ -750,31 +753,31 @@
         &mut self,
         now: f64,
         of: Ask,
-        tried: &[HostId],
+        tried: &[EndpointId],
         group: Option<Peers>,
-    ) -> Option<HostId> {
+    ) -> Option<EndpointId> {
         let (kind, pools) = of;
-        let may = |h: &Host| h.ready && h.pools & pools != 0;
-        let ready = self.m.hosts.values().filter(|h| may(h)).count();
+        let may = |h: &Endpoint| h.ready && h.pools & pools != 0;
+        let ready = self.m.endpoints.values().filter(|h| may(h)).count();
         let ejected = self
             .m
-            .hosts
+            .endpoints
             .values()
             .filter(|h| may(h) && h.ejected.is_some())
             .count();
         let left_out = self
             .m
-            .hosts
+            .endpoints
             .values()
             .filter(|h| may(h) && h.left_out(now, kind))
             .count();
         let load = left_out as f64 > EJECT_SHARE * ready as f64;
-        let mut best: Option<(f64, HostId)> = None;
+        let mut best: Option<(f64, EndpointId)> = None;
         for round in 0..2 {
-            for (&id, h) in &self.m.hosts {
+            for (&id, h) in &self.m.endpoints {
                 let in_group = match group {
-                    Some((Group::Zone, zone, _)) => h.zone == zone,
-                    Some((Group::Cell, _, cell)) => h.cell == cell,
+                    Some((DeduplicationScope::Zone, zone, _)) => h.zone == zone,
+                    Some((DeduplicationScope::Cell, _, cell)) => h.cell == cell,
                     _ => true,
                 };
                 let late = round == 0 && (!load && h.left_out(now, kind) || h.trial && h.out > 0);
@@ -791,7 +794,8 @@
                 }
                 let luck = 1.0 + 0.1 * f64::from(self.rng.rand_float());
                 let far = if h.zone != self.set.zone { 1.02 } else { 1.0 };
-                let score = h.wait(now, self.warmth(now, h), self.set.gateways) * luck * far / room;
+                let score =
+                    h.wait(now, self.warmth(now, h), self.set.ingresses) * luck * far / room;
                 if best.is_none_or(|b| score < b.0) {
                     best = Some((score, id));
                 }
@@ -803,8 +807,8 @@
         best.map(|b| b.1)
     }
 
-    /// Share of its capacity that a host has at the least.
-    fn warmth(&self, now: f64, h: &Host) -> f64 {
+    /// Share of its capacity that an endpoint has at the least.
+    fn warmth(&self, now: f64, h: &Endpoint) -> f64 {
         let age = now - h.started;
         if h.started <= 0.0 || age >= self.set.warm_up {
             return 1.0;
@@ -813,9 +817,9 @@
         (cold + (1.0 - cold) * age.max(0.0) / self.set.warm_up).clamp(0.01, 1.0)
     }
 
-    /// How much a host is to be preferred (0: not at all). A cold one gets its warmth of what a warm one
+    /// How much an endpoint is to be preferred (0: not at all). A cold one gets its warmth of what a warm one
     /// serves here, half of what it bears where that is better; a share under one attempt by lot in a span.
-    fn cold_room(&self, now: f64, id: HostId, h: &Host) -> f64 {
+    fn cold_room(&self, now: f64, id: EndpointId, h: &Endpoint) -> f64 {
         let (warmth, span) = (self.warmth(now, h), self.set.tip_after.max(TICK));
         let sent = h.cold_sent.iter().filter(|s| **s > now - span).count() as f64;
         let part = warmth * self.m.warm_rate * span;
@@ -835,26 +839,26 @@
 
     // ---- Health ----
 
-    fn eject(&mut self, now: f64, id: HostId) {
-        let ready = self.m.hosts.values().filter(|h| h.ready).count();
+    fn eject(&mut self, now: f64, id: EndpointId) {
+        let ready = self.m.endpoints.values().filter(|h| h.ready).count();
         let out = self
             .m
-            .hosts
+            .endpoints
             .values()
             .filter(|h| h.ready && h.ejected.is_some())
             .count();
-        let Some(h) = self.m.hosts.get_mut(&id) else {
+        let Some(h) = self.m.endpoints.get_mut(&id) else {
             return;
         };
-        // Most of the fleet failing alike is not one host's fault; ejecting it would crush the rest.
+        // Most of the fleet failing alike is not one endpoint's fault; ejecting it would crush the rest.
         if h.ejected.is_some() || (out + 1) as f64 > EJECT_SHARE * ready as f64 {
             return;
         }
         h.eject(now);
     }
 
-    fn probed(&mut self, now: f64, host: HostId, outcome: Outcome, report: &[f64]) {
-        let Some(h) = self.m.hosts.get_mut(&host) else {
+    fn probed(&mut self, now: f64, endpoint: EndpointId, outcome: Outcome, report: &[f64]) {
+        let Some(h) = self.m.endpoints.get_mut(&endpoint) else {
             return;
         };
         if h.ejected.is_some() {
@@ -876,17 +880,17 @@
         if now - self.m.warm_at >= 1.0 {
             self.forget_idle(now);
             self.m.strain *= STRAIN.4;
-            let ready = self.m.hosts.values().filter(|h| h.ready);
+            let ready = self.m.endpoints.values().filter(|h| h.ready);
             let warm = ready.clone().filter(|h| self.warmth(now, h) >= 1.0).count();
             self.m.measure_warm(now, (warm, ready.count()), WARM);
         }
         self.watch(now, actions);
         self.m.calls.retain(|_, (.., made)| now - *made < LATE);
-        for (&id, h) in &mut self.m.hosts {
+        for (&id, h) in &mut self.m.endpoints {
             if h.ready && h.ejected.is_some_and(|until| now >= until) {
-                if self.set.may_probe {
+                if self.set.probes_allowed {
                     h.ejected = Some(now + 0.5);
-                    actions.push(Action::Probe { host: id });
+                    actions.push(Action::Probe { endpoint: id });
                 } else {
                     (h.ejected, h.trial) = (None, true);
                 }
@@ -896,20 +900,20 @@
 
     // ---- Attempts ----
 
-    fn send(&mut self, now: f64, id: RequestId, host: HostId, actions: &mut Vec<Action>) {
-        self.m.sent(now, id, host);
+    fn send(&mut self, now: f64, id: RequestId, endpoint: EndpointId, actions: &mut Vec<Action>) {
+        self.m.sent(now, id, endpoint);
         let cold = self
             .m
-            .hosts
-            .get(&host)
+            .endpoints
+            .get(&endpoint)
             .is_some_and(|h| self.warmth(now, h) < 1.0);
-        if let Some(h) = self.m.hosts.get_mut(&host).filter(|_| cold) {
+        if let Some(h) = self.m.endpoints.get_mut(&endpoint).filter(|_| cold) {
             h.cold_sent.retain(|s| *s > now - self.set.tip_after);
             h.cold_sent.push_back(now);
         }
         actions.push(Action::Send {
             id,
-            host,
+            endpoint,
             timeout: 0.0,
         });
     }
@@ -939,7 +943,7 @@
         );
         let (a, (class, plan)) = (a.clone(), open.kind());
         open.done |= end.finished || outcome == Outcome::Ok;
-        if let Some(c) = self.m.customers.get_mut(&open.request.customer) {
+        if let Some(c) = self.m.tenants.get_mut(&open.request.tenant) {
             c.out = c.out.saturating_sub(1);
             if let Some(real) = end
                 .settled
@@ -949,7 +953,7 @@
             }
         }
         self.outcome(now, &a, outcome, (class, plan));
-        if let Some(h) = self.m.hosts.get_mut(&a.host) {
+        if let Some(h) = self.m.endpoints.get_mut(&a.endpoint) {
             h.report(now, &self.set.report, &end.report);
         }
         self.reading(now, false);
@@ -958,7 +962,7 @@
         };
         if open.done {
             // The other copies are waste now.
-            if self.set.may_cancel {
+            if self.set.cancellation_allowed {
                 for (i, _) in open.attempts.iter().enumerate().filter(|(_, a)| !a.over) {
                     actions.push(Action::Cancel {
                         id,
@@ -974,17 +978,17 @@
         }
     }
 
-    /// What an outcome tells of the host and of the load.
+    /// What an outcome tells of the endpoint and of the load.
     fn outcome(&mut self, now: f64, a: &Attempt, o: Outcome, (class, plan): Kind) {
         let (typical, took) = (self.m.latency[class], now - a.sent);
         let warm = self
             .m
-            .hosts
-            .get(&a.host)
+            .endpoints
+            .get(&a.endpoint)
             .is_some_and(|h| self.warmth(now, h) >= 1.0);
         let ran = !matches!(o, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
         self.m.warm_taken += f64::from(u8::from(warm && ran));
-        let Some(h) = self.m.hosts.get_mut(&a.host) else {
+        let Some(h) = self.m.endpoints.get_mut(&a.endpoint) else {
             return;
         };
         h.out = h.out.saturating_sub(1);
@@ -1002,7 +1006,7 @@
                 } else {
                     h.strikes = 0;
                 }
-                self.m.aims += self.set.classes[class].aim / self.m.pace;
+                self.m.aims += self.set.classes[class].latency_objective / self.m.pace;
                 self.m.departs += 1.0 / self.m.pace;
                 if h.ratio < 3.0 {
                     self.m.latency[class] += LEARN * (took.min(WORST * typical) - typical);
@@ -1017,16 +1021,16 @@
                     _ => {}
                 }
                 if !a.suspect {
-                    self.blame(now, a.host, (o, a.sent));
+                    self.blame(now, a.endpoint, (o, a.sent));
                 }
             }
         }
     }
 
-    /// A failure at a host; after some in a row it is ejected. Lateness counts only while the host answers
+    /// A failure at an endpoint; after some in a row it is ejected. Lateness counts only while the endpoint answers
     /// nobody: else it may just be busy. Harm: the rest of the fleet carries more.
-    fn blame(&mut self, now: f64, host: HostId, (o, sent): (Outcome, f64)) {
-        let Some(h) = self.m.hosts.get_mut(&host) else {
+    fn blame(&mut self, now: f64, endpoint: EndpointId, (o, sent): (Outcome, f64)) {
+        let Some(h) = self.m.endpoints.get_mut(&endpoint) else {
             return;
         };
         h.fails += u32::from(o != Outcome::Full && (o != Outcome::Timeout || h.last_answer < sent));
@@ -1034,7 +1038,7 @@
             h.last_answer = now;
         }
         if h.trial || h.fails >= FAILS {
-            self.eject(now, host);
+            self.eject(now, endpoint);
         }
     }
 
@@ -1048,14 +1052,14 @@
         let mut group = None;
         if let Some(a) = ran {
             match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => return false,
-                Effect::Keyed => {
+                Idempotency::Safe => {}
+                Idempotency::Unsafe => return false,
+                Idempotency::Keyed => {
                     if now - a.sent >= class.window - 2.0 * self.set.resolution {
                         return false;
                     }
-                    // Without knowing the host's group any more, no group is safe.
-                    let Some(h) = self.m.hosts.get(&a.host) else {
+                    // Without knowing the endpoint's group any more, no group is safe.
+                    let Some(h) = self.m.endpoints.get(&a.endpoint) else {
                         return false;
                     };
                     group = Some((class.group, h.zone, h.cell));
@@ -1070,18 +1074,18 @@
         {
             return false;
         }
-        let tried: Vec<HostId> = open.attempts.iter().map(|a| a.host).collect();
+        let tried: Vec<EndpointId> = open.attempts.iter().map(|a| a.endpoint).collect();
         let of = open.ask();
-        let Some(host) = self.choose(now, of, &tried, group) else {
+        let Some(endpoint) = self.choose(now, of, &tried, group) else {
             return false;
         };
         self.m.tokens -= 1.0;
-        self.send(now, id, host, actions);
+        self.send(now, id, endpoint, actions);
         true
     }
 
     /// Attempts that take long leave the count: hung servers must not hold level 2. After a share of the aim
-    /// the host is suspected, and a second copy may go out. Harm: work that hung hosts still do is not seen.
+    /// the endpoint is suspected, and a hedged request may go out. Harm: work that hung endpoints still do is not seen.
     fn watch(&mut self, now: f64, actions: &mut Vec<Action>) {
         let (mut due, mut suspects) = (Vec::new(), Vec::new());
         for (&id, open) in &mut self.m.requests {
@@ -1093,8 +1097,8 @@
             for a in open.attempts.iter_mut().filter(|a| !a.over) {
                 let lost = self
                     .m
-                    .hosts
-                    .get(&a.host)
+                    .endpoints
+                    .get(&a.endpoint)
                     .is_none_or(|h| h.ejected.is_some() || h.gone);
                 if a.sent < stuck && !a.slow {
                     a.slow = true;
@@ -1103,19 +1107,19 @@
                 if lost || a.slow && self.m.slow_share < SLOW.1 {
                     self.m.out -= a.uncount();
                 }
-                let late = now - a.sent > COPY_AT * class.aim;
+                let late = now - a.sent > COPY_AT * class.latency_objective;
                 if late && !a.suspect {
                     a.suspect = true;
-                    suspects.push((a.host, a.sent));
+                    suspects.push((a.endpoint, a.sent));
                 }
                 all &= lost || late && self.m.level == 0 && tries < 2;
             }
-            if all && self.set.second_copies && class.effect != Effect::Unsafe {
+            if all && self.set.hedging && class.effect != Idempotency::Unsafe {
                 due.push(id);
             }
         }
-        for (host, sent) in suspects {
-            self.blame(now, host, (Outcome::Timeout, sent));
+        for (endpoint, sent) in suspects {
+            self.blame(now, endpoint, (Outcome::Timeout, sent));
         }
         for id in due {
             self.again(now, id, actions);
@@ -1130,12 +1134,12 @@
         let class = &self.set.classes[open.request.class];
         let ran = open.attempts.iter().any(|a| a.may_have_run);
         let harmless = match class.effect {
-            Effect::Safe => true,
-            Effect::Keyed => !ran || class.group == Group::All,
-            Effect::Unsafe => !ran,
+            Idempotency::Safe => true,
+            Idempotency::Keyed => !ran || class.group == DeduplicationScope::All,
+            Idempotency::Unsafe => !ran,
         };
         if harmless && !ran {
-            self.refuse(id, ADVICE * class.aim, actions);
+            self.refuse(id, ADVICE * class.latency_objective, actions);
         } else {
             actions.push(Action::Fail { id });
         }
@@ -1143,7 +1147,7 @@
     }
 }
 
-impl Customer {
+impl Tenant {
     /// Whether the store, which lacks so much, holds a request's units; if so they are taken.
     fn fits(&mut self, now: f64, units: f64, lacks: &mut f64, plan: &Plan) -> bool {
         let beyond = lacks.max(0.0) + units.min(self.units) - plan.burst;
@@ -1162,8 +1166,8 @@
         if !silent {
             return (base - plan.over_cost * (1.0 - base)).max(0.0);
         }
-        let (rate, most) = (plan.rate / self.spread, LONG * plan.burst / self.spread);
-        let share = (self.share + rate * (now - self.share_at)).min(most);
+        let (rate, max) = (plan.rate / self.spread, LONG * plan.burst / self.spread);
+        let share = (self.share + rate * (now - self.share_at)).min(max);
         (self.share, self.share_at) = ((share - units).max(0.0), now);
         share / units.max(1e-9)
     }
@@ -1197,7 +1201,7 @@
         self.blocked_until = 0.0;
     }
 
-    /// This gateway's even share, where the counter is no help.
+    /// This ingress's even share, where the counter is no help.
     fn take_share(&mut self, units: f64, plan: &Plan) -> bool {
         let ceiling = plan.ceiling_rate > 0.0;
         let fits = self.share >= units && !(ceiling && self.reserve < units);
@@ -1215,7 +1219,7 @@
     }
 }
 
-impl Host {
+impl Endpoint {
     fn eject(&mut self, now: f64) {
         self.ejected = Some(now + (EJECT.0 * f64::from(1 << self.strikes.min(4))).min(EJECT.1));
         self.strikes += 1;
@@ -1227,7 +1231,7 @@
         self.avoid.retain(|m| now < m.until + AVOID.0);
         let at = self.avoid.iter().position(|m| m.what == what);
         let old = at.map(|at| self.avoid.swap_remove(at));
-        // What was sent before the host was left out says nothing new.
+        // What was sent before the endpoint was left out says nothing new.
         let (until, spell) = match old {
             Some(m) if now < m.until => (m.until.max(now + first), m.spell),
             Some(m) => (
@@ -1245,7 +1249,7 @@
             .any(|m| now < m.until && (m.what == Err(class) || m.what == Ok(plan)))
     }
 
-    /// Expected wait for one more attempt, in latencies. All gateways choose alike, each has as much out.
+    /// Expected wait for one more attempt, in latencies. All ingresses choose alike, each has as much out.
     fn wait(&self, now: f64, warmth: f64, all: u32) -> f64 {
         let queue = self.waiting.map_or(0.0, |(at, queue)| {
             queue * (1.0 - (now - at) / FRESH).max(0.0)
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -1,22 +1,22 @@
-//! The decision module in blocking style: [`Facade::pick`], [`Facade::report`], [`Facade::tick`]. It owns the
+//! The decision module in blocking style: [`DecisionDriver::pick`], [`DecisionDriver::report`], [`DecisionDriver::tick`]. It owns the
 //! module, its timers, and the turn from milliseconds to the module's seconds. Network code sees verdicts and
-//! errands, never the module's events or actions. It must never decide anything itself, nor know a command
+//! errands, never the module's events or actions. It must never decide anything itself, nor know a request
 //! beyond the figures that the module asks for.
 
-use crate::decision::balance::Gateway;
+use crate::decision::balance::DecisionEngine;
 use crate::decision::{
-    Action, AttemptEnd, Event, HostEntry, ListKind, Outcome, Pools, Request, Settings,
+    Action, AttemptEnd, EndpointEntry, Event, ListKind, Outcome, Pools, Request, Settings,
     SettingsError,
 };
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A command held by this ingress.
-pub type CommandId = u32;
-/// An instance, as numbered by the name table.
-pub type InstanceId = u32;
+/// A request held by this ingress.
+pub type RequestId = u32;
+/// An endpoint, as numbered by the endpoint registry.
+pub type EndpointId = u32;
 
-/// What is to be done with a command.
+/// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// Wait: a later call brings the verdict.
@@ -24,35 +24,35 @@
     /// Send an attempt; it waits this long at most, 0: until the client gives up.
     Send {
         /// Where to.
-        instance: InstanceId,
+        endpoint: EndpointId,
         /// How long it may last.
-        patience_ms: f64,
+        client_timeout_ms: f64,
     },
     /// Final answer: refused; come back after so long, 0: no advice.
-    Nack {
+    Reject {
         /// Milliseconds to stay away.
-        after_ms: f64,
+        retry_after_ms: f64,
     },
     /// Final answer: failed.
     Fail,
 }
 
-/// Work beside the commands.
+/// Work beside the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Errand {
+pub enum DriverAction {
     /// Stop waiting for an attempt.
-    Cancel(CommandId, u32),
-    /// Ask an instance for its load.
-    Probe(InstanceId),
-    /// Follow the name table.
+    Cancel(RequestId, u32),
+    /// Ask an endpoint for its load.
+    Probe(EndpointId),
+    /// Follow the endpoint registry.
     Follow,
     /// Add to a number on the counter.
-    Count(Add),
+    Count(CounterAdd),
 }
 
 /// A counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Add {
+pub struct CounterAdd {
     /// The number's name.
     pub name: u64,
     /// What to add; 0 reads.
@@ -61,39 +61,39 @@
     pub lives_ms: f64,
 }
 
-/// The figures of a command that decisions rest on.
+/// The figures of a request that decisions rest on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RequestAttributes {
     /// Its class, by index.
     pub class: usize,
-    /// The partner's plan, by index.
+    /// The tenant's plan, by index.
     pub plan: usize,
-    /// The partner.
-    pub customer: u64,
+    /// The tenant.
+    pub tenant: u64,
     /// Units that it takes from the quota.
     pub units: f64,
-    /// Through how many ingresses the partner comes.
+    /// Through how many ingresses the tenant comes.
     pub spread: u32,
     /// The first of them.
     pub first: u32,
     /// Marked by the client as a retry.
     pub repeat: bool,
-    /// The pools whose instances it may be sent to.
+    /// The pools whose endpoints it may be sent to.
     pub pools: Pools,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
-    /// Its command.
-    pub command: CommandId,
+pub struct AttemptReport {
+    /// Its request.
+    pub request: RequestId,
     /// Its number.
     pub attempt: u32,
     /// How.
     pub outcome: Outcome,
-    /// The command has its final answer.
+    /// The request has its final answer.
     pub finished: bool,
-    /// The instance's load report, if one came.
+    /// The endpoint's load report, if one came.
     pub load: Vec<f64>,
     /// The true units, if they came.
     pub cost: Option<f64>,
@@ -101,15 +101,15 @@
 
 /// News for the module.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Report {
-    /// The name table: all of it, a change, or the list as last known.
-    Names(ListKind, Vec<HostEntry>),
+pub enum Observation {
+    /// The endpoint registry: all of it, a change, or the list as last known.
+    Names(ListKind, Vec<EndpointEntry>),
     /// An attempt has ended.
-    Ended(Ended),
-    /// The service client has gone.
-    ClientGone(CommandId),
+    AttemptEnded(AttemptReport),
+    /// The client has gone.
+    ClientGone(RequestId),
     /// A probe has ended, with the load it brought.
-    Probed(InstanceId, Outcome, Vec<f64>),
+    Probed(EndpointId, Outcome, Vec<f64>),
     /// A counter call for this name has ended, with the total.
     Counted(u64, Outcome, f64),
     /// One that had ended without has a total after all: name, amount, total.
@@ -117,41 +117,47 @@
 }
 
 /// The module behind its three calls.
-pub struct Facade {
-    gateway: Gateway,
+pub struct DecisionDriver {
+    engine: DecisionEngine,
     timers: BinaryHeap<Reverse<(u64, u64)>>,
     actions: Vec<Action>,
-    verdicts: VecDeque<(CommandId, Verdict)>,
-    errands: VecDeque<Errand>,
+    verdicts: VecDeque<(RequestId, Verdict)>,
+    pending_actions: VecDeque<DriverAction>,
 }
 
 fn micros(ms: f64) -> u64 {
     (ms.max(0.0) * 1e3) as u64
 }
 
-impl Facade {
+impl DecisionDriver {
     /// The module at its start.
     ///
     /// # Errors
     /// Settings that make no sense, by field.
-    pub fn new(settings: Settings, seed: u64) -> Result<Facade, SettingsError> {
-        Ok(Facade {
-            gateway: Gateway::new(settings, seed)?,
+    pub fn new(settings: Settings, seed: u64) -> Result<DecisionDriver, SettingsError> {
+        Ok(DecisionDriver {
+            engine: DecisionEngine::new(settings, seed)?,
             timers: BinaryHeap::new(),
             actions: Vec::new(),
             verdicts: VecDeque::new(),
-            errands: VecDeque::new(),
+            pending_actions: VecDeque::new(),
         })
     }
 
-    /// A command has come in: the verdict on it.
-    pub fn pick(&mut self, now: f64, id: CommandId, ask: &Ask, give_up: f64) -> Verdict {
+    /// A request has come in: the verdict on it.
+    pub fn pick(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        ask: &RequestAttributes,
+        give_up: f64,
+    ) -> Verdict {
         let request = Request {
             id,
             give_up: give_up / 1e3,
             class: ask.class,
             plan: ask.plan,
-            customer: ask.customer,
+            tenant: ask.tenant,
             units: ask.units,
             spread: ask.spread,
             first: ask.first,
@@ -159,7 +165,7 @@
             pools: ask.pools,
         };
         self.handle(now, Event::Arrived(request));
-        match self.verdicts.iter().position(|(command, _)| *command == id) {
+        match self.verdicts.iter().position(|(request, _)| *request == id) {
             Some(at) => self
                 .verdicts
                 .remove(at)
@@ -169,29 +175,29 @@
     }
 
     /// Something has happened; verdicts and errands may follow.
-    pub fn report(&mut self, now: f64, report: Report) {
+    pub fn report(&mut self, now: f64, report: Observation) {
         let event = match report {
-            Report::Names(kind, entries) => Event::Hosts { kind, entries },
-            Report::Ended(end) => Event::Ended(AttemptEnd {
-                id: end.command,
+            Observation::Names(kind, entries) => Event::Endpoints { kind, entries },
+            Observation::AttemptEnded(end) => Event::Ended(AttemptEnd {
+                id: end.request,
                 attempt: end.attempt,
                 outcome: end.outcome,
                 finished: end.finished,
                 settled: end.cost,
                 report: end.load,
             }),
-            Report::ClientGone(command) => Event::ClientGone { id: command },
-            Report::Probed(instance, outcome, load) => Event::Probed {
-                host: instance,
+            Observation::ClientGone(request) => Event::ClientGone { id: request },
+            Observation::Probed(endpoint, outcome, load) => Event::Probed {
+                endpoint,
                 outcome,
                 report: load,
             },
-            Report::Counted(name, outcome, total) => Event::Counted {
+            Observation::Counted(name, outcome, total) => Event::Counted {
                 name,
                 outcome,
                 total,
             },
-            Report::CountedLate(name, amount, total) => Event::CountedLate {
+            Observation::CountedLate(name, amount, total) => Event::CountedLate {
                 name,
                 amount,
                 total,
@@ -213,12 +219,12 @@
     }
 
     /// When the next timer comes due. Those that the module has no use for any more are dropped here: most
-    /// are the answer timers of commands that were served long before.
+    /// are the answer timers of requests that were served long before.
     pub fn next_due(&mut self) -> Option<f64> {
         while self
             .timers
             .peek()
-            .is_some_and(|Reverse((_, token))| !self.gateway.awaits(*token))
+            .is_some_and(|Reverse((_, token))| !self.engine.awaits(*token))
         {
             self.timers.pop();
         }
@@ -227,39 +233,44 @@
             .map(|Reverse((due, _))| *due as f64 / 1e3)
     }
 
-    /// The next verdict that an earlier call left, for a command that was held or lost an attempt.
-    pub fn next_verdict(&mut self) -> Option<(CommandId, Verdict)> {
+    /// The next verdict that an earlier call left, for a request that was held or lost an attempt.
+    pub fn next_verdict(&mut self) -> Option<(RequestId, Verdict)> {
         self.verdicts.pop_front()
     }
 
     /// The next errand.
-    pub fn next_errand(&mut self) -> Option<Errand> {
-        self.errands.pop_front()
+    pub fn next_action(&mut self) -> Option<DriverAction> {
+        self.pending_actions.pop_front()
     }
 
     fn handle(&mut self, now: f64, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.gateway.handle(now / 1e3, event, &mut actions);
+        self.engine.handle(now / 1e3, event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { id, host, timeout } => self.verdicts.push_back((
+                Action::Send {
+                    id,
+                    endpoint,
+                    timeout,
+                } => self.verdicts.push_back((
                     id,
                     Verdict::Send {
-                        instance: host,
-                        patience_ms: timeout * 1e3,
+                        endpoint,
+                        client_timeout_ms: timeout * 1e3,
                     },
                 )),
                 Action::Refuse { id, retry_after } => {
                     self.verdicts.push_back((
                         id,
-                        Verdict::Nack {
-                            after_ms: retry_after * 1e3,
+                        Verdict::Reject {
+                            retry_after_ms: retry_after * 1e3,
                         },
                     ));
                 }
                 Action::Fail { id } => self.verdicts.push_back((id, Verdict::Fail)),
                 Action::Cancel { id, attempt } => {
-                    self.errands.push_back(Errand::Cancel(id, attempt));
+                    self.pending_actions
+                        .push_back(DriverAction::Cancel(id, attempt));
                 }
                 // One microsecond on at least, so that a timer never comes due within its own call.
                 Action::Timer { after, token } => {
@@ -268,18 +279,21 @@
                         token,
                     )));
                 }
-                Action::Probe { host } => self.errands.push_back(Errand::Probe(host)),
-                Action::FollowList => self.errands.push_back(Errand::Follow),
+                Action::Probe { endpoint } => self
+                    .pending_actions
+                    .push_back(DriverAction::Probe(endpoint)),
+                Action::FollowList => self.pending_actions.push_back(DriverAction::Follow),
                 Action::Count {
                     name,
                     amount,
                     lives,
                 } => {
-                    self.errands.push_back(Errand::Count(Add {
-                        name,
-                        amount,
-                        lives_ms: lives * 1e3,
-                    }));
+                    self.pending_actions
+                        .push_back(DriverAction::Count(CounterAdd {
+                            name,
+                            amount,
+                            lives_ms: lives * 1e3,
+                        }));
                 }
             }
         }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -6,4 +6,4 @@
 mod state;
 
 pub use api::*;
-pub use balance::Gateway;
+pub use balance::DecisionEngine;
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -1,20 +1,21 @@
 //! What the module remembers: plain data, no decisions. `src/decision/balance.rs` gives it its meaning.
 
-use crate::decision::balance::Gateway;
+use crate::decision::balance::DecisionEngine;
 use crate::decision::{
-    Action, CustomerId, Field, Group, HostEntry, HostId, HostState, Pools, Request, RequestId,
+    Action, DeduplicationScope, EndpointEntry, EndpointId, EndpointState, LoadReportField, Pools,
+    Request, RequestId, TenantId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A class and a plan.
 pub(crate) type Kind = (usize, usize);
-/// What a host is chosen for: a class and a plan, and the pools that may serve it.
+/// What an endpoint is chosen for: a class and a plan, and the pools that may serve it.
 pub(crate) type Ask = (Kind, Pools);
-/// The hosts that share keys with one in this zone and cell.
-pub(crate) type Peers = (Group, u32, u32);
+/// The endpoints that share keys with one in this zone and cell.
+pub(crate) type Peers = (DeduplicationScope, u32, u32);
 
 #[derive(Default)]
-pub(crate) struct Host {
+pub(crate) struct Endpoint {
     pub(crate) zone: u32,
     pub(crate) cell: u32,
     pub(crate) size: f64,
@@ -37,7 +38,7 @@
     pub(crate) cold_sent: VecDeque<f64>,
 }
 
-/// A class (`Err`) or a plan (`Ok`) that a host does not serve.
+/// A class (`Err`) or a plan (`Ok`) that an endpoint does not serve.
 pub(crate) struct Avoid {
     pub(crate) what: Result<usize, usize>,
     /// Until when that is believed, and how long it was believed the last time.
@@ -47,13 +48,13 @@
 
 #[derive(Clone)]
 pub(crate) struct Attempt {
-    pub(crate) host: HostId,
+    pub(crate) endpoint: EndpointId,
     pub(crate) sent: f64,
     pub(crate) over: bool,
     pub(crate) may_have_run: bool,
     /// Part of the count that the ladder reads.
     pub(crate) counted: bool,
-    /// Out for so long that its host is suspected.
+    /// Out for so long that its endpoint is suspected.
     pub(crate) suspect: bool,
     pub(crate) slow: bool,
 }
@@ -72,11 +73,11 @@
     }
 }
 
-impl Host {
+impl Endpoint {
     /// Notes a load report.
-    pub(crate) fn report(&mut self, now: f64, fields: &[Field], report: &[f64]) {
+    pub(crate) fn report(&mut self, now: f64, fields: &[LoadReportField], report: &[f64]) {
         for (field, value) in fields.iter().zip(report) {
-            if *field == Field::Queue && value.is_finite() && *value >= 0.0 {
+            if *field == LoadReportField::Queue && value.is_finite() && *value >= 0.0 {
                 self.waiting = Some((now, *value));
             }
         }
@@ -98,14 +99,14 @@
         (self.request.class, self.request.plan)
     }
 
-    /// What its hosts are chosen for.
+    /// What its endpoints are chosen for.
     pub(crate) fn ask(&self) -> Ask {
         (self.kind(), self.request.pools)
     }
 }
 
 #[derive(Default)]
-pub(crate) struct Customer {
+pub(crate) struct Tenant {
     pub(crate) plan: usize,
     pub(crate) spread: f64,
     pub(crate) thin: bool,
@@ -138,21 +139,21 @@
     pub(crate) out: u32,
 }
 
-impl Customer {
-    pub(crate) fn new(request: &Request, thin: bool, spread: f64, now: f64) -> Customer {
-        Customer {
+impl Tenant {
+    pub(crate) fn new(request: &Request, thin: bool, spread: f64, now: f64) -> Tenant {
+        Tenant {
             plan: request.plan,
             thin,
             spread,
             share_at: now,
             units: request.units,
             window: i64::MIN,
-            ..Customer::default()
+            ..Tenant::default()
         }
     }
 }
 
-impl Customer {
+impl Tenant {
     /// Drops a request that waits for the counter; what the call under way brings for it is left for others.
     fn waits_no_more(&mut self, id: RequestId) {
         if let Some(at) = self.held.iter().position(|(held, _)| *held == id) {
@@ -162,16 +163,16 @@
     }
 }
 
-/// What a gateway remembers beside its settings.
+/// What an ingress remembers beside its settings.
 #[derive(Default)]
 pub(crate) struct Memory {
     pub(crate) boot: f64,
     pub(crate) started: bool,
-    pub(crate) hosts: BTreeMap<HostId, Host>,
+    pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) requests: BTreeMap<RequestId, Open>,
-    pub(crate) customers: BTreeMap<CustomerId, Customer>,
-    /// Calls by name: the customer, the window and when. Those given up stay a while, for a late total.
-    pub(crate) calls: BTreeMap<u64, (CustomerId, i64, f64)>,
+    pub(crate) tenants: BTreeMap<TenantId, Tenant>,
+    /// Calls by name: the tenant, the window and when. Those given up stay a while, for a late total.
+    pub(crate) calls: BTreeMap<u64, (TenantId, i64, f64)>,
     pub(crate) level: usize,
     /// Share of the last attempts that were out for long.
     pub(crate) slow_share: f64,
@@ -193,8 +194,8 @@
     /// By plan: how often the store had room, and the weight of the last answer in that.
     pub(crate) base: Vec<(f64, f64)>,
     pub(crate) latency: Vec<f64>,
-    /// Attempts a second that a warm host takes on, and since when that is known; what went into it since `warm_at`:
-    /// attempts that warm hosts have ended and not turned away, and requests that wanted a host.
+    /// Attempts a second that a warm endpoint takes on, and since when that is known; what went into it since `warm_at`:
+    /// attempts that warm endpoints have ended and not rejected, and requests that wanted an endpoint.
     pub(crate) warm_rate: f64,
     pub(crate) rated_at: f64,
     pub(crate) warm_taken: f64,
@@ -213,15 +214,15 @@
         self.pace = (of / self.departs.max(1e-3)).clamp(range.0, range.1);
     }
 
-    /// Attempts a second that a warm host takes on, the last spell with this weight. Where none was ever warm, an even
+    /// Attempts a second that a warm endpoint takes on, the last spell with this weight. Where none was ever warm, an even
     /// part of what is wanted stands in.
     pub(crate) fn measure_warm(&mut self, now: f64, (warm, ready): (usize, usize), weight: f64) {
-        let (sum, hosts) = match (warm, self.warm_rate > 0.0) {
+        let (sum, endpoints) = match (warm, self.warm_rate > 0.0) {
             (0, false) => (self.wanted, ready),
             _ => (self.warm_taken, warm),
         };
-        if hosts > 0 {
-            let rate = sum / hosts as f64 / (now - self.warm_at);
+        if endpoints > 0 {
+            let rate = sum / endpoints as f64 / (now - self.warm_at);
             if self.warm_rate <= 0.0 && rate > 0.0 {
                 (self.warm_rate, self.rated_at) = (rate, now);
             }
@@ -230,19 +231,26 @@
         (self.warm_taken, self.wanted, self.warm_at) = (0.0, 0.0, now);
     }
 
-    /// Notes the list of hosts, or changes to it; those missing from a whole list are gone.
-    pub(crate) fn list(&mut self, changes: bool, entries: Vec<HostEntry>) {
+    /// Notes the list of endpoints, or changes to it; those missing from a whole list are gone.
+    pub(crate) fn list(&mut self, changes: bool, entries: Vec<EndpointEntry>) {
         if !changes {
-            let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
-            for (_, h) in self.hosts.iter_mut().filter(|(id, _)| !named.contains(id)) {
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            for (_, h) in self
+                .endpoints
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id))
+            {
                 (h.ready, h.gone) = (false, true);
             }
         }
         for e in entries {
-            let h = self.hosts.entry(e.host).or_insert_with(|| Host {
-                ratio: 1.0,
-                ..Host::default()
-            });
+            let h = self
+                .endpoints
+                .entry(e.endpoint)
+                .or_insert_with(|| Endpoint {
+                    ratio: 1.0,
+                    ..Endpoint::default()
+                });
             if e.started > h.started {
                 // A new process: what was learnt of the old one is void.
                 (h.fails, h.strikes, h.ejected, h.trial, h.ratio) = (0, 0, None, false, 1.0);
@@ -250,20 +258,20 @@
                 h.avoid.clear();
             }
             (h.zone, h.cell, h.size) = (e.zone, e.cell, if e.size > 0.0 { e.size } else { 1.0 });
-            (h.ready, h.pools) = (e.state == HostState::Ready, e.pools);
-            h.gone = e.state == HostState::Gone;
+            (h.ready, h.pools) = (e.state == EndpointState::Ready, e.pools);
+            h.gone = e.state == EndpointState::Gone;
         }
-        self.hosts.retain(|_, h| !h.gone || h.out > 0);
+        self.endpoints.retain(|_, h| !h.gone || h.out > 0);
     }
 
     /// Notes an attempt.
-    pub(crate) fn sent(&mut self, now: f64, id: RequestId, host: HostId) {
+    pub(crate) fn sent(&mut self, now: f64, id: RequestId, endpoint: EndpointId) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         let (over, suspect, slow) = (false, false, false);
         open.attempts.push(Attempt {
-            host,
+            endpoint,
             sent: now,
             over,
             may_have_run: true,
@@ -272,25 +280,25 @@
             slow,
         });
         self.out += 1;
-        if let Some(c) = self.customers.get_mut(&open.request.customer) {
+        if let Some(c) = self.tenants.get_mut(&open.request.tenant) {
             c.out += 1;
         }
-        if let Some(h) = self.hosts.get_mut(&host) {
+        if let Some(h) = self.endpoints.get_mut(&endpoint) {
             h.out += 1;
         }
     }
 
-    /// Notes a counter call for a customer.
+    /// Notes a counter call for a tenant.
     pub(crate) fn call(
         &mut self,
         now: f64,
-        id: CustomerId,
+        id: TenantId,
         window: i64,
         amount: f64,
         lives: f64,
     ) -> Action {
         let (name, amount) = (name_of(id, window), f64::from(amount as f32));
-        if let Some(c) = self.customers.get_mut(&id) {
+        if let Some(c) = self.tenants.get_mut(&id) {
             (c.in_flight, c.asked_at) = (Some((amount, window)), now);
         }
         self.calls.insert(name, (id, window, now));
@@ -312,7 +320,7 @@
     pub(crate) fn finish(&mut self, id: RequestId) {
         if let Some(open) = self.requests.get_mut(&id) {
             open.done = true;
-            if let Some(c) = self.customers.get_mut(&open.request.customer) {
+            if let Some(c) = self.tenants.get_mut(&open.request.tenant) {
                 c.waits_no_more(id);
             }
             if open.attempts.iter().all(|a| a.over) {
@@ -323,27 +331,27 @@
 }
 
 /// Notes which part of a plan's requests the store had room for, by the mean of what was seen and later with this
-/// weight: a gateway among many sees few.
-pub(crate) fn fare((base, weight): &mut (f64, f64), part: f64, least: f64) {
-    *weight = (*weight / (1.0 + *weight)).max(least);
+/// weight: an ingress among many sees few.
+pub(crate) fn fare((base, weight): &mut (f64, f64), part: f64, min: f64) {
+    *weight = (*weight / (1.0 + *weight)).max(min);
     *base += *weight * (part - *base);
 }
 
-/// Name of a customer's number on the counter in one window: the same at every gateway.
-fn name_of(customer: CustomerId, window: i64) -> u64 {
-    let mut z = customer.wrapping_mul(0x9E37_79B9_7F4A_7C15)
+/// Name of a tenant's number on the counter in one window: the same at every ingress.
+fn name_of(tenant: TenantId, window: i64) -> u64 {
+    let mut z = tenant.wrapping_mul(0x9E37_79B9_7F4A_7C15)
         ^ (window as u64).wrapping_mul(0xD1B5_4A32_D192_ED03);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     z ^ (z >> 31)
 }
 
-/// A thin customer's number on the counter lasts this long, s: it and the next fit into a life of 60 s.
+/// A thin tenant's number on the counter lasts this long, s: it and the next fit into a life of 60 s.
 pub(crate) const STORE: f64 = 25.0;
 
-/// The number that holds a thin customer's store now, and since when it does, s. Numbers change for each customer
-/// at another time: gateways that all came for new ones at once would drown the counter.
-pub(crate) fn store_window(now: f64, id: CustomerId) -> (i64, f64) {
+/// The number that holds a thin tenant's store now, and since when it does, s. Numbers change for each tenant
+/// at another time: ingresses that all came for new ones at once would drown the counter.
+pub(crate) fn store_window(now: f64, id: TenantId) -> (i64, f64) {
     let at = now / STORE + lot(id, 0);
     (at.floor() as i64, (at - at.floor()) * STORE)
 }
@@ -354,7 +362,7 @@
 }
 
 /// What can be watched from outside.
-impl Gateway {
+impl DecisionEngine {
     /// The load level: 0, 1 or 2.
     pub fn level(&self) -> usize {
         self.m.level
@@ -370,8 +378,8 @@
         token == 0 || self.m.requests.contains_key(&(token as RequestId))
     }
 
-    /// How many customers are remembered.
-    pub fn customers(&self) -> usize {
-        self.m.customers.len()
+    /// How many tenants are remembered.
+    pub fn tenants(&self) -> usize {
+        self.m.tenants.len()
     }
 }
--- a/src/discovery/inventory.rs
+++ b/src/discovery/inventory.rs
@@ -1,11 +1,11 @@
-//! The operator's inventory in the ingress: reading its file or folder, and what changes in the name table by it.
+//! The operator's inventory in the ingress: reading its file or folder, and what changes in the endpoint registry by it.
 //! What a file means and whether it is whole is judged by `driftgap_inventory`. It must never change the list for a
 //! file that is wrong anywhere or has to be confirmed first, nor drop a host that is no longer named without
 //! letting it drain.
 
-use crate::decision::driver::InstanceId;
-use crate::decision::{HostEntry, HostState, ALL_HOSTS};
-use crate::discovery::registry::{Instance, NameTable, Speaks};
+use crate::decision::driver::EndpointId;
+use crate::decision::{EndpointEntry, EndpointState, ALL_ENDPOINTS};
+use crate::discovery::registry::{Endpoint, EndpointProtocol, EndpointRegistry};
 use driftgap_inventory::{
     read, summary, suspicious, Fault, File, Host, Protocol, Schema, Shares, State, Weight,
 };
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 
 /// Most files of a folder, and deepest nesting of folders.
-const MOST_FILES: usize = 1000;
-const MOST_DEPTH: usize = 4;
+const MAX_FILES: usize = 1000;
+const MAX_DEPTH: usize = 4;
 
 /// The inventory's settings.
 #[derive(Clone, Debug, Deserialize)]
@@ -55,12 +55,10 @@
     #[error("it changed while it was read: it may be half-written")]
     Changing,
     /// A folder with too much in it.
-    #[error(
-        "the folder holds more than {MOST_FILES} files, or folders more than {MOST_DEPTH} deep"
-    )]
+    #[error("the folder holds more than {MAX_FILES} files, or folders more than {MAX_DEPTH} deep")]
     Folder,
     /// It is wrong; all that is, the worst first.
-    #[error("{}", told(.0))]
+    #[error("{}", notified(.0))]
     Faults(Vec<Fault>),
     /// It must be confirmed.
     #[error("{0}: held back until it is read again unchanged")]
@@ -68,7 +66,7 @@
 }
 
 /// The first fault in a line, and how many there are besides.
-fn told(faults: &[Fault]) -> String {
+fn notified(faults: &[Fault]) -> String {
     let errors: Vec<&Fault> = faults
         .iter()
         .filter(|fault| fault.weight == Weight::Error)
@@ -96,10 +94,10 @@
     settings: InventorySettings,
     path: PathBuf,
     hosts: Vec<Host>,
-    named: BTreeSet<InstanceId>,
+    named: BTreeSet<EndpointId>,
     /// What the last reading made drain, and what it found drained.
-    draining: BTreeSet<InstanceId>,
-    dropped: BTreeSet<InstanceId>,
+    draining: BTreeSet<EndpointId>,
+    dropped: BTreeSet<EndpointId>,
     /// A list that must be confirmed, and when it was read first, ms.
     held: Option<(Vec<Host>, f64)>,
     /// The files that the list in force was read from.
@@ -129,8 +127,8 @@
         &self.path
     }
 
-    /// Whether an instance was named by the reading before the last and by none since.
-    pub fn dropped(&self, id: InstanceId) -> bool {
+    /// Whether an endpoint was named by the reading before the last and by none since.
+    pub fn dropped(&self, id: EndpointId) -> bool {
         self.dropped.contains(&id)
     }
 
@@ -141,9 +139,9 @@
     /// It is wrong, or must be confirmed; the table is as it was.
     pub fn load(
         &mut self,
-        table: &mut NameTable,
+        table: &mut EndpointRegistry,
         now: f64,
-    ) -> Result<(Vec<HostEntry>, Vec<Fault>), InventoryError> {
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
         self.take(files(&self.path)?, table, now)
     }
 
@@ -164,9 +162,9 @@
     pub fn restore(
         &mut self,
         accepted: &[u8],
-        table: &mut NameTable,
+        table: &mut EndpointRegistry,
         now: f64,
-    ) -> Result<(Vec<HostEntry>, Vec<Fault>), InventoryError> {
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
         let files: Vec<(String, Vec<u8>)> = postcard::from_bytes(accepted)
             .map_err(|e| std::io::Error::new(std::io::ErrorKind::InvalidData, e.to_string()))?;
         let files = files
@@ -179,9 +177,9 @@
     fn take(
         &mut self,
         files: Vec<File>,
-        table: &mut NameTable,
+        table: &mut EndpointRegistry,
         now: f64,
-    ) -> Result<(Vec<HostEntry>, Vec<Fault>), InventoryError> {
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
         let schema = Schema {
             zones: table.zones().to_vec(),
             columns: self.settings.columns.clone(),
@@ -195,14 +193,14 @@
         for host in &reading.hosts {
             let id = table.number(&host.name);
             let zone = host.zone.as_ref().map_or(0, |zone| table.zone(zone));
-            let speaks = match host.protocol {
-                Protocol::Resp => Speaks::Resp,
-                Protocol::Http2 => Speaks::Http2,
+            let protocol = match host.protocol {
+                Protocol::Resp => EndpointProtocol::Resp,
+                Protocol::Http2 => EndpointProtocol::Http2,
             };
             let state = match host.state {
-                State::Active => HostState::Ready,
-                State::Draining(_) => HostState::Draining,
-                State::Out => HostState::Gone,
+                State::Active => EndpointState::Ready,
+                State::Draining(_) => EndpointState::Draining,
+                State::Out => EndpointState::Gone,
             };
             let labels = host
                 .labels
@@ -211,35 +209,35 @@
                 .collect();
             table.place(
                 id,
-                Instance {
+                Endpoint {
                     name: host.name.clone(),
                     addr: host.address,
-                    speaks,
+                    protocol,
                     labels,
                 },
             );
             let (cell, size, started) = (host.cell, host.weight, host.started);
-            entries.push(HostEntry {
-                host: id,
+            entries.push(EndpointEntry {
+                endpoint: id,
                 zone,
                 cell,
                 state,
                 size,
                 started,
-                pools: ALL_HOSTS,
+                pools: ALL_ENDPOINTS,
             });
         }
-        let named: BTreeSet<InstanceId> = entries.iter().map(|e| e.host).collect();
+        let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
         self.dropped = self.draining.difference(&named).copied().collect();
         self.draining = self.named.difference(&named).copied().collect();
-        let drained = self.draining.iter().map(|id| HostEntry {
-            host: *id,
+        let drained = self.draining.iter().map(|id| EndpointEntry {
+            endpoint: *id,
             zone: 0,
             cell: 0,
-            state: HostState::Draining,
+            state: EndpointState::Draining,
             size: 1.0,
             started: 0.0,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         });
         entries.extend(drained);
         (self.named, self.hosts, self.accepted) = (named, reading.hosts, files);
@@ -302,7 +300,7 @@
         {
             continue;
         }
-        if found.len() >= MOST_FILES || depth > MOST_DEPTH {
+        if found.len() >= MAX_FILES || depth > MAX_DEPTH {
             return Err(InventoryError::Folder);
         }
         if path.is_dir() {
@@ -324,7 +322,7 @@
     let state = || std::fs::metadata(path).and_then(|data| Ok((data.len(), data.modified()?)));
     let before = state()?;
     // Guards memory: what is too long is refused by its length alone.
-    if before.0 > driftgap_inventory::MOST_FILE as u64 {
+    if before.0 > driftgap_inventory::MAX_FILE as u64 {
         let place = driftgap_inventory::Place {
             file: name.into(),
             ..Default::default()
@@ -332,7 +330,7 @@
         let problem = format!(
             "has {} bytes, {} are the most",
             before.0,
-            driftgap_inventory::MOST_FILE
+            driftgap_inventory::MAX_FILE
         );
         let (field, value, help) = Default::default();
         return Err(InventoryError::Faults(vec![Fault {
@@ -378,7 +376,7 @@
     #[test]
     fn a_suspicious_list_holds_only_when_it_is_read_again_unchanged_after_a_time() {
         let (mut inventory, path) = inventory("held");
-        let mut table = NameTable::new(vec![]);
+        let mut table = EndpointRegistry::new(vec![]);
         let mut load = |text: &str, now: f64| {
             std::fs::write(&path, text).unwrap();
             inventory
@@ -403,20 +401,21 @@
     #[test]
     fn states_reach_the_table_and_a_wrong_file_changes_nothing() {
         let (mut inventory, path) = inventory("states");
-        let mut table = NameTable::new(vec!["z".into()]);
+        let mut table = EndpointRegistry::new(vec!["z".into()]);
         std::fs::write(
             &path,
             "name,address,state,started\na,10.0.0.1:1,active,7\nb,10.0.0.2:1,draining,\nc,10.0.0.3:1,out,\n",
         )
         .unwrap();
         let (entries, _) = inventory.load(&mut table, 0.0).unwrap();
-        let states: Vec<(HostState, f64)> = entries.iter().map(|e| (e.state, e.started)).collect();
+        let states: Vec<(EndpointState, f64)> =
+            entries.iter().map(|e| (e.state, e.started)).collect();
         assert_eq!(
             states,
             [
-                (HostState::Ready, 7.0),
-                (HostState::Draining, 0.0),
-                (HostState::Gone, 0.0)
+                (EndpointState::Ready, 7.0),
+                (EndpointState::Draining, 0.0),
+                (EndpointState::Gone, 0.0)
             ]
         );
         std::fs::write(&path, "name,address\na,10.0.0.1:1\nb,here\nc,there\n").unwrap();
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The long polls that follow the name table at its agent. It owns the one connection to the agent and the version
+//! The long polls that follow the endpoint registry at its agent. It owns the one connection to the agent and the version
 //! held; `pace` says when it calls. It must never leave more than 200 ms between an answer and the next poll, or
 //! give up the last list for an answer that makes no sense.
 
@@ -6,11 +6,11 @@
 mod poll_schedule;
 pub mod registry;
 
-use crate::buffer::ring_buffer::Ring;
-use crate::decision::{HostState, ListKind};
+use crate::buffer::ring_buffer::RingBuffer;
+use crate::decision::{EndpointState, ListKind};
 use crate::protocol::resp::{http_answer, http_answer_at_end, HttpAnswer, Parsed};
 use crate::runtime::clock::Clock;
-use crate::runtime::dispatcher::Hub;
+use crate::runtime::dispatcher::Dispatcher;
 use poll_schedule::{Failures, Pace};
 use serde_json::Value;
 use std::collections::HashMap;
@@ -27,12 +27,12 @@
 /// One connection to the agent.
 struct Poll {
     stream: TcpStream,
-    ring: Ring,
+    ring: RingBuffer,
 }
 
-async fn call(poll: &mut Poll, path: &str, host: SocketAddr) -> std::io::Result<HttpAnswer> {
+async fn call(poll: &mut Poll, path: &str, endpoint: SocketAddr) -> std::io::Result<HttpAnswer> {
     use std::io::{Error, ErrorKind};
-    let request = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {endpoint}\r\n\r\n");
     let mut rest = request.as_bytes();
     while !rest.is_empty() {
         poll.stream.writable().await?;
@@ -44,7 +44,7 @@
     }
     loop {
         match http_answer(poll.ring.whole()) {
-            Ok(Parsed::Whole(answer, n)) => {
+            Ok(Parsed::Complete(answer, n)) => {
                 poll.ring.consume(n);
                 return Ok(answer);
             }
@@ -59,7 +59,7 @@
         match poll.stream.try_read(spare) {
             // Without a length the end is the end of the connection; a reset is none.
             Ok(0) => match http_answer_at_end(poll.ring.whole()) {
-                Ok(Parsed::Whole(answer, _)) => return Ok(answer),
+                Ok(Parsed::Complete(answer, _)) => return Ok(answer),
                 _ => return Err(ErrorKind::UnexpectedEof.into()),
             },
             Ok(n) => poll.ring.filled(n),
@@ -73,39 +73,44 @@
 ///
 /// `version` is that of the list held, if there is one: only what came after it is asked for. The whole list, by
 /// all ingresses of a fleet at their start, is what an overbooked discovery can bear least.
-pub async fn follow(hub: Rc<Hub>, agent: SocketAddr, mut version: Option<u64>, seed: u64) {
-    let settings = &hub.platform().module;
+pub async fn follow(
+    dispatcher: Rc<Dispatcher>,
+    agent: SocketAddr,
+    mut version: Option<u64>,
+    seed: u64,
+) {
+    let settings = &dispatcher.platform().module;
     let pace = Pace::of(
         settings.list_on_request,
-        settings.gateways,
+        settings.ingresses,
         settings.position,
     );
     let (mut failures, mut poll, mut dice) =
         (Failures::default(), None, oorandom::Rand32::new(seed));
     let mut complained = false;
     if version.is_some() {
-        let first = pace.first_call(hub.now(), f64::from(dice.rand_float()));
-        sleep_until(hub.clock(), first).await;
+        let first = pace.first_call(dispatcher.now(), f64::from(dice.rand_float()));
+        sleep_until(dispatcher.clock(), first).await;
     }
     loop {
         // Guards against an old list behind an agent that says nothing: as long as it has not answered, every call
         // is to be answered at once, so that silence is told from a want of news.
         let watches = failures.count == 0 && version.is_some();
         let wait = if watches { pace.watch } else { AT_ONCE_MS };
-        let began = hub.now();
+        let began = dispatcher.now();
         let turn = pace
             .turns()
             .filter(|_| !watches)
             .map(|turns| turns.next(began + pace.answer));
         let result = step(&mut poll, agent, version, wait, &pace);
         let result = match turn {
-            Some(turn) => until(hub.clock(), turn, result).await,
+            Some(turn) => until(dispatcher.clock(), turn, result).await,
             None => result.await,
         };
         let refused = !watches && result.as_ref().is_ok_and(|answer| answer.status != OK);
-        match result.and_then(|answer| take(&hub, &answer)) {
-            Ok(news) => {
-                version = Some(news);
+        match result.and_then(|answer| take(&dispatcher, &answer)) {
+            Ok(update) => {
+                version = Some(update);
                 failures = Failures::default();
                 complained = false;
             }
@@ -117,12 +122,12 @@
                 }
                 complained = true;
                 poll = None;
-                let now = hub.now();
+                let now = dispatcher.now();
                 failures.add(refused.then_some(now - began));
                 let turn_has_come = !refused && turn.is_some_and(|turn| now >= turn);
                 if !silent && !turn_has_come {
                     let again = pace.again(now, failures, f64::from(dice.rand_float()));
-                    sleep_until(hub.clock(), again).await;
+                    sleep_until(dispatcher.clock(), again).await;
                 }
             }
         }
@@ -173,7 +178,7 @@
         let _ = stream.set_nodelay(true);
         *poll = Some(Poll {
             stream,
-            ring: Ring::new(8 * 1024 * 1024),
+            ring: RingBuffer::new(8 * 1024 * 1024),
         });
     }
     let Some(connection) = poll.as_mut() else {
@@ -204,27 +209,28 @@
     Ok(answer)
 }
 
-/// Applies an answer of discovery's to the name table and the core; the version that is held from now on.
+/// Applies an answer of discovery's to the endpoint registry and the core; the version that is held from now on.
 ///
 /// # Errors
 /// The status is not 200, or the body is no list; what is held stays.
-pub fn take(hub: &Rc<Hub>, answer: &HttpAnswer) -> Result<u64, String> {
+pub fn take(dispatcher: &Rc<Dispatcher>, answer: &HttpAnswer) -> Result<u64, String> {
     if answer.status != OK {
         return Err(format!("status {}", answer.status));
     }
     let value: Value = serde_json::from_slice(&answer.body).map_err(|e| e.to_string())?;
-    let news = hub.table().take(&value).map_err(|e| e.to_string())?;
-    let version = news.version;
-    hub.discovery_answered();
-    if news.kind == ListKind::Full || !news.entries.is_empty() {
-        let (kind, entries) = (news.kind, news.entries);
-        // One answer may say several things of an instance: the last one counts, as for the core.
+    let update = dispatcher.table().take(&value).map_err(|e| e.to_string())?;
+    let version = update.version;
+    dispatcher.mark_discovery_answered();
+    if update.kind == ListKind::Full || !update.entries.is_empty() {
+        let (kind, entries) = (update.kind, update.entries);
+        // One answer may say several things of an endpoint: the last one counts, as for the core.
         let last: HashMap<_, _> = entries
             .iter()
-            .map(|e| (e.host, e.state == HostState::Gone))
+            .map(|e| (e.endpoint, e.state == EndpointState::Gone))
             .collect();
-        hub.names(kind, entries);
-        hub.table()
+        dispatcher.update_endpoints(kind, entries);
+        dispatcher
+            .table()
             .forget(|id| last.get(&id).copied().unwrap_or(kind == ListKind::Full));
     }
     Ok(version)
--- a/src/discovery/poll_schedule.rs
+++ b/src/discovery/poll_schedule.rs
@@ -53,13 +53,13 @@
 }
 
 impl Turns {
-    fn of(round: f64, position: u32, gateways: u32) -> Turns {
+    fn of(round: f64, position: u32, ingresses: u32) -> Turns {
         // A position beyond the fleet, as during a change of its size, shares another one's turn.
-        let rank = position % gateways;
+        let rank = position % ingresses;
         Turns {
             round,
             rank,
-            offset: round * f64::from(rank) / f64::from(gateways),
+            offset: round * f64::from(rank) / f64::from(ingresses),
         }
     }
 
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Failures {
     pub count: u32,
-    /// Of them the last ones that an overbooked discovery turned away.
+    /// Of them the last ones that an overbooked discovery rejected.
     pub turned_away: u32,
 }
 
@@ -144,20 +144,20 @@
 const BACK_OFF_MS: f64 = 10.0;
 /// The longest back-off is so many times the first one, and this at least, ms.
 const LONGEST_FACTOR: f64 = 5.0;
-const LEAST_LONGEST_MS: f64 = 500.0;
+const MIN_LONGEST_MS: f64 = 500.0;
 /// The time that a call is taken to cost discovery, ms: a round has one for each ingress.
 pub(super) const CALL_MS: f64 = 200.0;
 /// Part of discovery's time that watches opened anew take, and the range of a watch's wait, ms.
 const RENEWALS: f64 = 0.6;
 const WATCH_MS: (f64, f64) = (2000.0, 20_000.0);
 /// A change counts as told so long after discovery had it and could be reached, ms.
-pub(super) const TOLD_MS: f64 = 6000.0;
+pub(super) const NOTIFIED_MS: f64 = 6000.0;
 /// The shortest round: a call in its turn has the usual time for a connection and an answer before the next one.
 const SHORTEST_ROUND_MS: f64 = DIAL_MS + ANSWER_MS;
 /// The longest round with which every call reaches discovery before a change counts as told: behind a connection
 /// that did not come up, with another one ahead of the call.
-const PROMPT_ROUND_MS: f64 = TOLD_MS - 2.0 * DIAL_MS;
-/// A call that is turned away after this or later has stood in the queue of an overbooked discovery, ms.
+const PROMPT_ROUND_MS: f64 = NOTIFIED_MS - 2.0 * DIAL_MS;
+/// A call that is rejected after this or later has stood in the queue of an overbooked discovery, ms.
 const LATE_MS: f64 = 1000.0;
 /// The longest round of all, and the longest pause for an overbooked discovery.
 const LONGEST_ROUND_MS: f64 = 15_000.0;
@@ -165,16 +165,16 @@
 const FIRST_MS: f64 = 4500.0;
 
 impl Pace {
-    pub fn of(on_request: bool, gateways: u32, position: u32) -> Pace {
+    pub fn of(on_request: bool, ingresses: u32, position: u32) -> Pace {
         if !on_request {
             return PUSHED;
         }
-        let gateways = gateways.max(1);
-        let work = CALL_MS * f64::from(gateways);
+        let ingresses = ingresses.max(1);
+        let work = CALL_MS * f64::from(ingresses);
         let watch = (work / RENEWALS).clamp(WATCH_MS.0, WATCH_MS.1);
-        if gateways <= FEW {
-            let first = BACK_OFF_MS * f64::from(gateways);
-            let longest = (LONGEST_FACTOR * first).max(LEAST_LONGEST_MS);
+        if ingresses <= FEW {
+            let first = BACK_OFF_MS * f64::from(ingresses);
+            let longest = (LONGEST_FACTOR * first).max(MIN_LONGEST_MS);
             return Pace {
                 watch,
                 grace: GRACE_MS,
@@ -185,14 +185,14 @@
             };
         }
         // One call of each fits into the time after which a change counts as told, or cannot, in any order.
-        let prompt = work <= TOLD_MS;
+        let prompt = work <= NOTIFIED_MS;
         let longest = if prompt {
             PROMPT_ROUND_MS
         } else {
             LONGEST_ROUND_MS
         };
         let round = work.clamp(SHORTEST_ROUND_MS, longest);
-        let spare = TOLD_MS - DIAL_MS - round;
+        let spare = NOTIFIED_MS - DIAL_MS - round;
         Pace {
             watch,
             grace: GRACE_MS,
@@ -202,7 +202,7 @@
                 ANSWER_MS
             },
             dial: DIAL_MS,
-            retry: Retry::Turns(Turns::of(round, position, gateways)),
+            retry: Retry::Turns(Turns::of(round, position, ingresses)),
             first: if prompt {
                 First::Turn
             } else {
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -1,17 +1,17 @@
-//! The name table: which instances there are, where they listen and what state they are in. It owns the
-//! numbering of instances and discovery's form of the list. It must never drop the last list for one that makes
-//! no sense, do any I/O, or decide who gets a command.
+//! The endpoint registry: which endpoints there are, where they listen and what state they are in. It owns the
+//! numbering of endpoints and discovery's form of the list. It must never drop the last list for one that makes
+//! no sense, do any I/O, or decide who gets a request.
 
-use crate::decision::driver::InstanceId;
-use crate::decision::{HostEntry, HostState, ListKind, ALL_HOSTS};
-use driftgap_routes::MOST_LABELS;
+use crate::decision::driver::EndpointId;
+use crate::decision::{EndpointEntry, EndpointState, ListKind, ALL_ENDPOINTS};
+use driftgap_routes::MAX_LABELS;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Which wire an instance speaks.
+/// Which wire an endpoint speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Speaks {
+pub enum EndpointProtocol {
     /// The platform's RESP2.
     #[default]
     Resp,
@@ -19,72 +19,72 @@
     Http2,
 }
 
-impl Speaks {
-    /// Its name, as lists of instances write it.
+impl EndpointProtocol {
+    /// Its name, as lists of endpoints write it.
     pub fn name(self) -> &'static str {
         match self {
-            Speaks::Resp => "resp",
-            Speaks::Http2 => "http2",
+            EndpointProtocol::Resp => "resp",
+            EndpointProtocol::Http2 => "http2",
         }
     }
 }
 
-/// Where an instance is.
+/// Where an endpoint is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Instance {
+pub struct Endpoint {
     /// Its name, for the log.
     pub name: String,
     /// Its address.
     pub addr: SocketAddr,
     /// Its wire.
-    pub speaks: Speaks,
+    pub protocol: EndpointProtocol,
     /// What else is kept of it, for pools.
     pub labels: Vec<(String, String)>,
 }
 
 /// News of the table.
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct RegistryUpdate {
     /// All of it or a change.
     pub kind: ListKind,
     /// The version it brings.
     pub version: u64,
     /// The entries.
-    pub entries: Vec<HostEntry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// A list that makes no sense.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct BadList(pub String);
+pub struct InvalidEndpointList(pub String);
 
 /// The table.
 #[derive(Debug, Default)]
-pub struct NameTable {
+pub struct EndpointRegistry {
     zones: Vec<String>,
-    numbers: HashMap<String, InstanceId>,
-    next: InstanceId,
-    instances: HashMap<InstanceId, Instance>,
+    numbers: HashMap<String, EndpointId>,
+    next: EndpointId,
+    endpoints: HashMap<EndpointId, Endpoint>,
     /// What the operator's inventory names, which discovery knows nothing of.
-    inventory: Vec<HostEntry>,
+    inventory: Vec<EndpointEntry>,
 }
 
-impl NameTable {
+impl EndpointRegistry {
     /// An empty table; zones are numbered as the settings list them.
-    pub fn new(zones: Vec<String>) -> NameTable {
-        NameTable {
+    pub fn new(zones: Vec<String>) -> EndpointRegistry {
+        EndpointRegistry {
             zones,
-            ..NameTable::default()
+            ..EndpointRegistry::default()
         }
     }
 
-    /// An instance, if the table has named it.
-    pub fn instance(&self, id: InstanceId) -> Option<&Instance> {
-        self.instances.get(&id)
+    /// An endpoint, if the table has named it.
+    pub fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(&id)
     }
 
-    /// The number of an instance of this name: the same until it has left. No number is given twice.
-    pub fn number(&mut self, name: &str) -> InstanceId {
+    /// The number of an endpoint of this name: the same until it has left. No number is given twice.
+    pub fn number(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.numbers.get(name) {
             return *id;
         }
@@ -93,10 +93,10 @@
         self.next
     }
 
-    /// Drops what is held of instances that have left. Guards memory: through a long day new ones come under new
+    /// Drops what is held of endpoints that have left. Guards memory: through a long day new ones come under new
     /// names without end.
-    pub fn forget(&mut self, left: impl Fn(InstanceId) -> bool) {
-        let mut gone: HashSet<InstanceId> = self
+    pub fn forget(&mut self, left: impl Fn(EndpointId) -> bool) {
+        let mut gone: HashSet<EndpointId> = self
             .numbers
             .values()
             .copied()
@@ -107,13 +107,13 @@
         }
         // One pass over the inventory for all of them: a search for each would take the square of their number.
         for entry in &self.inventory {
-            gone.remove(&entry.host);
+            gone.remove(&entry.endpoint);
         }
         self.numbers.retain(|_, id| !gone.contains(id));
-        self.instances.retain(|id, _| !gone.contains(id));
+        self.endpoints.retain(|id, _| !gone.contains(id));
     }
 
-    /// Instances held.
+    /// Endpoints held.
     pub fn len(&self) -> usize {
         self.numbers.len()
     }
@@ -123,9 +123,9 @@
         self.numbers.is_empty()
     }
 
-    /// Puts an instance where it says it is.
-    pub fn place(&mut self, id: InstanceId, instance: Instance) {
-        self.instances.insert(id, instance);
+    /// Puts an endpoint where it says it is.
+    pub fn place(&mut self, id: EndpointId, endpoint: Endpoint) {
+        self.endpoints.insert(id, endpoint);
     }
 
     /// A zone's number by its name.
@@ -142,7 +142,7 @@
     }
 
     /// Keeps what the inventory names: a whole list of discovery's must not end it.
-    pub fn keep_inventory(&mut self, entries: &[HostEntry]) {
+    pub fn keep_inventory(&mut self, entries: &[EndpointEntry]) {
         self.inventory = entries.to_vec();
     }
 
@@ -150,11 +150,11 @@
     ///
     /// # Errors
     /// It is no list at all; nothing was taken in.
-    pub fn take(&mut self, value: &Value) -> Result<News, BadList> {
+    pub fn take(&mut self, value: &Value) -> Result<RegistryUpdate, InvalidEndpointList> {
         let version = value.get("version").and_then(Value::as_u64);
-        let version = version.ok_or_else(|| BadList("version is missing".into()))?;
+        let version = version.ok_or_else(|| InvalidEndpointList("version is missing".into()))?;
         let servers = value.get("servers").and_then(Value::as_array);
-        let servers = servers.ok_or_else(|| BadList("servers is missing".into()))?;
+        let servers = servers.ok_or_else(|| InvalidEndpointList("servers is missing".into()))?;
         let full = value.get("full").and_then(Value::as_bool).unwrap_or(false);
         let mut entries = Vec::with_capacity(servers.len());
         for (i, server) in servers.iter().enumerate() {
@@ -168,15 +168,15 @@
             }
         }
         if full {
-            let named: HashSet<InstanceId> = entries.iter().map(|e| e.host).collect();
+            let named: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             entries.extend(
                 self.inventory
                     .iter()
-                    .filter(|e| !named.contains(&e.host))
+                    .filter(|e| !named.contains(&e.endpoint))
                     .cloned(),
             );
         }
-        Ok(News {
+        Ok(RegistryUpdate {
             kind: if full {
                 ListKind::Full
             } else {
@@ -188,41 +188,41 @@
     }
 
     /// One entry; none: it has left and was never known.
-    fn entry(&mut self, server: &Value) -> Result<Option<HostEntry>, &'static str> {
+    fn entry(&mut self, server: &Value) -> Result<Option<EndpointEntry>, &'static str> {
         let text = |key: &'static str| server.get(key).and_then(Value::as_str).ok_or(key);
         let number =
             |key: &str, absent: f64| server.get(key).and_then(Value::as_f64).unwrap_or(absent);
         let state = match text("state")? {
-            "active" => HostState::Ready,
-            "leaving" => HostState::Draining,
-            "left" => HostState::Gone,
+            "active" => EndpointState::Ready,
+            "leaving" => EndpointState::Draining,
+            "left" => EndpointState::Gone,
             _ => return Err("state"),
         };
         let name = text("id")?;
-        if state == HostState::Gone && !self.numbers.contains_key(name) {
+        if state == EndpointState::Gone && !self.numbers.contains_key(name) {
             return Ok(None);
         }
         let id = self.number(name);
-        let speaks = match server.get("protocol").and_then(Value::as_str) {
-            Some("http2") => Speaks::Http2,
-            _ => Speaks::Resp,
+        let protocol = match server.get("protocol").and_then(Value::as_str) {
+            Some("http2") => EndpointProtocol::Http2,
+            _ => EndpointProtocol::Resp,
         };
         match text("addr").and_then(|a| a.parse().map_err(|_| "addr")) {
             Ok(addr) => self.place(
                 id,
-                Instance {
+                Endpoint {
                     name: name.to_string(),
                     addr,
-                    speaks,
+                    protocol,
                     labels: labels(server),
                 },
             ),
             // What leaves needs no address.
-            Err(field) if state == HostState::Ready => return Err(field),
+            Err(field) if state == EndpointState::Ready => return Err(field),
             Err(_) => {}
         }
-        Ok(Some(HostEntry {
-            host: id,
+        Ok(Some(EndpointEntry {
+            endpoint: id,
             zone: server
                 .get("zone")
                 .and_then(Value::as_str)
@@ -231,7 +231,7 @@
             state,
             size: number("weight", 1.0),
             started: number("started_ms", 0.0) / 1e3,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         }))
     }
 }
@@ -244,7 +244,7 @@
         .into_iter()
         .flatten();
     let texts = given.filter_map(|(name, value)| Some((name.clone(), value.as_str()?.to_string())));
-    texts.take(MOST_LABELS).collect()
+    texts.take(MAX_LABELS).collect()
 }
 
 #[cfg(test)]
@@ -253,7 +253,7 @@
 
     #[test]
     fn one_bad_entry_is_left_out_and_a_bad_list_takes_nothing() {
-        let mut table = NameTable::new(vec!["a".into(), "b".into()]);
+        let mut table = EndpointRegistry::new(vec!["a".into(), "b".into()]);
         let list = serde_json::json!({"version": 41, "full": true, "servers": [
             {"id": "s-1", "addr": "127.0.0.1:1", "zone": "b", "cell": 3, "state": "active", "weight": 1.5,
              "started_ms": 2000},
@@ -261,18 +261,18 @@
             {"id": "s-3", "addr": "127.0.0.1:3", "zone": "a", "cell": 3, "state": "on fire"},
             {"addr": "127.0.0.1:4", "state": "active"}
         ]});
-        let news = table.take(&list).unwrap();
-        let want = HostEntry {
-            host: 1,
+        let update = table.take(&list).unwrap();
+        let want = EndpointEntry {
+            endpoint: 1,
             zone: 1,
             cell: 3,
-            state: HostState::Ready,
+            state: EndpointState::Ready,
             size: 1.5,
             started: 2.0,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         assert_eq!(
-            (news.kind, news.version, news.entries),
+            (update.kind, update.version, update.entries),
             (ListKind::Full, 41, vec![want])
         );
         for bad in [
@@ -286,7 +286,7 @@
 
     #[test]
     fn what_has_left_is_forgotten_and_its_number_is_not_given_again() {
-        let mut table = NameTable::new(vec![]);
+        let mut table = EndpointRegistry::new(vec![]);
         let mut numbers = HashSet::new();
         for i in 0..1000 {
             let server = |id: String, state: &str| serde_json::json!({"id": id, "addr": "127.0.0.1:1", "state": state});
@@ -294,33 +294,33 @@
                 server(format!("s-{i}"), "active"),
                 server(format!("s-{}", i - 1), "left"),
             ];
-            let news = table
+            let update = table
                 .take(&serde_json::json!({"version": i, "servers": servers}))
                 .unwrap();
-            let gone: HashSet<_> = news
+            let gone: HashSet<_> = update
                 .entries
                 .iter()
-                .filter(|e| e.state == HostState::Gone)
-                .map(|e| e.host)
+                .filter(|e| e.state == EndpointState::Gone)
+                .map(|e| e.endpoint)
                 .collect();
-            assert!(numbers.insert(news.entries[0].host) && gone.len() == usize::from(i > 0));
+            assert!(numbers.insert(update.entries[0].endpoint) && gone.len() == usize::from(i > 0));
             table.forget(|id| gone.contains(&id));
         }
-        assert_eq!((table.len(), table.instances.len()), (1, 1));
+        assert_eq!((table.len(), table.endpoints.len()), (1, 1));
     }
 
     #[test]
     fn a_whole_list_of_discoverys_does_not_end_what_the_inventory_names() {
-        let mut table = NameTable::new(vec![]);
+        let mut table = EndpointRegistry::new(vec![]);
         let id = table.number("mine");
-        let mine = HostEntry {
-            host: id,
+        let mine = EndpointEntry {
+            endpoint: id,
             zone: 0,
             cell: 0,
-            state: HostState::Ready,
+            state: EndpointState::Ready,
             size: 1.0,
             started: 0.0,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         table.keep_inventory(std::slice::from_ref(&mine));
         let empty = serde_json::json!({"version": 1, "full": true, "servers": []});
@@ -329,31 +329,31 @@
 
     #[test]
     fn what_the_inventory_names_is_kept_whoever_says_that_it_has_left() {
-        let mut table = NameTable::new(vec![]);
-        let instance = |name: &str| Instance {
+        let mut table = EndpointRegistry::new(vec![]);
+        let endpoint = |name: &str| Endpoint {
             name: name.into(),
             addr: "127.0.0.1:1".parse().unwrap(),
-            speaks: Speaks::Resp,
+            protocol: EndpointProtocol::Resp,
             labels: Vec::new(),
         };
         let ids = ["mine", "told", "gone"].map(|name| {
             let id = table.number(name);
-            table.place(id, instance(name));
+            table.place(id, endpoint(name));
             id
         });
-        let mine = HostEntry {
-            host: ids[0],
+        let mine = EndpointEntry {
+            endpoint: ids[0],
             zone: 0,
             cell: 0,
-            state: HostState::Ready,
+            state: EndpointState::Ready,
             size: 1.0,
             started: 0.0,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         table.keep_inventory(&[mine]);
         table.forget(|id| id != ids[1]);
         assert_eq!(
-            ids.map(|id| table.instance(id).is_some()),
+            ids.map(|id| table.endpoint(id).is_some()),
             [true, true, false]
         );
         assert_eq!(
--- a/src/discovery/tests.rs
+++ b/src/discovery/tests.rs
@@ -1,26 +1,26 @@
 mod fleet;
 
-use super::poll_schedule::{Failures, First, Pace, Retry, CALL_MS, TOLD_MS};
+use super::poll_schedule::{Failures, First, Pace, Retry, CALL_MS, NOTIFIED_MS};
 use fleet::{after_given_up, given_up, Configured, Fleet, Outage, Recovery};
 
 /// What an ingress of such a fleet goes by; a place in the round changes none of its bounds.
-fn pace_of(on_request: bool, gateways: u32) -> Pace {
-    Pace::of(on_request, gateways, gateways / 2)
+fn pace_of(on_request: bool, ingresses: u32) -> Pace {
+    Pace::of(on_request, ingresses, ingresses / 2)
 }
 
 /// Ingresses that all start at once, and a discovery that takes so long for a call, ms, one after the other. A
 /// call that is given up is worked on all the same. The time by which nine in ten have their list, s.
-fn told(gateways: u32, each_ms: f64) -> f64 {
+fn notified(ingresses: u32, each_ms: f64) -> f64 {
     let mut dice = oorandom::Rand32::new(7);
     let mut random = || f64::from(dice.rand_float());
-    let paces: Vec<Pace> = (0..gateways)
-        .map(|position| Pace::of(true, gateways, position))
+    let paces: Vec<Pace> = (0..ingresses)
+        .map(|position| Pace::of(true, ingresses, position))
         .collect();
     let mut due: Vec<(f64, Failures)> = paces
         .iter()
         .map(|pace| (pace.first_call(0.0, random()), Failures::default()))
         .collect();
-    let (mut free, mut told) = (0.0_f64, 0);
+    let (mut free, mut notified) = (0.0_f64, 0);
     loop {
         let (i, now) = due
             .iter()
@@ -35,8 +35,8 @@
         let given_up = given_up(&paces[i], now);
         if free <= given_up {
             due[i].0 = f64::INFINITY;
-            told += 1;
-            if told * 10 >= gateways * 9 {
+            notified += 1;
+            if notified * 10 >= ingresses * 9 {
                 return free / 1e3;
             }
         } else {
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_fleet_of_any_size_does_not_keep_discovery_overbooked() {
-    for (gateways, each_ms) in [
+    for (ingresses, each_ms) in [
         (2, 20.0),
         (10, 100.0),
         (30, 200.0),
@@ -56,11 +56,11 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let by = told(gateways, each_ms);
-        let least = 0.9 * f64::from(gateways) * each_ms / 1e3;
+        let by = notified(ingresses, each_ms);
+        let min = 0.9 * f64::from(ingresses) * each_ms / 1e3;
         assert!(
-            by < 3.0 * least + 2.0,
-            "{gateways} ingresses have their list after {by} s, not {least}"
+            by < 3.0 * min + 2.0,
+            "{ingresses} ingresses have their list after {by} s, not {min}"
         );
     }
     let back_off = pace_of(true, 2).again(
@@ -115,18 +115,18 @@
 const FLEETS: [u32; 5] = [1, 10, 30, 100, 300];
 
 #[test]
-fn a_pushed_list_is_in_force_long_before_it_counts_as_told() {
-    for gateways in FLEETS {
-        let pace = pace_of(false, gateways);
+fn a_pushed_list_is_in_force_long_before_it_counts_as_notified() {
+    for ingresses in FLEETS {
+        let pace = pace_of(false, ingresses);
         // Told 6 s after the fall; at once where discovery comes back, and then there is the least grace, 1 s.
         assert!(
             silent(&pace) + pace.answer <= 6000.0,
-            "{gateways}: {} ms",
+            "{ingresses}: {} ms",
             silent(&pace)
         );
         assert!(
             reached(&pace) <= 1000.0,
-            "{gateways}: {} ms",
+            "{ingresses}: {} ms",
             reached(&pace)
         );
         assert!(first_call(&pace) <= 0.0);
@@ -134,13 +134,13 @@
 }
 
 #[test]
-fn on_request_a_silent_watch_is_opened_anew_before_it_counts_as_told() {
-    for gateways in FLEETS {
-        let pace = pace_of(true, gateways);
-        let told = f64::max(6000.0, pace.watch + 2000.0);
+fn on_request_a_silent_watch_is_opened_anew_before_it_counts_as_notified() {
+    for ingresses in FLEETS {
+        let pace = pace_of(true, ingresses);
+        let notified = f64::max(6000.0, pace.watch + 2000.0);
         assert!(
-            silent(&pace) <= told,
-            "{gateways}: {} ms, told after {told}",
+            silent(&pace) <= notified,
+            "{ingresses}: {} ms, told after {notified}",
             silent(&pace)
         );
         assert!(first_call(&pace) + pace.dial <= 6000.0);
@@ -149,44 +149,44 @@
 
 #[test]
 fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_small_fleet() {
-    for gateways in 1..=10 {
-        let by = reached(&pace_of(true, gateways));
-        assert!(by <= 6000.0, "{gateways}: {by} ms");
+    for ingresses in 1..=10 {
+        let by = reached(&pace_of(true, ingresses));
+        assert!(by <= 6000.0, "{ingresses}: {by} ms");
     }
 }
 
 /// One call of each ingress of such a fleet takes a discovery of the assumed capacity this long, ms.
-fn work(gateways: u32) -> f64 {
-    f64::from(gateways) * CALL_MS
+fn work(ingresses: u32) -> f64 {
+    f64::from(ingresses) * CALL_MS
 }
 
 #[test]
 fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_fleet_whose_calls_fit_into_them(
 ) {
-    for gateways in 11..=30 {
-        assert!(work(gateways) <= TOLD_MS);
-        let by = reached(&pace_of(true, gateways));
-        assert!(by <= 6000.0, "{gateways}: {by} ms");
+    for ingresses in 11..=30 {
+        assert!(work(ingresses) <= NOTIFIED_MS);
+        let by = reached(&pace_of(true, ingresses));
+        assert!(by <= 6000.0, "{ingresses}: {by} ms");
     }
 }
 
 #[test]
 fn on_request_the_round_of_a_larger_fleet_is_its_ingresses_times_the_price_of_a_call() {
-    for gateways in [31, 48, 75, 100, 300, 1_000_000] {
-        let pace = pace_of(true, gateways);
+    for ingresses in [31, 48, 75, 100, 300, 1_000_000] {
+        let pace = pace_of(true, ingresses);
         let turns = pace.turns().expect("turns");
         // In no order can each have an answer within 6 s.
-        assert!(work(gateways) > TOLD_MS, "{gateways}");
+        assert!(work(ingresses) > NOTIFIED_MS, "{ingresses}");
         assert!(
-            (turns.round - work(gateways).min(15_000.0)).abs() < 1e-6,
-            "{gateways}: {}",
+            (turns.round - work(ingresses).min(15_000.0)).abs() < 1e-6,
+            "{ingresses}: {}",
             turns.round
         );
         // With back-off by chance it was 17.5 s for 30 and more.
         let by = reached(&pace);
         assert!(
-            by <= (work(gateways) + 2500.0).min(17_500.0),
-            "{gateways}: {by} ms"
+            by <= (work(ingresses) + 2500.0).min(17_500.0),
+            "{ingresses}: {by} ms"
         );
     }
 }
@@ -215,36 +215,36 @@
 }
 
 /// The round of such a fleet, or one call of each where that takes longer, ms.
-fn one_call_of_each(gateways: u32, call_ms: f64) -> f64 {
-    let round = pace_of(true, gateways).turns().expect("turns").round;
-    round.max(f64::from(gateways) * call_ms)
+fn one_call_of_each(ingresses: u32, call_ms: f64) -> f64 {
+    let round = pace_of(true, ingresses).turns().expect("turns").round;
+    round.max(f64::from(ingresses) * call_ms)
 }
 
 #[test]
 fn turns_bring_each_ingress_its_answer_by_one_call() {
-    for (gateways, call_ms) in [
+    for (ingresses, call_ms) in [
         (11, 200.0),
         (12, 200.0),
         (20, 200.0),
         (30, 20.0),
         (30, 200.0),
     ] {
-        for (which, recovery) in recoveries(&Fleet::sound(gateways, call_ms, Outage::Refused)) {
+        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
             assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
-            let bound = one_call_of_each(gateways, call_ms) + call_ms;
+            let bound = one_call_of_each(ingresses, call_ms) + call_ms;
             assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
-            assert_eq!(recovery.calls, gateways as usize, "{which}: {recovery:?}");
+            assert_eq!(recovery.calls, ingresses as usize, "{which}: {recovery:?}");
         }
     }
 }
 
 #[test]
 fn turns_of_a_larger_fleet_bring_each_ingress_its_answer_by_one_call_within_a_round() {
-    for (gateways, call_ms) in [(48, 200.0), (75, 200.0), (100, 100.0), (300, 40.0)] {
-        for (which, recovery) in recoveries(&Fleet::sound(gateways, call_ms, Outage::Refused)) {
-            let bound = one_call_of_each(gateways, call_ms) + call_ms;
+    for (ingresses, call_ms) in [(48, 200.0), (75, 200.0), (100, 100.0), (300, 40.0)] {
+        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
+            let bound = one_call_of_each(ingresses, call_ms) + call_ms;
             assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
-            assert_eq!(recovery.calls, gateways as usize, "{which}: {recovery:?}");
+            assert_eq!(recovery.calls, ingresses as usize, "{which}: {recovery:?}");
         }
     }
 }
@@ -304,7 +304,7 @@
             "too few",
             6000.0,
             all(|position| Configured {
-                gateways: 20,
+                ingresses: 20,
                 position,
             }),
         ),
@@ -312,7 +312,7 @@
             "too many",
             17_500.0,
             all(|position| Configured {
-                gateways: 45,
+                ingresses: 45,
                 position,
             }),
         ),
@@ -320,7 +320,7 @@
             "one place for all",
             6000.0,
             all(|_| Configured {
-                gateways: 30,
+                ingresses: 30,
                 position: 0,
             }),
         ),
@@ -328,7 +328,7 @@
             "places beyond the fleet",
             6000.0,
             all(|i| Configured {
-                gateways: 30,
+                ingresses: 30,
                 position: 1000 + 7 * i,
             }),
         ),
@@ -336,7 +336,7 @@
             "changed for half",
             6000.0,
             all(|i| Configured {
-                gateways: if i % 2 == 0 { 30 } else { 24 },
+                ingresses: if i % 2 == 0 { 30 } else { 24 },
                 position: i,
             }),
         ),
@@ -358,17 +358,17 @@
 
 #[test]
 fn turns_bear_calls_that_take_twice_as_long() {
-    for (gateways, call_ms) in [
+    for (ingresses, call_ms) in [
         (11, 400.0),
         (30, 300.0),
         (30, 400.0),
         (48, 400.0),
         (100, 200.0),
     ] {
-        let reached = if gateways <= 30 { 6000.0 } else { 17_500.0 };
-        for (which, recovery) in recoveries(&Fleet::sound(gateways, call_ms, Outage::Refused)) {
+        let reached = if ingresses <= 30 { 6000.0 } else { 17_500.0 };
+        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
             assert!(recovery.last_reached() <= reached, "{which}: {recovery:?}");
-            is_not_overbooked(&which, f64::from(gateways) * call_ms, &recovery);
+            is_not_overbooked(&which, f64::from(ingresses) * call_ms, &recovery);
         }
     }
 }
@@ -376,11 +376,11 @@
 #[test]
 fn turns_bear_a_discovery_that_turns_away_what_has_waited_for_2_s() {
     // At the assumed price none waits so long.
-    let fleet = |gateways, call_ms| Fleet {
+    let fleet = |ingresses, call_ms| Fleet {
         turns_away_after_ms: 2000.0,
-        ..Fleet::sound(gateways, call_ms, Outage::Refused)
+        ..Fleet::sound(ingresses, call_ms, Outage::Refused)
     };
-    for (gateways, call_ms) in [
+    for (ingresses, call_ms) in [
         (11, 200.0),
         (20, 200.0),
         (30, 200.0),
@@ -388,19 +388,19 @@
         (75, 200.0),
         (300, 40.0),
     ] {
-        for (which, recovery) in recoveries(&fleet(gateways, call_ms)) {
-            let bound = one_call_of_each(gateways, call_ms) + call_ms;
+        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+            let bound = one_call_of_each(ingresses, call_ms) + call_ms;
             assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
         }
     }
-    for (gateways, call_ms) in [(11, 300.0), (20, 300.0), (30, 250.0), (30, 300.0)] {
-        for (which, recovery) in recoveries(&fleet(gateways, call_ms)) {
-            is_not_overbooked(&which, f64::from(gateways) * call_ms, &recovery);
+    for (ingresses, call_ms) in [(11, 300.0), (20, 300.0), (30, 250.0), (30, 300.0)] {
+        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+            is_not_overbooked(&which, f64::from(ingresses) * call_ms, &recovery);
         }
     }
-    for (gateways, call_ms) in [(11, 400.0), (30, 400.0), (48, 300.0)] {
-        for (which, recovery) in recoveries(&fleet(gateways, call_ms)) {
-            let work = f64::from(gateways) * call_ms;
+    for (ingresses, call_ms) in [(11, 400.0), (30, 400.0), (48, 300.0)] {
+        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+            let work = f64::from(ingresses) * call_ms;
             assert!(
                 recovery.last_answered() < 4.0 * work + 2000.0,
                 "{which}: {recovery:?}"
@@ -411,19 +411,22 @@
 
 #[test]
 fn an_overbooked_discovery_is_left_a_round_first_and_never_more_than_15_s() {
-    for gateways in [11, 30, 48, 100, 300] {
-        for position in [0, gateways / 3, gateways - 1] {
-            let pace = Pace::of(true, gateways, position);
+    for ingresses in [11, 30, 48, 100, 300] {
+        for position in [0, ingresses / 3, ingresses - 1] {
+            let pace = Pace::of(true, ingresses, position);
             let turns = pace.turns().expect("turns");
             let mut failures = Failures::default();
             for _ in 0..20 {
                 failures.add(Some(2000.0));
                 for now in (0..150).map(|i| 1e12 + 777.0 * f64::from(i)) {
                     let pause = pace.again(now, failures, 0.5) - now;
-                    assert!(pause <= 15_000.0, "{gateways}, {failures:?}: {pause} ms");
+                    assert!(pause <= 15_000.0, "{ingresses}, {failures:?}: {pause} ms");
                     // A round, and the two in which half of the fleet has its turns each.
                     if failures.turned_away == 1 && 3.0 * turns.round <= 15_000.0 {
-                        assert!(pause >= turns.round, "{gateways}, {failures:?}: {pause} ms");
+                        assert!(
+                            pause >= turns.round,
+                            "{ingresses}, {failures:?}: {pause} ms"
+                        );
                     }
                 }
             }
@@ -444,13 +447,13 @@
 
 #[test]
 fn turns_bear_watches_that_cost_a_call_behind_each_answer() {
-    for gateways in [11, 30, 48] {
+    for ingresses in [11, 30, 48] {
         let fleet = Fleet {
             watches_cost: true,
-            ..Fleet::sound(gateways, CALL_MS, Outage::Refused)
+            ..Fleet::sound(ingresses, CALL_MS, Outage::Refused)
         };
         for (which, recovery) in recoveries(&fleet) {
-            is_not_overbooked(&which, 2.0 * work(gateways), &recovery);
+            is_not_overbooked(&which, 2.0 * work(ingresses), &recovery);
         }
     }
 }
@@ -478,7 +481,7 @@
 
 #[test]
 fn watches_opened_anew_leave_discovery_time_for_others() {
-    for (gateways, each_ms) in [
+    for (ingresses, each_ms) in [
         (2, 20.0),
         (10, 100.0),
         (30, 200.0),
@@ -486,7 +489,10 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let part = f64::from(gateways) * each_ms / pace_of(true, gateways).watch;
-        assert!(part <= 0.65, "{gateways} ingresses take {part} of its time");
+        let part = f64::from(ingresses) * each_ms / pace_of(true, ingresses).watch;
+        assert!(
+            part <= 0.65,
+            "{ingresses} ingresses take {part} of its time"
+        );
     }
 }
--- a/src/discovery/tests/fleet.rs
+++ b/src/discovery/tests/fleet.rs
@@ -21,7 +21,7 @@
 /// What one ingress is configured with.
 #[derive(Clone, Copy, Debug)]
 pub struct Configured {
-    pub gateways: u32,
+    pub ingresses: u32,
     pub position: u32,
 }
 
@@ -122,9 +122,12 @@
 
 impl Fleet {
     /// A fleet that is configured as it is, with good clocks.
-    pub fn sound(gateways: u32, call_ms: f64, outage: Outage) -> Fleet {
-        let ingresses = (0..gateways)
-            .map(|position| Configured { gateways, position })
+    pub fn sound(ingresses: u32, call_ms: f64, outage: Outage) -> Fleet {
+        let ingresses = (0..ingresses)
+            .map(|position| Configured {
+                ingresses,
+                position,
+            })
             .collect();
         Fleet {
             ingresses,
@@ -143,7 +146,7 @@
         let count = self.ingresses.len();
         let mut ingresses: Vec<Ingress> = Vec::new();
         for configured in &self.ingresses {
-            let pace = Pace::of(true, configured.gateways, configured.position);
+            let pace = Pace::of(true, configured.ingresses, configured.position);
             let clock_error = self.clock_error_ms * (2.0 * random.rand_float() - 1.0);
             let lost = START_MS + OUTAGE_MS / 4.0 * random.rand_float();
             let mut failures = Failures::default();
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -1,19 +1,19 @@
 //! The second front: HTTP/2 in the clear with prior knowledge, on the `h2` crate. It owns its listening
-//! socket, the wording of commands and answers as headers, and the bounds on streams, headers, bodies and
-//! resets. It must never keep rules of its own: a stream becomes a command of the core like any other, a
-//! reset means that the service client has gone. One rule of the house is given up here: h2 keeps its own
+//! socket, the wording of requests and answers as headers, and the bounds on streams, headers, bodies and
+//! resets. It must never keep rules of its own: a stream becomes a request of the core like any other, a
+//! reset means that the client has gone. One rule of the house is given up here: h2 keeps its own
 //! buffers, so a connection has no ring; the bounds below take its place.
 
 use crate::protocol::http2::{
-    plain, push_body, push_coming, terms, text, wording, Body, COMMANDS, CUSTOMER, DEADLINE, ID,
-    PLAN, RETRY, TERMS,
+    plain, push_body, push_coming, terms, text, wording, Body, DEADLINE, ID, PLAN,
+    REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
 };
-use crate::protocol::resp::MOST_VALUE;
-use crate::request::{pairs, Answer, BadCommand, Command};
+use crate::protocol::resp::MAX_VALUE;
+use crate::request::{pairs, ClientRequest, FinalAnswer, InvalidRequest};
 use crate::routing::{self, HeaderView};
-use crate::runtime::dispatcher::{Hub, ServiceClient};
+use crate::runtime::dispatcher::{Dispatcher, ResponseSink};
 use bytes::Bytes;
-use driftgap_admin::Way;
+use driftgap_admin::DrainState;
 use driftgap_routes::{Headers, Request as Seen, Route, Ticket, Verdict};
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
@@ -32,16 +32,16 @@
 use tokio::time::{timeout, Instant};
 
 /// Longest header list of one request.
-const MOST_HEADERS: u32 = 16 * 1024;
+const MAX_HEADERS: u32 = 16 * 1024;
 /// Bytes that one connection may have sent us unread, and may keep for us to send.
 const WINDOW: u32 = 256 * 1024;
-const MOST_UNSENT: usize = 256 * 1024;
+const MAX_UNSENT: usize = 256 * 1024;
 /// Resets that h2 remembers or has not handed over yet.
-const MOST_RESETS: usize = 64;
+const MAX_RESETS: usize = 64;
 /// Streams that a client may reset unanswered within a span, ms, before its connection is ended.
 const RESETS: (u32, f64) = (200, 10_000.0);
 /// A client that does not complete its preface, or read its answer, within this is cut off.
-const PATIENCE: Duration = Duration::from_secs(10);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A client that is to leave and has no stream open, or has not opened its connection yet, has this long for that.
 const LEAVE: Duration = Duration::from_millis(500);
@@ -78,18 +78,18 @@
 }
 
 /// The front.
-pub struct Http2Front {
-    hub: Rc<Hub>,
+pub struct Http2Frontend {
+    dispatcher: Rc<Dispatcher>,
     limits: Limits,
     connections: RefCell<HashMap<u64, Weak<Connection>>>,
     next: Cell<u64>,
 }
 
-impl Http2Front {
+impl Http2Frontend {
     /// A front with these bounds.
-    pub fn new(hub: Rc<Hub>, limits: Limits) -> Rc<Http2Front> {
-        Rc::new(Http2Front {
-            hub,
+    pub fn new(dispatcher: Rc<Dispatcher>, limits: Limits) -> Rc<Http2Frontend> {
+        Rc::new(Http2Frontend {
+            dispatcher,
             limits,
             connections: RefCell::default(),
             next: Cell::new(0),
@@ -122,15 +122,15 @@
             flood: Notify::new(),
             leaving: Cell::new(false),
             streams: Cell::new(0),
-            used: Cell::new(self.hub.now()),
-            resets: Cell::new((0, self.hub.now())),
+            used: Cell::new(self.dispatcher.now()),
+            resets: Cell::new((0, self.dispatcher.now())),
         });
         let number = self.next.get();
         self.next.set(number + 1);
         self.connections
             .borrow_mut()
             .insert(number, Rc::downgrade(&connection));
-        if self.hub.way() >= Way::Emptying {
+        if self.dispatcher.drain_state() >= DrainState::Draining {
             connection.leave();
         }
         let front = self.clone();
@@ -159,7 +159,7 @@
     pub async fn look(self: Rc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
-            if self.hub.way() >= Way::Emptying {
+            if self.dispatcher.drain_state() >= DrainState::Draining {
                 self.leave();
             }
         }
@@ -183,24 +183,24 @@
 }
 
 async fn serve(
-    front: &Rc<Http2Front>,
+    front: &Rc<Http2Frontend>,
     this: &Rc<Connection>,
     stream: TcpStream,
 ) -> Result<(), h2::Error> {
     let mut builder = h2::server::Builder::new();
     builder
         .max_concurrent_streams(front.limits.streams)
-        .max_header_list_size(MOST_HEADERS)
-        .initial_window_size(MOST_VALUE as u32 + 1024)
+        .max_header_list_size(MAX_HEADERS)
+        .initial_window_size(MAX_VALUE as u32 + 1024)
         .initial_connection_window_size(WINDOW)
-        .max_send_buffer_size(MOST_UNSENT)
-        .max_concurrent_reset_streams(MOST_RESETS)
-        .max_pending_accept_reset_streams(MOST_RESETS)
-        .max_local_error_reset_streams(Some(MOST_RESETS));
+        .max_send_buffer_size(MAX_UNSENT)
+        .max_concurrent_reset_streams(MAX_RESETS)
+        .max_pending_accept_reset_streams(MAX_RESETS)
+        .max_local_error_reset_streams(Some(MAX_RESETS));
     let mut connection = tokio::select! {
         connection = builder.handshake::<_, Bytes>(stream) => connection?,
         () = async { this.leave.notified().await; tokio::time::sleep(LEAVE).await } => return Ok(()),
-        () = tokio::time::sleep(PATIENCE) => return Ok(()),
+        () = tokio::time::sleep(CLIENT_TIMEOUT) => return Ok(()),
     };
     if this.leaving.get() {
         // Told while the connection was opened.
@@ -220,12 +220,12 @@
                 Some(next) => {
                     let (request, respond) = next?;
                     this.streams.set(this.streams.get() + 1);
-                    this.used.set(front.hub.now());
-                    let (hub, this) = (front.hub.clone(), this.clone());
+                    this.used.set(front.dispatcher.now());
+                    let (dispatcher, this) = (front.dispatcher.clone(), this.clone());
                     spawn_local(async move {
-                        stream_task(&hub, &this, request, respond).await;
+                        stream_task(&dispatcher, &this, request, respond).await;
                         this.streams.set(this.streams.get() - 1);
-                        this.used.set(hub.now());
+                        this.used.set(dispatcher.now());
                     });
                 }
                 None => return Ok(()),
@@ -242,52 +242,54 @@
 
 /// One stream, from its headers to its answer.
 async fn stream_task(
-    hub: &Rc<Hub>,
+    dispatcher: &Rc<Dispatcher>,
     this: &Rc<Connection>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) {
-    let arrived = hub.now();
-    let (tell, mut told) = oneshot::channel();
+    let arrived = dispatcher.now();
+    let (tell, mut notified) = oneshot::channel();
     let client = Rc::new(Waiting(RefCell::new(Some(tell))));
     let id = Cell::new(0);
-    match take(hub, this.peer, request).await {
-        Ok(Wanted::Command(mut command, places)) => {
+    match take(dispatcher, this.peer, request).await {
+        Ok(Wanted::ClientRequest(mut request, places)) => {
             // Guards against work for nobody: the client may have gone behind what it wrote.
             if poll_fn(|cx| Poll::Ready(respond.poll_reset(cx).is_ready())).await {
-                return count_reset(hub, this);
+                return count_reset(dispatcher, this);
             }
             // The wait counts from the client's send, not from the body's end.
-            command.patience_ms -= hub.now() - arrived;
-            hub.arrive(*command, client, 0, places, |number| id.set(number));
+            request.client_timeout_ms -= dispatcher.now() - arrived;
+            dispatcher.arrive(*request, client, 0, places, |number| id.set(number));
+        }
+        Ok(Wanted::Away(retry_after_ms)) => {
+            dispatcher.refuse(retry_after_ms, client, 0, |number| id.set(number))
         }
-        Ok(Wanted::Away(after_ms)) => hub.refuse(after_ms, client, 0, |number| id.set(number)),
         Ok(Wanted::Word(status, word)) => {
-            return send(hub, respond, plain(status), word.into()).await
+            return send(dispatcher, respond, plain(status), word.into()).await
         }
         Err(Refused::Reset(reason)) => return respond.send_reset(reason),
         Err(Refused::Status(status, why)) => {
-            return send(hub, respond, plain(status), why.into()).await
+            return send(dispatcher, respond, plain(status), why.into()).await
         }
     }
     let answer = tokio::select! {
         biased;
-        answer = &mut told => answer,
+        answer = &mut notified => answer,
         _ = poll_fn(|cx| respond.poll_reset(cx)) => {
-            hub.client_gone(id.get());
-            return count_reset(hub, this);
+            dispatcher.client_gone(id.get());
+            return count_reset(dispatcher, this);
         }
     };
     if let Ok(answer) = answer {
         let (response, body) = wording(answer);
         match body {
-            Body::Whole(body) => send(hub, respond, response, body).await,
-            Body::Coming(value) => {
+            Body::Complete(body) => send(dispatcher, respond, response, body).await,
+            Body::Streaming(value) => {
                 let Ok(mut stream) = respond.send_response(response, false) else {
                     return;
                 };
                 // What is not whole must be seen not to be.
-                if !push_coming(&mut stream, &value, PATIENCE).await {
+                if !push_coming(&mut stream, &value, CLIENT_TIMEOUT).await {
                     stream.send_reset(Reason::INTERNAL_ERROR);
                 }
             }
@@ -296,10 +298,10 @@
 }
 
 /// A stream that waits for its answer.
-struct Waiting(RefCell<Option<oneshot::Sender<Answer>>>);
+struct Waiting(RefCell<Option<oneshot::Sender<FinalAnswer>>>);
 
-impl ServiceClient for Waiting {
-    fn answer(&self, _: u64, answer: Answer) {
+impl ResponseSink for Waiting {
+    fn answer(&self, _: u64, answer: FinalAnswer) {
         if let Some(tell) = self.0.borrow_mut().take() {
             // A stream that has just gone does not mind.
             let _ = tell.send(answer);
@@ -307,8 +309,8 @@
     }
 }
 
-fn count_reset(hub: &Hub, this: &Connection) {
-    let (now, (count, since)) = (hub.now(), this.resets.get());
+fn count_reset(dispatcher: &Dispatcher, this: &Connection) {
+    let (now, (count, since)) = (dispatcher.now(), this.resets.get());
     let (count, since) = if now - since > RESETS.1 {
         (1, now)
     } else {
@@ -321,8 +323,8 @@
 }
 
 enum Wanted {
-    /// A command, and its places under the operator's limits.
-    Command(Box<Command>, Vec<Ticket>),
+    /// A request, and its places under the operator's limits.
+    ClientRequest(Box<ClientRequest>, Vec<Ticket>),
     /// Turned away by a rule, to come back after so long, ms.
     Away(f64),
     Word(StatusCode, &'static str),
@@ -337,32 +339,38 @@
     Refused::Status(StatusCode::BAD_REQUEST, why.to_string())
 }
 
-async fn take(hub: &Hub, peer: IpAddr, request: Request<RecvStream>) -> Result<Wanted, Refused> {
-    let (head, mut stream) = request.into_parts();
+async fn take(
+    dispatcher: &Dispatcher,
+    peer: IpAddr,
+    incoming: Request<RecvStream>,
+) -> Result<Wanted, Refused> {
+    let (head, mut stream) = incoming.into_parts();
     match head.uri.path() {
-        "/-/ready" if hub.ready() => return Ok(Wanted::Word(StatusCode::OK, "ready")),
+        "/-/ready" if dispatcher.ready() => return Ok(Wanted::Word(StatusCode::OK, "ready")),
         "/-/ready" => return Ok(Wanted::Word(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
         "/-/healthy" => return Ok(Wanted::Word(StatusCode::OK, "healthy")),
         _ => {}
     }
-    let class = head.uri.path().strip_prefix(COMMANDS);
-    let route = if hub.has_rules() {
-        routed(hub, peer, &head, class)?
+    let class = head.uri.path().strip_prefix(REQUEST_PATH_PREFIX);
+    let route = if dispatcher.has_rules() {
+        routed(dispatcher, peer, &head, class)?
     } else {
         Ok(Box::default())
     };
     let route = match route {
         Ok(route) => *route,
-        Err(after_ms) => return Ok(Wanted::Away(after_ms)),
+        Err(retry_after_ms) => return Ok(Wanted::Away(retry_after_ms)),
     };
-    let (mut command, wait) = match (route.command, class) {
+    let (mut request, wait) = match (route.command, class) {
         (Some(mapped), _) => {
             let headers = HeaderView(&head.headers);
-            let request = seen(peer, &head, class, &headers);
-            let command = routing::command(hub.platform(), mapped, &request, || hub.fresh_id());
-            let command = command.map_err(refusal)?;
-            let wait = command.patience_ms;
-            (command, wait)
+            let seen = seen(peer, &head, class, &headers);
+            let request = routing::request(dispatcher.platform(), mapped, &seen, || {
+                dispatcher.generate_request_id()
+            });
+            let request = request.map_err(refusal)?;
+            let wait = request.client_timeout_ms;
+            (request, wait)
         }
         (None, Some(class)) => {
             if head.method != Method::POST && head.method != Method::GET {
@@ -373,32 +381,35 @@
             }
             let (terms, wait) = terms(&head.headers, class).map_err(bad)?;
             let header = |name| text(&head.headers, name).map_err(bad);
-            let (customer, id) = (header(CUSTOMER)?, header(ID)?);
+            let (tenant, id) = (header(TENANT)?, header(ID)?);
             (
-                Command::new(hub.platform(), customer, id, terms, None).map_err(refusal)?,
+                ClientRequest::new(dispatcher.platform(), tenant, id, terms, None)
+                    .map_err(refusal)?,
                 wait,
             )
         }
         (None, None) => return Ok(Wanted::Word(StatusCode::NOT_FOUND, "no such path")),
     };
     let body = read_body(&mut stream, Duration::from_secs_f64(wait / 1e3)).await?;
-    command.take_body(hub.platform(), body).map_err(refusal)?;
-    (command.ask.pools, command.notes) = (route.pools, route.notes);
-    Ok(Wanted::Command(Box::new(command), route.tickets))
+    request
+        .take_body(dispatcher.platform(), body)
+        .map_err(refusal)?;
+    (request.ask.pools, request.notes) = (route.pools, route.notes);
+    Ok(Wanted::ClientRequest(Box::new(request), route.tickets))
 }
 
 /// As on every wire, these have failed; what is malformed is told from them.
-fn refusal(problem: BadCommand) -> Refused {
+fn refusal(problem: InvalidRequest) -> Refused {
     match problem {
-        BadCommand::Class | BadCommand::Plan | BadCommand::Term("units") => {
+        InvalidRequest::Class | InvalidRequest::Plan | InvalidRequest::Term("units") => {
             Refused::Status(StatusCode::BAD_GATEWAY, problem.to_string())
         }
         problem => bad(problem),
     }
 }
 
-/// A request as the operator's rules see it. What its headers say of a command counts as far as it makes sense;
-/// what does not is told where the command is made.
+/// A request as the operator's rules see it. What its headers say of a request counts as far as it makes sense;
+/// what does not is told where the request is made.
 fn seen<'a>(
     peer: IpAddr,
     head: &'a Parts,
@@ -417,7 +428,7 @@
         headers,
         class,
         plan: named(PLAN),
-        partner: named(CUSTOMER),
+        partner: named(TENANT),
         id: named(ID),
         units: units
             .and_then(|(_, units)| units.parse().ok())
@@ -433,17 +444,17 @@
 
 /// A request's way through the operator's rules; or, in ms, when to come back.
 fn routed(
-    hub: &Hub,
+    dispatcher: &Dispatcher,
     peer: IpAddr,
     head: &Parts,
     class: Option<&str>,
 ) -> Result<Result<Box<Route>, f64>, Refused> {
     let headers = HeaderView(&head.headers);
-    match hub.route(&seen(peer, head, class, &headers)) {
+    match dispatcher.route(&seen(peer, head, class, &headers)) {
         Verdict::Go(route) => Ok(Ok(route)),
-        Verdict::Nack { after_ms, by } => {
-            tracing::debug!(by, after_ms, "refused by a rule");
-            Ok(Err(after_ms))
+        Verdict::Reject { retry_after_ms, by } => {
+            tracing::debug!(by, retry_after_ms, "refused by a rule");
+            Ok(Err(retry_after_ms))
         }
         Verdict::Bad { rule, why } => {
             tracing::debug!(rule, why, "makes no sense to a rule");
@@ -463,7 +474,7 @@
         while let Some(part) = stream.data().await {
             let part = part.map_err(|_| Refused::Reset(Reason::CANCEL))?;
             body.extend_from_slice(&part);
-            if body.len() > MOST_VALUE {
+            if body.len() > MAX_VALUE {
                 let why = "the body is too long".to_string();
                 return Err(Refused::Status(StatusCode::PAYLOAD_TOO_LARGE, why));
             }
@@ -477,8 +488,13 @@
 }
 
 /// Sends an answer as the client's window allows; one that does not read it is cut off.
-async fn send(hub: &Hub, mut respond: SendResponse<Bytes>, response: Response<()>, body: Bytes) {
-    let unsent = hub.unsent();
+async fn send(
+    dispatcher: &Dispatcher,
+    mut respond: SendResponse<Bytes>,
+    response: Response<()>,
+    body: Bytes,
+) {
+    let unsent = dispatcher.unsent_budget();
     if !unsent.add(body.len()) {
         return respond.send_reset(Reason::ENHANCE_YOUR_CALM);
     }
@@ -488,7 +504,7 @@
     if body.is_empty() {
         return;
     }
-    let all = timeout(PATIENCE, push_body(&mut stream, body, true)).await;
+    let all = timeout(CLIENT_TIMEOUT, push_body(&mut stream, body, true)).await;
     if all.is_err() {
         stream.send_reset(Reason::CANCEL);
     }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,12 +1,12 @@
-//! The fronts: how service clients reach the core. Each owns the listening, the connections and the wording
+//! The fronts: how clients reach the core. Each owns the listening, the connections and the wording
 //! of its wire; none decides anything or knows another's wire.
 
 pub mod http2;
 pub mod resp;
 
 /// Retry advice in whole milliseconds, never earlier than was meant; none: no advice.
-pub fn advice(after_ms: f64) -> Option<u64> {
-    (after_ms > 0.0).then(|| after_ms.ceil().min(1e9) as u64)
+pub fn advice(retry_after_ms: f64) -> Option<u64> {
+    (retry_after_ms > 0.0).then(|| retry_after_ms.ceil().min(1e9) as u64)
 }
 
 #[cfg(test)]
