--- a/src/frontend/resp.rs
+++ b/src/frontend/resp.rs
@@ -1,16 +1,16 @@
-//! The platform's front: RESP2 over TCP. It owns the listening socket, the service clients' connections with
-//! one ring a direction, and the order of pipelined answers. It must never answer a command twice or out of
-//! turn, read on while too many are unanswered, or decide about a command.
+//! The platform's front: RESP2 over TCP. It owns the listening socket, the clients' connections with
+//! one ring a direction, and the order of pipelined answers. It must never answer a request twice or out of
+//! turn, read on while too many are unanswered, or decide about a request.
 
 use super::advice;
-use crate::buffer::body_stream::Outlet;
-use crate::buffer::ring_buffer::Ring;
-use crate::decision::driver::CommandId;
-use crate::protocol::resp::{command_words, platform_command, Parsed, MOST_VALUE};
-use crate::request::{Answer, Command, Value};
+use crate::buffer::body_stream::BodyReceiver;
+use crate::buffer::ring_buffer::RingBuffer;
+use crate::decision::driver::RequestId;
+use crate::protocol::resp::{parse_request, request_words, Parsed, MAX_VALUE};
+use crate::request::{ClientRequest, FinalAnswer, ResponseBody};
 use crate::routing;
-use crate::runtime::dispatcher::{Hub, ServiceClient, Unsent};
-use driftgap_admin::Way;
+use crate::runtime::dispatcher::{Dispatcher, ResponseSink, UnsentBudget};
+use driftgap_admin::DrainState;
 use driftgap_routes::{NoHeaders, Ticket, Verdict};
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
@@ -26,17 +26,17 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A command with its longest body and some room.
-const MOST_INPUT: usize = MOST_VALUE + 16 * 1024;
+/// A request with its longest body and some room.
+const MAX_INPUT: usize = MAX_VALUE + 16 * 1024;
 /// Answers that a client does not read.
-const MOST_OUTPUT: usize = 1024 * 1024;
+const MAX_OUTPUT: usize = 1024 * 1024;
 /// A client that has not read an answer for this long is stuck, ms.
 const STALE_MS: f64 = 10_000.0;
-/// From connecting, or from its first byte, a command has this long to come whole, ms.
+/// From connecting, or from its first byte, a request has this long to come whole, ms.
 const WHOLE_MS: f64 = 2500.0;
-/// A client that has said nothing yet may have its first command under way for this long, ms.
+/// A client that has said nothing yet may have its first request under way for this long, ms.
 const FRESH_MS: f64 = 500.0;
-/// A command of which no more than this has come counts for nothing; and how long a longer one waits where all
+/// A request of which no more than this has come counts for nothing; and how long a longer one waits where all
 /// together have too much on the way.
 const SHORT: usize = 4 * 1024;
 const CHOKED: Duration = Duration::from_millis(20);
@@ -45,65 +45,65 @@
 /// While nothing is read from a client, its end is looked for this often: nothing may be begun for one that has been
 /// gone for 100 ms.
 const GONE: Duration = Duration::from_millis(25);
-/// What comes behind the end of a client's commands is discarded for so long at most.
+/// What comes behind the end of a client's requests is discarded for so long at most.
 const LINGER: Duration = Duration::from_millis(1000);
 /// So many bytes at once.
 const DISCARDED: usize = 16 * 1024;
-/// Commands taken from one client before others have their turn.
+/// Requests taken from one client before others have their turn.
 const AT_ONCE: usize = 16;
-/// Unanswered commands on one connection; more are left unread.
-const MOST_PIPELINED: usize = 128;
+/// Unanswered requests on one connection; more are left unread.
+const MAX_PIPELINED: usize = 128;
 
-/// One command's place in the order of answers.
+/// One request's place in the order of answers.
 enum Slot {
-    Open(Option<CommandId>),
+    Open(Option<RequestId>),
     Answered(Vec<u8>),
     /// A large value, which goes out while it comes.
-    Coming(Rc<Outlet>),
+    Streaming(Rc<BodyReceiver>),
 }
 
 struct Client {
     stream: OwnedWriteHalf,
     peer: IpAddr,
-    hub: Rc<Hub>,
-    output: RefCell<Ring>,
+    dispatcher: Rc<Dispatcher>,
+    output: RefCell<RingBuffer>,
     slots: RefCell<VecDeque<Slot>>,
     /// The large value that is going out.
-    passing: RefCell<Option<Rc<Outlet>>>,
-    unsent: Unsent,
+    passing: RefCell<Option<Rc<BodyReceiver>>>,
+    unsent: UnsentBudget,
     /// Ticket of the first slot.
     first: Cell<u64>,
     wake: Notify,
     broken: Cell<bool>,
     /// Asked to end as soon as nothing is owed.
     leaving: Cell<bool>,
-    /// Since when a command is awaited or coming that is not whole yet; none: whole ones have come and no
+    /// Since when a request is awaited or coming that is not whole yet; none: whole ones have come and no
     /// further one has begun.
-    coming: Cell<Option<f64>>,
-    /// Has sent a whole command; has sent a part of the next.
+    incoming: Cell<Option<f64>>,
+    /// Has sent a whole request; has sent a part of the next.
     spoken: Cell<bool>,
     begun: Cell<bool>,
-    /// Its time for a command is over.
+    /// Its time for a request is over.
     expired: Cell<bool>,
-    /// Its commands have ended, and what it still wrote is discarded; its place is wanted.
+    /// Its requests have ended, and what it still wrote is discarded; its place is wanted.
     lingers: Cell<bool>,
     unwanted: Cell<bool>,
     used: Cell<f64>,
 }
 
 /// The front.
-pub struct RespFront {
-    hub: Rc<Hub>,
+pub struct RespFrontend {
+    dispatcher: Rc<Dispatcher>,
     clients: RefCell<HashMap<u64, Weak<Client>>>,
     next: Cell<u64>,
     budget: Cell<usize>,
 }
 
-impl RespFront {
+impl RespFrontend {
     /// A front that holds `budget` connections at most.
-    pub fn new(hub: Rc<Hub>, budget: usize) -> Rc<RespFront> {
-        Rc::new(RespFront {
-            hub,
+    pub fn new(dispatcher: Rc<Dispatcher>, budget: usize) -> Rc<RespFrontend> {
+        Rc::new(RespFrontend {
+            dispatcher,
             clients: RefCell::default(),
             next: Cell::new(0),
             budget: Cell::new(budget),
@@ -111,7 +111,7 @@
     }
 
     /// Keeps to so many connections from now on, and ends idle ones above that.
-    pub fn keep_to(&self, budget: usize) {
+    pub fn set_budget(&self, budget: usize) {
         self.budget.set(budget);
         for _ in budget..self.connections() {
             if !self.shed() {
@@ -153,22 +153,22 @@
         let client = Rc::new(Client {
             stream: write,
             peer,
-            hub: self.hub.clone(),
-            output: Ring::new(MOST_OUTPUT).into(),
+            dispatcher: self.dispatcher.clone(),
+            output: RingBuffer::new(MAX_OUTPUT).into(),
             slots: RefCell::default(),
             passing: RefCell::default(),
-            unsent: self.hub.unsent(),
+            unsent: self.dispatcher.unsent_budget(),
             first: Cell::new(0),
             wake: Notify::new(),
             broken: Cell::new(false),
             leaving: Cell::new(false),
-            coming: Cell::new(Some(self.hub.now())),
+            incoming: Cell::new(Some(self.dispatcher.now())),
             spoken: Cell::new(false),
             begun: Cell::new(false),
             expired: Cell::new(false),
             lingers: Cell::new(false),
             unwanted: Cell::new(false),
-            used: Cell::new(self.hub.now()),
+            used: Cell::new(self.dispatcher.now()),
         });
         let number = self.next.get();
         self.next.set(number + 1);
@@ -178,34 +178,34 @@
         let front = self.clone();
         spawn_local(async move {
             serve(&client, read).await;
-            let owed: Vec<CommandId> = client.owed();
-            for id in owed {
-                client.hub.client_gone(id);
+            let unanswered: Vec<RequestId> = client.unanswered();
+            for id in unanswered {
+                client.dispatcher.client_gone(id);
             }
             front.clients.borrow_mut().remove(&number);
         });
     }
 
-    /// Looks after clients that take a place and neither finish a command nor read an answer.
+    /// Looks after clients that take a place and neither finish a request nor read an answer.
     pub async fn look(self: Rc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
-            if self.hub.way() >= Way::Emptying {
+            if self.dispatcher.drain_state() >= DrainState::Draining {
                 self.leave();
             }
-            let now = self.hub.now();
+            let now = self.dispatcher.now();
             for client in self.clients.borrow().values().filter_map(Weak::upgrade) {
-                let owed = client.owes();
+                let unanswered = client.owes();
                 let stuck = now - client.used.get() > STALE_MS && client.unsent_now();
-                if !owed
+                if !unanswered
                     && client
-                        .coming
+                        .incoming
                         .get()
                         .is_some_and(|since| now - since > WHOLE_MS)
                 {
                     client.expired.set(true);
                     client.wake.notify_one();
-                } else if stuck && (!owed || client.passing.borrow().is_some()) {
+                } else if stuck && (!unanswered || client.passing.borrow().is_some()) {
                     client.broken.set(true);
                     client.wake.notify_one();
                 }
@@ -213,11 +213,11 @@
         }
     }
 
-    /// Closes a connection that nothing is owed on; false: there is none. Those whose commands have ended go first, and
+    /// Closes a connection that nothing is owed on; false: there is none. Those whose requests have ended go first, and
     /// those that have never said anything before those that serve, the longest idle first; but not while a first
-    /// command may be under way.
+    /// request may be under way.
     fn shed(&self) -> bool {
-        let (clients, now) = (self.clients.borrow(), self.hub.now());
+        let (clients, now) = (self.clients.borrow(), self.dispatcher.now());
         let idle = clients
             .values()
             .filter_map(Weak::upgrade)
@@ -235,9 +235,9 @@
     }
 
     /// Ends every connection as soon as nothing is owed on it. One that has said nothing yet has its time for that:
-    /// its first command may be under way.
+    /// its first request may be under way.
     pub fn leave(&self) {
-        let now = self.hub.now();
+        let now = self.dispatcher.now();
         for client in self.clients.borrow().values().filter_map(Weak::upgrade) {
             if client.spoken.get() || now - client.used.get() > FRESH_MS {
                 client.leave();
@@ -253,7 +253,7 @@
 
 impl Client {
     fn idle(&self) -> bool {
-        let between = self.coming.get().is_none() || !self.spoken.get() && !self.begun.get();
+        let between = self.incoming.get().is_none() || !self.spoken.get() && !self.begun.get();
         (between || self.lingers.get()) && !self.owes() && self.output.borrow().is_empty()
     }
 
@@ -277,17 +277,17 @@
         self.wake.notify_one();
     }
 
-    fn owed(&self) -> Vec<CommandId> {
+    fn unanswered(&self) -> Vec<RequestId> {
         let open = |slot: &Slot| if let Slot::Open(id) = slot { *id } else { None };
         self.slots.borrow().iter().filter_map(open).collect()
     }
 
-    /// Notes further bytes of what may become a command.
-    fn came(&self, input: &mut Ring, n: usize) {
+    /// Notes further bytes of what may become a request.
+    fn came(&self, input: &mut RingBuffer, n: usize) {
         input.filled(n);
         self.begun.set(true);
-        if self.coming.get().is_none() {
-            self.coming.set(Some(self.hub.now()));
+        if self.incoming.get().is_none() {
+            self.incoming.set(Some(self.dispatcher.now()));
         }
     }
 
@@ -304,7 +304,7 @@
     }
 
     fn put(&self, ticket: u64, filled: Slot) {
-        let full = self.slots.borrow().len() >= MOST_PIPELINED;
+        let full = self.slots.borrow().len() >= MAX_PIPELINED;
         {
             let mut slots = self.slots.borrow_mut();
             let Some(at) = ticket.checked_sub(self.first.get()) else {
@@ -320,7 +320,7 @@
         }
         self.advance();
         self.flush();
-        // A full line of commands is not read on: it is now.
+        // A full line of requests is not read on: it is now.
         let more = !self.output.borrow().is_empty() || self.passing.borrow().is_some();
         if full || self.broken.get() || self.leaving.get() || more {
             self.wake.notify_one();
@@ -337,7 +337,7 @@
                         self.broken.set(true);
                     }
                 }
-                Some(Slot::Coming(value)) => {
+                Some(Slot::Streaming(value)) => {
                     let head = format!("${}\r\n", value.size());
                     if self.output.borrow_mut().push(head.as_bytes()).is_err() {
                         self.broken.set(true);
@@ -386,7 +386,7 @@
             match written {
                 Ok(n) => {
                     value.took(n);
-                    self.used.set(self.hub.now());
+                    self.used.set(self.dispatcher.now());
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => self.broken.set(true),
@@ -395,49 +395,49 @@
     }
 }
 
-impl ServiceClient for Client {
-    fn answer(&self, ticket: u64, answer: Answer) {
-        self.used.set(self.hub.now());
+impl ResponseSink for Client {
+    fn answer(&self, ticket: u64, answer: FinalAnswer) {
+        self.used.set(self.dispatcher.now());
         self.put(ticket, wording(answer));
     }
 }
 
 /// An answer as what goes into its place: the platform's words, or a value that goes out while it comes.
-fn wording(answer: Answer) -> Slot {
+fn wording(answer: FinalAnswer) -> Slot {
     Slot::Answered(match answer {
-        Answer::Served(Value::Coming(value)) => return Slot::Coming(value),
-        Answer::Served(Value::Whole(value)) => {
+        FinalAnswer::Served(ResponseBody::Streaming(value)) => return Slot::Streaming(value),
+        FinalAnswer::Served(ResponseBody::Complete(value)) => {
             let mut out = Vec::with_capacity(value.len() + 16);
             out.extend_from_slice(format!("${}\r\n", value.len()).as_bytes());
             out.extend_from_slice(&value);
             out.extend_from_slice(b"\r\n");
             out
         }
-        Answer::Nack { after_ms } => match advice(after_ms) {
+        FinalAnswer::Rejected { retry_after_ms } => match advice(retry_after_ms) {
             Some(ms) => format!("-BUSY {ms}\r\n").into_bytes(),
             None => b"-BUSY\r\n".to_vec(),
         },
-        Answer::Failed { late: true } => b"-ERR failed: no answer in time\r\n".to_vec(),
-        Answer::Failed { late: false } => b"-ERR failed\r\n".to_vec(),
+        FinalAnswer::Failed { late: true } => b"-ERR failed: no answer in time\r\n".to_vec(),
+        FinalAnswer::Failed { late: false } => b"-ERR failed\r\n".to_vec(),
     })
 }
 
 /// What a client's words ask for.
 enum Wanted {
     Words(&'static [u8]),
-    Command(Box<Command>),
+    ClientRequest(Box<ClientRequest>),
     Quit,
 }
 
-fn wanted(hub: &Hub, words: &[&[u8]]) -> Wanted {
+fn wanted(dispatcher: &Dispatcher, words: &[&[u8]]) -> Wanted {
     let verb = words.first().map_or(Vec::new(), |w| w.to_ascii_uppercase());
     match (verb.as_slice(), words.len()) {
-        (b"PING", 1) if hub.ready() => Wanted::Words(b"+PONG\r\n"),
+        (b"PING", 1) if dispatcher.ready() => Wanted::Words(b"+PONG\r\n"),
         (b"PING", 1) => Wanted::Words(b"-ERR not ready\r\n"),
         (b"QUIT", _) => Wanted::Quit,
         (b"SVC.QUERY" | b"SVC.SUBMIT", 4 | 5) => {
-            match platform_command(hub.platform(), verb == b"SVC.QUERY", &words[1..]) {
-                Ok(command) => Wanted::Command(Box::new(command)),
+            match parse_request(dispatcher.platform(), verb == b"SVC.QUERY", &words[1..]) {
+                Ok(request) => Wanted::ClientRequest(Box::new(request)),
                 Err(problem) => {
                     tracing::debug!(%problem, "no command");
                     Wanted::Words(b"-ERR failed: the command makes no sense\r\n")
@@ -449,7 +449,7 @@
     }
 }
 
-/// Why a command goes no further than the rules.
+/// Why a request goes no further than the rules.
 enum Turned {
     /// Refused, to come back after so long, ms.
     Away(f64),
@@ -457,32 +457,38 @@
     Down,
 }
 
-/// Takes a command through the operator's rules, if there are any: they may choose its pool, note something on
+/// Takes a request through the operator's rules, if there are any: they may choose its pool, note something on
 /// it, or turn it away, and change nothing that the platform's protocol says of it.
-fn routed(client: &Client, command: &mut Command) -> Result<Vec<Ticket>, Turned> {
-    let hub = &client.hub;
-    if !hub.has_rules() {
+fn routed(client: &Client, request: &mut ClientRequest) -> Result<Vec<Ticket>, Turned> {
+    let dispatcher = &client.dispatcher;
+    if !dispatcher.has_rules() {
         return Ok(Vec::new());
     }
-    let path = routing::path(hub.platform(), command);
-    let request = routing::request_of(hub.platform(), command, &path, &NoHeaders, client.peer);
-    match hub.route(&request) {
+    let path = routing::path(dispatcher.platform(), request);
+    let routed_request = routing::request_of(
+        dispatcher.platform(),
+        request,
+        &path,
+        &NoHeaders,
+        client.peer,
+    );
+    match dispatcher.route(&routed_request) {
         Verdict::Go(route) => {
-            (command.ask.pools, command.notes) = (route.pools, route.notes);
+            (request.ask.pools, request.notes) = (route.pools, route.notes);
             Ok(route.tickets)
         }
-        Verdict::Nack { after_ms, by } => {
-            tracing::debug!(id = command.id, by, after_ms, "refused by a rule");
-            Err(Turned::Away(after_ms))
+        Verdict::Reject { retry_after_ms, by } => {
+            tracing::debug!(id = request.id, by, retry_after_ms, "refused by a rule");
+            Err(Turned::Away(retry_after_ms))
         }
         Verdict::Bad { rule, why } => {
-            tracing::debug!(id = command.id, rule, why, "makes no sense to a rule");
+            tracing::debug!(id = request.id, rule, why, "makes no sense to a rule");
             Err(Turned::Down)
         }
     }
 }
 
-/// What is left to do after the commands that were taken in.
+/// What is left to do after the requests that were taken in.
 enum Next {
     /// Wait for more bytes, so many at the least.
     Read(usize),
@@ -492,17 +498,17 @@
     End,
 }
 
-/// Carries out the whole commands that have come, some at a time. Those of a client that has gone are not begun.
-fn take_in(client: &Rc<Client>, input: &mut Ring, gone: bool) -> Next {
+/// Carries out the whole requests that have come, some at a time. Those of a client that has gone are not begun.
+fn take_in(client: &Rc<Client>, input: &mut RingBuffer, gone: bool) -> Next {
     for _ in 0..AT_ONCE {
-        if client.slots.borrow().len() >= MOST_PIPELINED {
+        if client.slots.borrow().len() >= MAX_PIPELINED {
             return Next::Again;
         }
         if input.is_empty() {
             return Next::Read(1);
         }
-        let (wanted, n) = match command_words(input.whole()) {
-            Ok(Parsed::Whole(words, n)) => (wanted(&client.hub, &words), n),
+        let (wanted, n) = match request_words(input.whole()) {
+            Ok(Parsed::Complete(words, n)) => (wanted(&client.dispatcher, &words), n),
             Ok(Parsed::More(n)) => return Next::Read(n),
             Err(_) => {
                 client.fill(client.ticket(), b"-ERR malformed command\r\n".to_vec());
@@ -510,11 +516,11 @@
             }
         };
         input.consume(n);
-        let now = client.hub.now();
+        let now = client.dispatcher.now();
         client.used.set(now);
         client.spoken.set(true);
-        client.coming.set(None);
-        if client.hub.door().way(now) >= Way::Emptying {
+        client.incoming.set(None);
+        if client.dispatcher.drain().state(now) >= DrainState::Draining {
             client.leaving.set(true);
         }
         let ticket = client.ticket();
@@ -524,22 +530,24 @@
                 client.fill(ticket, b"+OK\r\n".to_vec());
                 return Next::End;
             }
-            Wanted::Command(_) if gone => return Next::End,
-            Wanted::Command(mut command) => {
+            Wanted::ClientRequest(_) if gone => return Next::End,
+            Wanted::ClientRequest(mut request) => {
                 let known = |id| {
                     let at = (ticket - client.first.get()) as usize;
                     if let Some(slot) = client.slots.borrow_mut().get_mut(at) {
                         *slot = Slot::Open(Some(id));
                     }
                 };
-                match routed(client, &mut command) {
+                match routed(client, &mut request) {
                     Ok(places) => {
                         client
-                            .hub
-                            .arrive(*command, client.clone(), ticket, places, known)
+                            .dispatcher
+                            .arrive(*request, client.clone(), ticket, places, known)
                     }
-                    Err(Turned::Away(after_ms)) => {
-                        client.hub.refuse(after_ms, client.clone(), ticket, known)
+                    Err(Turned::Away(retry_after_ms)) => {
+                        client
+                            .dispatcher
+                            .refuse(retry_after_ms, client.clone(), ticket, known)
                     }
                     Err(Turned::Down) => {
                         client.fill(
@@ -556,12 +564,12 @@
 
 /// One connection, from its first byte to its end.
 async fn serve(client: &Rc<Client>, mut read: OwnedReadHalf) {
-    let mut input = Ring::new(MOST_INPUT);
-    let coming = client.hub.coming();
-    let (mut going, mut least) = (true, 1);
+    let mut input = RingBuffer::new(MAX_INPUT);
+    let incoming = client.dispatcher.incoming_budget();
+    let (mut going, mut min) = (true, 1);
     loop {
-        // Guards against parsing a command from its start for each few bytes of it.
-        if going && input.len() >= least {
+        // Guards against parsing a request from its start for each few bytes of it.
+        if going && input.len() >= min {
             // Guards against work for nobody: its end may be here already, behind what it wrote. The runtime reads from a
             // new connection before it has asked the system about it.
             if !client.spoken.get() {
@@ -573,8 +581,8 @@
                 () = std::future::ready(()) => false,
             };
             match take_in(client, &mut input, gone) {
-                Next::Read(more) => least = input.len() + more,
-                Next::Again => least = input.len().min(1),
+                Next::Read(more) => min = input.len() + more,
+                Next::Again => min = input.len().min(1),
                 Next::End => going = false,
             }
             client.begun.set(false);
@@ -590,33 +598,33 @@
             );
         }
         let passing = client.passing.borrow().clone();
-        let owed = client.slots.borrow().len() + usize::from(passing.is_some());
+        let unanswered = client.slots.borrow().len() + usize::from(passing.is_some());
         let unsent = client.unsent_now();
-        let more = going && !input.is_empty() && input.len() >= least;
-        if more && owed < MOST_PIPELINED {
-            // Guards the others against one that sends hundreds of commands at once.
+        let more = going && !input.is_empty() && input.len() >= min;
+        if more && unanswered < MAX_PIPELINED {
+            // Guards the others against one that sends hundreds of requests at once.
             tokio::task::yield_now().await;
             continue;
         }
         if client.broken.get() {
             return;
         }
-        if owed == 0 && !unsent && !going {
+        if unanswered == 0 && !unsent && !going {
             return linger(client, &mut read).await;
         }
         let left = client.leaving.get() && !client.begun.get();
-        // Guards memory against many that write long commands and do not finish: those that have begun a long one
+        // Guards memory against many that write long requests and do not finish: those that have begun a long one
         // wait for others to finish theirs. Without more bytes theirs ends for want of time.
         let held = if input.len() > SHORT { input.len() } else { 0 };
-        let choked = !coming.hold(held) && held > 0;
+        let choked = !incoming.hold(held) && held > 0;
         let Ok(spare) = input.spare() else {
-            // The ring holds no whole command and has no room for the rest of one.
+            // The ring holds no whole request and has no room for the rest of one.
             going = false;
             client.fill(client.ticket(), b"-ERR command too long\r\n".to_vec());
             continue;
         };
-        if left && owed == 0 && !unsent {
-            // Guards a command that has just come: only a connection on which nothing waits is closed.
+        if left && unanswered == 0 && !unsent {
+            // Guards a request that has just come: only a connection on which nothing waits is closed.
             match read.try_read(spare) {
                 Ok(n) if n > 0 => client.came(&mut input, n),
                 _ => return,
@@ -624,7 +632,7 @@
             continue;
         }
         // What is written behind an end is left unread: a client sends it again elsewhere.
-        let reads = going && owed < MOST_PIPELINED && !left && !choked;
+        let reads = going && unanswered < MAX_PIPELINED && !left && !choked;
         tokio::select! {
             // Reading by the half spares the read that would only find nothing more.
             got = async { if reads { read.read(spare).await } else { gone(&read).await } } => match got {
@@ -639,7 +647,7 @@
     }
 }
 
-/// Ends the sending on a connection whose commands have ended, and discards what the client still wrote. Guards the
+/// Ends the sending on a connection whose requests have ended, and discards what the client still wrote. Guards the
 /// answers: a close over unread bytes resets the connection, and what the system has not sent yet goes with it.
 async fn linger(client: &Client, read: &mut OwnedReadHalf) {
     let mut discarded = vec![0; DISCARDED];
@@ -672,7 +680,7 @@
 }
 
 /// Waits for more of a value that is coming.
-async fn comes(value: Option<&Outlet>) {
+async fn comes(value: Option<&BodyReceiver>) {
     if let Some(value) = value {
         value.more().await;
     }
--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -81,11 +81,11 @@
         let slot = Arc::new((Mutex::new(Slot::default()), Condvar::new()));
         let kept = slot.clone();
         std::thread::Builder::new().name("group-copy".into()).spawn(move || {
-            let (slot, news) = &*kept;
+            let (slot, update) = &*kept;
             loop {
                 let copy = {
                     let held = slot.lock().unwrap_or_else(|e| e.into_inner());
-                    let wait = news.wait_while(held, |slot| slot.copy.is_none() && !slot.ended);
+                    let wait = update.wait_while(held, |slot| slot.copy.is_none() && !slot.ended);
                     match wait.unwrap_or_else(|e| e.into_inner()).copy.take() {
                         Some(copy) => copy,
                         None => return,
@@ -112,9 +112,9 @@
 
 impl Keeping {
     fn tell(&self, change: impl FnOnce(&mut Slot)) {
-        let (slot, news) = &*self.0;
+        let (slot, update) = &*self.0;
         change(&mut slot.lock().unwrap_or_else(|e| e.into_inner()));
-        news.notify_one();
+        update.notify_one();
     }
 
     /// Has this copy written, soon.
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -3,7 +3,7 @@
 
 use super::cached_replica::{Keeping, Kept};
 use super::links::{connect, Counts, Outlet, Own};
-use super::member_task::FIGURES_MS;
+use super::member_task::STATISTICS_INTERVAL_MS;
 use super::{Ended, GroupSettings, Request, Seat, View};
 use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, FORMS};
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
                 tracing::info!("the member's copy is old: follows another one");
                 self.end_link();
             }
-            if now - self.logged > FIGURES_MS {
+            if now - self.logged > STATISTICS_INTERVAL_MS {
                 self.logged = now;
                 let member = self.follower.is_up().then(|| self.follower.next().0);
                 let age_ms = self.follower.age_ms(now).map(f64::round);
--- a/src/group/links.rs
+++ b/src/group/links.rs
@@ -4,7 +4,7 @@
 
 use super::follower_task::Line;
 use super::link_error::{LinkError, Refusals};
-use driftgap_group::{read_frame, Frame, Hello, HelloError, Welcome, MOST_FRAME, MOST_HELLO};
+use driftgap_group::{read_frame, Frame, Hello, HelloError, Welcome, MAX_FRAME, MAX_HELLO};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,17 +16,17 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A peer has so long for its greeting, for the rest of what it has begun, and to read what it is sent.
-const PATIENCE: Duration = Duration::from_millis(2500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A frame has so long in all, however it trickles.
 const WHOLE: Duration = Duration::from_secs(10);
 /// A link that has nothing to say says so this often.
 const IDLE: Duration = Duration::from_millis(500);
 /// Bytes that wait for one member at most; what comes beyond is dropped, as it may be on any way.
-const MOST_QUEUED: usize = 8 << 20;
+const MAX_QUEUED: usize = 8 << 20;
 /// Most links that others have opened here: members, and followers.
-const MOST_LINKS: usize = 64 + MOST_FOLLOWERS;
+const MAX_LINKS: usize = 64 + MAX_FOLLOWERS;
 /// Most followers of one member; the next one goes to another.
-pub(super) const MOST_FOLLOWERS: usize = 160;
+pub(super) const MAX_FOLLOWERS: usize = 160;
 /// Between two tries to connect, at first and at most.
 const AGAIN: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(1000));
 
@@ -42,7 +42,7 @@
 }
 
 /// What links bring.
-pub(super) enum News {
+pub(super) enum Update {
     /// Somebody has opened a link: its name, and the newest form that it speaks.
     Greeted(String, u16),
     /// A frame, from whom by name and incarnation.
@@ -94,7 +94,7 @@
     pub(super) fn send(&self, frame: &Frame) -> bool {
         let bytes = frame.bytes();
         let mut queue = self.queue.borrow_mut();
-        if !self.up.get() || queue.len() + bytes.len() > MOST_QUEUED {
+        if !self.up.get() || queue.len() + bytes.len() > MAX_QUEUED {
             add(&self.counts.dropped, 1);
             return false;
         }
@@ -155,7 +155,7 @@
         who: Rc<Own>,
         to: String,
         address: SocketAddr,
-        news: mpsc::Sender<News>,
+        update: mpsc::Sender<Update>,
         counts: Rc<Counts>,
     ) -> Link {
         let outlet = Outlet::new(counts, false);
@@ -168,9 +168,9 @@
                     tracing::debug!(to, %address, cause = why.cause(), %why, "link");
                 }
                 kept.close();
-                let _ = news.send(News::Broken(to.clone())).await;
+                let _ = update.send(Update::Broken(to.clone())).await;
                 // One that held for a while is tried again at once.
-                pause = if began.elapsed() > PATIENCE {
+                pause = if began.elapsed() > CLIENT_TIMEOUT {
                     AGAIN.0
                 } else {
                     (pause * 2).min(AGAIN.1)
@@ -192,7 +192,7 @@
                 .outlet
                 .since
                 .get()
-                .is_some_and(|at| at.elapsed() > PATIENCE)
+                .is_some_and(|at| at.elapsed() > CLIENT_TIMEOUT)
     }
 
     /// Ends it: the member is none any more, or another link takes its place.
@@ -207,13 +207,13 @@
     to: &str,
     address: SocketAddr,
 ) -> Result<(TcpStream, Welcome), LinkError> {
-    let connect = timeout(PATIENCE, TcpStream::connect(address)).await;
+    let connect = timeout(CLIENT_TIMEOUT, TcpStream::connect(address)).await;
     let mut stream = connect.map_err(|_| LinkError::ConnectTimeout)??;
     let _ = stream.set_nodelay(true);
     let group = who.group.get();
     let hello = Hello::new(who.newest, group, who.id.get(), &who.name, to).bytes();
     write(&mut stream, &hello).await?;
-    let welcome: Welcome = timeout(PATIENCE, first(&mut stream))
+    let welcome: Welcome = timeout(CLIENT_TIMEOUT, first(&mut stream))
         .await
         .map_err(|_| LinkError::WelcomeTimeout)?
         .ok_or(LinkError::TurnedAway)?;
@@ -283,7 +283,7 @@
     mut bytes: &[u8],
 ) -> Result<(), LinkError> {
     while !bytes.is_empty() {
-        match timeout(PATIENCE, stream.write(bytes)).await {
+        match timeout(CLIENT_TIMEOUT, stream.write(bytes)).await {
             Ok(Ok(n)) if n > 0 => bytes = &bytes[n..],
             Ok(Ok(_)) => return Err(LinkError::Closed),
             Ok(Err(e)) => return Err(e.into()),
@@ -297,7 +297,7 @@
 async fn first<T: serde::de::DeserializeOwned>(stream: &mut TcpStream) -> Option<T> {
     let mut bytes = Vec::with_capacity(64);
     loop {
-        match read_frame(&bytes, MOST_HELLO) {
+        match read_frame(&bytes, MAX_HELLO) {
             Ok(Some((value, used))) if used == bytes.len() => return Some(value),
             Ok(None) => {}
             _ => return None,
@@ -325,7 +325,7 @@
 pub(super) async fn listen(
     listener: TcpListener,
     who: Rc<Own>,
-    news: mpsc::Sender<News>,
+    update: mpsc::Sender<Update>,
     counts: Rc<Counts>,
 ) {
     let open = Rc::new(Cell::new(0));
@@ -339,15 +339,16 @@
                 continue;
             }
         };
-        if open.get() >= MOST_LINKS {
+        if open.get() >= MAX_LINKS {
             counts.refused.add(&LinkError::TooManyLinks);
             continue;
         }
         open.set(open.get() + 1);
-        let (who, news, counts, open) = (who.clone(), news.clone(), counts.clone(), open.clone());
+        let (who, update, counts, open) =
+            (who.clone(), update.clone(), counts.clone(), open.clone());
         number += 1;
         spawn_local(async move {
-            if let Err(why) = hear(stream, &who, number, &news, &counts).await {
+            if let Err(why) = hear(stream, &who, number, &update, &counts).await {
                 counts.refused.add(&why);
                 tracing::debug!(%from, cause = why.cause(), %why, "link refused");
             }
@@ -370,7 +371,7 @@
         stream: &mut (impl AsyncReadExt + Unpin),
     ) -> Result<Option<Frame>, LinkError> {
         loop {
-            if let Some((frame, used)) = read_frame(&self.bytes, MOST_FRAME)? {
+            if let Some((frame, used)) = read_frame(&self.bytes, MAX_FRAME)? {
                 self.bytes.drain(..used);
                 self.begun = None;
                 // Memory for a large frame is not kept.
@@ -384,7 +385,7 @@
             {
                 return Err(LinkError::FrameTimeout);
             }
-            match timeout(PATIENCE, stream.read_buf(&mut self.bytes)).await {
+            match timeout(CLIENT_TIMEOUT, stream.read_buf(&mut self.bytes)).await {
                 Ok(Ok(0)) if self.bytes.is_empty() => return Ok(None),
                 Ok(Ok(0)) => return Err(LinkError::TornFrame),
                 Ok(Ok(_)) => {}
@@ -401,17 +402,17 @@
     mut stream: TcpStream,
     who: &Own,
     number: u64,
-    news: &mpsc::Sender<News>,
+    update: &mpsc::Sender<Update>,
     counts: &Rc<Counts>,
 ) -> Result<(), LinkError> {
     let _ = stream.set_nodelay(true);
-    let hello = timeout(PATIENCE, first::<Hello>(&mut stream)).await;
+    let hello = timeout(CLIENT_TIMEOUT, first::<Hello>(&mut stream)).await;
     let hello = hello
         .map_err(|_| LinkError::GreetingTimeout)?
         .ok_or(LinkError::NoGreeting)?;
     let form = hello.judge((who.form.get(), who.newest), who.group.get(), &who.name)?;
-    let _ = news
-        .send(News::Greeted(hello.name.clone(), hello.forms.1))
+    let _ = update
+        .send(Update::Greeted(hello.name.clone(), hello.forms.1))
         .await;
     let welcome = Welcome {
         form,
@@ -430,10 +431,10 @@
         if let Some(mut writer) = writer.take_if(|_| follows) {
             // From here on this connection is a follower's, both ways.
             let outlet = Outlet::new(counts.clone(), true);
-            let fan = News::Fan(number, hello.name.clone(), outlet.clone());
-            let begun = news.send(fan).await.is_ok()
-                && news
-                    .send(News::FanFrame(number, Box::new(frame)))
+            let fan = Update::Fan(number, hello.name.clone(), outlet.clone());
+            let begun = update.send(fan).await.is_ok()
+                && update
+                    .send(Update::FanFrame(number, Box::new(frame)))
                     .await
                     .is_ok();
             let read = async {
@@ -443,8 +444,8 @@
                         Frame::Follow { .. } | Frame::Ask { .. } | Frame::Idle
                     );
                     if !known
-                        || news
-                            .send(News::FanFrame(number, Box::new(frame)))
+                        || update
+                            .send(Update::FanFrame(number, Box::new(frame)))
                             .await
                             .is_err()
                     {
@@ -464,11 +465,11 @@
                 ended = outlet.pump(&mut writer, stays) => ended,
                 ended = read => ended,
             };
-            let _ = news.send(News::FanGone(number)).await;
+            let _ = update.send(Update::FanGone(number)).await;
             return if begun { ended } else { Ok(()) };
         }
-        if news
-            .send(News::Frame(hello.name.clone(), hello.id, Box::new(frame)))
+        if update
+            .send(Update::Frame(hello.name.clone(), hello.id, Box::new(frame)))
             .await
             .is_err()
         {
--- a/src/group/member_task.rs
+++ b/src/group/member_task.rs
@@ -2,7 +2,7 @@
 //! order of those: nothing that follows from a write goes out before the disk has it. It must never decide what the
 //! group agrees on, or go on as a member once its disk has failed.
 
-use super::links::{listen, Counts, Link, News, Outlet, Own, MOST_FOLLOWERS};
+use super::links::{listen, Counts, Link, Outlet, Own, Update, MAX_FOLLOWERS};
 use super::store::{Identity, Store, StoreError};
 use super::{fresh, Ended, GroupSettings, Request, Seat, View};
 use driftgap_group::{Event, Job, Loaded, Member, Outcome, Peer, Settings, Standing, Wish};
@@ -18,9 +18,9 @@
 /// A leader whose disk has not done a job for so long gives leadership away, ms.
 const HANGS_MS: f64 = 1500.0;
 /// Figures are logged this often, ms.
-pub(super) const FIGURES_MS: f64 = 10_000.0;
+pub(super) const STATISTICS_INTERVAL_MS: f64 = 10_000.0;
 /// Frames taken in before the disk is written, so that one write serves many.
-const MOST_AT_ONCE: usize = 256;
+const MAX_AT_ONCE: usize = 256;
 
 /// The disk's thread: it may hang for as long as it likes, and the member goes on listening.
 fn keep(
@@ -177,31 +177,31 @@
         listener: std::net::TcpListener,
         mut asked: mpsc::Receiver<Request>,
     ) -> std::io::Result<()> {
-        let (news, mut heard) = mpsc::channel(1024);
+        let (update, mut heard) = mpsc::channel(1024);
         let listener = tokio::net::TcpListener::from_std(listener)?;
         tokio::task::spawn_local(listen(
             listener,
             self.who.clone(),
-            news.clone(),
+            update.clone(),
             self.counts.clone(),
         ));
-        self.keep_links(&news);
+        self.keep_links(&update);
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let mut requests = Vec::new();
             tokio::select! {
                 _ = tick.tick() => {}
-                Some(news) = heard.recv() => self.take(news),
+                Some(update) = heard.recv() => self.take(update),
                 Some(done) = self.wrote.recv() => self.wrote(done),
                 request = asked.recv() => match request {
                     Some(request) => requests.push(request),
                     None => return Ok(()),
                 },
             }
-            for _ in 0..MOST_AT_ONCE {
+            for _ in 0..MAX_AT_ONCE {
                 match heard.try_recv() {
-                    Ok(news) => self.take(news),
+                    Ok(update) => self.take(update),
                     Err(_) => break,
                 }
             }
@@ -214,7 +214,7 @@
             self.pass();
             let ended = self.end_dead_links();
             if self.settle() || ended {
-                self.keep_links(&news);
+                self.keep_links(&update);
             }
         }
     }
@@ -238,7 +238,7 @@
     }
 
     /// A link to everybody who is in the group or awaited, and to nobody else.
-    fn keep_links(&mut self, news: &mpsc::Sender<News>) {
+    fn keep_links(&mut self, update: &mpsc::Sender<Update>) {
         let Place::In(peer) = &self.place else { return };
         let others = peer.others();
         self.links.retain(|name, link| {
@@ -260,7 +260,7 @@
                     self.who.clone(),
                     name,
                     address,
-                    news.clone(),
+                    update.clone(),
                     self.counts.clone(),
                 )
             });
@@ -291,31 +291,31 @@
         }
     }
 
-    fn take(&mut self, news: News) {
+    fn take(&mut self, update: Update) {
         let now = self.now();
         let Place::In(peer) = &mut self.place else {
             return;
         };
-        match news {
-            News::Greeted(name, newest) => peer.greeted(&name, newest),
-            News::Frame(name, id, frame) => peer.hear(now, &name, id, *frame),
-            News::Broken(name) => peer.broken(&name),
-            News::Fan(number, name, outlet) => {
-                if self.fans.len() >= MOST_FOLLOWERS {
+        match update {
+            Update::Greeted(name, newest) => peer.greeted(&name, newest),
+            Update::Frame(name, id, frame) => peer.hear(now, &name, id, *frame),
+            Update::Broken(name) => peer.broken(&name),
+            Update::Fan(number, name, outlet) => {
+                if self.fans.len() >= MAX_FOLLOWERS {
                     outlet.close();
                 } else {
                     tracing::info!(name, "is followed by");
                     self.fans.insert(number, outlet);
                 }
             }
-            News::FanFrame(number, frame) => {
+            Update::FanFrame(number, frame) => {
                 let served =
                     self.fans.contains_key(&number) && peer.hear_follower(now, number, *frame);
                 if !served {
                     self.fans.remove(&number).inspect(|outlet| outlet.close());
                 }
             }
-            News::FanGone(number) => {
+            Update::FanGone(number) => {
                 self.fans.remove(&number);
                 peer.follower_gone(number);
             }
@@ -384,9 +384,9 @@
                 member.step_down();
             }
         }
-        if now - self.logged > FIGURES_MS {
+        if now - self.logged > STATISTICS_INTERVAL_MS {
             self.logged = now;
-            self.log_figures(now);
+            self.log_statistics(now);
         }
     }
 
@@ -494,7 +494,7 @@
         }
     }
 
-    fn log_figures(&mut self, now: f64) {
+    fn log_statistics(&mut self, now: f64) {
         let Some(member) = self.member() else { return };
         let status = member.status(now);
         let lags: Vec<String> = status
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,5 +1,5 @@
 //! This ingress in a group with others. It owns the group's thread, and the door between it and the rest: calls go in,
-//! answers and what the group holds come out. It must never let a service client's command wait for the group, nor
+//! answers and what the group holds come out. It must never let a client's request wait for the group, nor
 //! exist where the operator's file has no `[group]`: then there is no thread, no listener and no file.
 
 mod cached_replica;
@@ -12,7 +12,7 @@
 use cached_replica::Kept;
 pub use cached_replica::KeptError;
 use driftgap_group::{
-    is_name, Document, Kind, Member, MemberStatus, Outcome, Settings, Wish, FORMS, MOST_DOCUMENT,
+    is_name, Document, Kind, Member, MemberStatus, Outcome, Settings, Wish, FORMS, MAX_DOCUMENT,
 };
 use follower_task::Following;
 use member_task::Engine;
@@ -26,9 +26,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Most calls that wait for the group's thread.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 /// The group answers a call by itself before this; if not, its thread hangs on its disk.
-const PATIENCE: Duration = Duration::from_millis(2600);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2600);
 
 /// At a start whose file is torn or missing the group's answer is waited for so long.
 const ANSWER_AT_START: Duration = Duration::from_secs(5);
@@ -107,12 +107,9 @@
         if let Some(name) = self.members.keys().find(|name| !is_name(name)) {
             return Err(("group.members", format!("{name:?} is no name of a member")));
         }
-        let (least, most) = (driftgap_group::LEAST_MEMBERS, driftgap_group::MOST_MEMBERS);
-        if !(least..=most).contains(&self.members.len()) {
-            return Err((
-                "group.members",
-                format!("must be {least} to {most} members"),
-            ));
+        let (min, max) = (driftgap_group::MIN_MEMBERS, driftgap_group::MAX_MEMBERS);
+        if !(min..=max).contains(&self.members.len()) {
+            return Err(("group.members", format!("must be {min} to {max} members")));
         }
         if self
             .form
@@ -154,7 +151,7 @@
 /// What the group holds, as this ingress knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Instances that are out.
+    /// Endpoints that are out.
     pub out: Arc<BTreeSet<String>>,
     /// The last accepted versions of what operators write.
     pub documents: Arc<BTreeMap<Kind, Document>>,
@@ -216,7 +213,7 @@
     ) -> Result<T, bool> {
         let (answer, answered) = oneshot::channel();
         self.requests.try_send(request(answer)).map_err(|_| false)?;
-        match tokio::time::timeout(PATIENCE, answered).await {
+        match tokio::time::timeout(CLIENT_TIMEOUT, answered).await {
             Ok(Ok(answer)) => Ok(answer),
             _ => Err(true),
         }
@@ -299,7 +296,7 @@
     /// Hands in what was accepted here, until the group has it or a later one. At a start the group's own is left as
     /// it is: a file that was forgotten on one machine is no news.
     pub async fn hand_in(self, kind: Kind, bytes: Vec<u8>, at_start: bool) {
-        if bytes.len() > MOST_DOCUMENT {
+        if bytes.len() > MAX_DOCUMENT {
             return tracing::warn!(
                 ?kind,
                 bytes = bytes.len(),
@@ -462,13 +459,13 @@
         }
         _ => None,
     };
-    let (requests, asked) = mpsc::channel(MOST_WAITING);
+    let (requests, asked) = mpsc::channel(MAX_WAITING);
     let (viewed, view) = watch::channel(View::default());
     let (settings, name) = (settings.clone(), name.to_string());
     std::thread::Builder::new()
         .name("group".into())
         .spawn(move || {
-            // Whatever goes wrong there ends there: calls are told so, and commands are served on.
+            // Whatever goes wrong there ends there: calls are told so, and requests are served on.
             let run = std::panic::AssertUnwindSafe(|| -> std::io::Result<()> {
                 let runtime = tokio::runtime::Builder::new_current_thread()
                     .enable_all()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions of an admission gateway for a service sold by plan: which requests are let in, refused,
+//! Decisions of an admission ingress for a service sold by plan: which requests are let in, refused,
 //! sent where, tried again.
 //!
-//! The module is sans-I/O: a [`Gateway`] takes one [`Event`] at a time with the time of the event and
+//! The module is sans-I/O: a [`DecisionEngine`] takes one [`Event`] at a time with the time of the event and
 //! appends [`Action`]s for the program that embeds it. The same events give the same actions.
 //!
 //! ```
 //! use driftgap::decision::*;
 //!
 //! let settings = Settings {
-//!     gateways: 2,
+//!     ingresses: 2,
 //!     position: 0,
 //!     zone: 0,
 //!     classes: vec![Class {
@@ -47,21 +47,21 @@
 //!     overload_factor: 3.0,
 //!     tip_after: 2.0,
 //! };
-//! let mut gateway = Gateway::new(settings, 7)?;
+//! let mut ingress = Gateway::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of hosts.
+//! // The list of endpoints.
 //! let entry =
-//!     HostEntry { host: 42, zone: 0, cell: 0, state: HostState::Ready, size: 1.0, started: 0.0, pools: ALL_HOSTS };
-//! gateway.handle(100.0, Event::Hosts { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//!     HostEntry { endpoint: 42, zone: 0, cell: 0, state: HostState::Ready, size: 1.0, started: 0.0, pools: ALL_HOSTS };
+//! ingress.handle(100.0, Event::Endpoints { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //!
-//! // A request waits while the counter is asked for a block of its customer's units ...
+//! // A request waits while the counter is asked for a block of its tenant's units ...
 //! let request = Request {
 //!     id: 1,
 //!     give_up: 202.0,
 //!     class: 0,
 //!     plan: 0,
-//!     customer: 9,
+//!     tenant: 9,
 //!     units: 2.0,
 //!     spread: 2,
 //!     first: 0,
@@ -69,7 +69,7 @@
 //!     pools: ALL_HOSTS,
 //! };
 //! actions.clear();
-//! gateway.handle(200.1, Event::Arrived(request), &mut actions);
+//! ingress.handle(200.1, Event::Arrived(request), &mut actions);
 //! let call = actions.iter().find_map(|a| match a {
 //!     Action::Count { name, amount, .. } => Some((*name, *amount)),
 //!     _ => None,
@@ -78,8 +78,8 @@
 //!
 //! // ... is let in by the answer and sent ...
 //! actions.clear();
-//! gateway.handle(200.11, Event::Counted { name, outcome: Outcome::Ok, total: amount }, &mut actions);
-//! assert!(actions.contains(&Action::Send { id: 1, host: 42, timeout: 0.0 }));
+//! ingress.handle(200.11, Event::Counted { name, outcome: Outcome::Ok, total: amount }, &mut actions);
+//! assert!(actions.contains(&Action::Send { id: 1, endpoint: 42, timeout: 0.0 }));
 //!
 //! // ... and answered: the client has its answer, so nothing more is owed.
 //! actions.clear();
@@ -91,7 +91,7 @@
 //!     settled: None,
 //!     report: vec![],
 //! });
-//! gateway.handle(200.2, ended, &mut actions);
+//! ingress.handle(200.2, ended, &mut actions);
 //! assert!(actions.is_empty());
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use driftgap::cli::check;
 use driftgap::cli::logging::{self, LogFormat};
 use driftgap::cli::rules::{self, Sample};
-use driftgap::config::operator_file::Operator;
+use driftgap::config::operator_file::OperatorFile;
 use driftgap::config::settings::{address_of, Config};
 use driftgap::group;
 use driftgap::runtime::server::{self, Signals};
@@ -21,7 +21,7 @@
 
 /// An ingress for a service sold by plan: admission, quota, routing and retries.
 ///
-/// Without a sub-command it serves.
+/// Without a sub-request it serves.
 #[derive(Debug, Parser)]
 #[command(name = "driftgap", version)]
 struct Line {
@@ -46,7 +46,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Task {
-    /// Serves until SIGTERM or SIGINT; as without a sub-command.
+    /// Serves until SIGTERM or SIGINT; as without a sub-request.
     Serve,
     /// Reads all that `serve` would read; one line a fault, and status 2 if there is one. Else it warns of unknown
     /// settings and says what they mean.
@@ -170,8 +170,8 @@
         .transpose();
     let clients = clients.map_err(|e| format!("EDGE_ACCEPT_FD: {e}"))?;
     let operator = match operator {
-        Some(path) => Operator::read(&path).map_err(|e| format!("{}: {e}", path.display()))?,
-        None => Operator::default(),
+        Some(path) => OperatorFile::read(&path).map_err(|e| format!("{}: {e}", path.display()))?,
+        None => OperatorFile::default(),
     };
     server::run(signals, path, config, operator, clients)
         .await
@@ -233,11 +233,11 @@
 ) -> Result<(bool, String), String> {
     let path = config.ok_or("EDGE_CONFIG: not set")?;
     let config = Config::read(&path).map_err(|e| format!("EDGE_CONFIG: {e}"))?;
-    let told =
+    let notified =
         |text: String| call(&config, &text).map(|answer| (answer.starts_with("ACK"), answer));
     let file = || -> Result<(group::GroupSettings, PathBuf), String> {
         let path = operator.clone().ok_or("DRIFTGAP_OPERATOR: not set")?;
-        let operator = Operator::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let operator = OperatorFile::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let settings = operator
             .group
             .ok_or_else(|| format!("{}: has no [group]", path.display()))?;
@@ -260,11 +260,11 @@
                 .map_err(|e| e.to_string())?;
             Ok((true, said))
         }
-        GroupTask::Status => told("GROUP STATUS".into()),
-        GroupTask::Add { name, address } => told(format!("GROUP ADD {name} {address}")),
-        GroupTask::Remove { name } => told(format!("GROUP REMOVE {name}")),
+        GroupTask::Status => notified("GROUP STATUS".into()),
+        GroupTask::Add { name, address } => notified(format!("GROUP ADD {name} {address}")),
+        GroupTask::Remove { name } => notified(format!("GROUP REMOVE {name}")),
         GroupTask::Replace { old, new, address } => {
-            told(format!("GROUP REPLACE {old} {new} {address}"))
+            notified(format!("GROUP REPLACE {old} {new} {address}"))
         }
     }
 }
--- a/src/plugin/mod.rs
+++ b/src/plugin/mod.rs
@@ -1,10 +1,10 @@
-//! The operator's hook: a script that sees each command before the decision and may pass, nack or annotate
+//! The operator's hook: a script that sees each request before the decision and may pass, rejection or annotate
 //! it. It owns the embedded engine and its bounds on operations, depth and memory. It must never show a
 //! script a socket, a file or the time, let it touch quotas, a class's effect or an answer, or take the
 //! ingress down: a script that fails at run time is logged, and the operator's setting decides.
 
 use crate::config::settings::Platform;
-use crate::request::Command;
+use crate::request::ClientRequest;
 use rhai::{CallFnOptions, Dynamic, Engine, EvalAltResult, Map, Scope, AST};
 use serde::Deserialize;
 use std::cell::Cell;
@@ -12,16 +12,16 @@
 
 /// The function that a script must have.
 const HOOK: &str = "decide";
-/// Most notes on a command, longest name and value of one.
-const MOST_NOTES: usize = 8;
-const MOST_NAME: usize = 32;
-const MOST_VALUE: usize = 128;
+/// Most notes on a request, longest name and value of one.
+const MAX_NOTES: usize = 8;
+const MAX_NAME: usize = 32;
+const MAX_VALUE: usize = 128;
 /// Longest that a script may send a client away, ms.
-const MOST_AWAY: i64 = 60_000;
+const MAX_AWAY: i64 = 60_000;
 /// Failures are logged this often, ms.
 const LOG_MS: f64 = 5000.0;
 
-/// What happens to a command when the script fails on it.
+/// What happens to a request when the script fails on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnError {
@@ -29,7 +29,8 @@
     #[default]
     Pass,
     /// It is refused.
-    Nack,
+    #[serde(rename = "nack")]
+    Reject,
 }
 
 /// The operator's settings of the hook.
@@ -38,10 +39,10 @@
 pub struct PluginSettings {
     /// The script.
     pub script: PathBuf,
-    /// What a failing script does to a command.
+    /// What a failing script does to a request.
     #[serde(default)]
     pub on_error: OnError,
-    /// Most operations for one command.
+    /// Most operations for one request.
     #[serde(default = "operations")]
     pub operations: u64,
     /// Most bytes in one text, and entries in one list or map.
@@ -73,11 +74,11 @@
 
 /// What the script wants.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum PluginVerdict {
     /// Go on, with these notes.
     Pass(Vec<(String, String)>),
     /// Refuse, and come back after so long, ms.
-    Nack(f64),
+    Reject(f64),
 }
 
 /// A loaded script.
@@ -141,10 +142,10 @@
         })
     }
 
-    /// What the script wants of a command.
-    pub fn decide(&self, now: f64, platform: &Platform, command: &Command) -> Wish {
+    /// What the script wants of a request.
+    pub fn decide(&self, now: f64, platform: &Platform, request: &ClientRequest) -> PluginVerdict {
         let options = CallFnOptions::new().eval_ast(false);
-        let seen = (seen(platform, command),);
+        let seen = (seen(platform, request),);
         let result: Result<Dynamic, Box<EvalAltResult>> =
             self.engine
                 .call_fn_with_options(options, &mut Scope::new(), &self.script, HOOK, seen);
@@ -164,44 +165,41 @@
             );
         }
         match self.on_error {
-            OnError::Pass => Wish::Pass(Vec::new()),
-            OnError::Nack => Wish::Nack(1000.0),
+            OnError::Pass => PluginVerdict::Pass(Vec::new()),
+            OnError::Reject => PluginVerdict::Reject(1000.0),
         }
     }
 }
 
-/// A command as the script sees it: a copy, so that nothing it does comes back.
-fn seen(platform: &Platform, command: &Command) -> Map {
-    let ask = &command.ask;
+/// A request as the script sees it: a copy, so that nothing it does comes back.
+fn seen(platform: &Platform, request: &ClientRequest) -> Map {
+    let ask = &request.ask;
     let mut map = Map::new();
     map.insert("class".into(), platform.classes[ask.class].clone().into());
     map.insert("plan".into(), platform.plans[ask.plan].clone().into());
-    map.insert("partner".into(), command.customer.clone().into());
-    map.insert("id".into(), command.id.clone().into());
+    map.insert("partner".into(), request.tenant.clone().into());
+    map.insert("id".into(), request.id.clone().into());
     map.insert("units".into(), ask.units.into());
     map.insert("retry".into(), ask.repeat.into());
-    map.insert("patience_ms".into(), command.patience_ms.into());
+    map.insert("patience_ms".into(), request.client_timeout_ms.into());
     map.insert(
         "body_bytes".into(),
-        (command.body.as_ref().map_or(0, Vec::len) as i64).into(),
+        (request.body.as_ref().map_or(0, Vec::len) as i64).into(),
     );
     map
 }
 
-fn wish(result: Dynamic) -> Result<Wish, &'static str> {
+fn wish(result: Dynamic) -> Result<PluginVerdict, &'static str> {
     if result.is_unit() {
-        return Ok(Wish::Pass(Vec::new()));
+        return Ok(PluginVerdict::Pass(Vec::new()));
     }
     let Some(map) = result.try_cast::<Map>() else {
         return Err("the hook returned neither () nor a map");
     };
     if let Some(after) = map.get("nack") {
-        let ms = after
-            .as_int()
-            .ok()
-            .filter(|ms| (0..=MOST_AWAY).contains(ms));
+        let ms = after.as_int().ok().filter(|ms| (0..=MAX_AWAY).contains(ms));
         return ms
-            .map(|ms| Wish::Nack(ms as f64))
+            .map(|ms| PluginVerdict::Reject(ms as f64))
             .ok_or("nack is not a number from 0 to 60000");
     }
     let Some(notes) = map.get("notes") else {
@@ -210,21 +208,20 @@
     let Some(notes) = notes.clone().try_cast::<Map>() else {
         return Err("notes is not a map");
     };
-    if notes.len() > MOST_NOTES {
+    if notes.len() > MAX_NOTES {
         return Err("more than 8 notes");
     }
     let mut list = Vec::with_capacity(notes.len());
     for (name, value) in notes {
         let value = value.to_string();
         let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-        let named = !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(plain);
-        if !named || value.len() > MOST_VALUE || !value.bytes().all(|b| (b' '..=b'~').contains(&b))
-        {
+        let named = !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain);
+        if !named || value.len() > MAX_VALUE || !value.bytes().all(|b| (b' '..=b'~').contains(&b)) {
             return Err("a note's name or value cannot be carried");
         }
         list.push((name.to_string(), value));
     }
-    Ok(Wish::Pass(list))
+    Ok(PluginVerdict::Pass(list))
 }
 
 #[cfg(test)]
@@ -242,15 +239,15 @@
         }
     }
 
-    fn decide(script: &str, on_error: OnError) -> Wish {
+    fn decide(script: &str, on_error: OnError) -> PluginVerdict {
         let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
         let platform = crate::config::settings::Config::parse(&config)
             .unwrap()
             .platform;
         let list = "c=book-rebroadcast,t=city,d=900,units=2,spread=1,first=0".to_string();
-        let command = Command::new(&platform, "0000000000000007", "k1", list, None).unwrap();
+        let request = ClientRequest::new(&platform, "0000000000000007", "k1", list, None).unwrap();
         let plugin = Plugin::new(&settings(on_error), "hook.rhai".into(), script).unwrap();
-        plugin.decide(0.0, &platform, &command)
+        plugin.decide(0.0, &platform, &request)
     }
 
     #[test]
@@ -258,12 +255,12 @@
         let script = r#"fn decide(command) {
             if command.plan == "city" && command.units > 1.0 { return #{ nack: 250 }; }
         }"#;
-        assert_eq!(decide(script, OnError::Pass), Wish::Nack(250.0));
+        assert_eq!(decide(script, OnError::Pass), PluginVerdict::Reject(250.0));
         assert_eq!(
-            decide("fn decide(c) { c.units = 0.0; }", OnError::Nack),
-            Wish::Pass(vec![])
+            decide("fn decide(c) { c.units = 0.0; }", OnError::Reject),
+            PluginVerdict::Pass(vec![])
         );
-        let noted = Wish::Pass(vec![("origin".into(), "0000000000000007".into())]);
+        let noted = PluginVerdict::Pass(vec![("origin".into(), "0000000000000007".into())]);
         assert_eq!(
             decide(
                 "fn decide(c) { #{ notes: #{ origin: c.partner } } }",
@@ -287,12 +284,12 @@
         ] {
             assert_eq!(
                 decide(script, OnError::Pass),
-                Wish::Pass(vec![]),
+                PluginVerdict::Pass(vec![]),
                 "{script}"
             );
             assert_eq!(
-                decide(script, OnError::Nack),
-                Wish::Nack(1000.0),
+                decide(script, OnError::Reject),
+                PluginVerdict::Reject(1000.0),
                 "{script}"
             );
         }
--- a/src/protocol/http2.rs
+++ b/src/protocol/http2.rs
@@ -1,13 +1,13 @@
-//! Commands, answers and replies as HTTP/2 carries them, for the front and for instances alike. It owns the
+//! Requests, answers and replies as HTTP/2 carries them, for the front and for endpoints alike. It owns the
 //! names of the headers (README documents them), the bounds on bodies, and the word on which failures prove
-//! that a command never ran. It must never open a connection or decide about a command.
+//! that a request never ran. It must never open a connection or decide about a request.
 
-use crate::buffer::body_stream::Outlet;
+use crate::buffer::body_stream::BodyReceiver;
 use crate::config::settings::Platform;
-use crate::decision::{Effect, Outcome};
+use crate::decision::{Idempotency, Outcome};
 use crate::frontend::advice;
-use crate::protocol::resp::MOST_VALUE;
-use crate::request::{pairs, Answer, Command, Value};
+use crate::protocol::resp::MAX_VALUE;
+use crate::request::{pairs, ClientRequest, FinalAnswer, ResponseBody};
 use bytes::Bytes;
 use h2::{Reason, RecvStream};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
@@ -16,13 +16,13 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Where commands go, followed by the class.
-pub const COMMANDS: &str = "/commands/";
-/// The partner, 16 hexadecimal digits.
-pub const CUSTOMER: &str = "api-customer";
-/// The command's id.
+/// Where requests go, followed by the class.
+pub const REQUEST_PATH_PREFIX: &str = "/commands/";
+/// The tenant, 16 hexadecimal digits.
+pub const TENANT: &str = "api-customer";
+/// The request's id.
 pub const ID: &str = "req-id";
-/// The partner's plan.
+/// The tenant's plan.
 pub const PLAN: &str = "api-plan";
 /// How long the sender will wait, ms, counted from its send.
 pub const DEADLINE: &str = "req-deadline-ms";
@@ -34,18 +34,18 @@
 const OWN: [&str; 5] = ["c", "t", "d", "r", "k"];
 /// Beside `retry-after`, which counts whole seconds: the advice in milliseconds.
 pub const RETRY_MS: &str = "retry-after-ms";
-/// To an instance: what the operator's hook noted, by name.
+/// To an endpoint: what the operator's hook noted, by name.
 pub const NOTE: &str = "api-note-";
-/// From an instance: the command was turned away unseen and never ran.
+/// From an endpoint: the request was rejected unseen and never ran.
 pub const DECLINED: &str = "srv-declined";
-/// From an instance: its load report.
+/// From an endpoint: its load report.
 pub const LOAD: &str = "srv-load";
-/// From an instance: the figures on use, as on the platform's wire: `used=37,cost=4`.
+/// From an endpoint: the figures on use, as on the platform's wire: `used=37,cost=4`.
 pub const USE: &str = "srv-use";
-/// The key by which instances know a repeat, for classes that carry one.
+/// The key by which endpoints know a repeat, for classes that carry one.
 pub const KEY: &str = "idempotency-key";
 
-/// A request that is no command; the text names the header.
+/// A request that is no request; the text names the header.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct BadRequest(pub String);
@@ -63,7 +63,7 @@
         .map_err(|_| BadRequest(format!("{name} is not text")))
 }
 
-/// The terms of a command from its headers, and how long the sender waits, ms.
+/// The terms of a request from its headers, and how long the sender waits, ms.
 ///
 /// # Errors
 /// The header that makes no sense.
@@ -104,51 +104,51 @@
     Ok((terms, ms))
 }
 
-/// A command as a request to an instance, which is told how long this ingress will wait.
+/// A request as a request to an endpoint, which is told how long this ingress will wait.
 ///
 /// # Errors
 /// A value that no header can hold.
-pub fn request(
+pub fn upstream_request(
     platform: &Platform,
-    command: &Command,
+    request: &ClientRequest,
     wait_ms: f64,
 ) -> Result<Request<()>, http::Error> {
-    let class = command.ask.class;
-    let safe = platform.module.classes[class].effect == Effect::Safe;
-    let method = if safe && command.body.is_none() {
+    let class = request.ask.class;
+    let safe = platform.module.classes[class].effect == Idempotency::Safe;
+    let method = if safe && request.body.is_none() {
         Method::GET
     } else {
         Method::POST
     };
-    let mut terms = String::with_capacity(command.terms.len());
-    for (name, value) in pairs(&command.terms).filter(|(name, _)| !OWN.contains(name)) {
+    let mut terms = String::with_capacity(request.terms.len());
+    for (name, value) in pairs(&request.terms).filter(|(name, _)| !OWN.contains(name)) {
         let comma = if terms.is_empty() { "" } else { "," };
         terms.extend([comma, name, "=", value]);
     }
-    let mut request = Request::builder()
+    let mut builder = Request::builder()
         .method(method)
         .uri(format!(
-            "http://instance{COMMANDS}{}",
+            "http://instance{REQUEST_PATH_PREFIX}{}",
             platform.classes[class]
         ))
-        .header(CUSTOMER, &command.customer)
-        .header(ID, &command.id)
-        .header(PLAN, &platform.plans[command.ask.plan])
+        .header(TENANT, &request.tenant)
+        .header(ID, &request.id)
+        .header(PLAN, &platform.plans[request.ask.plan])
         .header(DEADLINE, wait_ms.max(1.0) as u64)
         .header(TERMS, terms);
-    if let Some((_, key)) = pairs(&command.terms).find(|(name, _)| *name == "k") {
-        request = request.header(KEY, key);
+    if let Some((_, key)) = pairs(&request.terms).find(|(name, _)| *name == "k") {
+        builder = builder.header(KEY, key);
     }
-    if command.ask.repeat {
-        request = request.header(RETRY, "1");
+    if request.ask.repeat {
+        builder = builder.header(RETRY, "1");
     }
-    for (name, value) in &command.notes {
-        request = request.header(format!("{NOTE}{name}"), value);
+    for (name, value) in &request.notes {
+        builder = builder.header(format!("{NOTE}{name}"), value);
     }
-    request.body(())
+    builder.body(())
 }
 
-/// What an instance's status means; 200 is served once its body is whole.
+/// What an endpoint's status means; 200 is served once its body is whole.
 pub fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let turned_away =
         status == StatusCode::TOO_MANY_REQUESTS || status == StatusCode::SERVICE_UNAVAILABLE;
@@ -177,7 +177,7 @@
     let mut body = Vec::new();
     while let Some(part) = timeout(stalled, stream.data()).await.ok()? {
         let part = part.ok()?;
-        if body.len() + part.len() > MOST_VALUE {
+        if body.len() + part.len() > MAX_VALUE {
             return None;
         }
         body.extend_from_slice(&part);
@@ -196,26 +196,28 @@
 /// A body of an answer.
 pub enum Body {
     /// All of it; empty: there is none.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It goes out while it comes.
-    Coming(Rc<Outlet>),
+    Streaming(Rc<BodyReceiver>),
 }
 
 /// An answer as a status, headers and a body.
-pub fn wording(answer: Answer) -> (Response<()>, Body) {
-    let bare = |response| (response, Body::Whole(Bytes::new()));
+pub fn wording(answer: FinalAnswer) -> (Response<()>, Body) {
+    let bare = |response| (response, Body::Complete(Bytes::new()));
     match answer {
-        Answer::Served(Value::Whole(value)) => (plain(StatusCode::OK), Body::Whole(value.into())),
-        Answer::Served(Value::Coming(value)) => {
+        FinalAnswer::Served(ResponseBody::Complete(value)) => {
+            (plain(StatusCode::OK), Body::Complete(value.into()))
+        }
+        FinalAnswer::Served(ResponseBody::Streaming(value)) => {
             let mut response = plain(StatusCode::OK);
             response
                 .headers_mut()
                 .insert(http::header::CONTENT_LENGTH, value.size().into());
-            (response, Body::Coming(value))
+            (response, Body::Streaming(value))
         }
-        Answer::Nack { after_ms } => {
+        FinalAnswer::Rejected { retry_after_ms } => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
-            let ms = advice(after_ms).unwrap_or(0);
+            let ms = advice(retry_after_ms).unwrap_or(0);
             response
                 .headers_mut()
                 .insert("retry-after", ms.div_ceil(1000).max(1).into());
@@ -224,15 +226,15 @@
             }
             bare(response)
         }
-        Answer::Failed { late: true } => bare(plain(StatusCode::GATEWAY_TIMEOUT)),
-        Answer::Failed { late: false } => bare(plain(StatusCode::BAD_GATEWAY)),
+        FinalAnswer::Failed { late: true } => bare(plain(StatusCode::GATEWAY_TIMEOUT)),
+        FinalAnswer::Failed { late: false } => bare(plain(StatusCode::BAD_GATEWAY)),
     }
 }
 
 /// Sends a value while it comes, as the window opens; false: one side has ended.
 pub async fn push_coming(
     stream: &mut h2::SendStream<Bytes>,
-    value: &Outlet,
+    value: &BodyReceiver,
     patience: Duration,
 ) -> bool {
     while !value.over() {
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -4,7 +4,7 @@
 //! or a clock, nor panic on any input.
 
 use crate::config::settings::Platform;
-use crate::request::{decimal, pairs, BadCommand, Command};
+use crate::request::{decimal, pairs, ClientRequest, InvalidRequest};
 use std::io::Write;
 use winnow::ascii::crlf;
 use winnow::combinator::{alt, preceded, terminated};
@@ -14,17 +14,17 @@
 use winnow::token::{literal, take, take_while};
 
 /// Longest value that is taken whole; a longer one is passed on while it comes.
-pub const MOST_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE: usize = 64 * 1024;
 /// Longest value of all.
-pub const MOST_PASSED: usize = 4 * 1024 * 1024;
-/// Most words in a command.
-const MOST_WORDS: usize = 16;
+pub const MAX_PASSED: usize = 4 * 1024 * 1024;
+/// Most words in a request.
+const MAX_WORDS: usize = 16;
 /// Longest head of an HTTP answer, line of a RESP reply.
-const MOST_LINE: usize = 16 * 1024;
-/// Longest HTTP body: a long list of instances.
-const MOST_BODY: usize = 4 * 1024 * 1024;
+const MAX_LINE: usize = 16 * 1024;
+/// Longest HTTP body: a long list of endpoints.
+const MAX_BODY: usize = 4 * 1024 * 1024;
 /// Deepest array in a reply.
-const MOST_DEPTH: usize = 4;
+const MAX_DEPTH: usize = 4;
 
 type In<'a> = Partial<&'a [u8]>;
 
@@ -32,7 +32,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
     /// A whole message and its length in bytes.
-    Whole(T, usize),
+    Complete(T, usize),
     /// More bytes are wanted, so many at the least: to look again before they are there is for nothing.
     More(usize),
 }
@@ -48,7 +48,7 @@
 ) -> Result<Parsed<T>, Malformed> {
     let mut input = Partial::new(bytes);
     match parser.parse_next(&mut input) {
-        Ok(value) => Ok(Parsed::Whole(value, bytes.len() - input.len())),
+        Ok(value) => Ok(Parsed::Complete(value, bytes.len() - input.len())),
         Err(ErrMode::Incomplete(Needed::Size(n))) => Ok(Parsed::More(n.get())),
         Err(ErrMode::Incomplete(Needed::Unknown)) => Ok(Parsed::More(1)),
         Err(_) => Err(Malformed),
@@ -67,7 +67,7 @@
 
 fn bulk<'a>(input: &mut In<'a>) -> ModalResult<&'a [u8]> {
     let size = preceded(literal(b"$"), number).parse_next(input)?;
-    if size > MOST_VALUE {
+    if size > MAX_VALUE {
         return fail();
     }
     terminated(take(size), crlf).parse_next(input)
@@ -75,21 +75,21 @@
 
 fn words<'a>(input: &mut In<'a>) -> ModalResult<Vec<&'a [u8]>> {
     let count = preceded(literal(b"*"), number).parse_next(input)?;
-    if count == 0 || count > MOST_WORDS {
+    if count == 0 || count > MAX_WORDS {
         return fail();
     }
     (0..count).map(|_| bulk(input)).collect()
 }
 
-/// The next command of a service client, as words.
+/// The next request of a client, as words.
 ///
 /// # Errors
-/// Bytes that can never become a command.
-pub fn command_words(bytes: &[u8]) -> Result<Parsed<Vec<&[u8]>>, Malformed> {
+/// Bytes that can never become a request.
+pub fn request_words(bytes: &[u8]) -> Result<Parsed<Vec<&[u8]>>, Malformed> {
     whole(bytes, words)
 }
 
-/// A reply of an instance.
+/// A reply of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<'a> {
     /// `+...` or `:...`
@@ -103,7 +103,7 @@
 }
 
 fn line<'a>(input: &mut In<'a>) -> ModalResult<&'a [u8]> {
-    if input.len() > MOST_LINE && !input[..MOST_LINE].contains(&b'\r') {
+    if input.len() > MAX_LINE && !input[..MAX_LINE].contains(&b'\r') {
         return fail();
     }
     terminated(take_while(0.., |b: u8| b != b'\r' && b != b'\n'), crlf).parse_next(input)
@@ -118,15 +118,15 @@
             let size = alt((literal(b"-1\r\n").value(None), number.map(Some))).parse_next(input)?;
             match size {
                 None => Ok(Reply::Bulk(None)),
-                Some(size) if size <= MOST_VALUE => terminated(take(size), crlf)
+                Some(size) if size <= MAX_VALUE => terminated(take(size), crlf)
                     .map(|b| Reply::Bulk(Some(b)))
                     .parse_next(input),
                 Some(_) => fail(),
             }
         }
-        b'*' if depth < MOST_DEPTH => {
+        b'*' if depth < MAX_DEPTH => {
             let count = alt((literal(b"-1\r\n").value(0), number)).parse_next(input)?;
-            if count > MOST_WORDS {
+            if count > MAX_WORDS {
                 return fail();
             }
             let items: ModalResult<Vec<_>> = (0..count).map(|_| reply(input, depth + 1)).collect();
@@ -136,11 +136,11 @@
     }
 }
 
-/// The next reply of an instance.
+/// The next reply of an endpoint.
 ///
 /// # Errors
 /// Bytes that can never become a reply.
-pub fn instance_reply(bytes: &[u8]) -> Result<Parsed<Reply<'_>>, Malformed> {
+pub fn endpoint_reply(bytes: &[u8]) -> Result<Parsed<Reply<'_>>, Malformed> {
     whole(bytes, reply_of)
 }
 
@@ -168,9 +168,9 @@
 /// Whether these bytes begin a reply with a value too long to be taken whole.
 pub fn large_reply(bytes: &[u8]) -> Option<Large> {
     match whole(bytes, large) {
-        Ok(Parsed::Whole((items, size), head)) => {
+        Ok(Parsed::Complete((items, size), head)) => {
             let passed =
-                (MOST_VALUE + 1..=MOST_PASSED).contains(&size) && (1..=MOST_WORDS).contains(&items);
+                (MAX_VALUE + 1..=MAX_PASSED).contains(&size) && (1..=MAX_WORDS).contains(&items);
             passed.then_some(Large { items, size, head })
         }
         _ => None,
@@ -209,38 +209,40 @@
     }
 }
 
-/// A platform command's words as a command of the core; `words` begins after the verb.
+/// A platform request's words as a request of the core; `words` begins after the verb.
 ///
 /// # Errors
 /// The first value that makes no sense.
-pub fn platform_command(
+pub fn parse_request(
     platform: &Platform,
     safe: bool,
     words: &[&[u8]],
-) -> Result<Command, BadCommand> {
-    let text = |i: usize, name| std::str::from_utf8(words[i]).map_err(|_| BadCommand::Term(name));
-    // Guards the instances' grammar: a query is never written with a body, anything else never without.
+) -> Result<ClientRequest, InvalidRequest> {
+    let text =
+        |i: usize, name| std::str::from_utf8(words[i]).map_err(|_| InvalidRequest::Term(name));
+    // Guards the endpoints' grammar: a query is never written with a body, anything else never without.
     if words.len() != if safe { 3 } else { 4 } {
-        return Err(BadCommand::Term("body"));
+        return Err(InvalidRequest::Term("body"));
     }
     let body = words.get(3).map(|b| b.to_vec());
     let terms = text(2, "terms")?.to_string();
-    let command = Command::new(platform, text(0, "customer")?, text(1, "id")?, terms, body)?;
+    let request = ClientRequest::new(platform, text(0, "customer")?, text(1, "id")?, terms, body)?;
     // Guards the rule on double effects: a class travels under its own verb only.
-    let effect = platform.module.classes[command.ask.class].effect;
-    if (effect == crate::decision::Effect::Safe) != safe {
-        return Err(BadCommand::Class);
+    let effect = platform.module.classes[request.ask.class].effect;
+    if (effect == crate::decision::Idempotency::Safe) != safe {
+        return Err(InvalidRequest::Class);
     }
-    Ok(command)
+    Ok(request)
 }
 
-/// The same command for an instance, which is told how long this ingress will wait.
-pub fn push_command(out: &mut Vec<u8>, platform: &Platform, command: &Command, wait_ms: f64) {
-    let safe = platform.module.classes[command.ask.class].effect == crate::decision::Effect::Safe;
+/// The same request for an endpoint, which is told how long this ingress will wait.
+pub fn push_request(out: &mut Vec<u8>, platform: &Platform, request: &ClientRequest, wait_ms: f64) {
+    let safe =
+        platform.module.classes[request.ask.class].effect == crate::decision::Idempotency::Safe;
     let verb: &[u8] = if safe { b"SVC.QUERY" } else { b"SVC.SUBMIT" };
     let wait = (wait_ms.max(1.0) as u64).to_string();
-    let mut list = String::with_capacity(command.terms.len() + wait.len());
-    for term in command.terms.split(',') {
+    let mut list = String::with_capacity(request.terms.len() + wait.len());
+    for term in request.terms.split(',') {
         if !list.is_empty() {
             list.push(',');
         }
@@ -251,20 +253,20 @@
     }
     let words = [
         verb,
-        command.customer.as_bytes(),
-        command.id.as_bytes(),
+        request.tenant.as_bytes(),
+        request.id.as_bytes(),
         list.as_bytes(),
     ];
-    let body = command.body.as_deref();
+    let body = request.body.as_deref();
     let count = words.len() + usize::from(body.is_some());
     push_words(out, count, words.into_iter().chain(body));
 }
 
-/// The true units of a command among the figures on use (`used=37,cost=4`), where units are settled by answers.
-/// Guards quotas: more units than the settings give one command are noise.
-pub fn cost(platform: &Platform, figures: &[u8]) -> Option<f64> {
+/// The true units of a request among the figures on use (`used=37,cost=4`), where units are settled by answers.
+/// Guards quotas: more units than the settings give one request are noise.
+pub fn cost(platform: &Platform, statistics: &[u8]) -> Option<f64> {
     let settings = &platform.module;
-    let text = std::str::from_utf8(figures)
+    let text = std::str::from_utf8(statistics)
         .ok()
         .filter(|_| settings.settled_later)?;
     let mut costs = pairs(text)
@@ -273,7 +275,7 @@
     let cost = costs
         .next()
         .flatten()
-        .filter(|cost| *cost <= settings.most_units);
+        .filter(|cost| *cost <= settings.max_units);
     cost.filter(|_| costs.next().is_none())
 }
 
@@ -305,7 +307,7 @@
         line(input)?;
         let hex = std::str::from_utf8(size).unwrap_or("");
         let size = usize::from_str_radix(hex, 16).unwrap_or(usize::MAX);
-        if size > MOST_BODY || body.len() + size > MOST_BODY {
+        if size > MAX_BODY || body.len() + size > MAX_BODY {
             return fail();
         }
         if size == 0 {
@@ -358,7 +360,7 @@
         let (name, value) = header(input)?;
         if name.eq_ignore_ascii_case(b"content-length") {
             let text = std::str::from_utf8(value).unwrap_or("");
-            let bytes = text.parse().ok().filter(|n| *n <= MOST_BODY);
+            let bytes = text.parse().ok().filter(|n| *n <= MAX_BODY);
             length = Some(bytes.ok_or(ErrMode::Cut(ContextError::new()))?);
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             in_chunks = value.eq_ignore_ascii_case(b"chunked");
--- a/src/protocol/resp/tests.rs
+++ b/src/protocol/resp/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
 #[test]
-fn commands_come_whole_in_parts_or_not_at_all() {
+fn requests_come_whole_in_parts_or_not_at_all() {
     let all = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
     for cut in 0..all.len() {
         assert!(
-            matches!(command_words(&all[..cut]), Ok(Parsed::More(n)) if n <= all.len() - cut),
+            matches!(request_words(&all[..cut]), Ok(Parsed::More(n)) if n <= all.len() - cut),
             "{cut}"
         );
     }
     assert_eq!(
-        command_words(all),
-        Ok(Parsed::Whole(vec![b"PING".as_slice(), b""], all.len()))
+        request_words(all),
+        Ok(Parsed::Complete(vec![b"PING".as_slice(), b""], all.len()))
     );
     let bad: [&[u8]; 6] = [
         b"PING\r\n",
@@ -22,26 +22,26 @@
         b"*1\r\n$1\r\nabc",
     ];
     for bytes in bad {
-        assert_eq!(command_words(bytes), Err(Malformed), "{bytes:?}");
+        assert_eq!(request_words(bytes), Err(Malformed), "{bytes:?}");
     }
 }
 
 #[test]
 fn replies_and_garbage() {
-    let whole = instance_reply(b"*3\r\n$2\r\nhi\r\n$-1\r\n*-1\r\n");
+    let whole = endpoint_reply(b"*3\r\n$2\r\nhi\r\n$-1\r\n*-1\r\n");
     let items = vec![
         Reply::Bulk(Some(b"hi")),
         Reply::Bulk(None),
         Reply::Array(vec![]),
     ];
-    assert_eq!(whole, Ok(Parsed::Whole(Reply::Array(items), 22)));
+    assert_eq!(whole, Ok(Parsed::Complete(Reply::Array(items), 22)));
     assert_eq!(
-        instance_reply(b"-BUSY\r\n"),
-        Ok(Parsed::Whole(Reply::Error(b"BUSY"), 7))
+        endpoint_reply(b"-BUSY\r\n"),
+        Ok(Parsed::Complete(Reply::Error(b"BUSY"), 7))
     );
-    assert_eq!(instance_reply(b"!what"), Err(Malformed));
+    assert_eq!(endpoint_reply(b"!what"), Err(Malformed));
     assert_eq!(
-        instance_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n"),
+        endpoint_reply(b"*1\r\n*1\r\n*1\r\n*1\r\n*1\r\n"),
         Err(Malformed)
     );
 }
@@ -60,7 +60,7 @@
         body: b"-42".to_vec(),
         close: true,
     };
-    assert_eq!(http_answer(all), Ok(Parsed::Whole(want, all.len())));
+    assert_eq!(http_answer(all), Ok(Parsed::Complete(want, all.len())));
     let parts =
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
     let want = HttpAnswer {
@@ -68,7 +68,7 @@
         body: b"abc".to_vec(),
         close: false,
     };
-    assert_eq!(http_answer(parts), Ok(Parsed::Whole(want, parts.len())));
+    assert_eq!(http_answer(parts), Ok(Parsed::Complete(want, parts.len())));
     assert_eq!(http_answer(b"SSH-2.0-x\r\n"), Err(Malformed));
     assert_eq!(
         http_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"),
@@ -87,7 +87,7 @@
     };
     assert_eq!(
         http_answer_at_end(bytes),
-        Ok(Parsed::Whole(want, bytes.len()))
+        Ok(Parsed::Complete(want, bytes.len()))
     );
     let bytes = b"HTTP/1.1 503 No\r\n\r\n";
     let want = HttpAnswer {
@@ -95,7 +95,7 @@
         body: Vec::new(),
         close: false,
     };
-    assert_eq!(http_answer(bytes), Ok(Parsed::Whole(want, bytes.len())));
+    assert_eq!(http_answer(bytes), Ok(Parsed::Complete(want, bytes.len())));
     let cut = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n12";
     assert!(matches!(http_answer_at_end(cut), Ok(Parsed::More(_))));
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,14 +1,14 @@
 //! The operator's rules in the ingress: from their file to a router, from a request of either wire to what rules
-//! see, from what they say to a command. It owns the turn between `driftgap_routes` and the core's terms. It
+//! see, from what they say to a request. It owns the turn between `driftgap_routes` and the core's terms. It
 //! must never decide where a request belongs (the rules do), whom to serve (the module does), or let a rule
-//! touch what the platform's protocol says of a command.
+//! touch what the platform's protocol says of a request.
 
 pub mod reload;
 
-use crate::config::operator_file::Operator;
+use crate::config::operator_file::OperatorFile;
 use crate::config::settings::Platform;
-use crate::decision::Effect;
-use crate::request::{BadCommand, Command};
+use crate::decision::Idempotency;
+use crate::request::{ClientRequest, InvalidRequest};
 use driftgap_routes::{
     Catalog, Effect as RuleEffect, Fault, Headers, Mapped, ReadOptions, Request, Rules,
 };
@@ -17,7 +17,7 @@
 use std::path::PathBuf;
 
 /// The part of the memory that rules may take where there are any: the file's text, the rules in force and those that
-/// a reload compiles anew, all together. Commands share what is left.
+/// a reload compiles anew, all together. Requests share what is left.
 pub const MEMORY_SHARE: f64 = 0.25;
 
 /// Where rules are read from.
@@ -27,12 +27,12 @@
     /// The table of the file that holds them; none: the file holds nothing else.
     part: Option<&'static str>,
     /// Bytes that the file's text, the rules in force and those that are compiled anew may take together.
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl Source {
     /// The operator's rules, if there are any, for an ingress with so much memory.
-    pub fn of(operator: &Operator, memory_mb: f64) -> Option<Source> {
+    pub fn of(operator: &OperatorFile, memory_mb: f64) -> Option<Source> {
         let routes = operator.routes.as_ref()?;
         let (path, part) = match &routes.file {
             Some(file) => (operator.folder.join(file), None),
@@ -41,7 +41,7 @@
         Some(Source {
             path,
             part,
-            most_bytes: most_bytes(memory_mb),
+            max_bytes: max_bytes(memory_mb),
         })
     }
 
@@ -50,13 +50,13 @@
         Source {
             path,
             part: None,
-            most_bytes: most_bytes(memory_mb),
+            max_bytes: max_bytes(memory_mb),
         }
     }
 
     /// Bytes that rules may take while they are read.
-    pub fn most_bytes(&self) -> usize {
-        self.most_bytes
+    pub fn max_bytes(&self) -> usize {
+        self.max_bytes
     }
 
     /// Reads them.
@@ -94,23 +94,23 @@
         let file = self.path.display().to_string();
         let options = ReadOptions {
             previous,
-            most_bytes: self.most_bytes,
+            max_bytes: self.max_bytes,
         };
         Rules::read_part(text, &file, self.part, catalog, &options)
     }
 }
 
 /// Bytes that rules may take, out of so much memory for the ingress.
-fn most_bytes(memory_mb: f64) -> usize {
+fn max_bytes(memory_mb: f64) -> usize {
     (memory_mb * 1e6 * MEMORY_SHARE) as usize
 }
 
 /// What rules are judged by.
 pub fn catalog(platform: &Platform) -> Catalog {
     let effect = |effect| match effect {
-        Effect::Safe => RuleEffect::Pure,
-        Effect::Keyed => RuleEffect::Token,
-        Effect::Unsafe => RuleEffect::SideEffect,
+        Idempotency::Safe => RuleEffect::Pure,
+        Idempotency::Keyed => RuleEffect::Token,
+        Idempotency::Unsafe => RuleEffect::SideEffect,
     };
     let effects = platform
         .module
@@ -120,20 +120,20 @@
     Catalog {
         classes: platform.classes.iter().cloned().zip(effects).collect(),
         plans: platform.plans.clone(),
-        most_units: platform.module.most_units,
+        max_units: platform.module.max_units,
     }
 }
 
-/// A command of the platform's wire as rules see it; `path` is [`path`]'s.
+/// A request of the platform's wire as rules see it; `path` is [`path`]'s.
 pub fn request_of<'a>(
     platform: &'a Platform,
-    command: &'a Command,
+    request: &'a ClientRequest,
     path: &'a str,
     headers: &'a dyn Headers,
     client: IpAddr,
 ) -> Request<'a> {
-    let ask = &command.ask;
-    let safe = platform.module.classes[ask.class].effect == Effect::Safe;
+    let ask = &request.ask;
+    let safe = platform.module.classes[ask.class].effect == Idempotency::Safe;
     Request {
         protocol: "resp",
         method: if safe { "GET" } else { "POST" },
@@ -143,22 +143,22 @@
         headers,
         class: Some(&platform.classes[ask.class]),
         plan: Some(&platform.plans[ask.plan]),
-        partner: Some(&command.customer),
-        id: Some(&command.id),
+        partner: Some(&request.tenant),
+        id: Some(&request.id),
         units: Some(ask.units),
-        deadline_ms: Some(command.patience_ms as i64),
+        deadline_ms: Some(request.client_timeout_ms as i64),
         retry: ask.repeat,
-        length: command.body.as_ref().map(|body| body.len() as i64),
+        length: request.body.as_ref().map(|body| body.len() as i64),
         client,
     }
 }
 
-/// The path that a command has on every wire.
-pub fn path(platform: &Platform, command: &Command) -> String {
+/// The path that a request has on every wire.
+pub fn path(platform: &Platform, request: &ClientRequest) -> String {
     format!(
         "{}{}",
         driftgap_routes::COMMANDS,
-        platform.classes[command.ask.class]
+        platform.classes[request.ask.class]
     )
 }
 
@@ -175,32 +175,32 @@
     }
 }
 
-/// The command that a rule has made of a request. What neither names is taken so that it holds for every
-/// ingress: all of them may be the partner's, and the class's deadline is how long its client waits.
+/// The request that a rule has made of a request. What neither names is taken so that it holds for every
+/// ingress: all of them may be the tenant's, and the class's deadline is how long its client waits.
 ///
 /// # Errors
 /// The value that makes no sense.
-pub fn command(
+pub fn request(
     platform: &Platform,
     mapped: Mapped,
     request: &Request<'_>,
-    fresh_id: impl FnOnce() -> String,
-) -> Result<Command, BadCommand> {
+    generate_request_id: impl FnOnce() -> String,
+) -> Result<ClientRequest, InvalidRequest> {
     let set = &platform.module;
     let said = |ours: Option<String>, theirs: Option<&str>, name| {
         ours.or_else(|| theirs.map(str::to_string))
-            .ok_or(BadCommand::Term(name))
+            .ok_or(InvalidRequest::Term(name))
     };
     let plan = said(mapped.plan, request.plan, "plan")?;
-    let partner = said(mapped.partner, request.partner, "customer")?;
+    let tenant = said(mapped.partner, request.partner, "customer")?;
     let units = mapped
         .units
         .or(request.units)
-        .ok_or(BadCommand::Term("units"))?;
+        .ok_or(InvalidRequest::Term("units"))?;
     let id = mapped
         .id
         .or_else(|| request.id.map(str::to_string))
-        .unwrap_or_else(fresh_id);
+        .unwrap_or_else(generate_request_id);
     let longest = (1e3 * set.classes[mapped.class].deadline) as i64;
     let deadline = mapped
         .deadline_ms
@@ -208,9 +208,9 @@
         .unwrap_or(longest);
     // Guards the platform's wire, on which a comma would begin a further term.
     if plan.contains(',') {
-        return Err(BadCommand::Term("plan"));
+        return Err(InvalidRequest::Term("plan"));
     }
-    let spread = mapped.spread.unwrap_or(i64::from(set.gateways));
+    let spread = mapped.spread.unwrap_or(i64::from(set.ingresses));
     let first = mapped.first.unwrap_or(0);
     let class = &platform.classes[mapped.class];
     let mut terms =
@@ -221,7 +221,7 @@
     for (name, value) in &mapped.terms {
         terms.extend([",", name, "=", value]);
     }
-    Command::new(platform, &partner, &id, terms, None)
+    ClientRequest::new(platform, &tenant, &id, terms, None)
 }
 
 #[cfg(test)]
@@ -242,7 +242,7 @@
     fn what_a_rule_leaves_out_is_the_clients_or_holds_everywhere() {
         let platform = platform();
         let list = "c=fetch-episode,t=city,d=900,units=2,spread=1,first=0".to_string();
-        let own = Command::new(&platform, "0000000000000007", "k1", list, None).unwrap();
+        let own = ClientRequest::new(&platform, "0000000000000007", "k1", list, None).unwrap();
         let path = path(&platform, &own);
         let seen = request_of(
             &platform,
@@ -262,9 +262,9 @@
             terms: vec![("episode".into(), "7".into())],
             ..Mapped::default()
         };
-        let made = command(&platform, mapped.clone(), &seen, || "fresh".into()).unwrap();
+        let made = request(&platform, mapped.clone(), &seen, || "fresh".into()).unwrap();
         assert_eq!(
-            (made.ask.units, &*made.id, made.patience_ms),
+            (made.ask.units, &*made.id, made.client_timeout_ms),
             (1.5, "k1", 900.0)
         );
         assert!(made.terms.ends_with(",episode=7"), "{}", made.terms);
@@ -274,13 +274,17 @@
             partner: None,
             ..seen
         };
-        let made = |mapped| command(&platform, mapped, &anonymous, || "fresh".into());
-        assert_eq!(made(mapped.clone()), Err(BadCommand::Term("customer")));
-        let partner = Some("0000000000000009".to_string());
-        let made = made(Mapped { partner, ..mapped }).unwrap();
+        let made = |mapped| request(&platform, mapped, &anonymous, || "fresh".into());
+        assert_eq!(made(mapped.clone()), Err(InvalidRequest::Term("customer")));
+        let tenant = Some("0000000000000009".to_string());
+        let made = made(Mapped {
+            partner: tenant,
+            ..mapped
+        })
+        .unwrap();
         let deadline = 1e3 * platform.module.classes[class].deadline;
         assert_eq!(
-            (&*made.id, made.patience_ms, made.ask.customer),
+            (&*made.id, made.client_timeout_ms, made.ask.tenant),
             ("fresh", deadline, 9)
         );
     }
--- a/src/routing/reload.rs
+++ b/src/routing/reload.rs
@@ -83,16 +83,16 @@
             self.asked_again = true;
             return;
         }
-        let (tell, told) = oneshot::channel();
-        self.reading = Some(told);
+        let (tell, notified) = oneshot::channel();
+        self.reading = Some(notified);
         let (source, catalog, last) = (self.source.clone(), self.catalog.clone(), self.last.take());
         let thread = thread::Builder::new().name(THREAD_NAME.into());
         match thread.spawn(move || read(&source, &catalog, in_force, last, tell)) {
             Ok(thread) => self.last = Some(thread),
             Err(error) => {
-                let (tell, told) = oneshot::channel();
+                let (tell, notified) = oneshot::channel();
                 let _ = tell.send(Err(error.into()));
-                self.reading = Some(told);
+                self.reading = Some(notified);
             }
         }
     }
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -1,18 +1,18 @@
-//! What all parts of the ingress share: the clock, the settings, the core with its commands, the name table, and
-//! who is owed which answer. It owns the way of effects out of the core (answers to their service clients, all
-//! else to the [`Network`]) and of news into it. It must never know a wire, a socket or a task, decide about a
-//! command, or hold the core while somebody else runs: the parts know the hub, and it knows none of them.
+//! What all parts of the ingress share: the clock, the settings, the core with its requests, the endpoint registry, and
+//! who is owed which answer. It owns the way of effects out of the core (answers to their clients, all
+//! else to the [`ActionExecutor`]) and of news into it. It must never know a wire, a socket or a task, decide about a
+//! request, or hold the core while somebody else runs: the parts know the dispatcher, and it knows none of them.
 
-use crate::buffer::body_stream::Ways;
+use crate::buffer::body_stream::BodyStreams;
 use crate::config::settings::{Config, Platform};
-use crate::decision::driver::{CommandId, Facade, InstanceId};
-use crate::decision::{HostEntry, HostState, ListKind};
-use crate::discovery::registry::NameTable;
-use crate::plugin::{Plugin, Wish};
-use crate::request::{Answer, Command, Core, Effect, Tally};
+use crate::decision::driver::{DecisionDriver, EndpointId, RequestId};
+use crate::decision::{EndpointEntry, EndpointState, ListKind};
+use crate::discovery::registry::EndpointRegistry;
+use crate::plugin::{Plugin, PluginVerdict};
+use crate::request::{Action, ClientRequest, FinalAnswer, RequestCounts, RequestTable};
 use crate::runtime::clock::Clock;
-use driftgap_admin::{Ban, Bans, Door, Way};
-use driftgap_routes::{Instance, Replaced, Request, Router, Rules, Ticket, TooSoon, Verdict, ALL};
+use driftgap_admin::{DrainControl, DrainState, ExcludedEndpoints, ExclusionOutcome};
+use driftgap_routes::{Endpoint, Replaced, Request, Router, Rules, Ticket, TooSoon, Verdict, ALL};
 use std::cell::{Cell, OnceCell, RefCell, RefMut};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::{Rc, Weak};
@@ -24,33 +24,33 @@
 /// When to come back to an ingress that has been emptied, ms; elsewhere they are served at once.
 const AWAY_MS: f64 = 500.0;
 
-/// Who carries out what the core wants done, answers to service clients apart. Called without the core held,
+/// Who carries out what the core wants done, answers to clients apart. Called without the core held,
 /// so that it may bring news at once.
-pub trait Network {
+pub trait ActionExecutor {
     /// Carries out one effect, in the order given.
-    fn carry_out(&self, effect: Effect);
+    fn carry_out(&self, effect: Action);
 }
 
-/// One end of a front that is owed answers; `ticket` is the front's own mark for one command.
-pub trait ServiceClient {
-    /// Gives it the one final answer to a command.
-    fn answer(&self, ticket: u64, answer: Answer);
+/// One end of a front that is owed answers; `ticket` is the front's own mark for one request.
+pub trait ResponseSink {
+    /// Gives it the one final answer to a request.
+    fn answer(&self, ticket: u64, answer: FinalAnswer);
 }
 
 /// What one client has not read yet, out of what all clients together may leave unread. Guards memory against
 /// clients that ask for much and read nothing: a cap for each of many connections is no bound.
-pub struct Unsent {
+pub struct UnsentBudget {
     all: Rc<Cell<usize>>,
-    most: usize,
+    max: usize,
     mine: Cell<usize>,
 }
 
-impl Unsent {
+impl UnsentBudget {
     /// Nothing yet; `all` is shared by all clients.
-    pub fn new(all: Rc<Cell<usize>>, most: usize) -> Unsent {
-        Unsent {
+    pub fn new(all: Rc<Cell<usize>>, max: usize) -> UnsentBudget {
+        UnsentBudget {
             all,
-            most,
+            max,
             mine: Cell::new(0),
         }
     }
@@ -59,7 +59,7 @@
     pub fn add(&self, bytes: usize) -> bool {
         self.mine.set(self.mine.get() + bytes);
         self.all.set(self.all.get() + bytes);
-        self.all.get() <= self.most
+        self.all.get() <= self.max
     }
 
     /// Notes that so many bytes are held now, no more and no less; false: too many are held by all together.
@@ -76,48 +76,48 @@
     }
 }
 
-impl Drop for Unsent {
+impl Drop for UnsentBudget {
     fn drop(&mut self) {
         self.sent(usize::MAX);
     }
 }
 
-/// Who is owed an answer, its mark for the command, and the command's places under the operator's limits.
-type Owed = (Rc<dyn ServiceClient>, u64, Vec<Ticket>);
+/// Who is owed an answer, its mark for the request, and the request's places under the operator's limits.
+type Owed = (Rc<dyn ResponseSink>, u64, Vec<Ticket>);
 
 /// What all tasks share.
-pub struct Hub {
+pub struct Dispatcher {
     clock: Clock,
     platform: Rc<Platform>,
-    core: RefCell<Core>,
-    table: RefCell<NameTable>,
-    /// Who carries effects out. Set once at the start; weak, since it holds the hub.
-    network: OnceCell<Weak<dyn Network>>,
-    clients: RefCell<HashMap<CommandId, Owed>>,
+    core: RefCell<RequestTable>,
+    table: RefCell<EndpointRegistry>,
+    /// Who carries effects out. Set once at the start; weak, since it holds the dispatcher.
+    network: OnceCell<Weak<dyn ActionExecutor>>,
+    clients: RefCell<HashMap<RequestId, Owed>>,
     plugin: Option<Plugin>,
     /// The operator's rules.
     router: RefCell<Option<Router>>,
-    /// The instances that are ready, as the core was told of them.
-    listed: RefCell<BTreeMap<InstanceId, HostEntry>>,
-    /// What staff have taken out, and every instance that a list holds, as the list has it; none: nobody can call.
-    bans: Option<RefCell<Bans>>,
-    told: RefCell<BTreeMap<InstanceId, HostEntry>>,
+    /// The endpoints that are ready, as the core was told of them.
+    listed: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
+    /// What staff have taken out, and every endpoint that a list holds, as the list has it; none: nobody can call.
+    excluded: Option<RefCell<ExcludedEndpoints>>,
+    notified: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
     /// How far the ingress has been emptied.
-    door: RefCell<Door>,
-    /// Ids given to commands whose clients name none.
+    drain: RefCell<DrainControl>,
+    /// Ids given to requests whose clients name none.
     ids: Cell<u64>,
     unsent: Rc<Cell<usize>>,
-    most_unsent: usize,
-    coming: Rc<Cell<usize>>,
-    ways: Ways,
+    max_unsent: usize,
+    incoming: Rc<Cell<usize>>,
+    ways: BodyStreams,
     pumping: Cell<bool>,
     started: f64,
     answered: Cell<bool>,
 }
 
-impl Hub {
+impl Dispatcher {
     /// The shared state of an ingress with this configuration, within so much of its memory; others may take
-    /// instances out for it where it is in a group.
+    /// endpoints out for it where it is in a group.
     ///
     /// # Errors
     /// Settings that make no sense.
@@ -127,14 +127,14 @@
         plugin: Option<Plugin>,
         clock: Clock,
         in_group: bool,
-    ) -> Result<Rc<Hub>, crate::decision::SettingsError> {
+    ) -> Result<Rc<Dispatcher>, crate::decision::SettingsError> {
         let platform = Rc::new(config.platform.clone());
-        let facade = Facade::new(platform.module.clone(), config.seed)?;
-        let most_bytes = (memory_mb * 1e6 / 3.0) as usize;
-        Ok(Rc::new(Hub {
+        let driver = DecisionDriver::new(platform.module.clone(), config.seed)?;
+        let max_bytes = (memory_mb * 1e6 / 3.0) as usize;
+        Ok(Rc::new(Dispatcher {
             started: clock.now(),
-            core: Core::new(platform.clone(), facade, most_bytes).into(),
-            table: NameTable::new(platform.zones.clone()).into(),
+            core: RequestTable::new(platform.clone(), driver, max_bytes).into(),
+            table: EndpointRegistry::new(platform.zones.clone()).into(),
             network: OnceCell::new(),
             clients: RefCell::default(),
             pumping: Cell::new(false),
@@ -143,14 +143,14 @@
             plugin,
             router: RefCell::default(),
             listed: RefCell::default(),
-            bans: (config.operator.is_some() || in_group).then(RefCell::default),
-            told: RefCell::default(),
-            door: RefCell::default(),
+            excluded: (config.operator.is_some() || in_group).then(RefCell::default),
+            notified: RefCell::default(),
+            drain: RefCell::default(),
             ids: Cell::new(0),
             unsent: Rc::default(),
-            most_unsent: most_bytes / 2,
-            coming: Rc::default(),
-            ways: Ways::new(most_bytes / 2),
+            max_unsent: max_bytes / 2,
+            incoming: Rc::default(),
+            ways: BodyStreams::new(max_bytes / 2),
             platform,
             clock,
         }))
@@ -166,13 +166,13 @@
         &self.platform
     }
 
-    /// The name table.
-    pub fn table(&self) -> RefMut<'_, NameTable> {
+    /// The endpoint registry.
+    pub fn table(&self) -> RefMut<'_, EndpointRegistry> {
         self.table.borrow_mut()
     }
 
     /// Names who carries effects out from now on; the first one named stays.
-    pub fn carried_by(&self, network: &Rc<dyn Network>) {
+    pub fn set_executor(&self, network: &Rc<dyn ActionExecutor>) {
         let _ = self.network.set(Rc::downgrade(network));
     }
 
@@ -182,56 +182,56 @@
     }
 
     /// Discovery has answered: the list is as good as it gets.
-    pub fn discovery_answered(&self) {
+    pub fn mark_discovery_answered(&self) {
         self.answered.set(true);
     }
 
     /// A new client's part of what may come half written from all clients together.
-    pub fn coming(&self) -> Unsent {
+    pub fn incoming_budget(&self) -> UnsentBudget {
         // Rings grow by doubling: what they take is up to twice of what they hold.
-        Unsent::new(self.coming.clone(), self.most_unsent / 2)
+        UnsentBudget::new(self.incoming.clone(), self.max_unsent / 2)
     }
 
     /// Large values on their way.
-    pub fn ways(&self) -> &Ways {
+    pub fn body_streams(&self) -> &BodyStreams {
         &self.ways
     }
 
     /// A new client's part of what clients may leave unread.
-    pub fn unsent(&self) -> Unsent {
-        Unsent::new(self.unsent.clone(), self.most_unsent)
+    pub fn unsent_budget(&self) -> UnsentBudget {
+        UnsentBudget::new(self.unsent.clone(), self.max_unsent)
     }
 
-    /// When [`Core::tick`] must be called at the latest.
+    /// When [`RequestTable::tick`] must be called at the latest.
     pub fn next_due(&self) -> Option<f64> {
         self.core.borrow_mut().next_due()
     }
 
-    /// Commands so far, and those that are owed an answer.
-    pub fn figures(&self) -> (Tally, usize) {
+    /// Requests so far, and those that are owed an answer.
+    pub fn statistics(&self) -> (RequestCounts, usize) {
         let core = self.core.borrow();
-        (core.tally(), core.owed())
+        (core.counts(), core.unanswered())
     }
 
-    /// Whether clients are to come: commands can be served, and no call has emptied the ingress.
+    /// Whether clients are to come: requests can be served, and no call has emptied the ingress.
     pub fn ready(&self) -> bool {
-        self.lacks().is_none() && !self.door.borrow().paused()
+        self.lacks().is_none() && !self.drain.borrow().paused()
     }
 
     /// What keeps a caller from sending clients here; none: nothing.
     pub fn unready(&self) -> Option<&'static str> {
-        let door = self.door.borrow();
-        match (door.stopped(), door.paused()) {
+        let drain = self.drain.borrow();
+        match (drain.stopped(), drain.paused()) {
             (true, _) => Some("stopping"),
             (_, true) => Some("paused"),
             _ => self.lacks(),
         }
     }
 
-    /// What commands cannot be served for; none: they can.
+    /// What requests cannot be served for; none: they can.
     fn lacks(&self) -> Option<&'static str> {
-        let told = self.answered.get() || self.now() - self.started > ALONE_MS;
-        match (told, self.core.borrow().instances()) {
+        let notified = self.answered.get() || self.now() - self.started > ALONE_MS;
+        match (notified, self.core.borrow().endpoints()) {
             (false, _) => Some("no list yet"),
             (_, 0) => Some("no instance is ready"),
             _ => None,
@@ -239,168 +239,176 @@
     }
 
     /// How far it is being emptied.
-    pub fn door(&self) -> RefMut<'_, Door> {
-        self.door.borrow_mut()
+    pub fn drain(&self) -> RefMut<'_, DrainControl> {
+        self.drain.borrow_mut()
     }
 
     /// What becomes of clients now.
-    pub fn way(&self) -> Way {
-        self.door.borrow().way(self.now())
+    pub fn drain_state(&self) -> DrainState {
+        self.drain.borrow().state(self.now())
     }
 
-    /// How many instances staff have taken out.
+    /// How many endpoints staff have taken out.
     pub fn out(&self) -> usize {
-        self.bans
+        self.excluded
             .as_ref()
-            .map_or(0, |bans| bans.borrow().out().count())
+            .map_or(0, |excluded| excluded.borrow().out().count())
     }
 
     /// Whether staff have taken this one out.
     pub fn is_out(&self, name: &str) -> bool {
-        self.bans
+        self.excluded
             .as_ref()
-            .is_some_and(|bans| bans.borrow().is_out(name))
+            .is_some_and(|excluded| excluded.borrow().is_out(name))
     }
 
-    /// Takes an instance out, whatever the lists say, or puts it back.
-    pub fn ban(&self, name: &str, out: bool) -> Ban {
-        let Some(bans) = &self.bans else {
-            return Ban::Unknown;
+    /// Takes an endpoint out, whatever the lists say, or puts it back.
+    pub fn set_excluded(&self, name: &str, out: bool) -> ExclusionOutcome {
+        let Some(excluded) = &self.excluded else {
+            return ExclusionOutcome::Unknown;
         };
         let done = if out {
-            bans.borrow_mut().suspend(name)
+            excluded.borrow_mut().suspend(name)
         } else {
-            bans.borrow_mut().restore(name)
+            excluded.borrow_mut().restore(name)
         };
-        if done == Ban::Done {
-            self.tell_again(&[name.to_string()]);
+        if done == ExclusionOutcome::Done {
+            self.notify_again(&[name.to_string()]);
         }
         done
     }
 
-    /// Another process of this ingress says which instances are out; the names that have changed.
+    /// Another process of this ingress says which endpoints are out; the names that have changed.
     pub fn take_over(&self, out: BTreeSet<String>) -> Vec<String> {
-        let Some(bans) = &self.bans else {
+        let Some(excluded) = &self.excluded else {
             return Vec::new();
         };
-        let changed = bans.borrow_mut().take_over(out);
+        let changed = excluded.borrow_mut().take_over(out);
         if !changed.is_empty() {
-            self.tell_again(&changed);
+            self.notify_again(&changed);
         }
         changed
     }
 
     /// Whether a call here has taken this one out.
-    pub fn is_out_here(&self, name: &str) -> bool {
-        self.bans
+    pub fn is_excluded_here(&self, name: &str) -> bool {
+        self.excluded
             .as_ref()
-            .is_some_and(|bans| bans.borrow().is_out_here(name))
+            .is_some_and(|excluded| excluded.borrow().is_excluded_here(name))
     }
 
     /// Whether any list has named this one.
     pub fn was_listed(&self, name: &str) -> bool {
-        self.bans
+        self.excluded
             .as_ref()
-            .is_some_and(|bans| bans.borrow().was_listed(name))
+            .is_some_and(|excluded| excluded.borrow().was_listed(name))
     }
 
-    /// The group of ingresses holds these instances as taken out, from now on.
-    pub fn group_holds(&self, out: Arc<BTreeSet<String>>) {
-        let Some(bans) = &self.bans else { return };
-        let changed = bans.borrow_mut().group_holds(out);
+    /// The group of ingresses holds these endpoints as taken out, from now on.
+    pub fn set_group_exclusions(&self, out: Arc<BTreeSet<String>>) {
+        let Some(excluded) = &self.excluded else {
+            return;
+        };
+        let changed = excluded.borrow_mut().set_group_exclusions(out);
         if !changed.is_empty() {
             tracing::info!(
                 changed = changed.join(" "),
                 "taken out or put back by the group"
             );
-            self.tell_again(&changed);
+            self.notify_again(&changed);
         }
     }
 
-    /// Tells the core once more of these instances, as far as a list holds them.
-    fn tell_again(&self, names: &[String]) {
-        let named = |id: InstanceId| {
+    /// Tells the core once more of these endpoints, as far as a list holds them.
+    fn notify_again(&self, names: &[String]) {
+        let named = |id: EndpointId| {
             self.table
                 .borrow()
-                .instance(id)
+                .endpoint(id)
                 .is_some_and(|i| names.contains(&i.name))
         };
-        let entries: Vec<HostEntry> = self
-            .told
+        let entries: Vec<EndpointEntry> = self
+            .notified
             .borrow()
             .values()
-            .filter(|e| named(e.host))
+            .filter(|e| named(e.endpoint))
             .cloned()
             .collect();
         if !entries.is_empty() {
-            self.names(ListKind::Delta, entries);
+            self.update_endpoints(ListKind::Delta, entries);
         }
     }
 
     /// Keeps what a list says, and marks those that staff have taken out as draining.
-    fn hold_back(&self, kind: ListKind, entries: &mut [HostEntry]) {
-        let Some(bans) = &self.bans else { return };
-        let (table, mut bans, mut told) = (
+    fn apply_exclusions(&self, kind: ListKind, entries: &mut [EndpointEntry]) {
+        let Some(excluded) = &self.excluded else {
+            return;
+        };
+        let (table, mut excluded, mut notified) = (
             self.table.borrow(),
-            bans.borrow_mut(),
-            self.told.borrow_mut(),
+            excluded.borrow_mut(),
+            self.notified.borrow_mut(),
         );
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            told.clear();
+            notified.clear();
         }
         for entry in entries {
-            if entry.state == HostState::Gone {
-                told.remove(&entry.host);
+            if entry.state == EndpointState::Gone {
+                notified.remove(&entry.endpoint);
                 continue;
             }
-            told.insert(entry.host, entry.clone());
-            let Some(instance) = table.instance(entry.host) else {
+            notified.insert(entry.endpoint, entry.clone());
+            let Some(endpoint) = table.endpoint(entry.endpoint) else {
                 continue;
             };
-            bans.listed(&instance.name);
-            if entry.state == HostState::Ready && bans.is_out(&instance.name) {
-                entry.state = HostState::Draining;
+            excluded.listed(&endpoint.name);
+            if entry.state == EndpointState::Ready && excluded.is_out(&endpoint.name) {
+                entry.state = EndpointState::Draining;
             }
         }
     }
 
     /// Lets the core act, then carries out what it wants done.
-    pub fn with_core(&self, act: impl FnOnce(&mut Core, f64)) {
+    pub fn with_requests(&self, act: impl FnOnce(&mut RequestTable, f64)) {
         act(&mut self.core.borrow_mut(), self.clock.now());
         self.pump();
     }
 
-    /// Whether an instance may be sent commands right now: asked again just before a command is written, since
-    /// the name table may have changed while its connection came up.
-    pub fn takes(&self, instance: InstanceId) -> bool {
-        self.core.borrow().takes(instance)
+    /// Whether an endpoint may be sent requests right now: asked again just before a request is written, since
+    /// the endpoint registry may have changed while its connection came up.
+    pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
+        self.core.borrow().accepts_requests(endpoint)
     }
 
-    /// Takes a command; `known` hears its number before any answer can come.
+    /// Takes a request; `known` hears its number before any answer can come.
     pub fn arrive(
         &self,
-        mut command: Command,
-        client: Rc<dyn ServiceClient>,
+        mut request: ClientRequest,
+        client: Rc<dyn ResponseSink>,
         ticket: u64,
         places: Vec<Ticket>,
-        known: impl FnOnce(CommandId),
+        known: impl FnOnce(RequestId),
     ) {
         let now = self.clock.now();
-        if self.door.borrow().way(now) == Way::Empty {
+        if self.drain.borrow().state(now) == DrainState::Drained {
             return self.refuse(AWAY_MS, client, ticket, known);
         }
         let wish = self
             .plugin
             .as_ref()
-            .map(|plugin| plugin.decide(now, &self.platform, &command));
+            .map(|plugin| plugin.decide(now, &self.platform, &request));
         let id = match wish {
-            Some(Wish::Nack(after_ms)) => self.core.borrow_mut().refuse(after_ms),
+            Some(PluginVerdict::Reject(retry_after_ms)) => {
+                self.core.borrow_mut().refuse(retry_after_ms)
+            }
             wish => {
-                if let Some(Wish::Pass(notes)) = wish.filter(|w| *w != Wish::Pass(Vec::new())) {
-                    tracing::debug!(id = command.id, ?notes, "notes of the plug-in");
-                    command.notes.extend(notes);
+                if let Some(PluginVerdict::Pass(notes)) =
+                    wish.filter(|w| *w != PluginVerdict::Pass(Vec::new()))
+                {
+                    tracing::debug!(id = request.id, ?notes, "notes of the plug-in");
+                    request.notes.extend(notes);
                 }
-                self.core.borrow_mut().arrive(now, command)
+                self.core.borrow_mut().arrive(now, request)
             }
         };
         self.clients
@@ -410,15 +418,15 @@
         self.pump();
     }
 
-    /// Refuses a command on a rule's word, before any decision.
+    /// Refuses a request on a rule's word, before any decision.
     pub fn refuse(
         &self,
-        after_ms: f64,
-        client: Rc<dyn ServiceClient>,
+        retry_after_ms: f64,
+        client: Rc<dyn ResponseSink>,
         ticket: u64,
-        known: impl FnOnce(CommandId),
+        known: impl FnOnce(RequestId),
     ) {
-        let id = self.core.borrow_mut().refuse(after_ms);
+        let id = self.core.borrow_mut().refuse(retry_after_ms);
         self.clients
             .borrow_mut()
             .insert(id, (client, ticket, Vec::new()));
@@ -439,8 +447,8 @@
         }
     }
 
-    /// An id for a command whose client names none: like no other of this ingress.
-    pub fn fresh_id(&self) -> String {
+    /// An id for a request whose client names none: like no other of this ingress.
+    pub fn generate_request_id(&self) -> String {
         self.ids.set(self.ids.get() + 1);
         format!("r{:x}-{:x}", self.started as u64, self.ids.get())
     }
@@ -453,7 +461,7 @@
             .map(|router| router.rules().clone())
     }
 
-    /// Puts rules in force; what they replace is to be dropped on another thread. Commands under way end under
+    /// Puts rules in force; what they replace is to be dropped on another thread. Requests under way end under
     /// those that they began with.
     ///
     /// # Errors
@@ -473,15 +481,15 @@
                 None
             }
         };
-        // Without a new pool, every instance has the pools already that it would be told.
+        // Without a new pool, every endpoint has the pools already that it would be told.
         if replaced.as_ref().is_none_or(Replaced::has_new_pools) {
             let listed = self.listed.borrow().values().cloned().collect();
-            self.names(ListKind::Delta, listed);
+            self.update_endpoints(ListKind::Delta, listed);
         }
         Ok(replaced)
     }
 
-    /// Ready instances by pool, and evaluations of rules that failed.
+    /// Ready endpoints by pool, and evaluations of rules that failed.
     pub fn pools(&self) -> Option<(String, u64)> {
         let router = self.router.borrow();
         let router = router.as_ref()?;
@@ -492,19 +500,19 @@
         Some((ready.join(" "), router.faults()))
     }
 
-    /// The name table has news: instances get their pools, and the core hears of it.
-    pub fn names(&self, kind: ListKind, mut entries: Vec<HostEntry>) {
-        self.hold_back(kind, &mut entries);
+    /// The endpoint registry has news: endpoints get their pools, and the core hears of it.
+    pub fn update_endpoints(&self, kind: ListKind, mut entries: Vec<EndpointEntry>) {
+        self.apply_exclusions(kind, &mut entries);
         if let Some(router) = &mut *self.router.borrow_mut() {
             let table = self.table.borrow();
             let mut listed = self.listed.borrow_mut();
             for entry in entries
                 .iter_mut()
-                .filter(|entry| entry.state == HostState::Ready)
+                .filter(|entry| entry.state == EndpointState::Ready)
             {
-                entry.pools = match table.instance(entry.host) {
-                    Some(instance) => router.pools_of(&Instance {
-                        name: &instance.name,
+                entry.pools = match table.endpoint(entry.endpoint) {
+                    Some(endpoint) => router.pools_of(&Endpoint {
+                        name: &endpoint.name,
                         zone: self
                             .platform
                             .zones
@@ -512,9 +520,9 @@
                             .map_or("", String::as_str),
                         cell: entry.cell,
                         weight: entry.size,
-                        protocol: instance.speaks.name(),
-                        ip: instance.addr.ip(),
-                        labels: &instance.labels,
+                        protocol: endpoint.protocol.name(),
+                        ip: endpoint.addr.ip(),
+                        labels: &endpoint.labels,
                     }),
                     None => ALL,
                 };
@@ -524,18 +532,18 @@
         } else {
             list(&mut self.listed.borrow_mut(), kind, &entries);
         }
-        self.with_core(|core, now| core.names(now, kind, entries));
+        self.with_requests(|core, now| core.update_endpoints(now, kind, entries));
     }
 
     /// The process ends: everything that is held gets its final answer now.
     pub fn give_up(&self) {
-        self.with_core(|core, now| core.give_up(now, AWAY_MS));
+        self.with_requests(|core, now| core.give_up(now, AWAY_MS));
     }
 
-    /// A service client is gone.
-    pub fn client_gone(&self, id: CommandId) {
+    /// A client is gone.
+    pub fn client_gone(&self, id: RequestId) {
         self.clients.borrow_mut().remove(&id);
-        self.with_core(|core, now| core.client_gone(now, id));
+        self.with_requests(|core, now| core.client_gone(now, id));
     }
 
     fn pump(&self) {
@@ -543,9 +551,9 @@
             return;
         }
         loop {
-            let effect = self.core.borrow_mut().next_effect();
+            let effect = self.core.borrow_mut().next_action();
             match effect {
-                Some(Effect::Reply(id, answer)) => {
+                Some(Action::Reply(id, answer)) => {
                     let client = self.clients.borrow_mut().remove(&id);
                     if let Some((client, ticket, _places)) = client {
                         client.answer(ticket, answer);
@@ -564,16 +572,20 @@
     }
 }
 
-/// Keeps the ready instances after news of the name table.
-fn list(listed: &mut BTreeMap<InstanceId, HostEntry>, kind: ListKind, entries: &[HostEntry]) {
+/// Keeps the ready endpoints after news of the endpoint registry.
+fn list(
+    listed: &mut BTreeMap<EndpointId, EndpointEntry>,
+    kind: ListKind,
+    entries: &[EndpointEntry],
+) {
     if matches!(kind, ListKind::Full | ListKind::Cached) {
         listed.clear();
     }
     for entry in entries {
-        if entry.state == HostState::Ready {
-            listed.insert(entry.host, entry.clone());
+        if entry.state == EndpointState::Ready {
+            listed.insert(entry.endpoint, entry.clone());
         } else {
-            listed.remove(&entry.host);
+            listed.remove(&entry.endpoint);
         }
     }
 }
@@ -586,8 +598,8 @@
     fn what_clients_leave_unread_is_bounded_over_all_of_them() {
         let all = Rc::default();
         let (a, b) = (
-            Unsent::new(Rc::clone(&all), 100),
-            Unsent::new(Rc::clone(&all), 100),
+            UnsentBudget::new(Rc::clone(&all), 100),
+            UnsentBudget::new(Rc::clone(&all), 100),
         );
         assert!(a.add(60) && b.add(40) && !b.add(1));
         a.sent(30);
--- a/src/runtime/process_takeover.rs
+++ b/src/runtime/process_takeover.rs
@@ -1,10 +1,10 @@
-//! What one process of this ingress leaves to the next: an empty file for each instance that staff have taken out, in
+//! What one process of this ingress leaves to the next: an empty file for each endpoint that staff have taken out, in
 //! a folder that all of them see. It owns that folder's form. It must never hold more than names, let two processes
 //! undo each other's work (making and removing a file are single steps), or lose what could not be written.
 
-use crate::admin::server::Keeper;
-use crate::runtime::dispatcher::Hub;
-use driftgap_admin::{MOST_BANS, MOST_ID};
+use crate::admin::server::ExclusionStore;
+use crate::runtime::dispatcher::Dispatcher;
+use driftgap_admin::{MAX_EXCLUDED, MAX_ID};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, TryLockError};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The folder is looked through this often: far more often than an instance that is out must be left alone by.
+/// The folder is looked through this often: far more often than an endpoint that is out must be left alone by.
 const LOOK: Duration = Duration::from_millis(100);
 
 /// Whether another process of this ingress is there: by two files, of which who serves locks the first and who is
@@ -71,7 +71,7 @@
 }
 
 /// The folder.
-pub struct Handover {
+pub struct ProcessTakeover {
     path: PathBuf,
     /// What could not be written: holds for this process at least.
     unkept: RefCell<BTreeMap<String, bool>>,
@@ -91,19 +91,19 @@
     let bytes: Option<Vec<u8>> = (0..file.len()).step_by(2).map(pair).collect();
     String::from_utf8(bytes?)
         .ok()
-        .filter(|name| !name.is_empty() && name.len() <= MOST_ID)
+        .filter(|name| !name.is_empty() && name.len() <= MAX_ID)
 }
 
-impl Handover {
+impl ProcessTakeover {
     /// The folder of the ingress of this name below `base`, made if it is not there.
     ///
     /// # Errors
     /// It cannot be made.
-    pub fn open(base: &Path, ingress: &str) -> Result<Handover> {
+    pub fn open(base: &Path, ingress: &str) -> Result<ProcessTakeover> {
         let path = base.join(format!("driftgap-{}-out", file_name(ingress)));
         std::fs::create_dir_all(&path)?;
         let beside = Beside::open(&path)?;
-        Ok(Handover {
+        Ok(ProcessTakeover {
             path,
             unkept: RefCell::default(),
             beside,
@@ -121,7 +121,7 @@
     /// The folder cannot be read.
     pub fn read(&self) -> Result<BTreeSet<String>> {
         let mut names = BTreeSet::new();
-        for entry in std::fs::read_dir(&self.path)?.take(2 * MOST_BANS) {
+        for entry in std::fs::read_dir(&self.path)?.take(2 * MAX_EXCLUDED) {
             names.extend(entry?.file_name().to_str().and_then(name_of));
         }
         for (name, out) in self.unkept.borrow().iter() {
@@ -136,7 +136,12 @@
 
     /// Takes over what other processes of this ingress write, and tells `share` when one has come or gone, until the
     /// program ends.
-    pub async fn watch(self: Rc<Self>, hub: Rc<Hub>, mut beside: bool, share: impl Fn(bool)) {
+    pub async fn watch(
+        self: Rc<Self>,
+        dispatcher: Rc<Dispatcher>,
+        mut beside: bool,
+        share: impl Fn(bool),
+    ) {
         let mut complained = false;
         loop {
             tokio::time::sleep(LOOK).await;
@@ -149,8 +154,8 @@
             match self.read() {
                 Ok(names) => {
                     complained = false;
-                    for name in hub.take_over(names) {
-                        tracing::info!(name, out = hub.is_out(&name), "taken over");
+                    for name in dispatcher.take_over(names) {
+                        tracing::info!(name, out = dispatcher.is_out(&name), "taken over");
                     }
                 }
                 // What is held stays.
@@ -176,7 +181,7 @@
     }
 }
 
-impl Keeper for Handover {
+impl ExclusionStore for ProcessTakeover {
     fn keep(&self, name: &str, out: bool) -> Result<()> {
         let done = self.write(name, out);
         let mut unkept = self.unkept.borrow_mut();
@@ -196,7 +201,7 @@
     #[test]
     fn two_processes_see_each_other_and_the_last_is_alone() {
         let base = std::env::temp_dir().join(format!("driftgap-beside-{}", std::process::id()));
-        let open = || Handover::open(&base, "n0").unwrap();
+        let open = || ProcessTakeover::open(&base, "n0").unwrap();
         let old = open();
         assert!(!old.beside() && !old.beside());
         let new = open();
@@ -215,8 +220,8 @@
     fn names_go_over_as_they_are_and_what_cannot_be_written_holds_here() {
         let base = std::env::temp_dir().join(format!("driftgap-handover-{}", std::process::id()));
         let (old, new) = (
-            Handover::open(&base, "n/0").unwrap(),
-            Handover::open(&base, "n/0").unwrap(),
+            ProcessTakeover::open(&base, "n/0").unwrap(),
+            ProcessTakeover::open(&base, "n/0").unwrap(),
         );
         let names = ["s-1", "../../etc/x", "a b", "ü"];
         names.iter().for_each(|name| old.keep(name, true).unwrap());
@@ -225,7 +230,7 @@
         new.keep("s-1", false).unwrap();
         new.keep("s-1", false).unwrap();
         assert!(!old.read().unwrap().contains("s-1"));
-        assert!(Handover::open(&base, "n1")
+        assert!(ProcessTakeover::open(&base, "n1")
             .unwrap()
             .read()
             .unwrap()
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -1,23 +1,23 @@
 //! Start and stop of the program: it owns the order in which its parts come up, the timer, what is read again
-//! while it runs, and the drain. It must never decide about a command, nor be needed by any of the parts.
+//! while it runs, and the drain. It must never decide about a request, nor be needed by any of the parts.
 
-use crate::admin::server::{Calls, Keeper, MOST_CALLERS};
-use crate::config::operator_file::Operator;
+use crate::admin::server::{AdminServer, ExclusionStore, MAX_CALLERS};
+use crate::config::operator_file::OperatorFile;
 use crate::config::settings::Config;
 use crate::counter::{Counter, LANES};
 use crate::decision::ListKind;
 use crate::discovery::follow;
 use crate::discovery::inventory::{Inventory, InventoryError};
-use crate::frontend::http2::Http2Front;
-use crate::frontend::resp::RespFront;
+use crate::frontend::http2::Http2Frontend;
+use crate::frontend::resp::RespFrontend;
 use crate::group::{self, Group, GroupError, View};
 use crate::plugin::{Plugin, PluginError};
-use crate::request::Effect;
+use crate::request::Action;
 use crate::routing::reload::{Reading, ReloadError, RuleReload};
 use crate::routing::{catalog, Source, MEMORY_SHARE};
 use crate::runtime::clock::Clock;
-use crate::runtime::dispatcher::{Hub, Network};
-use crate::runtime::process_takeover::Handover;
+use crate::runtime::dispatcher::{ActionExecutor, Dispatcher};
+use crate::runtime::process_takeover::ProcessTakeover;
 use crate::upstream::Upstream;
 use driftgap_group::Kind;
 use socket2::Socket;
@@ -40,14 +40,14 @@
 const STOP_MS: (f64, f64) = (3000.0, 650.0);
 /// So long before its end it gives up what clients would wait longer for, ms: answers have to go out.
 const GIVE_UP_MS: f64 = 150.0;
-/// Descriptors that are neither clients' nor instances'.
+/// Descriptors that are neither clients' nor endpoints'.
 const OTHERS: usize = 24 + LANES;
 /// What staff's calls take beside.
-const CALLS: usize = 1 + MOST_CALLERS;
+const CALLS: usize = 1 + MAX_CALLERS;
 /// Part of the memory that bounds are set by where a second process may come beside this one.
 const BESIDE: f64 = 0.6;
 /// Figures are logged this often, ms.
-const FIGURES_MS: f64 = 10_000.0;
+const STATISTICS_INTERVAL_MS: f64 = 10_000.0;
 
 /// Why the program cannot start.
 #[derive(Debug, thiserror::Error)]
@@ -57,7 +57,7 @@
     Settings(#[from] crate::decision::SettingsError),
     /// The list in `known` makes no sense.
     #[error("known: {0}")]
-    Known(#[from] crate::discovery::registry::BadList),
+    Known(#[from] crate::discovery::registry::InvalidEndpointList),
     /// The address cannot be listened on.
     #[error("listen: {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
@@ -66,7 +66,7 @@
     Inherited(String),
     /// The address where staff call cannot be listened on.
     #[error("operator: {0}: {1}")]
-    Operator(SocketAddr, std::io::Error),
+    OperatorFile(SocketAddr, std::io::Error),
     /// The inventory makes no sense.
     #[error("inventory {0}: {1}")]
     Inventory(String, InventoryError),
@@ -84,58 +84,58 @@
     System(#[from] std::io::Error),
 }
 
-/// The parts that need a start and a stop, round the hub.
+/// The parts that need a start and a stop, round the dispatcher.
 struct Node {
-    hub: Rc<Hub>,
+    dispatcher: Rc<Dispatcher>,
     upstream: Rc<Upstream>,
     counter: Counter,
     /// Spreads over time what all ingresses would do at once.
     seed: u64,
-    /// Who tells the name table, and the task that follows it.
+    /// Who tells the endpoint registry, and the task that follows it.
     agent: RefCell<Option<(SocketAddr, AbortHandle)>>,
 }
 
-impl Network for Node {
-    fn carry_out(&self, effect: Effect) {
+impl ActionExecutor for Node {
+    fn carry_out(&self, effect: Action) {
         match effect {
-            Effect::Start(attempt) => self.upstream.start(attempt),
-            Effect::Abandon(id, attempt) => self.upstream.abandon(id, attempt),
-            Effect::Probe(instance) => self.upstream.probe(instance),
-            Effect::Release(instance) => self.upstream.release(instance),
-            Effect::Count(add) => self.counter.add(&self.hub, add),
+            Action::StartAttempt(attempt) => self.upstream.start(attempt),
+            Action::Abandon(id, attempt) => self.upstream.abandon(id, attempt),
+            Action::Probe(endpoint) => self.upstream.probe(endpoint),
+            Action::Release(endpoint) => self.upstream.release(endpoint),
+            Action::Count(add) => self.counter.add(&self.dispatcher, add),
             // The hub gives answers itself.
-            Effect::Reply(..) => {}
+            Action::Reply(..) => {}
         }
     }
 }
 
 impl Node {
-    fn new(config: &Config, hub: Rc<Hub>) -> Rc<Node> {
-        let upstream = Upstream::new(hub.clone(), instances(config));
-        let counter = Counter::new(config.counter, hub.platform().count_wait_ms);
+    fn new(config: &Config, dispatcher: Rc<Dispatcher>) -> Rc<Node> {
+        let upstream = Upstream::new(dispatcher.clone(), endpoints(config));
+        let counter = Counter::new(config.counter, dispatcher.platform().counter_timeout_ms);
         let node = Rc::new(Node {
-            hub,
+            dispatcher,
             upstream,
             counter,
             seed: config.seed,
             agent: RefCell::default(),
         });
-        let network: Rc<dyn Network> = node.clone();
-        node.hub.carried_by(&network);
+        let network: Rc<dyn ActionExecutor> = node.clone();
+        node.dispatcher.set_executor(&network);
         node
     }
 
-    /// Reads the inventory into the name table and tells the core what changed.
+    /// Reads the inventory into the endpoint registry and tells the core what changed.
     fn load(&self, inventory: &mut Inventory) -> Result<(), StartError> {
-        let loaded = inventory.load(&mut self.hub.table(), self.hub.now());
+        let loaded = inventory.load(&mut self.dispatcher.table(), self.dispatcher.now());
         let (entries, warnings) =
             loaded.map_err(|e| StartError::Inventory(inventory.path().display().to_string(), e))?;
         for warning in driftgap_inventory::summary(&warnings) {
             tracing::warn!(warning, "inventory");
         }
-        self.hub.names(ListKind::Delta, entries);
+        self.dispatcher.update_endpoints(ListKind::Delta, entries);
         // Those that drain are held until the next reading finds them gone from the list before.
-        self.hub.table().forget(|id| inventory.dropped(id));
+        self.dispatcher.table().forget(|id| inventory.dropped(id));
         Ok(())
     }
 
@@ -149,12 +149,16 @@
         let Some(held) = group.document(Kind::Inventory).await else {
             return Err(fault);
         };
-        let loaded = inventory.restore(&held.bytes, &mut self.hub.table(), self.hub.now());
+        let loaded = inventory.restore(
+            &held.bytes,
+            &mut self.dispatcher.table(),
+            self.dispatcher.now(),
+        );
         let Ok((entries, _)) = loaded else {
             return Err(fault);
         };
         tracing::error!(%fault, number = held.number, "serves the group's last good inventory");
-        self.hub.names(ListKind::Delta, entries);
+        self.dispatcher.update_endpoints(ListKind::Delta, entries);
         Ok(())
     }
 
@@ -178,10 +182,10 @@
         };
         let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
         let (taken_over, bytes) = (rules.report().taken_over, rules.heap_bytes());
-        let begun = self.hub.now();
-        match self.hub.put_rules(rules) {
+        let begun = self.dispatcher.now();
+        match self.dispatcher.put_rules(rules) {
             Ok(replaced) => {
-                let held_ms = self.hub.now() - begun;
+                let held_ms = self.dispatcher.now() - begun;
                 retired.leave(replaced);
                 tracing::info!(
                     rules = count,
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Follows the name table at this agent from now on; the list held stays until the agent tells another.
+    /// Follows the endpoint registry at this agent from now on; the list held stays until the agent tells another.
     fn follow(self: &Rc<Self>, agent: Option<SocketAddr>, version: Option<u64>) {
         if self.agent.borrow().as_ref().map(|(addr, _)| *addr) == agent {
             return;
@@ -213,7 +217,8 @@
         let task = agent.map(|addr| {
             (
                 addr,
-                spawn_local(follow(self.hub.clone(), addr, version, self.seed)).abort_handle(),
+                spawn_local(follow(self.dispatcher.clone(), addr, version, self.seed))
+                    .abort_handle(),
             )
         });
         if let Some((_, old)) = self.agent.replace(task) {
@@ -221,7 +226,7 @@
         }
     }
 
-    /// Reads the configuration again. Discovery and counter move to what it says; commands and calls under way
+    /// Reads the configuration again. Discovery and counter move to what it says; requests and calls under way
     /// are not touched by it. What else has changed there is named, since it takes effect at a restart only.
     fn reload(self: &Rc<Self>, path: &Path, held: &mut Config) {
         let mut config = match Config::read(path) {
@@ -231,8 +236,8 @@
             }
         };
         self.follow(config.discovery, None);
-        self.counter.move_to(&self.hub, config.counter);
-        let fixed = held.fixed_but_changed(&config);
+        self.counter.move_to(&self.dispatcher, config.counter);
+        let fixed = held.changes_needing_restart(&config);
         if !fixed.is_empty() {
             tracing::warn!(
                 fields = fixed.join(", "),
@@ -250,45 +255,45 @@
 
     /// Looks after everything that comes due with time.
     async fn keep_time(self: Rc<Self>) {
-        let (mut swept, mut logged) = (self.hub.now(), self.hub.now());
+        let (mut swept, mut logged) = (self.dispatcher.now(), self.dispatcher.now());
         loop {
-            let now = self.hub.now();
-            let core = self.hub.next_due();
+            let now = self.dispatcher.now();
+            let core = self.dispatcher.next_due();
             let counter = self.counter.next_due();
             let due = core
                 .into_iter()
                 .chain(counter)
                 .fold(now + LOOK_MS, f64::min);
-            tokio::time::sleep_until(self.hub.clock().instant(due).into()).await;
-            self.hub.with_core(|core, now| core.tick(now));
-            let now = self.hub.now();
-            self.counter.expire(&self.hub, now);
+            tokio::time::sleep_until(self.dispatcher.clock().instant(due).into()).await;
+            self.dispatcher.with_requests(|core, now| core.tick(now));
+            let now = self.dispatcher.now();
+            self.counter.expire(&self.dispatcher, now);
             if now - swept > 1000.0 {
                 swept = now;
                 self.upstream.sweep(now);
             }
-            if now - logged > FIGURES_MS {
+            if now - logged > STATISTICS_INTERVAL_MS {
                 logged = now;
-                self.log_figures();
+                self.log_statistics();
             }
         }
     }
 
-    fn log_figures(&self) {
-        let (tally, owed) = self.hub.figures();
+    fn log_statistics(&self) {
+        let (counts, unanswered) = self.dispatcher.statistics();
         tracing::info!(
-            taken = tally.taken,
-            served = tally.served,
-            nacked = tally.nacked,
-            failed = tally.failed,
-            gone = tally.gone,
-            attempts = tally.attempts,
-            counts = tally.counts,
-            owed,
+            taken = counts.taken,
+            served = counts.served,
+            rejected = counts.rejected,
+            failed = counts.failed,
+            gone = counts.gone,
+            attempts = counts.attempts,
+            counts = counts.counts,
+            unanswered,
             links = self.upstream.open(),
             "figures"
         );
-        if let Some((ready, faults)) = self.hub.pools() {
+        if let Some((ready, faults)) = self.dispatcher.pools() {
             tracing::info!(ready, faults, "pools");
         }
     }
@@ -347,7 +352,7 @@
     }
     let mut rules = rules.map(|(source, text)| {
         hand_in(Kind::Rules, text.into_bytes(), true);
-        RuleReload::new(source, catalog(node.hub.platform()))
+        RuleReload::new(source, catalog(node.dispatcher.platform()))
     });
     loop {
         tokio::select! {
@@ -357,14 +362,14 @@
                     hand_in(Kind::Rules, text.into_bytes(), false);
                 }
                 if let Some(rules) = &mut rules {
-                    rules.resume(node.hub.rules());
+                    rules.resume(node.dispatcher.rules());
                 }
                 continue;
             }
         }
         node.reload(&path, &mut held);
         if let Some(rules) = &mut rules {
-            rules.request(node.hub.rules());
+            rules.request(node.dispatcher.rules());
         }
         if let Some(inventory) = &mut inventory {
             match node.load(inventory) {
@@ -392,12 +397,12 @@
     }
 }
 
-/// Descriptors for instances.
-fn instances(config: &Config) -> usize {
+/// Descriptors for endpoints.
+fn endpoints(config: &Config) -> usize {
     spare(config) * 2 / 5
 }
 
-/// Descriptors for clients and instances.
+/// Descriptors for clients and endpoints.
 fn spare(config: &Config) -> usize {
     let calls = config.operator.map_or(0, |_| CALLS);
     config.sockets.saturating_sub(OTHERS + calls)
@@ -405,13 +410,13 @@
 
 /// What other processes of this ingress see, where there may be any. Without it what is taken out is lost with the
 /// process, which is no reason not to serve.
-fn beside(config: &Config, inherited: bool) -> Option<Rc<Handover>> {
+fn beside(config: &Config, inherited: bool) -> Option<Rc<ProcessTakeover>> {
     config.operator.filter(|_| inherited)?;
     let Some(base) = std::env::var_os("TMPDIR") else {
         tracing::warn!("TMPDIR is not set: what is suspended will not outlive this process");
         return None;
     };
-    match Handover::open(Path::new(&base), &config.name) {
+    match ProcessTakeover::open(Path::new(&base), &config.name) {
         Ok(handover) => Some(Rc::new(handover)),
         Err(e) => {
             tracing::error!(error = %e, "TMPDIR: what is suspended will not outlive this process");
@@ -456,7 +461,7 @@
     signals: Signals,
     path: PathBuf,
     mut config: Config,
-    operator: Operator,
+    operator: OperatorFile,
     clients: Option<Socket>,
 ) -> Result<(), StartError> {
     let inherited = clients.is_some();
@@ -473,21 +478,21 @@
         .transpose()?;
     let source = Source::of(&operator, memory_mb);
     let rules_mb = source.as_ref().map_or(0.0, |_| memory_mb * MEMORY_SHARE);
-    let (commands_mb, in_group) = (memory_mb - rules_mb, operator.group.is_some());
+    let (requests_mb, in_group) = (memory_mb - rules_mb, operator.group.is_some());
     let node = Node::new(
         &config,
-        Hub::new(&config, commands_mb, plugin, Clock::system(), in_group)?,
+        Dispatcher::new(&config, requests_mb, plugin, Clock::system(), in_group)?,
     );
-    let hub = node.hub.clone();
+    let dispatcher = node.dispatcher.clone();
     let handover = beside(&config, inherited);
     if let Some(handover) = &handover {
-        hub.take_over(handover.read().unwrap_or_default());
+        dispatcher.take_over(handover.read().unwrap_or_default());
     }
     let mut version = None;
     if !config.known.is_null() {
-        let news = hub.table().take(&config.known)?;
-        version = Some(news.version).filter(|_| !news.entries.is_empty());
-        hub.names(ListKind::Cached, news.entries);
+        let update = dispatcher.table().take(&config.known)?;
+        version = Some(update.version).filter(|_| !update.entries.is_empty());
+        dispatcher.update_endpoints(ListKind::Cached, update.entries);
     }
     let group = operator
         .group
@@ -495,12 +500,12 @@
         .map(|g| group::start(g, &operator.folder, &config.name))
         .transpose()?;
     if let Some(group) = &group {
-        spawn_local(obey(hub.clone(), group.view()));
+        spawn_local(obey(dispatcher.clone(), group.view()));
     }
     let mut rules = None;
     if let Some(source) = source {
         let text = source.text();
-        let catalog = catalog(hub.platform());
+        let catalog = catalog(dispatcher.platform());
         let mut read = text
             .clone()
             .and_then(|text| source.judge(&text, &catalog, None));
@@ -540,7 +545,8 @@
             unindexed = rules.unindexed(),
             "rules in force"
         );
-        hub.put_rules(rules)
+        dispatcher
+            .put_rules(rules)
             .map_err(|e| StartError::Routes(e.to_string()))?;
     }
     let mut inventory = operator
@@ -562,9 +568,9 @@
     }
     let listener = front_door(&config, clients)?;
     if let Some(address) = config.operator {
-        let listener = bind(address, false).map_err(|e| StartError::Operator(address, e))?;
-        let keeper = handover.clone().map(|h| h as Rc<dyn Keeper>);
-        spawn_local(Calls::new(hub.clone(), keeper, group.clone()).listen(listener));
+        let listener = bind(address, false).map_err(|e| StartError::OperatorFile(address, e))?;
+        let keeper = handover.clone().map(|h| h as Rc<dyn ExclusionStore>);
+        spawn_local(AdminServer::new(dispatcher.clone(), keeper, group.clone()).listen(listener));
         tracing::info!(%address, "operators call");
     }
     let second = match &operator.http2 {
@@ -572,7 +578,10 @@
         Some(http2) => {
             let listener =
                 bind(http2.listen, inherited).map_err(|e| StartError::Listen(http2.listen, e))?;
-            Some((listener, Http2Front::new(hub.clone(), http2.limits())))
+            Some((
+                listener,
+                Http2Frontend::new(dispatcher.clone(), http2.limits()),
+            ))
         }
         None => None,
     };
@@ -580,19 +589,19 @@
     node.follow(config.discovery, version);
     let streams = operator.http2.as_ref().map_or(0, |http2| http2.connections);
     let clients = (spare(&config) * 3 / 5).saturating_sub(streams).max(16);
-    let front = RespFront::new(hub.clone(), clients);
+    let front = RespFrontend::new(dispatcher.clone(), clients);
     if let Some(handover) = handover {
         let (upstream, front) = (node.upstream.clone(), front.clone());
-        let instances = instances(&config);
+        let endpoints = endpoints(&config);
         // Two processes of this ingress have the descriptors of one.
         let share = move |beside: bool| {
             let part = if beside { 2 } else { 1 };
-            upstream.keep_to(instances / part);
-            front.keep_to(clients / part);
+            upstream.set_budget(endpoints / part);
+            front.set_budget(clients / part);
         };
         let now = handover.beside();
         share(now);
-        spawn_local(handover.watch(hub.clone(), now, share));
+        spawn_local(handover.watch(dispatcher.clone(), now, share));
     }
     let mut accepting = vec![spawn_local(front.clone().listen(listener))];
     spawn_local(front.clone().look());
@@ -633,10 +642,10 @@
 }
 
 /// Does what the group holds, as soon as this ingress knows it.
-async fn obey(hub: Rc<Hub>, mut view: tokio::sync::watch::Receiver<View>) {
+async fn obey(dispatcher: Rc<Dispatcher>, mut view: tokio::sync::watch::Receiver<View>) {
     loop {
         let out = view.borrow_and_update().out.clone();
-        hub.group_holds(out);
+        dispatcher.set_group_exclusions(out);
         if view.changed().await.is_err() {
             // The group's part has ended: what it held last goes on to hold.
             return;
@@ -660,20 +669,20 @@
 /// Finishes what was taken, closes what is idle, and ends in time.
 async fn drain(
     node: &Rc<Node>,
-    front: &Rc<RespFront>,
-    second: Option<&Rc<Http2Front>>,
+    front: &Rc<RespFrontend>,
+    second: Option<&Rc<Http2Frontend>>,
     mut accepting: Vec<tokio::task::JoinHandle<()>>,
     inherited: bool,
 ) {
     let connections = || front.connections() + second.map_or(0, |s| s.connections());
-    let begun = node.hub.now();
+    let begun = node.dispatcher.now();
     tracing::info!(
-        owed = node.hub.figures().1,
+        unanswered = node.dispatcher.statistics().1,
         clients = connections(),
         "stopping"
     );
-    node.hub
-        .door()
+    node.dispatcher
+        .drain()
         .stop(begun, if inherited { 0.0 } else { ACCEPT_MS });
     if inherited {
         // Whoever comes now waits in the line of the process beside this one.
@@ -681,7 +690,7 @@
         front.leave();
     }
     if !accepting.is_empty() {
-        tokio::time::sleep_until(node.hub.clock().instant(begun + ACCEPT_MS).into()).await;
+        tokio::time::sleep_until(node.dispatcher.clock().instant(begun + ACCEPT_MS).into()).await;
     }
     // The listeners close with their tasks.
     for task in accepting {
@@ -693,7 +702,7 @@
         second.leave();
     }
     let longest = node
-        .hub
+        .dispatcher
         .platform()
         .module
         .classes
@@ -702,16 +711,19 @@
         .fold(0.0, f64::max);
     let last = begun + longest.min(STOP_MS.0) + STOP_MS.1;
     let gone_by = async |end: f64| {
-        while connections() > 0 && node.hub.now() < end {
+        while connections() > 0 && node.dispatcher.now() < end {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         connections() == 0
     };
     if !gone_by(last - GIVE_UP_MS).await {
-        tracing::info!(owed = node.hub.figures().1, "giving up what is owed");
-        node.hub.give_up();
+        tracing::info!(
+            unanswered = node.dispatcher.statistics().1,
+            "giving up what is owed"
+        );
+        node.dispatcher.give_up();
         gone_by(last).await;
     }
-    node.log_figures();
-    tracing::info!(ms = (node.hub.now() - begun).round(), "stopped");
+    node.log_statistics();
+    tracing::info!(ms = (node.dispatcher.now() - begun).round(), "stopped");
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,21 +1,21 @@
-//! Connections to instances. It owns their pools (one attempt at a time on a connection, newest first, idle
-//! ones retired well before the instance would, or sooner where they are found dead), the cap learnt from
+//! Connections to endpoints. It owns their pools (one attempt at a time on a connection, newest first, idle
+//! ones retired well before the endpoint would, or sooner where they are found dead), the cap learnt from
 //! failed connects, and the word on whether an attempt may have run. It must never send an attempt again of its own accord, leave an
 //! abandoned attempt's connection open, or reuse one whose peer has closed it.
 
-use crate::buffer::body_stream::Intake;
-use crate::buffer::ring_buffer::Ring;
+use crate::buffer::body_stream::BodySender;
+use crate::buffer::ring_buffer::RingBuffer;
 use crate::config::settings::Platform;
-use crate::decision::driver::{CommandId, InstanceId};
+use crate::decision::driver::{EndpointId, RequestId};
 use crate::decision::Outcome;
-use crate::discovery::registry::Speaks;
+use crate::discovery::registry::EndpointProtocol;
 use crate::protocol::http2;
 use crate::protocol::resp::{
-    self, instance_reply, large_reply, large_rest, push_command, push_words, Large, Parsed, Reply,
-    MOST_PASSED, MOST_VALUE,
+    self, endpoint_reply, large_reply, large_rest, push_request, push_words, Large, Parsed, Reply,
+    MAX_PASSED, MAX_VALUE,
 };
-use crate::request::{pairs, End, Start, Value};
-use crate::runtime::dispatcher::Hub;
+use crate::request::{pairs, AttemptResult, AttemptStart, ResponseBody};
+use crate::runtime::dispatcher::Dispatcher;
 use bytes::Bytes;
 use h2::client::SendRequest;
 use h2::{RecvStream, SendStream};
@@ -34,13 +34,13 @@
 const RETIRE: f64 = 0.6;
 /// Share of dead connections at which they are not used again, beyond that of new ones; attempts that it takes
 /// to believe so; part of what is known that is kept each second.
-const MOST_DEAD: f64 = 0.03;
+const MAX_DEAD: f64 = 0.03;
 const DOUBT: f64 = 20.0;
 const FADE: f64 = 0.95;
 /// A connection rests this long behind an answer, ms: a second one may come some milliseconds late.
 const REST_MS: f64 = 10.0;
 /// Largest reply: value, figures and report.
-const MOST_REPLY: usize = 256 * 1024;
+const MAX_REPLY: usize = 256 * 1024;
 /// A reply that has begun and of which nothing more comes for so many times of a connect's wait is spoilt; a large
 /// value that is being passed on is given up by this, ms, since then there is no way back.
 const STALLED: u32 = 2;
@@ -51,13 +51,13 @@
 /// Bytes that all streams of a shared connection together may have unread: those of clients that read slowly must not
 /// hold up the others.
 const SHARED_WINDOW: u32 = 4 * 1024 * 1024;
-/// Connections at an instance under which a failed connect says nothing of its limit.
-const LEAST_CAP: usize = 8;
+/// Connections at an endpoint under which a failed connect says nothing of its limit.
+const MIN_CAP: usize = 8;
 /// A learnt cap is lifted by one after each such span, ms.
 const LIFT_MS: f64 = 1000.0;
 
-/// How often a command met a dead connection, by how long it had been idle: what instances, or machines on the
-/// way, close without a word shows only in the next command, which may have run. The first place is for new
+/// How often a request met a dead connection, by how long it had been idle: what endpoints, or machines on the
+/// way, close without a word shows only in the next request, which may have run. The first place is for new
 /// connections, the others for idle times up to 8, 16, 32 ms and so on. Memory fades, so that it is tried again.
 #[derive(Default)]
 struct Ages {
@@ -86,7 +86,7 @@
     /// Whether a connection that was idle for so long is worse than a new one. Older ones are no better.
     fn stale(&self, place: usize) -> bool {
         let share = |i: usize| self.dead[i] / (self.tried[i] + DOUBT);
-        (1..=place).any(|i| share(i) > share(0) + MOST_DEAD)
+        (1..=place).any(|i| share(i) > share(0) + MAX_DEAD)
     }
 }
 
@@ -114,12 +114,12 @@
     }
 }
 
-/// A connection to an instance.
+/// A connection to an endpoint.
 struct Link {
     stream: TcpStream,
     addr: SocketAddr,
-    input: RefCell<Ring>,
-    output: RefCell<Ring>,
+    input: RefCell<RingBuffer>,
+    output: RefCell<RingBuffer>,
     /// Its place among the ages when it was last taken.
     age: Cell<usize>,
     _seat: Seat,
@@ -143,7 +143,7 @@
 #[derive(Clone)]
 struct Shared {
     send: SendRequest<Bytes>,
-    /// When the instance last answered on it, and when an attempt last used it.
+    /// When the endpoint last answered on it, and when an attempt last used it.
     heard: Rc<Cell<f64>>,
     used: Rc<Cell<f64>>,
     addr: SocketAddr,
@@ -162,15 +162,15 @@
 struct Running {
     task: AbortHandle,
     handle: Handle,
-    instance: InstanceId,
+    endpoint: EndpointId,
     since: f64,
 }
 
-/// All connections to instances.
+/// All connections to endpoints.
 pub struct Upstream {
-    hub: Rc<Hub>,
-    pools: RefCell<HashMap<InstanceId, Pool>>,
-    running: RefCell<HashMap<(CommandId, u32), Running>>,
+    dispatcher: Rc<Dispatcher>,
+    pools: RefCell<HashMap<EndpointId, Pool>>,
+    running: RefCell<HashMap<(RequestId, u32), Running>>,
     open: Rc<Cell<usize>>,
     ages: RefCell<Ages>,
     budget: Cell<usize>,
@@ -180,8 +180,8 @@
 
 impl Upstream {
     /// No connections yet; `budget` is the most that may be open together.
-    pub fn new(hub: Rc<Hub>, budget: usize) -> Rc<Upstream> {
-        let platform = hub.platform();
+    pub fn new(dispatcher: Rc<Dispatcher>, budget: usize) -> Rc<Upstream> {
+        let platform = dispatcher.platform();
         Rc::new(Upstream {
             pools: RefCell::default(),
             running: RefCell::default(),
@@ -189,8 +189,8 @@
             ages: RefCell::default(),
             budget: Cell::new(budget),
             retire_ms: platform.idle_ms * RETIRE,
-            dial: Duration::from_secs_f64(platform.dial_ms / 1e3),
-            hub,
+            dial: Duration::from_secs_f64(platform.connect_timeout_ms / 1e3),
+            dispatcher,
         })
     }
 
@@ -200,49 +200,52 @@
     }
 
     /// Keeps to so many connections from now on, and closes idle ones above that.
-    pub fn keep_to(&self, budget: usize) {
+    pub fn set_budget(&self, budget: usize) {
         self.budget.set(budget);
         let mut pools = self.pools.borrow_mut();
         while self.open.get() > budget && shed(&mut pools) {}
     }
 
-    /// Starts an attempt; its end is told to the hub.
-    pub fn start(self: &Rc<Self>, attempt: Start) {
+    /// Starts an attempt; its end is told to the dispatcher.
+    pub fn start(self: &Rc<Self>, attempt: AttemptStart) {
         let key = (attempt.id, attempt.attempt);
-        let (instance, since) = (attempt.instance, self.hub.now());
+        let (endpoint, since) = (attempt.endpoint, self.dispatcher.now());
         let handle = Handle::default();
         let (held, up) = (handle.clone(), self.clone());
         let task = spawn_local(async move {
             let at = up
-                .hub
+                .dispatcher
                 .table()
-                .instance(attempt.instance)
-                .map(|i| (i.addr, i.speaks));
+                .endpoint(attempt.endpoint)
+                .map(|i| (i.addr, i.protocol));
             let end = match at {
-                Some((addr, Speaks::Resp)) => run(&up, &attempt, addr, &held).await,
-                Some((addr, Speaks::Http2)) => run_http2(&up, &attempt, addr, &held).await,
-                None => End::without(Outcome::ConnectFailed),
+                Some((addr, EndpointProtocol::Resp)) => run(&up, &attempt, addr, &held).await,
+                Some((addr, EndpointProtocol::Http2)) => {
+                    run_http2(&up, &attempt, addr, &held).await
+                }
+                None => AttemptResult::without(Outcome::ConnectFailed),
             };
             up.running
                 .borrow_mut()
                 .remove(&(attempt.id, attempt.attempt));
-            up.hub
-                .with_core(|core, now| core.attempt_ended(now, attempt.id, attempt.attempt, end));
+            up.dispatcher.with_requests(|core, now| {
+                core.attempt_ended(now, attempt.id, attempt.attempt, end)
+            });
         });
         self.running.borrow_mut().insert(
             key,
             Running {
                 task: task.abort_handle(),
                 handle,
-                instance,
+                endpoint,
                 since,
             },
         );
     }
 
     /// Abandons an attempt. Its sending is ended here and now, not when the task is next looked at: a further
-    /// attempt of the same command must never overlap with it.
-    pub fn abandon(&self, id: CommandId, number: u32) {
+    /// attempt of the same request must never overlap with it.
+    pub fn abandon(&self, id: RequestId, number: u32) {
         let Some(running) = self.running.borrow_mut().remove(&(id, number)) else {
             return;
         };
@@ -254,7 +257,7 @@
                 stream.send_reset(h2::Reason::CANCEL);
                 // Guards against a machine that is cut off: a shared connection that has said nothing since
                 // gets no further attempts.
-                if let Some(pool) = self.pools.borrow_mut().get_mut(&running.instance) {
+                if let Some(pool) = self.pools.borrow_mut().get_mut(&running.endpoint) {
                     pool.shared
                         .take_if(|shared| shared.heard.get() < running.since);
                 }
@@ -264,21 +267,21 @@
         running.task.abort();
     }
 
-    /// Asks an instance for its load.
-    pub fn probe(self: &Rc<Self>, instance: InstanceId) {
+    /// Asks an endpoint for its load.
+    pub fn probe(self: &Rc<Self>, endpoint: EndpointId) {
         let up = self.clone();
         spawn_local(async move {
-            let (outcome, load) = timeout(up.dial, probe(&up, instance))
+            let (outcome, load) = timeout(up.dial, probe(&up, endpoint))
                 .await
                 .unwrap_or((Outcome::Timeout, Vec::new()));
-            up.hub
-                .with_core(|core, now| core.probed(now, instance, outcome, load));
+            up.dispatcher
+                .with_requests(|core, now| core.probed(now, endpoint, outcome, load));
         });
     }
 
-    /// Closes the idle connections to an instance that gets no more commands, and forgets what was learnt of it.
-    pub fn release(&self, instance: InstanceId) {
-        if let Some(pool) = self.pools.borrow_mut().get_mut(&instance) {
+    /// Closes the idle connections to an endpoint that gets no more requests, and forgets what was learnt of it.
+    pub fn release(&self, endpoint: EndpointId) {
+        if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
             pool.idle.clear();
             (pool.shared, pool.cap) = (None, None);
         }
@@ -297,10 +300,10 @@
     }
 
     /// The newest idle connection that its peer has not closed.
-    fn reuse(&self, now: f64, instance: InstanceId, addr: SocketAddr) -> Option<Rc<Link>> {
+    fn reuse(&self, now: f64, endpoint: EndpointId, addr: SocketAddr) -> Option<Rc<Link>> {
         let mut pools = self.pools.borrow_mut();
-        let pool = pools.get_mut(&instance)?;
-        // Guards against what may come right behind an answer: it must not meet the next command.
+        let pool = pools.get_mut(&endpoint)?;
+        // Guards against what may come right behind an answer: it must not meet the next request.
         while let Some(rested) = pool
             .idle
             .iter()
@@ -314,7 +317,7 @@
                 return None;
             }
             // Guards against work that "may have run" for nothing, and against an answer that is another
-            // command's: an end, a reset or bytes that are already here are seen before the command is
+            // request's: an end, a reset or bytes that are already here are seen before the request is
             // written. The system is asked itself: the runtime would answer from what it last heard.
             let quiet =
                 socket2::SockRef::from(&idle.link.stream).peek(&mut [MaybeUninit::uninit(); 1]);
@@ -327,13 +330,13 @@
         None
     }
 
-    /// A place for one more connection, or none within the budget and the instance's cap.
-    fn seat(&self, now: f64, instance: InstanceId) -> Option<Seat> {
+    /// A place for one more connection, or none within the budget and the endpoint's cap.
+    fn seat(&self, now: f64, endpoint: EndpointId) -> Option<Seat> {
         let mut pools = self.pools.borrow_mut();
         if self.open.get() >= self.budget.get() && !shed(&mut pools) {
             return None;
         }
-        let pool = pools.entry(instance).or_default();
+        let pool = pools.entry(endpoint).or_default();
         if let Some((cap, at)) = pool.cap {
             let cap = cap + ((now - at) / LIFT_MS) as usize;
             if pool.open.get() >= cap {
@@ -343,46 +346,52 @@
         Some(Seat::take(&self.open, &pool.open))
     }
 
-    /// A connect failed while others stood: the instance takes no more than these.
-    fn refused(&self, now: f64, instance: InstanceId) {
-        if let Some(pool) = self.pools.borrow_mut().get_mut(&instance) {
+    /// A connect failed while others stood: the endpoint takes no more than these.
+    fn refused(&self, now: f64, endpoint: EndpointId) {
+        if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint) {
             let others = pool.open.get().saturating_sub(1);
-            if others >= LEAST_CAP {
+            if others >= MIN_CAP {
                 pool.cap = Some((others, now));
             }
         }
     }
 
-    /// Keeps a connection for the next command, unless there will be none.
-    fn keep(&self, instance: InstanceId, link: Rc<Link>) {
-        let (takes, since) = (self.hub.takes(instance), self.hub.now());
-        if let Some(pool) = self.pools.borrow_mut().get_mut(&instance).filter(|_| takes) {
+    /// Keeps a connection for the next request, unless there will be none.
+    fn keep(&self, endpoint: EndpointId, link: Rc<Link>) {
+        let (takes, since) = (
+            self.dispatcher.accepts_requests(endpoint),
+            self.dispatcher.now(),
+        );
+        if let Some(pool) = self.pools.borrow_mut().get_mut(&endpoint).filter(|_| takes) {
             pool.idle.push(Idle { link, since });
         }
     }
 }
 
 /// Closes the connection that has been idle for longest; false: none is idle.
-fn shed(pools: &mut HashMap<InstanceId, Pool>) -> bool {
+fn shed(pools: &mut HashMap<EndpointId, Pool>) -> bool {
     let idle = pools.values_mut().filter(|p| !p.idle.is_empty());
     let oldest = idle.min_by(|a, b| a.idle[0].since.total_cmp(&b.idle[0].since));
     oldest.map(|pool| pool.idle.remove(0)).is_some()
 }
 
-async fn connect(up: &Upstream, instance: InstanceId, addr: SocketAddr) -> Option<Rc<Link>> {
-    let hub = &up.hub;
-    if let Some(link) = up.reuse(hub.now(), instance, addr) {
+async fn connect(up: &Upstream, endpoint: EndpointId, addr: SocketAddr) -> Option<Rc<Link>> {
+    let dispatcher = &up.dispatcher;
+    if let Some(link) = up.reuse(dispatcher.now(), endpoint, addr) {
         return Some(link);
     }
-    let Some(seat) = up.seat(hub.now(), instance) else {
+    let Some(seat) = up.seat(dispatcher.now(), endpoint) else {
         // There may be one that only needs its rest.
         tokio::time::sleep(Duration::from_secs_f64(REST_MS / 1e3)).await;
-        return up.reuse(hub.now(), instance, addr);
+        return up.reuse(dispatcher.now(), endpoint, addr);
     };
     match timeout(up.dial, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
-            let (input, output) = (Ring::new(MOST_REPLY).into(), Ring::new(MOST_REPLY).into());
+            let (input, output) = (
+                RingBuffer::new(MAX_REPLY).into(),
+                RingBuffer::new(MAX_REPLY).into(),
+            );
             Some(Rc::new(Link {
                 stream,
                 addr,
@@ -393,7 +402,7 @@
             }))
         }
         _ => {
-            up.refused(hub.now(), instance);
+            up.refused(dispatcher.now(), endpoint);
             None
         }
     }
@@ -453,7 +462,7 @@
     stalled: Duration,
     then: impl Fn(Reply) -> Option<T>,
 ) -> Option<Came<T>> {
-    let (mut least, mut until) = (1, None);
+    let (mut min, mut until) = (1, None);
     loop {
         if !read_some(link)? {
             match until {
@@ -464,21 +473,21 @@
         }
         let mut input = link.input.borrow_mut();
         until = until.map(|_| tokio::time::Instant::now() + stalled);
-        if input.len() < least {
+        if input.len() < min {
             continue;
         }
-        match instance_reply(input.whole()) {
-            Ok(Parsed::Whole(reply, n)) => {
+        match endpoint_reply(input.whole()) {
+            Ok(Parsed::Complete(reply, n)) => {
                 let value = then(reply)?;
                 input.consume(n);
                 return Some(Came::Reply(value));
             }
-            Ok(Parsed::More(more)) => least = input.len() + more,
+            Ok(Parsed::More(more)) => min = input.len() + more,
             // Too long to be taken whole, or garbage.
             Err(_) => {
                 let large = large_reply(input.whole())?;
-                least = large.head + EARNEST;
-                if input.len() >= least {
+                min = large.head + EARNEST;
+                if input.len() >= min {
                     return Some(Came::Large(large));
                 }
             }
@@ -487,18 +496,18 @@
     }
 }
 
-/// The connection that an instance's HTTP/2 attempts share, opened where there is none.
-async fn shared(up: &Upstream, instance: InstanceId, addr: SocketAddr) -> Option<Shared> {
-    let hub = &up.hub;
+/// The connection that an endpoint's HTTP/2 attempts share, opened where there is none.
+async fn shared(up: &Upstream, endpoint: EndpointId, addr: SocketAddr) -> Option<Shared> {
+    let dispatcher = &up.dispatcher;
     let known = up
         .pools
         .borrow()
-        .get(&instance)
+        .get(&endpoint)
         .and_then(|pool| pool.shared.clone());
     if let Some(shared) = known.filter(|shared| shared.up.get() && shared.addr == addr) {
         return Some(shared);
     }
-    let seat = up.seat(hub.now(), instance)?;
+    let seat = up.seat(dispatcher.now(), endpoint)?;
     let dial = async {
         let stream = TcpStream::connect(addr).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -509,10 +518,10 @@
         builder.handshake::<_, Bytes>(stream).await.ok()
     };
     let Ok(Some((send, connection))) = timeout(up.dial, dial).await else {
-        up.refused(hub.now(), instance);
+        up.refused(dispatcher.now(), endpoint);
         return None;
     };
-    let now = hub.now();
+    let now = dispatcher.now();
     let alive = Rc::new(Cell::new(true));
     let (heard, used) = (Rc::new(Cell::new(now)), Rc::new(Cell::new(now)));
     let shared = Shared {
@@ -529,7 +538,7 @@
         }
         alive.set(false);
     });
-    if let Some(pool) = up.pools.borrow_mut().get_mut(&instance) {
+    if let Some(pool) = up.pools.borrow_mut().get_mut(&endpoint) {
         pool.shared
             .take_if(|shared| !shared.up.get() || shared.addr != addr);
         pool.shared.get_or_insert_with(|| shared.clone());
@@ -537,10 +546,15 @@
     Some(shared)
 }
 
-async fn run_http2(up: &Rc<Upstream>, attempt: &Start, addr: SocketAddr, held: &Handle) -> End {
-    let hub = &up.hub;
-    let never = End::without(Outcome::ConnectFailed);
-    let Some(shared) = shared(up, attempt.instance, addr).await else {
+async fn run_http2(
+    up: &Rc<Upstream>,
+    attempt: &AttemptStart,
+    addr: SocketAddr,
+    held: &Handle,
+) -> AttemptResult {
+    let dispatcher = &up.dispatcher;
+    let never = AttemptResult::without(Outcome::ConnectFailed);
+    let Some(shared) = shared(up, attempt.endpoint, addr).await else {
         return never;
     };
     let Ok(mut send) = shared.send.clone().ready().await else {
@@ -548,16 +562,16 @@
         shared.up.set(false);
         return never;
     };
-    let now = hub.now();
-    if !hub.takes(attempt.instance) {
+    let now = dispatcher.now();
+    if !dispatcher.accepts_requests(attempt.endpoint) {
         return never;
     }
     shared.used.set(now);
     let wait = attempt.until - now;
-    let Ok(request) = http2::request(hub.platform(), &attempt.command, wait) else {
+    let Ok(request) = http2::upstream_request(dispatcher.platform(), &attempt.request, wait) else {
         return never;
     };
-    let body = attempt.command.body.as_ref();
+    let body = attempt.request.body.as_ref();
     let Ok((response, mut stream)) = send.send_request(request, body.is_none()) else {
         shared.up.set(false);
         return never;
@@ -569,7 +583,7 @@
     *held.borrow_mut() = Some(Abandon::Reset(stream));
     let end = answer_http2(up, response).await;
     held.borrow_mut().take();
-    let now = hub.now();
+    let now = dispatcher.now();
     shared.used.set(now);
     if end.outcome != Outcome::Reset {
         shared.heard.set(now);
@@ -577,53 +591,53 @@
     end
 }
 
-async fn answer_http2(up: &Upstream, response: h2::client::ResponseFuture) -> End {
-    let platform = up.hub.platform();
+async fn answer_http2(up: &Upstream, response: h2::client::ResponseFuture) -> AttemptResult {
+    let platform = up.dispatcher.platform();
     let (head, mut stream) = match response.await {
         Ok(response) => response.into_parts(),
-        Err(e) => return End::without(http2::broken(&e)),
+        Err(e) => return AttemptResult::without(http2::broken(&e)),
     };
     let report = head.headers.get(http2::LOAD);
     let load = report.map_or(Vec::new(), |report| load(platform, report.as_bytes()));
     let outcome = http2::outcome(head.status, &head.headers);
     if outcome != Outcome::Ok {
-        return End {
+        return AttemptResult {
             load,
-            ..End::without(outcome)
+            ..AttemptResult::without(outcome)
         };
     }
-    let figures = head.headers.get(http2::USE);
-    let cost = figures.and_then(|figures| resp::cost(platform, figures.as_bytes()));
+    let statistics = head.headers.get(http2::USE);
+    let cost = statistics.and_then(|statistics| resp::cost(platform, statistics.as_bytes()));
     let length = head.headers.get(http::header::CONTENT_LENGTH);
     let length = length.and_then(|length| length.to_str().ok()?.parse::<usize>().ok());
-    if let Some(size) = length.filter(|size| (MOST_VALUE + 1..=MOST_PASSED).contains(size)) {
+    if let Some(size) = length.filter(|size| (MAX_VALUE + 1..=MAX_PASSED).contains(size)) {
         // One that promises much and gives nothing can still be asked elsewhere.
         let Ok(Some(Ok(first))) = timeout(STALLED * up.dial, stream.data()).await else {
-            return End::without(Outcome::Reset);
+            return AttemptResult::without(Outcome::Reset);
         };
-        let (intake, outlet) = up.hub.ways().open(size);
+        let (intake, outlet) = up.dispatcher.body_streams().open(size);
         spawn_local(pass_on_http2(stream, first, intake));
-        return End {
+        return AttemptResult {
             outcome,
-            value: Some(Value::Coming(Rc::new(outlet))),
+            value: Some(ResponseBody::Streaming(Rc::new(outlet))),
             load,
             cost,
         };
     }
     match http2::collect(&mut stream, STALLED * up.dial).await {
-        Some(value) => End {
+        Some(value) => AttemptResult {
             outcome,
-            value: Some(Value::Whole(value)),
+            value: Some(ResponseBody::Complete(value)),
             load,
             cost,
         },
         // It has begun to answer, so it ran, whatever ended the stream or keeps it from its end.
-        None => End::without(Outcome::Reset),
+        None => AttemptResult::without(Outcome::Reset),
     }
 }
 
 /// As [`pass_on`], over HTTP/2: what the client has not taken stays in the stream's window.
-async fn pass_on_http2(mut stream: RecvStream, first: Bytes, intake: Intake) {
+async fn pass_on_http2(mut stream: RecvStream, first: Bytes, intake: BodySender) {
     let mut part = first;
     loop {
         while !part.is_empty() {
@@ -649,26 +663,32 @@
     }
 }
 
-async fn run(up: &Rc<Upstream>, attempt: &Start, addr: SocketAddr, held: &Handle) -> End {
-    let hub = &up.hub;
-    let Some(link) = connect(up, attempt.instance, addr).await else {
-        return End::without(Outcome::ConnectFailed);
+async fn run(
+    up: &Rc<Upstream>,
+    attempt: &AttemptStart,
+    addr: SocketAddr,
+    held: &Handle,
+) -> AttemptResult {
+    let dispatcher = &up.dispatcher;
+    let Some(link) = connect(up, attempt.endpoint, addr).await else {
+        return AttemptResult::without(Outcome::ConnectFailed);
     };
     *held.borrow_mut() = Some(Abandon::Close(link.clone()));
-    let now = hub.now();
+    let now = dispatcher.now();
     let mut bytes = Vec::with_capacity(256);
-    push_command(
+    push_request(
         &mut bytes,
-        hub.platform(),
-        &attempt.command,
+        dispatcher.platform(),
+        &attempt.request,
         attempt.until - now,
     );
-    let sent = link.output.borrow_mut().push(&bytes).is_ok() && hub.takes(attempt.instance);
+    let sent = link.output.borrow_mut().push(&bytes).is_ok()
+        && dispatcher.accepts_requests(attempt.endpoint);
     if !sent || !write(&link).await {
-        return End::without(Outcome::ConnectFailed);
+        return AttemptResult::without(Outcome::ConnectFailed);
     }
     let end = read(&link, STALLED * up.dial, |reply| {
-        ending(hub.platform(), reply)
+        ending(dispatcher.platform(), reply)
     })
     .await;
     held.borrow_mut().take();
@@ -676,39 +696,39 @@
     up.ages.borrow_mut().note(link.age.get(), unheard);
     match end {
         Some(Came::Large(large)) => {
-            let (intake, outlet) = hub.ways().open(large.size);
+            let (intake, outlet) = dispatcher.body_streams().open(large.size);
             {
                 let mut input = link.input.borrow_mut();
                 input.consume(large.head);
                 let n = intake.push(input.whole());
                 input.consume(n);
             }
-            spawn_local(pass_on(up.clone(), attempt.instance, link, large, intake));
-            let value = Some(Value::Coming(Rc::new(outlet)));
-            End {
+            spawn_local(pass_on(up.clone(), attempt.endpoint, link, large, intake));
+            let value = Some(ResponseBody::Streaming(Rc::new(outlet)));
+            AttemptResult {
                 value,
-                ..End::without(Outcome::Ok)
+                ..AttemptResult::without(Outcome::Ok)
             }
         }
         Some(Came::Reply(end)) => {
             // Anything behind the reply is nobody's: such a connection is not reused.
             if link.input.borrow().is_empty() {
-                up.keep(attempt.instance, link);
+                up.keep(attempt.endpoint, link);
             }
             end
         }
-        None => End::without(Outcome::Reset),
+        None => AttemptResult::without(Outcome::Reset),
     }
 }
 
 /// Passes the rest of a large value on, as far as its client takes it, and keeps the link if all ends well. A client
-/// that is gone, or an instance that gives nothing more, ends the link.
+/// that is gone, or an endpoint that gives nothing more, ends the link.
 async fn pass_on(
     up: Rc<Upstream>,
-    instance: InstanceId,
+    endpoint: EndpointId,
     link: Rc<Link>,
     large: Large,
-    intake: Intake,
+    intake: BodySender,
 ) {
     while intake.left() > 0 {
         if intake.gone() {
@@ -739,8 +759,8 @@
             {
                 let mut input = link.input.borrow_mut();
                 match large_rest(input.whole(), large.items) {
-                    Ok(Parsed::Whole(items, n)) => {
-                        let load = report(up.hub.platform(), &items);
+                    Ok(Parsed::Complete(items, n)) => {
+                        let load = report(up.dispatcher.platform(), &items);
                         input.consume(n);
                         return Some(load);
                     }
@@ -757,22 +777,25 @@
         return;
     };
     if !load.is_empty() {
-        up.hub
-            .with_core(|core, now| core.probed(now, instance, Outcome::Ok, load));
+        up.dispatcher
+            .with_requests(|core, now| core.probed(now, endpoint, Outcome::Ok, load));
     }
     if link.input.borrow().is_empty() {
-        up.keep(instance, link);
+        up.keep(endpoint, link);
     }
 }
 
 /// What a reply means, by the table of the protocol page; none: it makes no sense.
-fn ending(platform: &Platform, reply: Reply) -> Option<End> {
+fn ending(platform: &Platform, reply: Reply) -> Option<AttemptResult> {
     match reply {
         Reply::Array(items) => match items.as_slice() {
             [Reply::Bulk(Some(value)), rest @ ..] => {
-                let (value, load) = (Some(Value::Whole(value.to_vec())), report(platform, rest));
-                let cost = text_at(rest, 0).and_then(|figures| resp::cost(platform, figures));
-                Some(End {
+                let (value, load) = (
+                    Some(ResponseBody::Complete(value.to_vec())),
+                    report(platform, rest),
+                );
+                let cost = text_at(rest, 0).and_then(|statistics| resp::cost(platform, statistics));
+                Some(AttemptResult {
                     outcome: Outcome::Ok,
                     value,
                     load,
@@ -783,7 +806,7 @@
         },
         Reply::Error(text) => {
             let mut words = text.split(|b| *b == b' ');
-            // What is neither of these is noise, and says nothing of the instance's class or queue.
+            // What is neither of these is noise, and says nothing of the endpoint's class or queue.
             let outcome = match words.next() {
                 Some(b"BUSY") => Outcome::Full,
                 Some(b"ERR") => Outcome::Error,
@@ -792,9 +815,9 @@
             let last = words.next_back().filter(|w| w.contains(&b'='));
             let load = last.map_or(Vec::new(), |report| load(platform, report));
             // Units are settled by good answers alone.
-            Some(End {
+            Some(AttemptResult {
                 load,
-                ..End::without(outcome)
+                ..AttemptResult::without(outcome)
             })
         }
         _ => None,
@@ -841,16 +864,19 @@
         .unwrap_or_default()
 }
 
-async fn probe(up: &Upstream, instance: InstanceId) -> (Outcome, Vec<f64>) {
-    let hub = &up.hub;
+async fn probe(up: &Upstream, endpoint: EndpointId) -> (Outcome, Vec<f64>) {
+    let dispatcher = &up.dispatcher;
     let failed = (Outcome::ConnectFailed, Vec::new());
-    let at = hub.table().instance(instance).map(|i| (i.addr, i.speaks));
+    let at = dispatcher
+        .table()
+        .endpoint(endpoint)
+        .map(|i| (i.addr, i.protocol));
     let addr = match at {
-        Some((addr, Speaks::Resp)) => addr,
-        Some((addr, Speaks::Http2)) => return probe_http2(up, instance, addr).await,
+        Some((addr, EndpointProtocol::Resp)) => addr,
+        Some((addr, EndpointProtocol::Http2)) => return probe_http2(up, endpoint, addr).await,
         None => return failed,
     };
-    let Some(link) = connect(up, instance, addr).await else {
+    let Some(link) = connect(up, endpoint, addr).await else {
         return failed;
     };
     let mut bytes = Vec::new();
@@ -859,14 +885,14 @@
         return failed;
     }
     let answer = read(&link, STALLED * up.dial, |reply| match reply {
-        Reply::Bulk(Some(report)) => Some((Outcome::Ok, load(hub.platform(), report))),
+        Reply::Bulk(Some(report)) => Some((Outcome::Ok, load(dispatcher.platform(), report))),
         Reply::Error(_) => Some((Outcome::Error, Vec::new())),
         _ => None,
     });
     match answer.await {
         Some(Came::Reply(result)) => {
             if link.input.borrow().is_empty() {
-                up.keep(instance, link);
+                up.keep(endpoint, link);
             }
             result
         }
@@ -874,10 +900,10 @@
     }
 }
 
-async fn probe_http2(up: &Upstream, instance: InstanceId, addr: SocketAddr) -> (Outcome, Vec<f64>) {
-    let hub = &up.hub;
+async fn probe_http2(up: &Upstream, endpoint: EndpointId, addr: SocketAddr) -> (Outcome, Vec<f64>) {
+    let dispatcher = &up.dispatcher;
     let failed = (Outcome::ConnectFailed, Vec::new());
-    let Some(shared) = shared(up, instance, addr).await else {
+    let Some(shared) = shared(up, endpoint, addr).await else {
         return failed;
     };
     let Ok(mut send) = shared.send.clone().ready().await else {
@@ -895,8 +921,8 @@
     let (head, mut stream) = response.into_parts();
     match http2::collect(&mut stream, STALLED * up.dial).await {
         Some(report) if head.status == http::StatusCode::OK => {
-            shared.heard.set(hub.now());
-            (Outcome::Ok, load(hub.platform(), &report))
+            shared.heard.set(dispatcher.now());
+            (Outcome::Ok, load(dispatcher.platform(), &report))
         }
         _ => (Outcome::Error, Vec::new()),
     }
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -5,7 +5,7 @@
 use stage::{play, play_all, play_resp, Wire};
 
 #[test]
-fn behind_the_most_pipelined_commands_nothing_more_is_begun() {
+fn behind_the_most_pipelined_requests_nothing_more_is_begun() {
     // 128 are taken; the others are in the ring, and nothing is read meanwhile. All wait for the counter until its calls
     // are given up: with its answers, attempts would begin between them, and the ladder would refuse the rest.
     play_resp(
@@ -62,7 +62,7 @@
 
 #[test]
 fn on_a_connection_that_is_to_end_nothing_more_is_begun() {
-    // A fetch that an instance could not serve is sent on once more, unless its client has gone.
+    // A fetch that an endpoint could not serve is forwarded once more, unless its client has gone.
     play_all(
         "send c k1 fetch-episode national 7
          expect * k1
@@ -171,7 +171,7 @@
          runs k2 0
          runs k3 0",
     );
-    // Connections to the instances are up, so that what is begun is written at once.
+    // Connections to the endpoints are up, so that what is begun is written at once.
     play_resp(
         "with plans.3.units_per_s=0.0
          burst w 60
@@ -194,27 +194,27 @@
     );
 }
 
-/// Clients that ask for values and read none, and are gone at once: the connections, and the commands on each.
+/// Clients that ask for values and read none, and are gone at once: the connections, and the requests on each.
 fn hundreds_gone(front: Wire, behind: Wire) {
-    let (connections, commands) = if front == Wire::Resp {
+    let (connections, requests) = if front == Wire::Resp {
         (300, 1)
     } else {
         (15, 20)
     };
-    let ask = |kind: &str, partner: usize| -> String {
-        (0..connections * commands)
+    let ask = |kind: &str, tenant: usize| -> String {
+        (0..connections * requests)
             .map(|i| {
-                let (connection, partner) = (i % connections, partner + i);
-                // Some at a time, as instances take them.
+                let (connection, tenant) = (i % connections, tenant + i);
+                // Some at a time, as endpoints take them.
                 let pause = if i % 10 == 9 { "wait 30\n" } else { "" };
                 format!(
-                    "send c{connection} {kind}{i} book-rebroadcast national {partner:x}\n{pause}"
+                    "send c{connection} {kind}{i} book-rebroadcast national {tenant:x}\n{pause}"
                 )
             })
             .collect()
     };
     let close: String = (0..connections).map(|c| format!("close c{c}\n")).collect();
-    // Values that are passed on hold connections to instances (or streams, of which a shared connection has room for
+    // Values that are passed on hold connections to endpoints (or streams, of which a shared connection has room for
     // fewer). Whole ones wait in the front, 18 MB of them in each round.
     let passed_on = ask("p", 100);
     let (first, second) = (ask("f", 1000), ask("s", 2000));
