--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! A gateway under test with its settings, a clock and a record of what it did.
+//! An ingress under test with its settings, a clock and a record of what it did.
 #![allow(dead_code)]
 
 use driftgap::decision::*;
 
-pub fn class(effect: Effect, group: Group) -> Class {
+pub fn class(effect: Idempotency, group: DeduplicationScope) -> Class {
     Class {
-        aim: 0.5,
+        latency_objective: 0.5,
         deadline: 2.0,
         effect,
         group,
         window: 1.0,
         late_share: 0.0,
-        worth: 1.0,
+        priority_weight: 1.0,
     }
 }
 
@@ -30,26 +30,26 @@
 /// Classes: 0 safe, 1 keyed (cell), 2 unsafe, 3 keyed (all). Plans: 0 without a quota, 1 small.
 pub fn settings() -> Settings {
     Settings {
-        gateways: 2,
+        ingresses: 2,
         position: 0,
         zone: 0,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
-            class(Effect::Keyed, Group::All),
+            class(Idempotency::Safe, DeduplicationScope::All),
+            class(Idempotency::Keyed, DeduplicationScope::Cell),
+            class(Idempotency::Unsafe, DeduplicationScope::All),
+            class(Idempotency::Keyed, DeduplicationScope::All),
         ],
         plans: vec![plan(0.0, 0.0), plan(10.0, 20.0)],
-        report: vec![Field::Queue],
+        report: vec![LoadReportField::Queue],
         report_by_probe: false,
         list_on_request: false,
-        may_probe: true,
-        may_cancel: true,
-        second_copies: true,
+        probes_allowed: true,
+        cancellation_allowed: true,
+        hedging: true,
         counter: true,
         counter_timeout: 0.1,
         settled_later: false,
-        most_units: 4.0,
+        max_units: 4.0,
         max_attempts: 4,
         max_retry_after: 2.0,
         resolution: 0.002,
@@ -60,21 +60,21 @@
     }
 }
 
-pub fn host(host: HostId) -> HostEntry {
-    let cell = host / 4;
-    HostEntry {
-        host,
+pub fn endpoint(endpoint: EndpointId) -> EndpointEntry {
+    let cell = endpoint / 4;
+    EndpointEntry {
+        endpoint,
         zone: cell % 2,
         cell,
-        state: HostState::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
         started: 0.0,
-        pools: ALL_HOSTS,
+        pools: ALL_ENDPOINTS,
     }
 }
 
 pub struct Bed {
-    pub gateway: Gateway,
+    pub ingress: DecisionEngine,
     pub set: Settings,
     pub now: f64,
     pub last: Vec<Action>,
@@ -82,53 +82,47 @@
 }
 
 impl Bed {
-    /// A gateway that has run for a while.
-    pub fn new(settings: Settings, hosts: u32) -> Bed {
-        let mut bed = Bed::young(settings, hosts);
+    /// An ingress that has run for a while.
+    pub fn new(settings: Settings, endpoints: u32) -> Bed {
+        let mut bed = Bed::young(settings, endpoints);
         bed.now += 60.0;
         bed
     }
 
-    /// A gateway that has just started.
-    pub fn young(settings: Settings, hosts: u32) -> Bed {
-        let gateway = Gateway::new(settings.clone(), 1).expect("settings make sense");
+    /// An ingress that has just started.
+    pub fn young(settings: Settings, endpoints: u32) -> Bed {
+        let ingress = DecisionEngine::new(settings.clone(), 1).expect("settings make sense");
         let mut bed = Bed {
-            gateway,
+            ingress,
             set: settings,
             now: 1000.0,
             last: Vec::new(),
             next: 1,
         };
-        bed.tell(Event::Hosts {
+        bed.tell(Event::Endpoints {
             kind: ListKind::Full,
-            entries: (0..hosts).map(host).collect(),
+            entries: (0..endpoints).map(endpoint).collect(),
         });
         bed
     }
 
     pub fn tell(&mut self, event: Event) -> &[Action] {
         self.last.clear();
-        self.gateway.handle(self.now, event, &mut self.last);
+        self.ingress.handle(self.now, event, &mut self.last);
         &self.last
     }
 
     /// A request; its id.
-    pub fn ask(
-        &mut self,
-        class: usize,
-        plan: usize,
-        customer: CustomerId,
-        units: f64,
-    ) -> RequestId {
-        self.ask_spread(class, plan, customer, units, 2)
+    pub fn ask(&mut self, class: usize, plan: usize, tenant: TenantId, units: f64) -> RequestId {
+        self.ask_spread(class, plan, tenant, units, 2)
     }
 
-    /// A request of a customer that comes in through `spread` gateways, from the first on; its id.
+    /// A request of a tenant that comes in through `spread` ingresses, from the first on; its id.
     pub fn ask_spread(
         &mut self,
         class: usize,
         plan: usize,
-        customer: u64,
+        tenant: u64,
         units: f64,
         spread: u32,
     ) -> RequestId {
@@ -140,12 +134,12 @@
             give_up,
             class,
             plan,
-            customer,
+            tenant,
             units,
             spread,
             first,
             repeat,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         self.tell(Event::Arrived(request));
         id
@@ -159,12 +153,12 @@
             give_up: self.now + self.set.classes[class].deadline - waited,
             class,
             plan: 0,
-            customer: 1,
+            tenant: 1,
             units: 1.0,
             spread: 2,
             first: 0,
             repeat: false,
-            pools: ALL_HOSTS,
+            pools: ALL_ENDPOINTS,
         };
         self.tell(Event::Arrived(request));
         id
@@ -177,18 +171,18 @@
     }
 
     /// Requests that stay open, one after the other, and where each was sent.
-    pub fn ask_all(&mut self, class: usize, n: usize) -> Vec<(RequestId, HostId)> {
+    pub fn ask_all(&mut self, class: usize, n: usize) -> Vec<(RequestId, EndpointId)> {
         let mut sent = Vec::new();
         for _ in 0..n {
             let id = self.ask(class, 0, 1, 1.0);
-            sent.extend(self.sent(id).into_iter().map(|host| (id, host)));
+            sent.extend(self.sent(id).into_iter().map(|endpoint| (id, endpoint)));
         }
         sent
     }
 
-    /// One request of a customer with a quota; itself if it was sent at once.
-    pub fn ask_unit(&mut self, customer: CustomerId) -> Vec<RequestId> {
-        self.ask(0, 1, customer, 1.0);
+    /// One request of a tenant with a quota; itself if it was sent at once.
+    pub fn ask_unit(&mut self, tenant: TenantId) -> Vec<RequestId> {
+        self.ask(0, 1, tenant, 1.0);
         self.sends()
     }
 
@@ -220,9 +214,11 @@
     }
 
     /// Where the last event sent attempts of this request.
-    pub fn sent(&self, id: RequestId) -> Vec<HostId> {
+    pub fn sent(&self, id: RequestId) -> Vec<EndpointId> {
         let to = |a: &Action| match a {
-            Action::Send { id: i, host, .. } if *i == id => Some(*host),
+            Action::Send {
+                id: i, endpoint, ..
+            } if *i == id => Some(*endpoint),
             _ => None,
         };
         self.last.iter().filter_map(to).collect()
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -4,16 +4,16 @@
 
 use stage::{play_all, play_resp};
 
-const COMMAND: &str = r"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$2\r\nk1\r\n$54\r\nc=fetch-episode,t=city,d=1000,units=2,spread=1,first=0\r\n";
+const REQUEST: &str = r"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$2\r\nk1\r\n$54\r\nc=fetch-episode,t=city,d=1000,units=2,spread=1,first=0\r\n";
 
 #[test]
-fn a_command_of_which_half_had_come_at_the_stop_is_answered() {
-    for cut in [1, 20, 60, COMMAND.len() - 6] {
-        let cut = COMMAND[..cut]
+fn a_request_of_which_half_had_come_at_the_stop_is_answered() {
+    for cut in [1, 20, 60, REQUEST.len() - 6] {
+        let cut = REQUEST[..cut]
             .rfind('\\')
             .filter(|at| at + 2 > cut)
             .unwrap_or(cut);
-        let (head, rest) = COMMAND.split_at(cut);
+        let (head, rest) = REQUEST.split_at(cut);
         play_resp(&format!(
             "always value news
              raw c {head}
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_command_that_comes_in_the_instant_of_the_stop_is_answered_or_its_connection_was_closed_before()
+fn a_request_that_comes_in_the_instant_of_the_stop_is_answered_or_its_connection_was_closed_before()
 {
     // On a connection that rests, and on new ones: at 0 to 40 ms around the signal.
     for ms in [0, 5, 20, 40] {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_instance_that_hangs_until_the_end_costs_no_command_its_answer() {
+fn an_endpoint_that_hangs_until_the_end_costs_no_request_its_answer() {
     // The one may have run and has failed, the other is harmless; both in time for the program to end.
     play_all(
         "send c k1 book-rebroadcast city 7 d=3000
--- a/tests/decision.rs
+++ b/tests/decision.rs
@@ -5,7 +5,7 @@
 use common::*;
 use driftgap::decision::*;
 
-/// Jams one host's worth of slow answers until the threshold is learnt, then stops.
+/// Jams one endpoint's worth of slow answers until the threshold is learnt, then stops.
 fn bed_with_threshold(settings: Settings) -> Bed {
     let mut bed = Bed::new(settings, 4);
     for _ in 0..30 {
@@ -14,7 +14,7 @@
         bed.end(id, 0, Outcome::Ok);
     }
     bed.tick(0.01);
-    assert!(bed.gateway.threshold() < 20.0, "bounded by what departs");
+    assert!(bed.ingress.threshold() < 20.0, "bounded by what departs");
     bed
 }
 
@@ -22,32 +22,32 @@
 fn five_readings_move_the_ladder_and_four_do_not() {
     let mut bed = bed_with_threshold(settings());
     let mut out = Vec::new();
-    while out.len() as f64 <= bed.gateway.threshold() {
+    while out.len() as f64 <= bed.ingress.threshold() {
         out.push(bed.ask(0, 0, 1, 1.0));
     }
     // Each arrival reads the count before it is sent itself.
     for i in 0..5 {
-        assert_eq!(bed.gateway.level(), 0, "after {i} readings above");
+        assert_eq!(bed.ingress.level(), 0, "after {i} readings above");
         out.push(bed.ask(0, 0, 1, 1.0));
     }
-    assert_eq!(bed.gateway.level(), 1);
+    assert_eq!(bed.ingress.level(), 1);
     // Down again: five readings under the threshold, here departures.
-    let (threshold, mut below) = (bed.gateway.threshold(), 0);
-    while bed.gateway.level() == 1 {
+    let (threshold, mut below) = (bed.ingress.threshold(), 0);
+    while bed.ingress.level() == 1 {
         assert!(below < 5, "five readings below");
         bed.end(out.pop().expect("attempts out"), 0, Outcome::Ok);
         below += u32::from((out.len() as f64) < threshold);
     }
-    assert_eq!((bed.gateway.level(), below), (0, 5));
+    assert_eq!((bed.ingress.level(), below), (0, 5));
 }
 
-/// Of so many requests whose clients have waited so long, s, how many a gateway at level 1 refuses. Those that it
+/// Of so many requests whose clients have waited so long, s, how many an ingress at level 1 refuses. Those that it
 /// sends are answered at once, so that the level stays.
 fn refused_at_level_1(bed: &mut Bed, count: usize, waited: f64) -> usize {
     let mut refused = 0;
     for _ in 0..count {
         let id = bed.ask_after_waiting(0, waited);
-        assert_eq!(bed.gateway.level(), 1);
+        assert_eq!(bed.ingress.level(), 1);
         if bed.refused(id) {
             refused += 1;
         } else {
@@ -70,11 +70,11 @@
             "without load a late answer is worth its work"
         );
         let mut out = vec![id];
-        while bed.gateway.level() == 0 {
+        while bed.ingress.level() == 0 {
             out.push(bed.ask(0, 0, 1, 1.0));
         }
         // Between the thresholds of levels 1 and 2 the level stays.
-        while out.len() as f64 > 1.1 * bed.gateway.threshold() {
+        while out.len() as f64 > 1.1 * bed.ingress.threshold() {
             bed.end(out.pop().expect("attempts out"), 0, Outcome::Ok);
         }
         let refused = refused_at_level_1(&mut bed, 100, waited);
@@ -97,7 +97,7 @@
     for _ in 0..400 {
         last = bed.ask(0, 0, 1, 1.0);
     }
-    assert_eq!(bed.gateway.level(), 2);
+    assert_eq!(bed.ingress.level(), 2);
     assert!(bed.refused(last));
     for _ in 0..50 {
         let id = bed.ask(0, 0, 1, 1.0);
@@ -367,19 +367,19 @@
 }
 
 #[test]
-fn a_draining_host_gets_nothing() {
+fn a_draining_endpoint_gets_nothing() {
     let mut bed = Bed::new(settings(), 3);
     let entries = vec![
-        HostEntry {
-            state: HostState::Draining,
-            ..host(0)
+        EndpointEntry {
+            state: EndpointState::Draining,
+            ..endpoint(0)
         },
-        HostEntry {
-            state: HostState::Gone,
-            ..host(1)
+        EndpointEntry {
+            state: EndpointState::Gone,
+            ..endpoint(1)
         },
     ];
-    bed.tell(Event::Hosts {
+    bed.tell(Event::Endpoints {
         kind: ListKind::Delta,
         entries,
     });
@@ -390,7 +390,7 @@
 }
 
 #[test]
-fn a_cold_host_is_given_little() {
+fn a_cold_endpoint_is_given_little() {
     let mut set = settings();
     set.classes.truncate(1);
     let mut bed = Bed::new(set, 4);
@@ -398,16 +398,16 @@
     for i in 0..600 {
         bed.now += 0.01;
         if i == 300 {
-            let drained = |h| HostEntry {
-                state: HostState::Draining,
-                ..host(h)
+            let drained = |h| EndpointEntry {
+                state: EndpointState::Draining,
+                ..endpoint(h)
             };
-            let cold = HostEntry {
+            let cold = EndpointEntry {
                 started: bed.now,
-                ..host(1)
+                ..endpoint(1)
             };
             let entries = vec![drained(0), cold, drained(2), drained(3)];
-            bed.tell(Event::Hosts {
+            bed.tell(Event::Endpoints {
                 kind: ListKind::Delta,
                 entries,
             });
@@ -421,7 +421,7 @@
         bed.tick(0.0);
         to_cold += usize::from((300..480).contains(&i) && to.contains(&1));
     }
-    // About 23 a second to a warm host: half of three times a fifth to a third of 46 in 2 s.
+    // About 23 a second to a warm endpoint: half of three times a fifth to a third of 46 in 2 s.
     assert!(
         (1..=25).contains(&to_cold),
         "{to_cold} attempts in the first 2 s"
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn fast_errors_eject_a_host_and_it_is_probed_later() {
+fn fast_errors_eject_a_endpoint_and_it_is_probed_later() {
     let mut bed = Bed::new(settings(), 4);
     for i in 0..40 {
         let id = bed.ask([0, 1, 3][i % 3], 0, 1, 1.0);
@@ -475,7 +475,7 @@
     };
     assert_eq!(to_bad(&mut bed), 0);
     bed.tick(10.0);
-    assert!(bed.last.contains(&Action::Probe { host: 0 }));
+    assert!(bed.last.contains(&Action::Probe { endpoint: 0 }));
 }
 
 #[test]
@@ -508,7 +508,7 @@
         total: f64::NAN,
     });
     bed.tell(Event::Probed {
-        host: 9,
+        endpoint: 9,
         outcome: Outcome::Ok,
         report: vec![f64::NAN],
     });
@@ -522,21 +522,24 @@
     let wrong = |change: fn(&mut Settings)| {
         let mut set = settings();
         change(&mut set);
-        Gateway::new(set, 1).err().expect("refused").field
+        DecisionEngine::new(set, 1).err().expect("refused").field
     };
-    assert_eq!(wrong(|s| s.gateways = 0), "gateways");
+    assert_eq!(wrong(|s| s.ingresses = 0), "gateways");
     assert_eq!(wrong(|s| s.classes.clear()), "classes");
-    assert_eq!(wrong(|s| s.classes[1].aim = f64::NAN), "classes[1].aim");
+    assert_eq!(
+        wrong(|s| s.classes[1].latency_objective = f64::NAN),
+        "classes[1].aim"
+    );
     assert_eq!(wrong(|s| s.plans[1].burst = 0.0), "plans[1].burst");
     assert_eq!(wrong(|s| s.tip_after = -1.0), "tip_after");
     assert_eq!(wrong(|s| s.position = 2), "position");
 }
 
 #[test]
-fn memory_is_bounded_under_a_flood_of_new_customers() {
+fn memory_is_bounded_under_a_flood_of_new_tenants() {
     let mut bed = Bed::new(settings(), 2);
-    for customer in 0..60_000 {
-        let id = bed.ask(0, 1, customer, 1.0);
+    for tenant in 0..60_000 {
+        let id = bed.ask(0, 1, tenant, 1.0);
         if !bed.refused(id) {
             bed.end(id, 0, Outcome::Ok);
         }
@@ -548,15 +551,15 @@
             });
         }
     }
-    assert!(bed.gateway.customers() <= 20_000);
+    assert!(bed.ingress.tenants() <= 20_000);
 }
 
 #[test]
-fn customers_that_come_once_are_forgotten_when_their_store_is_full_again() {
+fn tenants_that_come_once_are_forgotten_when_their_store_is_full_again() {
     let mut bed = Bed::new(settings(), 2);
-    for customer in 0..2000 {
+    for tenant in 0..2000 {
         bed.now += 0.05;
-        let id = bed.ask(0, (customer % 2) as usize, customer, 1.0);
+        let id = bed.ask(0, (tenant % 2) as usize, tenant, 1.0);
         if let Some(&(name, amount)) = bed.counts().first() {
             bed.tell(Event::Counted {
                 name,
@@ -567,16 +570,16 @@
         bed.end(id, 0, Outcome::Ok);
         bed.tick(0.0);
     }
-    // Windows of 2 s, three of them, at 10 new customers a second, and a second between two looks.
+    // Windows of 2 s, three of them, at 10 new tenants a second, and a second between two looks.
     assert!(
-        (60..=80).contains(&bed.gateway.customers()),
+        (60..=80).contains(&bed.ingress.tenants()),
         "{}",
-        bed.gateway.customers()
+        bed.ingress.tenants()
     );
 }
 
 #[test]
-fn a_host_that_fails_one_class_keeps_the_others() {
+fn a_endpoint_that_fails_one_class_keeps_the_others() {
     let mut bed = Bed::new(settings(), 4);
     let mut to = [[0; 4]; 2];
     for i in 0..80 {
@@ -635,11 +638,11 @@
 }
 
 #[test]
-fn a_host_that_is_late_while_it_answers_others_is_not_left_out() {
-    // Guards against what a jam once did: one late attempt left a host out for 20 s, so that the others were
-    // late next, until few hosts were left.
+fn a_endpoint_that_is_late_while_it_answers_others_is_not_left_out() {
+    // Guards against what a jam once did: one late attempt left an endpoint out for 20 s, so that the others were
+    // late next, until few endpoints were left.
     let mut set = settings();
-    (set.second_copies, set.gateways) = (false, 1);
+    (set.hedging, set.ingresses) = (false, 1);
     let mut bed = Bed::new(set, 4);
     let late = bed.ask_all(0, 2);
     let quick = bed.ask_all(3, 4);
@@ -651,23 +654,23 @@
     let met = bed.ask_all(0, 8);
     assert!(
         late.iter()
-            .all(|(_, host)| met.iter().any(|m| m.1 == *host)),
+            .all(|(_, endpoint)| met.iter().any(|m| m.1 == *endpoint)),
         "late {late:?}, met {met:?}"
     );
 }
 
 #[test]
-fn a_jam_that_times_out_at_most_hosts_leaves_nobody_out() {
+fn a_jam_that_times_out_at_most_endpoints_leaves_nobody_out() {
     let mut set = settings();
-    (set.second_copies, set.gateways) = (false, 1);
+    (set.hedging, set.ingresses) = (false, 1);
     let mut bed = Bed::new(set, 4);
     let jammed = bed.ask_all(2, 6);
     bed.now += 0.1;
-    for (id, host) in jammed {
+    for (id, endpoint) in jammed {
         bed.end(
             id,
             0,
-            if host == 3 {
+            if endpoint == 3 {
                 Outcome::Ok
             } else {
                 Outcome::Timeout
@@ -676,7 +679,7 @@
     }
     let met = bed.ask_all(2, 8);
     assert!(
-        (0..4).all(|host| met.iter().any(|m| m.1 == host)),
+        (0..4).all(|endpoint| met.iter().any(|m| m.1 == endpoint)),
         "{met:?}"
     );
 }
@@ -698,18 +701,18 @@
             }
             bed.tick(0.0);
         }
-        levels.push(bed.gateway.level());
+        levels.push(bed.ingress.level());
     }
     assert_eq!(levels, vec![0, 2]);
 }
 
 #[test]
-fn a_gateway_that_restarts_gets_no_second_burst_under_a_ceiling() {
+fn a_ingress_that_restarts_gets_no_second_burst_under_a_ceiling() {
     let mut set = settings();
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
     let mut sent = 0;
     for _ in 0..2 {
-        // The counter is silent, and the gateway remembers nothing.
+        // The counter is silent, and the ingress remembers nothing.
         let mut bed = Bed::young(set.clone(), 4);
         for _ in 0..30 {
             bed.ask(0, 1, 5, 1.0);
@@ -728,8 +731,8 @@
 }
 
 #[test]
-fn a_customer_that_asks_now_and_then_has_no_block_refilled_ahead() {
-    // Guards small stores: a request ahead at each of a few gateways is most of what they hold.
+fn a_tenant_that_asks_now_and_then_has_no_block_refilled_ahead() {
+    // Guards small stores: a request ahead at each of a few ingresses is most of what they hold.
     let mut bed = Bed::new(settings(), 4);
     bed.ask(0, 1, 5, 1.0);
     let (name, amount) = bed.counts()[0];
@@ -762,7 +765,7 @@
 }
 
 #[test]
-fn a_gateway_that_has_just_started_reads_what_was_used_before_and_an_older_one_does_not() {
+fn a_ingress_that_has_just_started_reads_what_was_used_before_and_an_older_one_does_not() {
     // Guards quotas at a restart: a store that is held to be full would be used twice.
     let mut bed = Bed::young(settings(), 4);
     bed.now += 0.1;
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_comes_beside_a_value_never_becomes_another_commands_answer() {
+fn what_comes_beside_a_value_never_becomes_another_requests_answer() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_some_milliseconds_late_is_no_other_commands() {
-    // Commands come one behind the other, so that the connection is wanted again before the second answer is there.
+fn a_second_answer_that_comes_some_milliseconds_late_is_no_other_requests() {
+    // Requests come one behind the other, so that the connection is wanted again before the second answer is there.
     let each: String = (0..20)
         .map(|i| {
             format!(
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_client_that_gives_up_ends_its_command_alone() {
+fn a_client_that_gives_up_ends_its_request_alone() {
     play_all(
         "send c k1 book-rebroadcast city 7
          send d k2 fetch-episode city 7
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn two_partners_on_one_connection_are_finished_while_the_ingress_drains() {
+fn two_tenants_on_one_connection_are_finished_while_the_ingress_drains() {
     play_all(
         "send c k1 book-rebroadcast city 7
          send c k2 fetch-episode national 8
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn nothing_goes_to_an_instance_that_is_leaving() {
+fn nothing_goes_to_an_endpoint_that_is_leaving() {
     play_all(
         "state a leaving
          wait 50
@@ -183,7 +183,7 @@
 
 #[test]
 fn quotas_count_the_same_over_both_wires() {
-    // A store of 14 units, 2 for each command.
+    // A store of 14 units, 2 for each request.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
         .collect();
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn resp_answers_keep_the_order_of_the_commands() {
+fn resp_answers_keep_the_order_of_the_requests() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn malformed_bytes_end_the_connection_and_unknown_commands_do_not() {
+fn malformed_bytes_end_the_connection_and_unknown_requests_do_not() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn the_inventory_adds_instances_keeps_them_over_a_wrong_file_and_drains_them() {
+fn the_inventory_adds_endpoints_keeps_them_over_a_wrong_file_and_drains_them() {
     play_all(
         "inventory extra
          state a left
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_counter_out_of_order_costs_no_command_its_answer() {
+fn a_counter_out_of_order_costs_no_request_its_answer() {
     for fault in [
         "silent", "full", "late", "garbage", "spoilt", "half", "close",
     ] {
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn a_watch_that_has_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
+fn a_watch_that_has_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_notified() {
     // It falls silent at the change, at the latest, and 6 s later that counts as told.
     play_resp(
         "always value news
@@ -358,7 +358,7 @@
 
 #[test]
 fn what_discovery_has_when_it_comes_back_is_in_force_within_a_second() {
-    // Silent, so that calls hang; reset at once; and turned away.
+    // Silent, so that calls hang; reset at once; and rejected.
     for fault in ["silent", "reset", "error"] {
         play_resp(&format!(
             "always value news
@@ -425,7 +425,7 @@
 
 #[test]
 fn a_closed_idle_connection_is_not_reused() {
-    // The instance closes behind its answer; the next booking takes a new connection and is made once.
+    // The endpoint closes behind its answer; the next booking takes a new connection and is made once.
     play(
         Wire::Resp,
         Wire::Resp,
@@ -499,7 +499,7 @@
 
 #[test]
 fn a_new_configuration_moves_discovery_and_counter_and_a_quota_counts_on() {
-    // The old places are closed behind the move. A store of 14 units, 2 for each command: one is drawn before
+    // The old places are closed behind the move. A store of 14 units, 2 for each request: one is drawn before
     // the move, the others where the counter is then.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
@@ -559,7 +559,7 @@
 }
 
 #[test]
-fn a_client_that_says_nothing_or_half_a_command_is_ended_within_three_seconds() {
+fn a_client_that_says_nothing_or_half_a_request_is_ended_within_three_seconds() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -575,7 +575,7 @@
 }
 
 #[test]
-fn a_line_of_hundreds_of_commands_is_answered_whole_and_holds_nobody_up() {
+fn a_line_of_hundreds_of_requests_is_answered_whole_and_holds_nobody_up() {
     let ping: String = r"*1\r\n$4\r\nPING\r\n".repeat(400);
     let pong: String = "expect c - +PONG\n".repeat(400);
     let many: String = (0..200)
@@ -590,7 +590,7 @@
 }
 
 #[test]
-fn a_command_with_values_that_make_no_sense_fails_and_never_reaches_an_instance() {
+fn a_request_with_values_that_make_no_sense_fails_and_never_reaches_an_endpoint() {
     play_all(
         "always value news
          send c k1 fetch-episode city 7 units=1000000
@@ -605,7 +605,7 @@
 }
 
 #[test]
-fn an_instance_that_the_inventory_has_as_draining_gets_nothing_new_and_finishes() {
+fn an_endpoint_that_the_inventory_has_as_draining_gets_nothing_new_and_finishes() {
     play_all(
         "state a left
          state b left
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,7 +17,7 @@
     Unsound,
 }
 
-/// Gateways that share hosts and a counter; every attempt is served after 0.1 s.
+/// Gateways that share endpoints and a counter; every attempt is served after 0.1 s.
 struct Fleet {
     beds: Vec<Bed>,
     counter: Counter,
@@ -29,27 +29,28 @@
     /// Counter answers under way: when, gateway, name, outcome, total.
     answers: Vec<(f64, usize, u64, Outcome, f64)>,
     units: BTreeMap<(usize, RequestId), f64>,
-    /// Units sent on: when, how many.
+    /// Units forwarded: when, how many.
     sent: Vec<(f64, f64)>,
-    to: BTreeMap<HostId, Vec<f64>>,
+    to: BTreeMap<EndpointId, Vec<f64>>,
 }
 
 impl Fleet {
-    fn new(gateways: u32, counter: Counter, change: fn(&mut Settings)) -> Fleet {
+    fn new(ingresses: u32, counter: Counter, change: fn(&mut Settings)) -> Fleet {
         let bed = |position| {
             let mut set = settings();
-            (set.gateways, set.position) = (gateways, position);
+            (set.ingresses, set.position) = (ingresses, position);
             change(&mut set);
             let mut bed = Bed::new(set, 8);
-            bed.gateway = Gateway::new(bed.set.clone(), 1000 + u64::from(position)).expect("sound");
-            bed.tell(Event::Hosts {
+            bed.ingress =
+                DecisionEngine::new(bed.set.clone(), 1000 + u64::from(position)).expect("sound");
+            bed.tell(Event::Endpoints {
                 kind: ListKind::Full,
-                entries: (0..8).map(host).collect(),
+                entries: (0..8).map(endpoint).collect(),
             });
             bed
         };
         Fleet {
-            beds: (0..gateways).map(bed).collect(),
+            beds: (0..ingresses).map(bed).collect(),
             counter,
             totals: BTreeMap::new(),
             calls: 0,
@@ -62,10 +63,10 @@
         }
     }
 
-    /// Tells all gateways of these hosts.
-    fn list(&mut self, entries: Vec<HostEntry>) {
+    /// Tells all gateways of these endpoints.
+    fn list(&mut self, entries: Vec<EndpointEntry>) {
         for g in 0..self.beds.len() {
-            self.beds[g].tell(Event::Hosts {
+            self.beds[g].tell(Event::Endpoints {
                 kind: ListKind::Delta,
                 entries: entries.clone(),
             });
@@ -82,9 +83,9 @@
         let now = self.now();
         for action in std::mem::take(&mut self.beds[g].last) {
             match action {
-                Action::Send { id, host, .. } => {
+                Action::Send { id, endpoint, .. } => {
                     self.out.push((now + 0.1, g, id));
-                    self.to.entry(host).or_default().push(now);
+                    self.to.entry(endpoint).or_default().push(now);
                     if let Some(units) = self.units.remove(&(g, id)) {
                         self.sent.push((now, units));
                     }
@@ -148,15 +149,15 @@
         }
     }
 
-    fn ask(&mut self, g: usize, plan: usize, customer: u64, units: f64) {
+    fn ask(&mut self, g: usize, plan: usize, tenant: u64, units: f64) {
         let spread = self.beds.len() as u32;
-        let id = self.beds[g].ask_spread(0, plan, customer, units, spread);
+        let id = self.beds[g].ask_spread(0, plan, tenant, units, spread);
         self.units.insert((g, id), units);
         self.carry_out(g);
     }
 
-    /// Offers `rate` requests a second of 2 units for one customer over all gateways; the units sent on.
-    fn offer(&mut self, plan: usize, customer: u64, rate: f64, seconds: f64) -> f64 {
+    /// Offers `rate` requests a second of 2 units for one tenant over all gateways; the units forwarded.
+    fn offer(&mut self, plan: usize, tenant: u64, rate: f64, seconds: f64) -> f64 {
         let before: f64 = self.sent.iter().map(|s| s.1).sum();
         let mut due = 0.0;
         for i in 0..(seconds * 100.0) as usize {
@@ -164,7 +165,7 @@
             while due >= 1.0 {
                 due -= 1.0;
                 let g = self.dice.rand_range(0..self.beds.len() as u32) as usize;
-                self.ask(g, plan, customer, 2.0);
+                self.ask(g, plan, tenant, 2.0);
             }
             self.step(i % 5 == 0);
         }
@@ -173,20 +174,20 @@
 }
 
 #[test]
-fn customers_under_their_quota_go_on_being_served_while_the_counter_turns_calls_away() {
+fn tenants_under_their_quota_go_on_being_served_while_the_counter_turns_calls_away() {
     let mut fleet = Fleet::new(60, Counter::Sound, |_| {});
     let mut sent = [0.0; 2];
     for (phase, counter) in [Counter::Sound, Counter::Full].into_iter().enumerate() {
         fleet.counter = counter;
         let before = fleet.sent.len();
-        // Twenty customers, each at 3 of its 10 units a second.
+        // Twenty tenants, each at 3 of its 10 units a second.
         for i in 0..1000 {
-            let (g, customer) = (
+            let (g, tenant) = (
                 fleet.dice.rand_range(0..60) as usize,
                 fleet.dice.rand_range(0..20),
             );
             if i % 10 < 3 {
-                fleet.ask(g, 1, u64::from(customer), 2.0);
+                fleet.ask(g, 1, u64::from(tenant), 2.0);
             }
             fleet.step(i % 5 == 0);
         }
@@ -201,16 +202,16 @@
 }
 
 #[test]
-fn customers_under_their_quota_are_served_through_sixty_gateways() {
+fn tenants_under_their_quota_are_served_through_sixty_ingresses() {
     let mut fleet = Fleet::new(60, Counter::Sound, |_| {});
-    // Twenty customers, each at 3 of its 10 units a second.
+    // Twenty tenants, each at 3 of its 10 units a second.
     for i in 0..2000 {
-        let (g, customer) = (
+        let (g, tenant) = (
             fleet.dice.rand_range(0..60) as usize,
             fleet.dice.rand_range(0..20),
         );
         if i % 10 < 3 {
-            fleet.ask(g, 1, u64::from(customer), 2.0);
+            fleet.ask(g, 1, u64::from(tenant), 2.0);
         }
         fleet.step(i % 5 == 0);
     }
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn a_hundred_gateways_keep_one_store_for_a_customer_that_each_sees_little_of() {
+fn a_hundred_ingresses_keep_one_store_for_a_tenant_that_each_sees_little_of() {
     // Each gateway's part of the burst is a tenth of a request: shares and blocks would strand all of it.
     let mut fleet = Fleet::new(100, Counter::Sound, |_| {});
     let under = fleet.offer(1, 5, 4.5, 40.0);
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn a_store_that_was_idle_is_put_right_once_by_gateways_that_all_come_at_once() {
+fn a_store_that_was_idle_is_put_right_once_by_ingresses_that_all_come_at_once() {
     // After a silence each of the hundred sees a number that lags far behind.
     let mut fleet = Fleet::new(100, Counter::Sound, |_| {});
     fleet.offer(1, 5, 1.0, 2.0);
@@ -260,7 +261,7 @@
 }
 
 #[test]
-fn a_customer_far_over_its_quota_is_held_near_it_by_sixty_gateways() {
+fn a_tenant_far_over_its_quota_is_held_near_it_by_sixty_ingresses() {
     let mut fleet = Fleet::new(60, Counter::Sound, |_| {});
     // 50 units a second of 10, and a burst of 20 once.
     let sent = fleet.offer(1, 5, 25.0, 60.0);
@@ -270,43 +271,43 @@
 #[test]
 fn even_shares_under_one_request_add_up_without_the_counter() {
     let mut sum = 0.0;
-    for customer in 0..4 {
+    for tenant in 0..4 {
         let mut fleet = Fleet::new(60, Counter::Dead, |_| {});
-        fleet.offer(1, customer, 25.0, 20.0);
-        sum += fleet.offer(1, customer, 25.0, 40.0);
+        fleet.offer(1, tenant, 25.0, 20.0);
+        sum += fleet.offer(1, tenant, 25.0, 40.0);
     }
     // 10 units a second, by dice.
     assert!((0.8..1.2).contains(&(sum / 1600.0)), "{sum} of 1600 units");
 }
 
 #[test]
-fn a_cold_host_is_not_pushed_over_by_a_hundred_gateways() {
+fn a_cold_endpoint_is_not_pushed_over_by_a_hundred_ingresses() {
     let mut fleet = Fleet::new(100, Counter::Sound, |_| {});
     fleet.offer(0, 5, 200.0, 6.0);
-    let entry = HostEntry {
+    let entry = EndpointEntry {
         started: fleet.now(),
-        ..host(3)
+        ..endpoint(3)
     };
     fleet.list(vec![entry]);
     let from = fleet.now();
     fleet.offer(0, 5, 200.0, 2.0);
     let cold = fleet.to[&3].iter().filter(|t| **t > from).count();
-    // A warm host takes 25 a second; a fifth to a third of that, three times over, for 2 s falls over.
+    // A warm endpoint takes 25 a second; a fifth to a third of that, three times over, for 2 s falls over.
     assert!((1..30).contains(&cold), "{cold} attempts");
 }
 
 #[test]
-fn cold_hosts_get_as_much_as_they_are_warm_from_a_hundred_gateways() {
+fn cold_endpoints_get_as_much_as_they_are_warm_from_a_hundred_ingresses() {
     // Six in ten are replaced; each gateway owes each of the new ones a small part of an attempt in a span.
     let mut fleet = Fleet::new(100, Counter::Sound, |_| {});
-    fleet.list((0..60).map(host).collect());
+    fleet.list((0..60).map(endpoint).collect());
     fleet.offer(0, 5, 400.0, 6.0);
     let from = fleet.now();
     fleet.list(
         (0..36)
-            .map(|id| HostEntry {
+            .map(|id| EndpointEntry {
                 started: from,
-                ..host(id)
+                ..endpoint(id)
             })
             .collect(),
     );
@@ -323,10 +324,10 @@
     );
 }
 
-/// A fleet with cold hosts: what all gateways together send to each, in every window that the settings name.
+/// A fleet with cold endpoints: what all gateways together send to each, in every window that the settings name.
 struct Cold {
-    gateways: u32,
-    /// Requests a second that a warm host bears, and the part of it that is asked.
+    ingresses: u32,
+    /// Requests a second that a warm endpoint bears, and the part of it that is asked.
     able: f64,
     load: f64,
     /// Weights of the gateways' traffic: even, or one in ten sees half of it.
@@ -340,58 +341,60 @@
 }
 
 /// Of all windows over `seconds`, the worst excess over N + 2 root N + 2, N being the budget at the window's end, and
-/// the attempts that the cold hosts got over what the same time at a warm one's rate would have brought.
+/// the attempts that the cold endpoints got over what the same time at a warm one's rate would have brought.
 fn cold_start(case: &Cold, seed: u64, seconds: f64) -> (f64, f64) {
-    let mut fleet = Fleet::new(case.gateways, Counter::Sound, |_| {});
+    let mut fleet = Fleet::new(case.ingresses, Counter::Sound, |_| {});
     fleet.dice = oorandom::Rand32::new(seed);
     let set = fleet.beds[0].set.clone();
     let rate = case.able * case.load * 8.0;
-    let few = (case.gateways / 10).max(1);
+    let few = (case.ingresses / 10).max(1);
     let mut due = 0.0;
-    let mut run = |fleet: &mut Fleet, seconds: f64, mut news: Vec<(f64, usize, Vec<HostEntry>)>| {
-        for i in 0..(seconds * 100.0) as usize {
-            let now = fleet.now();
-            for (_, g, entries) in news.extract_if(.., |n| n.0 <= now) {
-                fleet.beds[g].tell(Event::Hosts {
-                    kind: ListKind::Delta,
-                    entries,
-                });
-                fleet.carry_out(g);
-            }
-            due += rate / 100.0;
-            while due >= 1.0 {
-                due -= 1.0;
-                let some = case.uneven && fleet.dice.rand_float() < 0.5;
-                let g = fleet
-                    .dice
-                    .rand_range(0..if some { few } else { case.gateways });
-                fleet.ask(g as usize, 0, 5, 1.0);
+    let mut run =
+        |fleet: &mut Fleet, seconds: f64, mut update: Vec<(f64, usize, Vec<EndpointEntry>)>| {
+            for i in 0..(seconds * 100.0) as usize {
+                let now = fleet.now();
+                for (_, g, entries) in update.extract_if(.., |n| n.0 <= now) {
+                    fleet.beds[g].tell(Event::Endpoints {
+                        kind: ListKind::Delta,
+                        entries,
+                    });
+                    fleet.carry_out(g);
+                }
+                due += rate / 100.0;
+                while due >= 1.0 {
+                    due -= 1.0;
+                    let some = case.uneven && fleet.dice.rand_float() < 0.5;
+                    let g = fleet
+                        .dice
+                        .rand_range(0..if some { few } else { case.ingresses });
+                    fleet.ask(g as usize, 0, 5, 1.0);
+                }
+                fleet.step(i % 5 == 0);
             }
-            fleet.step(i % 5 == 0);
-        }
-    };
+        };
     run(&mut fleet, 6.0, Vec::new());
     let from = fleet.now();
     let entries: Vec<_> = (0..case.cold)
-        .map(|id| HostEntry {
+        .map(|id| EndpointEntry {
             started: from,
-            ..host(id)
+            ..endpoint(id)
         })
         .collect();
-    let mut news = Vec::new();
-    for g in 0..case.gateways as usize {
+    let mut update = Vec::new();
+    for g in 0..case.ingresses as usize {
         if fleet.dice.rand_float() < case.young as f32 {
             let bed = &mut fleet.beds[g];
-            bed.gateway = Gateway::new(bed.set.clone(), seed ^ (g as u64) << 20).expect("sound");
-            bed.tell(Event::Hosts {
+            bed.ingress =
+                DecisionEngine::new(bed.set.clone(), seed ^ (g as u64) << 20).expect("sound");
+            bed.tell(Event::Endpoints {
                 kind: ListKind::Full,
-                entries: (0..8).map(host).collect(),
+                entries: (0..8).map(endpoint).collect(),
             });
         }
         let late = f64::from(fleet.dice.rand_float()) * case.late;
-        news.push((from + late, g, entries.clone()));
+        update.push((from + late, g, entries.clone()));
     }
-    run(&mut fleet, seconds, news);
+    run(&mut fleet, seconds, update);
     let (mut worst, mut got) = (f64::NEG_INFINITY, 0.0);
     for id in 0..case.cold {
         // Who has not been told of the start is not to blame.
@@ -415,9 +418,9 @@
 }
 
 #[test]
-fn what_all_gateways_send_to_cold_hosts_stays_under_what_these_bear_and_is_not_nothing() {
+fn what_all_ingresses_send_to_cold_endpoints_stays_under_what_these_bear_and_is_not_nothing() {
     let even = Cold {
-        gateways: 1,
+        ingresses: 1,
         able: 25.0,
         load: 0.6,
         uneven: false,
@@ -425,13 +428,13 @@
         late: 0.0,
         cold: 2,
     };
-    for gateways in [1, 3, 20, 30, 300] {
+    for ingresses in [1, 3, 20, 30, 300] {
         for (what, case) in [
-            ("even", Cold { gateways, ..even }),
+            ("even", Cold { ingresses, ..even }),
             (
                 "small",
                 Cold {
-                    gateways,
+                    ingresses,
                     able: 4.0,
                     ..even
                 },
@@ -439,7 +442,7 @@
             (
                 "full",
                 Cold {
-                    gateways,
+                    ingresses,
                     load: 0.95,
                     ..even
                 },
@@ -447,7 +450,7 @@
             (
                 "uneven",
                 Cold {
-                    gateways,
+                    ingresses,
                     uneven: true,
                     ..even
                 },
@@ -455,7 +458,7 @@
             (
                 "young",
                 Cold {
-                    gateways,
+                    ingresses,
                     young: 0.7,
                     ..even
                 },
@@ -463,7 +466,7 @@
             (
                 "late",
                 Cold {
-                    gateways,
+                    ingresses,
                     late: 2.0,
                     ..even
                 },
@@ -471,7 +474,7 @@
             (
                 "all cold",
                 Cold {
-                    gateways,
+                    ingresses,
                     cold: 8,
                     ..even
                 },
@@ -479,7 +482,7 @@
             (
                 "all cold and young",
                 Cold {
-                    gateways,
+                    ingresses,
                     cold: 8,
                     young: 1.0,
                     ..even
@@ -487,7 +490,7 @@
             ),
         ] {
             let (mut worst, mut got) = (f64::NEG_INFINITY, 0.0);
-            let seeds = if gateways > 100 { 2 } else { 6 };
+            let seeds = if ingresses > 100 { 2 } else { 6 };
             for seed in 0..seeds {
                 let (over, part) = cold_start(&case, 1000 + seed, 8.0);
                 worst = worst.max(over);
@@ -495,26 +498,26 @@
             }
             assert!(
                 worst <= 0.0,
-                "{gateways} gateways, {what}: {worst} more than the budget and chance, seeds 1000 on"
+                "{ingresses} gateways, {what}: {worst} more than the budget and chance, seeds 1000 on"
             );
             // A lot that falls to a gateway without a request in that span is lost: a quarter is left at the least.
             assert!(
                 got > 0.25,
-                "{gateways} gateways, {what}: {got} of what their warmth asks for, seeds 1000 on"
+                "{ingresses} gateways, {what}: {got} of what their warmth asks for, seeds 1000 on"
             );
         }
     }
 }
 
 #[test]
-fn small_hosts_work_beside_large_ones() {
+fn small_endpoints_work_beside_large_ones() {
     // Three gateways with six or seven attempts out each: by its own count alone each would fill the large ones.
     let mut fleet = Fleet::new(3, Counter::Sound, |_| {});
     fleet.list(
         (0..4)
-            .map(|id| HostEntry {
+            .map(|id| EndpointEntry {
                 size: 3.0,
-                ..host(id)
+                ..endpoint(id)
             })
             .collect(),
     );
@@ -531,13 +534,13 @@
 }
 
 #[test]
-fn a_cold_host_of_a_small_fleet_gets_its_part() {
+fn a_cold_endpoint_of_a_small_fleet_gets_its_part() {
     let mut fleet = Fleet::new(3, Counter::Sound, |_| {});
     fleet.offer(0, 5, 300.0, 6.0);
     let from = fleet.now();
-    fleet.list(vec![HostEntry {
+    fleet.list(vec![EndpointEntry {
         started: from,
-        ..host(3)
+        ..endpoint(3)
     }]);
     fleet.offer(0, 5, 300.0, 6.0);
     let count = |id: u32| fleet.to[&id].iter().filter(|t| **t > from).count() as f64;
@@ -547,7 +550,7 @@
 }
 
 #[test]
-fn a_ceiling_holds_over_gateways_and_an_unsound_counter() {
+fn a_ceiling_holds_over_ingresses_and_an_unsound_counter() {
     for seed in 0..12 {
         let mut fleet = Fleet::new(6, Counter::Unsound, |set| {
             (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn nothing_new_reaches_an_instance_two_seconds_after_the_yes_wherever_it_was_called() {
+fn nothing_new_reaches_an_endpoint_two_seconds_after_the_yes_wherever_it_was_called() {
     suspensions_are_obeyed_in_time(Wire::Resp);
 }
 
 #[test]
-fn nothing_new_reaches_an_instance_two_seconds_after_the_yes_over_http2() {
+fn nothing_new_reaches_an_endpoint_two_seconds_after_the_yes_over_http2() {
     suspensions_are_obeyed_in_time(Wire::Http2);
 }
 
-/// Steady commands at all; an instance is taken out at a member that dies, and then by a follower.
+/// Steady requests at all; an endpoint is taken out at a member that dies, and then by a follower.
 fn suspensions_are_obeyed_in_time(wire: Wire) {
     run(async move {
         let mut peers = Peers::with_wire(3, 1, wire).await;
--- a/tests/group/main.rs
+++ b/tests/group/main.rs
@@ -3,7 +3,6 @@
 
 mod disks;
 mod documents;
-mod figures;
 mod followers;
 mod links;
 mod membership;
@@ -14,3 +13,4 @@
 mod random_faults;
 mod recovery;
 mod releases;
+mod statistics;
--- a/tests/group/membership.rs
+++ b/tests/group/membership.rs
@@ -108,7 +108,7 @@
         let (old, said) = recover(&peers, 2);
         assert!(said.contains("Lost is"));
         let twice = peers
-            .command(2)
+            .request(2)
             .args(["group", "recover", "--from"])
             .arg(&old)
             .output()
--- a/tests/group/peers/clients.rs
+++ b/tests/group/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of an ingress: commands without an end over either wire, and operators' calls.
+//! Clients of an ingress: requests without an end over either wire, and operators' calls.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Commands over RESP without an end, each once the last has its one answer; each one's time goes to the list, ms.
+/// Requests over RESP without an end, each once the last has its one answer; each one's time goes to the list, ms.
 pub async fn steady_resp(
     at: String,
     i: usize,
@@ -20,16 +20,16 @@
     };
     let mut reader = Vec::new();
     loop {
-        let partner = answered.get() % 50;
+        let tenant = answered.get() % 50;
         let terms = "c=fetch-episode,t=national,d=2000,units=1,spread=1,first=0";
         let id = format!("s{i}-{}", answered.get());
-        let command = format!(
-            "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n{partner:016x}\r\n${}\r\n{id}\r\n${}\r\n{terms}\r\n",
+        let request = format!(
+            "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n{tenant:016x}\r\n${}\r\n{id}\r\n${}\r\n{terms}\r\n",
             id.len(),
             terms.len()
         );
         let began = Instant::now();
-        if stream.write_all(command.as_bytes()).await.is_err() {
+        if stream.write_all(request.as_bytes()).await.is_err() {
             return;
         }
         reader.clear();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Commands over HTTP/2 without an end, each once the last has its one answer.
+/// Requests over HTTP/2 without an end, each once the last has its one answer.
 pub async fn steady_http2(at: String, i: usize, answered: Rc<Cell<u64>>) {
     let Ok(stream) = TcpStream::connect(at).await else {
         return;
--- a/tests/group/peers/instances.rs
+++ b/tests/group/peers/endpoints.rs
@@ -1,4 +1,4 @@
-//! The instances behind every ingress: they answer each command at once, and note when.
+//! The endpoints behind every ingress: they answer each request at once, and note when.
 
 use bytes::Bytes;
 use std::cell::RefCell;
@@ -9,18 +9,18 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// When each instance last got a command, by name.
+/// When each endpoint last got a request, by name.
 pub type Arrivals = Rc<RefCell<HashMap<&'static str, Instant>>>;
 
-/// An instance that answers every command at once.
-pub async fn resp_instance(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
+/// An endpoint that answers every request at once.
+pub async fn resp_endpoint(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let arrivals = arrivals.clone();
         spawn_local(async move {
             let mut buffer = Vec::new();
             while stream.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
-                while let Ok(driftgap::protocol::resp::Parsed::Whole(_, n)) =
-                    driftgap::protocol::resp::command_words(&buffer)
+                while let Ok(driftgap::protocol::resp::Parsed::Complete(_, n)) =
+                    driftgap::protocol::resp::request_words(&buffer)
                 {
                     buffer.drain(..n);
                     arrivals.borrow_mut().insert(name, Instant::now());
@@ -34,7 +34,7 @@
 }
 
 /// The same over HTTP/2.
-pub async fn http2_instance(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
+pub async fn http2_endpoint(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
     while let Ok((stream, _)) = listener.accept().await {
         let arrivals = arrivals.clone();
         spawn_local(async move {
--- a/tests/group/peers/mod.rs
+++ b/tests/group/peers/mod.rs
@@ -1,12 +1,12 @@
 //! Several processes of the program in a group, every directed link between them through a relay of the test's own.
 
 mod clients;
-mod instances;
+mod endpoints;
 mod relay;
 pub mod schedule;
 
 use clients::{call_operator, steady_http2, steady_resp};
-use instances::{http2_instance, resp_instance, Arrivals};
+use endpoints::{http2_endpoint, resp_endpoint, Arrivals};
 use relay::{relay, Link, Links};
 pub use schedule::{play, play_beside};
 use std::cell::{Cell, RefCell};
@@ -43,7 +43,7 @@
     links: Links,
     begun: Option<JoinHandle<String>>,
     pub arrivals: Arrivals,
-    /// The wire of clients and instances.
+    /// The wire of clients and endpoints.
     wire: Wire,
     /// What each one's files may hold, in blocks; 0: anything.
     room: Vec<u64>,
@@ -51,7 +51,7 @@
     program: PathBuf,
 }
 
-/// The wire that clients and instances speak.
+/// The wire that clients and endpoints speak.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wire {
     Resp,
@@ -75,7 +75,7 @@
         Peers::with_wire(members, beside, Wire::Resp).await
     }
 
-    /// The same with clients and instances that speak this.
+    /// The same with clients and endpoints that speak this.
     pub async fn with_wire(members: usize, beside: usize, wire: Wire) -> Peers {
         let size = members + beside;
         let host = own_address();
@@ -109,8 +109,8 @@
                 if wire == Wire::Http2 { "http2" } else { "resp" }
             ));
             match wire {
-                Wire::Resp => drop(spawn_local(resp_instance(listener, name, arrivals.clone()))),
-                Wire::Http2 => drop(spawn_local(http2_instance(
+                Wire::Resp => drop(spawn_local(resp_endpoint(listener, name, arrivals.clone()))),
+                Wire::Http2 => drop(spawn_local(http2_endpoint(
                     listener,
                     name,
                     arrivals.clone(),
@@ -150,7 +150,7 @@
             std::fs::write(peers.home(i).join("rules.toml"), "").unwrap();
             peers.write_operator_file(i, &(0..members).collect::<Vec<_>>());
         }
-        let line = peers.command(0).args(["group", "init"]).output().unwrap();
+        let line = peers.request(0).args(["group", "init"]).output().unwrap();
         assert!(
             line.status.success(),
             "{}",
@@ -190,7 +190,7 @@
         self.folder.join(format!("m{i}"))
     }
 
-    pub fn command(&self, i: usize) -> Command {
+    pub fn request(&self, i: usize) -> Command {
         let path = self.older(i).unwrap_or_else(|| self.program.clone());
         let mut program = match self.room[i] {
             0 => Command::new(path),
@@ -226,7 +226,7 @@
             .open(self.home(i).join("log"))
             .unwrap();
         let program = self
-            .command(i)
+            .request(i)
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
@@ -252,7 +252,7 @@
         call_operator(format!("{}:{}", self.host, CALLS + i), text.to_string()).await
     }
 
-    /// Sends commands at P without an end, each once the last has its one answer; how many have been answered.
+    /// Sends requests at P without an end, each once the last has its one answer; how many have been answered.
     pub fn steady(&self, i: usize) -> Rc<Cell<u64>> {
         self.steady_timed(i, Rc::default()).0
     }
--- a/tests/group/peers/schedule.rs
+++ b/tests/group/peers/schedule.rs
@@ -28,7 +28,7 @@
 //!     file P NAME TEXT            a file in P's folder holds this (\n are escapes): inventory.csv, rules.toml
 //!     hup P                       SIGHUP
 //!     logged P TEXT               P's log holds this text, asked until it is so
-//!     served P K / answered P K   a command at P is answered with a value / with one final answer
+//!     served P K / answered P K   a request at P is answered with a value / with one final answer
 
 use super::clients::call_operator;
 use super::relay::Link;
@@ -277,7 +277,7 @@
                 .values_mut()
                 .for_each(|link| *link = Link::Sound),
             "refused" => {
-                let mut second = self.command(ids[0]).stderr(Stdio::piped()).spawn().unwrap();
+                let mut second = self.request(ids[0]).stderr(Stdio::piped()).spawn().unwrap();
                 let began = Instant::now();
                 while second.try_wait().unwrap().is_none() && began.elapsed() < LONG {
                     sleep(Duration::from_millis(5)).await;
@@ -294,14 +294,14 @@
             "served" | "answered" => {
                 let terms = "c=fetch-episode,t=city,d=2000,units=1,spread=1,first=0";
                 let (id, text) = (rest[1], format!("${}\r\n{terms}", terms.len()));
-                let command = format!(
+                let request = format!(
                     "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n${}\r\n{id}\r\n{text}\r\n",
                     id.len()
                 );
                 let mut stream = TcpStream::connect(format!("{}:{}", self.host, FRONT + ids[0]))
                     .await
                     .unwrap();
-                stream.write_all(command.as_bytes()).await.unwrap();
+                stream.write_all(request.as_bytes()).await.unwrap();
                 let mut answer = Vec::new();
                 while !answer.ends_with(b"\r\n")
                     || answer.starts_with(b"$") && !answer.ends_with(b"news\r\n")
--- a/tests/group/promises.rs
+++ b/tests/group/promises.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_is_promised_and_commands_are_served() {
+fn without_a_majority_nothing_is_promised_and_requests_are_served() {
     play(
         3,
         "start 0 1 2
--- a/tests/group/recovery.rs
+++ b/tests/group/recovery.rs
@@ -7,7 +7,7 @@
     let old = peers.home(i).join("old");
     std::fs::rename(peers.home(i).join("group"), &old).unwrap();
     let said = peers
-        .command(i)
+        .request(i)
         .args(["group", "recover", "--from"])
         .arg(&old)
         .output()
--- a/tests/group/figures.rs
+++ b/tests/group/statistics.rs
@@ -5,7 +5,7 @@
 
 #[test]
 #[ignore = "figures, for the commits"]
-fn figures() {
+fn statistics() {
     for members in [3, 5] {
         run(async {
             let mut peers = Peers::new(members, 0).await;
@@ -46,8 +46,8 @@
     }
 }
 
-/// Commands at P for so long: their number, processor time for each in us, p50 and p99 in ms.
-async fn measure_commands(
+/// Requests at P for so long: their number, processor time for each in us, p50 and p99 in ms.
+async fn measure_requests(
     peers: &Peers,
     i: usize,
     seconds: u64,
@@ -82,7 +82,7 @@
 /// `DRIFTGAP_PROGRAM` names the build that is measured.
 #[test]
 #[ignore = "figures, for the commits"]
-fn figures_of_commands_beside_the_group() {
+fn figures_of_requests_beside_the_group() {
     for turn in 0..2 {
         run(async {
             let mut peers = Peers::new(3, 0).await;
@@ -91,7 +91,7 @@
             peers.step("answers 0 ready : STATUS").await;
             println!(
                 "{turn} off: {}",
-                measure_commands(&peers, 0, 10, async |_| {}).await
+                measure_requests(&peers, 0, 10, async |_| {}).await
             );
         });
         for size in [3, 5] {
@@ -102,9 +102,9 @@
                 peers.step(&format!("whole {}", all.join(" "))).await;
                 println!(
                     "{turn} on, {size} members: {}",
-                    measure_commands(&peers, 0, 10, async |_| {}).await
+                    measure_requests(&peers, 0, 10, async |_| {}).await
                 );
-                let calls = measure_commands(&peers, 0, 10, async |_| {
+                let calls = measure_requests(&peers, 0, 10, async |_| {
                     for _ in 0..20 {
                         let answers = [
                             peers.call(1, "SUSPEND zz").await,
@@ -128,12 +128,12 @@
                 println!(
                     "{turn} {} cut off: {}",
                     size / 2,
-                    measure_commands(&peers, 0, 10, async |_| {}).await
+                    measure_requests(&peers, 0, 10, async |_| {}).await
                 );
                 peers.step(&format!("split {}", size - 1)).await;
                 println!(
                     "{turn} majority lost: {}",
-                    measure_commands(&peers, 0, 10, async |_| {}).await
+                    measure_requests(&peers, 0, 10, async |_| {}).await
                 );
             });
         }
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_second_process_takes_over_without_a_lost_command() {
+fn a_second_process_takes_over_without_a_lost_request() {
     // On HTTP/2 the platform holds no socket: who comes while the old process ends may have to come again.
     for (front, wait) in [(Wire::Resp, 0), (Wire::Http2, 700)] {
         for behind in [Wire::Resp, Wire::Http2] {
--- a/tests/poll_schedule.rs
+++ b/tests/poll_schedule.rs
@@ -92,7 +92,8 @@
                 waits,
             });
             if waits {
-                self.wait_for_news(index, Duration::from_millis(wait)).await;
+                self.wait_for_update(index, Duration::from_millis(wait))
+                    .await;
             } else {
                 // Also worked on if the caller gives it up: this task goes on.
                 let _working = self.worker.lock().await;
@@ -110,10 +111,10 @@
         }
     }
 
-    async fn wait_for_news(&self, index: u64, wait: Duration) {
+    async fn wait_for_update(&self, index: u64, wait: Duration) {
         let mut version = self.version.subscribe();
-        let news = version.wait_for(|version| *version > index);
-        let _ = timeout_at(Instant::now() + wait, news).await;
+        let update = version.wait_for(|version| *version > index);
+        let _ = timeout_at(Instant::now() + wait, update).await;
     }
 
     /// Resets what is open and takes nothing new.
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,20 +1,21 @@
-//! Pools of many instances: what it takes to put rules in force while they are listed.
+//! Pools of many endpoints: what it takes to put rules in force while they are listed.
 
 use driftgap::config::settings::Config;
 use driftgap::decision::ListKind;
 use driftgap::routing::catalog;
 use driftgap::runtime::clock::Clock;
-use driftgap::runtime::dispatcher::Hub;
+use driftgap::runtime::dispatcher::Dispatcher;
 use driftgap_routes::Rules;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 const SETTINGS: &str = include_str!("stage/settings.json");
-const INSTANCES: usize = 20_000;
+const ENDPOINTS: usize = 20_000;
 
-/// A hub to which discovery has told so many instances, each with one of eight labels.
-fn hub(config: &Config) -> Rc<Hub> {
-    let hub = Hub::new(config, config.memory_mb, None, Clock::system(), false).unwrap();
+/// A hub to which discovery has told so many endpoints, each with one of eight labels.
+fn dispatcher(config: &Config) -> Rc<Dispatcher> {
+    let dispatcher =
+        Dispatcher::new(config, config.memory_mb, None, Clock::system(), false).unwrap();
     let server = |number: usize| {
         let (high, low, label) = (number / 256, number % 256, number % 8);
         format!(
@@ -22,17 +23,17 @@
                 "state":"active","weight":1.0,"started_ms":0,"protocol":"resp","labels":{{"pool":"p{label}"}}}}"#
         )
     };
-    let servers: Vec<String> = (0..INSTANCES).map(server).collect();
+    let servers: Vec<String> = (0..ENDPOINTS).map(server).collect();
     let list = format!(
         r#"{{"version":1,"full":true,"servers":[{}]}}"#,
         servers.join(",")
     );
-    let news = hub
+    let update = dispatcher
         .table()
         .take(&serde_json::from_str(&list).unwrap())
         .unwrap();
-    hub.names(ListKind::Full, news.entries);
-    hub
+    dispatcher.update_endpoints(ListKind::Full, update.entries);
+    dispatcher
 }
 
 /// Rules with so many pools by label.
@@ -47,18 +48,18 @@
 }
 
 #[test]
-fn rules_without_a_new_pool_cost_the_same_however_many_instances_there_are() {
+fn rules_without_a_new_pool_cost_the_same_however_many_endpoints_there_are() {
     const PUTS: usize = 21;
-    const MOST: Duration = Duration::from_millis(1);
+    const MAX: Duration = Duration::from_millis(1);
     let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     let config = Config::parse(&config).unwrap();
-    let hub = hub(&config);
-    hub.put_rules(rules(&config, 8)).unwrap();
-    let all = hub.pools().unwrap().0;
+    let dispatcher = dispatcher(&config);
+    dispatcher.put_rules(rules(&config, 8)).unwrap();
+    let all = dispatcher.pools().unwrap().0;
     assert_eq!(
         all,
         (0..8)
-            .map(|pool| format!("p{pool}={}", INSTANCES / 8))
+            .map(|pool| format!("p{pool}={}", ENDPOINTS / 8))
             .collect::<Vec<_>>()
             .join(" ")
     );
@@ -66,22 +67,22 @@
         .map(|_| {
             let rules = rules(&config, 8);
             let begun = Instant::now();
-            let replaced = hub.put_rules(rules).unwrap().unwrap();
+            let replaced = dispatcher.put_rules(rules).unwrap().unwrap();
             let took = begun.elapsed();
             assert!(!replaced.has_new_pools());
             took
         })
         .collect();
     took.sort();
-    assert_eq!(hub.pools().unwrap().0, all);
+    assert_eq!(dispatcher.pools().unwrap().0, all);
     let more = rules(&config, 9);
     let begun = Instant::now();
-    assert!(hub.put_rules(more).unwrap().unwrap().has_new_pools());
+    assert!(dispatcher.put_rules(more).unwrap().unwrap().has_new_pools());
     println!(
-        "{INSTANCES} instances: median {:?}, with a new pool {:?}",
+        "{ENDPOINTS} endpoints: median {:?}, with a new pool {:?}",
         took[PUTS / 2],
         begun.elapsed()
     );
     // Not the longest: the machine may run others meanwhile. Half of the puts had no more than this.
-    assert!(took[PUTS / 2] < MOST, "{took:?}");
+    assert!(took[PUTS / 2] < MAX, "{took:?}");
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -31,7 +31,7 @@
 struct Seen {
     class: usize,
     give_up: f64,
-    sent: Vec<(HostId, f64, Option<Outcome>)>,
+    sent: Vec<(EndpointId, f64, Option<Outcome>)>,
     answers: u32,
 }
 
@@ -50,7 +50,7 @@
     seen: BTreeMap<RequestId, Seen>,
     timers: Vec<(f64, u64)>,
     calls: Vec<(u64, f64)>,
-    draining: Vec<HostId>,
+    draining: Vec<EndpointId>,
 }
 
 fn proves_it_never_ran(o: Option<Outcome>) -> bool {
@@ -61,12 +61,15 @@
 }
 
 impl World {
-    /// Carries out what the gateway asked for and checks it against the rules.
+    /// Carries out what the ingress asked for and checks it against the rules.
     fn carry_out(&mut self, now: f64, actions: &[Action]) {
         for action in actions {
             match *action {
-                Action::Send { id, host, .. } => {
-                    assert!(!self.draining.contains(&host), "sent to a draining host");
+                Action::Send { id, endpoint, .. } => {
+                    assert!(
+                        !self.draining.contains(&endpoint),
+                        "sent to a draining host"
+                    );
                     let seen = self.seen.get_mut(&id).unwrap();
                     assert_eq!(seen.answers, 0, "sent after the final answer");
                     let maybe: Vec<_> = seen
@@ -80,14 +83,14 @@
                             for s in maybe {
                                 assert!(now - s.1 < 1.0, "keyed, and its window is over");
                                 assert!(
-                                    seen.class == 3 || s.0 / 4 == host / 4,
+                                    seen.class == 3 || s.0 / 4 == endpoint / 4,
                                     "keyed, another cell"
                                 );
                             }
                         }
                         _ => {}
                     }
-                    seen.sent.push((host, now, None));
+                    seen.sent.push((endpoint, now, None));
                 }
                 Action::Refuse { id, .. } => {
                     let seen = self.seen.get_mut(&id).unwrap();
@@ -123,7 +126,7 @@
         world.carry_out(bed.now, &bed.last);
         for step in steps.into_iter().chain([Step::Wait(3000)]) {
             match step {
-                Step::Ask(class, customer, units) => {
+                Step::Ask(class, tenant, units) => {
                     let give_up = bed.now + 2.0;
                     let next = world.seen.len() as RequestId + 1;
                     world.seen.insert(
@@ -134,7 +137,7 @@
                             ..Seen::default()
                         },
                     );
-                    assert_eq!(bed.ask(class, 1, customer, f64::from(units)), next);
+                    assert_eq!(bed.ask(class, 1, tenant, f64::from(units)), next);
                     world.carry_out(bed.now, &bed.last);
                 }
                 Step::End(i, o) => {
@@ -160,12 +163,12 @@
                 }
                 Step::Drain(h, drain) => {
                     world.draining.retain(|d| *d != h);
-                    let mut entry = host(h);
+                    let mut entry = endpoint(h);
                     if drain {
                         world.draining.push(h);
-                        entry.state = HostState::Draining;
+                        entry.state = EndpointState::Draining;
                     }
-                    bed.tell(Event::Hosts {
+                    bed.tell(Event::Endpoints {
                         kind: ListKind::Delta,
                         entries: vec![entry],
                     });
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,10 +1,10 @@
-//! Rules that are read again while commands come: the real program, thousands of rules, and files that are changed,
+//! Rules that are read again while requests come: the real program, thousands of rules, and files that are changed,
 //! torn and wrong.
 
 mod stage;
 
 use oorandom::Rand64;
-use stage::steady::{Class, Sent, Steady, Told};
+use stage::steady::{Class, Notified, Sent, Steady};
 use stage::{run, Stage, Wire};
 use std::collections::{BTreeSet, HashMap};
 use std::future::Future;
@@ -13,7 +13,7 @@
 
 /// Rules of a file, beside those that tell the files apart.
 const RULES: usize = 2_000;
-/// The partner whose commands no rule refuses, the one whose every other file does, and the one whose every file does.
+/// The tenant whose requests no rule refuses, the one whose every other file does, and the one whose every file does.
 const FREE: u64 = 7;
 const EVERY_OTHER: u64 = 8;
 const ALWAYS: u64 = 9;
@@ -87,10 +87,10 @@
     }
 
     fn text(&self) -> String {
-        let refuses = |name: &str, partner: u64, after_ms: u64| {
+        let refuses = |name: &str, tenant: u64, retry_after_ms: u64| {
             format!(
-                "[[rule]]\nname = '{name}'\nwhen = 'request.partner.orValue(\"\") == \"{partner:016x}\"'\n\
-                 nack = 'duration(\"{after_ms}ms\")'\n"
+                "[[rule]]\nname = '{name}'\nwhen = 'request.partner.orValue(\"\") == \"{tenant:016x}\"'\n\
+                 nack = 'duration(\"{retry_after_ms}ms\")'\n"
             )
         };
         let mut text = refuses("always", ALWAYS, ALWAYS_MS + self.number);
@@ -158,14 +158,14 @@
 
 /// The number of the file whose rule has refused this.
 fn refused_by(sent: &Sent) -> Option<u64> {
-    match sent.told {
-        Told::Refused(ms) if sent.partner == ALWAYS => ms.checked_sub(ALWAYS_MS),
-        Told::Refused(ms) if sent.partner == EVERY_OTHER => ms.checked_sub(EVERY_OTHER_MS),
+    match sent.notified {
+        Notified::Refused(ms) if sent.tenant == ALWAYS => ms.checked_sub(ALWAYS_MS),
+        Notified::Refused(ms) if sent.tenant == EVERY_OTHER => ms.checked_sub(EVERY_OTHER_MS),
         _ => None,
     }
 }
 
-/// Clients of every partner on both wires.
+/// Clients of every tenant on both wires.
 fn clients(steady: &Rc<Steady>) {
     for front in [Wire::Resp, Wire::Http2] {
         steady.client(front, FREE, Class::Fetch);
@@ -184,44 +184,44 @@
     });
 }
 
-/// Each command has the answer that some good file gives it, one at most of those with an effect has run, and no
+/// Each request has the answer that some good file gives it, one at most of those with an effect has run, and no
 /// file comes into force behind a later one.
 fn judge(sent: &[Sent], runs: &HashMap<String, usize>, good: &BTreeSet<u64>) {
     let mut latest: HashMap<(bool, u64), u64> = HashMap::new();
-    for command in sent {
-        let ran = runs.get(&command.id).copied().unwrap_or(0);
+    for request in sent {
+        let ran = runs.get(&request.id).copied().unwrap_or(0);
         assert!(
-            ran <= 1 || command.class == Class::Fetch,
-            "ran {ran} times: {command:?}"
+            ran <= 1 || request.class == Class::Fetch,
+            "ran {ran} times: {request:?}"
         );
-        match &command.told {
-            Told::Served(value) => {
-                assert_eq!(*value, command.id, "another's answer");
-                assert!(ran >= 1 && command.partner != ALWAYS, "{command:?}");
+        match &request.notified {
+            Notified::Served(value) => {
+                assert_eq!(*value, request.id, "another's answer");
+                assert!(ran >= 1 && request.tenant != ALWAYS, "{request:?}");
             }
-            Told::Refused(_) => {
-                let file = refused_by(command).filter(|file| good.contains(file));
+            Notified::Refused(_) => {
+                let file = refused_by(request).filter(|file| good.contains(file));
                 let file = file
-                    .unwrap_or_else(|| panic!("refused by no rule of a good file: {command:?}"));
+                    .unwrap_or_else(|| panic!("refused by no rule of a good file: {request:?}"));
                 assert!(
-                    command.partner == ALWAYS || refuses_every_other(file),
-                    "{command:?}"
+                    request.tenant == ALWAYS || refuses_every_other(file),
+                    "{request:?}"
                 );
-                assert_eq!(ran, 0, "{command:?}");
+                assert_eq!(ran, 0, "{request:?}");
                 let latest = latest
-                    .entry((command.front == Wire::Resp, command.partner))
+                    .entry((request.front == Wire::Resp, request.tenant))
                     .or_default();
-                assert!(*latest <= file, "file {file} behind {latest}: {command:?}");
+                assert!(*latest <= file, "file {file} behind {latest}: {request:?}");
                 *latest = file;
             }
-            Told::Nothing => assert!(command.killed, "lost: {command:?}"),
-            Told::Other(_) => panic!("{command:?}"),
+            Notified::Nothing => assert!(request.killed, "lost: {request:?}"),
+            Notified::Other(_) => panic!("{request:?}"),
         }
     }
 }
 
 #[test]
-fn a_storm_of_reloads_loses_no_command_and_ends_with_the_last_good_file() {
+fn a_storm_of_reloads_loses_no_request_and_ends_with_the_last_good_file() {
     const ROUNDS: usize = 300;
     const KILL_EVERY: usize = 100;
     const LAST_AT_ONCE: usize = 5;
@@ -269,7 +269,7 @@
         }
         let last = file.number;
         steady
-            .until(|sent| sent.partner == ALWAYS && refused_by(sent) == Some(last))
+            .until(|sent| sent.tenant == ALWAYS && refused_by(sent) == Some(last))
             .await;
         // The last good file it is, not the last one. A reading of the good one may still be under way.
         let kept = stage.readings().kept;
@@ -284,9 +284,9 @@
         for sent in steady
             .since(settled)
             .iter()
-            .filter(|sent| sent.partner != FREE)
+            .filter(|sent| sent.tenant != FREE)
         {
-            let refused = sent.partner == ALWAYS || refuses_every_other(file.number);
+            let refused = sent.tenant == ALWAYS || refuses_every_other(file.number);
             assert_eq!(refused_by(sent), refused.then_some(last), "{sent:?}");
         }
         let sent = steady.stop().await;
@@ -320,9 +320,9 @@
                 first_mb = stage.resident();
             }
         }
-        let (last_mb, most_mb) = (stage.resident(), stage.most_resident());
+        let (last_mb, max_mb) = (stage.resident(), stage.max_resident());
         println!(
-            "memory: {first_mb:.1} MB after {FIRST}, {last_mb:.1} after {RELOADS}, {most_mb:.1} at most"
+            "memory: {first_mb:.1} MB after {FIRST}, {last_mb:.1} after {RELOADS}, {max_mb:.1} at most"
         );
         assert_eq!(stage.readings().replaced, RELOADS);
         assert!(
@@ -333,10 +333,10 @@
 }
 
 #[test]
-fn commands_are_answered_while_a_large_file_is_read() {
+fn requests_are_answered_while_a_large_file_is_read() {
     const LARGE: usize = 8_000;
     /// With the reading on the serving thread each client would have an answer or two, behind it.
-    const LEAST_ANSWERS: usize = 20;
+    const MIN_ANSWERS: usize = 20;
     /// And the longest round trip would last as long as the reading, or as its part on that thread.
     const LONGEST_PART: u32 = 4;
     play(async {
@@ -365,7 +365,7 @@
                 round_trips(&during)
             );
             assert!(
-                during.len() >= LEAST_ANSWERS,
+                during.len() >= MIN_ANSWERS,
                 "{} answers in {took:?}",
                 during.len()
             );
@@ -384,7 +384,7 @@
         let sent = steady.stop().await;
         assert!(sent
             .iter()
-            .all(|sent| sent.told == Told::Served(sent.id.clone())));
+            .all(|sent| sent.notified == Notified::Served(sent.id.clone())));
     });
 }
 
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,18 +1,18 @@
 //! The operator's rules over sockets, on every pair of wires: pools, limits and their times, what becomes a
-//! command, replacement under load, hostile files and keys.
+//! request, replacement under load, hostile files and keys.
 
 mod stage;
 
 use stage::{play, play_all, Wire};
 
-/// Two pools by label; partner 7 goes to the first, 8 to the second, which falls back on the first.
+/// Two pools by label; tenant 7 goes to the first, 8 to the second, which falls back on the first.
 const POOLS: &str = "[[pool]]\\nname = 'x'\\nwhen = 'instance.labels[\"pool\"].orValue(\"\") == \"x\"'\\nafter = '300ms'\\n\
     [[pool]]\\nname = 'y'\\nwhen = 'instance.labels[\"pool\"].orValue(\"\") == \"y\"'\\nfallback = 'x'\\n\
     [[rule]]\\nname = 'to-x'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\npool = '\"x\"'\\n\
     [[rule]]\\nname = 'to-y'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000008\"'\\npool = '\"y\"'\\n";
 
 #[test]
-fn a_pools_commands_go_to_its_instances_alone() {
+fn a_pools_requests_go_to_its_endpoints_alone() {
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_pool_without_a_ready_instance_falls_back_or_refuses_and_never_spills() {
+fn a_pool_without_a_ready_endpoint_falls_back_or_refuses_and_never_spills() {
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -56,7 +56,7 @@
 
 #[test]
 fn a_further_attempt_stays_within_the_pool() {
-    // Both instances are in: the second attempt goes to the other. One is in: nothing else is tried.
+    // Both endpoints are in: the second attempt goes to the other. One is in: nothing else is tried.
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_command_ends_under_the_rules_that_it_began_with() {
+fn a_request_ends_under_the_rules_that_it_began_with() {
     // While a booking is out the pools change names and order; its retry, were there one, would have its old pool.
     play_all(&format!(
         "rules {POOLS}
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_told_exactly() {
+fn the_time_to_come_back_is_notified_exactly() {
     let rules = "[[rule]]\\nname = 'n'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000009\"'\\nnack = 'duration(\"1234ms\")'\\n";
     play_all(&format!(
         "rules {rules}
@@ -162,7 +162,7 @@
     id = '\"b\" + request.path.split(\"/\")[2].orValue(\"\")'\\n";
 
 #[test]
-fn a_plain_get_becomes_a_command_and_counts_its_units() {
+fn a_plain_get_becomes_a_request_and_counts_its_units() {
     for behind in [Wire::Resp, Wire::Http2] {
         play(
             Wire::Http2,
@@ -229,11 +229,11 @@
 }
 
 #[test]
-fn rules_are_replaced_under_load_with_every_command_answered_once() {
+fn rules_are_replaced_under_load_with_every_request_answered_once() {
     let file = |i: usize| {
         format!("{POOLS}[[rule]]\\nname = 'r{i}'\\ngo_on = true\\nnotes = {{ n = '\"{i}\"' }}\\n")
     };
-    // Few together: more than a few attempts an instance are load to the module, which refuses some then.
+    // Few together: more than a few attempts an endpoint are load to the module, which refuses some then.
     let mut lines = vec![
         format!("rules {}", file(0)),
         "pooled a x".into(),
@@ -260,7 +260,7 @@
 
 #[test]
 fn a_hundred_thousand_keys_leave_memory_flat() {
-    // The partner is one, so that the keys alone differ; most are refused by its quota, which is as well.
+    // The tenant is one, so that the keys alone differ; most are refused by its quota, which is as well.
     let limit =
         "[[rule]]\\nname = 'l'\\nlimit = { key = 'request.id.orValue(\"\")', rate = 1, burst = 1 }\\n";
     for (front, n) in [(Wire::Resp, 100_000), (Wire::Http2, 100_000)] {
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,38 +1,38 @@
-//! The stage: the real program between stand-ins for clients, instances, counter and discovery, all on
+//! The stage: the real program between stand-ins for clients, endpoints, counter and discovery, all on
 //! loopback, and the scenario language that drives them. One line, one step; `C` is a client's connection,
-//! `I` an instance, `K` a command's id:
+//! `I` an endpoint, `K` a request's id:
 //!
-//!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   a client sends a command
+//!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   a client sends a request
 //!     raw C TEXT                           a client writes bytes as they stand (\r\n are escapes)
 //!     with PATH=VALUE ...                  (first line) the settings hold these: `request_classes.1.effect="token"`
 //!     small                                (first line) the program's memory is 10 MB
 //!     roomy                                (first line) the program may hold 1024 descriptors
 //!     tight                                clients of RESP that come from now on have little room for what they do not read
 //!     spill C N                            a client writes N bytes that make no sense, as far as they are taken
-//!     part C N                             a client writes all but the end of a command with a body of N bytes
-//!     long C N                             a client writes a command of N bytes
+//!     part C N                             a client writes all but the end of a request with a body of N bytes
+//!     long C N                             a client writes a request of N bytes
 //!     expect C K WHAT                      its answer: served V, busy, failed, closed; or a prefix of a raw line
-//!     expect I K                           an attempt arrives whole (`*`: at any instance)
+//!     expect I K                           an attempt arrives whole (`*`: at any endpoint)
 //!     answer I K HOW                       value V, cost N V (with its true units), last V (and closes, RESP), busy, error, half (breaks halfway), reset, cut (a reset of the connection itself), refuse, goaway, garbage,
 //!                                          large N (a value of N bytes), torn N (breaks off in its middle), pieces N (comes slowly),
 //!                                          vain N (promises N bytes and gives 9), hang (halfway), noise (RESP), twice V, tardy V (the same, the second 5 ms later, RESP), odd V (with figures that make no sense, RESP)
-//!     always HOW                           from now on instances answer at once (`echo`: with the command's id)
-//!     reset C K / close C                  the client gives up a command (its connection on RESP) / closes
-//!     state I STATE                        discovery tells of an instance (a, b): active, leaving, left
+//!     always HOW                           from now on endpoints answer at once (`echo`: with the request's id)
+//!     reset C K / close C                  the client gives up a request (its connection on RESP) / closes
+//!     state I STATE                        discovery tells of an endpoint (a, b): active, leaving, left
 //!     inventory NAME[=STATE] ...           the operator's file names these, and is read again (SIGHUP)
-//!     unseen                               instances send GOAWAY below every stream (HTTP/2)
+//!     unseen                               endpoints send GOAWAY below every stream (HTTP/2)
 //!     counter HOW                          it is silent, full, late, or answers garbage, spoilt, half, close, ok
 //!     agent HOW                            discovery answers garbage, error, nonsense, ok, indented, endless (without a length), torn
 //!                                          (so, and reset within), reset, or silent (open calls too, which stay so)
 //!     rush N                               N clients connect at once, say nothing and stay
-//!     burst C N                            a client writes N commands at once (ids C0, C1 and so on), as far as they are taken
+//!     burst C N                            a client writes N requests at once (ids C0, C1 and so on), as far as they are taken
 //!     fin C                                a client ends its sending and reads on
-//!     clog NAME                            discovery tells of a further instance, to which no connection comes up
-//!     unclog NAME                          it takes connections from now on, as an instance
+//!     clog NAME                            discovery tells of a further endpoint, to which no connection comes up
+//!     unclog NAME                          it takes connections from now on, as an endpoint
 //!     move PARTS                           discovery, counter: are elsewhere from now on, as the configuration (SIGHUP) says
 //!     rules TEXT                           the file of rules holds this (\n are escapes), and is read again (SIGHUP)
-//!     pooled I BITS                        discovery tells of an instance with the label pool=BITS
-//!     flood C N                            a client sends N commands with ids of their own, some at a time, and reads all answers
+//!     pooled I BITS                        discovery tells of an endpoint with the label pool=BITS
+//!     flood C N                            a client sends N requests with ids of their own, some at a time, and reads all answers
 //!     persist C CLASS PLAN PARTNER         a client comes again while it is refused, until it is served
 //!     memory / memory MB                   notes the program's memory / it has grown by so much at most
 //!     advice C K LEAST MOST                the answer is a refusal, to come back in so many ms
@@ -60,7 +60,7 @@
 
 use bytes::Bytes;
 use driftgap::protocol::http2::push_body;
-use driftgap::protocol::resp::{command_words, instance_reply, Parsed, Reply};
+use driftgap::protocol::resp::{endpoint_reply, request_words, Parsed, Reply};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::future::{poll_fn, Future};
@@ -92,7 +92,7 @@
 on_error = "nack"
 "#;
 const HEADER: &str = "name,address,zone,protocol,state\n";
-/// Refuses one partner and fails on another.
+/// Refuses one tenant and fails on another.
 const HOOK: &str = r#"fn decide(c) {
     if c.partner == "000000000000dead" { return #{ nack: 300 }; }
     if c.partner == "000000000000beef" { c.no_such_function(); }
@@ -101,7 +101,7 @@
 /// Descriptors of the program, and where it has much room.
 const SOCKETS: usize = 256;
 const ROOMY_SOCKETS: usize = 1024;
-/// What an instance says of its load when it is probed.
+/// What an endpoint says of its load when it is probed.
 const LOAD: &str = "lat_ms=40,rif=1,busy=0.5";
 /// What a client with little room takes without reading, bytes, and the largest segment that it takes.
 const TIGHT_ROOM: usize = 8 * 1024;
@@ -119,14 +119,14 @@
     /// How the counter and the agent behave; empty: as they should.
     counter: Rc<RefCell<String>>,
     agent: Rc<RefCell<String>>,
-    /// HTTP/2 instances turn connections away unseen.
+    /// HTTP/2 endpoints turn connections away unseen.
     unseen: Rc<RefCell<bool>>,
 }
 
 impl Shared {
     /// An attempt has arrived whole; how it is to be answered.
-    fn arrive(&self, instance: &str, id: &str) -> oneshot::Receiver<String> {
-        let (tell, told) = oneshot::channel();
+    fn arrive(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
+        let (tell, notified) = oneshot::channel();
         *self.runs.borrow_mut().entry(id.to_string()).or_default() += 1;
         if let Some(how) = &*self.always.borrow() {
             let echo = how == "echo";
@@ -135,12 +135,12 @@
             } else {
                 how.clone()
             });
-            return told;
+            return notified;
         }
         self.arrived
             .borrow_mut()
-            .insert((instance.to_string(), id.to_string()), tell);
-        told
+            .insert((endpoint.to_string(), id.to_string()), tell);
+        notified
     }
 }
 
@@ -165,7 +165,7 @@
         .collect()
 }
 
-/// A large value in the parts in which an instance sends it, with a pause behind each.
+/// A large value in the parts in which an endpoint sends it, with a pause behind each.
 struct Parts<'a> {
     /// The size that it promises.
     size: &'a str,
@@ -193,7 +193,7 @@
     Some(Parts { size, parts, whole })
 }
 
-/// A value as the language names it: by length, and whether it is as an instance gave it, where it is large.
+/// A value as the language names it: by length, and whether it is as an endpoint gave it, where it is large.
 fn named(value: &[u8]) -> String {
     if value.len() < 1000 {
         return String::from_utf8_lossy(value).to_string();
@@ -208,11 +208,11 @@
     (format!("used=37,cost={cost}"), v)
 }
 
-async fn resp_instance(name: String, mut stream: TcpStream, shared: Shared) {
+async fn resp_endpoint(name: String, mut stream: TcpStream, shared: Shared) {
     let mut buffer = Vec::new();
     loop {
         let (id, used) = loop {
-            if let Ok(Parsed::Whole(words, n)) = command_words(&buffer) {
+            if let Ok(Parsed::Complete(words, n)) = request_words(&buffer) {
                 break (
                     words
                         .get(2)
@@ -254,11 +254,11 @@
                 format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
             }
             ("cost", v) => {
-                let (figures, v) = figured(v);
+                let (statistics, v) = figured(v);
                 format!(
-                    "*3\r\n${}\r\n{v}\r\n${}\r\n{figures}\r\n$-1\r\n",
+                    "*3\r\n${}\r\n{v}\r\n${}\r\n{statistics}\r\n$-1\r\n",
                     v.len(),
-                    figures.len()
+                    statistics.len()
                 )
             }
             ("busy" | "refuse", _) => "-BUSY\r\n".to_string(),
@@ -310,7 +310,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
-async fn http2_instance(name: String, stream: TcpStream, shared: Shared) {
+async fn http2_endpoint(name: String, stream: TcpStream, shared: Shared) {
     if *shared.unseen.borrow() {
         return unseen(stream).await;
     }
@@ -376,8 +376,8 @@
                 (word @ ("value" | "cost"), v) => {
                     let (mut head, mut v) = (head(200), v);
                     if word == "cost" {
-                        let (figures, value) = figured(v);
-                        (head, v) = (head.header("srv-use", figures), value);
+                        let (statistics, value) = figured(v);
+                        (head, v) = (head.header("srv-use", statistics), value);
                     }
                     let mut send = respond
                         .send_response(head.body(()).unwrap(), false)
@@ -625,7 +625,7 @@
     list: watch::Sender<Vec<String>>,
     /// Discovery and counter: where they are.
     parties: HashMap<&'static str, (u16, AbortHandle)>,
-    instances: HashMap<String, (u16, Wire)>,
+    endpoints: HashMap<String, (u16, Wire)>,
     answers: Vec<String>,
     folder: PathBuf,
     /// Memory of the program when it was noted last, MB.
@@ -672,20 +672,20 @@
     pub async fn set(front: Wire, wire: Wire, first: &str) -> Stage {
         let (held, small) = (first == "held", first == "small");
         let shared = Shared::default();
-        let mut instances = HashMap::new();
+        let mut endpoints = HashMap::new();
         for name in ["a", "b", "extra"] {
             let shared = shared.clone();
             let port = match wire {
                 Wire::Resp => {
-                    stand_in(move |s| resp_instance(name.into(), s, shared.clone())).await
+                    stand_in(move |s| resp_endpoint(name.into(), s, shared.clone())).await
                 }
                 Wire::Http2 => {
-                    stand_in(move |s| http2_instance(name.into(), s, shared.clone())).await
+                    stand_in(move |s| http2_endpoint(name.into(), s, shared.clone())).await
                 }
             };
-            instances.insert(name.to_string(), (port.0, wire));
+            endpoints.insert(name.to_string(), (port.0, wire));
         }
-        let listed = instances.iter().filter(|(name, _)| *name != "extra");
+        let listed = endpoints.iter().filter(|(name, _)| *name != "extra");
         let entries: Vec<_> = listed
             .map(|(n, (p, w))| entry(n, *p, *w, "active"))
             .collect();
@@ -736,7 +736,7 @@
             shared,
             list,
             parties,
-            instances,
+            endpoints,
             answers,
             folder,
             memory: 0.0,
@@ -857,7 +857,7 @@
     }
 
     async fn send(&mut self, words: &[&str]) {
-        let [name, id, class, plan, partner, rest @ ..] = words else {
+        let [name, id, class, plan, tenant, rest @ ..] = words else {
             panic!("{words:?}")
         };
         let size = rest
@@ -884,8 +884,8 @@
                 let verb = if safe { "SVC.QUERY" } else { "SVC.SUBMIT" };
                 let key = key.map_or(String::new(), |key| format!(",k={key}"));
                 let terms = format!("c={class},t={plan},d={d},units={units},spread=1,first=0{key}");
-                let partner = format!("{partner:0>16}");
-                let words = [verb, partner.as_str(), id, &terms, &content];
+                let tenant = format!("{tenant:0>16}");
+                let words = [verb, tenant.as_str(), id, &terms, &content];
                 let words = &words[..if safe { 4 } else { 5 }];
                 let mut text = format!("*{}\r\n", words.len());
                 for word in words {
@@ -900,7 +900,7 @@
                     request = request.header("idempotency-key", key);
                 }
                 let request = request
-                    .header("api-customer", format!("{partner:0>16}"))
+                    .header("api-customer", format!("{tenant:0>16}"))
                     .header("req-id", *id)
                     .header("api-plan", *plan)
                     .header("req-deadline-ms", d)
@@ -915,7 +915,7 @@
         }
     }
 
-    /// The answer to a command, in the language's words.
+    /// The answer to a request, in the language's words.
     async fn answer(&mut self, name: &str, id: &str) -> String {
         match self.clients.get_mut(name).unwrap() {
             Client::Resp {
@@ -941,7 +941,7 @@
                         );
                         return format!("served {value}");
                     }
-                } else if let Ok(Parsed::Whole(reply, n)) = instance_reply(buffer) {
+                } else if let Ok(Parsed::Complete(reply, n)) = endpoint_reply(buffer) {
                     let text = |b: &[u8]| String::from_utf8_lossy(b).to_string();
                     let word = match reply {
                         Reply::Bulk(Some(value)) => format!("served {}", named(value)),
@@ -995,15 +995,15 @@
         }
     }
 
-    /// Waits for an attempt at an instance, or at any (`*`).
-    async fn arrived(&self, instance: &str, id: &str) -> (String, String) {
+    /// Waits for an attempt at an endpoint, or at any (`*`).
+    async fn arrived(&self, endpoint: &str, id: &str) -> (String, String) {
         loop {
             let found = self
                 .shared
                 .arrived
                 .borrow()
                 .keys()
-                .find(|k| k.1 == id && (instance == "*" || k.0 == instance))
+                .find(|k| k.1 == id && (endpoint == "*" || k.0 == endpoint))
                 .cloned();
             if let Some(key) = found {
                 return key;
@@ -1012,7 +1012,7 @@
         }
     }
 
-    /// Commands in batches, each with an id that no other has.
+    /// Requests in batches, each with an id that no other has.
     async fn flood(&mut self, name: &str, n: usize) {
         const BATCH: usize = 100;
         for batch in 0..n / BATCH {
@@ -1052,14 +1052,14 @@
             }
             ["burst", name, n] => {
                 let terms = "c=fetch-episode,t=national,d=3000,units=1,spread=1,first=0";
-                let command = |i: usize| {
+                let request = |i: usize| {
                     let id = format!("{name}{i}");
-                    let partner = format!("{i:016x}");
-                    let words = ["SVC.QUERY", &partner, &id, terms];
+                    let tenant = format!("{i:016x}");
+                    let words = ["SVC.QUERY", &tenant, &id, terms];
                     let words = words.map(|word| format!("${}\r\n{word}\r\n", word.len()));
                     format!("*4\r\n{}", words.concat())
                 };
-                let text: String = (0..n.parse().unwrap()).map(command).collect();
+                let text: String = (0..n.parse().unwrap()).map(request).collect();
                 let Client::Resp { stream, .. } = self.client(name).await else {
                     panic!("burst is for RESP")
                 };
@@ -1097,8 +1097,8 @@
                     .map(|_| spawn_local(TcpStream::connect(at)))
                     .collect::<Vec<_>>();
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                let wire = self.instances["a"].1;
-                self.instances.insert(name.to_string(), (at.port(), wire));
+                let wire = self.endpoints["a"].1;
+                self.endpoints.insert(name.to_string(), (at.port(), wire));
                 self.clogged.push((name.to_string(), socket, line));
                 let entry = entry(name, at.port(), wire, "active");
                 self.list.send_modify(|changes| changes.push(entry));
@@ -1113,15 +1113,15 @@
                 line.iter().for_each(tokio::task::JoinHandle::abort);
                 socket.set_nonblocking(true).unwrap();
                 let listener = TcpListener::from_std(socket.into()).unwrap();
-                let (wire, shared) = (self.instances[&name].1, self.shared.clone());
+                let (wire, shared) = (self.endpoints[&name].1, self.shared.clone());
                 spawn_local(async move {
                     while let Ok((stream, _)) = listener.accept().await {
                         match wire {
                             Wire::Resp => {
-                                spawn_local(resp_instance(name.clone(), stream, shared.clone()))
+                                spawn_local(resp_endpoint(name.clone(), stream, shared.clone()))
                             }
                             Wire::Http2 => {
-                                spawn_local(http2_instance(name.clone(), stream, shared.clone()))
+                                spawn_local(http2_endpoint(name.clone(), stream, shared.clone()))
                             }
                         };
                     }
@@ -1148,10 +1148,10 @@
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             },
-            ["expect", instance, id]
-                if *instance == "*" || self.instances.contains_key(*instance) =>
+            ["expect", endpoint, id]
+                if *endpoint == "*" || self.endpoints.contains_key(*endpoint) =>
             {
-                self.arrived(instance, id).await;
+                self.arrived(endpoint, id).await;
             }
             ["expect", name, id, what @ ..] => {
                 let (got, want) = (self.answer(name, id).await, what.join(" "));
@@ -1162,8 +1162,8 @@
                 );
                 self.answers.push(got);
             }
-            ["answer", instance, id, how @ ..] => {
-                let key = self.arrived(instance, id).await;
+            ["answer", endpoint, id, how @ ..] => {
+                let key = self.arrived(endpoint, id).await;
                 let tell = self.shared.arrived.borrow_mut().remove(&key).unwrap();
                 let _ = tell.send(how.join(" "));
             }
@@ -1179,7 +1179,7 @@
             },
             ["close", name] => drop(self.clients.remove(*name)),
             ["state", name, state] => {
-                let (port, wire) = self.instances[*name];
+                let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, state);
                 self.list.send_modify(|changes| changes.push(entry));
             }
@@ -1187,7 +1187,7 @@
             ["inventory", names @ ..] => {
                 let row = |name: &&str| {
                     let (name, state) = name.split_once('=').unwrap_or((name, ""));
-                    match self.instances.get(name) {
+                    match self.endpoints.get(name) {
                         Some((port, Wire::Http2)) => {
                             format!("{name},127.0.0.1:{port},building-1,http2,{state}\n")
                         }
@@ -1217,7 +1217,7 @@
                 self.read_again().await;
             }
             ["pooled", name, label] => {
-                let (port, wire) = self.instances[*name];
+                let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, "active");
                 let labels = format!(r#""labels":{{"pool":"{label}"}},"state""#);
                 self.list
@@ -1252,15 +1252,15 @@
                 }
             }
             ["memory"] => self.memory = self.resident(),
-            ["memory", most] => {
+            ["memory", max] => {
                 let grown = self.resident() - self.memory;
                 assert!(
-                    grown <= most.parse().unwrap(),
+                    grown <= max.parse().unwrap(),
                     "{:?}: {line}: {grown} MB",
                     self.front
                 );
             }
-            ["advice", name, id, least, most] => {
+            ["advice", name, id, min, max] => {
                 let ms: u64 = match self.clients.get_mut(*name).unwrap() {
                     Client::Http2 { streams, .. } => {
                         let response = streams.remove(*id).unwrap().0.await.unwrap();
@@ -1285,7 +1285,7 @@
                         ms.trim().parse().unwrap()
                     }
                 };
-                let range = least.parse::<u64>().unwrap()..=most.parse().unwrap();
+                let range = min.parse::<u64>().unwrap()..=max.parse().unwrap();
                 assert!(range.contains(&ms), "{:?}: {line}: {ms}", self.front);
                 self.answers.push("advice".into());
             }
@@ -1333,13 +1333,13 @@
                     self.murmurs.push(stream);
                 }
             }
-            ["descriptors", most] => {
+            ["descriptors", max] => {
                 let of = |program: &Child| {
                     std::fs::read_dir(format!("/proc/{}/fd", program.id()))
                         .map_or(0, Iterator::count)
                 };
                 let all = of(&self.program) + self.second.as_ref().map_or(0, of);
-                assert!(all <= most.parse().unwrap(), "{line}: {all}");
+                assert!(all <= max.parse().unwrap(), "{line}: {all}");
             }
             ["part", name, n] => {
                 let head = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n0000000000000007\r\n$1\r\np\r\n";
@@ -1401,13 +1401,9 @@
                 assert_eq!(runs.to_string(), *n, "{line}");
             }
             ["begun", "none"] => assert_eq!(self.attempts(), self.begun, "{line}"),
-            ["begun", least] => {
+            ["begun", min] => {
                 self.begun = self.attempts();
-                assert!(
-                    self.begun >= least.parse().unwrap(),
-                    "{line}: {}",
-                    self.begun
-                );
+                assert!(self.begun >= min.parse().unwrap(), "{line}: {}", self.begun);
             }
             ["counted", n] => {
                 let total: f64 = self.shared.totals.borrow().values().sum();
--- a/tests/stage/program.rs
+++ b/tests/stage/program.rs
@@ -124,7 +124,7 @@
     }
 
     /// The most memory that it has held, MB.
-    pub fn most_resident(&self) -> f64 {
+    pub fn max_resident(&self) -> f64 {
         self.status("VmHWM") / 1e3
     }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Attempts that have arrived at instances, by the command's id.
+    /// Attempts that have arrived at endpoints, by the request's id.
     pub fn runs(&self) -> HashMap<String, usize> {
         self.shared.runs.borrow().clone()
     }
--- a/tests/stage/steady.rs
+++ b/tests/stage/steady.rs
@@ -1,8 +1,8 @@
-//! Clients that send one command after the other, on either wire, and keep what became of each.
+//! Clients that send one request after the other, on either wire, and keep what became of each.
 
 use super::{read_some, Stage, Wire};
 use bytes::Bytes;
-use driftgap::protocol::resp::{instance_reply, Parsed, Reply};
+use driftgap::protocol::resp::{endpoint_reply, Parsed, Reply};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,14 +12,14 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Units of a command: so few that no plan refuses it.
+/// Units of a request: so few that no plan refuses it.
 const UNITS: &str = "0.001";
 /// How long a client waits for an answer, by its own word.
 const DEADLINE_MS: &str = "1000";
 /// Between two tries to connect to a program that is being started.
 const CONNECT_AGAIN: Duration = Duration::from_millis(5);
 
-/// The class of a command.
+/// The class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
     /// Safe to repeat.
@@ -39,7 +39,7 @@
 
 /// What a client was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Notified {
     /// The value.
     Served(String),
     /// To come back in so many ms.
@@ -50,14 +50,14 @@
     Nothing,
 }
 
-/// A command and what became of it.
+/// A request and what became of it.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub id: String,
     pub front: Wire,
-    pub partner: u64,
+    pub tenant: u64,
     pub class: Class,
-    pub told: Told,
+    pub notified: Notified,
     /// When it was written.
     pub at: Instant,
     /// How long its answer took.
@@ -74,7 +74,7 @@
     kills: Cell<u64>,
     /// Whether they send.
     open: watch::Sender<bool>,
-    /// How many commands have ended.
+    /// How many requests have ended.
     ended: watch::Sender<usize>,
     stopped: Cell<bool>,
     clients: RefCell<Vec<JoinHandle<()>>>,
@@ -95,19 +95,19 @@
         })
     }
 
-    /// A further client, of this partner, that sends from now on.
-    pub fn client(self: &Rc<Self>, front: Wire, partner: u64, class: Class) {
+    /// A further client, of this tenant, that sends from now on.
+    pub fn client(self: &Rc<Self>, front: Wire, tenant: u64, class: Class) {
         let steady = self.clone();
         let task = spawn_local(async move {
             match front {
-                Wire::Resp => steady.resp(partner, class).await,
-                Wire::Http2 => steady.http2(partner, class).await,
+                Wire::Resp => steady.resp(tenant, class).await,
+                Wire::Http2 => steady.http2(tenant, class).await,
             }
         });
         self.clients.borrow_mut().push(task);
     }
 
-    /// Commands that have ended so far.
+    /// Requests that have ended so far.
     pub fn count(&self) -> usize {
         self.sent.borrow().len()
     }
@@ -117,9 +117,9 @@
         self.sent.borrow()[first..].to_vec()
     }
 
-    /// Waits until so many further commands have ended.
-    pub async fn further(&self, commands: usize) {
-        let until = self.count() + commands;
+    /// Waits until so many further requests have ended.
+    pub async fn further(&self, requests: usize) {
+        let until = self.count() + requests;
         let mut ended = self.ended.subscribe();
         ended.wait_for(|ended| *ended >= until).await.unwrap();
     }
@@ -145,7 +145,7 @@
         self.open.send_replace(true);
     }
 
-    /// Has every client end behind the answer that it waits for; what became of every command.
+    /// Has every client end behind the answer that it waits for; what became of every request.
     pub async fn stop(&self) -> Vec<Sent> {
         self.stopped.set(true);
         let clients = self.clients.take();
@@ -177,18 +177,18 @@
         }
     }
 
-    /// A command that is about to be written.
-    fn begin(&self, front: Wire, partner: u64, class: Class) -> (Sent, u64) {
+    /// A request that is about to be written.
+    fn begin(&self, front: Wire, tenant: u64, class: Class) -> (Sent, u64) {
         let number = self.numbers.replace(self.numbers.get() + 1);
-        let (id, told) = (format!("s{number}"), Told::Nothing);
+        let (id, notified) = (format!("s{number}"), Notified::Nothing);
         let (at, took, killed) = (Instant::now(), Duration::ZERO, false);
         (
             Sent {
                 id,
                 front,
-                partner,
+                tenant,
                 class,
-                told,
+                notified,
                 at,
                 took,
                 killed,
@@ -197,22 +197,22 @@
         )
     }
 
-    fn end(&self, (mut sent, kills): (Sent, u64), told: Told) {
-        (sent.told, sent.took) = (told, sent.at.elapsed());
+    fn end(&self, (mut sent, kills): (Sent, u64), notified: Notified) {
+        (sent.notified, sent.took) = (notified, sent.at.elapsed());
         sent.killed = kills != self.kills.get();
         self.sent.borrow_mut().push(sent);
         self.ended.send_replace(self.count());
     }
 
-    async fn resp(&self, partner: u64, class: Class) {
+    async fn resp(&self, tenant: u64, class: Class) {
         while self.goes_on().await {
             let kills = self.kills.get();
             let (mut stream, mut buffer) = (self.connect(Wire::Resp).await, Vec::new());
             while self.goes_on_here(kills).await {
-                let begun = self.begin(Wire::Resp, partner, class);
-                let told = ask_resp(&mut stream, &mut buffer, &begun.0).await;
-                let cut = told == Told::Nothing;
-                self.end(begun, told);
+                let begun = self.begin(Wire::Resp, tenant, class);
+                let notified = ask_resp(&mut stream, &mut buffer, &begun.0).await;
+                let cut = notified == Notified::Nothing;
+                self.end(begun, notified);
                 if cut {
                     break;
                 }
@@ -226,7 +226,7 @@
         }
     }
 
-    async fn http2(&self, partner: u64, class: Class) {
+    async fn http2(&self, tenant: u64, class: Class) {
         while self.goes_on().await {
             let kills = self.kills.get();
             let stream = self.connect(Wire::Http2).await;
@@ -235,11 +235,11 @@
             };
             let connection = spawn_local(connection);
             while self.goes_on_here(kills).await {
-                let begun = self.begin(Wire::Http2, partner, class);
-                let told = ask_http2(&mut send, &begun.0).await;
-                let told = told.unwrap_or(Told::Nothing);
-                let cut = told == Told::Nothing;
-                self.end(begun, told);
+                let begun = self.begin(Wire::Http2, tenant, class);
+                let notified = ask_http2(&mut send, &begun.0).await;
+                let notified = notified.unwrap_or(Notified::Nothing);
+                let cut = notified == Notified::Nothing;
+                self.end(begun, notified);
                 if cut {
                     break;
                 }
@@ -249,52 +249,52 @@
     }
 }
 
-async fn ask_resp(stream: &mut TcpStream, buffer: &mut Vec<u8>, sent: &Sent) -> Told {
+async fn ask_resp(stream: &mut TcpStream, buffer: &mut Vec<u8>, sent: &Sent) -> Notified {
     let terms = format!(
         "c={},t=city,d={DEADLINE_MS},units={UNITS},spread=1,first=0",
         sent.class.name()
     );
-    let partner = format!("{:016x}", sent.partner);
+    let tenant = format!("{:016x}", sent.tenant);
     let words = match sent.class {
-        Class::Fetch => vec!["SVC.QUERY", &partner, &sent.id, &terms],
-        Class::Booking => vec!["SVC.SUBMIT", &partner, &sent.id, &terms, "body"],
+        Class::Fetch => vec!["SVC.QUERY", &tenant, &sent.id, &terms],
+        Class::Booking => vec!["SVC.SUBMIT", &tenant, &sent.id, &terms, "body"],
     };
     let mut text = format!("*{}\r\n", words.len());
     for word in words {
         text.push_str(&format!("${}\r\n{word}\r\n", word.len()));
     }
     if stream.write_all(text.as_bytes()).await.is_err() {
-        return Told::Nothing;
+        return Notified::Nothing;
     }
     loop {
-        if let Ok(Parsed::Whole(reply, used)) = instance_reply(buffer) {
-            let told = match reply {
+        if let Ok(Parsed::Complete(reply, used)) = endpoint_reply(buffer) {
+            let notified = match reply {
                 Reply::Bulk(Some(value)) => {
-                    Told::Served(String::from_utf8_lossy(value).to_string())
+                    Notified::Served(String::from_utf8_lossy(value).to_string())
                 }
-                Reply::Error(error) => told_by_error(&String::from_utf8_lossy(error)),
-                other => Told::Other(format!("{other:?}")),
+                Reply::Error(error) => notified_by_error(&String::from_utf8_lossy(error)),
+                other => Notified::Other(format!("{other:?}")),
             };
             buffer.drain(..used);
-            return told;
+            return notified;
         }
         if !read_some(stream, buffer).await {
-            return Told::Nothing;
+            return Notified::Nothing;
         }
     }
 }
 
-fn told_by_error(error: &str) -> Told {
-    let after_ms = error
+fn notified_by_error(error: &str) -> Notified {
+    let retry_after_ms = error
         .strip_prefix("BUSY ")
         .and_then(|ms| ms.trim().parse().ok());
-    after_ms.map_or(Told::Other(error.to_string()), Told::Refused)
+    retry_after_ms.map_or(Notified::Other(error.to_string()), Notified::Refused)
 }
 
 /// None: the connection has ended.
-async fn ask_http2(send: &mut h2::client::SendRequest<Bytes>, sent: &Sent) -> Option<Told> {
+async fn ask_http2(send: &mut h2::client::SendRequest<Bytes>, sent: &Sent) -> Option<Notified> {
     let request = http::Request::post(format!("http://ingress/commands/{}", sent.class.name()))
-        .header("api-customer", format!("{:016x}", sent.partner))
+        .header("api-customer", format!("{:016x}", sent.tenant))
         .header("req-id", &sent.id)
         .header("api-plan", "city")
         .header("req-deadline-ms", DEADLINE_MS)
@@ -316,14 +316,14 @@
         let _ = body.flow_control().release_capacity(part.len());
         value.extend_from_slice(&part);
     }
-    let after_ms = head
+    let retry_after_ms = head
         .headers
         .get("retry-after-ms")
         .and_then(|ms| ms.to_str().ok()?.parse().ok());
     let value = String::from_utf8_lossy(&value).to_string();
-    Some(match (head.status.as_u16(), after_ms) {
-        (200, _) => Told::Served(value),
-        (429 | 503, Some(after_ms)) => Told::Refused(after_ms),
-        (other, _) => Told::Other(other.to_string()),
+    Some(match (head.status.as_u16(), retry_after_ms) {
+        (200, _) => Notified::Served(value),
+        (429 | 503, Some(retry_after_ms)) => Notified::Refused(retry_after_ms),
+        (other, _) => Notified::Other(other.to_string()),
     })
 }
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn many_that_write_long_commands_and_do_not_finish_do_not_fill_the_memory() {
+fn many_that_write_long_requests_and_do_not_finish_do_not_fill_the_memory() {
     // 80 halves of 60 KB are 4.8 MB; a sixth of 10 MB, halved for rings that double, is 0.8 MB.
     let mut scenario = String::from("small\nmemory\n");
     for i in 0..80 {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_frees_its_instance() {
+fn a_client_that_goes_away_frees_its_endpoint() {
     play_all(
         "send c k1 fetch-episode city 7
          answer * k1 pieces 4000000
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -38,7 +38,7 @@
         (r.id, r.spread, r.first, r.class, r.plan),
         (0x5d3a_91c4, 3, 1, 0, 0)
     );
-    assert_eq!((r.customer, r.units, r.repeat), (9, 2.0, true));
+    assert_eq!((r.tenant, r.units, r.repeat), (9, 2.0, true));
     assert!((r.give_up - 8.652).abs() < 0.01, "{}", r.give_up);
 }
 
@@ -49,30 +49,30 @@
          03124a07 00 0000 0005 00 3f800000 0000000000000000
          2c9011f2 01 0000 0006 02 3fc00000 4018000000000000",
     );
-    let Event::Hosts {
+    let Event::Endpoints {
         kind: ListKind::Cached,
         entries,
     } = e
     else {
         panic!("{e:?}")
     };
-    let first = HostEntry {
-        host: 0x0312_4a07,
+    let first = EndpointEntry {
+        endpoint: 0x0312_4a07,
         zone: 0,
         cell: 5,
-        state: HostState::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
         started: 0.0,
-        pools: ALL_HOSTS,
+        pools: ALL_ENDPOINTS,
     };
-    let second = HostEntry {
-        host: 0x2c90_11f2,
+    let second = EndpointEntry {
+        endpoint: 0x2c90_11f2,
         zone: 1,
         cell: 6,
-        state: HostState::Draining,
+        state: EndpointState::Draining,
         size: 1.5,
         started: 6.0,
-        pools: ALL_HOSTS,
+        pools: ALL_ENDPOINTS,
     };
     assert_eq!(entries, vec![first, second]);
 }
@@ -93,7 +93,7 @@
     assert_eq!(
         e,
         Event::Probed {
-            host: 8,
+            endpoint: 8,
             outcome: Outcome::ConnectFailed,
             report: vec![]
         }
@@ -141,7 +141,7 @@
         (
             Action::Send {
                 id: 0x5d3a_91c4,
-                host: 0x0312_4a07,
+                endpoint: 0x0312_4a07,
                 timeout: 0.08,
             },
             "01 0003 5d3a91c4 03124a07 3fb47ae147ae147b",
@@ -165,7 +165,7 @@
             },
             "05 0003 3fe0000000000000 000000000000004d",
         ),
-        (Action::Probe { host: 8 }, "06 0003 00000008"),
+        (Action::Probe { endpoint: 8 }, "06 0003 00000008"),
         (Action::FollowList, "0b 0003 01"),
         (
             Action::Count {
