--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -3,7 +3,7 @@
 //! followers of a lost member go to the same other one.
 
 use crate::frame::{Answered, Frame};
-use crate::state::{Document, Kind, OpId, Wish};
+use crate::state::{Document, DocumentKind, OpId, Proposal};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
@@ -32,11 +32,11 @@
     /// Instances that are out.
     pub out: BTreeSet<String>,
     /// Documents.
-    pub documents: BTreeMap<Kind, Document>,
+    pub documents: BTreeMap<DocumentKind, Document>,
 }
 
 struct Ask {
-    wish: Option<Wish>,
+    proposal: Option<Proposal>,
     made_at: u64,
     deadline: f64,
     /// Whether a member has been asked: it may be done.
@@ -224,7 +224,7 @@
     }
 
     /// Asks for something, or for a read where there is no wish; the number by which its end is told.
-    pub fn ask(&mut self, now: f64, wish: Option<Wish>) -> Option<u64> {
+    pub fn ask(&mut self, now: f64, proposal: Option<Proposal>) -> Option<u64> {
         if self.asks.len() >= MAX_ASKS {
             return None;
         }
@@ -233,7 +233,7 @@
         self.asks.insert(
             self.number,
             Ask {
-                wish,
+                proposal,
                 made_at: self.copy.applied,
                 deadline,
                 sent: false,
@@ -257,7 +257,7 @@
         self.frames.push_back(Frame::Ask {
             op,
             made_at: ask.made_at,
-            wish: ask.wish.clone(),
+            proposal: ask.proposal.clone(),
         });
     }
 
--- a/crates/group/src/forwarding_routes.rs
+++ b/crates/group/src/forwarding_routes.rs
@@ -17,17 +17,17 @@
 
 /// What is known of links.
 #[derive(Debug, Default)]
-pub(crate) struct Roads {
+pub(crate) struct ForwardingRoutes {
     name: String,
     heard: BTreeMap<String, f64>,
-    told: BTreeMap<String, (f64, BTreeSet<String>)>,
+    notified: BTreeMap<String, (f64, BTreeSet<String>)>,
 }
 
-impl Roads {
-    pub(crate) fn new(name: &str) -> Roads {
-        Roads {
+impl ForwardingRoutes {
+    pub(crate) fn new(name: &str) -> ForwardingRoutes {
+        ForwardingRoutes {
             name: name.into(),
-            ..Roads::default()
+            ..ForwardingRoutes::default()
         }
     }
 
@@ -40,8 +40,8 @@
     }
 
     /// A member says whom it hears.
-    pub(crate) fn told(&mut self, now: f64, of: &str, hears: Vec<String>) {
-        self.told
+    pub(crate) fn notified(&mut self, now: f64, of: &str, hears: Vec<String>) {
+        self.notified
             .insert(of.into(), (now, hears.into_iter().collect()));
     }
 
@@ -53,7 +53,10 @@
 
     /// Who says not to hear this member.
     pub(crate) fn unheard_by(&self, now: f64) -> Vec<String> {
-        let fresh = self.told.iter().filter(|(_, (at, _))| now - at < FRESH_MS);
+        let fresh = self
+            .notified
+            .iter()
+            .filter(|(_, (at, _))| now - at < FRESH_MS);
         fresh
             .filter(|(_, (_, list))| !list.contains(&self.name))
             .map(|(name, _)| name.clone())
@@ -63,7 +66,7 @@
     /// How to reach a member.
     pub(crate) fn way(&self, now: f64, to: &str) -> Way {
         let fresh = |name: &str| {
-            self.told
+            self.notified
                 .get(name)
                 .filter(|(at, _)| now - at < 2.0 * FRESH_MS)
         };
@@ -83,26 +86,30 @@
 
     #[test]
     fn a_message_goes_round_where_the_direct_way_does_not_carry_it() {
-        let mut roads = Roads::new("a");
+        let mut routes = ForwardingRoutes::new("a");
         let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        assert_eq!(roads.way(0.0, "c"), Way::Direct, "nothing is known");
-        roads.told(0.0, "b", names(&["a", "c"]));
-        roads.told(0.0, "c", names(&["a", "b"]));
-        assert_eq!(roads.way(10.0, "c"), Way::Direct);
-        roads.told(20.0, "c", names(&["b"]));
-        assert_eq!(roads.way(30.0, "c"), Way::By("b".into()));
-        roads.told(40.0, "b", names(&["c"]));
+        assert_eq!(routes.way(0.0, "c"), Way::Direct, "nothing is known");
+        routes.notified(0.0, "b", names(&["a", "c"]));
+        routes.notified(0.0, "c", names(&["a", "b"]));
+        assert_eq!(routes.way(10.0, "c"), Way::Direct);
+        routes.notified(20.0, "c", names(&["b"]));
+        assert_eq!(routes.way(30.0, "c"), Way::By("b".into()));
+        routes.notified(40.0, "b", names(&["c"]));
         assert_eq!(
-            roads.way(50.0, "c"),
+            routes.way(50.0, "c"),
             Way::Direct,
             "nobody hears this member: nothing is better"
         );
-        roads.told(60.0, "b", names(&["a", "c"]));
-        assert_eq!(roads.way(2000.0, "c"), Way::Direct, "what was known is old");
-        roads.heard(0.0, "b");
-        roads.heard(300.0, "c");
+        routes.notified(60.0, "b", names(&["a", "c"]));
         assert_eq!(
-            (roads.hears(350.0), roads.hears(500.0)),
+            routes.way(2000.0, "c"),
+            Way::Direct,
+            "what was known is old"
+        );
+        routes.heard(0.0, "b");
+        routes.heard(300.0, "c");
+        assert_eq!(
+            (routes.hears(350.0), routes.hears(500.0)),
             (names(&["b", "c"]), names(&["c"]))
         );
     }
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -2,12 +2,12 @@
 //! must never take a body that is longer than its bound, or trust one whose checksum differs.
 
 use crate::record::MessageRecord;
-use crate::state::{Document, Kind, OpId, Outcome, Wish};
+use crate::state::{Document, DocumentKind, OpId, Outcome, Proposal};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 /// The forms of the link and of the log that this program speaks, the oldest and the newest. What a newer form adds is
 /// used only once the group has raised its own form, which it does when all members speak it.
-pub const FORMS: (u16, u16) = (1, 2);
+pub const FORMAT_VERSIONS: (u16, u16) = (1, 2);
 /// Largest frame, bytes: a state with all its documents and room beside it.
 pub const MAX_FRAME: usize = 6 << 20;
 /// Largest greeting, bytes.
@@ -81,7 +81,7 @@
 impl Hello {
     /// A greeting of one that speaks no newer form than `newest`.
     pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
-        let forms = (FORMS.0, newest.min(FORMS.1));
+        let forms = (FORMAT_VERSIONS.0, newest.min(FORMAT_VERSIONS.1));
         Hello {
             magic: MAGIC,
             forms,
@@ -107,7 +107,7 @@
         if self.group != 0 && group != 0 && self.group != group {
             return Err(HelloError::OtherGroup);
         }
-        if self.forms.1 < FORMS.0 || self.forms.0 > forms.1 {
+        if self.forms.1 < FORMAT_VERSIONS.0 || self.forms.0 > forms.1 {
             return Err(HelloError::UnknownForm);
         }
         if self.id != 0 && self.forms.1 < forms.0 {
@@ -165,7 +165,7 @@
     /// An ingress beside the group follows this member; the answer comes on the same connection.
     Follow {
         /// The documents that it has.
-        have: Vec<(Kind, u64)>,
+        have: Vec<(DocumentKind, u64)>,
     },
     /// A follower's wish, or a read where there is none.
     Ask {
@@ -174,7 +174,7 @@
         /// How far the follower's copy was.
         made_at: u64,
         /// What.
-        wish: Option<Wish>,
+        proposal: Option<Proposal>,
     },
     /// What has become of it.
     Answer {
@@ -192,7 +192,7 @@
         /// All that are out; none: as before.
         out: Option<Vec<String>>,
         /// New versions.
-        documents: Vec<(Kind, Document)>,
+        documents: Vec<(DocumentKind, Document)>,
     },
 }
 
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -21,15 +21,15 @@
 
 pub use follower::{Copy, Follower};
 pub use frame::{
-    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMS, MAX_FRAME,
-    MAX_HELLO,
+    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMAT_VERSIONS,
+    MAX_FRAME, MAX_HELLO,
 };
 pub use member::{Event, Health, Loaded, Lost, Member, MemberStatus, Role, Settings, Standing};
 pub use peer::{Job, Peer};
 pub use record::{Batch, ConfRecord, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 pub use state::{
-    Asked, Document, Incarnation, Invitation, Kind, OpId, Outcome, State, Wish, MAX_DOCUMENT,
-    MAX_OUT,
+    Document, DocumentKind, Incarnation, Invitation, OpId, Outcome, Proposal, Proposed, State,
+    MAX_DOCUMENT, MAX_EXCLUDED,
 };
 
 /// How many members vote at most.
--- a/crates/group/src/log_replica.rs
+++ b/crates/group/src/log_replica.rs
@@ -8,7 +8,7 @@
 
 /// The log.
 #[derive(Debug, Default)]
-pub(crate) struct Mirror {
+pub(crate) struct LogReplica {
     pub(crate) hard: HardState,
     pub(crate) conf: ConfState,
     /// The last place that is held no more, and its term.
@@ -19,14 +19,14 @@
     wanted: Cell<bool>,
 }
 
-impl Mirror {
+impl LogReplica {
     pub(crate) fn new(
         cut: (u64, u64),
         hard: HardState,
         conf: ConfState,
         entries: Vec<Entry>,
-    ) -> Mirror {
-        Mirror {
+    ) -> LogReplica {
+        LogReplica {
             hard,
             conf,
             cut,
@@ -99,7 +99,7 @@
     conf.voters.contains(&id) || conf.learners.contains(&id)
 }
 
-impl Storage for Mirror {
+impl Storage for LogReplica {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState {
             hard_state: self.hard.clone(),
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -4,8 +4,8 @@
 //! wish done before it came back agreed.
 
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
-use crate::state::{Asked, OpId, Outcome, State, Wish};
-use crate::{log_replica::Mirror, FORMS, MIN_MEMBERS};
+use crate::state::{OpId, Outcome, Proposal, Proposed, State};
+use crate::{log_replica::LogReplica, FORMAT_VERSIONS, MIN_MEMBERS};
 use raft::eraftpb::{
     ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
     Message, MessageType, Snapshot,
@@ -70,7 +70,7 @@
             seed: origin,
             origin,
             members,
-            newest: FORMS.1,
+            newest: FORMAT_VERSIONS.1,
         }
     }
 }
@@ -139,7 +139,7 @@
             .filter(|e| e.index > self.snapshot.index)
         {
             (last, term) = (entry.index, entry.term);
-            if let Ok(asked) = postcard::from_bytes::<Asked>(&entry.data) {
+            if let Ok(asked) = postcard::from_bytes::<Proposed>(&entry.data) {
                 if entry.kind == EntryType::EntryNormal as u8 {
                     state.apply(entry.index, &asked);
                 }
@@ -286,7 +286,7 @@
 
 struct Call {
     /// None: a read.
-    wish: Option<Vec<u8>>,
+    proposal: Option<Vec<u8>>,
     /// Whose, if another's.
     of: Option<OpId>,
     deadline: f64,
@@ -307,7 +307,7 @@
 /// A member.
 pub struct Member {
     settings: Settings,
-    node: RawNode<Mirror>,
+    node: RawNode<LogReplica>,
     group: u64,
     state: State,
     conf: ConfState,
@@ -374,7 +374,7 @@
         let conf = loaded.snapshot.conf.conf();
         let entries: Option<Vec<Entry>> =
             loaded.entries.into_iter().map(EntryRecord::entry).collect();
-        let mirror = Mirror::new(
+        let log = LogReplica::new(
             loaded.cut,
             hard.hard(),
             conf.clone(),
@@ -391,7 +391,7 @@
             pre_vote: true,
             ..Config::default()
         };
-        let node = RawNode::new(&config, mirror, &quiet()).map_err(|_| Lost::Library)?;
+        let node = RawNode::new(&config, log, &quiet()).map_err(|_| Lost::Library)?;
         let mut member = Member {
             settings,
             node,
@@ -498,7 +498,7 @@
     fn speaks(&self, name: &str) -> u16 {
         match name == self.settings.name {
             true => self.settings.newest,
-            false => self.speaks.get(name).copied().unwrap_or(FORMS.0),
+            false => self.speaks.get(name).copied().unwrap_or(FORMAT_VERSIONS.0),
         }
     }
 
@@ -515,11 +515,11 @@
                 if here(id) {
                     self.speaks(&m.name)
                 } else {
-                    FORMS.0
+                    FORMAT_VERSIONS.0
                 }
             })
             .min();
-        let common = common.unwrap_or(FORMS.0);
+        let common = common.unwrap_or(FORMAT_VERSIONS.0);
         let due = self.raised.is_none_or(|at| now - at > RAISE_MS);
         if self.leads()
             && due
@@ -527,7 +527,7 @@
             && self.conf.voters.len() >= MIN_MEMBERS
         {
             self.raised = Some(now);
-            let _ = self.change(now, Wish::Raise(common));
+            let _ = self.change(now, Proposal::Raise(common));
         }
     }
 
@@ -556,7 +556,7 @@
             && !message
                 .entries
                 .iter()
-                .all(|e| postcard::from_bytes::<Asked>(&e.data).is_ok())
+                .all(|e| postcard::from_bytes::<Proposed>(&e.data).is_ok())
         {
             return;
         }
@@ -577,20 +577,20 @@
     ///
     /// # Errors
     /// It cannot be done now.
-    pub fn ask(&mut self, now: f64, wish: Wish) -> Result<u64, Standing> {
+    pub fn ask(&mut self, now: f64, proposal: Proposal) -> Result<u64, Standing> {
         let voters = self.conf.voters.len();
         if voters < MIN_MEMBERS {
             return Err(Standing::Few(voters));
         }
-        self.go(now, Some(wish))
+        self.go(now, Some(proposal))
     }
 
     /// Changes who is in the group, which may also be done while too few vote.
     ///
     /// # Errors
     /// It cannot be done now.
-    pub fn change(&mut self, now: f64, wish: Wish) -> Result<u64, Standing> {
-        self.go(now, Some(wish))
+    pub fn change(&mut self, now: f64, proposal: Proposal) -> Result<u64, Standing> {
+        self.go(now, Some(proposal))
     }
 
     /// Asks for a read of what is agreed now; the number by which its time is told.
@@ -601,8 +601,8 @@
         self.go(now, None)
     }
 
-    fn go(&mut self, now: f64, wish: Option<Wish>) -> Result<u64, Standing> {
-        let number = self.begin(now, wish)?;
+    fn go(&mut self, now: f64, proposal: Option<Proposal>) -> Result<u64, Standing> {
+        let number = self.begin(now, proposal)?;
         self.retry(now);
         Ok(number)
     }
@@ -616,7 +616,7 @@
         now: f64,
         op: OpId,
         made_at: u64,
-        wish: Wish,
+        proposal: Proposal,
     ) -> Result<(), Standing> {
         let voters = self.conf.voters.len();
         if voters < MIN_MEMBERS {
@@ -624,14 +624,21 @@
         }
         let number = self.begin(now, None)?;
         if let Some(call) = self.calls.get_mut(&number) {
-            call.wish = Some(postcard::to_stdvec(&Asked { op, made_at, wish }).unwrap_or_default());
+            call.proposal = Some(
+                postcard::to_stdvec(&Proposed {
+                    op,
+                    made_at,
+                    proposal,
+                })
+                .unwrap_or_default(),
+            );
             (call.of, call.next_try, call.sent) = (Some(op), now, false);
         }
         self.retry(now);
         Ok(())
     }
 
-    fn begin(&mut self, now: f64, wish: Option<Wish>) -> Result<u64, Standing> {
+    fn begin(&mut self, now: f64, proposal: Option<Proposal>) -> Result<u64, Standing> {
         if self.node.raft.leader_id == 0 && now - self.heard > LOST_MS {
             return Err(Standing::NoMajority(now - self.heard));
         }
@@ -644,11 +651,11 @@
             origin: self.settings.origin,
             number,
         };
-        let wish = wish.map(|wish| {
-            postcard::to_stdvec(&Asked {
+        let proposal = proposal.map(|proposal| {
+            postcard::to_stdvec(&Proposed {
                 op,
                 made_at: self.applied,
-                wish,
+                proposal,
             })
             .unwrap_or_default()
         });
@@ -656,7 +663,7 @@
         self.calls.insert(
             number,
             Call {
-                wish,
+                proposal,
                 of: None,
                 deadline,
                 next_try: now,
@@ -691,7 +698,7 @@
             self.joins.insert(name.into(), now);
             let _ = self.change(
                 now,
-                Wish::Admit {
+                Proposal::Admit {
                     name: name.into(),
                     address,
                     nonce,
@@ -721,24 +728,24 @@
         }
         let mut ready = self.node.ready();
         let mut batch = Batch::default();
-        let mirror = self.node.mut_store();
+        let log = self.node.mut_store();
         let restored = (!ready.snapshot().is_empty()).then(|| ready.snapshot().clone());
         let restored = restored.map(|snapshot| {
             let state = State::decode(&snapshot.data);
             (snapshot, state)
         });
         if let Some((snapshot, state)) = &restored {
-            mirror.restore(snapshot);
+            log.restore(snapshot);
             batch.restored = Some(snapshot.into());
             batch.form = state.as_ref().map(State::form);
         }
-        if !mirror.append(ready.entries()) {
+        if !log.append(ready.entries()) {
             self.lost = Some(Lost::Gap);
             return None;
         }
         batch.entries = ready.entries().iter().map(EntryRecord::from).collect();
         if let Some(hard) = ready.hs() {
-            mirror.hard = hard.clone();
+            log.hard = hard.clone();
             // How far the log is agreed is learnt again; it goes along with what has to be written anyway.
             batch.hard = (ready.must_sync() || restored.is_some()).then(|| hard.into());
         }
@@ -871,7 +878,7 @@
             match entry.get_entry_type() {
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => {
-                    let Ok(asked) = postcard::from_bytes::<Asked>(&entry.data) else {
+                    let Ok(asked) = postcard::from_bytes::<Proposed>(&entry.data) else {
                         // To go on would be to hold another state than those who can read it.
                         self.lost = Some(Lost::Unknown);
                         break;
@@ -910,7 +917,7 @@
     fn reconfigure<C: protobuf::Message>(
         &mut self,
         data: &[u8],
-        apply: impl FnOnce(&mut RawNode<Mirror>, &C) -> raft::Result<ConfState>,
+        apply: impl FnOnce(&mut RawNode<LogReplica>, &C) -> raft::Result<ConfState>,
     ) -> bool {
         let mut change = C::new();
         if change.merge_from_bytes(data).is_err() {
@@ -985,17 +992,17 @@
                 });
             } else if led && now >= call.next_try && call.at.is_none() {
                 call.next_try = now + AGAIN_MS;
-                out.push((*number, call.wish.clone()));
+                out.push((*number, call.proposal.clone()));
             }
         }
         for (number, event) in ended {
             self.calls.remove(&number);
             self.events.push(event);
         }
-        for (number, wish) in out {
-            match wish {
-                Some(wish) => {
-                    if self.node.propose(Vec::new(), wish).is_ok() {
+        for (number, proposal) in out {
+            match proposal {
+                Some(proposal) => {
+                    if self.node.propose(Vec::new(), proposal).is_ok() {
                         if let Some(call) = self.calls.get_mut(&number) {
                             call.sent = true;
                         }
--- a/crates/group/src/peer.rs
+++ b/crates/group/src/peer.rs
@@ -1,11 +1,11 @@
 //! One ingress in the group, from an empty folder on: it asks to be let in, is let in, and is a member from then on. It
 //! owns what goes to whom and by which way. It must never speak as a member before its folder says which one it is.
 
-use crate::forwarding_routes::{Roads, Way};
+use crate::forwarding_routes::{ForwardingRoutes, Way};
 use crate::frame::Frame;
 use crate::member::{Event, Loaded, Lost, Member, Settings};
 use crate::record::{Batch, MessageRecord};
-use crate::subscribers::Fans;
+use crate::subscribers::Subscribers;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A member with an empty folder asks this often to be let in, ms.
@@ -43,13 +43,13 @@
 pub struct Peer {
     settings: Settings,
     place: Place,
-    roads: Roads,
+    routes: ForwardingRoutes,
     /// Names by incarnation, as their links have said them.
     names: BTreeMap<u64, String>,
     joined: f64,
-    told: f64,
+    notified: f64,
     frames: Vec<(String, Frame)>,
-    fans: Fans,
+    subscribers: Subscribers,
     events: Vec<Event>,
 }
 
@@ -76,19 +76,19 @@
     }
 
     fn new(settings: Settings, place: Place) -> Peer {
-        let roads = Roads::new(&settings.name);
+        let routes = ForwardingRoutes::new(&settings.name);
         let (names, frames) = Default::default();
-        let (fans, events) = Default::default();
-        let (joined, told) = (f64::MIN, f64::MIN);
+        let (subscribers, events) = Default::default();
+        let (joined, notified) = (f64::MIN, f64::MIN);
         Peer {
             settings,
             place,
-            roads,
+            routes,
             names,
             joined,
-            told,
+            notified,
             frames,
-            fans,
+            subscribers,
             events,
         }
     }
@@ -149,7 +149,7 @@
 
     /// Those who say of late that they do not hear this one: a link to them that looks sound carries nothing.
     pub fn unheard_by(&self, now: f64) -> Vec<String> {
-        self.roads.unheard_by(now)
+        self.routes.unheard_by(now)
     }
 
     /// A frame has come over the link that this member opened.
@@ -158,7 +158,7 @@
             self.names.retain(|_, name| name != from);
             self.names.insert(id, from.into());
         }
-        self.roads.heard(now, from);
+        self.routes.heard(now, from);
         match frame {
             Frame::Idle => {}
             Frame::Raft(message) | Frame::Passed(message) => self.take(now, message),
@@ -177,7 +177,7 @@
                     }
                 }
                 if of != self.settings.name {
-                    self.roads.told(now, &of, hears);
+                    self.routes.notified(now, &of, hears);
                 }
             }
             // Between followers and members only, on the follower's connection.
@@ -254,11 +254,11 @@
             }
             Place::Waiting { .. } => {}
         }
-        if self.member().is_some() && now - self.told >= TELL_MS {
-            self.told = now;
+        if self.member().is_some() && now - self.notified >= TELL_MS {
+            self.notified = now;
             let frame = Frame::Hears {
                 of: self.settings.name.clone(),
-                hears: self.roads.hears(now),
+                hears: self.routes.hears(now),
             };
             let others = self.others().into_keys();
             self.frames.extend(others.map(|name| (name, frame.clone())));
@@ -308,7 +308,7 @@
     pub fn hear_follower(&mut self, now: f64, from: u64, frame: Frame) -> bool {
         match &mut self.place {
             Place::Sitting(member) => {
-                self.fans.hear(now, from, frame, member);
+                self.subscribers.hear(now, from, frame, member);
                 true
             }
             Place::Waiting { .. } => false,
@@ -317,21 +317,21 @@
 
     /// A follower is gone.
     pub fn follower_gone(&mut self, from: u64) {
-        self.fans.gone(from);
+        self.subscribers.gone(from);
     }
 
     /// How many follow this member.
     pub fn followers(&self) -> usize {
-        self.fans.len()
+        self.subscribers.len()
     }
 
     /// What is to be sent to followers, by their connections. Takes from the events those that they wait for.
     pub fn to_followers(&mut self, now: f64) -> Vec<(u64, Frame)> {
         self.sort_events(now);
         if let Place::Sitting(member) = &self.place {
-            self.fans.tell(now, None, member);
+            self.subscribers.tell(now, None, member);
         }
-        self.fans.frames()
+        self.subscribers.frames()
     }
 
     /// What has happened, apart from what followers waited for.
@@ -344,7 +344,7 @@
     fn sort_events(&mut self, now: f64) {
         if let Place::Sitting(member) = &mut self.place {
             self.events.append(&mut member.events());
-            self.fans.take(now, &mut self.events, member);
+            self.subscribers.take(now, &mut self.events, member);
         }
     }
 
@@ -355,7 +355,7 @@
             let Some(to) = self.name_of(message.to) else {
                 continue;
             };
-            match self.roads.way(now, &to) {
+            match self.routes.way(now, &to) {
                 Way::Direct => self.frames.push((to, Frame::Raft(message))),
                 Way::By(by) => self.frames.push((by, Frame::Round(message))),
             }
--- a/crates/group/src/state.rs
+++ b/crates/group/src/state.rs
@@ -1,16 +1,16 @@
-//! What the group holds, and how an agreed entry changes it: instances that are out, documents by number, and who is
+//! What the group holds, and how an agreed entry changes it: endpoints that are out, documents by number, and who is
 //! in the group under which incarnation. It owns the meaning of every entry. The same entries must give the same state
 //! on every member: nothing here asks for a time, a random number or an order that memory happens to have.
 
-use crate::{is_name, FORMS, MAX_MEMBERS, MIN_MEMBERS};
+use crate::{is_name, FORMAT_VERSIONS, MAX_MEMBERS, MIN_MEMBERS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most instances that are out at a time.
-pub const MAX_OUT: usize = 1024;
+/// Most endpoints that are out at a time.
+pub const MAX_EXCLUDED: usize = 1024;
 /// Largest document, bytes.
 pub const MAX_DOCUMENT: usize = 1 << 20;
-/// Longest name of an instance, bytes.
+/// Longest name of an endpoint, bytes.
 const MAX_INSTANCE: usize = 120;
 /// For so many places of the log a repeated wish is known; one that comes later is refused, since nobody would know.
 const REMEMBERED: u64 = 4096;
@@ -26,7 +26,7 @@
 
 /// What kind of document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Kind {
+pub enum DocumentKind {
     /// The last accepted inventory.
     Inventory,
     /// The last accepted rules.
@@ -35,13 +35,13 @@
 
 /// What an entry asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wish {
-    /// Takes an instance out, for the whole group.
+pub enum Proposal {
+    /// Takes an endpoint out, for the whole group.
     Suspend(String),
     /// Puts it back.
     Restore(String),
     /// A new version of a document, made from the one of this number.
-    Write(Kind, u64, Vec<u8>),
+    Write(DocumentKind, u64, Vec<u8>),
     /// Lets a member in, or in again: a new incarnation. `nonce` tells its folder from every other.
     Admit {
         /// The member.
@@ -68,13 +68,13 @@
 
 /// A wish as it stands in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Proposed {
     /// Whose.
     pub op: OpId,
     /// Where the log was when it was made: long after it, it is refused.
     pub made_at: u64,
     /// What.
-    pub wish: Wish,
+    pub proposal: Proposal,
 }
 
 /// What has become of a wish.
@@ -146,7 +146,7 @@
     /// Instances that are out, and the place in the log since when.
     pub out: BTreeMap<String, u64>,
     /// The last accepted ones.
-    pub documents: BTreeMap<Kind, Document>,
+    pub documents: BTreeMap<DocumentKind, Document>,
     /// Who is awaited, by name.
     pub invited: BTreeMap<String, Invitation>,
     recent: VecDeque<(u64, OpId, Outcome)>,
@@ -176,13 +176,13 @@
 
     /// The form of the log: what its entries and states may hold.
     pub fn form(&self) -> u16 {
-        self.form.max(FORMS.0)
+        self.form.max(FORMAT_VERSIONS.0)
     }
 
     /// The state for the disk and the link.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
-        if self.form() > FORMS.0 {
+        if self.form() > FORMAT_VERSIONS.0 {
             bytes.extend(postcard::to_stdvec(&self.form).unwrap_or_default());
         }
         bytes
@@ -193,7 +193,7 @@
         let (mut state, rest) = postcard::take_from_bytes::<State>(bytes).ok()?;
         if !rest.is_empty() {
             let (form, rest) = postcard::take_from_bytes::<u16>(rest).ok()?;
-            if form > FORMS.1 || !rest.is_empty() {
+            if form > FORMAT_VERSIONS.1 || !rest.is_empty() {
                 return None;
             }
             state.form = form;
@@ -231,7 +231,7 @@
     }
 
     /// Carries out an entry of the log; what has become of it.
-    pub fn apply(&mut self, index: u64, asked: &Asked) -> Outcome {
+    pub fn apply(&mut self, index: u64, asked: &Proposed) -> Outcome {
         while self
             .recent
             .front()
@@ -245,34 +245,36 @@
         if let Some((.., before)) = self.recent.iter().find(|(_, op, _)| *op == asked.op) {
             return *before;
         }
-        let outcome = self.carry_out(index, &asked.wish);
-        if outcome == Outcome::Done && matches!(asked.wish, Wish::Suspend(_) | Wish::Restore(_)) {
+        let outcome = self.carry_out(index, &asked.proposal);
+        if outcome == Outcome::Done
+            && matches!(asked.proposal, Proposal::Suspend(_) | Proposal::Restore(_))
+        {
             self.changes += 1;
         }
         self.recent.push_back((index, asked.op, outcome));
         outcome
     }
 
-    fn carry_out(&mut self, index: u64, wish: &Wish) -> Outcome {
-        match wish {
-            Wish::Suspend(name) => {
+    fn carry_out(&mut self, index: u64, proposal: &Proposal) -> Outcome {
+        match proposal {
+            Proposal::Suspend(name) => {
                 if self.out.contains_key(name) {
                     return Outcome::Before;
                 }
                 if name.is_empty() || name.len() > MAX_INSTANCE {
                     return Outcome::Refused;
                 }
-                if self.out.len() >= MAX_OUT {
+                if self.out.len() >= MAX_EXCLUDED {
                     return Outcome::TooMany;
                 }
                 self.out.insert(name.clone(), index);
                 Outcome::Done
             }
-            Wish::Restore(name) => match self.out.remove(name) {
+            Proposal::Restore(name) => match self.out.remove(name) {
                 Some(_) => Outcome::Done,
                 None => Outcome::Before,
             },
-            Wish::Write(kind, number, bytes) => {
+            Proposal::Write(kind, number, bytes) => {
                 let held = self.documents.get(kind).map_or(0, |d| d.number);
                 if bytes.len() > MAX_DOCUMENT {
                     return Outcome::Refused;
@@ -292,7 +294,7 @@
                 );
                 Outcome::Written(held + 1)
             }
-            Wish::Admit {
+            Proposal::Admit {
                 name,
                 address,
                 nonce,
@@ -329,7 +331,7 @@
                 self.members.insert(id, member);
                 Outcome::Admitted(id)
             }
-            Wish::Invite {
+            Proposal::Invite {
                 name,
                 address,
                 instead_of,
@@ -353,7 +355,7 @@
                 self.invited.insert(name.clone(), invitation);
                 Outcome::Done
             }
-            Wish::Remove(name) => {
+            Proposal::Remove(name) => {
                 let Some((id, _)) = self.incarnation(name) else {
                     return Outcome::Unknown;
                 };
@@ -365,7 +367,7 @@
                 }
                 Outcome::Done
             }
-            Wish::Raise(form) => {
+            Proposal::Raise(form) => {
                 if *form <= self.form() {
                     return Outcome::Before;
                 }
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{Answered, Frame};
 use crate::member::{Event, Member, Standing};
-use crate::state::{Kind, OpId};
+use crate::state::{DocumentKind, OpId};
 use std::collections::BTreeMap;
 
 /// A follower hears of its member this often at least, ms.
@@ -13,8 +13,8 @@
 
 struct Fan {
     /// The last change of the list that it was told.
-    told: Option<u64>,
-    documents: BTreeMap<Kind, u64>,
+    notified: Option<u64>,
+    documents: BTreeMap<DocumentKind, u64>,
     beat: f64,
     /// How old this member's copy was by then, ms.
     age: f64,
@@ -22,30 +22,34 @@
 
 /// All followers of this member, by connection.
 #[derive(Default)]
-pub(crate) struct Fans {
-    fans: BTreeMap<u64, Fan>,
+pub(crate) struct Subscribers {
+    subscribers: BTreeMap<u64, Fan>,
     /// Who waits for which wish, and for which read of the member's.
-    wishes: BTreeMap<OpId, u64>,
+    proposals: BTreeMap<OpId, u64>,
     reads: BTreeMap<u64, (u64, OpId)>,
     frames: Vec<(u64, Frame)>,
 }
 
-impl Fans {
+impl Subscribers {
     pub(crate) fn hear(&mut self, now: f64, from: u64, frame: Frame, member: &mut Member) {
         match frame {
             Frame::Follow { have } => {
                 let fan = Fan {
-                    told: None,
+                    notified: None,
                     documents: have.into_iter().collect(),
                     beat: f64::MIN,
                     age: 0.0,
                 };
-                self.fans.insert(from, fan);
+                self.subscribers.insert(from, fan);
             }
-            Frame::Ask { op, made_at, wish } => {
-                let begun = match wish {
-                    Some(wish) => member.ask_for(now, op, made_at, wish).map(|()| {
-                        self.wishes.insert(op, from);
+            Frame::Ask {
+                op,
+                made_at,
+                proposal,
+            } => {
+                let begun = match proposal {
+                    Some(proposal) => member.ask_for(now, op, made_at, proposal).map(|()| {
+                        self.proposals.insert(op, from);
                     }),
                     None => member.read(now).map(|number| {
                         self.reads.insert(number, (from, op));
@@ -64,8 +68,8 @@
     }
 
     pub(crate) fn gone(&mut self, from: u64) {
-        self.fans.remove(&from);
-        self.wishes.retain(|_, who| *who != from);
+        self.subscribers.remove(&from);
+        self.proposals.retain(|_, who| *who != from);
         self.reads.retain(|_, (who, _)| *who != from);
     }
 
@@ -73,14 +77,14 @@
     pub(crate) fn take(&mut self, now: f64, events: &mut Vec<Event>, member: &Member) {
         events.retain(|event| match event {
             Event::DoneFor(op, outcome) => {
-                if let Some(to) = self.wishes.remove(op) {
+                if let Some(to) = self.proposals.remove(op) {
                     self.tell(now, Some(to), member);
                     self.answer(to, *op, Answered::Done(*outcome));
                 }
                 false
             }
             Event::ExpiredFor(op, sent) => {
-                if let Some(to) = self.wishes.remove(op) {
+                if let Some(to) = self.proposals.remove(op) {
                     let refused = || Answered::Refused("no leader in time".into());
                     self.answer(to, *op, if *sent { Answered::Open } else { refused() });
                 }
@@ -113,12 +117,13 @@
         }
         let age_ms = member.age_ms(now);
         for (to, fan) in self
-            .fans
+            .subscribers
             .iter_mut()
             .filter(|(to, _)| only.is_none_or(|only| only == **to))
         {
-            let lacks =
-                |kind: &Kind, number: u64| fan.documents.get(kind).is_none_or(|had| *had < number);
+            let lacks = |kind: &DocumentKind, number: u64| {
+                fan.documents.get(kind).is_none_or(|had| *had < number)
+            };
             let documents: Vec<_> = state
                 .documents
                 .iter()
@@ -126,14 +131,14 @@
                 .map(|(kind, d)| (*kind, d.clone()))
                 .collect();
             let out =
-                (fan.told != Some(state.changes)).then(|| state.out.keys().cloned().collect());
+                (fan.notified != Some(state.changes)).then(|| state.out.keys().cloned().collect());
             // That it is led again they hear at once: they would leave it else.
             let again = fan.age > LED_MS && age_ms < LED_MS;
             let due = now - fan.beat >= BEAT_MS || only.is_some() || again;
             if !due && out.is_none() && documents.is_empty() {
                 continue;
             }
-            (fan.beat, fan.told, fan.age) = (now, Some(state.changes), age_ms);
+            (fan.beat, fan.notified, fan.age) = (now, Some(state.changes), age_ms);
             fan.documents
                 .extend(documents.iter().map(|(kind, d)| (*kind, d.number)));
             let applied = member.applied();
@@ -154,7 +159,7 @@
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.fans.len()
+        self.subscribers.len()
     }
 }
 
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use driftgap_group::{Answered, Copy, Follower, Frame, Wish};
+use driftgap_group::{Answered, Copy, Follower, Frame, Proposal};
 use std::collections::BTreeMap;
 use world::{What, World};
 
@@ -165,7 +165,7 @@
         // A call through a follower, and one through a member, reach everyone.
         let number = fleet.beside[7]
             .follower
-            .ask(fleet.world.now, Some(Wish::Suspend("a".into())))
+            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
             .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
         assert!(matches!(fleet.ended[0], (7, n, Answered::Done(_)) if n == number));
@@ -218,7 +218,7 @@
             let (f, name) = (pick(200), format!("s{turn}-{call}"));
             let number = fleet.beside[f]
                 .follower
-                .ask(fleet.world.now, Some(Wish::Suspend(name.clone())));
+                .ask(fleet.world.now, Some(Proposal::Suspend(name.clone())));
             asked.insert((f, number.unwrap()), name);
         }
         let (i, j) = (pick(3), pick(3));
@@ -298,24 +298,24 @@
     for followers in [3, 30, 300] {
         let mut fleet = Fleet::new(3, followers, 1);
         fleet.run(5000.0);
-        let (members, fans) = (fleet.world.sent.1, fleet.bytes);
+        let (members, subscribers) = (fleet.world.sent.1, fleet.bytes);
         fleet.run(10_000.0);
         let links = (fleet.world.sent.1 - members) / 30;
-        let fans = (fleet.bytes - fans) / 30;
-        println!("{followers} followers: {links} bytes a member a second to members, {fans} to followers");
-        assert!(links + fans < 20_000);
+        let subscribers = (fleet.bytes - subscribers) / 30;
+        println!("{followers} followers: {links} bytes a member a second to members, {subscribers} to followers");
+        assert!(links + subscribers < 20_000);
     }
 }
 
 #[test]
-fn a_wish_that_no_member_answered_is_the_same_wish_to_the_next_one() {
+fn a_proposal_that_no_member_answered_is_the_same_proposal_to_the_next_one() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(3, 3, seed);
         fleet.run(1000.0);
         let (at, _) = fleet.beside[0].link.unwrap();
         fleet.beside[0]
             .follower
-            .ask(fleet.world.now, Some(Wish::Suspend("a".into())))
+            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
             .unwrap();
         fleet.run(5.0 * (seed % 4) as f64);
         // Somebody else puts it back meanwhile: the repeat must not take it out again.
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use driftgap_group::{
-    Batch, Event, Frame, Job, Loaded, Member, Outcome, Peer, Role, Settings, Standing, Wish,
+    Batch, Event, Frame, Job, Loaded, Member, Outcome, Peer, Proposal, Role, Settings, Standing,
 };
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -333,8 +333,8 @@
             return Err(Standing::NoMajority(0.0));
         };
         let number = match &what {
-            What::Suspend(name) => member.ask(now, Wish::Suspend(name.clone()))?,
-            What::Restore(name) => member.ask(now, Wish::Restore(name.clone()))?,
+            What::Suspend(name) => member.ask(now, Proposal::Suspend(name.clone()))?,
+            What::Restore(name) => member.ask(now, Proposal::Restore(name.clone()))?,
             What::Read(_) => member.read(now)?,
         };
         let early = self.planted == Planted::EarlyYes && !matches!(what, What::Read(_));
--- a/crates/scale/src/experiments/changes.rs
+++ b/crates/scale/src/experiments/changes.rs
@@ -5,7 +5,7 @@
 };
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::group::GroupWorld;
-use driftgap_group::{Kind, Wish};
+use driftgap_group::{DocumentKind, Proposal};
 
 /// Changes a second.
 const RATES: [u64; 4] = [1, 3, 10, 30];
@@ -46,18 +46,18 @@
     }
 
     /// The change of this number.
-    fn wish(&self, world: &GroupWorld, number: u64) -> Result<Wish, ExperimentError> {
+    fn proposal(&self, world: &GroupWorld, number: u64) -> Result<Proposal, ExperimentError> {
         let endpoint = endpoint(number / 2);
         Ok(match self.0 {
-            Changed::ListEntry if number.is_multiple_of(2) => Wish::Suspend(endpoint),
-            Changed::ListEntry => Wish::Restore(endpoint),
+            Changed::ListEntry if number.is_multiple_of(2) => Proposal::Suspend(endpoint),
+            Changed::ListEntry => Proposal::Restore(endpoint),
             Changed::Document => {
                 let held = world
                     .state()?
                     .documents
-                    .get(&Kind::Rules)
+                    .get(&DocumentKind::Rules)
                     .map_or(0, |document| document.number);
-                Wish::Write(Kind::Rules, held, document(DOCUMENT_BYTES, number))
+                Proposal::Write(DocumentKind::Rules, held, document(DOCUMENT_BYTES, number))
             }
         })
     }
@@ -97,7 +97,7 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(FOLLOWERS, seed)?;
         for number in 0..OUT_BEFORE {
-            world.ask(Wish::Suspend(endpoint(1_000_000 + number)))?;
+            world.ask(Proposal::Suspend(endpoint(1_000_000 + number)))?;
             world.run_until_in_force(IN_FORCE_MS)?;
         }
         world.take_delays();
@@ -105,8 +105,8 @@
         let began = world.now_ms();
         let changes = size * CHANGING_SECONDS;
         for number in 0..changes {
-            let wish = self.wish(&world, number)?;
-            world.ask(wish)?;
+            let proposal = self.proposal(&world, number)?;
+            world.ask(proposal)?;
             let due = began + 1_000.0 * (number + 1) as f64 / size as f64;
             world.run(due - world.now_ms())?;
         }
@@ -167,8 +167,8 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(1, seed)?;
         for number in 0..size {
-            world.ask(Wish::Write(
-                Kind::Rules,
+            world.ask(Proposal::Write(
+                DocumentKind::Rules,
                 number,
                 document(KEPT_DOCUMENT_BYTES, number),
             ))?;
--- a/crates/scale/src/experiments/group.rs
+++ b/crates/scale/src/experiments/group.rs
@@ -4,7 +4,7 @@
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::group::{Delay, GroupWorld, Load, WorldError};
 use crate::probe::measure;
-use driftgap_group::{Kind, Wish};
+use driftgap_group::{DocumentKind, Proposal};
 
 const MEMBERS: usize = 3;
 const SIZES: [u64; 6] = [10, 30, 100, 300, 1_000, 2_500];
@@ -226,7 +226,11 @@
         let mut world = start(size as usize, seed)?;
         world.take_largest_burst();
         let before = Reading::take(&world);
-        world.ask(Wish::Write(Kind::Rules, 0, document(DOCUMENT_BYTES, 0)))?;
+        world.ask(Proposal::Write(
+            DocumentKind::Rules,
+            0,
+            document(DOCUMENT_BYTES, 0),
+        ))?;
         world.run_until_in_force(IN_FORCE_MS)?;
         let change = Reading::take(&world).since(&before);
         let leader = world.leader()?;
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -13,8 +13,8 @@
 use super::{CpuTimer, Schedule, Traffic, Wire};
 use change::Changes;
 use driftgap_group::{
-    Event as MemberEvent, Frame, Hello, Loaded, Lost, Member, Peer, Role, Settings, Standing,
-    Welcome, Wish, FORMS,
+    Event as MemberEvent, Frame, Hello, Loaded, Lost, Member, Peer, Proposal, Role, Settings,
+    Standing, Welcome, FORMAT_VERSIONS,
 };
 use follower::Wants;
 use link::{Link, LinkId, Links, Node};
@@ -204,7 +204,9 @@
             for to in (0..names.len()).filter(|to| *to != from) {
                 let link = self.open(Node::Member(from), Node::Member(to));
                 self.member_links.insert((from, to), link);
-                self.members[to].peer.greeted(&names[from], FORMS.1);
+                self.members[to]
+                    .peer
+                    .greeted(&names[from], FORMAT_VERSIONS.1);
             }
         }
     }
@@ -289,14 +291,14 @@
     ///
     /// # Errors
     /// It refuses, or there is none.
-    pub fn ask(&mut self, wish: Wish) -> Result<(), WorldError> {
+    pub fn ask(&mut self, proposal: Proposal) -> Result<(), WorldError> {
         let now = self.now_ms();
         let leader = self.leader()?;
         let member = self.members[leader]
             .peer
             .member_mut()
             .ok_or(WorldError::NoLeader)?;
-        let number = member.ask(now, wish)?;
+        let number = member.ask(now, proposal)?;
         self.changes.asked(now, (leader, number));
         self.member_turn(leader)
     }
@@ -513,11 +515,11 @@
     fn greet(&mut self, follower: usize, member: usize) {
         self.connecting[follower] = true;
         let name = &self.members[member].name;
-        let hello = Hello::new(FORMS.1, 0, 0, &format!("f{follower}"), name)
+        let hello = Hello::new(FORMAT_VERSIONS.1, 0, 0, &format!("f{follower}"), name)
             .bytes()
             .len();
         let welcome = Welcome {
-            form: FORMS.1,
+            form: FORMAT_VERSIONS.1,
             group: GROUP,
             id: member as u64 + 1,
         }
--- a/crates/scale/tests/hollow_group.rs
+++ b/crates/scale/tests/hollow_group.rs
@@ -1,6 +1,6 @@
 //! The hollow group: followers are linked, changes reach all of them, and the same seed gives the same traffic.
 
-use driftgap_group::{Kind, Wish};
+use driftgap_group::{DocumentKind, Proposal};
 use driftgap_scale::hollow::group::GroupWorld;
 use driftgap_scale::hollow::Traffic;
 
@@ -42,10 +42,10 @@
 #[test]
 fn a_change_and_a_document_reach_every_follower() {
     let mut world = GroupWorld::start(MEMBERS, 50, 4).unwrap();
-    world.ask(Wish::Suspend("instance-1".into())).unwrap();
+    world.ask(Proposal::Suspend("instance-1".into())).unwrap();
     world.run_until_in_force(2_000.0).unwrap();
     world
-        .ask(Wish::Write(Kind::Rules, 0, vec![b'r'; 100_000]))
+        .ask(Proposal::Write(DocumentKind::Rules, 0, vec![b'r'; 100_000]))
         .unwrap();
     world.run_until_in_force(4_000.0).unwrap();
     let delays = world.take_delays();
@@ -76,7 +76,9 @@
 fn a_document_that_is_too_large_is_refused_and_counts_as_no_change() {
     let mut world = GroupWorld::start(MEMBERS, 3, 5).unwrap();
     let bytes = vec![b'r'; driftgap_group::MAX_DOCUMENT + 1];
-    world.ask(Wish::Write(Kind::Rules, 0, bytes)).unwrap();
+    world
+        .ask(Proposal::Write(DocumentKind::Rules, 0, bytes))
+        .unwrap();
     world.run_until_in_force(2_000.0).unwrap();
     assert!(world.take_delays().is_empty());
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -2,10 +2,10 @@
 //! their bounds. It must never act on half a line, let a caller that says nothing keep others out, or decide what a
 //! call means: that is `driftgap_admin`'.
 
-use crate::group::{Ended, Group, Seat};
+use crate::group::{Ended, Group, MembershipStatus};
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_admin::{Answer, BadCall, Call, ExclusionOutcome, GroupCall, MAX_LINE};
-use driftgap_group::{Outcome, Role, Wish};
+use driftgap_group::{Outcome, Proposal, Role};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -77,15 +77,15 @@
 }
 
 /// How the group stands, on one line.
-fn seat(seat: Seat) -> Answer {
-    let status = match seat {
-        Seat::Waiting => {
+fn membership_status(membership_status: MembershipStatus) -> Answer {
+    let status = match membership_status {
+        MembershipStatus::Waiting => {
             return Answer::no(
                 "not in the group yet: the folder is empty, and nobody has let it in",
             )
         }
-        Seat::Lost(why) => return Answer::no(format!("votes no more: {why}")),
-        Seat::Following {
+        MembershipStatus::Lost(why) => return Answer::no(format!("votes no more: {why}")),
+        MembershipStatus::Following {
             member,
             applied,
             age_ms,
@@ -97,7 +97,7 @@
                 text: format!("role=beside member={member} applied={applied} age_ms={age}"),
             };
         }
-        Seat::Member(status) => status,
+        MembershipStatus::Member(status) => status,
     };
     let role = match status.role {
         Role::Leader => "leader",
@@ -293,24 +293,26 @@
 
     /// A call that the whole group is to obey.
     async fn ask(&self, group: &Group, call: &Call) -> Answer {
-        let wish = match call {
+        let proposal = match call {
             Call::Suspend(name) | Call::Restore(name) if !self.dispatcher.was_listed(name) => {
                 return Answer::no(format!("{name} was never listed"));
             }
-            Call::Suspend(name) => Wish::Suspend(name.clone()),
-            Call::Restore(name) => Wish::Restore(name.clone()),
-            Call::Group(GroupCall::Add(name, at)) => Wish::Invite {
+            Call::Suspend(name) => Proposal::Suspend(name.clone()),
+            Call::Restore(name) => Proposal::Restore(name.clone()),
+            Call::Group(GroupCall::Add(name, at)) => Proposal::Invite {
                 name: name.clone(),
                 address: at.to_string(),
                 instead_of: None,
             },
-            Call::Group(GroupCall::Replace(old, name, at)) => Wish::Invite {
+            Call::Group(GroupCall::Replace(old, name, at)) => Proposal::Invite {
                 name: name.clone(),
                 address: at.to_string(),
                 instead_of: Some(old.clone()),
             },
-            Call::Group(GroupCall::Remove(name)) => Wish::Remove(name.clone()),
-            Call::Group(GroupCall::Status) => return seat(group.seat().await),
+            Call::Group(GroupCall::Remove(name)) => Proposal::Remove(name.clone()),
+            Call::Group(GroupCall::Status) => {
+                return membership_status(group.membership_status().await)
+            }
             _ => {
                 return match group.read().await {
                     Ended::Done(_, view) => {
@@ -322,7 +324,7 @@
                 };
             }
         };
-        match group.ask(wish).await {
+        match group.ask(proposal).await {
             Ended::Done(outcome, _) => {
                 // The answer says that it holds here: it does, from before the answer goes out. By now the group may
                 // hold something later, which must not be taken back.
--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -15,7 +15,7 @@
 
 /// Why a follower's folder cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum KeptError {
+pub enum CachedReplicaError {
     /// Another process has it.
     #[error("another process uses this folder")]
     Held,
@@ -25,25 +25,25 @@
 }
 
 /// A follower's folder, held by this process alone.
-pub(super) struct Kept {
+pub(super) struct CachedReplica {
     folder: PathBuf,
     _lock: File,
 }
 
-impl Kept {
+impl CachedReplica {
     /// Opens the folder, made if it is not there.
-    pub(super) fn open(folder: &Path) -> Result<Kept, KeptError> {
+    pub(super) fn open(folder: &Path) -> Result<CachedReplica, CachedReplicaError> {
         std::fs::create_dir_all(folder)?;
         let lock = File::options()
             .create(true)
             .append(true)
             .open(folder.join(LOCK))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Kept {
+            Ok(()) => Ok(CachedReplica {
                 folder: folder.to_path_buf(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(KeptError::Held),
+            Err(TryLockError::WouldBlock) => Err(CachedReplicaError::Held),
             Err(TryLockError::Error(e)) => Err(e.into()),
         }
     }
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -1,11 +1,11 @@
 //! An ingress beside the group: it keeps one connection to one member. It owns that connection and the turn between it
 //! and the follower's decisions. It must never hold more than one link, or make a call wait for a member that is gone.
 
-use super::cached_replica::{Keeping, Kept};
+use super::cached_replica::{CachedReplica, Keeping};
 use super::links::{connect, Counts, Outlet, Own};
 use super::member_task::STATISTICS_INTERVAL_MS;
-use super::{Ended, GroupSettings, Request, Seat, View};
-use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, FORMS};
+use super::{Ended, GroupSettings, MembershipStatus, Request, View};
+use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, FORMAT_VERSIONS};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -51,20 +51,23 @@
         settings: GroupSettings,
         name: String,
         origin: u64,
-        kept: Option<Kept>,
+        kept: Option<CachedReplica>,
         view: watch::Sender<View>,
     ) -> std::io::Result<Following> {
-        let copy = kept.as_ref().and_then(Kept::load).unwrap_or_default();
+        let copy = kept
+            .as_ref()
+            .and_then(CachedReplica::load)
+            .unwrap_or_default();
         view.send_replace(shown(&copy));
         let members = settings.members.keys().map(String::as_str);
         let follower = Follower::new(&name, origin, members, copy, 0.0);
         Ok(Following {
-            keeping: kept.map(Kept::keep).transpose()?,
+            keeping: kept.map(CachedReplica::keep).transpose()?,
             logged: 0.0,
             settings,
             who: Rc::new(Own {
                 name,
-                newest: FORMS.1,
+                newest: FORMAT_VERSIONS.1,
                 ..Own::default()
             }),
             follower,
@@ -183,11 +186,11 @@
 
     fn answer(&mut self, request: Request) {
         let now = self.now();
-        let (wish, answer) = match request {
-            Request::Wish(wish, answer) => (Some(wish), answer),
+        let (proposal, answer) = match request {
+            Request::Proposal(proposal, answer) => (Some(proposal), answer),
             Request::Read(answer) => (None, answer),
-            Request::Seat(answer) => {
-                let _ = answer.send(Seat::Following {
+            Request::MembershipStatus(answer) => {
+                let _ = answer.send(MembershipStatus::Following {
                     member: self
                         .follower
                         .is_up()
@@ -202,7 +205,7 @@
                 return;
             }
         };
-        match self.follower.ask(now, wish) {
+        match self.follower.ask(now, proposal) {
             Some(number) => drop(self.waiting.insert(number, answer)),
             None => drop(answer.send(Ended::Refused("too many calls are under way".into()))),
         }
--- a/src/group/member_task.rs
+++ b/src/group/member_task.rs
@@ -4,8 +4,8 @@
 
 use super::links::{listen, Counts, Link, Outlet, Own, Update, MAX_FOLLOWERS};
 use super::store::{Identity, Store, StoreError};
-use super::{fresh, Ended, GroupSettings, Request, Seat, View};
-use driftgap_group::{Event, Job, Loaded, Member, Outcome, Peer, Settings, Standing, Wish};
+use super::{fresh, Ended, GroupSettings, MembershipStatus, Request, View};
+use driftgap_group::{Event, Job, Loaded, Member, Outcome, Peer, Proposal, Settings, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
     counts: Rc<Counts>,
     links: BTreeMap<String, Link>,
     /// Followers, by connection.
-    fans: BTreeMap<u64, Rc<Outlet>>,
+    subscribers: BTreeMap<u64, Rc<Outlet>>,
     view: watch::Sender<View>,
     waiting: BTreeMap<u64, (oneshot::Sender<Ended>, Instant)>,
     began: Instant,
@@ -104,7 +104,7 @@
             who: Rc::new(who),
             counts: Rc::default(),
             links: BTreeMap::new(),
-            fans: BTreeMap::new(),
+            subscribers: BTreeMap::new(),
             view,
             waiting: BTreeMap::new(),
             began: Instant::now(),
@@ -164,7 +164,7 @@
     fn lose(&mut self, why: String) {
         tracing::error!(why, "this member votes no more; commands are served on");
         self.place = Place::Lost(why.clone());
-        for (_, outlet) in std::mem::take(&mut self.fans) {
+        for (_, outlet) in std::mem::take(&mut self.subscribers) {
             outlet.close();
         }
         for (_, (answer, _)) in std::mem::take(&mut self.waiting) {
@@ -301,22 +301,24 @@
             Update::Frame(name, id, frame) => peer.hear(now, &name, id, *frame),
             Update::Broken(name) => peer.broken(&name),
             Update::Fan(number, name, outlet) => {
-                if self.fans.len() >= MAX_FOLLOWERS {
+                if self.subscribers.len() >= MAX_FOLLOWERS {
                     outlet.close();
                 } else {
                     tracing::info!(name, "is followed by");
-                    self.fans.insert(number, outlet);
+                    self.subscribers.insert(number, outlet);
                 }
             }
             Update::FanFrame(number, frame) => {
-                let served =
-                    self.fans.contains_key(&number) && peer.hear_follower(now, number, *frame);
+                let served = self.subscribers.contains_key(&number)
+                    && peer.hear_follower(now, number, *frame);
                 if !served {
-                    self.fans.remove(&number).inspect(|outlet| outlet.close());
+                    self.subscribers
+                        .remove(&number)
+                        .inspect(|outlet| outlet.close());
                 }
             }
             Update::FanGone(number) => {
-                self.fans.remove(&number);
+                self.subscribers.remove(&number);
                 peer.follower_gone(number);
             }
         }
@@ -329,11 +331,11 @@
             Place::Lost(why) => Err(Some(why.clone())),
         };
         match (request, member) {
-            (Request::Seat(answer), member) => {
+            (Request::MembershipStatus(answer), member) => {
                 let _ = answer.send(match member {
-                    Ok(member) => Seat::Member(Box::new(member.status(now))),
-                    Err(None) => Seat::Waiting,
-                    Err(Some(why)) => Seat::Lost(why),
+                    Ok(member) => MembershipStatus::Member(Box::new(member.status(now))),
+                    Err(None) => MembershipStatus::Waiting,
+                    Err(Some(why)) => MembershipStatus::Lost(why),
                 });
             }
             (Request::Leave(answer), member) => {
@@ -342,10 +344,10 @@
                 }
                 let _ = answer.send(());
             }
-            (Request::Wish(wish, answer), Ok(member)) => {
-                let number = match wish {
-                    Wish::Invite { .. } | Wish::Remove(_) => member.change(now, wish),
-                    wish => member.ask(now, wish),
+            (Request::Proposal(proposal, answer), Ok(member)) => {
+                let number = match proposal {
+                    Proposal::Invite { .. } | Proposal::Remove(_) => member.change(now, proposal),
+                    proposal => member.ask(now, proposal),
                 };
                 self.await_end(number, answer);
             }
@@ -353,7 +355,7 @@
                 let number = member.read(now);
                 self.await_end(number, answer);
             }
-            (Request::Wish(_, answer) | Request::Read(answer), Err(why)) => {
+            (Request::Proposal(_, answer) | Request::Read(answer), Err(why)) => {
                 let why = why
                     .unwrap_or_else(|| "this ingress has not been let into the group yet".into());
                 let _ = answer.send(Ended::Refused(why));
@@ -413,7 +415,11 @@
             }
         }
         for (to, frame) in peer.to_followers(now) {
-            if let Some(outlet) = self.fans.get(&to).filter(|outlet| !outlet.send(&frame)) {
+            if let Some(outlet) = self
+                .subscribers
+                .get(&to)
+                .filter(|outlet| !outlet.send(&frame))
+            {
                 // It reads too slowly: it comes again, and gets the whole copy.
                 outlet.close();
             }
@@ -521,7 +527,7 @@
             form = status.form,
             lags = lags.join(" "),
             links = up.len(),
-            followers = self.fans.len(),
+            followers = self.subscribers.len(),
             refused_links = self.counts.refused.total(),
             refused_causes = self.counts.refused.by_cause(),
             dropped = self.counts.dropped.get(),
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -9,10 +9,11 @@
 mod member_task;
 pub mod store;
 
-use cached_replica::Kept;
-pub use cached_replica::KeptError;
+use cached_replica::CachedReplica;
+pub use cached_replica::CachedReplicaError;
 use driftgap_group::{
-    is_name, Document, Kind, Member, MemberStatus, Outcome, Settings, Wish, FORMS, MAX_DOCUMENT,
+    is_name, Document, DocumentKind, Member, MemberStatus, Outcome, Proposal, Settings,
+    FORMAT_VERSIONS, MAX_DOCUMENT,
 };
 use follower_task::Following;
 use member_task::Engine;
@@ -78,7 +79,7 @@
 
     /// The newest form that a member may speak.
     fn newest(&self) -> u16 {
-        self.form.unwrap_or(FORMS.1)
+        self.form.unwrap_or(FORMAT_VERSIONS.1)
     }
 
     /// A member's folder.
@@ -113,9 +114,12 @@
         }
         if self
             .form
-            .is_some_and(|form| !(FORMS.0..=FORMS.1).contains(&form))
+            .is_some_and(|form| !(FORMAT_VERSIONS.0..=FORMAT_VERSIONS.1).contains(&form))
         {
-            return Err(("group.form", format!("must be {} to {}", FORMS.0, FORMS.1)));
+            return Err((
+                "group.form",
+                format!("must be {} to {}", FORMAT_VERSIONS.0, FORMAT_VERSIONS.1),
+            ));
         }
         let addresses: BTreeSet<SocketAddr> = self.members.values().copied().collect();
         if addresses.len() != self.members.len() {
@@ -142,7 +146,7 @@
     Missing(&'static str, String),
     /// A follower's folder cannot be used.
     #[error("group.folder: {0}: {1}")]
-    Kept(PathBuf, KeptError),
+    CachedReplica(PathBuf, CachedReplicaError),
     /// The system refuses.
     #[error("group: {0}")]
     System(#[from] std::io::Error),
@@ -154,14 +158,14 @@
     /// Endpoints that are out.
     pub out: Arc<BTreeSet<String>>,
     /// The last accepted versions of what operators write.
-    pub documents: Arc<BTreeMap<Kind, Document>>,
+    pub documents: Arc<BTreeMap<DocumentKind, Document>>,
     /// How far the log is carried out here.
     pub applied: u64,
 }
 
 /// How the group's part of this ingress stands.
 #[derive(Clone, Debug)]
-pub enum Seat {
+pub enum MembershipStatus {
     /// Its folder is empty, and nobody has let it in yet.
     Waiting,
     /// It is a member.
@@ -192,9 +196,9 @@
 
 /// What the rest of the ingress asks of the group's thread.
 enum Request {
-    Wish(Wish, oneshot::Sender<Ended>),
+    Proposal(Proposal, oneshot::Sender<Ended>),
     Read(oneshot::Sender<Ended>),
-    Seat(oneshot::Sender<Seat>),
+    MembershipStatus(oneshot::Sender<MembershipStatus>),
     Leave(oneshot::Sender<()>),
 }
 
@@ -220,8 +224,8 @@
     }
 
     /// Asks the group for something; back when it is agreed, or will not be known to be in time.
-    pub async fn ask(&self, wish: Wish) -> Ended {
-        self.request(|answer| Request::Wish(wish, answer))
+    pub async fn ask(&self, proposal: Proposal) -> Ended {
+        self.request(|answer| Request::Proposal(proposal, answer))
             .await
             .unwrap_or_else(|asked| match asked {
                 true => Ended::Open,
@@ -237,10 +241,10 @@
     }
 
     /// How it stands.
-    pub async fn seat(&self) -> Seat {
-        self.request(Request::Seat)
+    pub async fn membership_status(&self) -> MembershipStatus {
+        self.request(Request::MembershipStatus)
             .await
-            .unwrap_or_else(|_| Seat::Lost(SILENT.into()))
+            .unwrap_or_else(|_| MembershipStatus::Lost(SILENT.into()))
     }
 
     /// Gives leadership away before the process ends.
@@ -251,7 +255,7 @@
     /// The last version of a document: what the group says if it can be asked in time, else what is known here. Where
     /// neither has one, the first is waited for: nothing can be handed in before enough members vote, so a group that
     /// has just come up answers before it keeps anything.
-    pub async fn document(&self, kind: Kind) -> Option<Document> {
+    pub async fn document(&self, kind: DocumentKind) -> Option<Document> {
         if tokio::time::timeout(ANSWER_AT_START, self.answers())
             .await
             .is_err()
@@ -273,7 +277,7 @@
     }
 
     /// The last version of a document that is known here.
-    fn known(&self, kind: Kind) -> Option<Document> {
+    fn known(&self, kind: DocumentKind) -> Option<Document> {
         self.view.borrow().documents.get(&kind).cloned()
     }
 
@@ -285,7 +289,7 @@
     }
 
     /// Back once a version of the document is known here, or never will be: the group's part has ended.
-    async fn first_version(&self, kind: Kind) {
+    async fn first_version(&self, kind: DocumentKind) {
         let _ = self
             .view
             .clone()
@@ -295,7 +299,7 @@
 
     /// Hands in what was accepted here, until the group has it or a later one. At a start the group's own is left as
     /// it is: a file that was forgotten on one machine is no news.
-    pub async fn hand_in(self, kind: Kind, bytes: Vec<u8>, at_start: bool) {
+    pub async fn submit_document(self, kind: DocumentKind, bytes: Vec<u8>, at_start: bool) {
         if bytes.len() > MAX_DOCUMENT {
             return tracing::warn!(
                 ?kind,
@@ -321,7 +325,7 @@
                 _ => {}
             }
             let number = held.map_or(0, |held| held.number);
-            match self.ask(Wish::Write(kind, number, bytes.clone())).await {
+            match self.ask(Proposal::Write(kind, number, bytes.clone())).await {
                 Ended::Done(Outcome::Written(number), _) => {
                     return tracing::info!(?kind, number, "kept by the group");
                 }
@@ -455,7 +459,7 @@
     let kept = match (&member, &settings.folder) {
         (None, Some(path)) => {
             let path = folder.join(path);
-            Some(Kept::open(&path).map_err(|e| GroupError::Kept(path, e))?)
+            Some(CachedReplica::open(&path).map_err(|e| GroupError::CachedReplica(path, e))?)
         }
         _ => None,
     };
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -3,7 +3,9 @@
 //! so, go on after a write that failed (what was in memory may be gone, and a second try would not bring it back), or
 //! use a record whose checksum differs.
 
-use driftgap_group::{Batch, EntryRecord, HardRecord, Loaded, SnapshotRecord, State, FORMS};
+use driftgap_group::{
+    Batch, EntryRecord, HardRecord, Loaded, SnapshotRecord, State, FORMAT_VERSIONS,
+};
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend,
     TableDefinition,
@@ -13,7 +15,7 @@
 
 /// The newest form of a folder that this program reads. It is the form of the log in it, and goes up with that: until
 /// then an older program may go on with the folder.
-pub const FORMAT: u32 = FORMS.1 as u32;
+pub const FORMAT: u32 = FORMAT_VERSIONS.1 as u32;
 const FILE: &str = "group.redb";
 /// What the store may keep in memory beside what is on the disk, bytes.
 const CACHE: usize = 2 << 20;
@@ -198,7 +200,8 @@
         if self.head::<u32>("format")?.is_some() {
             return Err(StoreError::Taken(self.path.clone()));
         }
-        let form = State::decode(&loaded.snapshot.data).map_or(FORMS.0, |state| state.form());
+        let form =
+            State::decode(&loaded.snapshot.data).map_or(FORMAT_VERSIONS.0, |state| state.form());
         self.commit(true, |head, _| {
             head.insert("format", sealed(&u32::from(form)).as_slice())?;
             head.insert("identity", sealed(identity).as_slice())?;
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -19,7 +19,7 @@
 use crate::runtime::dispatcher::{ActionExecutor, Dispatcher};
 use crate::runtime::process_takeover::ProcessTakeover;
 use crate::upstream::Upstream;
-use driftgap_group::Kind;
+use driftgap_group::DocumentKind;
 use socket2::Socket;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
         inventory: &mut Inventory,
         fault: StartError,
     ) -> Result<(), StartError> {
-        let Some(held) = group.document(Kind::Inventory).await else {
+        let Some(held) = group.document(DocumentKind::Inventory).await else {
             return Err(fault);
         };
         let loaded = inventory.restore(
@@ -338,20 +338,20 @@
 ) {
     let mut inventory = inventory;
     // One of a kind is handed in to the group at a time: the latest.
-    let mut handing: BTreeMap<Kind, AbortHandle> = BTreeMap::new();
-    let mut hand_in = |kind: Kind, bytes: Vec<u8>, at_start: bool| {
+    let mut handing: BTreeMap<DocumentKind, AbortHandle> = BTreeMap::new();
+    let mut submit_document = |kind: DocumentKind, bytes: Vec<u8>, at_start: bool| {
         if let Some(group) = group.clone() {
-            let task = spawn_local(group.hand_in(kind, bytes, at_start)).abort_handle();
+            let task = spawn_local(group.submit_document(kind, bytes, at_start)).abort_handle();
             if let Some(old) = handing.insert(kind, task) {
                 old.abort();
             }
         }
     };
     if let Some(inventory) = &inventory {
-        hand_in(Kind::Inventory, inventory.accepted(), true);
+        submit_document(DocumentKind::Inventory, inventory.accepted(), true);
     }
     let mut rules = rules.map(|(source, text)| {
-        hand_in(Kind::Rules, text.into_bytes(), true);
+        submit_document(DocumentKind::Rules, text.into_bytes(), true);
         RuleReload::new(source, catalog(node.dispatcher.platform()))
     });
     loop {
@@ -359,7 +359,7 @@
             heard = hang_up.recv() => if heard.is_none() { return },
             read = finished(rules.as_mut()) => {
                 if let Some(text) = node.put_rules(read, group.is_some()) {
-                    hand_in(Kind::Rules, text.into_bytes(), false);
+                    submit_document(DocumentKind::Rules, text.into_bytes(), false);
                 }
                 if let Some(rules) = &mut rules {
                     rules.resume(node.dispatcher.rules());
@@ -375,7 +375,7 @@
             match node.load(inventory) {
                 Ok(()) => {
                     tracing::info!("inventory read again");
-                    hand_in(Kind::Inventory, inventory.accepted(), false);
+                    submit_document(DocumentKind::Inventory, inventory.accepted(), false);
                 }
                 Err(StartError::Inventory(path, e)) => {
                     for fault in e.lines() {
@@ -511,7 +511,8 @@
             .and_then(|text| source.judge(&text, &catalog, None));
         let mut text = text.unwrap_or_default();
         if let (Err(faults), Some(group)) = (&read, &group) {
-            let Some(held) = unless_stopped(&mut term, group.document(Kind::Rules)).await else {
+            let Some(held) = unless_stopped(&mut term, group.document(DocumentKind::Rules)).await
+            else {
                 return Ok(());
             };
             if let Some(held) = held {
