--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -122,6 +122,7 @@
         fold(node)
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn typed(&mut self, tree: &Tree, facts: &Facts) -> Res<Node> {
         let span = tree.span.clone();
         match &tree.what {
@@ -783,6 +784,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn method(
         &mut self,
         of: &Tree,
--- a/crates/expr/src/check/truth.rs
+++ b/crates/expr/src/check/truth.rs
@@ -12,6 +12,7 @@
 impl Checker<'_> {
     /// What holds of the input where a test is true, and where it is false; none: it never is. Each node is
     /// looked at once: asking for either way by itself would double the work with each `? :` in a test.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(crate) fn facts(&self, node: &Node) -> [Option<Facts>; 2] {
         let nothing = || [Some(Facts::default()), Some(Facts::default())];
         let both = |of: &Node, yes: Fact, no: Fact| match self.path(of) {
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -249,6 +249,7 @@
         Ok(())
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn run(&mut self) -> Result<StackValue<'a>, Fault> {
         let mut stack: Stack<'a> = SmallVec::new();
         let mut locals: SmallVec<[StackValue<'a>; 4]> = SmallVec::new();
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -22,6 +22,7 @@
         })
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(super) fn binary(
         &mut self,
         operator: Binary,
@@ -123,6 +124,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub(super) fn call(
         &mut self,
         func: Func,
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -143,6 +143,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn write(&mut self, node: &Node) -> u64 {
         let bytes = |node: &Node| u64::from(node.bound.bytes);
         match &node.kind {
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -173,6 +173,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn hostile_texts_are_refused_in_time() {
     let nested =
         |open: &str, close: &str, n: usize| format!("{}1{}", open.repeat(n), close.repeat(n));
--- a/crates/group/src/state.rs
+++ b/crates/group/src/state.rs
@@ -255,6 +255,7 @@
         outcome
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn carry_out(&mut self, index: u64, proposal: &Proposal) -> Outcome {
         match proposal {
             Proposal::Suspend(name) => {
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -48,6 +48,7 @@
 const LOST: &str = "found that its disk had lost something";
 
 /// Plays one schedule; why it must not have gone so, if it must not.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn play(seed: u64, planted: Planted) -> Result<usize, String> {
     let members = if seed.is_multiple_of(4) { 5 } else { 3 };
     let mut world = World::new(members, seed);
--- a/crates/inventory/src/ansible.rs
+++ b/crates/inventory/src/ansible.rs
@@ -137,6 +137,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn group(
         &mut self,
         name: &str,
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -104,6 +104,7 @@
 }
 
 /// The host of these values, if none is wrong.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub(crate) fn host(
     name: &str,
     place: &Place,
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -57,6 +57,7 @@
 
 /// Reads the files of one inventory. They are merged in the order of their paths; `group_vars` and `host_vars`
 /// are over what the others say.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub fn read(files: &[File], schema: &Schema) -> Reading {
     let mut faults = Faults::default();
     let mut sorted: Vec<&File> = files.iter().collect();
--- a/crates/inventory/src/table.rs
+++ b/crates/inventory/src/table.rs
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub(crate) fn read(text: &str, file: &Arc<str>, schema: &Schema, faults: &mut Faults) -> Vec<Host> {
     let header = text
         .lines()
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -83,7 +83,7 @@
     pub const UNITS: FieldId = FieldId(10);
 }
 
-/// What rules may read of a request, in the order of [`field`].
+/// What rules may read of a request, in the order of the private module `field`.
 pub fn request_schema() -> Schema {
     let (name, path) = (MAX_NAME as u32, MAX_PATH as u32);
     Schema::new()
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -316,6 +316,7 @@
     }
 
     /// A request's way at `now`, ms.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub fn route(&mut self, request: &Request<'_>, now: f64) -> Verdict {
         let Router {
             rules,
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -138,6 +138,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn no_branch_may_make_a_booking_safe_to_repeat() {
     let wrong = |when: &str, class: &str, head: &str| {
         let faults = read(&format!("{head}\n{}", mapping(when, class, UNITS))).unwrap_err();
--- a/src/bin/driftgap-simulator-adapter/wire.rs
+++ b/src/bin/driftgap-simulator-adapter/wire.rs
@@ -126,6 +126,7 @@
     }
 
     /// The next record, or none at the end of the frame.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub fn record(&mut self) -> Res<Option<Record>> {
         if self.at == self.bytes.len() {
             return Ok(None);
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -344,6 +344,7 @@
 }
 
 /// Waits for bytes to read or room to write; false: the connection has ended.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 async fn exchange(
     place: &Rc<Place>,
     dispatcher: &Rc<Dispatcher>,
--- a/src/decision/balance.rs
+++ b/src/decision/balance.rs
@@ -589,6 +589,7 @@
         actions.push(self.m.call(now, id, window, amount, lives));
     }
 
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn counted(
         &mut self,
         now: f64,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,4 +1,99 @@
 //! Every decision about a request: whether it is admitted, where it is forwarded, whether it is retried.
+//!
+//! The module is sans-I/O: a [`DecisionEngine`] takes one [`Event`] at a time with the time of the event and
+//! appends [`Action`]s for the program that embeds it. The same events give the same actions.
+//!
+//! ```
+//! use driftgap::decision::*;
+//!
+//! let settings = Settings {
+//!     ingresses: 2,
+//!     position: 0,
+//!     zone: 0,
+//!     classes: vec![Class {
+//!         aim: 0.5,
+//!         deadline: 2.0,
+//!         effect: Effect::Safe,
+//!         group: Group::All,
+//!         window: 0.0,
+//!         late_share: 0.0,
+//!         worth: 1.0,
+//!     }],
+//!     plans: vec![Plan {
+//!         rate: 10.0,
+//!         burst: 20.0,
+//!         at_once: 0,
+//!         excess_worth: 0.0,
+//!         over_cost: 1.0,
+//!         ceiling_rate: 0.0,
+//!         ceiling_burst: 0.0,
+//!     }],
+//!     report: vec![],
+//!     report_by_probe: false,
+//!     list_on_request: false,
+//!     may_probe: true,
+//!     may_cancel: true,
+//!     second_copies: true,
+//!     counter: true,
+//!     counter_timeout: 0.1,
+//!     settled_later: false,
+//!     most_units: 4.0,
+//!     max_attempts: 3,
+//!     max_retry_after: 2.0,
+//!     resolution: 0.002,
+//!     cold_share: 0.2,
+//!     warm_up: 15.0,
+//!     overload_factor: 3.0,
+//!     tip_after: 2.0,
+//! };
+//! let mut ingress = Gateway::new(settings, 7)?;
+//! let mut actions = Vec::new();
+//!
+//! // The list of endpoints.
+//! let entry =
+//!     HostEntry { endpoint: 42, zone: 0, cell: 0, state: HostState::Ready, size: 1.0, started: 0.0, pools: ALL_HOSTS };
+//! ingress.handle(100.0, Event::Endpoints { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//!
+//! // A request waits while the counter is asked for a block of its tenant's units ...
+//! let request = Request {
+//!     id: 1,
+//!     give_up: 202.0,
+//!     class: 0,
+//!     plan: 0,
+//!     tenant: 9,
+//!     units: 2.0,
+//!     spread: 2,
+//!     first: 0,
+//!     repeat: false,
+//!     pools: ALL_HOSTS,
+//! };
+//! actions.clear();
+//! ingress.handle(200.1, Event::Arrived(request), &mut actions);
+//! let call = actions.iter().find_map(|a| match a {
+//!     Action::Count { name, amount, .. } => Some((*name, *amount)),
+//!     _ => None,
+//! });
+//! let (name, amount) = call.expect("a call");
+//!
+//! // ... is let in by the answer and sent ...
+//! actions.clear();
+//! ingress.handle(200.11, Event::Counted { name, outcome: Outcome::Ok, total: amount }, &mut actions);
+//! assert!(actions.contains(&Action::Send { id: 1, endpoint: 42, timeout: 0.0 }));
+//!
+//! // ... and answered: the client has its answer, so nothing more is owed.
+//! actions.clear();
+//! let ended = Event::Ended(AttemptEnd {
+//!     id: 1,
+//!     attempt: 0,
+//!     outcome: Outcome::Ok,
+//!     finished: true,
+//!     settled: None,
+//!     report: vec![],
+//! });
+//! ingress.handle(200.2, ended, &mut actions);
+//! assert!(actions.is_empty());
+//! # Ok::<(), SettingsError>(())
+//! ```
 
 mod api;
 mod balance;
--- a/src/group/member_task.rs
+++ b/src/group/member_task.rs
@@ -393,6 +393,7 @@
     }
 
     /// Has written what has to be, and lets out what follows from that. True: who is in the group may have changed.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     fn settle(&mut self) -> bool {
         let now = self.now();
         let Place::In(peer) = &mut self.place else {
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -457,6 +457,7 @@
 ///
 /// # Errors
 /// What keeps it from starting.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub async fn run(
     signals: Signals,
     path: PathBuf,
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -38,17 +38,20 @@
 
 #[test]
 fn a_known_failure_is_passed_over_and_printed_and_any_other_is_not() {
-    let red = "a::one: the counter is slow: issue 32\n";
+    let red = "a::one | cargo test one, seed 7 | the counter is slow | issue 32\n";
     let (passed, said) = judged("known", FAILED, 101, Some(red));
     assert!(
-        passed && said.contains("KNOWN-RED: a::one: the counter is slow"),
+        passed
+            && said.contains(
+                "KNOWN-RED: a::one | cargo test one, seed 7 | the counter is slow | issue 32"
+            ),
         "{said}"
     );
     let (passed, said) = judged(
         "other",
         FAILED,
         101,
-        Some("a::two: the counter is slow: issue 32\n"),
+        Some("a::two | cargo test two | the counter is slow | issue 32\n"),
     );
     assert!(!passed && said.contains("failed: a::one"), "{said}");
     assert!(!judged("none", FAILED, 101, None).0);
@@ -59,12 +62,15 @@
 
 #[test]
 fn a_list_that_is_not_in_order_fails_the_run() {
-    let line = |test: &str| format!("{test}: why: issue 32\n");
+    let line = |test: &str| format!("{test} | cargo test | why | issue 32\n");
     for (name, red) in [
         ("unknown", line("a::three")),
         ("part", line("one")),
         ("bare", "a::one\n".into()),
-        ("issue", "a::one: why\n".into()),
+        ("issue", "a::one | cargo test | why\n".into()),
+        ("command", "a::one | why | issue 32\n".into()),
+        ("seen", "a::one | cargo test |  | issue 32\n".into()),
+        ("old form", "a::one: why: issue 32\n".into()),
         ("empty", "\n".into()),
         (
             "four",
@@ -101,7 +107,7 @@
 
 #[test]
 fn a_run_that_does_not_come_to_its_end_fails_whatever_is_known() {
-    let red = "a::one: why: issue 32\n";
+    let red = "a::one | cargo test | why | issue 32\n";
     assert!(!judged("ended", ENDED, 101, Some(red)).0);
     assert!(
         !judged("status", PASSED, 101, Some(red)).0,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -418,6 +418,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn what_all_ingresses_send_to_cold_endpoints_stays_under_what_these_bear_and_is_not_nothing() {
     let even = Cold {
         ingresses: 1,
--- a/tests/group/peers/schedule.rs
+++ b/tests/group/peers/schedule.rs
@@ -85,6 +85,7 @@
     }
 
     /// Takes one step, and panics with all logs where it fails.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub async fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         let Some((verb, rest)) = words.split_first() else {
--- a/tests/group/random_faults.rs
+++ b/tests/group/random_faults.rs
@@ -20,6 +20,7 @@
 
 /// One random schedule over three processes and one beside them: the record must be linearizable, and what had a yes
 /// must be there at the end.
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 async fn play_random_schedule(seed: u64) {
     let mut rand = oorandom::Rand64::new(seed.into());
     let mut pick = |n: u64| rand.rand_range(0..n) as usize;
--- a/tests/group/statistics.rs
+++ b/tests/group/statistics.rs
@@ -148,6 +148,7 @@
 
 #[test]
 #[ignore = "figures, for the commits"]
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn figures_of_many_followers_of_cuts_and_of_a_member_that_never_returns() {
     for followers in numbers_of_followers() {
         run(async {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -112,6 +112,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn one_answer_in_time_effects_and_drains_are_kept() {
     let config = Config {
         cases: 300,
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -310,6 +310,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
+#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 async fn http2_endpoint(name: String, stream: TcpStream, shared: Shared) {
     if *shared.unseen.borrow() {
         return unseen(stream).await;
@@ -1038,6 +1039,7 @@
     }
 
     /// Does one step of a scenario.
+    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
     pub async fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         match words.as_slice() {
