--- a/crates/scale/src/experiments/traffic.rs
+++ b/crates/scale/src/experiments/traffic.rs
@@ -43,7 +43,7 @@
     id: u64,
     plan: &str,
 ) -> Result<ClientRequest, ExperimentError> {
-    let ingresses = platform.module.ingresses;
+    let ingresses = platform.decision.ingresses;
     let (spread, first) = (SPREAD.min(ingresses), tenant % u64::from(ingresses));
     let terms = format!("c=bulk-fetch,t={plan},d=1000,units=1,spread={spread},first={first}");
     ClientRequest::new(
--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -143,7 +143,10 @@
             let settings = settings::settings(fleet.plan.ingresses, position, fleet.plan.quota);
             let seed = fleet.plan.seed << 16 | u64::from(position);
             let mut driver = DecisionDriver::new(settings, seed)?;
-            driver.report(now, Observation::Names(ListKind::Full, backends.clone()));
+            driver.observe(
+                now,
+                Observation::EndpointList(ListKind::Full, backends.clone()),
+            );
             let attempts = HashMap::new();
             fleet.ingresses.push(Ingress {
                 driver,
@@ -197,9 +200,9 @@
                     request,
                     attempt,
                     outcome,
-                    finished,
+                    request_finished: finished,
                     load,
-                    cost,
+                    settled_units: cost,
                 };
                 self.report(ingress, Observation::AttemptEnded(end));
             }
@@ -208,14 +211,20 @@
                 name,
                 total,
             } => {
-                self.report(ingress, Observation::Counted(name, Outcome::Ok, total));
+                self.report(
+                    ingress,
+                    Observation::CounterAnswered(name, Outcome::Ok, total),
+                );
             }
             Event::ProbeEnds {
                 ingress,
                 backend,
                 outcome,
             } => {
-                self.report(ingress, Observation::Probed(backend, outcome, Vec::new()));
+                self.report(
+                    ingress,
+                    Observation::ProbeEnded(backend, outcome, Vec::new()),
+                );
             }
             Event::Wake(ingress) => {
                 self.ingresses[ingress].wake_ms = f64::INFINITY;
@@ -227,7 +236,7 @@
 
     fn report(&mut self, ingress: usize, report: Observation) {
         let now = self.schedule.now_ms();
-        self.ingresses[ingress].driver.report(now, report);
+        self.ingresses[ingress].driver.observe(now, report);
         self.settle(ingress);
     }
 
@@ -258,7 +267,7 @@
         self.ingresses[ingress].next_request += 1;
         let verdict = self.ingresses[ingress]
             .driver
-            .pick(now, request, &ask, now + PATIENCE_MS);
+            .decide(now, request, &ask, now + PATIENCE_MS);
         self.carry_out(ingress, request, verdict);
         self.settle(ingress);
     }
@@ -318,7 +327,7 @@
 
     fn run_errand(&mut self, ingress: usize, errand: DriverAction) {
         match errand {
-            DriverAction::Count(add) => self.count(ingress, add),
+            DriverAction::AddToCounter(add) => self.count(ingress, add),
             DriverAction::Probe(backend) => {
                 self.counts.probes += 1;
                 self.backends[backend as usize].probed(ingress);
@@ -332,7 +341,7 @@
                     },
                 );
             }
-            DriverAction::Cancel(..) | DriverAction::Follow => {}
+            DriverAction::Cancel(..) | DriverAction::FollowEndpointList => {}
         }
     }
 
@@ -365,11 +374,11 @@
 fn entry(host: u32) -> EndpointEntry {
     let state = EndpointState::Ready;
     EndpointEntry {
-        endpoint: host,
+        id: host,
         zone: 0,
         cell: 0,
         state,
-        size: 1.0,
+        weight: 1.0,
         started: 0.0,
         pools: ALL_ENDPOINTS,
     }
--- a/crates/scale/src/hollow/ingresses/settings.rs
+++ b/crates/scale/src/hollow/ingresses/settings.rs
@@ -10,9 +10,9 @@
     let class = Class {
         latency_objective: 0.5,
         deadline: 2.0,
-        effect: Idempotency::Safe,
-        group: DeduplicationScope::All,
-        window: 1.0,
+        idempotency: Idempotency::Safe,
+        deduplication_scope: DeduplicationScope::All,
+        idempotency_window: 1.0,
         late_share: 0.0,
         priority_weight: 1.0,
     };
@@ -39,7 +39,7 @@
         hedging: false,
         counter: true,
         counter_timeout: 0.1,
-        settled_later: false,
+        settles_units_later: false,
         max_units: 4.0,
         max_attempts: 4,
         max_retry_after: 2.0,
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -159,14 +159,14 @@
                 let due = self.now.get() + BACKEND_MS;
                 uncounted(|| self.attempts.borrow_mut().push_back((due, start)));
             }
-            Action::Count(add) => {
+            Action::AddToCounter(add) => {
                 self.count(|traffic| traffic.counter_calls += 1);
                 let due = self.now.get() + COUNTER_MS;
                 uncounted(|| self.calls.borrow_mut().push_back((due, add)));
             }
             Action::Probe(_) => self.count(|traffic| traffic.probes += 1),
             // Answers never come late, so that nothing is abandoned; there are no connections to release.
-            Action::Abandon(..) | Action::Release(_) | Action::Reply(..) => {}
+            Action::AbandonAttempt(..) | Action::ReleaseEndpoint(_) | Action::Reply(..) => {}
         }
     }
 }
--- a/src/bin/driftgap-simulator-adapter/wire.rs
+++ b/src/bin/driftgap-simulator-adapter/wire.rs
@@ -84,12 +84,12 @@
         Ok(match code {
             10 => Outcome::Ok,
             20 => Outcome::Error,
-            30 => Outcome::Full,
+            30 => Outcome::Rejected,
             40 => Outcome::Timeout,
             50 => Outcome::ConnectFailed,
             60 => Outcome::Reset,
             70 => Outcome::Cancelled,
-            80 => Outcome::Moot,
+            80 => Outcome::NotSent,
             _ => {
                 return Err(format!(
                     "{} at byte {}: unknown outcome {code}",
@@ -115,11 +115,11 @@
             }
         };
         Ok(EndpointEntry {
-            endpoint,
+            id: endpoint,
             zone,
             cell,
             state,
-            size: self.f32()?,
+            weight: self.f32()?,
             started: self.f64()?,
             pools: driftgap::decision::ALL_ENDPOINTS,
         })
@@ -172,7 +172,7 @@
                 };
                 let (_version, n) = (self.u32()?, self.u32()?);
                 let entries = (0..n).map(|_| self.entry()).collect::<Res<Vec<_>>>()?;
-                Event::Endpoints { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             3 => {
                 let (id, give_up) = (self.u32()?, self.f64()?);
@@ -181,7 +181,7 @@
                 let first = self.f32()?.clamp(0.0, 65_535.0) as u32;
                 let (tenant, units, bits) = (self.u64()?, self.f32()?, self.u8()?);
                 let repeat = bits & 2 != 0;
-                Event::Arrived(Request {
+                Event::RequestArrived(Request {
                     id,
                     give_up,
                     class,
@@ -205,12 +205,12 @@
                 let (_used, units) = (self.u16()?, self.u16()?);
                 let settled = (units > 0).then_some(f64::from(units));
                 let report = self.stats()?;
-                Event::Ended(AttemptEnd {
+                Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt,
                     outcome,
-                    finished,
-                    settled,
+                    request_finished: finished,
+                    settled_units: settled,
                     report,
                 })
             }
@@ -218,7 +218,7 @@
             7 => Event::Timer { token: self.u64()? },
             8 => {
                 let (endpoint, outcome, _took) = (self.u32()?, self.outcome()?, self.f64()?);
-                Event::Probed {
+                Event::ProbeEnded {
                     endpoint,
                     outcome,
                     report: self.stats()?,
@@ -233,7 +233,7 @@
             _ => {
                 let (name, outcome, total) = (self.u64()?, self.outcome()?, self.f32()?);
                 let _took = self.f64()?;
-                Event::Counted {
+                Event::CounterAnswered {
                     name,
                     outcome,
                     total,
@@ -261,7 +261,7 @@
             out.extend(endpoint.to_be_bytes());
             out.extend(timeout.to_be_bytes());
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             head(out, 2, who);
             out.extend(id.to_be_bytes());
             out.extend(retry_after.to_be_bytes());
@@ -284,11 +284,11 @@
             head(out, 6, who);
             out.extend(endpoint.to_be_bytes());
         }
-        Action::FollowList => {
+        Action::FollowEndpointList => {
             head(out, 11, who);
             out.push(1);
         }
-        Action::Count {
+        Action::AddToCounter {
             name,
             amount,
             lives,
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -66,7 +66,7 @@
         .map_or(Vec::new(), |config| config.platform.zones.clone());
     let mut table = EndpointRegistry::new(zones);
     if let Some(config) = &config {
-        if let Err(e) = DecisionDriver::new(config.platform.module.clone(), config.seed) {
+        if let Err(e) = DecisionDriver::new(config.platform.decision.clone(), config.seed) {
             note("EDGE_CONFIG: settings", &e);
         }
         if !config.known.is_null() {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -92,13 +92,13 @@
     Ok(Class {
         latency_objective: at.need("aim")?.number()?,
         deadline: at.need("deadline")?.number()?,
-        effect: match effect.text()? {
+        idempotency: match effect.text()? {
             "pure" => Idempotency::Safe,
             "token" => Idempotency::Keyed,
             "side_effect" => Idempotency::Unsafe,
             other => return wrong(format!("settings: {}: unknown effect {other}", effect.path)),
         },
-        group: match group {
+        deduplication_scope: match group {
             "all" => DeduplicationScope::All,
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
@@ -109,7 +109,7 @@
                 ))
             }
         },
-        window: at.number_or("window", 0.0)?,
+        idempotency_window: at.number_or("window", 0.0)?,
         late_share: at.number_or("late_share", 0.0)?,
         priority_weight: at.number_or("credit", 1.0)?,
     })
@@ -192,7 +192,7 @@
         hedging: limits.flag_or("parallel_tries", false)?,
         counter: info.flag_or("counter", false)?,
         counter_timeout: info.number_or("count_wait", 0.0)?,
-        settled_later: info.flag_or("cost_after", false)?,
+        settles_units_later: info.flag_or("cost_after", false)?,
         max_units: info.number_or("most_units", 1.0)?,
         max_attempts: limits.whole_or("most_tries", 1)?,
         max_retry_after: limits.number_or("max_retry_after", 0.0)?,
@@ -208,7 +208,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
     /// The module's part.
-    pub module: Settings,
+    pub decision: Settings,
     /// Class names, by index.
     pub classes: Vec<String>,
     /// Plan names, by index.
@@ -285,7 +285,7 @@
         return wrong("settings: family_info.count_wait is not from 0 to 60".into());
     }
     Ok(Platform {
-        module: module(root)?,
+        decision: module(root)?,
         classes: names(root, "request_classes", "name")?,
         plans: names(root, "plans", "name")?,
         zones: texts(root.get("zones"))?,
--- a/src/config/settings_description.rs
+++ b/src/config/settings_description.rs
@@ -209,19 +209,19 @@
 
 /// What follows from the settings, a sentence a line.
 pub fn words(platform: &Platform) -> Vec<String> {
-    let set: &Settings = &platform.module;
+    let set: &Settings = &platform.decision;
     let mut lines = Vec::new();
     for (name, class) in platform.classes.iter().zip(&set.classes) {
-        let group = match class.group {
+        let group = match class.deduplication_scope {
             DeduplicationScope::All => "all instances",
             DeduplicationScope::Zone => "those of its zone",
             DeduplicationScope::Cell => "those of its cell",
         };
-        let repeat = match class.effect {
+        let repeat = match class.idempotency {
             Idempotency::Safe => "safe to repeat".to_string(),
             Idempotency::Keyed => format!(
                 "repeated by its key to {group} within {} s, needs k",
-                class.window
+                class.idempotency_window
             ),
             Idempotency::Unsafe => "never sent again once it may have run".to_string(),
         };
@@ -254,7 +254,7 @@
         };
         lines.push(format!("plan {name}: {quota}"));
     }
-    lines.push(match (set.counter, set.settled_later) {
+    lines.push(match (set.counter, set.settles_units_later) {
         (false, _) => "quotas: no counter, each ingress has its even share".to_string(),
         (true, settled) => format!(
             "quotas: by the counter, given up after {} ms; units are {}",
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -417,7 +417,7 @@
             // Added, but the total cannot be read.
             (200, _) => (Outcome::Error, 0.0),
             // Turned away, or no such call.
-            (503 | 400 | 404, _) => (Outcome::Full, 0.0),
+            (503 | 400 | 404, _) => (Outcome::Rejected, 0.0),
             _ => (Outcome::Timeout, 0.0),
         };
         match call {
--- a/src/decision/api.rs
+++ b/src/decision/api.rs
@@ -45,11 +45,11 @@
     /// Longest the client waits over all its tries, seconds.
     pub deadline: f64,
     /// What repeating it does.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// For keyed classes: who discards repeats.
-    pub group: DeduplicationScope,
+    pub deduplication_scope: DeduplicationScope,
     /// For keyed classes: for how long after the first attempt that may have run, seconds.
-    pub window: f64,
+    pub idempotency_window: f64,
     /// Share of the worth that an answer after the aim still earns.
     pub late_share: f64,
     /// Worth of one request.
@@ -120,7 +120,7 @@
     /// A counter call that has no answer by then has failed, seconds.
     pub counter_timeout: f64,
     /// Units on a request are guesses, settled by its answer.
-    pub settled_later: bool,
+    pub settles_units_later: bool,
     /// Most units that one request counts.
     pub max_units: f64,
     /// Most attempts for one request.
@@ -154,7 +154,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// The endpoint.
-    pub endpoint: EndpointId,
+    pub id: EndpointId,
     /// Its zone.
     pub zone: u32,
     /// Its cell: endpoints that share which keys they have seen.
@@ -162,7 +162,7 @@
     /// Its state.
     pub state: EndpointState,
     /// Its size beside the other endpoints.
-    pub size: f64,
+    pub weight: f64,
     /// When it last started; 0: long ago.
     pub started: f64,
     /// The pools that it is in, [`ALL_ENDPOINTS`] among them.
@@ -190,7 +190,7 @@
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen; never ran.
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     Timeout,
     /// No connection; never ran.
@@ -200,7 +200,7 @@
     /// Cancelled; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// A client's request.
@@ -238,9 +238,9 @@
     /// How.
     pub outcome: Outcome,
     /// The request has its final answer by now.
-    pub finished: bool,
+    pub request_finished: bool,
     /// True units, where they are settled by the answer.
-    pub settled: Option<f64>,
+    pub settled_units: Option<f64>,
     /// The endpoint's load report; empty: none came.
     pub report: Vec<f64>,
 }
@@ -249,16 +249,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of endpoints.
-    Endpoints {
+    EndpointList {
         /// What the entries mean.
         kind: ListKind,
         /// The entries.
         entries: Vec<EndpointEntry>,
     },
     /// A request has come in; it is owed one final answer.
-    Arrived(Request),
+    RequestArrived(Request),
     /// An attempt has ended. Every attempt ends exactly once.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// The client is gone; nothing more is owed.
     ClientGone {
         /// The request.
@@ -272,7 +272,7 @@
         attempt: u32,
     },
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// How.
@@ -286,7 +286,7 @@
         token: u64,
     },
     /// A counter call has ended. Answers for one name come in the order of the calls.
-    Counted {
+    CounterAnswered {
         /// The name.
         name: u64,
         /// How; after a time-out or a reset the amount may have been added, after an error it was.
@@ -295,7 +295,7 @@
         total: f64,
     },
     /// The total of a call that had ended in a time-out has come after all.
-    CountedLate {
+    CounterAnsweredLate {
         /// The name.
         name: u64,
         /// The call's amount, which was added.
@@ -318,7 +318,7 @@
         timeout: f64,
     },
     /// Final answer: refused; a retry does no harm.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// How long to stay away, seconds; 0: no advice.
@@ -349,9 +349,9 @@
         endpoint: EndpointId,
     },
     /// Subscribe to changes of the list of endpoints.
-    FollowList,
-    /// Add to a number on the counter service; answered by [`Event::Counted`].
-    Count {
+    FollowEndpointList,
+    /// Add to a number on the counter service; answered by [`Event::CounterAnswered`].
+    AddToCounter {
         /// The number's name.
         name: u64,
         /// What to add; 0 reads, below 0 takes off.
@@ -405,7 +405,7 @@
                 }
             }
             for (name, x) in [
-                ("window", c.window),
+                ("window", c.idempotency_window),
                 ("late_share", c.late_share),
                 ("worth", c.priority_weight),
             ] {
--- a/src/decision/balance.rs
+++ b/src/decision/balance.rs
@@ -150,21 +150,29 @@
                 after: TICK,
                 token: 0,
             });
-            actions.extend(self.set.list_on_request.then_some(Action::FollowList));
+            actions.extend(
+                self.set
+                    .list_on_request
+                    .then_some(Action::FollowEndpointList),
+            );
         }
         match event {
-            Event::Endpoints {
+            Event::EndpointList {
                 kind: ListKind::Failed,
                 ..
             } => {
-                actions.extend(self.set.list_on_request.then_some(Action::FollowList));
+                actions.extend(
+                    self.set
+                        .list_on_request
+                        .then_some(Action::FollowEndpointList),
+                );
             }
-            Event::Endpoints { kind, entries } => self.m.list(kind == ListKind::Delta, entries),
-            Event::Arrived(request) => self.arrived(now, request, actions),
-            Event::Ended(end) => self.ended(now, &end, actions),
+            Event::EndpointList { kind, entries } => self.m.list(kind == ListKind::Delta, entries),
+            Event::RequestArrived(request) => self.arrived(now, request, actions),
+            Event::AttemptEnded(end) => self.ended(now, &end, actions),
             Event::ClientGone { id } => self.m.finish(id),
             Event::StreamStarted { id, .. } => self.m.streams(id),
-            Event::Probed {
+            Event::ProbeEnded {
                 endpoint,
                 outcome,
                 report,
@@ -181,12 +189,12 @@
                     self.answer(token as RequestId, actions);
                 }
             }
-            Event::Counted {
+            Event::CounterAnswered {
                 name,
                 outcome,
                 total,
             } => self.counted(now, name, outcome, total, actions),
-            Event::CountedLate {
+            Event::CounterAnsweredLate {
                 name,
                 amount,
                 total,
@@ -204,7 +212,7 @@
             return;
         }
         if !request.sound(now, &self.set) {
-            return actions.push(Action::Refuse {
+            return actions.push(Action::Reject {
                 id,
                 retry_after: 0.0,
             });
@@ -251,7 +259,7 @@
     }
 
     fn refuse(&self, id: RequestId, wait: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::Refuse {
+        actions.push(Action::Reject {
             id,
             retry_after: wait.min(self.set.max_retry_after),
         });
@@ -622,7 +630,7 @@
         self.m.strain = self.m.strain.clamp(0.0, STRAIN.3);
         let failed = outcome != Outcome::Ok || !total.is_finite();
         // One that turns calls away is there.
-        let mute = failed && outcome != Outcome::Full;
+        let mute = failed && outcome != Outcome::Rejected;
         if self.m.call_fails + u32::from(mute) >= SILENT {
             self.m.outage_at = now;
         }
@@ -639,7 +647,7 @@
         if failed {
             let (added, may_be) = (
                 outcome == Outcome::Error,
-                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed),
+                !matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed),
             );
             if window == c.window {
                 c.lost += if added { amount } else { 0.0 };
@@ -940,15 +948,15 @@
         };
         a.may_have_run = !matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         let (a, (class, plan)) = (a.clone(), open.kind());
-        open.done |= end.finished || outcome == Outcome::Ok;
+        open.done |= end.request_finished || outcome == Outcome::Ok;
         if let Some(c) = self.m.tenants.get_mut(&open.request.tenant) {
             c.out = c.out.saturating_sub(1);
             if let Some(real) = end
-                .settled
-                .filter(|r| r.is_finite() && self.set.settled_later)
+                .settled_units
+                .filter(|r| r.is_finite() && self.set.settles_units_later)
             {
                 c.hand -= real - open.request.units;
             }
@@ -987,7 +995,10 @@
             .endpoints
             .get(&a.endpoint)
             .is_some_and(|h| self.warmth(now, h) >= 1.0);
-        let ran = !matches!(o, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let ran = !matches!(
+            o,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
+        );
         self.m.warm_taken += f64::from(u8::from(warm && ran));
         let Some(h) = self.m.endpoints.get_mut(&a.endpoint) else {
             return;
@@ -1013,10 +1024,10 @@
                     self.m.latency[class] += LEARN * (took.min(WORST * typical) - typical);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             _ => {
                 match o {
-                    Outcome::Full => h.leave_out(now, Ok(plan), AVOID.1),
+                    Outcome::Rejected => h.leave_out(now, Ok(plan), AVOID.1),
                     Outcome::Timeout => h.leave_out(now, Err(class), AVOID.1),
                     Outcome::Error => h.leave_out(now, Err(class), AVOID.0),
                     _ => {}
@@ -1034,8 +1045,9 @@
         let Some(h) = self.m.endpoints.get_mut(&endpoint) else {
             return;
         };
-        h.fails += u32::from(o != Outcome::Full && (o != Outcome::Timeout || h.last_answer < sent));
-        if matches!(o, Outcome::Full | Outcome::Error) {
+        h.fails +=
+            u32::from(o != Outcome::Rejected && (o != Outcome::Timeout || h.last_answer < sent));
+        if matches!(o, Outcome::Rejected | Outcome::Error) {
             h.last_answer = now;
         }
         if h.trial || h.fails >= FAILS {
@@ -1052,18 +1064,18 @@
         let ran = open.attempts.iter().find(|a| a.may_have_run);
         let mut group = None;
         if let Some(a) = ran {
-            match class.effect {
+            match class.idempotency {
                 Idempotency::Safe => {}
                 Idempotency::Unsafe => return false,
                 Idempotency::Keyed => {
-                    if now - a.sent >= class.window - 2.0 * self.set.resolution {
+                    if now - a.sent >= class.idempotency_window - 2.0 * self.set.resolution {
                         return false;
                     }
                     // Without knowing the endpoint's group any more, no group is safe.
                     let Some(h) = self.m.endpoints.get(&a.endpoint) else {
                         return false;
                     };
-                    group = Some((class.group, h.zone, h.cell));
+                    group = Some((class.deduplication_scope, h.zone, h.cell));
                 }
             }
         }
@@ -1115,7 +1127,7 @@
                 }
                 all &= lost || late && self.m.level == 0 && tries < 2;
             }
-            if all && self.set.hedging && class.effect != Idempotency::Unsafe {
+            if all && self.set.hedging && class.idempotency != Idempotency::Unsafe {
                 due.push(id);
             }
         }
@@ -1134,9 +1146,9 @@
         };
         let class = &self.set.classes[open.request.class];
         let ran = open.attempts.iter().any(|a| a.may_have_run);
-        let harmless = match class.effect {
+        let harmless = match class.idempotency {
             Idempotency::Safe => true,
-            Idempotency::Keyed => !ran || class.group == DeduplicationScope::All,
+            Idempotency::Keyed => !ran || class.deduplication_scope == DeduplicationScope::All,
             Idempotency::Unsafe => !ran,
         };
         if harmless && !ran {
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -45,9 +45,9 @@
     /// Ask an endpoint for its load.
     Probe(EndpointId),
     /// Follow the endpoint registry.
-    Follow,
+    FollowEndpointList,
     /// Add to a number on the counter.
-    Count(CounterAdd),
+    AddToCounter(CounterAdd),
 }
 
 /// A counter call.
@@ -92,28 +92,28 @@
     /// How.
     pub outcome: Outcome,
     /// The request has its final answer.
-    pub finished: bool,
+    pub request_finished: bool,
     /// The endpoint's load report, if one came.
     pub load: Vec<f64>,
     /// The true units, if they came.
-    pub cost: Option<f64>,
+    pub settled_units: Option<f64>,
 }
 
 /// News for the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// The endpoint registry: all of it, a change, or the list as last known.
-    Names(ListKind, Vec<EndpointEntry>),
+    EndpointList(ListKind, Vec<EndpointEntry>),
     /// An attempt has ended.
     AttemptEnded(AttemptReport),
     /// The client has gone.
     ClientGone(RequestId),
     /// A probe has ended, with the load it brought.
-    Probed(EndpointId, Outcome, Vec<f64>),
+    ProbeEnded(EndpointId, Outcome, Vec<f64>),
     /// A counter call for this name has ended, with the total.
-    Counted(u64, Outcome, f64),
+    CounterAnswered(u64, Outcome, f64),
     /// One that had ended without has a total after all: name, amount, total.
-    CountedLate(u64, f64, f64),
+    CounterAnsweredLate(u64, f64, f64),
 }
 
 /// The module behind its three calls.
@@ -145,7 +145,7 @@
     }
 
     /// A request has come in: the verdict on it.
-    pub fn pick(
+    pub fn decide(
         &mut self,
         now: f64,
         id: RequestId,
@@ -164,7 +164,7 @@
             repeat: ask.repeat,
             pools: ask.pools,
         };
-        self.handle(now, Event::Arrived(request));
+        self.handle(now, Event::RequestArrived(request));
         match self.verdicts.iter().position(|(request, _)| *request == id) {
             Some(at) => self
                 .verdicts
@@ -175,29 +175,29 @@
     }
 
     /// Something has happened; verdicts and errands may follow.
-    pub fn report(&mut self, now: f64, report: Observation) {
+    pub fn observe(&mut self, now: f64, report: Observation) {
         let event = match report {
-            Observation::Names(kind, entries) => Event::Endpoints { kind, entries },
-            Observation::AttemptEnded(end) => Event::Ended(AttemptEnd {
+            Observation::EndpointList(kind, entries) => Event::EndpointList { kind, entries },
+            Observation::AttemptEnded(end) => Event::AttemptEnded(AttemptEnd {
                 id: end.request,
                 attempt: end.attempt,
                 outcome: end.outcome,
-                finished: end.finished,
-                settled: end.cost,
+                request_finished: end.request_finished,
+                settled_units: end.settled_units,
                 report: end.load,
             }),
             Observation::ClientGone(request) => Event::ClientGone { id: request },
-            Observation::Probed(endpoint, outcome, load) => Event::Probed {
+            Observation::ProbeEnded(endpoint, outcome, load) => Event::ProbeEnded {
                 endpoint,
                 outcome,
                 report: load,
             },
-            Observation::Counted(name, outcome, total) => Event::Counted {
+            Observation::CounterAnswered(name, outcome, total) => Event::CounterAnswered {
                 name,
                 outcome,
                 total,
             },
-            Observation::CountedLate(name, amount, total) => Event::CountedLate {
+            Observation::CounterAnsweredLate(name, amount, total) => Event::CounterAnsweredLate {
                 name,
                 amount,
                 total,
@@ -259,7 +259,7 @@
                         client_timeout_ms: timeout * 1e3,
                     },
                 )),
-                Action::Refuse { id, retry_after } => {
+                Action::Reject { id, retry_after } => {
                     self.verdicts.push_back((
                         id,
                         Verdict::Reject {
@@ -282,14 +282,16 @@
                 Action::Probe { endpoint } => self
                     .pending_actions
                     .push_back(DriverAction::Probe(endpoint)),
-                Action::FollowList => self.pending_actions.push_back(DriverAction::Follow),
-                Action::Count {
+                Action::FollowEndpointList => self
+                    .pending_actions
+                    .push_back(DriverAction::FollowEndpointList),
+                Action::AddToCounter {
                     name,
                     amount,
                     lives,
                 } => {
                     self.pending_actions
-                        .push_back(DriverAction::Count(CounterAdd {
+                        .push_back(DriverAction::AddToCounter(CounterAdd {
                             name,
                             amount,
                             lives_ms: lives * 1e3,
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -52,7 +52,7 @@
 //! // The list of endpoints.
 //! let entry =
 //!     HostEntry { endpoint: 42, zone: 0, cell: 0, state: HostState::Ready, size: 1.0, started: 0.0, pools: ALL_HOSTS };
-//! ingress.handle(100.0, Event::Endpoints { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! ingress.handle(100.0, Event::EndpointList { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //!
 //! // A request waits while the counter is asked for a block of its tenant's units ...
 //! let request = Request {
@@ -68,21 +68,21 @@
 //!     pools: ALL_HOSTS,
 //! };
 //! actions.clear();
-//! ingress.handle(200.1, Event::Arrived(request), &mut actions);
+//! ingress.handle(200.1, Event::RequestArrived(request), &mut actions);
 //! let call = actions.iter().find_map(|a| match a {
-//!     Action::Count { name, amount, .. } => Some((*name, *amount)),
+//!     Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
 //!     _ => None,
 //! });
 //! let (name, amount) = call.expect("a call");
 //!
 //! // ... is let in by the answer and sent ...
 //! actions.clear();
-//! ingress.handle(200.11, Event::Counted { name, outcome: Outcome::Ok, total: amount }, &mut actions);
+//! ingress.handle(200.11, Event::CounterAnswered { name, outcome: Outcome::Ok, total: amount }, &mut actions);
 //! assert!(actions.contains(&Action::Send { id: 1, endpoint: 42, timeout: 0.0 }));
 //!
 //! // ... and answered: the client has its answer, so nothing more is owed.
 //! actions.clear();
-//! let ended = Event::Ended(AttemptEnd {
+//! let ended = Event::AttemptEnded(AttemptEnd {
 //!     id: 1,
 //!     attempt: 0,
 //!     outcome: Outcome::Ok,
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -234,7 +234,7 @@
     /// Notes the list of endpoints, or changes to it; those missing from a whole list are gone.
     pub(crate) fn list(&mut self, changes: bool, entries: Vec<EndpointEntry>) {
         if !changes {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             for (_, h) in self
                 .endpoints
                 .iter_mut()
@@ -244,20 +244,18 @@
             }
         }
         for e in entries {
-            let h = self
-                .endpoints
-                .entry(e.endpoint)
-                .or_insert_with(|| Endpoint {
-                    ratio: 1.0,
-                    ..Endpoint::default()
-                });
+            let h = self.endpoints.entry(e.id).or_insert_with(|| Endpoint {
+                ratio: 1.0,
+                ..Endpoint::default()
+            });
             if e.started > h.started {
                 // A new process: what was learnt of the old one is void.
                 (h.fails, h.strikes, h.ejected, h.trial, h.ratio) = (0, 0, None, false, 1.0);
                 (h.started, h.waiting) = (e.started, None);
                 h.avoid.clear();
             }
-            (h.zone, h.cell, h.size) = (e.zone, e.cell, if e.size > 0.0 { e.size } else { 1.0 });
+            (h.zone, h.cell, h.size) =
+                (e.zone, e.cell, if e.weight > 0.0 { e.weight } else { 1.0 });
             (h.ready, h.pools) = (e.state == EndpointState::Ready, e.pools);
             h.gone = e.state == EndpointState::Gone;
         }
@@ -302,7 +300,7 @@
             (c.in_flight, c.asked_at) = (Some((amount, window)), now);
         }
         self.calls.insert(name, (id, window, now));
-        Action::Count {
+        Action::AddToCounter {
             name,
             amount,
             lives: lives.min(60.0),
--- a/src/discovery/inventory.rs
+++ b/src/discovery/inventory.rs
@@ -218,24 +218,24 @@
             );
             let (cell, size, started) = (host.cell, host.weight, host.started);
             entries.push(EndpointEntry {
-                endpoint: id,
+                id,
                 zone,
                 cell,
                 state,
-                size,
+                weight: size,
                 started,
                 pools: ALL_ENDPOINTS,
             });
         }
-        let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+        let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
         self.dropped = self.draining.difference(&named).copied().collect();
         self.draining = self.named.difference(&named).copied().collect();
         let drained = self.draining.iter().map(|id| EndpointEntry {
-            endpoint: *id,
+            id: *id,
             zone: 0,
             cell: 0,
             state: EndpointState::Draining,
-            size: 1.0,
+            weight: 1.0,
             started: 0.0,
             pools: ALL_ENDPOINTS,
         });
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -79,7 +79,7 @@
     mut version: Option<u64>,
     seed: u64,
 ) {
-    let settings = &dispatcher.platform().module;
+    let settings = &dispatcher.platform().decision;
     let pace = Pace::of(
         settings.list_on_request,
         settings.ingresses,
@@ -226,7 +226,7 @@
         // One answer may say several things of an endpoint: the last one counts, as for the core.
         let last: HashMap<_, _> = entries
             .iter()
-            .map(|e| (e.endpoint, e.state == EndpointState::Gone))
+            .map(|e| (e.id, e.state == EndpointState::Gone))
             .collect();
         dispatcher.update_endpoints(kind, entries);
         dispatcher
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -107,7 +107,7 @@
         }
         // One pass over the inventory for all of them: a search for each would take the square of their number.
         for entry in &self.inventory {
-            gone.remove(&entry.endpoint);
+            gone.remove(&entry.id);
         }
         self.numbers.retain(|_, id| !gone.contains(id));
         self.endpoints.retain(|id, _| !gone.contains(id));
@@ -168,11 +168,11 @@
             }
         }
         if full {
-            let named: HashSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            let named: HashSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             entries.extend(
                 self.inventory
                     .iter()
-                    .filter(|e| !named.contains(&e.endpoint))
+                    .filter(|e| !named.contains(&e.id))
                     .cloned(),
             );
         }
@@ -222,14 +222,14 @@
             Err(_) => {}
         }
         Ok(Some(EndpointEntry {
-            endpoint: id,
+            id,
             zone: server
                 .get("zone")
                 .and_then(Value::as_str)
                 .map_or(0, |z| self.zone(z)),
             cell: number("cell", 0.0) as u32,
             state,
-            size: number("weight", 1.0),
+            weight: number("weight", 1.0),
             started: number("started_ms", 0.0) / 1e3,
             pools: ALL_ENDPOINTS,
         }))
@@ -263,11 +263,11 @@
         ]});
         let update = table.take(&list).unwrap();
         let want = EndpointEntry {
-            endpoint: 1,
+            id: 1,
             zone: 1,
             cell: 3,
             state: EndpointState::Ready,
-            size: 1.5,
+            weight: 1.5,
             started: 2.0,
             pools: ALL_ENDPOINTS,
         };
@@ -301,9 +301,9 @@
                 .entries
                 .iter()
                 .filter(|e| e.state == EndpointState::Gone)
-                .map(|e| e.endpoint)
+                .map(|e| e.id)
                 .collect();
-            assert!(numbers.insert(update.entries[0].endpoint) && gone.len() == usize::from(i > 0));
+            assert!(numbers.insert(update.entries[0].id) && gone.len() == usize::from(i > 0));
             table.forget(|id| gone.contains(&id));
         }
         assert_eq!((table.len(), table.endpoints.len()), (1, 1));
@@ -314,11 +314,11 @@
         let mut table = EndpointRegistry::new(vec![]);
         let id = table.number("mine");
         let mine = EndpointEntry {
-            endpoint: id,
+            id,
             zone: 0,
             cell: 0,
             state: EndpointState::Ready,
-            size: 1.0,
+            weight: 1.0,
             started: 0.0,
             pools: ALL_ENDPOINTS,
         };
@@ -342,11 +342,11 @@
             id
         });
         let mine = EndpointEntry {
-            endpoint: ids[0],
+            id: ids[0],
             zone: 0,
             cell: 0,
             state: EndpointState::Ready,
-            size: 1.0,
+            weight: 1.0,
             started: 0.0,
             pools: ALL_ENDPOINTS,
         };
--- a/src/protocol/http2.rs
+++ b/src/protocol/http2.rs
@@ -114,7 +114,7 @@
     wait_ms: f64,
 ) -> Result<Request<()>, http::Error> {
     let class = request.ask.class;
-    let safe = platform.module.classes[class].effect == Idempotency::Safe;
+    let safe = platform.decision.classes[class].idempotency == Idempotency::Safe;
     let method = if safe && request.body.is_none() {
         Method::GET
     } else {
@@ -155,7 +155,7 @@
     match status {
         StatusCode::OK => Outcome::Ok,
         // A bare 503 may come from anything on the way; only the header says that nothing ran.
-        _ if turned_away && headers.contains_key(DECLINED) => Outcome::Full,
+        _ if turned_away && headers.contains_key(DECLINED) => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -165,7 +165,7 @@
 pub fn broken(error: &h2::Error) -> Outcome {
     let refused = error.is_reset() && error.reason() == Some(Reason::REFUSED_STREAM);
     match error.is_remote() {
-        true if refused => Outcome::Full,
+        true if refused => Outcome::Rejected,
         true if error.is_go_away() => Outcome::ConnectFailed,
         _ => Outcome::Reset,
     }
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -228,7 +228,7 @@
     let terms = text(2, "terms")?.to_string();
     let request = ClientRequest::new(platform, text(0, "customer")?, text(1, "id")?, terms, body)?;
     // Guards the rule on double effects: a class travels under its own verb only.
-    let effect = platform.module.classes[request.ask.class].effect;
+    let effect = platform.decision.classes[request.ask.class].idempotency;
     if (effect == crate::decision::Idempotency::Safe) != safe {
         return Err(InvalidRequest::Class);
     }
@@ -237,8 +237,8 @@
 
 /// The same request for an endpoint, which is told how long this ingress will wait.
 pub fn push_request(out: &mut Vec<u8>, platform: &Platform, request: &ClientRequest, wait_ms: f64) {
-    let safe =
-        platform.module.classes[request.ask.class].effect == crate::decision::Idempotency::Safe;
+    let safe = platform.decision.classes[request.ask.class].idempotency
+        == crate::decision::Idempotency::Safe;
     let verb: &[u8] = if safe { b"SVC.QUERY" } else { b"SVC.SUBMIT" };
     let wait = (wait_ms.max(1.0) as u64).to_string();
     let mut list = String::with_capacity(request.terms.len() + wait.len());
@@ -265,10 +265,10 @@
 /// The true units of a request among the figures on use (`used=37,cost=4`), where units are settled by answers.
 /// Guards quotas: more units than the settings give one request are noise.
 pub fn cost(platform: &Platform, statistics: &[u8]) -> Option<f64> {
-    let settings = &platform.module;
+    let settings = &platform.decision;
     let text = std::str::from_utf8(statistics)
         .ok()
-        .filter(|_| settings.settled_later)?;
+        .filter(|_| settings.settles_units_later)?;
     let mut costs = pairs(text)
         .filter(|(name, _)| *name == "cost")
         .map(|(_, cost)| decimal(cost));
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -89,7 +89,7 @@
         terms: String,
         body: Option<Vec<u8>>,
     ) -> Result<ClientRequest, InvalidRequest> {
-        let settings = &platform.module;
+        let settings = &platform.decision;
         // Guards endpoints, which close on what they cannot read, whatever else waits on the connection: only
         // what is readable throughout goes on.
         let readable =
@@ -144,7 +144,7 @@
         };
         let client_timeout_ms = number("d", MAX_PATIENCE_MS)?;
         // Guards the rule on double effects: what cannot be known again by its key must not be repeated.
-        let keyed = settings.classes[ask.class].effect == Repeat::Keyed;
+        let keyed = settings.classes[ask.class].idempotency == Repeat::Keyed;
         if keyed && !find("k").is_some_and(|key| (1..=MAX_KEY).contains(&key.len())) {
             return Err(InvalidRequest::Term("k"));
         }
@@ -178,7 +178,7 @@
         body: Option<Vec<u8>>,
     ) -> Result<(), InvalidRequest> {
         // Guards the endpoints' grammar: a query never has a body, whatever else never lacks one.
-        let safe = platform.module.classes[self.ask.class].effect == Repeat::Safe;
+        let safe = platform.decision.classes[self.ask.class].idempotency == Repeat::Safe;
         self.body = match (safe, body) {
             (true, Some(body)) if !body.is_empty() => return Err(InvalidRequest::Term("body")),
             (true, _) => None,
@@ -242,13 +242,13 @@
     /// Start an attempt.
     StartAttempt(AttemptStart),
     /// Abandon an attempt: its connection must be closed before anything else is done.
-    Abandon(RequestId, u32),
+    AbandonAttempt(RequestId, u32),
     /// Ask an endpoint for its load.
     Probe(EndpointId),
     /// Add to a number on the counter.
-    Count(CounterAdd),
+    AddToCounter(CounterAdd),
     /// Close the idle connections to an endpoint that is leaving or has left.
-    Release(EndpointId),
+    ReleaseEndpoint(EndpointId),
 }
 
 /// How an attempt ended.
@@ -261,7 +261,7 @@
     /// The endpoint's load report, if one came along.
     pub load: Vec<f64>,
     /// The true units, where they are settled by the answer and it named them.
-    pub cost: Option<f64>,
+    pub settled_units: Option<f64>,
 }
 
 impl AttemptResult {
@@ -271,7 +271,7 @@
             outcome,
             value: None,
             load: Vec::new(),
-            cost: None,
+            settled_units: None,
         }
     }
 }
@@ -295,7 +295,7 @@
 impl InFlightRequest {
     /// Whether telling the client to come again can do no harm.
     fn harmless(&self, class: &Class) -> bool {
-        class.effect == Repeat::Safe || self.attempts.iter().all(|a| !a.may_have_run)
+        class.idempotency == Repeat::Safe || self.attempts.iter().all(|a| !a.may_have_run)
     }
 
     /// The attempts that are out.
@@ -311,17 +311,17 @@
     /// yet, is repeated only where the class is safe, or where every endpoint of the group knows its key.
     fn repeatable(&self, now: f64, class: &Class, place: Place, connect_timeout_ms: f64) -> bool {
         let ran = || self.attempts.iter().filter(|a| a.may_have_run);
-        match class.effect {
+        match class.idempotency {
             Repeat::Safe => true,
             Repeat::Unsafe => ran().next().is_none(),
             Repeat::Keyed => ran().all(|a| {
-                let known = match class.group {
+                let known = match class.deduplication_scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => a.place.0 == place.0,
                     DeduplicationScope::Cell => a.place == place,
                 };
                 // It may be written as late as its connection comes up.
-                known && now - a.sent + connect_timeout_ms < 1e3 * class.window
+                known && now - a.sent + connect_timeout_ms < 1e3 * class.idempotency_window
             }),
         }
     }
@@ -392,7 +392,7 @@
             return id;
         }
         // Guards memory: the deadline's timers live as long as it, whatever a client writes.
-        let longest = 1e3 * self.platform.module.classes[request.ask.class].deadline;
+        let longest = 1e3 * self.platform.decision.classes[request.ask.class].deadline;
         let give_up = now + request.client_timeout_ms.min(longest);
         self.bytes += request.size();
         let request = Rc::new(request);
@@ -404,7 +404,7 @@
         };
         self.held.insert(id, held);
         self.open += 1;
-        let verdict = self.driver.pick(now, id, &request.ask, give_up);
+        let verdict = self.driver.decide(now, id, &request.ask, give_up);
         self.carry_out(now, id, verdict);
         self.settle(now);
         id
@@ -434,7 +434,7 @@
         let out = held.out();
         self.open -= 1;
         self.counts.gone += 1;
-        self.driver.report(now, Observation::ClientGone(id));
+        self.driver.observe(now, Observation::ClientGone(id));
         for attempt in out {
             self.abandon(now, id, attempt, Outcome::Cancelled);
         }
@@ -459,7 +459,7 @@
             let out = held.out();
             let answer = self.refusal(id, retry_after_ms, true);
             // For the module it is as if its client had gone: nothing is sent again.
-            self.driver.report(now, Observation::ClientGone(id));
+            self.driver.observe(now, Observation::ClientGone(id));
             self.finish(id, answer);
             for attempt in out {
                 self.abandon(now, id, attempt, Outcome::Cancelled);
@@ -477,21 +477,23 @@
     /// A counter call has ended.
     pub fn counted(&mut self, now: f64, name: u64, outcome: Outcome, total: f64) {
         self.driver
-            .report(now, Observation::Counted(name, outcome, total));
+            .observe(now, Observation::CounterAnswered(name, outcome, total));
         self.settle(now);
     }
 
     /// The total of a call that was given up before has come after all.
     pub fn counter_answered_late(&mut self, now: f64, add: CounterAdd, total: f64) {
-        self.driver
-            .report(now, Observation::CountedLate(add.name, add.amount, total));
+        self.driver.observe(
+            now,
+            Observation::CounterAnsweredLate(add.name, add.amount, total),
+        );
         self.settle(now);
     }
 
     /// A probe has ended.
     pub fn probed(&mut self, now: f64, endpoint: EndpointId, outcome: Outcome, load: Vec<f64>) {
         self.driver
-            .report(now, Observation::Probed(endpoint, outcome, load));
+            .observe(now, Observation::ProbeEnded(endpoint, outcome, load));
         self.settle(now);
     }
 
@@ -505,16 +507,17 @@
         for entry in &entries {
             let place = (entry.zone, entry.cell);
             self.ready
-                .insert(entry.endpoint, (entry.state == EndpointState::Ready, place));
+                .insert(entry.id, (entry.state == EndpointState::Ready, place));
         }
         let left = self
             .ready
             .iter()
             .filter(|(_, (ready, _))| !ready)
             .map(|(id, _)| *id);
-        self.effects.extend(left.map(Action::Release));
+        self.effects.extend(left.map(Action::ReleaseEndpoint));
         self.ready.retain(|_, (ready, _)| *ready);
-        self.driver.report(now, Observation::Names(kind, entries));
+        self.driver
+            .observe(now, Observation::EndpointList(kind, entries));
         self.settle(now);
     }
 
@@ -603,10 +606,10 @@
                     self.effects.push_back(Action::Probe(endpoint))
                 }
                 // The endpoint registry is followed from the start, whoever asks.
-                Some(DriverAction::Follow) => {}
-                Some(DriverAction::Count(add)) => {
+                Some(DriverAction::FollowEndpointList) => {}
+                Some(DriverAction::AddToCounter(add)) => {
                     self.counts.counts += 1;
-                    self.effects.push_back(Action::Count(add));
+                    self.effects.push_back(Action::AddToCounter(add));
                 }
                 None => return,
             }
@@ -634,7 +637,7 @@
     /// A refusal. Guards the rule against double effects: whatever was decided, a request that may have run is not
     /// told to come again, but has failed.
     fn refusal(&self, id: RequestId, retry_after_ms: f64, late: bool) -> FinalAnswer {
-        let class = |h: &InFlightRequest| &self.platform.module.classes[h.request.ask.class];
+        let class = |h: &InFlightRequest| &self.platform.decision.classes[h.request.ask.class];
         if self.held.get(&id).is_some_and(|h| h.harmless(class(h))) {
             FinalAnswer::Rejected { retry_after_ms }
         } else {
@@ -647,8 +650,8 @@
             return;
         };
         let attempt = held.attempts.len() as u32;
-        let class = &self.platform.module.classes[held.request.ask.class];
-        let settings = &self.platform.module;
+        let class = &self.platform.decision.classes[held.request.ask.class];
+        let settings = &self.platform.decision;
         // Guards three rules whatever the module asks: two attempts out only where the settings allow it, no second
         // run of work with an effect, nothing to an endpoint that is leaving.
         let place = self.ready.get(&endpoint).map(|(_, place)| *place);
@@ -668,16 +671,16 @@
         });
         if !allowed {
             let finished = held.answered;
-            let outcome = Outcome::Moot;
+            let outcome = Outcome::NotSent;
             let end = AttemptReport {
                 request: id,
                 attempt,
                 outcome,
-                finished,
+                request_finished: finished,
                 load: Vec::new(),
-                cost: None,
+                settled_units: None,
             };
-            return self.driver.report(now, Observation::AttemptEnded(end));
+            return self.driver.observe(now, Observation::AttemptEnded(end));
         }
         let until = if client_timeout_ms > 0.0 {
             held.give_up.min(now + client_timeout_ms)
@@ -698,7 +701,7 @@
     }
 
     fn abandon(&mut self, now: f64, id: RequestId, attempt: u32, outcome: Outcome) {
-        self.effects.push_back(Action::Abandon(id, attempt));
+        self.effects.push_back(Action::AbandonAttempt(id, attempt));
         self.end(now, id, attempt, AttemptResult::without(outcome));
     }
 
@@ -707,7 +710,7 @@
             outcome,
             value,
             load,
-            cost,
+            settled_units: cost,
         } = end;
         let Some(held) = self.held.get_mut(&id) else {
             return;
@@ -718,7 +721,7 @@
         a.out = false;
         a.may_have_run = !matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         if let Some(value) = value.filter(|_| outcome == Outcome::Ok) {
             self.finish(id, FinalAnswer::Served(value));
@@ -728,11 +731,11 @@
             request: id,
             attempt,
             outcome,
-            finished,
+            request_finished: finished,
             load,
-            cost,
+            settled_units: cost,
         };
-        self.driver.report(now, Observation::AttemptEnded(end));
+        self.driver.observe(now, Observation::AttemptEnded(end));
         self.forget(id);
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -113,14 +113,14 @@
         Idempotency::Unsafe => RuleEffect::SideEffect,
     };
     let effects = platform
-        .module
+        .decision
         .classes
         .iter()
-        .map(|class| effect(class.effect));
+        .map(|class| effect(class.idempotency));
     Catalog {
         classes: platform.classes.iter().cloned().zip(effects).collect(),
         plans: platform.plans.clone(),
-        max_units: platform.module.max_units,
+        max_units: platform.decision.max_units,
     }
 }
 
@@ -133,7 +133,7 @@
     client: IpAddr,
 ) -> Request<'a> {
     let ask = &request.ask;
-    let safe = platform.module.classes[ask.class].effect == Idempotency::Safe;
+    let safe = platform.decision.classes[ask.class].idempotency == Idempotency::Safe;
     Request {
         protocol: "resp",
         method: if safe { "GET" } else { "POST" },
@@ -186,7 +186,7 @@
     request: &Request<'_>,
     generate_request_id: impl FnOnce() -> String,
 ) -> Result<ClientRequest, InvalidRequest> {
-    let set = &platform.module;
+    let set = &platform.decision;
     let said = |ours: Option<String>, theirs: Option<&str>, name| {
         ours.or_else(|| theirs.map(str::to_string))
             .ok_or(InvalidRequest::Term(name))
@@ -282,7 +282,7 @@
             ..mapped
         })
         .unwrap();
-        let deadline = 1e3 * platform.module.classes[class].deadline;
+        let deadline = 1e3 * platform.decision.classes[class].deadline;
         assert_eq!(
             (&*made.id, made.client_timeout_ms, made.ask.tenant),
             ("fresh", deadline, 9)
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -129,7 +129,7 @@
         in_group: bool,
     ) -> Result<Rc<Dispatcher>, crate::decision::SettingsError> {
         let platform = Rc::new(config.platform.clone());
-        let driver = DecisionDriver::new(platform.module.clone(), config.seed)?;
+        let driver = DecisionDriver::new(platform.decision.clone(), config.seed)?;
         let max_bytes = (memory_mb * 1e6 / 3.0) as usize;
         Ok(Rc::new(Dispatcher {
             started: clock.now(),
@@ -331,7 +331,7 @@
             .notified
             .borrow()
             .values()
-            .filter(|e| named(e.endpoint))
+            .filter(|e| named(e.id))
             .cloned()
             .collect();
         if !entries.is_empty() {
@@ -354,11 +354,11 @@
         }
         for entry in entries {
             if entry.state == EndpointState::Gone {
-                notified.remove(&entry.endpoint);
+                notified.remove(&entry.id);
                 continue;
             }
-            notified.insert(entry.endpoint, entry.clone());
-            let Some(endpoint) = table.endpoint(entry.endpoint) else {
+            notified.insert(entry.id, entry.clone());
+            let Some(endpoint) = table.endpoint(entry.id) else {
                 continue;
             };
             excluded.listed(&endpoint.name);
@@ -469,7 +469,7 @@
     pub fn put_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
         let longest = self
             .platform
-            .module
+            .decision
             .classes
             .iter()
             .map(|c| 1e3 * c.deadline)
@@ -510,7 +510,7 @@
                 .iter_mut()
                 .filter(|entry| entry.state == EndpointState::Ready)
             {
-                entry.pools = match table.endpoint(entry.endpoint) {
+                entry.pools = match table.endpoint(entry.id) {
                     Some(endpoint) => router.pools_of(&Endpoint {
                         name: &endpoint.name,
                         zone: self
@@ -519,7 +519,7 @@
                             .get(entry.zone as usize)
                             .map_or("", String::as_str),
                         cell: entry.cell,
-                        weight: entry.size,
+                        weight: entry.weight,
                         protocol: endpoint.protocol.name(),
                         ip: endpoint.addr.ip(),
                         labels: &endpoint.labels,
@@ -583,9 +583,9 @@
     }
     for entry in entries {
         if entry.state == EndpointState::Ready {
-            listed.insert(entry.endpoint, entry.clone());
+            listed.insert(entry.id, entry.clone());
         } else {
-            listed.remove(&entry.endpoint);
+            listed.remove(&entry.id);
         }
     }
 }
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -99,10 +99,10 @@
     fn carry_out(&self, effect: Action) {
         match effect {
             Action::StartAttempt(attempt) => self.upstream.start(attempt),
-            Action::Abandon(id, attempt) => self.upstream.abandon(id, attempt),
+            Action::AbandonAttempt(id, attempt) => self.upstream.abandon(id, attempt),
             Action::Probe(endpoint) => self.upstream.probe(endpoint),
-            Action::Release(endpoint) => self.upstream.release(endpoint),
-            Action::Count(add) => self.counter.add(&self.dispatcher, add),
+            Action::ReleaseEndpoint(endpoint) => self.upstream.release(endpoint),
+            Action::AddToCounter(add) => self.counter.add(&self.dispatcher, add),
             // The hub gives answers itself.
             Action::Reply(..) => {}
         }
@@ -706,7 +706,7 @@
     let longest = node
         .dispatcher
         .platform()
-        .module
+        .decision
         .classes
         .iter()
         .map(|c| c.deadline * 1e3)
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -621,7 +621,7 @@
             outcome,
             value: Some(ResponseBody::Streaming(Rc::new(outlet))),
             load,
-            cost,
+            settled_units: cost,
         };
     }
     match http2::collect(&mut stream, STALLED * up.dial).await {
@@ -629,7 +629,7 @@
             outcome,
             value: Some(ResponseBody::Complete(value)),
             load,
-            cost,
+            settled_units: cost,
         },
         // It has begun to answer, so it ran, whatever ended the stream or keeps it from its end.
         None => AttemptResult::without(Outcome::Reset),
@@ -799,7 +799,7 @@
                     outcome: Outcome::Ok,
                     value,
                     load,
-                    cost,
+                    settled_units: cost,
                 })
             }
             _ => None,
@@ -808,7 +808,7 @@
             let mut words = text.split(|b| *b == b' ');
             // What is neither of these is noise, and says nothing of the endpoint's class or queue.
             let outcome = match words.next() {
-                Some(b"BUSY") => Outcome::Full,
+                Some(b"BUSY") => Outcome::Rejected,
                 Some(b"ERR") => Outcome::Error,
                 _ => return None,
             };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,9 +7,9 @@
     Class {
         latency_objective: 0.5,
         deadline: 2.0,
-        effect,
-        group,
-        window: 1.0,
+        idempotency: effect,
+        deduplication_scope: group,
+        idempotency_window: 1.0,
         late_share: 0.0,
         priority_weight: 1.0,
     }
@@ -48,7 +48,7 @@
         hedging: true,
         counter: true,
         counter_timeout: 0.1,
-        settled_later: false,
+        settles_units_later: false,
         max_units: 4.0,
         max_attempts: 4,
         max_retry_after: 2.0,
@@ -63,11 +63,11 @@
 pub fn endpoint(endpoint: EndpointId) -> EndpointEntry {
     let cell = endpoint / 4;
     EndpointEntry {
-        endpoint,
+        id: endpoint,
         zone: cell % 2,
         cell,
         state: EndpointState::Ready,
-        size: 1.0,
+        weight: 1.0,
         started: 0.0,
         pools: ALL_ENDPOINTS,
     }
@@ -99,7 +99,7 @@
             last: Vec::new(),
             next: 1,
         };
-        bed.tell(Event::Endpoints {
+        bed.tell(Event::EndpointList {
             kind: ListKind::Full,
             entries: (0..endpoints).map(endpoint).collect(),
         });
@@ -141,7 +141,7 @@
             repeat,
             pools: ALL_ENDPOINTS,
         };
-        self.tell(Event::Arrived(request));
+        self.tell(Event::RequestArrived(request));
         id
     }
 
@@ -160,7 +160,7 @@
             repeat: false,
             pools: ALL_ENDPOINTS,
         };
-        self.tell(Event::Arrived(request));
+        self.tell(Event::RequestArrived(request));
         id
     }
 
@@ -201,11 +201,11 @@
             id,
             attempt,
             outcome,
-            finished,
-            settled: None,
+            request_finished: finished,
+            settled_units: None,
             report: vec![],
         };
-        self.tell(Event::Ended(end));
+        self.tell(Event::AttemptEnded(end));
     }
 
     pub fn tick(&mut self, after: f64) {
@@ -227,7 +227,7 @@
     /// Counter calls of the last event.
     pub fn counts(&self) -> Vec<(u64, f64)> {
         let call = |a: &Action| match a {
-            Action::Count { name, amount, .. } => Some((*name, *amount)),
+            Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
             _ => None,
         };
         self.last.iter().filter_map(call).collect()
@@ -236,7 +236,7 @@
     pub fn refused(&self, id: RequestId) -> bool {
         self.last
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+            .any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
     }
 
     pub fn failed(&self, id: RequestId) -> bool {
--- a/tests/decision.rs
+++ b/tests/decision.rs
@@ -115,7 +115,7 @@
         assert!(bed.counts().is_empty(), "a second add in flight");
     }
     // The window is used up: the excess is trimmed once, then the flood is refused without calls.
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: 60.0,
@@ -125,7 +125,7 @@
         vec![(name, -amount)],
         "trimmed by a negative add"
     );
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: 60.0 - amount,
@@ -145,7 +145,7 @@
     let id = bed.ask(0, 1, 5, 1.0);
     assert!(bed.sends().is_empty() && !bed.refused(id), "held");
     let (name, amount) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: amount,
@@ -153,7 +153,7 @@
     assert_eq!(bed.sends(), vec![id]);
     let id = bed.ask(0, 1, 6, 1.0);
     let (name, _) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: 60.0,
@@ -172,7 +172,7 @@
         if let Some(&(name, _)) = bed.counts().first() {
             calls += 1;
             bed.now += 0.05;
-            bed.tell(Event::Counted {
+            bed.tell(Event::CounterAnswered {
                 name,
                 outcome: Outcome::Timeout,
                 total: 0.0,
@@ -195,7 +195,7 @@
     let mut bed = Bed::new(settings(), 4);
     let id = bed.ask(0, 1, 5, 1.0);
     let (name, first) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Error,
         total: 0.0,
@@ -205,7 +205,7 @@
         bed.sends().is_empty() && !bed.refused(id),
         "held: the next total comes at once"
     );
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: first + second,
@@ -223,7 +223,7 @@
     while let Some(&(name, _)) = bed.counts().first() {
         calls += 1;
         assert!(calls < 10, "call after call");
-        bed.tell(Event::Counted {
+        bed.tell(Event::CounterAnswered {
             name,
             outcome: Outcome::Error,
             total: 0.0,
@@ -240,20 +240,20 @@
     // The last window is read first, as it is under a ceiling.
     bed.ask(0, 1, 5, 1.0);
     let (name, _) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: 0.0,
     });
     let (name, amount) = bed.counts()[0];
     bed.now += 0.1;
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Timeout,
         total: 0.0,
     });
     assert!(bed.sends().is_empty());
-    bed.tell(Event::CountedLate {
+    bed.tell(Event::CounterAnsweredLate {
         name,
         amount,
         total: amount,
@@ -272,7 +272,7 @@
         if i == 10 {
             total = 0.0;
         }
-        bed.tell(Event::Counted {
+        bed.tell(Event::CounterAnswered {
             name,
             outcome: Outcome::Ok,
             total,
@@ -294,11 +294,11 @@
 #[test]
 fn units_settled_later_are_taken_from_the_block() {
     let mut set = settings();
-    set.settled_later = true;
+    set.settles_units_later = true;
     let mut bed = Bed::new(set, 4);
     let id = bed.ask(0, 1, 5, 1.0);
     let (name, amount) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: amount,
@@ -307,11 +307,11 @@
         id,
         attempt: 0,
         outcome: Outcome::Ok,
-        finished: true,
-        settled: Some(15.0),
+        request_finished: true,
+        settled_units: Some(15.0),
         report: vec![],
     };
-    bed.tell(Event::Ended(end));
+    bed.tell(Event::AttemptEnded(end));
     bed.ask(0, 1, 5, 1.0);
     let asked: f64 = bed.counts().iter().map(|c| c.1).sum();
     assert!(
@@ -340,7 +340,7 @@
 fn unsafe_requests_go_again_only_after_proof_that_nothing_ran() {
     let mut bed = Bed::new(settings(), 4);
     let id = bed.ask(2, 0, 1, 1.0);
-    bed.end(id, 0, Outcome::Full);
+    bed.end(id, 0, Outcome::Rejected);
     assert_eq!(bed.sent(id).len(), 1);
     bed.end(id, 1, Outcome::Reset);
     assert!(
@@ -379,7 +379,7 @@
             ..endpoint(1)
         },
     ];
-    bed.tell(Event::Endpoints {
+    bed.tell(Event::EndpointList {
         kind: ListKind::Delta,
         entries,
     });
@@ -407,7 +407,7 @@
                 ..endpoint(1)
             };
             let entries = vec![drained(0), cold, drained(2), drained(3)];
-            bed.tell(Event::Endpoints {
+            bed.tell(Event::EndpointList {
                 kind: ListKind::Delta,
                 entries,
             });
@@ -502,12 +502,12 @@
         assert!(bed.refused(id));
     }
     bed.end(77, 0, Outcome::Ok);
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name: 1,
         outcome: Outcome::Ok,
         total: f64::NAN,
     });
-    bed.tell(Event::Probed {
+    bed.tell(Event::ProbeEnded {
         endpoint: 9,
         outcome: Outcome::Ok,
         report: vec![f64::NAN],
@@ -544,7 +544,7 @@
             bed.end(id, 0, Outcome::Ok);
         }
         if let Some(&(name, amount)) = bed.counts().first() {
-            bed.tell(Event::Counted {
+            bed.tell(Event::CounterAnswered {
                 name,
                 outcome: Outcome::Ok,
                 total: amount,
@@ -561,7 +561,7 @@
         bed.now += 0.05;
         let id = bed.ask(0, (tenant % 2) as usize, tenant, 1.0);
         if let Some(&(name, amount)) = bed.counts().first() {
-            bed.tell(Event::Counted {
+            bed.tell(Event::CounterAnswered {
                 name,
                 outcome: Outcome::Ok,
                 total: amount,
@@ -627,7 +627,11 @@
             to[throttled][h as usize] += 1;
             bed.now += 0.125;
             let full = throttled == 0 && h < 2;
-            bed.end(id, attempt, if full { Outcome::Full } else { Outcome::Ok });
+            bed.end(
+                id,
+                attempt,
+                if full { Outcome::Rejected } else { Outcome::Ok },
+            );
             attempt += 1;
             sent = bed.sent(id);
         }
@@ -718,7 +722,7 @@
             bed.ask(0, 1, 5, 1.0);
             sent += bed.sends().len();
             if let Some(&(name, _)) = bed.counts().first() {
-                bed.tell(Event::Counted {
+                bed.tell(Event::CounterAnswered {
                     name,
                     outcome: Outcome::Timeout,
                     total: 0.0,
@@ -736,7 +740,7 @@
     let mut bed = Bed::new(settings(), 4);
     bed.ask(0, 1, 5, 1.0);
     let (name, amount) = bed.counts()[0];
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: amount,
@@ -754,7 +758,7 @@
         let sent = bed.ask_unit(6).len();
         if let Some(&(name, amount)) = bed.counts().first() {
             (ahead, total) = (ahead + sent, total + amount);
-            bed.tell(Event::Counted {
+            bed.tell(Event::CounterAnswered {
                 name,
                 outcome: Outcome::Ok,
                 total,
@@ -772,7 +776,7 @@
     let id = bed.ask(0, 1, 5, 1.0);
     let (name, amount) = bed.counts()[0];
     assert_eq!(amount, 0.0, "the last window's total");
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: 60.0,
@@ -801,7 +805,7 @@
     assert!(bed.sent(id).is_empty(), "it waits");
     bed.tell(Event::ClientGone { id });
     bed.now += 0.01;
-    bed.tell(Event::Counted {
+    bed.tell(Event::CounterAnswered {
         name,
         outcome: Outcome::Ok,
         total: amount,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -43,7 +43,7 @@
             let mut bed = Bed::new(set, 8);
             bed.ingress =
                 DecisionEngine::new(bed.set.clone(), 1000 + u64::from(position)).expect("sound");
-            bed.tell(Event::Endpoints {
+            bed.tell(Event::EndpointList {
                 kind: ListKind::Full,
                 entries: (0..8).map(endpoint).collect(),
             });
@@ -66,7 +66,7 @@
     /// Tells all gateways of these endpoints.
     fn list(&mut self, entries: Vec<EndpointEntry>) {
         for g in 0..self.beds.len() {
-            self.beds[g].tell(Event::Endpoints {
+            self.beds[g].tell(Event::EndpointList {
                 kind: ListKind::Delta,
                 entries: entries.clone(),
             });
@@ -90,7 +90,7 @@
                         self.sent.push((now, units));
                     }
                 }
-                Action::Count { name, amount, .. } => {
+                Action::AddToCounter { name, amount, .. } => {
                     self.calls += 1;
                     let unsound = self.counter == Counter::Unsound;
                     if unsound && self.dice.rand_float() < 0.002 {
@@ -101,10 +101,10 @@
                         outcome = Outcome::Timeout;
                     }
                     if self.counter == Counter::Full {
-                        outcome = Outcome::Full;
+                        outcome = Outcome::Rejected;
                     }
                     let total = self.totals.entry(name).or_insert(0.0);
-                    *total += if outcome == Outcome::Full {
+                    *total += if outcome == Outcome::Rejected {
                         0.0
                     } else {
                         amount
@@ -128,7 +128,7 @@
             .partition(|a| a.0 <= now);
         self.answers = later;
         for (_, g, name, outcome, total) in due {
-            self.beds[g].tell(Event::Counted {
+            self.beds[g].tell(Event::CounterAnswered {
                 name,
                 outcome,
                 total,
@@ -354,7 +354,7 @@
             for i in 0..(seconds * 100.0) as usize {
                 let now = fleet.now();
                 for (_, g, entries) in update.extract_if(.., |n| n.0 <= now) {
-                    fleet.beds[g].tell(Event::Endpoints {
+                    fleet.beds[g].tell(Event::EndpointList {
                         kind: ListKind::Delta,
                         entries,
                     });
@@ -386,7 +386,7 @@
             let bed = &mut fleet.beds[g];
             bed.ingress =
                 DecisionEngine::new(bed.set.clone(), seed ^ (g as u64) << 20).expect("sound");
-            bed.tell(Event::Endpoints {
+            bed.tell(Event::EndpointList {
                 kind: ListKind::Full,
                 entries: (0..8).map(endpoint).collect(),
             });
@@ -517,7 +517,7 @@
     fleet.list(
         (0..4)
             .map(|id| EndpointEntry {
-                size: 3.0,
+                weight: 3.0,
                 ..endpoint(id)
             })
             .collect(),
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -38,7 +38,7 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
@@ -56,7 +56,7 @@
 fn proves_it_never_ran(o: Option<Outcome>) -> bool {
     matches!(
         o,
-        Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        Some(Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     )
 }
 
@@ -92,7 +92,7 @@
                     }
                     seen.sent.push((endpoint, now, None));
                 }
-                Action::Refuse { id, .. } => {
+                Action::Reject { id, .. } => {
                     let seen = self.seen.get_mut(&id).unwrap();
                     seen.answers += 1;
                     let ran = seen.sent.iter().any(|s| !proves_it_never_ran(s.2));
@@ -103,7 +103,7 @@
                 }
                 Action::Fail { id } => self.seen.get_mut(&id).unwrap().answers += 1,
                 Action::Timer { after, token } => self.timers.push((now + after, token)),
-                Action::Count { name, amount, .. } => self.calls.push((name, amount)),
+                Action::AddToCounter { name, amount, .. } => self.calls.push((name, amount)),
                 _ => {}
             }
         }
@@ -169,7 +169,7 @@
                         world.draining.push(h);
                         entry.state = EndpointState::Draining;
                     }
-                    bed.tell(Event::Endpoints {
+                    bed.tell(Event::EndpointList {
                         kind: ListKind::Delta,
                         entries: vec![entry],
                     });
@@ -178,7 +178,7 @@
                 Step::Count(o) => {
                     if let Some((name, amount)) = world.calls.pop() {
                         let outcome = OUTCOMES[o];
-                        bed.tell(Event::Counted {
+                        bed.tell(Event::CounterAnswered {
                             name,
                             outcome,
                             total: amount,
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -29,7 +29,7 @@
 impl Bed {
     fn new(max_bytes: usize) -> Bed {
         let platform = platform(&[(r#""counter": true"#, r#""counter": false"#)]);
-        let driver = DecisionDriver::new(platform.module.clone(), 7).unwrap();
+        let driver = DecisionDriver::new(platform.decision.clone(), 7).unwrap();
         let mut core = RequestTable::new(platform.clone(), driver, max_bytes);
         core.update_endpoints(
             NOW,
@@ -81,11 +81,11 @@
 
 fn entry(endpoint: u32, state: EndpointState) -> EndpointEntry {
     EndpointEntry {
-        endpoint,
+        id: endpoint,
         zone: 0,
         cell: 0,
         state,
-        size: 1.0,
+        weight: 1.0,
         started: 0.0,
         pools: driftgap::decision::ALL_ENDPOINTS,
     }
@@ -121,7 +121,7 @@
 fn work_with_an_effect_is_sent_again_only_if_it_never_ran() {
     use Outcome::*;
     for (outcome, again) in [
-        (Full, true),
+        (Rejected, true),
         (ConnectFailed, true),
         (Error, false),
         (Reset, false),
@@ -146,9 +146,9 @@
         ),
         (r#""parallel_tries": false"#, r#""parallel_tries": true"#),
     ]);
-    let mut set = platform.module.clone();
+    let mut set = platform.decision.clone();
     // A module that would send it anywhere: the core must hold it by itself.
-    set.classes[1].group = driftgap::decision::DeduplicationScope::All;
+    set.classes[1].deduplication_scope = driftgap::decision::DeduplicationScope::All;
     for (zones, again) in [([0, 0], true), ([0, 1], false)] {
         let driver = DecisionDriver::new(set.clone(), 7).unwrap();
         let mut core = RequestTable::new(platform.clone(), driver, 1 << 20);
@@ -231,7 +231,7 @@
     }
     let want = [
         Action::Reply(id, FinalAnswer::Failed { late: true }),
-        Action::Abandon(id, 0),
+        Action::AbandonAttempt(id, 0),
     ];
     assert_eq!(effects, want);
 }
@@ -275,7 +275,7 @@
     bed.core.client_gone(NOW + 5.0, id);
     assert_eq!(
         (bed.effects(), bed.core.unanswered()),
-        (vec![Action::Abandon(id, 0)], 0)
+        (vec![Action::AbandonAttempt(id, 0)], 0)
     );
 }
 
@@ -288,7 +288,10 @@
     ];
     bed.core
         .update_endpoints(NOW, ListKind::Delta, left.to_vec());
-    assert_eq!(bed.effects(), vec![Action::Release(0), Action::Release(1)]);
+    assert_eq!(
+        bed.effects(),
+        vec![Action::ReleaseEndpoint(0), Action::ReleaseEndpoint(1)]
+    );
     for _ in 0..5 {
         bed.ask("fetch-episode", 0);
         assert_eq!(bed.started().endpoint, 2);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -31,7 +31,7 @@
     let e = event(
         "03 0003 5d3a91c4 40214df3b645a1cb 40400000 00 0000 3f800000 0000000000000009 40000000 02",
     );
-    let Event::Arrived(r) = e else {
+    let Event::RequestArrived(r) = e else {
         panic!("{e:?}")
     };
     assert_eq!(
@@ -49,7 +49,7 @@
          03124a07 00 0000 0005 00 3f800000 0000000000000000
          2c9011f2 01 0000 0006 02 3fc00000 4018000000000000",
     );
-    let Event::Endpoints {
+    let Event::EndpointList {
         kind: ListKind::Cached,
         entries,
     } = e
@@ -57,20 +57,20 @@
         panic!("{e:?}")
     };
     let first = EndpointEntry {
-        endpoint: 0x0312_4a07,
+        id: 0x0312_4a07,
         zone: 0,
         cell: 5,
         state: EndpointState::Ready,
-        size: 1.0,
+        weight: 1.0,
         started: 0.0,
         pools: ALL_ENDPOINTS,
     };
     let second = EndpointEntry {
-        endpoint: 0x2c90_11f2,
+        id: 0x2c90_11f2,
         zone: 1,
         cell: 6,
         state: EndpointState::Draining,
-        size: 1.5,
+        weight: 1.5,
         started: 6.0,
         pools: ALL_ENDPOINTS,
     };
@@ -80,19 +80,19 @@
 #[test]
 fn response_and_echo() {
     let e = event("05 0003 00000007 0001 00000008 1e 3fb0000000000000 01 0056 0003 01 40000000");
-    let want = Event::Ended(AttemptEnd {
+    let want = Event::AttemptEnded(AttemptEnd {
         id: 7,
         attempt: 1,
-        outcome: Outcome::Full,
-        finished: true,
-        settled: Some(3.0),
+        outcome: Outcome::Rejected,
+        request_finished: true,
+        settled_units: Some(3.0),
         report: vec![2.0],
     });
     assert_eq!(e, want);
     let e = event("08 0003 00000008 32 3fb0000000000000 00");
     assert_eq!(
         e,
-        Event::Probed {
+        Event::ProbeEnded {
             endpoint: 8,
             outcome: Outcome::ConnectFailed,
             report: vec![]
@@ -115,7 +115,7 @@
     let counted = event("0b 0003 000000000089f690 0a 42180000 3f619ce075f6fd22");
     assert_eq!(
         counted,
-        Event::Counted {
+        Event::CounterAnswered {
             name: 0x0089_f690,
             outcome: Outcome::Ok,
             total: 38.0
@@ -147,7 +147,7 @@
             "01 0003 5d3a91c4 03124a07 3fb47ae147ae147b",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 id: 7,
                 retry_after: 0.5,
             },
@@ -166,9 +166,9 @@
             "05 0003 3fe0000000000000 000000000000004d",
         ),
         (Action::Probe { endpoint: 8 }, "06 0003 00000008"),
-        (Action::FollowList, "0b 0003 01"),
+        (Action::FollowEndpointList, "0b 0003 01"),
         (
-            Action::Count {
+            Action::AddToCounter {
                 name: 0x0089_f690,
                 amount: 4.0,
                 lives: 3.0,
