--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -1,4 +1,5 @@
-//! The decision module in blocking style: [`DecisionDriver::pick`], [`DecisionDriver::report`], [`DecisionDriver::tick`]. It owns the
+//! The decision module in blocking style: [`DecisionDriver::decide`], [`DecisionDriver::observe`],
+//! [`DecisionDriver::tick`]. It owns the
 //! module, its timers, and the turn from milliseconds to the module's seconds. Network code sees verdicts and
 //! errands, never the module's events or actions. It must never decide anything itself, nor know a request
 //! beyond the figures that the module asks for.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -11,13 +11,13 @@
 //!     position: 0,
 //!     zone: 0,
 //!     classes: vec![Class {
-//!         aim: 0.5,
+//!         latency_objective: 0.5,
 //!         deadline: 2.0,
-//!         effect: Effect::Safe,
-//!         group: Group::All,
-//!         window: 0.0,
+//!         idempotency: Idempotency::Safe,
+//!         deduplication_scope: DeduplicationScope::All,
+//!         idempotency_window: 0.0,
 //!         late_share: 0.0,
-//!         worth: 1.0,
+//!         priority_weight: 1.0,
 //!     }],
 //!     plans: vec![Plan {
 //!         rate: 10.0,
@@ -31,13 +31,13 @@
 //!     report: vec![],
 //!     report_by_probe: false,
 //!     list_on_request: false,
-//!     may_probe: true,
-//!     may_cancel: true,
-//!     second_copies: true,
+//!     probes_allowed: true,
+//!     cancellation_allowed: true,
+//!     hedging: true,
 //!     counter: true,
 //!     counter_timeout: 0.1,
-//!     settled_later: false,
-//!     most_units: 4.0,
+//!     settles_units_later: false,
+//!     max_units: 4.0,
 //!     max_attempts: 3,
 //!     max_retry_after: 2.0,
 //!     resolution: 0.002,
@@ -46,13 +46,20 @@
 //!     overload_factor: 3.0,
 //!     tip_after: 2.0,
 //! };
-//! let mut ingress = Gateway::new(settings, 7)?;
+//! let mut engine = DecisionEngine::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
 //! // The list of endpoints.
-//! let entry =
-//!     HostEntry { endpoint: 42, zone: 0, cell: 0, state: HostState::Ready, size: 1.0, started: 0.0, pools: ALL_HOSTS };
-//! ingress.handle(100.0, Event::EndpointList { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! let entry = EndpointEntry {
+//!     id: 42,
+//!     zone: 0,
+//!     cell: 0,
+//!     state: EndpointState::Ready,
+//!     weight: 1.0,
+//!     started: 0.0,
+//!     pools: ALL_ENDPOINTS,
+//! };
+//! engine.handle(100.0, Event::EndpointList { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //!
 //! // A request waits while the counter is asked for a block of its tenant's units ...
 //! let request = Request {
@@ -65,10 +72,10 @@
 //!     spread: 2,
 //!     first: 0,
 //!     repeat: false,
-//!     pools: ALL_HOSTS,
+//!     pools: ALL_ENDPOINTS,
 //! };
 //! actions.clear();
-//! ingress.handle(200.1, Event::RequestArrived(request), &mut actions);
+//! engine.handle(200.1, Event::RequestArrived(request), &mut actions);
 //! let call = actions.iter().find_map(|a| match a {
 //!     Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
 //!     _ => None,
@@ -77,7 +84,7 @@
 //!
 //! // ... is let in by the answer and sent ...
 //! actions.clear();
-//! ingress.handle(200.11, Event::CounterAnswered { name, outcome: Outcome::Ok, total: amount }, &mut actions);
+//! engine.handle(200.11, Event::CounterAnswered { name, outcome: Outcome::Ok, total: amount }, &mut actions);
 //! assert!(actions.contains(&Action::Send { id: 1, endpoint: 42, timeout: 0.0 }));
 //!
 //! // ... and answered: the client has its answer, so nothing more is owed.
@@ -86,11 +93,11 @@
 //!     id: 1,
 //!     attempt: 0,
 //!     outcome: Outcome::Ok,
-//!     finished: true,
-//!     settled: None,
+//!     request_finished: true,
+//!     settled_units: None,
 //!     report: vec![],
 //! });
-//! ingress.handle(200.2, ended, &mut actions);
+//! engine.handle(200.2, ended, &mut actions);
 //! assert!(actions.is_empty());
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/src/decision/state.rs
+++ b/src/decision/state.rs
@@ -194,7 +194,8 @@
     /// By plan: how often the store had room, and the weight of the last answer in that.
     pub(crate) base: Vec<(f64, f64)>,
     pub(crate) latency: Vec<f64>,
-    /// Attempts a second that a warm endpoint takes on, and since when that is known; what went into it since `warm_at`:
+    /// Attempts a second that a warm endpoint takes on, and since when that is known; what went into it since
+    /// `warm_at`:
     /// attempts that warm endpoints have ended and not rejected, and requests that wanted an endpoint.
     pub(crate) warm_rate: f64,
     pub(crate) rated_at: f64,
@@ -214,7 +215,8 @@
         self.pace = (of / self.departs.max(1e-3)).clamp(range.0, range.1);
     }
 
-    /// Attempts a second that a warm endpoint takes on, the last spell with this weight. Where none was ever warm, an even
+    /// Attempts a second that a warm endpoint takes on, the last spell with this weight. Where none was ever
+    /// warm, an even
     /// part of what is wanted stands in.
     pub(crate) fn measure_warm(&mut self, now: f64, (warm, ready): (usize, usize), weight: f64) {
         let (sum, endpoints) = match (warm, self.warm_rate > 0.0) {
