--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -4,6 +4,8 @@
 
 use stage::{play, play_all, play_resp, Wire};
 
+/// A client pipelines more requests than are taken at once and leaves. Those that were not taken must not be
+/// begun when places come free.
 #[test]
 fn behind_the_most_pipelined_requests_nothing_more_is_begun() {
     // 128 are taken; the others are in the ring, and nothing is read meanwhile. All wait for the counter until its calls
@@ -24,6 +26,8 @@
     );
 }
 
+/// The same with so many requests that part of them is unread: the end of the connection stands behind bytes
+/// that nobody reads.
 #[test]
 fn with_unread_bytes_behind_a_full_ring_nothing_more_is_begun() {
     play_resp(
@@ -42,6 +46,7 @@
     );
 }
 
+/// A client leaves while its attempts are out, and these fail. No retry may begin for a client that has gone.
 #[test]
 fn behind_one_that_waits_nothing_more_is_begun() {
     play_resp(
@@ -60,6 +65,8 @@
     );
 }
 
+/// The same during a shutdown, when nothing more is read from the connection, so that its end is easily
+/// missed.
 #[test]
 fn on_a_connection_that_is_to_end_nothing_more_is_begun() {
     // A fetch that an endpoint could not serve is forwarded once more, unless its client has gone.
@@ -78,6 +85,7 @@
     );
 }
 
+/// The same behind bytes that make no sense, after which nothing more is read from the connection.
 #[test]
 fn behind_words_that_make_no_sense_nothing_more_is_begun() {
     play_resp(
@@ -93,6 +101,8 @@
     );
 }
 
+/// A client leaves while its request waits for a token lease. The answer of the counter must not begin an
+/// attempt.
 #[test]
 fn what_waits_for_the_counter_is_not_begun() {
     play_all(
@@ -105,6 +115,7 @@
     );
 }
 
+/// A client leaves while a connection to an endpoint is being made. Nothing may be written when it comes up.
 #[test]
 fn what_waits_for_a_connection_is_not_begun() {
     play_all(
@@ -121,6 +132,8 @@
     );
 }
 
+/// A client shuts down its sending side only. To the platform it has closed, so nothing further is begun for
+/// it.
 #[test]
 fn a_client_that_has_ended_its_sending_has_gone() {
     // The platform knows no half of a connection: one that its client has closed is gone.
@@ -136,6 +149,8 @@
     );
 }
 
+/// Hundreds of clients connect and say nothing. They would hold every place; those idle for longest make room
+/// for others.
 #[test]
 fn clients_that_say_nothing_do_not_keep_others_out() {
     for front in [Wire::Resp, Wire::Http2] {
@@ -151,6 +166,8 @@
     }
 }
 
+/// The ingress is held up while a client writes requests and leaves. It reads both at once and must see the
+/// end before it begins anything.
 #[test]
 fn what_a_client_wrote_before_it_went_is_not_begun_by_an_ingress_that_comes_to_it_late() {
     // It cannot run for 300 ms, as on a machine that others share.
@@ -250,6 +267,8 @@
     );
 }
 
+/// Hundreds of clients leave at once with their answers unread. Connections, attempts and memory must all be
+/// given back.
 #[test]
 fn hundreds_of_clients_that_go_at_once_with_answers_unread_leave_nothing_behind() {
     for front in [Wire::Resp, Wire::Http2] {
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -6,6 +6,8 @@
 
 const REQUEST: &str = r"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$2\r\nk1\r\n$54\r\nc=fetch-episode,t=city,d=1000,units=2,spread=1,first=0\r\n";
 
+/// SIGTERM comes when half a request has been read. The rest arrives: the request was accepted, so it is
+/// answered before the connection ends.
 #[test]
 fn a_request_of_which_half_had_come_at_the_stop_is_answered() {
     for cut in [1, 20, 60, REQUEST.len() - 6] {
@@ -28,6 +30,8 @@
     }
 }
 
+/// A request crosses the end of its connection. If it is read and then the connection is closed, it is lost;
+/// it is answered, or the close came before it was read.
 #[test]
 fn a_request_that_comes_in_the_instant_of_the_stop_is_answered_or_its_connection_was_closed_before()
 {
@@ -48,6 +52,8 @@
     }
 }
 
+/// SIGTERM comes again during a shutdown. If the second one ended the process, requests in flight would be
+/// lost.
 #[test]
 fn a_second_term_changes_nothing() {
     play_all(
@@ -64,6 +70,8 @@
     );
 }
 
+/// Endpoints hang through the whole shutdown. Before the process ends every request gets a final answer: a
+/// failure where it may have run, a rejection where that does no harm.
 #[test]
 fn an_endpoint_that_hangs_until_the_end_costs_no_request_its_answer() {
     // The one may have run and has failed, the other is harmless; both in time for the program to end.
@@ -80,6 +88,7 @@
     );
 }
 
+/// Clients rest on their connections and never close them. The shutdown must not wait for them.
 #[test]
 fn a_client_that_rests_until_it_is_ended_is_ended_and_one_that_says_nothing_too() {
     play_resp(
@@ -94,6 +103,8 @@
     );
 }
 
+/// A connection is closed while bytes of the client are unread. The system then resets it, and answers that
+/// are not delivered yet would go with the reset.
 #[test]
 fn a_connection_that_is_closed_over_unread_bytes_has_brought_its_answers() {
     play_resp(
@@ -113,6 +124,8 @@
     );
 }
 
+/// The same with a client that reads slowly, so that most of its answers are still to be sent when its bytes
+/// turn out to make no sense.
 #[test]
 fn a_client_that_reads_slowly_has_its_answers_before_a_close_over_unread_bytes() {
     let send: String = (0..10)
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,6 +4,8 @@
 
 use stage::{play, play_all, play_resp, Wire};
 
+/// An endpoint fails while it works on a request that must not run twice. It may have run, so a retry could
+/// book twice: the client gets a failure, and no second attempt goes out.
 #[test]
 fn a_booking_that_breaks_halfway_is_not_made_again() {
     for fault in ["half", "reset", "goaway", "error", "garbage", "hang"] {
@@ -17,6 +19,8 @@
     }
 }
 
+/// The same failure on a request that is safe to repeat: the client never sees it, since another attempt
+/// serves it.
 #[test]
 fn a_fetch_that_breaks_halfway_is_made_again() {
     play_all(
@@ -28,6 +32,8 @@
     );
 }
 
+/// An endpoint sends half an answer and stops. Waiting for the rest would use up the deadline; the attempt is
+/// given up early enough for another one.
 #[test]
 fn a_fetch_whose_answer_hangs_halfway_is_made_again_long_before_its_deadline() {
     play_all(
@@ -39,6 +45,8 @@
     );
 }
 
+/// An endpoint sends more than one answer, or odd lines beside it. If those bytes stayed on a reused
+/// connection, the next request would get an answer that is not its own.
 #[test]
 fn what_comes_beside_a_value_never_becomes_another_requests_answer() {
     play(
@@ -61,6 +69,8 @@
     );
 }
 
+/// The second answer arrives after the first was passed on, while the connection rests in the pool. It must
+/// be noticed before the connection carries another request.
 #[test]
 fn a_second_answer_that_comes_some_milliseconds_late_is_no_other_requests() {
     // Requests come one behind the other, so that the connection is wanted again before the second answer is there.
@@ -82,6 +92,8 @@
     );
 }
 
+/// An endpoint rejects a request unseen. It cannot have run, so even a request that must not run twice is
+/// retried elsewhere.
 #[test]
 fn a_booking_that_never_ran_is_sent_elsewhere() {
     for fault in ["busy", "refuse"] {
@@ -95,6 +107,7 @@
     }
 }
 
+/// Every endpoint rejects a request unseen. Nothing ran, so the client is told to come again, and when.
 #[test]
 fn a_booking_that_nobody_takes_is_refused_with_advice() {
     play_all(
@@ -104,6 +117,8 @@
     );
 }
 
+/// An endpoint never answers. At the deadline the client gets its one final answer, the attempt is abandoned,
+/// and later requests are not affected.
 #[test]
 fn at_the_deadline_the_client_hears_once_and_the_attempt_is_abandoned() {
     play_all(
@@ -117,6 +132,8 @@
     );
 }
 
+/// One client gives up while another one waits on the same endpoints. Only the request of the first may be
+/// abandoned.
 #[test]
 fn a_client_that_gives_up_ends_its_request_alone() {
     play_all(
@@ -131,6 +148,8 @@
     );
 }
 
+/// SIGTERM comes while two requests of one connection are in flight. Both get their answers before the
+/// connection and the process end.
 #[test]
 fn two_tenants_on_one_connection_are_finished_while_the_ingress_drains() {
     play_all(
@@ -149,6 +168,8 @@
     );
 }
 
+/// At SIGTERM clients still connect until those who route them notice. New connections are served for a
+/// while, idle ones are closed.
 #[test]
 fn an_idle_connection_is_closed_and_new_ones_are_taken_for_a_while_at_a_stop() {
     play_all(
@@ -165,6 +186,7 @@
     );
 }
 
+/// Discovery notifies that an endpoint drains. A request that still went there could die with it.
 #[test]
 fn nothing_goes_to_an_endpoint_that_is_leaving() {
     play_all(
@@ -181,6 +203,8 @@
     );
 }
 
+/// A tenant sends over RESP or HTTP/2. If one frontend charged other units than the other, a quota would
+/// depend on the wire.
 #[test]
 fn quotas_count_the_same_over_both_wires() {
     // A store of 14 units, 2 for each request.
@@ -190,6 +214,8 @@
     play_all(&format!("always value news\n{flood}counted 14"));
 }
 
+/// A client names a class or plan that the settings do not have. The request fails, and its connection still
+/// serves others.
 #[test]
 fn an_unknown_class_or_plan_has_failed_and_the_connection_is_kept() {
     play_all(
@@ -203,6 +229,8 @@
     );
 }
 
+/// On RESP a client tells answers apart by their order alone. The second request is served first; its answer
+/// has to wait for that of the first.
 #[test]
 fn resp_answers_keep_the_order_of_the_requests() {
     play(
@@ -218,6 +246,8 @@
     );
 }
 
+/// Where a request ends is unknown behind bytes that make no sense, so the connection is closed with an
+/// error. A well-formed request of an unknown name is only answered with one.
 #[test]
 fn malformed_bytes_end_the_connection_and_unknown_requests_do_not() {
     play(
@@ -239,6 +269,7 @@
     );
 }
 
+/// Over HTTP/2 a request whose headers make no sense is the fault of the client, and its status says so.
 #[test]
 fn a_request_without_sense_is_400_over_http2() {
     play(
@@ -251,6 +282,8 @@
     );
 }
 
+/// The inventory file is read again with one line broken. A list taken from half a file would drop endpoints
+/// that still serve: the last good list stays.
 #[test]
 fn the_inventory_adds_endpoints_keeps_them_over_a_wrong_file_and_drains_them() {
     play_all(
@@ -275,6 +308,8 @@
     );
 }
 
+/// The plug-in rejects one tenant and fails on another. Neither request may reach an endpoint or be charged,
+/// and the failure does what the operator has set.
 #[test]
 fn the_hook_refuses_before_the_decision_and_its_failure_does_what_is_set() {
     play_all(
@@ -290,6 +325,8 @@
     );
 }
 
+/// The counter service is silent, full, late, or answers nonsense. Quotas rest on it, yet every request gets
+/// its answer in time, and quotas count on once it is back.
 #[test]
 fn a_counter_out_of_order_costs_no_request_its_answer() {
     for fault in [
@@ -314,6 +351,7 @@
     }
 }
 
+/// Discovery answers what is no list. The last good list stays in force until it answers again.
 #[test]
 fn discovery_out_of_order_leaves_the_last_list() {
     for fault in ["garbage", "error", "nonsense"] {
@@ -337,6 +375,8 @@
     }
 }
 
+/// An open watch falls silent without being closed, so a change is missed and nothing shows it. The poll has
+/// to be given up and opened anew before the change counts as notified.
 #[test]
 fn a_watch_that_has_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_notified() {
     // It falls silent at the change, at the latest, and 6 s later that counts as told.
@@ -356,6 +396,8 @@
     );
 }
 
+/// Discovery is down for some seconds, and a backoff that has grown meanwhile would delay its first answer.
+/// What it has on its return is in force within a second.
 #[test]
 fn what_discovery_has_when_it_comes_back_is_in_force_within_a_second() {
     // Silent, so that calls hang; reset at once; and rejected.
@@ -376,6 +418,8 @@
     }
 }
 
+/// A list may be indented, or end with its connection because it names no length. An orderly end is the end
+/// of the list; a reset is not, since half a list would drop endpoints.
 #[test]
 fn a_list_that_is_indented_or_ends_with_its_connection_is_taken_and_one_that_is_reset_is_not() {
     for (fault, want) in [
@@ -400,6 +444,8 @@
     }
 }
 
+/// Idle clients hold all descriptors while discovery is down. If none were left for the connection to
+/// discovery, the ingress would keep its old list for good.
 #[test]
 fn discovery_comes_back_to_an_ingress_whose_descriptors_idle_clients_have_taken() {
     play(
@@ -423,6 +469,8 @@
     );
 }
 
+/// An endpoint closes a connection that rests in the pool. A request written to it would be lost, and one
+/// that must not run twice could not be retried.
 #[test]
 fn a_closed_idle_connection_is_not_reused() {
     // The endpoint closes behind its answer; the next booking takes a new connection and is made once.
@@ -442,6 +490,8 @@
     );
 }
 
+/// An HTTP/2 endpoint ends its connection by GOAWAY with a last stream id below the request. By the protocol
+/// the request was not processed: the client may come again.
 #[test]
 fn a_stream_above_the_last_id_of_a_goaway_never_ran() {
     for front in [Wire::Resp, Wire::Http2] {
@@ -456,6 +506,8 @@
     }
 }
 
+/// A client opens and resets streams without end. Each would cost an attempt at an endpoint; the connection
+/// is ended, and others are served.
 #[test]
 fn a_client_that_resets_without_end_loses_its_connection() {
     let flood: String = (0..220)
@@ -474,6 +526,8 @@
     );
 }
 
+/// Bodies up to the bound are forwarded, several at a time on one connection; a longer one is rejected before
+/// it fills memory.
 #[test]
 fn the_longest_bodies_pass_and_longer_ones_do_not() {
     play_all(
@@ -497,6 +551,8 @@
     );
 }
 
+/// SIGHUP moves discovery and the counter while a request is in flight and the old services go away. The list
+/// stays until the new discovery answers, and the quota counts on where the counter is.
 #[test]
 fn a_new_configuration_moves_discovery_and_counter_and_a_quota_counts_on() {
     // The old places are closed behind the move. A store of 14 units, 2 for each request: one is drawn before
@@ -521,6 +577,8 @@
     ));
 }
 
+/// SIGHUP comes after SIGTERM, while requests are in flight. The process still follows the new discovery, or
+/// requests would go to endpoints that have left.
 #[test]
 fn a_new_configuration_is_followed_during_a_stop() {
     play_all(
@@ -539,6 +597,7 @@
     );
 }
 
+/// A configuration file that makes no sense is read again. Nothing of it may come into force.
 #[test]
 fn a_wrong_configuration_keeps_the_old_one() {
     play(
@@ -558,6 +617,8 @@
     );
 }
 
+/// Clients connect and say nothing, or stop in the middle of a request. They would hold descriptors for ever:
+/// each gets an error and is closed within three seconds.
 #[test]
 fn a_client_that_says_nothing_or_half_a_request_is_ended_within_three_seconds() {
     play(
@@ -574,6 +635,8 @@
     );
 }
 
+/// A client writes hundreds of requests at once. All are answered in order, and other clients do not wait for
+/// them.
 #[test]
 fn a_line_of_hundreds_of_requests_is_answered_whole_and_holds_nobody_up() {
     let ping: String = r"*1\r\n$4\r\nPING\r\n".repeat(400);
@@ -589,6 +652,8 @@
     );
 }
 
+/// A client names units that are no number or far too many. Passed on, they would use up a quota or crash an
+/// endpoint.
 #[test]
 fn a_request_with_values_that_make_no_sense_fails_and_never_reaches_an_endpoint() {
     play_all(
@@ -604,6 +669,8 @@
     );
 }
 
+/// The inventory marks an endpoint as draining, then as active, then as out. It finishes what it has, and
+/// gets new work only while it is active.
 #[test]
 fn an_endpoint_that_the_inventory_has_as_draining_gets_nothing_new_and_finishes() {
     play_all(
@@ -633,6 +700,8 @@
     );
 }
 
+/// The inventory names two hosts at one address. Which of them is meant cannot be known: the last good list
+/// stays.
 #[test]
 fn two_nodes_at_one_address_keep_the_last_good_inventory() {
     play_all(
@@ -648,6 +717,8 @@
     );
 }
 
+/// The connection to an endpoint is reset long after the request was written. It may have run: a request that
+/// must not run twice fails, and no retry goes out.
 #[test]
 fn a_booking_whose_connection_is_reset_long_after_it_began_is_not_made_again() {
     play_all(
@@ -661,6 +732,8 @@
     );
 }
 
+/// The same reset under a request that is safe to repeat: there is time left for a retry, and the client is
+/// served.
 #[test]
 fn a_fetch_whose_connection_is_reset_long_after_it_began_is_made_again() {
     // Its class has 1.2 s.
@@ -675,6 +748,8 @@
     );
 }
 
+/// A connection to an endpoint comes up after 1.5 s. Requests go elsewhere meanwhile, and the late connection
+/// must not carry one whose client has its answer.
 #[test]
 fn a_connection_that_comes_up_after_1500_ms_is_not_waited_for_and_brings_no_attempt() {
     play_all(
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -5,6 +5,8 @@
 
 use stage::{play, play_all, Wire};
 
+/// Callers write half a call and stay. Staff must still get through, and calls that make no sense get an
+/// error.
 #[test]
 fn calls_are_answered_whoever_else_hangs_on_the_line() {
     let silent = "murmur SUSPEND a\n".repeat(40);
@@ -28,6 +30,8 @@
     );
 }
 
+/// Staff drain an ingress by PAUSE. Those who route clients notice after a while; until then requests are
+/// served, connections end when nothing is owed, and RESUME takes it back.
 #[test]
 fn an_emptied_ingress_sends_clients_away_and_takes_them_again() {
     play_all(
@@ -71,6 +75,7 @@
     );
 }
 
+/// Health checks at the address of the clients must see that the ingress drains, or clients keep coming.
 #[test]
 fn an_emptied_ingress_says_no_at_the_clients_address() {
     play(
@@ -99,6 +104,8 @@
     );
 }
 
+/// A new version is started beside the old one, which then gets SIGTERM. No request may be lost, whichever
+/// process accepts it.
 #[test]
 fn a_second_process_takes_over_without_a_lost_request() {
     // On HTTP/2 the platform holds no socket: who comes while the old process ends may have to come again.
@@ -131,6 +138,8 @@
     }
 }
 
+/// Staff exclude an endpoint, then lists name it as leaving, left and active again. It stays excluded until
+/// staff put it back.
 #[test]
 fn what_staff_have_taken_out_gets_nothing_until_they_put_it_back() {
     play_all(
@@ -167,6 +176,8 @@
     );
 }
 
+/// Endpoints are excluded before and during a process takeover. Both processes must know of each call, and
+/// the new one goes on with it.
 #[test]
 fn what_is_out_stays_out_over_an_upgrade_and_either_process_hears_of_calls() {
     for behind in [Wire::Resp, Wire::Http2] {
@@ -200,6 +211,8 @@
     }
 }
 
+/// During a takeover two processes share the descriptors of one. If each took all for itself, one of them
+/// would fail.
 #[test]
 fn two_processes_together_hold_the_descriptors_of_one() {
     play(
@@ -222,6 +235,8 @@
     );
 }
 
+/// The old process is killed in the middle of a takeover, and another takeover follows. What staff have
+/// excluded survives both.
 #[test]
 fn an_old_process_that_is_killed_and_two_upgrades_in_a_row_lose_nothing_that_staff_said() {
     play(
@@ -258,6 +273,8 @@
     );
 }
 
+/// A second process cannot start, because its address is taken. The first goes on with all its descriptors
+/// and with what staff have excluded.
 #[test]
 fn a_new_process_that_ends_before_its_yes_leaves_the_old_one_as_it_was() {
     play(
@@ -276,6 +293,8 @@
     );
 }
 
+/// The old process is paused when a new one is started. The pause was meant for the old one; the new one
+/// takes clients.
 #[test]
 fn a_process_that_is_started_during_a_pause_takes_clients() {
     play(
@@ -296,6 +315,7 @@
     );
 }
 
+/// Clients hold every place that is theirs, and callers hang. Staff must still get through.
 #[test]
 fn calls_are_answered_beside_a_full_table_of_clients() {
     play(
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -47,6 +47,8 @@
     Rules::read(&text, "rules.toml", &catalog(&config.platform)).unwrap()
 }
 
+/// Rules are replaced without a new pool. If every endpoint were notified of its pools all the same, a large
+/// fleet would hold the serving thread up.
 #[test]
 fn rules_without_a_new_pool_cost_the_same_however_many_endpoints_there_are() {
     const PUTS: usize = 21;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -220,6 +220,9 @@
     }
 }
 
+/// SIGHUPs come faster than files are read, some files are torn or wrong, and the process is killed in
+/// between. No request is lost, none with an effect runs twice, and the last good file is in force in the
+/// end.
 #[test]
 fn a_storm_of_reloads_loses_no_request_and_ends_with_the_last_good_file() {
     const ROUNDS: usize = 300;
@@ -300,6 +303,8 @@
     });
 }
 
+/// Rules are read again hundreds of times. If old ones were kept, a process would grow until it is killed for
+/// memory.
 #[test]
 fn hundreds_of_reloads_leave_memory_as_it_is_after_the_first() {
     const FIRST: usize = 20;
@@ -332,6 +337,7 @@
     });
 }
 
+/// A large file takes long to read. Were it read on the serving thread, every client would wait for it.
 #[test]
 fn requests_are_answered_while_a_large_file_is_read() {
     const LARGE: usize = 8_000;
@@ -401,6 +407,8 @@
     )
 }
 
+/// SIGHUP comes during a shutdown with requests in flight. Rules are read, and the shutdown still ends in
+/// time.
 #[test]
 fn rules_are_read_again_during_a_stop() {
     play(async {
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -11,6 +11,7 @@
     [[rule]]\\nname = 'to-x'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\npool = '\"x\"'\\n\
     [[rule]]\\nname = 'to-y'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000008\"'\\npool = '\"y\"'\\n";
 
+/// Rules choose a pool of endpoints. A request that left its pool could reach data that it must not see.
 #[test]
 fn a_pools_requests_go_to_its_endpoints_alone() {
     play_all(&format!(
@@ -32,6 +33,8 @@
     ));
 }
 
+/// No endpoint of a pool is ready. The request falls back or is rejected as the file says, and goes nowhere
+/// else.
 #[test]
 fn a_pool_without_a_ready_endpoint_falls_back_or_refuses_and_never_spills() {
     play_all(&format!(
@@ -54,6 +57,7 @@
     ));
 }
 
+/// An attempt in a pool fails. The retry must stay within the pool.
 #[test]
 fn a_further_attempt_stays_within_the_pool() {
     // Both endpoints are in: the second attempt goes to the other. One is in: nothing else is tried.
@@ -74,6 +78,8 @@
     ));
 }
 
+/// Rules are replaced while a request is in flight. Its retry and its limits follow the rules that it began
+/// with.
 #[test]
 fn a_request_ends_under_the_rules_that_it_began_with() {
     // While a booking is out the pools change names and order; its retry, were there one, would have its old pool.
@@ -93,6 +99,7 @@
     ));
 }
 
+/// One key is over its limit. Its requests are rejected at once, and other keys do not notice.
 #[test]
 fn a_limit_refuses_at_once_and_another_key_passes() {
     let limit =
@@ -116,6 +123,8 @@
     ));
 }
 
+/// A limit on requests in flight. Whatever ends a request (an answer, a failure, a reset) must give its place
+/// back, or the limit leaks away.
 #[test]
 fn at_once_counts_to_the_final_answer_however_it_comes() {
     let limit = "[[rule]]\\nname = 'l'\\nlimit = { key = '\"all\"', at_once = 1 }\\n";
@@ -140,6 +149,8 @@
     ));
 }
 
+/// A limit rejects with the time at which there is room again. A time too early would bring the client back
+/// for another rejection.
 #[test]
 fn the_time_to_come_back_is_notified_exactly() {
     let rules = "[[rule]]\\nname = 'n'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000009\"'\\nnack = 'duration(\"1234ms\")'\\n";
@@ -161,6 +172,7 @@
     class = '\"book-rebroadcast\"'\\nplan = '\"city\"'\\npartner = '\"0000000000000007\"'\\nunits = 'request.units.orValue(1.0)'\\n\
     id = '\"b\" + request.path.split(\"/\")[2].orValue(\"\")'\\n";
 
+/// A rule makes a request of a plain GET. Its units count in the quota like those of any other.
 #[test]
 fn a_plain_get_becomes_a_request_and_counts_its_units() {
     for behind in [Wire::Resp, Wire::Http2] {
@@ -186,6 +198,8 @@
     }
 }
 
+/// A rule makes a request with an effect of a plain one, and its attempt breaks halfway. No rule may make it
+/// safe to repeat.
 #[test]
 fn a_mapped_booking_that_may_have_run_is_not_made_again() {
     for behind in [Wire::Resp, Wire::Http2] {
@@ -206,6 +220,8 @@
     }
 }
 
+/// A file of rules that would take too much memory or time is read again. The old rules stay, and requests
+/// are served meanwhile.
 #[test]
 fn a_hostile_file_keeps_the_old_rules() {
     let deny = "[[rule]]\\nname = 'deny'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\nnack = 'duration(\"1s\")'\\n";
@@ -228,6 +244,7 @@
     }
 }
 
+/// Rules are replaced again and again while requests come. Each request gets exactly one answer.
 #[test]
 fn rules_are_replaced_under_load_with_every_request_answered_once() {
     let file = |i: usize| {
@@ -258,6 +275,7 @@
     play_all(&lines.join("\n"));
 }
 
+/// A limit by key meets keys without end. What is remembered of them is bounded.
 #[test]
 fn a_hundred_thousand_keys_leave_memory_flat() {
     // The tenant is one, so that the keys alone differ; most are refused by its quota, which is as well.
--- /dev/null
+++ b/tests/stage/clients.rs
@@ -0,0 +1,245 @@
+//! Clients of the program: connections, requests, and answers in the language of scenarios.
+
+use super::*;
+
+/// Writes this as far as it is taken: what waits for 50 ms stays with the writer.
+pub(super) async fn write_taken(stream: &mut TcpStream, mut rest: &[u8]) {
+    while !rest.is_empty() {
+        match tokio::time::timeout(Duration::from_millis(50), stream.write(rest)).await {
+            Ok(Ok(n)) => rest = &rest[n..],
+            _ => return,
+        }
+    }
+}
+
+/// A connection to this address, with little room for what is not read if it is `tight`.
+pub(super) async fn connect(address: &str, tight: bool) -> TcpStream {
+    let socket = tokio::net::TcpSocket::new_v4().unwrap();
+    if tight {
+        socket.set_recv_buffer_size(TIGHT_ROOM as u32).unwrap();
+        socket2::SockRef::from(&socket)
+            .set_tcp_mss(TIGHT_SEGMENT)
+            .unwrap();
+    }
+    socket.connect(address.parse().unwrap()).await.unwrap()
+}
+
+pub(super) enum Client {
+    Resp {
+        stream: TcpStream,
+        buffer: Vec<u8>,
+        sent: VecDeque<String>,
+    },
+    Http2 {
+        send: h2::client::SendRequest<Bytes>,
+        streams: HashMap<String, Stream>,
+        ended: Rc<RefCell<bool>>,
+    },
+}
+
+pub(super) type Stream = (h2::client::ResponseFuture, h2::SendStream<Bytes>);
+
+impl Stage {
+    /// A client that asks PING; none: it hears no yes.
+    pub(super) async fn ping(&self) -> Option<TcpStream> {
+        let mut stream = TcpStream::connect(&self.ports["resp"]).await.ok()?;
+        stream.write_all(b"*1\r\n$4\r\nPING\r\n").await.ok()?;
+        let mut answer = Vec::new();
+        let yes = read_some(&mut stream, &mut answer).await && answer == b"+PONG\r\n";
+        yes.then_some(stream)
+    }
+
+    pub(super) async fn client(&mut self, name: &str) -> &mut Client {
+        if !self.clients.contains_key(name) {
+            let address = if self.front == Wire::Resp {
+                &self.ports["resp"]
+            } else {
+                &self.ports["http2"]
+            };
+            let tight = self.tight && self.front == Wire::Resp;
+            let stream = connect(address, tight).await;
+            let client = match self.front {
+                Wire::Resp => Client::Resp {
+                    stream,
+                    buffer: Vec::new(),
+                    sent: VecDeque::new(),
+                },
+                Wire::Http2 => {
+                    let (send, connection) = h2::client::handshake(stream).await.unwrap();
+                    let ended = Rc::new(RefCell::new(false));
+                    let end = ended.clone();
+                    spawn_local(async move {
+                        let _ = connection.await;
+                        *end.borrow_mut() = true;
+                    });
+                    Client::Http2 {
+                        send,
+                        streams: HashMap::new(),
+                        ended,
+                    }
+                }
+            };
+            self.clients.insert(name.to_string(), client);
+        }
+        self.clients.get_mut(name).unwrap()
+    }
+
+    pub(super) async fn send(&mut self, words: &[&str]) {
+        let [name, id, class, plan, tenant, rest @ ..] = words else {
+            panic!("{words:?}")
+        };
+        let size = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("body="))
+            .unwrap_or("4");
+        let safe = *class == "fetch-episode";
+        let content = if safe {
+            String::new()
+        } else {
+            "B".repeat(size.parse().unwrap())
+        };
+        let d = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("d="))
+            .unwrap_or("2000");
+        let units = rest
+            .iter()
+            .find_map(|w| w.strip_prefix("units="))
+            .unwrap_or("2");
+        let key = rest.iter().find_map(|w| w.strip_prefix("k="));
+        match self.client(name).await {
+            Client::Resp { stream, sent, .. } => {
+                let verb = if safe { "SVC.QUERY" } else { "SVC.SUBMIT" };
+                let key = key.map_or(String::new(), |key| format!(",k={key}"));
+                let terms = format!("c={class},t={plan},d={d},units={units},spread=1,first=0{key}");
+                let tenant = format!("{tenant:0>16}");
+                let words = [verb, tenant.as_str(), id, &terms, &content];
+                let words = &words[..if safe { 4 } else { 5 }];
+                let mut text = format!("*{}\r\n", words.len());
+                for word in words {
+                    text.push_str(&format!("${}\r\n{word}\r\n", word.len()));
+                }
+                stream.write_all(text.as_bytes()).await.unwrap();
+                sent.push_back(id.to_string());
+            }
+            Client::Http2 { send, streams, .. } => {
+                let mut request = http::Request::post(format!("http://ingress/commands/{class}"));
+                if let Some(key) = key {
+                    request = request.header("idempotency-key", key);
+                }
+                let request = request
+                    .header("api-customer", format!("{tenant:0>16}"))
+                    .header("req-id", *id)
+                    .header("api-plan", *plan)
+                    .header("req-deadline-ms", d)
+                    .header("api-terms", format!("units={units},spread=1,first=0"))
+                    .body(())
+                    .unwrap();
+                let mut ready = send.clone().ready().await.unwrap();
+                let (response, mut body) = ready.send_request(request, false).unwrap();
+                body.send_data(content.into(), true).unwrap();
+                streams.insert(id.to_string(), (response, body));
+            }
+        }
+    }
+
+    /// The answer to a request, in the language's words.
+    pub(super) async fn answer(&mut self, name: &str, id: &str) -> String {
+        match self.clients.get_mut(name).unwrap() {
+            Client::Resp {
+                stream,
+                buffer,
+                sent,
+            } => loop {
+                let size = buffer.strip_prefix(b"$").and_then(|rest| {
+                    let end = rest.iter().position(|b| *b == b'\r')?;
+                    let size = std::str::from_utf8(&rest[..end])
+                        .ok()?
+                        .parse::<usize>()
+                        .ok()?;
+                    Some((end + 3, size))
+                });
+                if let Some((from, size)) = size.filter(|(_, size)| *size > 64 * 1024) {
+                    if buffer.len() >= from + size + 2 {
+                        let value = describe_value(&buffer[from..from + size]);
+                        buffer.drain(..from + size + 2);
+                        assert!(
+                            sent.pop_front().is_none_or(|s| s == id),
+                            "answers out of order at {id}"
+                        );
+                        return format!("served {value}");
+                    }
+                } else if let Ok(Parsed::Complete(reply, n)) = endpoint_reply(buffer) {
+                    let text = |b: &[u8]| String::from_utf8_lossy(b).to_string();
+                    let word = match reply {
+                        Reply::Bulk(Some(value)) => format!("served {}", describe_value(value)),
+                        Reply::Error(e) if e.starts_with(b"BUSY") => "busy".to_string(),
+                        Reply::Error(e) if e.starts_with(b"ERR failed") => "failed".to_string(),
+                        Reply::Error(e) => format!("-{}", text(e)),
+                        Reply::Simple(s) => format!("+{}", text(s)),
+                        other => format!("{other:?}"),
+                    };
+                    buffer.drain(..n);
+                    assert!(
+                        sent.pop_front().is_none_or(|s| s == id),
+                        "answers out of order at {id}"
+                    );
+                    return word;
+                }
+                if !read_some(stream, buffer).await {
+                    return "closed".into();
+                }
+            },
+            Client::Http2 { streams, ended, .. } => {
+                let Some((response, _)) = streams.remove(id) else {
+                    while !*ended.borrow() {
+                        tokio::time::sleep(Duration::from_millis(5)).await;
+                    }
+                    return "closed".into();
+                };
+                let Ok(response) = response.await else {
+                    return "closed".into();
+                };
+                let (head, mut body) = response.into_parts();
+                let mut value = Vec::new();
+                while let Some(part) = body.data().await {
+                    let Ok(part) = part else {
+                        return "closed".into();
+                    };
+                    let _ = body.flow_control().release_capacity(part.len());
+                    value.extend_from_slice(&part);
+                }
+                match head.status.as_u16() {
+                    200 => format!("served {}", describe_value(&value)),
+                    503 if value == b"not ready" => "not ready".into(),
+                    429 | 503 => {
+                        assert!(head.headers.contains_key("retry-after"));
+                        "busy".into()
+                    }
+                    502 | 504 => "failed".into(),
+                    other => other.to_string(),
+                }
+            }
+        }
+    }
+
+    /// Requests in batches, each with an id that no other has.
+    pub(super) async fn flood(&mut self, name: &str, n: usize) {
+        const BATCH: usize = 100;
+        for batch in 0..n / BATCH {
+            let ids: Vec<String> = (0..BATCH)
+                .map(|i| format!("f{}", batch * BATCH + i))
+                .collect();
+            for id in &ids {
+                self.send(&[name, id, "fetch-episode", "city", "7"]).await;
+            }
+            for id in &ids {
+                let answer = self.answer(name, id).await;
+                assert!(
+                    answer == "busy" || answer.starts_with("served"),
+                    "{id}: {answer}"
+                );
+            }
+        }
+    }
+}
--- a/tests/stage/program.rs
+++ b/tests/stage/program.rs
@@ -47,7 +47,7 @@
         program
             .env("EDGE_CONFIG", self.folder.join("config.json"))
             .env("DRIFTGAP_OPERATOR", self.folder.join("operator.toml"))
-            .env("EDGE_OPERATOR", self.operators())
+            .env("EDGE_OPERATOR", self.staff_address())
             .env("TMPDIR", &self.folder)
             .stdout(Stdio::null())
             .stderr(log);
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -4,6 +4,8 @@
 
 use stage::{play, play_all, Wire};
 
+/// A response too large to be held in memory is forwarded while it comes. Every byte arrives, and the
+/// connection serves the next request.
 #[test]
 fn large_values_are_passed_on_as_they_are() {
     play_all(
@@ -24,6 +26,8 @@
     );
 }
 
+/// A large response has begun when its deadline passes. The client has the answer already; cutting it would
+/// spoil it.
 #[test]
 fn a_value_that_comes_slowly_outlives_its_deadline_and_is_not_cut() {
     play_all(
@@ -38,6 +42,8 @@
     );
 }
 
+/// The endpoint breaks off in the middle of a large response. The client has part of it, so it must see a
+/// broken connection, not a complete answer and no second one.
 #[test]
 fn a_value_that_breaks_off_ends_as_one_that_is_not_whole_and_is_not_made_again() {
     play_all(
@@ -51,6 +57,8 @@
     );
 }
 
+/// An endpoint promises more bytes than it sends, or more than any response may have. The attempt is given
+/// up, and a request that is safe to repeat is retried.
 #[test]
 fn a_length_that_is_wrong_is_asked_again_elsewhere() {
     play(
@@ -68,6 +76,8 @@
     );
 }
 
+/// Many clients read large responses slowly. If the ingress held what they do not read, its memory would grow
+/// with their number.
 #[test]
 fn many_that_read_slowly_do_not_fill_the_memory_and_answers_keep_their_order() {
     let mut scenario = String::from("memory\n");
@@ -87,6 +97,8 @@
     play(Wire::Resp, Wire::Http2, &scenario);
 }
 
+/// Many clients write long requests and stop before the end. What they have written is bounded over all of
+/// them, and others are served.
 #[test]
 fn many_that_write_long_requests_and_do_not_finish_do_not_fill_the_memory() {
     // 80 halves of 60 KB are 4.8 MB; a sixth of 10 MB, halved for rings that double, is 0.8 MB.
@@ -102,6 +114,8 @@
     play(Wire::Resp, Wire::Resp, &scenario);
 }
 
+/// A client leaves in the middle of a large response. The endpoint must not stay blocked by bytes that nobody
+/// reads, and the process still ends.
 #[test]
 fn a_client_that_goes_away_frees_its_endpoint() {
     play_all(
