--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod http2;
 pub mod resp;
+pub mod wire_names;
--- /dev/null
+++ b/src/request/request_counts.rs
@@ -0,0 +1,20 @@
+//! What an ingress counts of its requests.
+
+/// Counts since the start of the process, for the log and for staff.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RequestCounts {
+    /// Requests taken.
+    pub taken: u64,
+    /// Requests served.
+    pub served: u64,
+    /// Requests rejected.
+    pub rejected: u64,
+    /// Requests failed.
+    pub failed: u64,
+    /// Requests whose client had gone before its answer.
+    pub gone: u64,
+    /// Attempts sent.
+    pub attempts: u64,
+    /// Counter calls.
+    pub counts: u64,
+}
--- /dev/null
+++ b/src/request/request_table.rs
@@ -0,0 +1,447 @@
+//! The state machine of all requests: events and a time go in, [`Action`]s come out.
+
+use crate::config::settings::Platform;
+use crate::decision::driver::{
+    AttemptReport, CounterAdd, DecisionDriver, DriverAction, EndpointId, Observation, RequestId,
+    Verdict,
+};
+use crate::decision::{Class, EndpointEntry, ListKind, Outcome};
+use crate::request::attempt_deadlines::AttemptDeadlines;
+use crate::request::in_flight::{InFlightRequest, Location, NextAttempt};
+use crate::request::ready_endpoints::ReadyEndpoints;
+use crate::request::{
+    Action, AttemptResult, AttemptStart, ClientRequest, FinalAnswer, RequestCounts,
+};
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+
+/// Retry-After of a request for which there is no memory, ms: until then requests in flight have ended.
+const NO_MEMORY_RETRY_AFTER_MS: f64 = 500.0;
+/// A failure this close to the end of the client's timeout is told as one for want of time, ms: the decision module
+/// gives up some milliseconds before that end, so that the answer still arrives.
+const LATE_MARGIN_MS: f64 = 10.0;
+/// Milliseconds in a second: the settings of classes count seconds.
+const MS_PER_S: f64 = 1e3;
+
+/// All requests of this ingress, from their arrival to the end of their last attempt.
+pub struct RequestTable {
+    platform: Rc<Platform>,
+    driver: DecisionDriver,
+    in_flight: HashMap<RequestId, InFlightRequest>,
+    deadlines: AttemptDeadlines,
+    ready: ReadyEndpoints,
+    actions: VecDeque<Action>,
+    next_id: RequestId,
+    /// Memory that the requests in flight take.
+    bytes: usize,
+    max_bytes: usize,
+    /// Requests that are still owed an answer.
+    unanswered: usize,
+    counts: RequestCounts,
+}
+
+impl RequestTable {
+    /// No requests yet. `max_bytes` bounds the memory that requests in flight may take.
+    pub fn new(platform: Rc<Platform>, driver: DecisionDriver, max_bytes: usize) -> RequestTable {
+        RequestTable {
+            platform,
+            driver,
+            in_flight: HashMap::new(),
+            deadlines: AttemptDeadlines::default(),
+            ready: ReadyEndpoints::default(),
+            actions: VecDeque::new(),
+            next_id: 1,
+            bytes: 0,
+            max_bytes,
+            unanswered: 0,
+            counts: RequestCounts::default(),
+        }
+    }
+
+    /// Takes a request that was read at `now_ms`; its one answer comes as [`Action::Reply`].
+    pub fn arrive(&mut self, now_ms: f64, request: ClientRequest) -> RequestId {
+        let id = self.take_id();
+        if !self.has_memory_for(&request) {
+            self.reject_untried(id, NO_MEMORY_RETRY_AFTER_MS);
+            return id;
+        }
+        // Guards memory: timers live until the deadline, which a client could put an hour away.
+        let class_deadline_ms = MS_PER_S * self.class(&request).deadline;
+        let give_up_ms = now_ms + request.client_timeout_ms.min(class_deadline_ms);
+        self.bytes += request.memory_bytes();
+        let request = Rc::new(request);
+        self.in_flight
+            .insert(id, InFlightRequest::new(request.clone(), give_up_ms));
+        self.unanswered += 1;
+        let verdict = self.driver.decide(now_ms, id, &request.ask, give_up_ms);
+        self.carry_out(now_ms, id, verdict);
+        self.settle(now_ms);
+        id
+    }
+
+    /// Rejects a request before any decision, as the operator's rules or plug-in say; its answer comes as for any other.
+    pub fn refuse(&mut self, retry_after_ms: f64) -> RequestId {
+        let id = self.take_id();
+        self.reject_untried(id, retry_after_ms);
+        id
+    }
+
+    /// The client has gone: nothing is owed, and its attempts are abandoned.
+    pub fn client_gone(&mut self, now_ms: f64, id: RequestId) {
+        let Some(entry) = self.in_flight.get_mut(&id).filter(|e| !e.is_answered()) else {
+            return;
+        };
+        entry.mark_answered();
+        let running = entry.running_attempts();
+        self.unanswered -= 1;
+        self.counts.gone += 1;
+        self.driver.observe(now_ms, Observation::ClientGone(id));
+        for attempt in running {
+            self.abandon(now_ms, id, attempt, Outcome::Cancelled);
+        }
+        self.remove_if_over(id);
+        self.settle(now_ms);
+    }
+
+    /// The process ends before the deadlines of its requests: each gets its final answer now, a rejection with this
+    /// Retry-After where coming again does no harm.
+    pub fn give_up(&mut self, now_ms: f64, retry_after_ms: f64) {
+        let mut ids: Vec<RequestId> = self
+            .in_flight
+            .iter()
+            .filter(|(_, entry)| !entry.is_answered())
+            .map(|(id, _)| *id)
+            .collect();
+        ids.sort_unstable();
+        for id in ids {
+            self.give_up_request(now_ms, id, retry_after_ms);
+        }
+        self.settle(now_ms);
+    }
+
+    fn give_up_request(&mut self, now_ms: f64, id: RequestId, retry_after_ms: f64) {
+        let Some(entry) = self.in_flight.get(&id) else {
+            return;
+        };
+        let running = entry.running_attempts();
+        let answer = self.rejection(id, retry_after_ms, true);
+        // For the decision module it is as if the client had gone: it asks for no retry.
+        self.driver.observe(now_ms, Observation::ClientGone(id));
+        self.finish(id, answer);
+        for attempt in running {
+            self.abandon(now_ms, id, attempt, Outcome::Cancelled);
+        }
+    }
+
+    /// An attempt has ended by itself.
+    pub fn attempt_ended(
+        &mut self,
+        now_ms: f64,
+        id: RequestId,
+        attempt: u32,
+        result: AttemptResult,
+    ) {
+        self.end_attempt(now_ms, id, attempt, result);
+        self.settle(now_ms);
+    }
+
+    /// A counter call has ended; `total` counts if the outcome is [`Outcome::Ok`].
+    pub fn counted(&mut self, now_ms: f64, name: u64, outcome: Outcome, total: f64) {
+        self.driver
+            .observe(now_ms, Observation::CounterAnswered(name, outcome, total));
+        self.settle(now_ms);
+    }
+
+    /// The total of a counter call that had timed out has come after all.
+    pub fn counter_answered_late(&mut self, now_ms: f64, add: CounterAdd, total: f64) {
+        self.driver.observe(
+            now_ms,
+            Observation::CounterAnsweredLate(add.name, add.amount, total),
+        );
+        self.settle(now_ms);
+    }
+
+    /// A health check has ended, with the load report that it brought; empty: none.
+    pub fn probed(&mut self, now_ms: f64, endpoint: EndpointId, outcome: Outcome, load: Vec<f64>) {
+        self.driver
+            .observe(now_ms, Observation::ProbeEnded(endpoint, outcome, load));
+        self.settle(now_ms);
+    }
+
+    /// The endpoint registry has an update.
+    pub fn update_endpoints(&mut self, now_ms: f64, kind: ListKind, entries: Vec<EndpointEntry>) {
+        let not_ready = self.ready.update(kind, &entries);
+        self.actions
+            .extend(not_ready.into_iter().map(Action::ReleaseEndpoint));
+        self.driver
+            .observe(now_ms, Observation::EndpointList(kind, entries));
+        self.settle(now_ms);
+    }
+
+    /// Lets timers and deadlines come due.
+    pub fn tick(&mut self, now_ms: f64) {
+        self.driver.tick(now_ms);
+        self.settle(now_ms);
+        while let Some(deadline) = self.deadlines.pop_due(now_ms) {
+            if self.is_running(deadline.request, deadline.attempt) {
+                self.abandon(now_ms, deadline.request, deadline.attempt, Outcome::Timeout);
+                self.settle(now_ms);
+            }
+        }
+    }
+
+    /// Whether an endpoint may be sent requests now.
+    pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
+        self.ready.location(endpoint).is_some()
+    }
+
+    /// When [`RequestTable::tick`] must be called at the latest, ms; none: not before the next event.
+    pub fn next_due(&mut self) -> Option<f64> {
+        let in_flight = &self.in_flight;
+        let deadline = self.deadlines.next_due_ms(|deadline| {
+            in_flight
+                .get(&deadline.request)
+                .is_some_and(|entry| entry.is_running(deadline.attempt))
+        });
+        match (self.driver.next_due(), deadline) {
+            (Some(a), Some(b)) => Some(a.min(b)),
+            (a, b) => a.or(b),
+        }
+    }
+
+    /// The next action to carry out.
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
+    }
+
+    /// Requests that are still owed an answer.
+    pub fn unanswered(&self) -> usize {
+        self.unanswered
+    }
+
+    /// Counts since the start.
+    pub fn counts(&self) -> RequestCounts {
+        self.counts
+    }
+
+    /// How many endpoints may be sent requests.
+    pub fn endpoints(&self) -> usize {
+        self.ready.len()
+    }
+
+    fn take_id(&mut self) -> RequestId {
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1).max(1);
+        self.counts.taken += 1;
+        id
+    }
+
+    /// Guards memory against more requests than the process can hold. Nothing has been forwarded by then, so rejecting
+    /// the request does no harm, whatever its class.
+    fn has_memory_for(&self, request: &ClientRequest) -> bool {
+        self.in_flight.len() < self.platform.max_in_flight_requests
+            && self.bytes + request.memory_bytes() <= self.max_bytes
+    }
+
+    /// Rejects a request of which nothing was forwarded and nothing is kept.
+    fn reject_untried(&mut self, id: RequestId, retry_after_ms: f64) {
+        self.counts.rejected += 1;
+        self.actions
+            .push_back(Action::Reply(id, FinalAnswer::Rejected { retry_after_ms }));
+    }
+
+    fn class(&self, request: &ClientRequest) -> &Class {
+        &self.platform.decision.classes[request.ask.class]
+    }
+
+    fn is_running(&self, id: RequestId, attempt: u32) -> bool {
+        self.in_flight
+            .get(&id)
+            .is_some_and(|entry| entry.is_running(attempt))
+    }
+
+    /// Carries out what the decision module has left to do; a verdict may bring further ones.
+    fn settle(&mut self, now_ms: f64) {
+        loop {
+            if let Some((id, verdict)) = self.driver.next_verdict() {
+                self.carry_out(now_ms, id, verdict);
+                continue;
+            }
+            let Some(action) = self.driver.next_action() else {
+                return;
+            };
+            self.carry_out_driver_action(now_ms, action);
+        }
+    }
+
+    fn carry_out_driver_action(&mut self, now_ms: f64, action: DriverAction) {
+        match action {
+            DriverAction::Cancel(request, attempt) => {
+                if self.is_running(request, attempt) {
+                    self.abandon(now_ms, request, attempt, Outcome::Cancelled);
+                }
+            }
+            DriverAction::Probe(endpoint) => self.actions.push_back(Action::Probe(endpoint)),
+            // The endpoint registry is followed from the start, whoever asks.
+            DriverAction::FollowEndpointList => {}
+            DriverAction::AddToCounter(add) => {
+                self.counts.counts += 1;
+                self.actions.push_back(Action::AddToCounter(add));
+            }
+        }
+    }
+
+    fn carry_out(&mut self, now_ms: f64, id: RequestId, verdict: Verdict) {
+        match verdict {
+            Verdict::Hold => {}
+            Verdict::Send {
+                endpoint,
+                client_timeout_ms,
+            } => self.send(now_ms, id, endpoint, client_timeout_ms),
+            Verdict::Reject { retry_after_ms } => {
+                let answer = self.rejection(id, retry_after_ms, false);
+                self.finish(id, answer);
+            }
+            Verdict::Fail => {
+                let late = self
+                    .in_flight
+                    .get(&id)
+                    .is_some_and(|entry| now_ms + LATE_MARGIN_MS >= entry.give_up_ms);
+                self.finish(id, FinalAnswer::Failed { late });
+            }
+        }
+    }
+
+    /// A rejection. Guards against double effects, whatever was decided: a request that may have run is failed, since a
+    /// client that is rejected comes again.
+    fn rejection(&self, id: RequestId, retry_after_ms: f64, late: bool) -> FinalAnswer {
+        let harmless = self
+            .in_flight
+            .get(&id)
+            .is_some_and(|entry| entry.client_may_retry(self.class(&entry.request)));
+        if harmless {
+            FinalAnswer::Rejected { retry_after_ms }
+        } else {
+            FinalAnswer::Failed { late }
+        }
+    }
+
+    /// Sends an attempt that lasts `timeout_ms` at most; 0: until the client gives up.
+    fn send(&mut self, now_ms: f64, id: RequestId, endpoint: EndpointId, timeout_ms: f64) {
+        let location = self.sendable_to(now_ms, id, endpoint);
+        let Some(entry) = self.in_flight.get_mut(&id) else {
+            return;
+        };
+        let attempt = entry.attempts();
+        let Some(location) = location else {
+            entry.add_unsent_attempt(now_ms);
+            let finished = entry.is_answered();
+            let result = AttemptResult::without(Outcome::NotSent);
+            return self.report_attempt(now_ms, id, attempt, finished, result);
+        };
+        entry.add_sent_attempt(now_ms, location);
+        let until = if timeout_ms > 0.0 {
+            entry.give_up_ms.min(now_ms + timeout_ms)
+        } else {
+            entry.give_up_ms
+        };
+        let request = entry.request.clone();
+        self.counts.attempts += 1;
+        self.deadlines.push(until, id, attempt);
+        self.actions.push_back(Action::StartAttempt(AttemptStart {
+            id,
+            attempt,
+            endpoint,
+            request,
+            until,
+        }));
+    }
+
+    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the decision module
+    /// asks for: nothing to an endpoint that is draining or removed, two running attempts only where the settings allow
+    /// hedged requests, no more attempts than the settings allow, and no repeat that can do harm.
+    fn sendable_to(&self, now_ms: f64, id: RequestId, endpoint: EndpointId) -> Option<Location> {
+        let entry = self.in_flight.get(&id)?;
+        let settings = &self.platform.decision;
+        let location = self.ready.location(endpoint)?;
+        let next = NextAttempt {
+            now_ms,
+            location,
+            connect_timeout_ms: self.platform.connect_timeout_ms,
+        };
+        let allowed = !entry.is_answered()
+            && (settings.hedging || !entry.has_running_attempt())
+            && entry.may_be_sent_again(self.class(&entry.request), &next)
+            && entry.attempts() < settings.max_attempts
+            && now_ms < entry.give_up_ms;
+        allowed.then_some(location)
+    }
+
+    fn abandon(&mut self, now_ms: f64, id: RequestId, attempt: u32, outcome: Outcome) {
+        self.actions.push_back(Action::AbandonAttempt(id, attempt));
+        self.end_attempt(now_ms, id, attempt, AttemptResult::without(outcome));
+    }
+
+    fn end_attempt(&mut self, now_ms: f64, id: RequestId, attempt: u32, mut result: AttemptResult) {
+        let Some(entry) = self.in_flight.get_mut(&id) else {
+            return;
+        };
+        if !entry.end_attempt(attempt, result.outcome) {
+            return;
+        }
+        let served = result.outcome == Outcome::Ok;
+        if let Some(body) = result.value.take().filter(|_| served) {
+            self.finish(id, FinalAnswer::Served(body));
+        }
+        let finished = self
+            .in_flight
+            .get(&id)
+            .is_none_or(InFlightRequest::is_answered);
+        self.report_attempt(now_ms, id, attempt, finished, result);
+        self.remove_if_over(id);
+    }
+
+    /// Tells the decision module how an attempt ended, and whether its request has its answer by now.
+    fn report_attempt(
+        &mut self,
+        now_ms: f64,
+        request: RequestId,
+        attempt: u32,
+        request_finished: bool,
+        result: AttemptResult,
+    ) {
+        let report = AttemptReport {
+            request,
+            attempt,
+            outcome: result.outcome,
+            request_finished,
+            load: result.load,
+            settled_units: result.settled_units,
+        };
+        self.driver
+            .observe(now_ms, Observation::AttemptEnded(report));
+    }
+
+    /// The one place where a request in flight gets its answer, once.
+    fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
+        let Some(entry) = self.in_flight.get_mut(&id).filter(|e| !e.is_answered()) else {
+            return;
+        };
+        entry.mark_answered();
+        self.unanswered -= 1;
+        match answer {
+            FinalAnswer::Served(_) => self.counts.served += 1,
+            FinalAnswer::Rejected { .. } => self.counts.rejected += 1,
+            FinalAnswer::Failed { .. } => self.counts.failed += 1,
+        }
+        self.actions.push_back(Action::Reply(id, answer));
+        self.remove_if_over(id);
+    }
+
+    fn remove_if_over(&mut self, id: RequestId) {
+        if let Some(entry) = self.in_flight.get(&id).filter(|entry| entry.is_over()) {
+            self.bytes -= entry.request.memory_bytes();
+            self.in_flight.remove(&id);
+        }
+    }
+}
