--- /dev/null
+++ b/src/protocol/endpoint_report.rs
@@ -0,0 +1,40 @@
+//! What comes along with an endpoint's answer on any wire: its load report (`rif=3,q=0,...`) and the request's usage
+//! (`used=37,cost=4`). Both are lists of names and values; what cannot be read counts as not sent.
+
+use crate::config::settings::Platform;
+use crate::protocol::wire_names;
+use crate::request::{decimal, pairs};
+
+/// The values of a load report in the order of the settings' columns; empty where one is missing or no number.
+pub fn load_report(platform: &Platform, report: &[u8]) -> Vec<f64> {
+    let text = std::str::from_utf8(report).unwrap_or("");
+    platform
+        .columns
+        .iter()
+        .map(|column| load_column(text, column))
+        .collect::<Option<Vec<f64>>>()
+        .unwrap_or_default()
+}
+
+fn load_column(report: &str, column: &str) -> Option<f64> {
+    let alias = wire_names::load_column_alias(column);
+    let (_, value) = pairs(report).find(|(name, _)| *name == column || *name == alias)?;
+    let value: f64 = value.parse().ok()?;
+    (value.is_finite() && value >= 0.0).then_some(value)
+}
+
+/// The true units of a request from its usage, where the settings have units settled by answers. Guards quotas: more
+/// units than the settings give one request, or two values, are noise.
+pub fn settled_units(platform: &Platform, usage: &[u8]) -> Option<f64> {
+    let settings = &platform.decision;
+    if !settings.settles_units_later {
+        return None;
+    }
+    let text = std::str::from_utf8(usage).ok()?;
+    let mut values = pairs(text).filter(|(name, _)| *name == wire_names::SETTLED_UNITS);
+    let (_, first) = values.next()?;
+    if values.next().is_some() {
+        return None;
+    }
+    decimal(first).filter(|units| *units <= settings.max_units)
+}
--- /dev/null
+++ b/src/protocol/http1.rs
@@ -0,0 +1,169 @@
+//! HTTP/1.1 answers, as the counter and discovery give them: a parser over whatever bytes have come so far. It bounds
+//! heads and bodies, touches no socket and no clock, and panics on no input.
+
+use crate::protocol::parse::{line, malformed, parse, Input, Malformed, Parsed};
+use winnow::ascii::crlf;
+use winnow::combinator::{preceded, terminated};
+use winnow::error::{ContextError, ErrMode, Needed};
+use winnow::prelude::*;
+use winnow::token::{literal, take, take_while};
+
+/// Longest body, in bytes: a long list of endpoints.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Most lines behind the status line, the empty one at their end among them.
+const MAX_HEADER_LINES: usize = 64;
+/// The one status whose body is wanted.
+const STATUS_OK: u16 = 200;
+
+/// An HTTP/1.1 answer.
+#[derive(Debug, PartialEq)]
+pub struct HttpAnswer {
+    /// The status.
+    pub status: u16,
+    /// The body.
+    pub body: Vec<u8>,
+    /// The peer closes the connection after it.
+    pub close: bool,
+}
+
+/// The next HTTP/1.1 answer.
+///
+/// # Errors
+/// Bytes that can never become one.
+pub fn http_answer(bytes: &[u8]) -> Result<Parsed<HttpAnswer>, Malformed> {
+    parse(bytes, |input: &mut Input<'_>| {
+        final_answer(input, ConnectionEnd::NotYet)
+    })
+}
+
+/// The same on a connection that its peer has ended in order: an answer without a length ends there. A reset is no
+/// such end.
+///
+/// # Errors
+/// Bytes that can never become one.
+pub fn http_answer_at_end(bytes: &[u8]) -> Result<Parsed<HttpAnswer>, Malformed> {
+    parse(bytes, |input: &mut Input<'_>| {
+        final_answer(input, ConnectionEnd::Reached)
+    })
+}
+
+/// Whether anything can follow the bytes so far.
+#[derive(Clone, Copy, PartialEq)]
+enum ConnectionEnd {
+    NotYet,
+    Reached,
+}
+
+/// The headers that say where an answer ends.
+#[derive(Default)]
+struct Framing {
+    length: Option<usize>,
+    chunked: bool,
+    close: bool,
+}
+
+/// An answer behind any number of 1xx answers, which say nothing.
+fn final_answer(input: &mut Input<'_>, end: ConnectionEnd) -> ModalResult<HttpAnswer> {
+    loop {
+        let answer = answer(input, end)?;
+        if !(100..200).contains(&answer.status) {
+            return Ok(answer);
+        }
+    }
+}
+
+fn answer(input: &mut Input<'_>, end: ConnectionEnd) -> ModalResult<HttpAnswer> {
+    let status = status_line(input)?;
+    let framing = headers(input)?;
+    let has_length = framing.chunked || framing.length.is_some();
+    let body = match (framing.chunked, framing.length) {
+        (true, _) => chunked_body(input)?,
+        (false, Some(length)) => take(length).parse_next(input)?.to_vec(),
+        // A good answer without a length ends with its connection; others have no body.
+        (false, None) if status != STATUS_OK => Vec::new(),
+        (false, None) if end == ConnectionEnd::NotYet => {
+            return Err(ErrMode::Incomplete(Needed::new(1)))
+        }
+        (false, None) => take(input.eof_offset()).parse_next(input)?.to_vec(),
+    };
+    Ok(HttpAnswer {
+        status,
+        body,
+        close: framing.close || !has_length && status == STATUS_OK,
+    })
+}
+
+fn status_line(input: &mut Input<'_>) -> ModalResult<u16> {
+    preceded(literal(b"HTTP/1."), take(2usize)).parse_next(input)?;
+    let digits: &[u8] = take_while(3..=3, |b: u8| b.is_ascii_digit()).parse_next(input)?;
+    line(input)?;
+    Ok(digits
+        .iter()
+        .fold(0, |status, digit| status * 10 + u16::from(digit - b'0')))
+}
+
+/// All headers and the empty line behind them.
+fn headers(input: &mut Input<'_>) -> ModalResult<Framing> {
+    let mut framing = Framing::default();
+    for _ in 0..MAX_HEADER_LINES {
+        let empty_line: Result<_, ErrMode<ContextError>> = crlf.parse_next(input);
+        match empty_line {
+            Ok(_) => return Ok(framing),
+            Err(ErrMode::Incomplete(needed)) => return Err(ErrMode::Incomplete(needed)),
+            Err(_) => {}
+        }
+        let (name, value) = header(input)?;
+        if name.eq_ignore_ascii_case(b"content-length") {
+            framing.length = Some(content_length(value)?);
+        } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
+            framing.chunked = value.eq_ignore_ascii_case(b"chunked");
+        } else if name.eq_ignore_ascii_case(b"connection") {
+            framing.close = value.eq_ignore_ascii_case(b"close");
+        }
+    }
+    malformed()
+}
+
+fn header<'a>(input: &mut Input<'a>) -> ModalResult<(&'a [u8], &'a [u8])> {
+    let name = terminated(
+        take_while(1.., |b: u8| b != b':' && b != b'\r' && b != b'\n'),
+        literal(b":"),
+    )
+    .parse_next(input)?;
+    let value = line(input)?;
+    Ok((name, value.trim_ascii()))
+}
+
+fn content_length(value: &[u8]) -> ModalResult<usize> {
+    let length = std::str::from_utf8(value)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .filter(|length| *length <= MAX_BODY_BYTES);
+    length.map_or_else(malformed, Ok)
+}
+
+fn chunked_body(input: &mut Input<'_>) -> ModalResult<Vec<u8>> {
+    let mut body = Vec::new();
+    loop {
+        let size = chunk_size(input)?;
+        if size > MAX_BODY_BYTES || body.len() + size > MAX_BODY_BYTES {
+            return malformed();
+        }
+        if size == 0 {
+            while !line(input)?.is_empty() {}
+            return Ok(body);
+        }
+        let chunk: &[u8] = terminated(take(size), crlf).parse_next(input)?;
+        body.extend_from_slice(chunk);
+    }
+}
+
+fn chunk_size(input: &mut Input<'_>) -> ModalResult<usize> {
+    let digits: &[u8] = take_while(1..=8, |b: u8| b.is_ascii_hexdigit()).parse_next(input)?;
+    line(input)?;
+    let digits = std::str::from_utf8(digits).unwrap_or("");
+    Ok(usize::from_str_radix(digits, 16).unwrap_or(usize::MAX))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/protocol/http2/answer.rs
@@ -0,0 +1,63 @@
+//! Final answers as a status, headers and a body.
+
+use crate::buffer::body_stream::BodyReceiver;
+use crate::frontend::advice;
+use crate::protocol::http2::headers::RETRY_AFTER_MS;
+use crate::request::{FinalAnswer, ResponseBody};
+use bytes::Bytes;
+use http::header::{CONTENT_LENGTH, RETRY_AFTER};
+use http::{Response, StatusCode};
+use std::rc::Rc;
+
+/// Milliseconds in a second.
+const MS_PER_S: u64 = 1000;
+
+/// The body of an answer.
+pub enum Body {
+    /// All of it; empty: there is none.
+    Complete(Bytes),
+    /// It is sent while it comes.
+    Streaming(Rc<BodyReceiver>),
+}
+
+/// An answer with a status alone.
+pub fn plain(status: StatusCode) -> Response<()> {
+    let mut response = Response::new(());
+    *response.status_mut() = status;
+    response
+}
+
+/// The status and headers of a final answer, and its body.
+pub fn wording(answer: FinalAnswer) -> (Response<()>, Body) {
+    match answer {
+        FinalAnswer::Served(ResponseBody::Complete(value)) => {
+            (plain(StatusCode::OK), Body::Complete(value.into()))
+        }
+        FinalAnswer::Served(ResponseBody::Streaming(value)) => {
+            let mut response = plain(StatusCode::OK);
+            response
+                .headers_mut()
+                .insert(CONTENT_LENGTH, value.size().into());
+            (response, Body::Streaming(value))
+        }
+        FinalAnswer::Rejected { retry_after_ms } => without_body(rejection(retry_after_ms)),
+        FinalAnswer::Failed { late: true } => without_body(plain(StatusCode::GATEWAY_TIMEOUT)),
+        FinalAnswer::Failed { late: false } => without_body(plain(StatusCode::BAD_GATEWAY)),
+    }
+}
+
+fn without_body(response: Response<()>) -> (Response<()>, Body) {
+    (response, Body::Complete(Bytes::new()))
+}
+
+/// A 429; its `retry-after` counts whole seconds, one at the least, and is never earlier than was meant.
+fn rejection(retry_after_ms: f64) -> Response<()> {
+    let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
+    let whole_ms = advice(retry_after_ms).unwrap_or(0);
+    let headers = response.headers_mut();
+    headers.insert(RETRY_AFTER, whole_ms.div_ceil(MS_PER_S).max(1).into());
+    if whole_ms > 0 {
+        headers.insert(RETRY_AFTER_MS, whole_ms.into());
+    }
+    response
+}
--- /dev/null
+++ b/src/protocol/http2/request.rs
@@ -0,0 +1,141 @@
+//! Requests as headers: from a client's headers to the terms of the platform's wire, and back for an endpoint.
+
+use crate::config::settings::Platform;
+use crate::decision::Idempotency;
+use crate::protocol::http2::headers::{
+    DEADLINE, ID, IDEMPOTENCY_KEY, NOTE_PREFIX, PLAN, REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
+};
+use crate::protocol::wire_names;
+use crate::request::{pairs, ClientRequest};
+use http::{HeaderMap, Method, Request};
+
+/// Longest timeout that a client may name, ms: one hour.
+const MAX_CLIENT_TIMEOUT_MS: f64 = 3.6e6;
+
+/// Terms of the platform's wire that have a header of their own.
+const TERMS_WITH_HEADER: [&str; 5] = [
+    wire_names::CLASS,
+    wire_names::PLAN,
+    wire_names::CLIENT_TIMEOUT_MS,
+    wire_names::RETRY,
+    wire_names::IDEMPOTENCY_KEY,
+];
+
+/// A request with a missing or invalid header; the text names it.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct BadRequest(pub String);
+
+/// The text of a header that must be there.
+///
+/// # Errors
+/// It is missing, or is no text.
+pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, BadRequest> {
+    let value = headers
+        .get(name)
+        .ok_or_else(|| BadRequest(format!("{name} is missing")))?;
+    value
+        .to_str()
+        .map_err(|_| BadRequest(format!("{name} is not text")))
+}
+
+/// The terms of a request from its headers, and the client's timeout, ms.
+///
+/// # Errors
+/// The first invalid header.
+pub fn terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), BadRequest> {
+    let deadline = text(headers, DEADLINE)?;
+    let plan = text(headers, PLAN)?;
+    let client_timeout_ms = client_timeout_ms(deadline)?;
+    // A value with a comma would become a further term on the platform's wire.
+    if [class, plan, deadline].iter().any(|v| v.contains(',')) {
+        return Err(BadRequest("a value holds a comma".into()));
+    }
+    let mut terms = String::new();
+    push_term(&mut terms, wire_names::CLASS, class);
+    push_term(&mut terms, wire_names::PLAN, plan);
+    push_term(&mut terms, wire_names::CLIENT_TIMEOUT_MS, deadline);
+    // A key may stand among the terms too; one in both places is one too many, and judged as that.
+    let taken =
+        |name: &str| name == wire_names::IDEMPOTENCY_KEY || !TERMS_WITH_HEADER.contains(&name);
+    for (name, value) in pairs(text(headers, TERMS)?).filter(|(name, _)| taken(name)) {
+        push_term(&mut terms, name, value);
+    }
+    for key in headers.get_all(IDEMPOTENCY_KEY) {
+        let key = key.to_str().unwrap_or("");
+        if key.contains(',') {
+            return Err(BadRequest(format!("{IDEMPOTENCY_KEY} holds a comma")));
+        }
+        push_term(&mut terms, wire_names::IDEMPOTENCY_KEY, key);
+    }
+    if headers
+        .get(RETRY)
+        .is_some_and(|r| r == wire_names::RETRY_YES)
+    {
+        push_term(&mut terms, wire_names::RETRY, wire_names::RETRY_YES);
+    }
+    Ok((terms, client_timeout_ms))
+}
+
+/// A request as a request to an endpoint, which is told how long this ingress waits, ms.
+///
+/// # Errors
+/// A value that no header can hold.
+pub fn upstream_request(
+    platform: &Platform,
+    request: &ClientRequest,
+    wait_ms: f64,
+) -> Result<Request<()>, http::Error> {
+    let class = &platform.classes[request.ask.class];
+    let mut builder = Request::builder()
+        .method(method(platform, request))
+        .uri(format!("http://instance{REQUEST_PATH_PREFIX}{class}"))
+        .header(TENANT, &request.tenant)
+        .header(ID, &request.id)
+        .header(PLAN, &platform.plans[request.ask.plan])
+        .header(DEADLINE, wait_ms.max(1.0) as u64)
+        .header(TERMS, terms_without_header(&request.terms));
+    let key = pairs(&request.terms).find(|(name, _)| *name == wire_names::IDEMPOTENCY_KEY);
+    if let Some((_, key)) = key {
+        builder = builder.header(IDEMPOTENCY_KEY, key);
+    }
+    if request.ask.repeat {
+        builder = builder.header(RETRY, wire_names::RETRY_YES);
+    }
+    for (name, value) in &request.notes {
+        builder = builder.header(format!("{NOTE_PREFIX}{name}"), value);
+    }
+    builder.body(())
+}
+
+fn client_timeout_ms(deadline: &str) -> Result<f64, BadRequest> {
+    let timeout_ms: f64 = deadline
+        .parse()
+        .map_err(|_| BadRequest(format!("{DEADLINE} is not a number")))?;
+    if !(0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&timeout_ms) {
+        return Err(BadRequest(format!("{DEADLINE} is out of range")));
+    }
+    Ok(timeout_ms)
+}
+
+fn push_term(terms: &mut String, name: &str, value: &str) {
+    let comma = if terms.is_empty() { "" } else { "," };
+    terms.extend([comma, name, "=", value]);
+}
+
+fn method(platform: &Platform, request: &ClientRequest) -> Method {
+    let class = &platform.decision.classes[request.ask.class];
+    if class.idempotency == Idempotency::Safe && request.body.is_none() {
+        Method::GET
+    } else {
+        Method::POST
+    }
+}
+
+fn terms_without_header(client_terms: &str) -> String {
+    let mut terms = String::with_capacity(client_terms.len());
+    for (name, value) in pairs(client_terms).filter(|(name, _)| !TERMS_WITH_HEADER.contains(name)) {
+        push_term(&mut terms, name, value);
+    }
+    terms
+}
--- /dev/null
+++ b/src/protocol/resp/grammar.rs
@@ -0,0 +1,176 @@
+//! The grammar of RESP2: words of requests, replies of endpoints. It bounds every length, count and depth, so that no
+//! peer can make a connection hold more than its ring buffer's cap.
+
+use crate::protocol::parse::{line, malformed, parse, Input, Malformed, Parsed};
+use std::io::Write;
+use winnow::ascii::crlf;
+use winnow::combinator::{alt, preceded, terminated};
+use winnow::error::{ContextError, ErrMode};
+use winnow::prelude::*;
+use winnow::token::{literal, take, take_while};
+
+/// Longest value that is held in memory whole, in bytes; a longer one is streamed.
+pub const MAX_VALUE: usize = 64 * 1024;
+/// Longest value of all, in bytes.
+pub const MAX_STREAMED_VALUE: usize = 4 * 1024 * 1024;
+/// Most words in a request, most items in an array.
+const MAX_ITEMS: usize = 16;
+/// Deepest array in a reply. Guards the stack against arrays in arrays.
+const MAX_DEPTH: usize = 4;
+/// Most digits of a length or a count.
+const MAX_DIGITS: usize = 7;
+
+/// A reply of an endpoint.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Reply<'a> {
+    /// `+...` or `:...`
+    Simple(&'a [u8]),
+    /// `-...`
+    Error(&'a [u8]),
+    /// A bulk string, or null.
+    Bulk(Option<&'a [u8]>),
+    /// An array; a null one is empty.
+    Array(Vec<Reply<'a>>),
+}
+
+/// The head of a reply whose value is too long to be held whole: the array's items, the value's size, and how many
+/// bytes come before the value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StreamedReply {
+    /// Items of the array, the value among them.
+    pub items: usize,
+    /// Bytes of the value.
+    pub value_bytes: usize,
+    /// Bytes before the value.
+    pub head_bytes: usize,
+}
+
+/// The next request of a client, as words.
+///
+/// # Errors
+/// Bytes that can never become a request.
+pub fn request_words(bytes: &[u8]) -> Result<Parsed<Vec<&[u8]>>, Malformed> {
+    parse(bytes, words)
+}
+
+/// The next reply of an endpoint.
+///
+/// # Errors
+/// Bytes that can never become a reply.
+pub fn endpoint_reply(bytes: &[u8]) -> Result<Parsed<Reply<'_>>, Malformed> {
+    parse(bytes, outermost_reply)
+}
+
+/// Whether these bytes begin a reply with a value too long to be held whole.
+pub fn streamed_reply(bytes: &[u8]) -> Option<StreamedReply> {
+    let Ok(Parsed::Complete((items, value_bytes), head_bytes)) = parse(bytes, streamed_head) else {
+        return None;
+    };
+    let streamed = (MAX_VALUE + 1..=MAX_STREAMED_VALUE).contains(&value_bytes)
+        && (1..=MAX_ITEMS).contains(&items);
+    streamed.then_some(StreamedReply {
+        items,
+        value_bytes,
+        head_bytes,
+    })
+}
+
+/// What comes behind the value of such a reply: its other items.
+///
+/// # Errors
+/// Bytes that can never become that.
+pub fn streamed_reply_rest(
+    bytes: &[u8],
+    items: usize,
+) -> Result<Parsed<Vec<Reply<'_>>>, Malformed> {
+    parse(bytes, streamed_rest(items))
+}
+
+/// Appends words as a RESP array of bulk strings.
+pub fn push_words<'a>(out: &mut Vec<u8>, count: usize, words: impl Iterator<Item = &'a [u8]>) {
+    push_count(out, b'*', count);
+    for word in words {
+        push_count(out, b'$', word.len());
+        out.extend_from_slice(word);
+        out.extend_from_slice(b"\r\n");
+    }
+}
+
+fn push_count(out: &mut Vec<u8>, kind: u8, count: usize) {
+    out.push(kind);
+    // Writing to memory does not fail.
+    let _ = write!(out, "{count}\r\n");
+}
+
+fn number(input: &mut Input<'_>) -> ModalResult<usize> {
+    let digits: &[u8] = take_while(1..=MAX_DIGITS, |b: u8| b.is_ascii_digit()).parse_next(input)?;
+    crlf.parse_next(input)?;
+    Ok(digits.iter().fold(0, |n, d| n * 10 + usize::from(d - b'0')))
+}
+
+/// A number, or none for `-1`, which is RESP's null.
+fn number_or_null(input: &mut Input<'_>) -> ModalResult<Option<usize>> {
+    alt((literal(b"-1\r\n").value(None), number.map(Some))).parse_next(input)
+}
+
+fn bulk_of<'a>(size: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
+    if size > MAX_VALUE {
+        return malformed();
+    }
+    terminated(take(size), crlf).parse_next(input)
+}
+
+fn words<'a>(input: &mut Input<'a>) -> ModalResult<Vec<&'a [u8]>> {
+    let count = preceded(literal(b"*"), number).parse_next(input)?;
+    if count == 0 || count > MAX_ITEMS {
+        return malformed();
+    }
+    (0..count).map(|_| word(input)).collect()
+}
+
+fn word<'a>(input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
+    let size = preceded(literal(b"$"), number).parse_next(input)?;
+    bulk_of(size, input)
+}
+
+fn outermost_reply<'a>(input: &mut Input<'a>) -> ModalResult<Reply<'a>> {
+    reply(input, 0)
+}
+
+fn reply<'a>(input: &mut Input<'a>, depth: usize) -> ModalResult<Reply<'a>> {
+    let kind: &[u8] = take(1usize).parse_next(input)?;
+    match kind[0] {
+        b'+' | b':' => line.map(Reply::Simple).parse_next(input),
+        b'-' => line.map(Reply::Error).parse_next(input),
+        b'$' => match number_or_null(input)? {
+            None => Ok(Reply::Bulk(None)),
+            Some(size) => bulk_of(size, input).map(|bulk| Reply::Bulk(Some(bulk))),
+        },
+        b'*' if depth < MAX_DEPTH => {
+            let count = number_or_null(input)?.unwrap_or(0);
+            if count > MAX_ITEMS {
+                return malformed();
+            }
+            let items: ModalResult<Vec<_>> = (0..count).map(|_| reply(input, depth + 1)).collect();
+            items.map(Reply::Array)
+        }
+        _ => malformed(),
+    }
+}
+
+fn streamed_head(input: &mut Input<'_>) -> ModalResult<(usize, usize)> {
+    let items = preceded(literal(b"*"), number).parse_next(input)?;
+    let value_bytes = preceded(literal(b"$"), number).parse_next(input)?;
+    Ok((items, value_bytes))
+}
+
+fn streamed_rest<'a>(
+    items: usize,
+) -> impl Parser<Input<'a>, Vec<Reply<'a>>, ErrMode<ContextError>> {
+    move |input: &mut Input<'a>| {
+        crlf.parse_next(input)?;
+        (1..items)
+            .map(|_| reply(input, 1))
+            .collect::<ModalResult<Vec<_>>>()
+    }
+}
--- /dev/null
+++ b/src/upstream/dial.rs
@@ -0,0 +1,111 @@
+//! A connection for an attempt or a health check: one from the pools, or a new one.
+
+use crate::decision::driver::EndpointId;
+use crate::upstream::connection::Connection;
+use crate::upstream::pools::{ConnectionSlot, SharedConnection, REST_MS};
+use crate::upstream::{Upstream, MS_PER_S};
+use bytes::Bytes;
+use h2::client::{Builder, Connection as Http2Driver, SendRequest};
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+/// Bytes that all streams of a shared connection together may have unread: those of clients that read slowly must not
+/// hold up the others.
+const SHARED_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
+
+/// A RESP connection that carries nothing else; none: there is none to be had.
+pub(super) async fn exclusive(
+    upstream: &Upstream,
+    endpoint: EndpointId,
+    addr: SocketAddr,
+) -> Option<Rc<Connection>> {
+    let take_idle = || {
+        upstream
+            .pools
+            .take_idle(upstream.dispatcher.now(), endpoint, addr)
+    };
+    if let Some(connection) = take_idle() {
+        return Some(connection);
+    }
+    let Some(slot) = upstream
+        .pools
+        .take_slot(upstream.dispatcher.now(), endpoint)
+    else {
+        // There may be one that has only to rest.
+        tokio::time::sleep(Duration::from_secs_f64(REST_MS / MS_PER_S)).await;
+        return take_idle();
+    };
+    match timeout(upstream.connect_timeout, TcpStream::connect(addr)).await {
+        Ok(Ok(stream)) => {
+            let _ = stream.set_nodelay(true);
+            Some(Rc::new(Connection::new(stream, addr, slot)))
+        }
+        _ => {
+            upstream
+                .pools
+                .connect_failed(upstream.dispatcher.now(), endpoint);
+            None
+        }
+    }
+}
+
+/// The connection that an endpoint's HTTP/2 attempts share; none: there is none to be had.
+pub(super) async fn shared(
+    upstream: &Upstream,
+    endpoint: EndpointId,
+    addr: SocketAddr,
+) -> Option<SharedConnection> {
+    if let Some(shared) = upstream.pools.shared(endpoint, addr) {
+        return Some(shared);
+    }
+    let slot = upstream
+        .pools
+        .take_slot(upstream.dispatcher.now(), endpoint)?;
+    let dialled = timeout(upstream.connect_timeout, dial_http2(addr)).await;
+    let Ok(Some((send, driver))) = dialled else {
+        upstream
+            .pools
+            .connect_failed(upstream.dispatcher.now(), endpoint);
+        return None;
+    };
+    let now_ms = upstream.dispatcher.now();
+    let shared = SharedConnection {
+        send,
+        addr,
+        last_heard_ms: Rc::new(Cell::new(now_ms)),
+        last_used_ms: Rc::new(Cell::new(now_ms)),
+        alive: Rc::new(Cell::new(true)),
+    };
+    spawn_local(drive(driver, shared.alive.clone(), slot));
+    upstream.pools.share(endpoint, &shared);
+    Some(shared)
+}
+
+async fn dial_http2(
+    addr: SocketAddr,
+) -> Option<(SendRequest<Bytes>, Http2Driver<TcpStream, Bytes>)> {
+    let stream = TcpStream::connect(addr).await.ok()?;
+    let _ = stream.set_nodelay(true);
+    let mut builder = Builder::new();
+    builder
+        .enable_push(false)
+        .initial_connection_window_size(SHARED_WINDOW_BYTES);
+    builder.handshake::<_, Bytes>(stream).await.ok()
+}
+
+/// Carries a shared connection's bytes until it ends.
+async fn drive(
+    driver: Http2Driver<TcpStream, Bytes>,
+    alive: Rc<Cell<bool>>,
+    _slot: ConnectionSlot,
+) {
+    if let Err(e) = driver.await {
+        tracing::debug!(error = %e, "http2 endpoint");
+    }
+    alive.set(false);
+}
--- /dev/null
+++ b/src/upstream/http2_exchange.rs
@@ -0,0 +1,176 @@
+//! One attempt over HTTP/2: the request is sent on a stream of the shared connection, the answer interpreted, a long
+//! body streamed to the client.
+
+use crate::buffer::body_stream::BodySender;
+use crate::config::settings::Platform;
+use crate::decision::Outcome;
+use crate::protocol::resp::{MAX_STREAMED_VALUE, MAX_VALUE};
+use crate::protocol::{attempt_outcome, endpoint_report, http2};
+use crate::request::{AttemptResult, AttemptStart, ResponseBody};
+use crate::upstream::pools::SharedConnection;
+use crate::upstream::running_attempt::{Abandon, AbandonHandle};
+use crate::upstream::{dial, Upstream, STREAM_STALL_TIMEOUT};
+use bytes::Bytes;
+use h2::client::ResponseFuture;
+use h2::RecvStream;
+use http::header::CONTENT_LENGTH;
+use http::HeaderMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+/// Makes an attempt.
+pub(super) async fn exchange(
+    upstream: &Upstream,
+    attempt: &AttemptStart,
+    addr: SocketAddr,
+    handle: &AbandonHandle,
+) -> AttemptResult {
+    let Some(shared) = dial::shared(upstream, attempt.endpoint, addr).await else {
+        return AttemptResult::without(Outcome::ConnectFailed);
+    };
+    let Some(response) = send(upstream, attempt, &shared, handle).await else {
+        return AttemptResult::without(Outcome::ConnectFailed);
+    };
+    let result = read_answer(upstream, response).await;
+    handle.take();
+    let now_ms = upstream.dispatcher.now();
+    shared.last_used_ms.set(now_ms);
+    if result.outcome != Outcome::Reset {
+        shared.last_heard_ms.set(now_ms);
+    }
+    result
+}
+
+/// Sends the request; none: no stream was opened for it, so no endpoint can have run it.
+async fn send(
+    upstream: &Upstream,
+    attempt: &AttemptStart,
+    shared: &SharedConnection,
+    handle: &AbandonHandle,
+) -> Option<ResponseFuture> {
+    let dispatcher = &upstream.dispatcher;
+    let Ok(mut send) = shared.send.clone().ready().await else {
+        // The connection takes no new streams: the next attempt opens another.
+        shared.alive.set(false);
+        return None;
+    };
+    let now_ms = dispatcher.now();
+    // Guards the drain of an endpoint: it may have left while its connection came up.
+    if !dispatcher.accepts_requests(attempt.endpoint) {
+        return None;
+    }
+    shared.last_used_ms.set(now_ms);
+    let wait_ms = attempt.until - now_ms;
+    let request = http2::upstream_request(dispatcher.platform(), &attempt.request, wait_ms).ok()?;
+    let body = attempt.request.body.as_ref();
+    let Ok((response, mut stream)) = send.send_request(request, body.is_none()) else {
+        shared.alive.set(false);
+        return None;
+    };
+    if let Some(body) = body {
+        // A failure here shows in the response.
+        let _ = stream.send_data(Bytes::copy_from_slice(body), true);
+    }
+    handle.set(Abandon::Reset(stream));
+    Some(response)
+}
+
+async fn read_answer(upstream: &Upstream, response: ResponseFuture) -> AttemptResult {
+    let platform = upstream.dispatcher.platform();
+    let (head, mut stream) = match response.await {
+        Ok(response) => response.into_parts(),
+        Err(e) => return AttemptResult::without(attempt_outcome::of_http2_error(&e)),
+    };
+    let result = AttemptResult {
+        load: load_report(platform, &head.headers),
+        ..AttemptResult::without(attempt_outcome::of_http2_head(head.status, &head.headers))
+    };
+    if result.outcome != Outcome::Ok {
+        return result;
+    }
+    let body = match streamed_length(&head.headers) {
+        Some(size) => start_streaming(upstream, stream, size).await,
+        None => http2::collect(&mut stream, upstream.stall_timeout())
+            .await
+            .map(ResponseBody::Complete),
+    };
+    match body {
+        Some(body) => AttemptResult {
+            value: Some(body),
+            settled_units: settled_units(platform, &head.headers),
+            ..result
+        },
+        // It has begun to answer, so it ran, whatever ended the stream or keeps it from its end.
+        None => AttemptResult::without(Outcome::Reset),
+    }
+}
+
+fn load_report(platform: &Platform, headers: &HeaderMap) -> Vec<f64> {
+    headers
+        .get(http2::LOAD_REPORT)
+        .map_or(Vec::new(), |report| {
+            endpoint_report::load_report(platform, report.as_bytes())
+        })
+}
+
+fn settled_units(platform: &Platform, headers: &HeaderMap) -> Option<f64> {
+    let usage = headers.get(http2::USAGE)?;
+    endpoint_report::settled_units(platform, usage.as_bytes())
+}
+
+/// The length of a body that is too long to be held whole; none: it is short, or its length is not given.
+fn streamed_length(headers: &HeaderMap) -> Option<usize> {
+    let length: usize = headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()?;
+    (MAX_VALUE + 1..=MAX_STREAMED_VALUE)
+        .contains(&length)
+        .then_some(length)
+}
+
+/// Waits for the first part of a body, and streams it from there on; none: nothing came in time. Until the first part
+/// is here, the attempt can still be made elsewhere.
+async fn start_streaming(
+    upstream: &Upstream,
+    mut stream: RecvStream,
+    size: usize,
+) -> Option<ResponseBody> {
+    let first = timeout(upstream.stall_timeout(), stream.data()).await;
+    let first = first.ok()??.ok()?;
+    let (sender, receiver) = upstream.dispatcher.body_streams().open(size);
+    spawn_local(stream_body(stream, first, sender));
+    Some(ResponseBody::Streaming(Rc::new(receiver)))
+}
+
+/// Streams a body as fast as its client takes it: what the client has not taken stays in the stream's window. Ends the
+/// stream where the client has gone or the endpoint gives nothing more.
+async fn stream_body(mut stream: RecvStream, first: Bytes, sender: BodySender) {
+    let mut part = first;
+    loop {
+        if !forward(&mut stream, part, &sender).await || sender.left() == 0 {
+            return;
+        }
+        match timeout(STREAM_STALL_TIMEOUT, stream.data()).await {
+            Ok(Some(Ok(next))) => part = next,
+            _ => return,
+        }
+    }
+}
+
+/// Forwards one part; false: nobody wants more, or the stream has ended.
+async fn forward(stream: &mut RecvStream, mut part: Bytes, sender: &BodySender) -> bool {
+    while !part.is_empty() {
+        if sender.gone() || sender.left() == 0 {
+            return false;
+        }
+        let taken = sender.push(&part);
+        let _ = part.split_to(taken);
+        if stream.flow_control().release_capacity(taken).is_err() {
+            return false;
+        }
+        if taken == 0 {
+            sender.room().await;
+        }
+    }
+    true
+}
--- /dev/null
+++ b/src/upstream/resp_exchange.rs
@@ -0,0 +1,229 @@
+//! One attempt over RESP: the request is written, the reply read and interpreted, a long value streamed to the client.
+
+use crate::buffer::body_stream::BodySender;
+use crate::config::settings::Platform;
+use crate::decision::driver::EndpointId;
+use crate::decision::Outcome;
+use crate::protocol::resp::{push_request, streamed_reply_rest, Parsed, Reply, StreamedReply};
+use crate::protocol::{attempt_outcome, endpoint_report};
+use crate::request::{AttemptResult, AttemptStart, ResponseBody};
+use crate::upstream::connection::{Connection, Incoming};
+use crate::upstream::running_attempt::{Abandon, AbandonHandle};
+use crate::upstream::{dial, Upstream, STREAM_STALL_TIMEOUT};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+use tokio::time::timeout;
+
+/// What a request takes on the wire at the least, in bytes.
+const REQUEST_CAPACITY_BYTES: usize = 256;
+/// Items behind the value of a reply: the usage, then the load report.
+const USAGE_ITEM: usize = 0;
+const LOAD_REPORT_ITEM: usize = 1;
+
+/// Makes an attempt.
+pub(super) async fn exchange(
+    upstream: &Rc<Upstream>,
+    attempt: &AttemptStart,
+    addr: SocketAddr,
+    handle: &AbandonHandle,
+) -> AttemptResult {
+    let Some(connection) = dial::exclusive(upstream, attempt.endpoint, addr).await else {
+        return AttemptResult::without(Outcome::ConnectFailed);
+    };
+    handle.set(Abandon::Close(connection.clone()));
+    if !send(upstream, attempt, &connection).await {
+        return AttemptResult::without(Outcome::ConnectFailed);
+    }
+    let platform = upstream.dispatcher.platform();
+    let incoming = connection
+        .read_reply(upstream.stall_timeout(), |reply| {
+            attempt_result(platform, reply)
+        })
+        .await;
+    handle.take();
+    let dead = incoming.is_none() && !connection.has_unread_bytes();
+    upstream.pools.note_use(connection.idle_class(), dead);
+    match incoming {
+        Some(Incoming::Reply(result)) => {
+            upstream.keep(attempt.endpoint, connection);
+            result
+        }
+        Some(Incoming::Streamed(reply)) => {
+            start_streaming(upstream, attempt.endpoint, connection, reply)
+        }
+        None => AttemptResult::without(Outcome::Reset),
+    }
+}
+
+/// Writes the request; false: it was not written whole, so no endpoint can have run it. Guards the drain of an endpoint:
+/// it may have left while its connection came up.
+async fn send(upstream: &Upstream, attempt: &AttemptStart, connection: &Connection) -> bool {
+    let dispatcher = &upstream.dispatcher;
+    let wait_ms = attempt.until - dispatcher.now();
+    let mut bytes = Vec::with_capacity(REQUEST_CAPACITY_BYTES);
+    push_request(&mut bytes, dispatcher.platform(), &attempt.request, wait_ms);
+    connection.queue(&bytes).is_ok()
+        && dispatcher.accepts_requests(attempt.endpoint)
+        && connection.write_queued().await
+}
+
+/// What a reply means, by the table of the protocol page; none: it is malformed.
+fn attempt_result(platform: &Platform, reply: Reply) -> Option<AttemptResult> {
+    match reply {
+        Reply::Array(items) => match items.as_slice() {
+            [Reply::Bulk(Some(value)), rest @ ..] => Some(served(platform, value, rest)),
+            _ => None,
+        },
+        Reply::Error(text) => error_result(platform, text),
+        _ => None,
+    }
+}
+
+fn served(platform: &Platform, value: &[u8], rest: &[Reply]) -> AttemptResult {
+    let usage = text_at(rest, USAGE_ITEM);
+    AttemptResult {
+        outcome: Outcome::Ok,
+        value: Some(ResponseBody::Complete(value.to_vec())),
+        load: load_report(platform, rest),
+        settled_units: usage.and_then(|usage| endpoint_report::settled_units(platform, usage)),
+    }
+}
+
+/// An error: its first word says which, its last one may be a load report. Units are settled by good answers alone.
+fn error_result(platform: &Platform, text: &[u8]) -> Option<AttemptResult> {
+    let mut words = text.split(|byte| *byte == b' ');
+    let outcome = attempt_outcome::of_resp_error(words.next()?)?;
+    let report = words.next_back().filter(|word| word.contains(&b'='));
+    let load = report.map_or(Vec::new(), |report| {
+        endpoint_report::load_report(platform, report)
+    });
+    Some(AttemptResult {
+        load,
+        ..AttemptResult::without(outcome)
+    })
+}
+
+/// The load report among what comes behind a value; empty: there is none.
+fn load_report(platform: &Platform, rest: &[Reply]) -> Vec<f64> {
+    text_at(rest, LOAD_REPORT_ITEM).map_or(Vec::new(), |report| {
+        endpoint_report::load_report(platform, report)
+    })
+}
+
+/// An item behind a value; none: it is missing, null, or no text.
+fn text_at<'a>(rest: &[Reply<'a>], item: usize) -> Option<&'a [u8]> {
+    match rest.get(item) {
+        Some(Reply::Bulk(text)) => *text,
+        _ => None,
+    }
+}
+
+/// Ends the attempt as served with a value that is streamed from now on.
+fn start_streaming(
+    upstream: &Rc<Upstream>,
+    endpoint: EndpointId,
+    connection: Rc<Connection>,
+    reply: StreamedReply,
+) -> AttemptResult {
+    let streams = upstream.dispatcher.body_streams();
+    let (sender, receiver) = streams.open(reply.value_bytes);
+    {
+        let mut input = connection.input();
+        input.consume(reply.head_bytes);
+        let taken = sender.push(input.whole());
+        input.consume(taken);
+    }
+    spawn_local(stream_reply(
+        upstream.clone(),
+        endpoint,
+        connection,
+        reply,
+        sender,
+    ));
+    AttemptResult {
+        value: Some(ResponseBody::Streaming(Rc::new(receiver))),
+        ..AttemptResult::without(Outcome::Ok)
+    }
+}
+
+/// Streams the rest of a value, as fast as its client takes it, then reads what comes behind it and keeps the
+/// connection if all ended well.
+async fn stream_reply(
+    upstream: Rc<Upstream>,
+    endpoint: EndpointId,
+    connection: Rc<Connection>,
+    reply: StreamedReply,
+    sender: BodySender,
+) {
+    if !stream_value(&connection, &sender).await {
+        return;
+    }
+    // The client sees the end of its answer now, whatever becomes of the rest.
+    drop(sender);
+    let rest = read_rest(upstream.dispatcher.platform(), &connection, reply.items);
+    let Ok(Some(load)) = timeout(upstream.stall_timeout(), rest).await else {
+        return;
+    };
+    if !load.is_empty() {
+        upstream
+            .dispatcher
+            .with_requests(|requests, now_ms| requests.probed(now_ms, endpoint, Outcome::Ok, load));
+    }
+    upstream.keep(endpoint, connection);
+}
+
+/// Streams a value; false: its client has gone, or the endpoint gives nothing more, and the connection is to be closed.
+async fn stream_value(connection: &Connection, sender: &BodySender) -> bool {
+    let stream = connection.stream();
+    while sender.left() > 0 {
+        if sender.gone() {
+            return false;
+        }
+        match sender.fill(|room| stream.try_read(room)) {
+            // The client has to take bytes first.
+            None => sender.room().await,
+            Some(Ok(0)) => return false,
+            Some(Ok(_)) => {}
+            Some(Err(e)) if e.kind() == ErrorKind::WouldBlock => {
+                let readable = async {
+                    tokio::select! {
+                        ready = stream.readable() => ready.is_ok(),
+                        () = sender.room() => true,
+                    }
+                };
+                if !timeout(STREAM_STALL_TIMEOUT, readable)
+                    .await
+                    .unwrap_or(false)
+                {
+                    return false;
+                }
+            }
+            Some(Err(_)) => return false,
+        }
+    }
+    true
+}
+
+/// Reads the items behind a streamed value, and returns the load report among them; none: they are malformed, or the
+/// connection ended.
+async fn read_rest(platform: &Platform, connection: &Connection, items: usize) -> Option<Vec<f64>> {
+    loop {
+        {
+            let mut input = connection.input();
+            match streamed_reply_rest(input.whole(), items) {
+                Ok(Parsed::Complete(rest, length)) => {
+                    let load = load_report(platform, &rest);
+                    input.consume(length);
+                    return Some(load);
+                }
+                Ok(Parsed::More(_)) => {}
+                Err(_) => return None,
+            }
+        }
+        if !connection.read_available().ok()? {
+            connection.stream().readable().await.ok()?;
+        }
+    }
+}
