--- a/src/bin/driftgap-simulator-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -1,93 +1,104 @@
-//! The adapter: endpoints many ingresses on the simulator's wire over standard input and output.
-//! It maps records to events and actions to records, and decides nothing.
+//! The simulator's adapter: it runs the decision modules of many ingresses on the simulator's wire over standard input
+//! and output. It maps records to events and actions to records, and decides nothing.
 
+mod frame;
 mod wire;
 
-use driftgap::config::settings;
-use driftgap::decision::DecisionEngine;
+use driftgap::config::settings::{self, ConfigError};
+use driftgap::decision::{DecisionEngine, SettingsError};
+use frame::{write_reply, FrameError, FrameReader};
 use std::collections::BTreeMap;
-use std::io::{self, BufReader, BufWriter, Read, Write};
+use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
-use wire::{encode, Reader, Record};
+use wire::{encode_action, Record, RecordReader, WireError};
 
-/// Largest frame taken in; a longer one is a broken length.
-const MAX_FRAME: usize = 1 << 30;
+/// Bytes that are read or written at a time.
+const BUFFER_BYTES: usize = 1 << 16;
+/// The exit status of a run that ended with an error.
+const EXIT_ERROR: u8 = 2;
 
-/// Reads `buffer.len()` bytes; false at a clean end of input before the first byte.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, String> {
-    let mut got = 0;
-    while got < buffer.len() {
-        match input.read(&mut buffer[got..]) {
-            Ok(0) if got == 0 => return Ok(false),
-            Ok(0) => return Err(format!("input ends after {got} of {} bytes", buffer.len())),
-            Ok(n) => got += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("cannot read: {e}")),
-        }
-    }
-    Ok(true)
+/// Why the adapter ends early.
+#[derive(Debug, thiserror::Error)]
+enum AdapterError {
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error("frame {frame}: {source}")]
+    Record { frame: u64, source: RecordError },
+    #[error("cannot write: {0}")]
+    Write(io::Error),
 }
 
-/// Carries out one frame and returns the reply's records.
-fn frame(
-    now: f64,
-    body: &[u8],
-    hosted: &mut BTreeMap<u16, DecisionEngine>,
-) -> Result<Vec<u8>, String> {
-    let mut reader = Reader::new(body);
-    let (mut reply, mut actions) = (Vec::new(), Vec::new());
-    while let Some(record) = reader.record()? {
-        match record {
-            Record::Born { who, seed, setup } => {
-                let settings = settings::settings(&setup)
-                    .map_err(|e| format!("Born of instance {who}: {e}"))?;
-                let ingress = DecisionEngine::new(settings, seed)
-                    .map_err(|e| format!("Born of instance {who}: settings: {e}"))?;
-                hosted.insert(who, ingress);
-            }
-            Record::Kill { who } => {
-                hosted.remove(&who);
-            }
-            Record::Skip => {}
-            Record::For { who, event } => {
-                let ingress = hosted
-                    .get_mut(&who)
-                    .ok_or_else(|| format!("an event for instance {who}, which was never born"))?;
-                ingress.handle(now, event, &mut actions);
-                for action in actions.drain(..) {
-                    encode(who, &action, &mut reply);
+/// Why a record cannot be carried out.
+#[derive(Debug, thiserror::Error)]
+enum RecordError {
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error("Born of ingress {ingress}: {source}")]
+    Settings { ingress: u16, source: ConfigError },
+    #[error("Born of ingress {ingress}: settings: {source}")]
+    InvalidSettings { ingress: u16, source: SettingsError },
+    #[error("an event for ingress {ingress}, which was never born")]
+    UnknownIngress { ingress: u16 },
+}
+
+/// The ingresses that the simulator has started.
+#[derive(Default)]
+struct Ingresses(BTreeMap<u16, DecisionEngine>);
+
+impl Ingresses {
+    /// Carries out the records of one frame and returns the reply's records.
+    fn carry_out(&mut self, now_s: f64, records: &[u8]) -> Result<Vec<u8>, RecordError> {
+        let mut reader = RecordReader::new(records);
+        let mut reply = Vec::new();
+        let mut actions = Vec::new();
+        while let Some(record) = reader.next_record()? {
+            match record {
+                Record::Start {
+                    ingress,
+                    seed,
+                    settings,
+                } => self.start(ingress, seed, &settings)?,
+                Record::Stop { ingress } => {
+                    self.0.remove(&ingress);
+                }
+                Record::Ignored => {}
+                Record::Event { ingress, event } => {
+                    let engine = self
+                        .0
+                        .get_mut(&ingress)
+                        .ok_or(RecordError::UnknownIngress { ingress })?;
+                    engine.handle(now_s, event, &mut actions);
+                    for action in actions.drain(..) {
+                        encode_action(ingress, &action, &mut reply);
+                    }
                 }
             }
         }
+        Ok(reply)
+    }
+
+    fn start(&mut self, ingress: u16, seed: u64, settings: &str) -> Result<(), RecordError> {
+        let settings = settings::settings(settings)
+            .map_err(|source| RecordError::Settings { ingress, source })?;
+        let engine = DecisionEngine::new(settings, seed)
+            .map_err(|source| RecordError::InvalidSettings { ingress, source })?;
+        self.0.insert(ingress, engine);
+        Ok(())
     }
-    Ok(reply)
 }
 
-fn run() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut hosted = BTreeMap::new();
-    let (mut header, mut body) = ([0; 12], Vec::new());
-    let mut count = 0u64;
-    while fill(&mut input, &mut header).map_err(|e| format!("frame {count}, header: {e}"))? {
-        let (length, clock) = header.split_at(4);
-        let size = length.iter().fold(0, |n, b| n << 8 | usize::from(*b));
-        let now = Reader::new(clock).f64()?;
-        if size > MAX_FRAME {
-            return Err(format!("frame {count}: a length of {size} bytes"));
-        }
-        body.resize(size, 0);
-        if size > 0 && !fill(&mut input, &mut body)? {
-            return Err(format!("frame {count}: input ends before its {size} bytes"));
-        }
-        let reply = frame(now, &body, &mut hosted).map_err(|e| format!("frame {count}: {e}"))?;
-        let write = |output: &mut BufWriter<_>| -> io::Result<()> {
-            output.write_all(&(reply.len() as u32).to_be_bytes())?;
-            output.write_all(&reply)?;
-            output.flush()
-        };
-        write(&mut output).map_err(|e| format!("cannot write: {e}"))?;
-        count += 1;
+fn run() -> Result<(), AdapterError> {
+    let mut frames = FrameReader::new(BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock()));
+    let mut output = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
+    let mut ingresses = Ingresses::default();
+    while let Some(now_s) = frames.next_frame()? {
+        let reply = ingresses
+            .carry_out(now_s, frames.records())
+            .map_err(|source| AdapterError::Record {
+                frame: frames.frame_number(),
+                source,
+            })?;
+        write_reply(&mut output, &reply).map_err(AdapterError::Write)?;
     }
     Ok(())
 }
@@ -97,7 +108,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("driftgap-simulator-adapter: {e}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,12 +1,13 @@
-//! The adapter's records against bytes worked out by hand from the wire page's layout, and its exits.
+//! The simulator's adapter: its records against bytes worked out by hand from the wire page's layout, and its exit
+//! status.
 
-#[path = "../src/bin/driftgap-simulator-adapter/wire.rs"]
+#[path = "../src/bin/driftgap-simulator-adapter/wire/mod.rs"]
 mod wire;
 
 use driftgap::decision::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use wire::{encode, Reader, Record};
+use wire::{encode_action, Record, RecordReader};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let hex: String = hex.split_whitespace().collect();
@@ -18,11 +19,11 @@
 
 fn event(hex: &str) -> Event {
     let body = bytes(hex);
-    let mut reader = Reader::new(&body);
-    let Some(Record::For { who: 3, event }) = reader.record().unwrap() else {
+    let mut reader = RecordReader::new(&body);
+    let Some(Record::Event { ingress: 3, event }) = reader.next_record().unwrap() else {
         panic!("not an event for 3")
     };
-    assert_eq!(reader.record(), Ok(None));
+    assert_eq!(reader.next_record(), Ok(None));
     event
 }
 
@@ -122,15 +123,15 @@
         }
     );
     let body = bytes("0a 0005 09 0005 00000001 0002 6869 01 0006 0000000000000009 00000002 7b7d");
-    let mut reader = Reader::new(&body);
-    assert_eq!(reader.record(), Ok(Some(Record::Kill { who: 5 })));
-    assert_eq!(reader.record(), Ok(Some(Record::Skip)));
+    let mut reader = RecordReader::new(&body);
+    assert_eq!(reader.next_record(), Ok(Some(Record::Stop { ingress: 5 })));
+    assert_eq!(reader.next_record(), Ok(Some(Record::Ignored)));
     assert_eq!(
-        reader.record(),
-        Ok(Some(Record::Born {
-            who: 6,
+        reader.next_record(),
+        Ok(Some(Record::Start {
+            ingress: 6,
             seed: 9,
-            setup: "{}".into()
+            settings: "{}".into()
         }))
     );
 }
@@ -178,12 +179,12 @@
     ];
     for (action, hex) in cases {
         let mut out = Vec::new();
-        encode(3, &action, &mut out);
+        encode_action(3, &action, &mut out);
         assert_eq!(out, bytes(hex), "{action:?}");
     }
 }
 
-fn drill(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_driftgap-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -205,10 +206,13 @@
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_status_0() {
-    let out = drill(&bytes("00000000 4020d3126e978d50"));
+    let out = run_adapter(&bytes("00000000 4020d3126e978d50"));
     assert_eq!((out.status.code(), out.stdout), (Some(0), vec![0, 0, 0, 0]));
 }
 
+/// The simulator breaks off, sends bytes that are no record, or starts an ingress with settings that cannot be read. The
+/// adapter must end at once with status 2 and say in one line what is wrong and where; a reply made up from half a frame
+/// would spoil the run unnoticed.
 #[test]
 fn malformed_input_is_one_plain_line_and_no_reply() {
     let born = |json: &str| {
@@ -238,7 +242,7 @@
         ),
     ];
     for (input, want) in cases {
-        let out = drill(&input);
+        let out = run_adapter(&input);
         let said = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(2), "{want}");
         assert!(out.stdout.is_empty() && said.lines().count() == 1, "{said}");
