--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -1,6 +1,6 @@
-//! A value that is passed on while it comes: one capped ring between the endpoint that gives it and the client that
-//! takes it. It owns the bytes on the way and the word on how the value ended. It must never hold more than its ring,
-//! know either side's wire, or let one side wait for another that is gone.
+//! A response body that is streamed: one ring buffer between the endpoint that sends it and the client that receives it.
+//! It never holds more than that buffer, knows neither side's wire, and lets neither side wait for the other once that
+//! one is gone.
 
 use crate::buffer::ring_buffer::RingBuffer;
 use std::cell::{Cell, RefCell, RefMut};
@@ -8,108 +8,111 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Most bytes on the way, and where there are many values on the way.
-const MAX_ON_WAY: (usize, usize) = (64 * 1024, 16 * 1024);
+/// Buffer of one streamed body, in bytes: enough that neither side waits for each read of the other.
+const BUFFER_BYTES: usize = 64 * 1024;
+/// Buffer of one streamed body where many are open, in bytes: they get slower, and none is refused.
+const SMALL_BUFFER_BYTES: usize = 16 * 1024;
 
 struct BodyStream {
-    open: Rc<Cell<usize>>,
-    ring: RefCell<RingBuffer>,
+    /// How many streams are open, this one among them.
+    open_streams: Rc<Cell<usize>>,
+    buffer: RefCell<RingBuffer>,
     size: usize,
-    /// Bytes that have not been taken in yet.
-    left: Cell<usize>,
-    /// The end that bytes come in by is gone.
-    ended: Cell<bool>,
-    gone: Cell<bool>,
-    came: Notify,
-    went: Notify,
+    /// Bytes that the sender has not put in yet.
+    unsent: Cell<usize>,
+    sender_gone: Cell<bool>,
+    receiver_gone: Cell<bool>,
+    /// Bytes were put in, or the sender is gone.
+    sent: Notify,
+    /// Bytes were taken out, or the receiver is gone.
+    received: Notify,
 }
 
 impl Drop for BodyStream {
     fn drop(&mut self) {
-        self.open.set(self.open.get() - 1);
+        self.open_streams.set(self.open_streams.get() - 1);
     }
 }
 
-/// The end that bytes come in by. Dropped before the value is whole, the value has broken off.
+/// The endpoint's end. Dropped before the body is complete, the body is broken off.
 pub struct BodySender(Rc<BodyStream>);
 
-/// The end that bytes go out by. Dropped, nobody wants the rest.
+/// The client's end. Dropped, nobody wants the rest.
 pub struct BodyReceiver(Rc<BodyStream>);
 
-/// All values on their way, and the memory for them: guards against many clients that read slowly.
+/// All streamed bodies and the memory for them. Guards memory against many clients that read slowly.
 #[derive(Debug)]
 pub struct BodyStreams {
-    open: Rc<Cell<usize>>,
-    max: usize,
+    open_streams: Rc<Cell<usize>>,
+    max_bytes: usize,
 }
 
 impl BodyStreams {
-    /// None yet; beyond `most` bytes in all, further ones get a small ring each.
+    /// None yet; where all buffers together would pass `max` bytes, further ones are small.
     pub fn new(max: usize) -> BodyStreams {
         BodyStreams {
-            open: Rc::default(),
-            max,
+            open_streams: Rc::default(),
+            max_bytes: max,
         }
     }
 
-    /// A further value.
+    /// Opens a stream for a body of `size` bytes.
     pub fn open(&self, size: usize) -> (BodySender, BodyReceiver) {
-        let roomy = (self.open.get() + 1) * MAX_ON_WAY.0 <= self.max;
-        flow(
+        let open_streams = self.open_streams.get() + 1;
+        self.open_streams.set(open_streams);
+        let buffer_bytes = if open_streams * BUFFER_BYTES <= self.max_bytes {
+            BUFFER_BYTES
+        } else {
+            SMALL_BUFFER_BYTES
+        };
+        let stream = Rc::new(BodyStream {
+            open_streams: self.open_streams.clone(),
+            buffer: RingBuffer::fixed(buffer_bytes.min(size)).into(),
             size,
-            if roomy { MAX_ON_WAY.0 } else { MAX_ON_WAY.1 },
-            &self.open,
-        )
+            unsent: Cell::new(size),
+            sender_gone: Cell::new(false),
+            receiver_gone: Cell::new(false),
+            sent: Notify::new(),
+            received: Notify::new(),
+        });
+        (BodySender(stream.clone()), BodyReceiver(stream))
     }
 }
 
-/// A value of so many bytes, of which none has come.
-fn flow(size: usize, cap: usize, open: &Rc<Cell<usize>>) -> (BodySender, BodyReceiver) {
-    open.set(open.get() + 1);
-    let flow = Rc::new(BodyStream {
-        open: open.clone(),
-        ring: RingBuffer::fixed(cap.min(size)).into(),
-        size,
-        left: Cell::new(size),
-        ended: Cell::new(false),
-        gone: Cell::new(false),
-        came: Notify::new(),
-        went: Notify::new(),
-    });
-    (BodySender(flow.clone()), BodyReceiver(flow))
-}
-
 impl BodySender {
-    /// Bytes still to come.
+    /// Bytes of the body that have not been put in yet.
     pub fn left(&self) -> usize {
-        self.0.left.get()
+        self.0.unsent.get()
     }
 
-    /// Nobody wants the rest.
+    /// Whether the receiver is gone: nobody wants the rest.
     pub fn gone(&self) -> bool {
-        self.0.gone.get()
+        self.0.receiver_gone.get()
     }
 
-    /// Takes in what `read` writes to the room that there is, no more than the value's rest; none: there is no room.
+    /// Puts in what `read` writes to the free part of the buffer, no more than the body's rest; none: the buffer is full.
+    ///
+    /// # Errors
+    /// Those of `read`.
     pub fn fill<E>(
         &self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
     ) -> Option<Result<usize, E>> {
-        let mut ring = self.0.ring.borrow_mut();
-        let spare = ring.spare().ok()?;
-        let max = spare.len().min(self.0.left.get());
+        let mut buffer = self.0.buffer.borrow_mut();
+        let spare = buffer.spare().ok()?;
+        let max = spare.len().min(self.0.unsent.get());
         let read = read(&mut spare[..max]);
         if let Ok(n) = read {
-            ring.filled(n);
-            self.0.left.set(self.0.left.get() - n);
+            buffer.filled(n);
+            self.0.unsent.set(self.0.unsent.get() - n);
             if n > 0 {
-                self.0.came.notify_one();
+                self.0.sent.notify_one();
             }
         }
         Some(read)
     }
 
-    /// Takes in bytes that are here already; how many there was room for.
+    /// Puts in bytes; how many there was room for.
     pub fn push(&self, bytes: &[u8]) -> usize {
         let mut done = 0;
         while done < bytes.len() && self.left() > 0 {
@@ -126,61 +129,61 @@
         done
     }
 
-    /// Waits until there is room again, or nobody wants more.
+    /// Waits until there is room in the buffer, or the receiver is gone.
     pub async fn room(&self) {
-        self.0.went.notified().await;
+        self.0.received.notified().await;
     }
 }
 
 impl Drop for BodySender {
     fn drop(&mut self) {
-        self.0.ended.set(true);
-        self.0.came.notify_one();
+        self.0.sender_gone.set(true);
+        self.0.sent.notify_one();
     }
 }
 
 impl BodyReceiver {
-    /// Bytes of the whole value.
+    /// Bytes of the complete body.
     pub fn size(&self) -> usize {
         self.0.size
     }
 
     /// What can be taken out now; to be followed by [`BodyReceiver::took`].
     pub fn bytes(&self) -> RefMut<'_, RingBuffer> {
-        self.0.ring.borrow_mut()
+        self.0.buffer.borrow_mut()
     }
 
     /// Notes that so many bytes of [`BodyReceiver::bytes`] were taken.
     pub fn took(&self, n: usize) {
-        self.0.ring.borrow_mut().consume(n);
-        self.0.went.notify_one();
+        self.0.buffer.borrow_mut().consume(n);
+        self.0.received.notify_one();
     }
 
     /// Whether all of it has been taken out.
     pub fn over(&self) -> bool {
-        self.0.left.get() == 0 && self.dry()
+        self.0.unsent.get() == 0 && self.dry()
     }
 
-    /// Whether it will never be whole. What has come before is worth nothing to the client.
+    /// Whether it is broken off: the sender is gone, and the body will never be complete.
     pub fn broken(&self) -> bool {
-        self.0.ended.get() && self.0.left.get() > 0
+        self.0.sender_gone.get() && self.0.unsent.get() > 0
     }
 
     /// Whether nothing can be taken out until more has come.
     pub fn dry(&self) -> bool {
-        self.0.ring.borrow().is_empty()
+        self.0.buffer.borrow().is_empty()
     }
 
-    /// Waits until more has come, or nothing more will.
+    /// Waits until more has come, or the sender is gone.
     pub async fn more(&self) {
-        self.0.came.notified().await;
+        self.0.sent.notified().await;
     }
 }
 
 impl Drop for BodyReceiver {
     fn drop(&mut self) {
-        self.0.gone.set(true);
-        self.0.went.notify_one();
+        self.0.receiver_gone.set(true);
+        self.0.received.notify_one();
     }
 }
 
@@ -188,14 +191,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "Outlet({} bytes, {} to come)",
+            "BodyReceiver({} bytes, {} to come)",
             self.0.size,
-            self.0.left.get()
+            self.0.unsent.get()
         )
     }
 }
 
-/// Two are the same only if they are one.
+/// Two are equal only if they are ends of the same stream.
 impl PartialEq for BodyReceiver {
     fn eq(&self, other: &BodyReceiver) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
@@ -203,40 +206,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_value_goes_through_a_ring_far_smaller_than_itself() {
-        let value: Vec<u8> = (0..1_000_000u32).map(|i| (i % 251) as u8).collect();
-        let ways = BodyStreams::new(1_000_000);
-        let (intake, outlet) = ways.open(value.len());
-        let (mut sent, mut got) = (0, Vec::new());
-        while !outlet.over() {
-            sent += intake.push(&value[sent..]);
-            assert!(outlet.bytes().len() <= MAX_ON_WAY.0 && !outlet.broken());
-            let n = 777.min(outlet.bytes().front().len());
-            got.extend_from_slice(&outlet.bytes().front()[..n]);
-            outlet.took(n);
-        }
-        assert!(got == value && intake.left() == 0);
-        drop(intake);
-        assert!(outlet.over() && !outlet.broken());
-    }
-
-    #[test]
-    fn either_side_learns_that_the_other_is_gone() {
-        let ways = BodyStreams::new(0);
-        let (intake, outlet) = ways.open(10);
-        assert_eq!(intake.push(b"abcdefghijkl"), 10, "nothing beyond the value");
-        drop(outlet);
-        assert!(intake.gone());
-        drop(intake);
-        let (intake, outlet) = ways.open(10);
-        intake.push(b"abc");
-        drop(intake);
-        assert!(outlet.broken() && !outlet.over() && outlet.bytes().front() == b"abc");
-        drop(outlet);
-        assert_eq!(ways.open.get(), 0);
-    }
-}
+mod tests;
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -1,13 +1,14 @@
-//! The byte buffer of one direction of one connection. It owns its memory: small at first, doubled as needed
-//! up to a cap, given back when it has stood empty after a large message. It must never grow past its cap,
-//! block, or know what the bytes mean.
+//! The byte buffer of one direction of one connection. Its memory is small at first, doubled as needed up to a cap, and
+//! given back when it is empty after a large message. It never grows past its cap, never blocks, and does not know what
+//! the bytes mean.
 
-/// Bytes that a fresh ring holds.
-const FIRST: usize = 1024;
-/// An empty ring above this gives its memory back.
-const KEEP: usize = 16 * 1024;
+/// Size of a ring buffer at its first byte: most requests fit.
+const INITIAL_BYTES: usize = 1024;
+/// An empty ring buffer above this size gives its memory back: one large message must not cost its connection that much
+/// for good.
+const MAX_EMPTY_BYTES: usize = 16 * 1024;
 
-/// The ring is at its cap.
+/// The ring buffer is at its cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection's buffer is full")]
 pub struct RingBufferFull;
@@ -16,15 +17,18 @@
 #[derive(Debug, Default)]
 pub struct RingBuffer {
     bytes: Vec<u8>,
+    /// Where the first byte is.
     head: usize,
+    /// Bytes held.
     len: usize,
+    /// Most bytes that it holds.
     cap: usize,
-    /// Its size is its cap from the first byte on, and is kept: for bytes that pass through without end.
+    /// It has the size of its cap from the first byte on, and keeps it: for a stream of bytes.
     fixed: bool,
 }
 
 impl RingBuffer {
-    /// An empty ring that never holds more than `cap` bytes.
+    /// An empty ring buffer that never holds more than `cap` bytes, and one at the least.
     pub fn new(cap: usize) -> RingBuffer {
         RingBuffer {
             cap: cap.max(1),
@@ -32,7 +36,7 @@
         }
     }
 
-    /// An empty ring that is as large as `cap` once it is used, and stays so.
+    /// An empty ring buffer that is as large as `cap` bytes once it is used, and stays so.
     pub fn fixed(cap: usize) -> RingBuffer {
         RingBuffer {
             fixed: true,
@@ -50,23 +54,26 @@
         self.len == 0
     }
 
-    fn grow(&mut self, min: usize) -> Result<(), RingBufferFull> {
-        if min > self.cap {
+    /// Makes its memory hold `min_bytes` at the least.
+    fn grow(&mut self, min_bytes: usize) -> Result<(), RingBufferFull> {
+        if min_bytes > self.cap {
             return Err(RingBufferFull);
         }
-        if min > self.bytes.len() {
-            self.whole();
-            let min = if self.fixed { self.cap } else { min };
-            let size = min.max(FIRST).next_power_of_two().min(self.cap);
-            self.bytes.resize(size, 0);
+        if min_bytes <= self.bytes.len() {
+            return Ok(());
         }
+        // The bytes must lie in one piece before the memory is lengthened behind them.
+        self.whole();
+        let wanted = if self.fixed { self.cap } else { min_bytes };
+        let size = wanted.max(INITIAL_BYTES).next_power_of_two();
+        self.bytes.resize(size.min(self.cap), 0);
         Ok(())
     }
 
     /// Room to read into, in one piece; hand what was filled to [`RingBuffer::filled`].
     ///
     /// # Errors
-    /// The ring is full at its cap.
+    /// The ring buffer is full at its cap.
     pub fn spare(&mut self) -> Result<&mut [u8], RingBufferFull> {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1)?;
@@ -85,7 +92,7 @@
     /// Appends bytes.
     ///
     /// # Errors
-    /// They would take the ring past its cap; nothing was appended.
+    /// They would take the ring buffer past its cap; nothing was appended.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), RingBufferFull> {
         self.grow(self.len + bytes.len())?;
         while !bytes.is_empty() {
@@ -118,7 +125,7 @@
         self.len -= n;
         if self.len == 0 {
             self.head = 0;
-            if self.bytes.len() > KEEP && !self.fixed {
+            if self.bytes.len() > MAX_EMPTY_BYTES && !self.fixed {
                 self.bytes = Vec::new();
             }
         } else {
@@ -128,33 +135,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn bytes_come_out_in_order_across_the_seam_and_the_cap_holds() {
-        let mut ring = RingBuffer::new(4096);
-        let mut expect = 0u8;
-        let mut next = 0u8;
-        for round in 0..500 {
-            let bytes: Vec<u8> = (0..37 + round % 5)
-                .map(|i| next.wrapping_add(i as u8))
-                .collect();
-            ring.push(&bytes).unwrap();
-            next = next.wrapping_add(bytes.len() as u8);
-            if ring.len() > 900 {
-                let got = ring.whole()[..850].to_vec();
-                ring.consume(850);
-                for b in got {
-                    assert_eq!(b, expect);
-                    expect = expect.wrapping_add(1);
-                }
-            }
-        }
-        ring.consume(usize::MAX);
-        assert!(ring.is_empty());
-        assert_eq!(ring.push(&[0; 4097]), Err(RingBufferFull));
-        ring.push(&[1; 4096]).unwrap();
-        assert_eq!(ring.spare().err(), Some(RingBufferFull));
-    }
-}
+mod tests;
