--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The core alone, with a clock of the test's: no socket, no wire.
+//! The request table alone, with a clock of the test's: no socket, no wire.
 
 use driftgap::config::settings::Config;
 use driftgap::decision::driver::{DecisionDriver, RequestId};
@@ -21,40 +21,41 @@
     Rc::new(Config::parse(&text).unwrap().platform)
 }
 
-struct Bed {
-    core: RequestTable,
+/// A request table with three ready endpoints.
+struct Ingress {
+    requests: RequestTable,
     platform: Rc<driftgap::config::settings::Platform>,
 }
 
-impl Bed {
-    fn new(max_bytes: usize) -> Bed {
+impl Ingress {
+    fn new(max_bytes: usize) -> Ingress {
         let platform = platform(&[(r#""counter": true"#, r#""counter": false"#)]);
         let driver = DecisionDriver::new(platform.decision.clone(), 7).unwrap();
-        let mut core = RequestTable::new(platform.clone(), driver, max_bytes);
-        core.update_endpoints(
+        let mut requests = RequestTable::new(platform.clone(), driver, max_bytes);
+        requests.update_endpoints(
             NOW,
             ListKind::Full,
             (0..3).map(|h| entry(h, EndpointState::Ready)).collect(),
         );
-        Bed { core, platform }
+        Ingress { requests, platform }
     }
 
-    fn ask(&mut self, class: &str, body: usize) -> RequestId {
+    fn arrive(&mut self, class: &str, body: usize) -> RequestId {
         let terms = format!("c={class},t=national,d=1000,units=2,spread=1,first=0");
         let tenant = "0000000000000007";
         let request =
             ClientRequest::new(&self.platform, tenant, "k", terms, Some(vec![0; body])).unwrap();
-        self.core.arrive(NOW, request)
+        self.requests.arrive(NOW, request)
     }
 
-    fn effects(&mut self) -> Vec<Action> {
-        std::iter::from_fn(|| self.core.next_action()).collect()
+    fn actions(&mut self) -> Vec<Action> {
+        std::iter::from_fn(|| self.requests.next_action()).collect()
     }
 
     /// The one attempt that was started.
     fn started(&mut self) -> AttemptStart {
-        let effects = self.effects();
-        let starts: Vec<_> = effects
+        let actions = self.actions();
+        let starts: Vec<_> = actions
             .iter()
             .filter_map(|e| {
                 if let Action::StartAttempt(start) = e {
@@ -64,18 +65,18 @@
                 }
             })
             .collect();
-        assert_eq!(starts.len(), 1, "{effects:?}");
+        assert_eq!(starts.len(), 1, "{actions:?}");
         starts[0].clone()
     }
 
     fn end(&mut self, after: f64, start: &AttemptStart, outcome: Outcome) -> Vec<Action> {
-        self.core.attempt_ended(
+        self.requests.attempt_ended(
             NOW + after,
             start.id,
             start.attempt,
             AttemptResult::without(outcome),
         );
-        self.effects()
+        self.actions()
     }
 }
 
@@ -91,32 +92,42 @@
     }
 }
 
+/// An attempt ends twice, its client goes, and its deadline passes, all after the answer. A second answer would be taken for
+/// the answer to the client's next request.
 #[test]
 fn an_answer_comes_once_whatever_follows() {
-    let mut bed = Bed::new(1 << 20);
-    let id = bed.ask("fetch-episode", 0);
-    let start = bed.started();
+    let mut ingress = Ingress::new(1 << 20);
+    let id = ingress.arrive("fetch-episode", 0);
+    let start = ingress.started();
     let end = AttemptResult {
         value: Some(ResponseBody::Complete(b"news".to_vec())),
         ..AttemptResult::without(Outcome::Ok)
     };
-    bed.core.attempt_ended(NOW + 5.0, id, 0, end.clone());
+    ingress
+        .requests
+        .attempt_ended(NOW + 5.0, id, 0, end.clone());
     assert_eq!(
-        bed.effects(),
+        ingress.actions(),
         vec![Action::Reply(
             id,
             FinalAnswer::Served(ResponseBody::Complete(b"news".to_vec()))
         )]
     );
-    bed.core.attempt_ended(NOW + 6.0, id, 0, end);
-    bed.core.client_gone(NOW + 7.0, id);
-    bed.core.tick(NOW + 2000.0);
+    ingress.requests.attempt_ended(NOW + 6.0, id, 0, end);
+    ingress.requests.client_gone(NOW + 7.0, id);
+    ingress.requests.tick(NOW + 2000.0);
     assert_eq!(
-        (bed.effects(), bed.core.unanswered(), start.attempt),
+        (
+            ingress.actions(),
+            ingress.requests.unanswered(),
+            start.attempt
+        ),
         (vec![], 0, 0)
     );
 }
 
+/// An endpoint that may have run a booking fails, or its connection is lost. A second run would book twice; only a rejection
+/// and a failed connect prove that there was no first one.
 #[test]
 fn work_with_an_effect_is_sent_again_only_if_it_never_ran() {
     use Outcome::*;
@@ -126,16 +137,18 @@
         (Error, false),
         (Reset, false),
     ] {
-        let mut bed = Bed::new(1 << 20);
-        let id = bed.ask("book-rebroadcast", 0);
-        let start = bed.started();
-        let effects = bed.end(5.0, &start, outcome);
-        let failed = effects.contains(&Action::Reply(id, FinalAnswer::Failed { late: false }));
-        let sent = effects.iter().any(|e| matches!(e, Action::StartAttempt(_)));
-        assert_eq!((sent, failed), (again, !again), "{outcome:?}: {effects:?}");
+        let mut ingress = Ingress::new(1 << 20);
+        let id = ingress.arrive("book-rebroadcast", 0);
+        let start = ingress.started();
+        let actions = ingress.end(5.0, &start, outcome);
+        let failed = actions.contains(&Action::Reply(id, FinalAnswer::Failed { late: false }));
+        let sent = actions.iter().any(|a| matches!(a, Action::StartAttempt(_)));
+        assert_eq!((sent, failed), (again, !again), "{outcome:?}: {actions:?}");
     }
 }
 
+/// Endpoints know each other's keys within a zone only, and the decision module is told otherwise. A retry in another zone
+/// would run the request a second time; in the same zone the second run is discarded.
 #[test]
 fn keyed_work_stays_in_its_zone_and_window_and_copies_go_out_where_they_may() {
     let platform = platform(&[
@@ -147,59 +160,68 @@
         (r#""parallel_tries": false"#, r#""parallel_tries": true"#),
     ]);
     let mut set = platform.decision.clone();
-    // A module that would send it anywhere: the core must hold it by itself.
+    // A decision module that would send it anywhere: the request table must refuse by itself.
     set.classes[1].deduplication_scope = driftgap::decision::DeduplicationScope::All;
     for (zones, again) in [([0, 0], true), ([0, 1], false)] {
         let driver = DecisionDriver::new(set.clone(), 7).unwrap();
-        let mut core = RequestTable::new(platform.clone(), driver, 1 << 20);
+        let mut requests = RequestTable::new(platform.clone(), driver, 1 << 20);
         let endpoints = (0..2).map(|h| EndpointEntry {
             zone: zones[h as usize],
             ..entry(h, EndpointState::Ready)
         });
-        core.update_endpoints(NOW, ListKind::Full, endpoints.collect());
-        let mut bed = Bed {
-            core,
+        requests.update_endpoints(NOW, ListKind::Full, endpoints.collect());
+        let mut ingress = Ingress {
+            requests,
             platform: platform.clone(),
         };
         let terms =
             "c=book-rebroadcast,t=national,d=3000,units=2,spread=1,first=0,k=5c0f".to_string();
-        let request =
-            ClientRequest::new(&bed.platform, "0000000000000007", "k", terms, Some(vec![1]))
-                .unwrap();
-        let id = bed.core.arrive(NOW, request);
-        let start = bed.started();
+        let request = ClientRequest::new(
+            &ingress.platform,
+            "0000000000000007",
+            "k",
+            terms,
+            Some(vec![1]),
+        )
+        .unwrap();
+        let id = ingress.requests.arrive(NOW, request);
+        let start = ingress.started();
         // Late, but not over: a hedged request, or none.
         let mut starts = 0;
         for turn in 1..40 {
-            bed.core.tick(NOW + 25.0 * f64::from(turn));
-            starts += bed
-                .effects()
+            ingress.requests.tick(NOW + 25.0 * f64::from(turn));
+            starts += ingress
+                .actions()
                 .iter()
-                .filter(|e| matches!(e, Action::StartAttempt(_)))
+                .filter(|a| matches!(a, Action::StartAttempt(_)))
                 .count();
         }
         assert_eq!(starts, usize::from(again), "zones {zones:?}");
-        let effects = bed.end(1000.0, &start, Outcome::Reset);
+        let actions = ingress.end(1000.0, &start, Outcome::Reset);
         assert!(
-            !effects
+            !actions
                 .iter()
-                .any(|e| matches!(e, Action::Reply(_, FinalAnswer::Rejected { .. }))),
-            "{effects:?}"
+                .any(|a| matches!(a, Action::Reply(_, FinalAnswer::Rejected { .. }))),
+            "{actions:?}"
         );
         let ok = AttemptResult {
             value: Some(ResponseBody::Complete(vec![])),
             ..AttemptResult::without(Outcome::Ok)
         };
-        bed.core.attempt_ended(NOW + 1001.0, id, 1, ok);
-        let answers = bed
-            .effects()
+        ingress.requests.attempt_ended(NOW + 1001.0, id, 1, ok);
+        let answers = ingress
+            .actions()
             .iter()
-            .filter(|e| matches!(e, Action::Reply(..)))
+            .filter(|a| matches!(a, Action::Reply(..)))
             .count();
-        assert_eq!((answers, bed.core.unanswered()), (usize::from(again), 0));
+        assert_eq!(
+            (answers, ingress.requests.unanswered()),
+            (usize::from(again), 0)
+        );
     }
 }
 
+/// A client sends a keyed request without a key, or with two. Endpoints could not know a repeat of it again.
 #[test]
 fn a_keyed_request_has_one_key() {
     let platform = platform(&[(r#""effect": "side_effect""#, r#""effect": "token""#)]);
@@ -216,109 +238,123 @@
     }
 }
 
+/// An endpoint does not answer. The client must hear so when its timeout ends, once, and the attempt must not go on.
 #[test]
 fn at_the_deadline_the_attempt_is_abandoned_and_the_client_notified_once() {
-    let mut bed = Bed::new(1 << 20);
-    let id = bed.ask("book-rebroadcast", 0);
-    let start = bed.started();
+    let mut ingress = Ingress::new(1 << 20);
+    let id = ingress.arrive("book-rebroadcast", 0);
+    let start = ingress.started();
     assert_eq!(start.until, NOW + 1000.0);
-    let mut effects = Vec::new();
-    while bed.core.unanswered() > 0 || effects.len() < 2 {
-        let due = bed.core.next_due().expect("a timer");
+    let mut actions = Vec::new();
+    while ingress.requests.unanswered() > 0 || actions.len() < 2 {
+        let due = ingress.requests.next_due().expect("a timer");
         assert!(due <= NOW + 1001.0, "nothing by the deadline");
-        bed.core.tick(due);
-        effects.extend(bed.effects());
+        ingress.requests.tick(due);
+        actions.extend(ingress.actions());
     }
     let want = [
         Action::Reply(id, FinalAnswer::Failed { late: true }),
         Action::AbandonAttempt(id, 0),
     ];
-    assert_eq!(effects, want);
+    assert_eq!(actions, want);
 }
 
+/// Requests are served in milliseconds, with timeouts of seconds. If each left a timer and a deadline behind until its
+/// timeout, the process would wake up for nothing as often as it serves.
 #[test]
 fn a_served_request_leaves_no_timer_behind_but_the_modules_tick() {
-    // Guards against wake-ups for nothing: one timer and one deadline a request would wait out its patience.
-    let mut bed = Bed::new(1 << 20);
-    bed.ask("fetch-episode", 0);
-    let start = bed.started();
+    let mut ingress = Ingress::new(1 << 20);
+    ingress.arrive("fetch-episode", 0);
+    let start = ingress.started();
     let end = AttemptResult {
         value: Some(ResponseBody::Complete(vec![])),
         ..AttemptResult::without(Outcome::Ok)
     };
-    bed.core.attempt_ended(NOW + 5.0, start.id, 0, end);
+    ingress.requests.attempt_ended(NOW + 5.0, start.id, 0, end);
     let mut now = NOW + 5.0;
     let mut wakes = 0;
-    while let Some(due) = bed.core.next_due().filter(|due| *due < NOW + 1100.0) {
+    while let Some(due) = ingress
+        .requests
+        .next_due()
+        .filter(|due| *due < NOW + 1100.0)
+    {
         now = due.max(now);
-        bed.core.tick(now);
+        ingress.requests.tick(now);
         wakes += 1;
     }
     assert!(wakes <= 24, "{wakes} wake-ups in 1.1 s");
 }
 
+/// A client names a timeout of an hour. Timers live until the deadline, so a few such clients could fill the memory with
+/// them.
 #[test]
 fn no_client_names_a_wait_beyond_its_class() {
-    // Guards memory: timers live until the deadline, which a client could put an hour away.
-    let mut bed = Bed::new(1 << 20);
+    let mut ingress = Ingress::new(1 << 20);
     let terms = "c=fetch-episode,t=national,d=3600000,units=2,spread=1,first=0".to_string();
-    let request = ClientRequest::new(&bed.platform, "0000000000000007", "k", terms, None).unwrap();
-    bed.core.arrive(NOW, request);
-    assert_eq!(bed.started().until, NOW + 1200.0);
+    let request =
+        ClientRequest::new(&ingress.platform, "0000000000000007", "k", terms, None).unwrap();
+    ingress.requests.arrive(NOW, request);
+    assert_eq!(ingress.started().until, NOW + 1200.0);
 }
 
+/// A client closes its connection while its request is being served. Nobody wants the answer any more, so the attempt must
+/// not keep an endpoint busy.
 #[test]
 fn a_client_that_goes_ends_its_attempt() {
-    let mut bed = Bed::new(1 << 20);
-    let id = bed.ask("fetch-episode", 0);
-    bed.started();
-    bed.core.client_gone(NOW + 5.0, id);
+    let mut ingress = Ingress::new(1 << 20);
+    let id = ingress.arrive("fetch-episode", 0);
+    ingress.started();
+    ingress.requests.client_gone(NOW + 5.0, id);
     assert_eq!(
-        (bed.effects(), bed.core.unanswered()),
+        (ingress.actions(), ingress.requests.unanswered()),
         (vec![Action::AbandonAttempt(id, 0)], 0)
     );
 }
 
+/// One endpoint drains, another is removed. What is sent to them afterwards is lost when they stop.
 #[test]
 fn nothing_is_sent_to_an_endpoint_that_the_table_has_as_leaving() {
-    let mut bed = Bed::new(1 << 20);
+    let mut ingress = Ingress::new(1 << 20);
     let left = [
         entry(0, EndpointState::Draining),
         entry(1, EndpointState::Gone),
     ];
-    bed.core
+    ingress
+        .requests
         .update_endpoints(NOW, ListKind::Delta, left.to_vec());
     assert_eq!(
-        bed.effects(),
+        ingress.actions(),
         vec![Action::ReleaseEndpoint(0), Action::ReleaseEndpoint(1)]
     );
     for _ in 0..5 {
-        bed.ask("fetch-episode", 0);
-        assert_eq!(bed.started().endpoint, 2);
+        ingress.arrive("fetch-episode", 0);
+        assert_eq!(ingress.started().endpoint, 2);
     }
-    assert!(!bed.core.accepts_requests(0) && bed.core.accepts_requests(2));
+    assert!(!ingress.requests.accepts_requests(0) && ingress.requests.accepts_requests(2));
 }
 
+/// Clients send large bodies faster than endpoints take them. The request that would pass the bound is rejected, since an
+/// ingress that runs out of memory loses all requests.
 #[test]
 fn memory_for_held_requests_is_bounded() {
-    let mut bed = Bed::new(100_000);
-    bed.ask("book-rebroadcast", 60_000);
-    bed.started();
-    let id = bed.ask("book-rebroadcast", 60_000);
+    let mut ingress = Ingress::new(100_000);
+    ingress.arrive("book-rebroadcast", 60_000);
+    ingress.started();
+    let id = ingress.arrive("book-rebroadcast", 60_000);
     assert!(
-        matches!(bed.effects()[..], [Action::Reply(i, FinalAnswer::Rejected { .. })] if i == id)
+        matches!(ingress.actions()[..], [Action::Reply(i, FinalAnswer::Rejected { .. })] if i == id)
     );
 }
 
+/// A client sends what no endpoint can read, or a million units in another tenant's name. Endpoints close their connection
+/// on what they cannot read, whatever else waits there, and the units would use up the tenant's quota.
 #[test]
 fn what_no_endpoint_could_read_or_use_is_no_request() {
-    // Guards quotas (a million units in a tenant's name), the counter, and the connections to endpoints,
-    // which close on what they cannot read.
-    let bed = Bed::new(1 << 20);
+    let ingress = Ingress::new(1 << 20);
     let good = "c=fetch-episode,t=national,d=1000,units=2,spread=1,first=0";
     let (tenant, id) = ("0000000000000007", "k");
     let new = |tenant: &str, id: &str, terms: &str, body: Option<Vec<u8>>| {
-        ClientRequest::new(&bed.platform, tenant, id, terms.into(), body).is_ok()
+        ClientRequest::new(&ingress.platform, tenant, id, terms.into(), body).is_ok()
     };
     assert!(new(tenant, id, good, None) && new(tenant, id, &good.replace("d=1000", "d=0.5"), None));
     for (from, to) in [
