--- a/src/bin/driftgap-simulator-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: it runs the decision modules of many ingresses on the simulator's wire over standard input
-//! and output. It maps records to events and actions to records, and decides nothing.
+//! The simulator's adapter: it runs the decision modules of many ingresses on the simulator's wire over
+//! standard input and output. It maps records to events and actions to records, and decides nothing.
 
 mod frame;
 mod wire;
--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -1,6 +1,6 @@
-//! A response body that is streamed: one ring buffer between the endpoint that sends it and the client that receives it.
-//! It never holds more than that buffer, knows neither side's wire, and lets neither side wait for the other once that
-//! one is gone.
+//! A response body that is streamed: one ring buffer between the endpoint that sends it and the client that
+//! receives it. It never holds more than that buffer, knows neither side's wire, and lets neither side wait
+//! for the other once that one is gone.
 
 use crate::buffer::ring_buffer::RingBuffer;
 use std::cell::{Cell, RefCell, RefMut};
@@ -90,7 +90,8 @@
         self.0.receiver_gone.get()
     }
 
-    /// Puts in what `read` writes to the free part of the buffer, no more than the body's rest; none: the buffer is full.
+    /// Puts in what `read` writes to the free part of the buffer, no more than the body's rest; none: the
+    /// buffer is full.
     ///
     /// # Errors
     /// Those of `read`.
--- a/src/buffer/body_stream/tests.rs
+++ b/src/buffer/body_stream/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// A body of a megabyte is streamed to a client that reads in small pieces. All bytes must come out in order, and no more
-/// than the buffer's size may wait in memory.
+/// A body of a megabyte is streamed to a client that reads in small pieces. All bytes must come out in order,
+/// and no more than the buffer's size may wait in memory.
 #[test]
 fn a_value_goes_through_a_ring_far_smaller_than_itself() {
     let value: Vec<u8> = (0..1_000_000u32).map(|i| (i % 251) as u8).collect();
@@ -20,8 +20,8 @@
     assert!(receiver.over() && !receiver.broken());
 }
 
-/// A client closes its connection in the middle of a body, or an endpoint does. The other side must learn of it, or it
-/// would wait for good, and a body that is broken off must not be taken for a complete one.
+/// A client closes its connection in the middle of a body, or an endpoint does. The other side must learn of
+/// it, or it would wait for good, and a body that is broken off must not be taken for a complete one.
 #[test]
 fn either_side_learns_that_the_other_is_gone() {
     let streams = BodyStreams::new(0);
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -1,11 +1,11 @@
-//! The byte buffer of one direction of one connection. Its memory is small at first, doubled as needed up to a cap, and
-//! given back when it is empty after a large message. It never grows past its cap, never blocks, and does not know what
-//! the bytes mean.
+//! The byte buffer of one direction of one connection. Its memory is small at first, doubled as needed up to
+//! a cap, and given back when it is empty after a large message. It never grows past its cap, never blocks,
+//! and does not know what the bytes mean.
 
 /// Size of a ring buffer at its first byte: most requests fit.
 const INITIAL_BYTES: usize = 1024;
-/// An empty ring buffer above this size gives its memory back: one large message must not cost its connection that much
-/// for good.
+/// An empty ring buffer above this size gives its memory back: one large message must not cost its connection
+/// that much for good.
 const MAX_EMPTY_BYTES: usize = 16 * 1024;
 
 /// The ring buffer is at its cap.
--- a/src/buffer/ring_buffer/tests.rs
+++ b/src/buffer/ring_buffer/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
-/// Messages of changing length pass through a ring buffer, so that they wrap around its end at ever new places. No byte
-/// may be lost or swapped there, and a peer that sends without end must find the buffer full at its cap.
+/// Messages of changing length pass through a ring buffer, so that they wrap around its end at ever new
+/// places. No byte may be lost or swapped there, and a peer that sends without end must find the buffer full
+/// at its cap.
 #[test]
 fn bytes_come_out_in_order_across_the_seam_and_the_cap_holds() {
     let mut ring = RingBuffer::new(4096);
--- a/src/protocol/attempt_outcome.rs
+++ b/src/protocol/attempt_outcome.rs
@@ -1,5 +1,5 @@
-//! What an endpoint's answer, or the end of its connection, proves of an attempt. Only proof that nothing ran allows a
-//! request with an effect to be sent again, so each case stands here with its reason.
+//! What an endpoint's answer, or the end of its connection, proves of an attempt. Only proof that nothing ran
+//! allows a request with an effect to be sent again, so each case stands here with its reason.
 //!
 //! | what came | outcome | has it run? |
 //! | --- | --- | --- |
@@ -19,8 +19,8 @@
 use h2::Reason;
 use http::{HeaderMap, StatusCode};
 
-/// The outcome by the first word of a RESP error; none: the word is noise, and says nothing of the endpoint's class or
-/// queue.
+/// The outcome by the first word of a RESP error; none: the word is noise, and says nothing of the endpoint's
+/// class or queue.
 pub fn of_resp_error(first_word: &[u8]) -> Option<Outcome> {
     match first_word {
         wire_names::REJECTED => Some(Outcome::Rejected),
@@ -42,8 +42,8 @@
     }
 }
 
-/// The outcome of a stream that ended with an error. h2 gives the peer's GOAWAY as the error of streams above its last
-/// id alone; streams at or below that id end with an error of the connection, and may have run.
+/// The outcome of a stream that ended with an error. h2 gives the peer's GOAWAY as the error of streams above
+/// its last id alone; streams at or below that id end with an error of the connection, and may have run.
 pub fn of_http2_error(error: &h2::Error) -> Outcome {
     if !error.is_remote() {
         return Outcome::Reset;
@@ -56,3 +56,6 @@
     }
     Outcome::Reset
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/protocol/http2/body.rs
+++ b/src/protocol/http2/body.rs
@@ -23,8 +23,8 @@
     Some(body)
 }
 
-/// Sends a body while it comes, as the stream's window opens; false: the sender or the stream has ended, or the client
-/// took nothing for `client_timeout`.
+/// Sends a body while it comes, as the stream's window opens; false: the sender or the stream has ended, or
+/// the client took nothing for `client_timeout`.
 pub async fn push_coming(
     stream: &mut SendStream<Bytes>,
     body: &BodyReceiver,
--- a/src/protocol/http2/request.rs
+++ b/src/protocol/http2/request.rs
@@ -6,12 +6,9 @@
     DEADLINE, ID, IDEMPOTENCY_KEY, NOTE_PREFIX, PLAN, REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
 };
 use crate::protocol::wire_names;
-use crate::request::{pairs, ClientRequest};
+use crate::request::{pairs, ClientRequest, MAX_CLIENT_TIMEOUT_MS};
 use http::{HeaderMap, Method, Request};
 
-/// Longest timeout that a client may name, ms: one hour.
-const MAX_CLIENT_TIMEOUT_MS: f64 = 3.6e6;
-
 /// Terms of the platform's wire that have a header of their own.
 const TERMS_WITH_HEADER: [&str; 5] = [
     wire_names::CLASS,
--- a/src/protocol/parse.rs
+++ b/src/protocol/parse.rs
@@ -6,8 +6,8 @@
 use winnow::stream::Partial;
 use winnow::token::take_while;
 
-/// Longest line, in bytes: the head of an HTTP answer, a line of a RESP reply. Guards memory against a peer that sends
-/// no end of line.
+/// Longest line, in bytes: the head of an HTTP answer, a line of a RESP reply. Guards memory against a peer
+/// that sends no end of line.
 const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// The bytes that have come so far.
--- a/src/protocol/resp/request.rs
+++ b/src/protocol/resp/request.rs
@@ -18,8 +18,8 @@
     safe: bool,
     words: &[&[u8]],
 ) -> Result<ClientRequest, InvalidRequest> {
-    // Guards the endpoints' grammar, which closes the connection otherwise: a safe request is never written with a body,
-    // any other one never without.
+    // Guards the endpoints' grammar, which closes the connection otherwise: a safe request is never written
+    // with a body, any other one never without.
     if words.len() != WORDS_WITHOUT_BODY + usize::from(!safe) {
         return Err(InvalidRequest::Term(wire_names::BODY));
     }
@@ -31,7 +31,8 @@
     let tenant = text(0, wire_names::TENANT)?;
     let id = text(1, wire_names::REQUEST_ID)?;
     let request = ClientRequest::new(platform, tenant, id, terms, body)?;
-    // Guards against double effects: a peer repeats what has the verb of safe requests, so no other class may have it.
+    // Guards against duplicate execution: a peer repeats what has the verb of safe requests, so no other class may
+    // have it.
     if is_safe(platform, &request) != safe {
         return Err(InvalidRequest::Class);
     }
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -45,9 +45,9 @@
     }
 }
 
-/// Whether an attempt that ended so may have run at an endpoint. Nothing can have run only where the endpoint rejected
-/// the request unseen, where there was no connection to send it by, and where it was not sent at all. An error, a lost
-/// connection, a timeout and a cancellation prove nothing: the request was on its way.
+/// Whether an attempt that ended so may have run at an endpoint. Nothing can have run only where the endpoint
+/// rejected the request unseen, where there was no connection to send it by, and where it was not sent at
+/// all. An error, a lost connection, a timeout and a cancellation prove nothing: the request was on its way.
 pub(super) fn may_have_run(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
--- a/src/request/attempt_deadlines.rs
+++ b/src/request/attempt_deadlines.rs
@@ -1,5 +1,5 @@
-//! The deadlines of attempts, earliest first. A deadline stays queued when its attempt ends, and is skipped when it is
-//! met: removing it at once would cost a search for each attempt.
+//! The deadlines of attempts, earliest first. A deadline stays queued when its attempt ends, and is skipped
+//! when it is met: removing it at once would cost a search for each attempt.
 
 use crate::decision::driver::RequestId;
 use std::cmp::Reverse;
@@ -49,8 +49,8 @@
         self.queue.pop().map(|Reverse(deadline)| deadline)
     }
 
-    /// The time of the earliest deadline whose attempt is still running, ms. Earlier ones are dropped: each would cost
-    /// a wake-up for nothing.
+    /// The time of the earliest deadline whose attempt is still running, ms. Earlier ones are dropped: each
+    /// would cost a wake-up for nothing.
     pub(super) fn next_due_ms(
         &mut self,
         is_running: impl Fn(AttemptDeadline) -> bool,
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -17,7 +17,7 @@
 /// Tenants' ids are numbers below this.
 const TENANT_IDS: u64 = 1 << 33;
 /// Longest timeout that a client may name, ms: one hour.
-const MAX_CLIENT_TIMEOUT_MS: f64 = 3.6e6;
+pub(crate) const MAX_CLIENT_TIMEOUT_MS: f64 = 3.6e6;
 /// Memory that a request takes beside its body, in bytes: its terms, its attempts and the places that refer to it.
 const REQUEST_OVERHEAD_BYTES: usize = 512;
 
@@ -196,8 +196,8 @@
     }
 }
 
-/// Guards against double effects: what endpoints cannot know again by its key must not be repeated, so a request of a
-/// keyed class without a key is not taken at all.
+/// Guards against duplicate execution: what endpoints cannot know again by its key must not be repeated, so a
+/// request of a keyed class without a key is not taken at all.
 fn check_idempotency_key(
     idempotency: Idempotency,
     key: Option<&str>,
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -6,8 +6,11 @@
 //! | class | sent again | client told to come again |
 //! | --- | --- | --- |
 //! | safe | always | always |
-//! | keyed | if every attempt that may have run went to an endpoint that shares its keys with the next one, and the next one is written while these endpoints still know the key | if no attempt may have run |
-//! | unsafe | if no attempt may have run | if no attempt may have run |
+//! | keyed | if the next endpoint discards it as a repeat of each attempt that may have run | if none may have run |
+//! | unsafe | if no attempt may have run | if none may have run |
+//!
+//! An endpoint discards a keyed request as a repeat if it shares its keys with the endpoint of the earlier attempt
+//! (the class's deduplication scope), and gets the request within the class's idempotency window.
 //!
 //! An attempt may have run from the moment that it is sent until its outcome proves that it did not
 //! (`attempt::may_have_run`).
@@ -184,3 +187,6 @@
     let written_by_ms = next.now_ms - earlier.sent_ms + next.connect_timeout_ms;
     knows_key && written_by_ms < MS_PER_S * class.idempotency_window
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -79,7 +79,8 @@
         id
     }
 
-    /// Rejects a request before any decision, as the operator's rules or plug-in say; its answer comes as for any other.
+    /// Rejects a request before any decision, as the operator's rules or plug-in say; its answer comes as for
+    /// any other.
     pub fn refuse(&mut self, retry_after_ms: f64) -> RequestId {
         let id = self.take_id();
         self.reject_untried(id, retry_after_ms);
@@ -236,8 +237,8 @@
         id
     }
 
-    /// Guards memory against more requests than the process can hold. Nothing has been forwarded by then, so rejecting
-    /// the request does no harm, whatever its class.
+    /// Guards memory against more requests than the process can hold. Nothing has been forwarded by then, so
+    /// rejecting the request does no harm, whatever its class.
     fn has_memory_for(&self, request: &ClientRequest) -> bool {
         self.in_flight.len() < self.platform.max_in_flight_requests
             && self.bytes + request.memory_bytes() <= self.max_bytes
@@ -312,8 +313,8 @@
         }
     }
 
-    /// A rejection. Guards against double effects, whatever was decided: a request that may have run is failed, since a
-    /// client that is rejected comes again.
+    /// A rejection. Guards against duplicate execution, whatever was decided: a request that may have run is
+    /// failed, since a client that is rejected comes again.
     fn rejection(&self, id: RequestId, retry_after_ms: f64, late: bool) -> FinalAnswer {
         let harmless = self
             .in_flight
@@ -357,9 +358,10 @@
         }));
     }
 
-    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the decision module
-    /// asks for: nothing to an endpoint that is draining or removed, two running attempts only where the settings allow
-    /// hedged requests, no more attempts than the settings allow, and no repeat that can do harm.
+    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the
+    /// decision module asks for: nothing to an endpoint that is draining or removed, two running attempts
+    /// only where the settings allow hedged requests, no more attempts than the settings allow, and no repeat
+    /// that can do harm.
     fn sendable_to(&self, now_ms: f64, id: RequestId, endpoint: EndpointId) -> Option<Location> {
         let entry = self.in_flight.get(&id)?;
         let settings = &self.platform.decision;
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Reads one reply and interprets it; none: the connection ended or brought what cannot be interpreted, or a reply
-    /// began and nothing more came for `stall_timeout`.
+    /// Reads one reply and interprets it; none: the connection ended or brought what cannot be interpreted,
+    /// or a reply began and nothing more came for `stall_timeout`.
     pub(super) async fn read_reply<T>(
         &self,
         stall_timeout: Duration,
--- a/src/upstream/connection_limit.rs
+++ b/src/upstream/connection_limit.rs
@@ -1,6 +1,7 @@
-//! The most connections that an endpoint has been seen to accept. Guards attempts against an endpoint that refuses
-//! connections beyond a limit of its own: each attempt beyond it would fail for want of a connection. A limit is learnt
-//! from a failed connect while others were open, and lifted by one a second, so that it is tested again.
+//! The most connections that an endpoint has been seen to accept. Guards attempts against an endpoint that
+//! refuses connections beyond a limit of its own: each attempt beyond it would fail for want of a connection.
+//! A limit is learnt from a failed connect while others were open, and lifted by one a second, so that it is
+//! tested again.
 
 /// Connections under which a failed connect says nothing of a limit: the endpoint is more likely down.
 const MIN_LIMIT: usize = 8;
@@ -29,3 +30,6 @@
         open < self.connections + lifted
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/upstream/dead_connections.rs
+++ b/src/upstream/dead_connections.rs
@@ -1,6 +1,7 @@
-//! How often a request met a dead connection, by how long that connection had been idle. Endpoints, or machines on the
-//! way, that close idle connections without a word show it only in the next request, which may then have run. So idle
-//! times at which connections are dead more often than new ones are not used. Counts fade, so that they are tried again.
+//! How often a request met a dead connection, by how long that connection had been idle. Endpoints, or
+//! machines on the way, that close idle connections without a word show it only in the next request, which
+//! may then have run. So idle times at which connections are dead more often than new ones are not used.
+//! Counts fade, so that they are tried again.
 
 /// By how much the share of dead connections may exceed that of new ones.
 const MAX_EXCESS_SHARE: f64 = 0.03;
@@ -45,8 +46,8 @@
             .for_each(|count| *count *= KEPT_EACH_SECOND);
     }
 
-    /// Whether a connection of this class is worse than a new one. A class is so if a shorter idle time is: connections
-    /// do not come back to life.
+    /// Whether a connection of this class is worse than a new one. A class is so if a shorter idle time is:
+    /// connections do not come back to life.
     pub(super) fn is_suspect(&self, class: IdleClass) -> bool {
         let dead_share =
             |class: IdleClass| self.dead[class] / (self.attempts[class] + PRIOR_ATTEMPTS);
--- a/src/upstream/dead_connections/tests.rs
+++ b/src/upstream/dead_connections/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// A machine on the way drops connections that have been idle for 100 ms or more, without closing them. A third of the
-/// attempts over such connections end in a reset, while new and young ones fail as seldom as ever. The older ones must
-/// not be used any more, and must be tried again once the counts have faded.
+/// A machine on the way drops connections that have been idle for 100 ms or more, without closing them. A
+/// third of the attempts over such connections end in a reset, while new and young ones fail as seldom as
+/// ever. The older ones must not be used any more, and must be tried again once the counts have faded.
 #[test]
 fn idle_times_at_which_connections_are_found_dead_are_learnt_and_forgotten() {
     let mut counts = DeadConnections::default();
--- a/src/upstream/http2_exchange.rs
+++ b/src/upstream/http2_exchange.rs
@@ -142,8 +142,8 @@
     Some(ResponseBody::Streaming(Rc::new(receiver)))
 }
 
-/// Streams a body as fast as its client takes it: what the client has not taken stays in the stream's window. Ends the
-/// stream where the client has gone or the endpoint gives nothing more.
+/// Streams a body as fast as its client takes it: what the client has not taken stays in the stream's window.
+/// Ends the stream where the client has gone or the endpoint gives nothing more.
 async fn stream_body(mut stream: RecvStream, first: Bytes, sender: BodySender) {
     let mut part = first;
     loop {
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -170,8 +170,8 @@
         STALL_CONNECT_TIMEOUTS * self.connect_timeout
     }
 
-    /// Keeps a connection for the next request, unless its endpoint gets none or unread bytes are left. Guards against
-    /// an answer that goes to the wrong request: bytes behind a reply belong to nobody.
+    /// Keeps a connection for the next request, unless its endpoint gets none or unread bytes are left.
+    /// Guards against an answer that goes to the wrong request: bytes behind a reply belong to nobody.
     fn keep(&self, endpoint: EndpointId, connection: Rc<connection::Connection>) {
         if connection.has_unread_bytes() || !self.dispatcher.accepts_requests(endpoint) {
             return;
--- a/src/upstream/pools.rs
+++ b/src/upstream/pools.rs
@@ -14,8 +14,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of the idle time in the settings after which a connection is closed: well before the endpoint closes it, since
-/// a request that meets that close may have run.
+/// Share of the idle time in the settings after which a connection is closed: well before the endpoint closes
+/// it, since a request that meets that close may have run.
 const MAX_IDLE_SHARE: f64 = 0.6;
 /// A connection rests this long behind an answer, ms: a second answer to the same request may come some ms late.
 pub(super) const REST_MS: f64 = 10.0;
@@ -134,8 +134,8 @@
         pools.retain(|_, pool| pool.open.get() > 0 || pool.limit.is_some());
     }
 
-    /// The newest idle connection that has rested and that its peer has not closed. Where the newest is too old or too
-    /// often dead at its age, so are the older ones, which are closed.
+    /// The newest idle connection that has rested and that its peer has not closed. Where the newest is too
+    /// old or too often dead at its age, so are the older ones, which are closed.
     pub(super) fn take_idle(
         &self,
         now_ms: f64,
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Drops the shared connection if the endpoint has said nothing on it since then. Guards against a machine that is
-    /// cut off: its connection stays open and swallows one attempt after another.
+    /// Drops the shared connection if the endpoint has said nothing on it since then. Guards against a
+    /// machine that is cut off: its connection stays open and swallows one attempt after another.
     pub(super) fn drop_silent_shared(&self, endpoint: EndpointId, since_ms: f64) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             pool.shared
@@ -236,9 +236,10 @@
     }
 }
 
-/// Whether the connection is open and has brought nothing. Guards against a request that may have run for nothing, and
-/// against an answer to another request: an end, a reset or bytes that are already here are seen before the request is
-/// written. The system itself is asked, since the runtime would answer from what it last heard.
+/// Whether the connection is open and has brought nothing. Guards against a request that may have run for
+/// nothing, and against an answer to another request: an end, a reset or bytes that are already here are seen
+/// before the request is written. The system itself is asked, since the runtime would answer from what it
+/// last heard.
 fn is_quiet(connection: &Connection) -> bool {
     let peeked = socket2::SockRef::from(connection.stream()).peek(&mut [MaybeUninit::uninit(); 1]);
     peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
--- a/src/upstream/resp_exchange.rs
+++ b/src/upstream/resp_exchange.rs
@@ -1,4 +1,5 @@
-//! One attempt over RESP: the request is written, the reply read and interpreted, a long value streamed to the client.
+//! One attempt over RESP: the request is written, the reply read and interpreted, a long value streamed to
+//! the client.
 
 use crate::buffer::body_stream::BodySender;
 use crate::config::settings::Platform;
@@ -57,8 +58,8 @@
     }
 }
 
-/// Writes the request; false: it was not written whole, so no endpoint can have run it. Guards the drain of an endpoint:
-/// it may have left while its connection came up.
+/// Writes the request; false: it was not written whole, so no endpoint can have run it. Guards the drain of
+/// an endpoint: it may have left while its connection came up.
 async fn send(upstream: &Upstream, attempt: &AttemptStart, connection: &Connection) -> bool {
     let dispatcher = &upstream.dispatcher;
     let wait_ms = attempt.until - dispatcher.now();
@@ -174,7 +175,8 @@
     upstream.keep(endpoint, connection);
 }
 
-/// Streams a value; false: its client has gone, or the endpoint gives nothing more, and the connection is to be closed.
+/// Streams a value; false: its client has gone, or the endpoint gives nothing more, and the connection is to
+/// be closed.
 async fn stream_value(connection: &Connection, sender: &BodySender) -> bool {
     let stream = connection.stream();
     while sender.left() > 0 {
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// An attempt ends twice, its client goes, and its deadline passes, all after the answer. A second answer would be taken for
-/// the answer to the client's next request.
+/// An attempt ends twice, its client goes, and its deadline passes, all after the answer. A second answer
+/// would be taken for the answer to the client's next request.
 #[test]
 fn an_answer_comes_once_whatever_follows() {
     let mut ingress = Ingress::new(1 << 20);
@@ -126,8 +126,8 @@
     );
 }
 
-/// An endpoint that may have run a booking fails, or its connection is lost. A second run would book twice; only a rejection
-/// and a failed connect prove that there was no first one.
+/// An endpoint that may have run a booking fails, or its connection is lost. A second run would book twice;
+/// only a rejection and a failed connect prove that there was no first one.
 #[test]
 fn work_with_an_effect_is_sent_again_only_if_it_never_ran() {
     use Outcome::*;
@@ -147,8 +147,8 @@
     }
 }
 
-/// Endpoints know each other's keys within a zone only, and the decision module is told otherwise. A retry in another zone
-/// would run the request a second time; in the same zone the second run is discarded.
+/// Endpoints know each other's keys within a zone only, and the decision module is told otherwise. A retry in
+/// another zone would run the request a second time; in the same zone the second run is discarded.
 #[test]
 fn keyed_work_stays_in_its_zone_and_window_and_copies_go_out_where_they_may() {
     let platform = platform(&[
@@ -259,8 +259,8 @@
     assert_eq!(actions, want);
 }
 
-/// Requests are served in milliseconds, with timeouts of seconds. If each left a timer and a deadline behind until its
-/// timeout, the process would wake up for nothing as often as it serves.
+/// Requests are served in milliseconds, with timeouts of seconds. If each left a timer and a deadline behind
+/// until its timeout, the process would wake up for nothing as often as it serves.
 #[test]
 fn a_served_request_leaves_no_timer_behind_but_the_modules_tick() {
     let mut ingress = Ingress::new(1 << 20);
@@ -285,8 +285,8 @@
     assert!(wakes <= 24, "{wakes} wake-ups in 1.1 s");
 }
 
-/// A client names a timeout of an hour. Timers live until the deadline, so a few such clients could fill the memory with
-/// them.
+/// A client names a timeout of an hour. Timers live until the deadline, so a few such clients could fill the
+/// memory with them.
 #[test]
 fn no_client_names_a_wait_beyond_its_class() {
     let mut ingress = Ingress::new(1 << 20);
@@ -297,8 +297,8 @@
     assert_eq!(ingress.started().until, NOW + 1200.0);
 }
 
-/// A client closes its connection while its request is being served. Nobody wants the answer any more, so the attempt must
-/// not keep an endpoint busy.
+/// A client closes its connection while its request is being served. Nobody wants the answer any more, so the
+/// attempt must not keep an endpoint busy.
 #[test]
 fn a_client_that_goes_ends_its_attempt() {
     let mut ingress = Ingress::new(1 << 20);
@@ -333,8 +333,8 @@
     assert!(!ingress.requests.accepts_requests(0) && ingress.requests.accepts_requests(2));
 }
 
-/// Clients send large bodies faster than endpoints take them. The request that would pass the bound is rejected, since an
-/// ingress that runs out of memory loses all requests.
+/// Clients send large bodies faster than endpoints take them. The request that would pass the bound is
+/// rejected, since an ingress that runs out of memory loses all requests.
 #[test]
 fn memory_for_held_requests_is_bounded() {
     let mut ingress = Ingress::new(100_000);
@@ -346,8 +346,9 @@
     );
 }
 
-/// A client sends what no endpoint can read, or a million units in another tenant's name. Endpoints close their connection
-/// on what they cannot read, whatever else waits there, and the units would use up the tenant's quota.
+/// A client sends what no endpoint can read, or a million units in another tenant's name. Endpoints close
+/// their connection on what they cannot read, whatever else waits there, and the units would use up the
+/// tenant's quota.
 #[test]
 fn what_no_endpoint_could_read_or_use_is_no_request() {
     let ingress = Ingress::new(1 << 20);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -210,9 +210,9 @@
     assert_eq!((out.status.code(), out.stdout), (Some(0), vec![0, 0, 0, 0]));
 }
 
-/// The simulator breaks off, sends bytes that are no record, or starts an ingress with settings that cannot be read. The
-/// adapter must end at once with status 2 and say in one line what is wrong and where; a reply made up from half a frame
-/// would spoil the run unnoticed.
+/// The simulator breaks off, sends bytes that are no record, or starts an ingress with settings that cannot
+/// be read. The adapter must end at once with status 2 and say in one line what is wrong and where; a reply
+/// made up from half a frame would spoil the run unnoticed.
 #[test]
 fn malformed_input_is_one_plain_line_and_no_reply() {
     let born = |json: &str| {
