--- a/src/protocol/attempt_outcome/tests.rs
+++ b/src/protocol/attempt_outcome/tests.rs
@@ -16,8 +16,8 @@
     assert_eq!(outcomes, want);
 }
 
-/// A machine between the ingress and an endpoint answers 503 by itself, after the endpoint has run the request. Only the
-/// endpoint's own header proves that nothing ran, and only beside a status that rejects.
+/// A machine between the ingress and an endpoint answers 503 by itself, after the endpoint has run the
+/// request. Only the endpoint's own header proves that nothing ran, and only beside a status that rejects.
 #[test]
 fn a_status_is_a_rejection_with_the_endpoints_header_only() {
     let bare = HeaderMap::new();
--- a/src/protocol/http1/tests.rs
+++ b/src/protocol/http1/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 
+/// An answer of discovery arrives in parts, in chunks, with a length that is too long, or comes from
+/// something that is no HTTP server. It must be read once its last byte is here, and garbage must be found
+/// out at once.
 #[test]
 fn http_answers() {
     let all = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\n-42";
@@ -30,6 +33,8 @@
     );
 }
 
+/// A server gives no length. Its good answer is complete only when the connection ends in order; an answer
+/// that is cut off before its stated length never is.
 #[test]
 fn a_good_answer_without_a_length_ends_with_its_connection_and_others_at_once() {
     let bytes = b"HTTP/1.1 200 OK\r\n\r\n12";
--- a/src/protocol/http2.rs
+++ b/src/protocol/http2.rs
@@ -13,4 +13,4 @@
     DEADLINE, ID, IDEMPOTENCY_KEY, LOAD_REPORT, NOTE_PREFIX, PLAN, REJECTED, REQUEST_PATH_PREFIX,
     RETRY, RETRY_AFTER_MS, TENANT, TERMS, USAGE,
 };
-pub use request::{terms, text, upstream_request, BadRequest};
+pub use request::{terms, text, upstream_request, InvalidHeader};
--- a/src/protocol/http2/request.rs
+++ b/src/protocol/http2/request.rs
@@ -18,35 +18,48 @@
     wire_names::IDEMPOTENCY_KEY,
 ];
 
-/// A request with a missing or invalid header; the text names it.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct BadRequest(pub String);
+/// A missing or invalid header, by its name. The client gets the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidHeader {
+    /// It must be there.
+    #[error("{0} is missing")]
+    Missing(&'static str),
+    /// It is not visible ASCII.
+    #[error("{0} is not text")]
+    NotText(&'static str),
+    /// It must be a number.
+    #[error("{0} is not a number")]
+    NotANumber(&'static str),
+    /// The number is negative or too large.
+    #[error("{0} is out of range")]
+    OutOfRange(&'static str),
+    /// A value with a comma would become a further term on the platform's wire.
+    #[error("{0} holds a comma")]
+    Comma(&'static str),
+}
+
+/// What the error for the class, the plan and the timeout names: they are judged together.
+const ANY_VALUE: &str = "a value";
 
 /// The text of a header that must be there.
 ///
 /// # Errors
 /// It is missing, or is no text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, BadRequest> {
-    let value = headers
-        .get(name)
-        .ok_or_else(|| BadRequest(format!("{name} is missing")))?;
-    value
-        .to_str()
-        .map_err(|_| BadRequest(format!("{name} is not text")))
+pub fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, InvalidHeader> {
+    let value = headers.get(name).ok_or(InvalidHeader::Missing(name))?;
+    value.to_str().map_err(|_| InvalidHeader::NotText(name))
 }
 
 /// The terms of a request from its headers, and the client's timeout, ms.
 ///
 /// # Errors
 /// The first invalid header.
-pub fn terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), BadRequest> {
+pub fn terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), InvalidHeader> {
     let deadline = text(headers, DEADLINE)?;
     let plan = text(headers, PLAN)?;
     let client_timeout_ms = client_timeout_ms(deadline)?;
-    // A value with a comma would become a further term on the platform's wire.
     if [class, plan, deadline].iter().any(|v| v.contains(',')) {
-        return Err(BadRequest("a value holds a comma".into()));
+        return Err(InvalidHeader::Comma(ANY_VALUE));
     }
     let mut terms = String::new();
     push_term(&mut terms, wire_names::CLASS, class);
@@ -61,7 +74,7 @@
     for key in headers.get_all(IDEMPOTENCY_KEY) {
         let key = key.to_str().unwrap_or("");
         if key.contains(',') {
-            return Err(BadRequest(format!("{IDEMPOTENCY_KEY} holds a comma")));
+            return Err(InvalidHeader::Comma(IDEMPOTENCY_KEY));
         }
         push_term(&mut terms, wire_names::IDEMPOTENCY_KEY, key);
     }
@@ -74,7 +87,7 @@
     Ok((terms, client_timeout_ms))
 }
 
-/// A request as a request to an endpoint, which is told how long this ingress waits, ms.
+/// A request as a request to an endpoint, with how long this ingress waits, ms.
 ///
 /// # Errors
 /// A value that no header can hold.
@@ -105,12 +118,12 @@
     builder.body(())
 }
 
-fn client_timeout_ms(deadline: &str) -> Result<f64, BadRequest> {
+fn client_timeout_ms(deadline: &str) -> Result<f64, InvalidHeader> {
     let timeout_ms: f64 = deadline
         .parse()
-        .map_err(|_| BadRequest(format!("{DEADLINE} is not a number")))?;
+        .map_err(|_| InvalidHeader::NotANumber(DEADLINE))?;
     if !(0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&timeout_ms) {
-        return Err(BadRequest(format!("{DEADLINE} is out of range")));
+        return Err(InvalidHeader::OutOfRange(DEADLINE));
     }
     Ok(timeout_ms)
 }
--- a/src/protocol/resp/request.rs
+++ b/src/protocol/resp/request.rs
@@ -39,7 +39,7 @@
     Ok(request)
 }
 
-/// Appends the request as an endpoint gets it, which is told how long this ingress waits, ms.
+/// Appends the request as an endpoint gets it, with how long this ingress waits, ms.
 pub fn push_request(out: &mut Vec<u8>, platform: &Platform, request: &ClientRequest, wait_ms: f64) {
     let verb = if is_safe(platform, request) {
         wire_names::VERB_SAFE
--- a/src/protocol/resp/tests.rs
+++ b/src/protocol/resp/tests.rs
@@ -1,5 +1,9 @@
 use super::*;
 
+/// A request arrives in parts of any length, since TCP keeps no message bounds: it must be read once its last
+/// byte is here, and the parser must not ask for more bytes than there will be, or the request would wait for
+/// good. Bytes that can never become a request must be found out at once, so that the connection is closed in
+/// time.
 #[test]
 fn requests_come_whole_in_parts_or_not_at_all() {
     let all = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
@@ -26,6 +30,8 @@
     }
 }
 
+/// An endpoint, or what has taken its place, sends garbage or arrays in arrays. That must be an error and no
+/// panic, and no recursion without end.
 #[test]
 fn replies_and_garbage() {
     let whole = endpoint_reply(b"*3\r\n$2\r\nhi\r\n$-1\r\n*-1\r\n");
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -1,9 +1,9 @@
 //! One request in flight, its attempts, and the rules on repeating it.
 //!
-//! A request may be sent again, and its client may be told to come again, only where that can do no harm. What that
+//! A request may be sent again, and its client may be asked to retry, only where that can do no harm. What that
 //! means depends on the idempotency of its class:
 //!
-//! | class | sent again | client told to come again |
+//! | class | sent again by this ingress | client asked to retry |
 //! | --- | --- | --- |
 //! | safe | always | always |
 //! | keyed | if the next endpoint discards it as a repeat of each attempt that may have run | if none may have run |
@@ -157,7 +157,7 @@
         true
     }
 
-    /// Whether telling the client to come again can do no harm. Its next request may come through another ingress,
+    /// Whether asking the client to retry can do no harm. Its next request may come through another ingress,
     /// which knows of no attempt made here: so neither a key nor the attempts' endpoints help.
     pub(super) fn client_may_retry(&self, class: &Class) -> bool {
         class.idempotency == Idempotency::Safe || self.attempts_that_may_have_run().next().is_none()
--- a/src/request/in_flight/tests.rs
+++ b/src/request/in_flight/tests.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// An attempt ends in each way that there is. Where it may have run, a request with an effect must neither be sent again nor
-/// its client be told to come again: the effect would be there twice.
+/// An attempt ends in each way that there is. Where it may have run, a request with an effect must neither be
+/// sent again nor its client be asked to retry: the effect would be there twice.
 #[test]
 fn only_outcomes_that_prove_that_nothing_ran_allow_an_unsafe_request_to_be_repeated() {
     use Outcome::*;
@@ -80,15 +80,16 @@
     ] {
         let request = after(outcome);
         let repeated = request.may_be_sent_again(&unsafe_class, &next);
-        let told = request.client_may_retry(&unsafe_class);
-        assert_eq!((repeated, told), (harmless, harmless), "{outcome:?}");
+        let asked = request.client_may_retry(&unsafe_class);
+        assert_eq!((repeated, asked), (harmless, harmless), "{outcome:?}");
         let repeated = request.may_be_sent_again(&safe_class, &next);
-        let told = request.client_may_retry(&safe_class);
-        assert_eq!((repeated, told), (true, true), "{outcome:?}, safe");
+        let asked = request.client_may_retry(&safe_class);
+        assert_eq!((repeated, asked), (true, true), "{outcome:?}, safe");
     }
 }
 
-/// An attempt is still running when the next one is asked for. It may run at any moment, so it counts as one that has.
+/// An attempt is still running when the next one is asked for. It may run at any moment, so it counts as one
+/// that has.
 #[test]
 fn a_running_attempt_may_have_run() {
     let unsafe_class = class(Idempotency::Unsafe, DeduplicationScope::All);
@@ -106,8 +107,8 @@
     assert!(request.may_be_sent_again(&unsafe_class, &next(1.0, HERE)));
 }
 
-/// A keyed request's first attempt is lost. An endpoint outside the scope does not know its key, and none knows it once the
-/// window is over; both would run the request a second time.
+/// A keyed request's first attempt is lost. An endpoint outside the scope does not know its key, and none
+/// knows it once the window is over; both would run the request a second time.
 #[test]
 fn a_keyed_request_is_repeated_within_its_scope_and_window_only() {
     use DeduplicationScope::*;
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -6,9 +6,17 @@
 //! module's, behind its driver. Whatever that module asks for, the table guards these rules:
 //!
 //! - a request gets one final answer;
-//! - a request is sent again, or its client told to come again, only where that can do no harm (`in_flight`);
+//! - a request is sent again, or its client asked to retry, only where that can do no harm (`in_flight`);
 //! - nothing new goes to an endpoint that is draining or removed (`ready_endpoints`).
 //!
+//! | module | job |
+//! | --- | --- |
+//! | `client_request`, `terms` | a client's request, the bounds on it, and what is refused |
+//! | `request_table` | the state machine; `verdicts` and `attempts` within it carry out what was decided |
+//! | `in_flight` | one request and its attempts: whether it may be sent again, or its client asked to retry |
+//! | `attempt`, `answer`, `action` | attempts, final answers, and all that the table wants done |
+//! | `attempt_deadlines`, `ready_endpoints`, `request_counts` | what the table keeps beside the requests |
+//!
 //! Times are ms on the ingress's clock (Unix time at start, monotonic from there) unless a name says otherwise.
 
 mod action;
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -1,25 +1,21 @@
-//! The state machine of all requests: events and a time go in, [`Action`]s come out.
+//! The state machine of all requests: events and a time go in, [`Action`]s come out. What the decision module
+//! makes of them is carried out in `verdicts`, attempts are sent and ended in `attempts`.
+
+mod attempts;
+mod verdicts;
 
 use crate::config::settings::Platform;
-use crate::decision::driver::{
-    AttemptReport, CounterAdd, DecisionDriver, DriverAction, EndpointId, Observation, RequestId,
-    Verdict,
-};
+use crate::decision::driver::{CounterAdd, DecisionDriver, EndpointId, Observation, RequestId};
 use crate::decision::{Class, EndpointEntry, ListKind, Outcome};
 use crate::request::attempt_deadlines::AttemptDeadlines;
-use crate::request::in_flight::{InFlightRequest, Location, NextAttempt};
+use crate::request::in_flight::InFlightRequest;
 use crate::request::ready_endpoints::ReadyEndpoints;
-use crate::request::{
-    Action, AttemptResult, AttemptStart, ClientRequest, FinalAnswer, RequestCounts,
-};
+use crate::request::{Action, AttemptResult, ClientRequest, RequestCounts};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 /// Retry-After of a request for which there is no memory, ms: until then requests in flight have ended.
 const NO_MEMORY_RETRY_AFTER_MS: f64 = 500.0;
-/// A failure this close to the end of the client's timeout is told as one for want of time, ms: the decision module
-/// gives up some milliseconds before that end, so that the answer still arrives.
-const LATE_MARGIN_MS: f64 = 10.0;
 /// Milliseconds in a second: the settings of classes count seconds.
 const MS_PER_S: f64 = 1e3;
 
@@ -244,206 +240,7 @@
             && self.bytes + request.memory_bytes() <= self.max_bytes
     }
 
-    /// Rejects a request of which nothing was forwarded and nothing is kept.
-    fn reject_untried(&mut self, id: RequestId, retry_after_ms: f64) {
-        self.counts.rejected += 1;
-        self.actions
-            .push_back(Action::Reply(id, FinalAnswer::Rejected { retry_after_ms }));
-    }
-
     fn class(&self, request: &ClientRequest) -> &Class {
         &self.platform.decision.classes[request.ask.class]
     }
-
-    fn is_running(&self, id: RequestId, attempt: u32) -> bool {
-        self.in_flight
-            .get(&id)
-            .is_some_and(|entry| entry.is_running(attempt))
-    }
-
-    /// Carries out what the decision module has left to do; a verdict may bring further ones.
-    fn settle(&mut self, now_ms: f64) {
-        loop {
-            if let Some((id, verdict)) = self.driver.next_verdict() {
-                self.carry_out(now_ms, id, verdict);
-                continue;
-            }
-            let Some(action) = self.driver.next_action() else {
-                return;
-            };
-            self.carry_out_driver_action(now_ms, action);
-        }
-    }
-
-    fn carry_out_driver_action(&mut self, now_ms: f64, action: DriverAction) {
-        match action {
-            DriverAction::Cancel(request, attempt) => {
-                if self.is_running(request, attempt) {
-                    self.abandon(now_ms, request, attempt, Outcome::Cancelled);
-                }
-            }
-            DriverAction::Probe(endpoint) => self.actions.push_back(Action::Probe(endpoint)),
-            // The endpoint registry is followed from the start, whoever asks.
-            DriverAction::FollowEndpointList => {}
-            DriverAction::AddToCounter(add) => {
-                self.counts.counts += 1;
-                self.actions.push_back(Action::AddToCounter(add));
-            }
-        }
-    }
-
-    fn carry_out(&mut self, now_ms: f64, id: RequestId, verdict: Verdict) {
-        match verdict {
-            Verdict::Hold => {}
-            Verdict::Send {
-                endpoint,
-                client_timeout_ms,
-            } => self.send(now_ms, id, endpoint, client_timeout_ms),
-            Verdict::Reject { retry_after_ms } => {
-                let answer = self.rejection(id, retry_after_ms, false);
-                self.finish(id, answer);
-            }
-            Verdict::Fail => {
-                let late = self
-                    .in_flight
-                    .get(&id)
-                    .is_some_and(|entry| now_ms + LATE_MARGIN_MS >= entry.give_up_ms);
-                self.finish(id, FinalAnswer::Failed { late });
-            }
-        }
-    }
-
-    /// A rejection. Guards against duplicate execution, whatever was decided: a request that may have run is
-    /// failed, since a client that is rejected comes again.
-    fn rejection(&self, id: RequestId, retry_after_ms: f64, late: bool) -> FinalAnswer {
-        let harmless = self
-            .in_flight
-            .get(&id)
-            .is_some_and(|entry| entry.client_may_retry(self.class(&entry.request)));
-        if harmless {
-            FinalAnswer::Rejected { retry_after_ms }
-        } else {
-            FinalAnswer::Failed { late }
-        }
-    }
-
-    /// Sends an attempt that lasts `timeout_ms` at most; 0: until the client gives up.
-    fn send(&mut self, now_ms: f64, id: RequestId, endpoint: EndpointId, timeout_ms: f64) {
-        let location = self.sendable_to(now_ms, id, endpoint);
-        let Some(entry) = self.in_flight.get_mut(&id) else {
-            return;
-        };
-        let attempt = entry.attempts();
-        let Some(location) = location else {
-            entry.add_unsent_attempt(now_ms);
-            let finished = entry.is_answered();
-            let result = AttemptResult::without(Outcome::NotSent);
-            return self.report_attempt(now_ms, id, attempt, finished, result);
-        };
-        entry.add_sent_attempt(now_ms, location);
-        let until = if timeout_ms > 0.0 {
-            entry.give_up_ms.min(now_ms + timeout_ms)
-        } else {
-            entry.give_up_ms
-        };
-        let request = entry.request.clone();
-        self.counts.attempts += 1;
-        self.deadlines.push(until, id, attempt);
-        self.actions.push_back(Action::StartAttempt(AttemptStart {
-            id,
-            attempt,
-            endpoint,
-            request,
-            until,
-        }));
-    }
-
-    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the
-    /// decision module asks for: nothing to an endpoint that is draining or removed, two running attempts
-    /// only where the settings allow hedged requests, no more attempts than the settings allow, and no repeat
-    /// that can do harm.
-    fn sendable_to(&self, now_ms: f64, id: RequestId, endpoint: EndpointId) -> Option<Location> {
-        let entry = self.in_flight.get(&id)?;
-        let settings = &self.platform.decision;
-        let location = self.ready.location(endpoint)?;
-        let next = NextAttempt {
-            now_ms,
-            location,
-            connect_timeout_ms: self.platform.connect_timeout_ms,
-        };
-        let allowed = !entry.is_answered()
-            && (settings.hedging || !entry.has_running_attempt())
-            && entry.may_be_sent_again(self.class(&entry.request), &next)
-            && entry.attempts() < settings.max_attempts
-            && now_ms < entry.give_up_ms;
-        allowed.then_some(location)
-    }
-
-    fn abandon(&mut self, now_ms: f64, id: RequestId, attempt: u32, outcome: Outcome) {
-        self.actions.push_back(Action::AbandonAttempt(id, attempt));
-        self.end_attempt(now_ms, id, attempt, AttemptResult::without(outcome));
-    }
-
-    fn end_attempt(&mut self, now_ms: f64, id: RequestId, attempt: u32, mut result: AttemptResult) {
-        let Some(entry) = self.in_flight.get_mut(&id) else {
-            return;
-        };
-        if !entry.end_attempt(attempt, result.outcome) {
-            return;
-        }
-        let served = result.outcome == Outcome::Ok;
-        if let Some(body) = result.value.take().filter(|_| served) {
-            self.finish(id, FinalAnswer::Served(body));
-        }
-        let finished = self
-            .in_flight
-            .get(&id)
-            .is_none_or(InFlightRequest::is_answered);
-        self.report_attempt(now_ms, id, attempt, finished, result);
-        self.remove_if_over(id);
-    }
-
-    /// Tells the decision module how an attempt ended, and whether its request has its answer by now.
-    fn report_attempt(
-        &mut self,
-        now_ms: f64,
-        request: RequestId,
-        attempt: u32,
-        request_finished: bool,
-        result: AttemptResult,
-    ) {
-        let report = AttemptReport {
-            request,
-            attempt,
-            outcome: result.outcome,
-            request_finished,
-            load: result.load,
-            settled_units: result.settled_units,
-        };
-        self.driver
-            .observe(now_ms, Observation::AttemptEnded(report));
-    }
-
-    /// The one place where a request in flight gets its answer, once.
-    fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
-        let Some(entry) = self.in_flight.get_mut(&id).filter(|e| !e.is_answered()) else {
-            return;
-        };
-        entry.mark_answered();
-        self.unanswered -= 1;
-        match answer {
-            FinalAnswer::Served(_) => self.counts.served += 1,
-            FinalAnswer::Rejected { .. } => self.counts.rejected += 1,
-            FinalAnswer::Failed { .. } => self.counts.failed += 1,
-        }
-        self.actions.push_back(Action::Reply(id, answer));
-        self.remove_if_over(id);
-    }
-
-    fn remove_if_over(&mut self, id: RequestId) {
-        if let Some(entry) = self.in_flight.get(&id).filter(|entry| entry.is_over()) {
-            self.bytes -= entry.request.memory_bytes();
-            self.in_flight.remove(&id);
-        }
-    }
 }
--- /dev/null
+++ b/src/request/request_table/attempts.rs
@@ -0,0 +1,131 @@
+//! Attempts of requests: when one may be sent, and what follows when it ends.
+
+use super::RequestTable;
+use crate::decision::driver::{AttemptReport, EndpointId, Observation, RequestId};
+use crate::decision::Outcome;
+use crate::request::in_flight::{InFlightRequest, Location, NextAttempt};
+use crate::request::{Action, AttemptResult, AttemptStart, FinalAnswer};
+
+impl RequestTable {
+    /// Sends an attempt that lasts `timeout_ms` at most; 0: until the client gives up.
+    pub(super) fn send(
+        &mut self,
+        now_ms: f64,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout_ms: f64,
+    ) {
+        let location = self.sendable_to(now_ms, id, endpoint);
+        let Some(entry) = self.in_flight.get_mut(&id) else {
+            return;
+        };
+        let attempt = entry.attempts();
+        let Some(location) = location else {
+            entry.add_unsent_attempt(now_ms);
+            let finished = entry.is_answered();
+            let result = AttemptResult::without(Outcome::NotSent);
+            return self.report_attempt(now_ms, id, attempt, finished, result);
+        };
+        entry.add_sent_attempt(now_ms, location);
+        let until = if timeout_ms > 0.0 {
+            entry.give_up_ms.min(now_ms + timeout_ms)
+        } else {
+            entry.give_up_ms
+        };
+        let request = entry.request.clone();
+        self.counts.attempts += 1;
+        self.deadlines.push(until, id, attempt);
+        self.actions.push_back(Action::StartAttempt(AttemptStart {
+            id,
+            attempt,
+            endpoint,
+            request,
+            until,
+        }));
+    }
+
+    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the
+    /// decision module asks for: nothing to an endpoint that is draining or removed, two running attempts
+    /// only where the settings allow hedged requests, no more attempts than the settings allow, and no repeat
+    /// that can do harm.
+    fn sendable_to(&self, now_ms: f64, id: RequestId, endpoint: EndpointId) -> Option<Location> {
+        let entry = self.in_flight.get(&id)?;
+        let settings = &self.platform.decision;
+        let location = self.ready.location(endpoint)?;
+        let next = NextAttempt {
+            now_ms,
+            location,
+            connect_timeout_ms: self.platform.connect_timeout_ms,
+        };
+        let allowed = !entry.is_answered()
+            && (settings.hedging || !entry.has_running_attempt())
+            && entry.may_be_sent_again(self.class(&entry.request), &next)
+            && entry.attempts() < settings.max_attempts
+            && now_ms < entry.give_up_ms;
+        allowed.then_some(location)
+    }
+
+    pub(super) fn abandon(&mut self, now_ms: f64, id: RequestId, attempt: u32, outcome: Outcome) {
+        self.actions.push_back(Action::AbandonAttempt(id, attempt));
+        self.end_attempt(now_ms, id, attempt, AttemptResult::without(outcome));
+    }
+
+    pub(super) fn end_attempt(
+        &mut self,
+        now_ms: f64,
+        id: RequestId,
+        attempt: u32,
+        mut result: AttemptResult,
+    ) {
+        let Some(entry) = self.in_flight.get_mut(&id) else {
+            return;
+        };
+        if !entry.end_attempt(attempt, result.outcome) {
+            return;
+        }
+        let served = result.outcome == Outcome::Ok;
+        if let Some(body) = result.value.take().filter(|_| served) {
+            self.finish(id, FinalAnswer::Served(body));
+        }
+        let finished = self
+            .in_flight
+            .get(&id)
+            .is_none_or(InFlightRequest::is_answered);
+        self.report_attempt(now_ms, id, attempt, finished, result);
+        self.remove_if_over(id);
+    }
+
+    /// Tells the decision module how an attempt ended, and whether its request has its answer by now.
+    fn report_attempt(
+        &mut self,
+        now_ms: f64,
+        request: RequestId,
+        attempt: u32,
+        request_finished: bool,
+        result: AttemptResult,
+    ) {
+        let report = AttemptReport {
+            request,
+            attempt,
+            outcome: result.outcome,
+            request_finished,
+            load: result.load,
+            settled_units: result.settled_units,
+        };
+        self.driver
+            .observe(now_ms, Observation::AttemptEnded(report));
+    }
+
+    pub(super) fn is_running(&self, id: RequestId, attempt: u32) -> bool {
+        self.in_flight
+            .get(&id)
+            .is_some_and(|entry| entry.is_running(attempt))
+    }
+
+    pub(super) fn remove_if_over(&mut self, id: RequestId) {
+        if let Some(entry) = self.in_flight.get(&id).filter(|entry| entry.is_over()) {
+            self.bytes -= entry.request.memory_bytes();
+            self.in_flight.remove(&id);
+        }
+    }
+}
--- a/src/upstream/connection_limit/tests.rs
+++ b/src/upstream/connection_limit/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// An endpoint accepts ten connections and refuses the eleventh. Further attempts must not ask for an eleventh at once, but
-/// the limit is tested again bit by bit, since it may have been a passing one.
+/// An endpoint accepts ten connections and refuses the eleventh. Further attempts must not ask for an
+/// eleventh at once, but the limit is tested again bit by bit, since it may have been a passing one.
 #[test]
 fn a_limit_is_learnt_from_a_refusal_and_lifted_by_one_a_second() {
     let limit = ConnectionLimit::learn(0.0, 10).expect("a limit");
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -78,7 +78,7 @@
         self.pools.set_budget(budget);
     }
 
-    /// Starts an attempt; the dispatcher is told of its end.
+    /// Starts an attempt; the dispatcher is notified of its end.
     pub fn start(self: &Rc<Self>, attempt: AttemptStart) {
         let key = (attempt.id, attempt.attempt);
         let endpoint = attempt.endpoint;
@@ -134,7 +134,7 @@
         running.task.abort();
     }
 
-    /// Sends an endpoint a health check; the dispatcher is told of its end.
+    /// Sends an endpoint a health check; the dispatcher is notified of its end.
     pub fn probe(self: &Rc<Self>, endpoint: EndpointId) {
         let upstream = self.clone();
         spawn_local(async move {
