--- /dev/null
+++ b/crates/admin/src/call/tests.rs
@@ -0,0 +1,50 @@
+use super::*;
+
+/// A caller's connection breaks, or its bytes come one by one. Half of a name may be another endpoint's name: nothing
+/// may be done before the line has ended.
+#[test]
+fn a_call_counts_once_its_line_has_ended_and_not_before() {
+    let all = b"SUSPEND s-12\r\n";
+    for cut in 0..all.len() {
+        assert_eq!(Call::read(&all[..cut]), Ok(None), "{cut}");
+    }
+    assert_eq!(Call::read(all), Ok(Some(Call::Suspend("s-12".into()))));
+    assert_eq!(Call::read(b"STATUS\nPAUSE\n"), Ok(Some(Call::Status)));
+    assert_eq!(
+        Call::read(b" RESTORE  s-1 \n"),
+        Ok(Some(Call::Restore("s-1".into())))
+    );
+}
+
+#[test]
+fn what_is_no_call_is_named() {
+    let long = [b"SUSPEND ".as_slice(), &[b'x'; MAX_LINE]].concat();
+    let id = [b"SUSPEND ".as_slice(), &[b'x'; MAX_ID + 1], b"\n"].concat();
+    assert_eq!(
+        Call::read(b"RESTORE s-1 HERE\n"),
+        Ok(Some(Call::RestoreHere("s-1".into())))
+    );
+    let add = GroupCall::Add("n4".into(), ([10, 0, 0, 4], 700).into());
+    assert_eq!(
+        Call::read(b"GROUP ADD n4 10.0.0.4:700\n"),
+        Ok(Some(Call::Group(add)))
+    );
+    let cases: [(&[u8], BadCall); 12] = [
+        (b"SUSPEND s-1 THERE\n", BadCall::Words),
+        (b"GROUP\n", BadCall::Name),
+        (b"GROUP ADD n4 here\n", BadCall::Address),
+        (b"GROUP REMOVE\n", BadCall::Words),
+        (&long, BadCall::Long),
+        (&id, BadCall::Id),
+        (b"\n", BadCall::Name),
+        (b"status\n", BadCall::Name),
+        (b"\xff\xfe\n", BadCall::Name),
+        (b"SUSPEND\n", BadCall::Words),
+        (b"PAUSE now\n", BadCall::Words),
+        (b"SUSPEND s-\xc3\xa9\n", BadCall::Id),
+    ];
+    for (bytes, want) in cases {
+        assert_eq!(Call::read(bytes), Err(want), "{bytes:?}");
+    }
+    assert_eq!(Answer::no("a\r\nb").line(), "NAK a  b\r\n");
+}
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,126 +1,108 @@
-//! How far the ingress has been emptied: by a call, until another one takes it back, or by the stop of its process.
-//! It owns the stages of that and their times. It must never close a connection or answer a client itself.
+//! How far the ingress is drained: by `PAUSE`, until `RESUME`, or by the graceful shutdown of its process.
+//!
+//! A drain has stages, so that nobody is cut off: whoever sends clients here first hears that they should not come,
+//! then connections end as soon as nothing is unanswered on them, and at last what still comes is rejected. The
+//! frontends ask for the state and act on it; nothing here closes a connection or answers a client.
 
-/// Those who send clients here hear a no within this long, ms: until then new ones keep coming.
+/// How long after `PAUSE` clients are served as before, ms: whoever sends clients here asks every 100 ms whether they
+/// should come, and may send some for 200 ms after a no.
 pub const NOTICE_MS: f64 = 400.0;
-/// So long after a call to empty the ingress, commands that still come are rejected unsent, ms.
+/// How long after `PAUSE` requests that still come are rejected, ms. Nothing is then under way long before the 4 s
+/// that staff may count on.
 pub const DRAINED_MS: f64 = 1500.0;
 
-/// What becomes of clients.
+/// What becomes of clients and their requests, from one stage of a drain to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainState {
-    /// They are served.
+    /// Clients are served.
     Serving,
-    /// They are told to go elsewhere, and served: those who send them have not heard of it yet.
+    /// The ingress says that it is not ready, and serves: whoever sends clients here has not heard of it yet.
     Notice,
-    /// Connections end as soon as nothing is owed on them; commands that cross that are served.
+    /// Connections end as soon as nothing is unanswered on them; requests that cross that are served.
     Draining,
-    /// As before, but commands are rejected unsent.
+    /// As before, but requests are rejected before any attempt.
     Drained,
 }
 
-/// The stages.
+/// When a process was told to stop, and for how long new clients may still come, ms.
+#[derive(Clone, Copy, Debug)]
+struct Stop {
+    since_ms: f64,
+    notice_ms: f64,
+}
+
+impl Stop {
+    /// A stopping process never rejects: it serves what it has received.
+    fn state(self, now: f64) -> DrainState {
+        if now - self.since_ms < self.notice_ms {
+            DrainState::Notice
+        } else {
+            DrainState::Draining
+        }
+    }
+}
+
+/// What the ingress has been told: to pause, or to stop. All times are ms of one clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrainControl {
-    paused: Option<f64>,
-    stopped: Option<(f64, f64)>,
+    /// Since when it is paused, ms.
+    paused_since: Option<f64>,
+    stop: Option<Stop>,
 }
 
 impl DrainControl {
-    /// A call to empty the ingress; false: it was being emptied before, and goes on from there.
+    /// Begins to drain. False: it was paused before, and the stages go on from then.
     pub fn pause(&mut self, now: f64) -> bool {
-        let first = self.paused.is_none();
-        self.paused.get_or_insert(now);
+        let first = self.paused_since.is_none();
+        self.paused_since.get_or_insert(now);
         first
     }
 
-    /// A call to take clients again; false: it did so before.
+    /// Ends a pause. False: it was not paused.
     pub fn resume(&mut self) -> bool {
-        self.paused.take().is_some()
+        self.paused_since.take().is_some()
     }
 
-    /// The process is stopped, for good; new clients may come for so long, ms.
-    pub fn stop(&mut self, now: f64, notice: f64) {
-        self.stopped.get_or_insert((now, notice));
+    /// The process stops, for good; new clients may come for another `notice_ms`. The first call counts.
+    pub fn stop(&mut self, now: f64, notice_ms: f64) {
+        self.stop.get_or_insert(Stop {
+            since_ms: now,
+            notice_ms,
+        });
     }
 
-    /// Whether a call has emptied it.
+    /// Whether it is paused.
     pub fn paused(&self) -> bool {
-        self.paused.is_some()
+        self.paused_since.is_some()
     }
 
     /// Whether the process is being stopped.
     pub fn stopped(&self) -> bool {
-        self.stopped.is_some()
+        self.stop.is_some()
     }
 
-    /// What becomes of clients now.
+    /// The stage now: the further one where it is paused and stops.
     pub fn state(&self, now: f64) -> DrainState {
-        let stopped = self.stopped.map_or(DrainState::Serving, |(since, notice)| {
-            if now - since < notice {
-                DrainState::Notice
-            } else {
-                DrainState::Draining
-            }
-        });
+        let stopped = self
+            .stop
+            .map_or(DrainState::Serving, |stop| stop.state(now));
         let paused = self
-            .paused
-            .map_or(DrainState::Serving, |since| match now - since {
-                ms if ms < NOTICE_MS => DrainState::Notice,
-                ms if ms < DRAINED_MS => DrainState::Draining,
-                _ => DrainState::Drained,
-            });
+            .paused_since
+            .map_or(DrainState::Serving, |since| pause_state(now - since));
         stopped.max(paused)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_call_empties_it_by_stages_and_another_takes_clients_again() {
-        let mut drain = DrainControl::default();
-        assert_eq!(drain.state(1e12), DrainState::Serving);
-        assert!(
-            drain.pause(1000.0) && !drain.pause(1300.0),
-            "a repeated call does not begin anew"
-        );
-        let way = |ms: f64| drain.state(ms);
-        assert_eq!(
-            [1000.0, 1399.0, 1400.0, 2499.0, 2500.0, 1e9].map(way),
-            [
-                DrainState::Notice,
-                DrainState::Notice,
-                DrainState::Draining,
-                DrainState::Draining,
-                DrainState::Drained,
-                DrainState::Drained
-            ]
-        );
-        assert!(drain.paused() && drain.resume() && !drain.resume() && !drain.paused());
-        assert_eq!(drain.state(5000.0), DrainState::Serving);
-    }
-
-    #[test]
-    fn a_stop_serves_what_still_comes_and_nothing_takes_it_back() {
-        let mut drain = DrainControl::default();
-        drain.stop(1000.0, 500.0);
-        drain.stop(9000.0, 0.0);
-        assert_eq!(
-            [1499.0, 1500.0, 1e9].map(|ms| drain.state(ms)),
-            [
-                DrainState::Notice,
-                DrainState::Draining,
-                DrainState::Draining
-            ]
-        );
-        assert!(!drain.resume() && drain.stopped() && !drain.paused());
-        drain.pause(1400.0);
-        assert_eq!(
-            [1500.0, 3000.0].map(|ms| drain.state(ms)),
-            [DrainState::Draining, DrainState::Drained],
-            "the further one counts"
-        );
+/// The stage so long after `PAUSE`, ms.
+fn pause_state(elapsed_ms: f64) -> DrainState {
+    if elapsed_ms < NOTICE_MS {
+        DrainState::Notice
+    } else if elapsed_ms < DRAINED_MS {
+        DrainState::Draining
+    } else {
+        DrainState::Drained
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/admin/src/drain/tests.rs
@@ -0,0 +1,47 @@
+use super::*;
+
+#[test]
+fn a_call_empties_it_by_stages_and_another_takes_clients_again() {
+    let mut drain = DrainControl::default();
+    assert_eq!(drain.state(1e12), DrainState::Serving);
+    assert!(
+        drain.pause(1000.0) && !drain.pause(1300.0),
+        "a repeated call does not begin anew"
+    );
+    let state = |ms: f64| drain.state(ms);
+    assert_eq!(
+        [1000.0, 1399.0, 1400.0, 2499.0, 2500.0, 1e9].map(state),
+        [
+            DrainState::Notice,
+            DrainState::Notice,
+            DrainState::Draining,
+            DrainState::Draining,
+            DrainState::Drained,
+            DrainState::Drained
+        ]
+    );
+    assert!(drain.paused() && drain.resume() && !drain.resume() && !drain.paused());
+    assert_eq!(drain.state(5000.0), DrainState::Serving);
+}
+
+#[test]
+fn a_stop_serves_what_still_comes_and_nothing_takes_it_back() {
+    let mut drain = DrainControl::default();
+    drain.stop(1000.0, 500.0);
+    drain.stop(9000.0, 0.0);
+    assert_eq!(
+        [1499.0, 1500.0, 1e9].map(|ms| drain.state(ms)),
+        [
+            DrainState::Notice,
+            DrainState::Draining,
+            DrainState::Draining
+        ]
+    );
+    assert!(!drain.resume() && drain.stopped() && !drain.paused());
+    drain.pause(1400.0);
+    assert_eq!(
+        [1500.0, 3000.0].map(|ms| drain.state(ms)),
+        [DrainState::Draining, DrainState::Drained],
+        "the further one counts"
+    );
+}
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,6 +1,7 @@
-//! What staff tell a running ingress, as decisions without I/O or a clock: the grammar of their calls, the list of
-//! endpoints taken out, and how far the ingress has been emptied. It owns what each call means. It must never open
-//! a socket or a file, ask for the time, or decide which endpoint gets a command.
+//! Administration of a running ingress, as decisions without I/O or a clock: the grammar of staff's calls, the
+//! excluded endpoints, and how far the ingress is drained.
+//!
+//! It opens no socket or file, does not ask for the time, and does not decide which endpoint gets a request.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,6 +1,7 @@
-//! Where staff call: one line a connection, one line in answer. It owns the listener, the callers' connections and
-//! their bounds. It must never act on half a line, let a caller that says nothing keep others out, or decide what a
-//! call means: that is `driftgap_admin`'.
+//! The listener for staff's calls: one connection is one call, one line in and one line out.
+//!
+//! What a call means is `driftgap_admin`'s; this module reads it, has it done, and words the answer. Connections are
+//! bounded in number and time, so that a caller that says nothing does not keep others out.
 
 use crate::group::{Ended, Group, MembershipStatus};
 use crate::runtime::dispatcher::Dispatcher;
@@ -15,56 +16,58 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Most callers at a time; the one that has been silent for longest makes room for the next.
+/// Most callers whose line has not come at a time; the one that has been silent for longest makes room for the next.
 pub const MAX_CALLERS: usize = 16;
 /// Most calls that wait for the group at a time.
-const MAX_WAITING: usize = 64;
+const MAX_WAITING_FOR_GROUP: usize = 64;
 /// A caller has this long for its line, and as long to read the answer.
-const CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The listener rests for this long after an error, such as one for want of descriptors.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// Who keeps what staff have taken out over the end of this process.
+/// Keeps the exclusions of this ingress beyond the end of this process.
 pub trait ExclusionStore {
-    /// Notes that an endpoint is out, or no more.
+    /// Notes that an endpoint is excluded, or no more.
     ///
     /// # Errors
     /// Why it cannot be kept.
-    fn keep(&self, name: &str, out: bool) -> std::io::Result<()>;
+    fn keep(&self, name: &str, excluded: bool) -> std::io::Result<()>;
 }
 
-/// What the group agreed on a call, in words.
-fn agreed(dispatcher: &Dispatcher, call: &Call, outcome: Outcome) -> Answer {
-    let name = match call {
+/// The endpoint or member that a call names.
+fn subject(call: &Call) -> &str {
+    match call {
         Call::Suspend(name) | Call::Restore(name) => name,
         Call::Group(
             GroupCall::Add(name, _) | GroupCall::Remove(name) | GroupCall::Replace(_, name, _),
         ) => name,
         _ => "",
-    };
-    let done = match call {
+    }
+}
+
+/// The answer to a call that the group has agreed on.
+fn agreed(dispatcher: &Dispatcher, call: &Call, outcome: Outcome) -> Answer {
+    let name = subject(call);
+    let (done, done_before) = match call {
         Call::Suspend(_) => ("suspended for the group", "was suspended"),
         Call::Restore(_) => ("restored for the group", "was not suspended by the group"),
         Call::Group(GroupCall::Remove(_)) => ("let go", "was let go"),
         _ => ("awaited", "is a member already"),
     };
-    match outcome {
-        Outcome::Done | Outcome::Before => {
-            let word = if outcome == Outcome::Done {
-                done.0
-            } else {
-                done.1
-            };
-            if matches!(call, Call::Restore(_)) && dispatcher.is_excluded_here(name) {
-                return Answer::yes(format!(
-                    "{name} {word}, but is suspended here: RESTORE {name} HERE"
-                ));
-            }
-            Answer::yes(format!("{name} {word}"))
-        }
-        Outcome::TooMany => Answer::no("too many are suspended"),
-        Outcome::Unknown => Answer::no(format!("not done: no such member for {name}")),
-        Outcome::Late => Answer::no("not done: it came too late"),
-        _ => Answer::no("not done: refused; at least 3 and at most 7 members vote"),
+    let text = match outcome {
+        Outcome::Done => done,
+        Outcome::Before => done_before,
+        Outcome::TooMany => return Answer::no("too many are suspended"),
+        Outcome::Unknown => return Answer::no(format!("not done: no such member for {name}")),
+        Outcome::Late => return Answer::no("not done: it came too late"),
+        _ => return Answer::no("not done: refused; at least 3 and at most 7 members vote"),
+    };
+    if matches!(call, Call::Restore(_)) && dispatcher.is_excluded_here(name) {
+        return Answer::yes(format!(
+            "{name} {text}, but is suspended here: RESTORE {name} HERE"
+        ));
     }
+    Answer::yes(format!("{name} {text}"))
 }
 
 /// How old a copy is, ms.
@@ -131,157 +134,135 @@
     }
 }
 
-/// The place where staff call.
+/// Answers staff's calls.
 pub struct AdminServer {
     dispatcher: Rc<Dispatcher>,
-    keeper: Option<Rc<dyn ExclusionStore>>,
+    store: Option<Rc<dyn ExclusionStore>>,
     group: Option<Group>,
-    waiting: Cell<usize>,
-    callers: RefCell<VecDeque<(u64, AbortHandle)>>,
-    next: Cell<u64>,
+    /// Calls that wait for the group.
+    waiting_for_group: Cell<usize>,
+    /// Callers whose line has not come yet, the oldest first.
+    silent_callers: RefCell<VecDeque<SilentCaller>>,
+    next_number: Cell<u64>,
+}
+
+/// A caller whose line has not come yet.
+struct SilentCaller {
+    number: u64,
+    task: AbortHandle,
+}
+
+/// What a caller's line was.
+enum Line {
+    Call(Call),
+    Bad(BadCall),
+    /// The connection ended within it.
+    Unfinished,
 }
 
 impl AdminServer {
-    /// No callers yet.
+    /// A server for this ingress. Exclusions are kept in `store`, where there is one; calls for the group are passed
+    /// to `group`.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
-        keeper: Option<Rc<dyn ExclusionStore>>,
+        store: Option<Rc<dyn ExclusionStore>>,
         group: Option<Group>,
     ) -> Rc<AdminServer> {
-        let (callers, next, waiting) = Default::default();
         Rc::new(AdminServer {
             dispatcher,
-            keeper,
+            store,
             group,
-            waiting,
-            callers,
-            next,
+            waiting_for_group: Cell::default(),
+            silent_callers: RefCell::default(),
+            next_number: Cell::default(),
         })
     }
 
-    /// Takes in callers until its task is ended.
+    /// Accepts callers until its task is ended.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.open(stream),
                 Err(e) => {
                     tracing::warn!(error = %e, "accept, operators' calls");
-                    tokio::time::sleep(Duration::from_millis(5)).await;
+                    tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             }
         }
     }
 
     fn open(self: &Rc<Self>, stream: TcpStream) {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let calls = self.clone();
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let server = self.clone();
         let task = spawn_local(async move {
-            // A caller that goes away, or reads nothing, does not mind.
-            let _ = calls.hear(stream, number).await;
-            calls.said(number);
+            // A caller that has gone away, or does not read, needs no answer.
+            let _ = server.serve(stream, number).await;
+            server.not_silent(number);
+        });
+        let mut silent_callers = self.silent_callers.borrow_mut();
+        silent_callers.push_back(SilentCaller {
+            number,
+            task: task.abort_handle(),
         });
-        let mut callers = self.callers.borrow_mut();
-        callers.push_back((number, task.abort_handle()));
-        if callers.len() > MAX_CALLERS {
-            // Calls are carried out as soon as they are whole: whoever is still here after so many others is silent.
-            if let Some((_, silent)) = callers.pop_front() {
-                silent.abort();
+        if silent_callers.len() > MAX_CALLERS {
+            // Guards against callers that hold the line and say nothing: a call is carried out as soon as its line
+            // has come, so whoever is still here after so many others is silent.
+            if let Some(oldest) = silent_callers.pop_front() {
+                oldest.task.abort();
             }
         }
     }
 
-    /// This caller is not one of those who may still be silent.
-    fn said(&self, number: u64) {
-        self.callers.borrow_mut().retain(|(n, _)| *n != number);
+    /// This caller's line has come, or its connection has ended.
+    fn not_silent(&self, number: u64) {
+        self.silent_callers
+            .borrow_mut()
+            .retain(|caller| caller.number != number);
     }
 
-    async fn hear(&self, mut stream: TcpStream, number: u64) -> std::io::Result<()> {
+    async fn serve(&self, mut stream: TcpStream, number: u64) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
-        let mut line = Vec::with_capacity(MAX_LINE);
-        let read = timeout(CLIENT_TIMEOUT, async {
-            loop {
-                match Call::read(&line) {
-                    Ok(Some(call)) => return Ok(Some(Ok(call))),
-                    Ok(None) => {}
-                    Err(problem) => return Ok(Some(Err(Answer::no(problem.to_string())))),
+        let answer = match timeout(CALLER_TIMEOUT, read_line(&mut stream)).await {
+            Ok(line) => match line? {
+                Line::Call(call) => {
+                    // A call that waits for the group may be done already: it is not cut off for another caller.
+                    self.not_silent(number);
+                    self.carry_out(call).await
                 }
-                // What comes behind the line is left unread.
-                let mut more = (&mut stream).take((MAX_LINE - line.len()) as u64);
-                if more.read_buf(&mut line).await? == 0 {
-                    return Ok::<_, std::io::Error>(None);
-                }
-            }
-        });
-        let answer = match read.await {
-            Ok(Ok(Some(Ok(call)))) => {
-                // What waits for the group is nobody's to cut off: it may be done already.
-                self.said(number);
-                self.carry_out(call).await
-            }
-            Ok(Ok(Some(Err(answer)))) => answer,
-            Ok(Ok(None)) => return Ok(()),
-            Ok(Err(e)) => return Err(e),
+                Line::Bad(problem) => Answer::no(problem.to_string()),
+                Line::Unfinished => return Ok(()),
+            },
             Err(_) => Answer::no("no whole line in time"),
         };
-        let text = answer.line();
-        let _ = timeout(CLIENT_TIMEOUT, stream.write_all(text.as_bytes())).await;
+        let line = answer.line();
+        let _ = timeout(CALLER_TIMEOUT, stream.write_all(line.as_bytes())).await;
         stream.shutdown().await
     }
 
     async fn carry_out(&self, call: Call) -> Answer {
         let answer = match &self.group {
-            Some(group) if call.is_for_group() => {
-                if self.waiting.get() >= MAX_WAITING {
-                    return Answer::no("not done: too many calls wait for the group");
-                }
-                self.waiting.set(self.waiting.get() + 1);
-                let answer = self.ask(group, &call).await;
-                self.waiting.set(self.waiting.get() - 1);
-                answer
-            }
-            _ => self.answer(&call),
+            Some(group) if call.is_for_group() => self.carry_out_in_group(group, &call).await,
+            _ => self.carry_out_here(&call),
         };
-        if !matches!(
+        let only_asks = matches!(
             call,
             Call::Status | Call::Group(GroupCall::Status | GroupCall::Out)
-        ) {
+        );
+        if !only_asks {
             tracing::info!(call = ?call, yes = answer.yes, answer = answer.text, "operator");
         }
         answer
     }
 
-    fn answer(&self, call: &Call) -> Answer {
-        let dispatcher = &self.dispatcher;
+    fn carry_out_here(&self, call: &Call) -> Answer {
         match call {
-            Call::Status => {
-                let out = dispatcher.out();
-                match dispatcher.unready() {
-                    None if out == 0 => Answer::yes("ready"),
-                    None => Answer::yes(format!("ready, {out} suspended")),
-                    Some(why) => Answer::no(why),
-                }
-            }
-            Call::Pause => {
-                let now = dispatcher.now();
-                let first = dispatcher.drain().pause(now);
-                Answer::yes(if first {
-                    "emptying"
-                } else {
-                    "emptying since before"
-                })
-            }
-            Call::Resume => {
-                let first = dispatcher.drain().resume();
-                Answer::yes(if first {
-                    "taking clients"
-                } else {
-                    "was taking clients"
-                })
-            }
+            Call::Status => self.status(),
+            Call::Pause => self.pause(),
+            Call::Resume => self.resume(),
             Call::Suspend(name) => self.set_excluded(name, true),
             Call::Restore(name) => self.set_excluded(name, false),
-            // Without a group there is only here, and no such call.
+            // Without a group every call is for this ingress alone, and these do not exist.
             Call::SuspendHere(_) | Call::RestoreHere(_) if self.group.is_none() => {
                 Answer::no(BadCall::Words.to_string())
             }
@@ -291,43 +272,85 @@
         }
     }
 
-    /// A call that the whole group is to obey.
-    async fn ask(&self, group: &Group, call: &Call) -> Answer {
-        let proposal = match call {
+    fn status(&self) -> Answer {
+        if let Some(why) = self.dispatcher.unready_reason() {
+            return Answer::no(why);
+        }
+        match self.dispatcher.excluded_count() {
+            0 => Answer::yes("ready"),
+            excluded => Answer::yes(format!("ready, {excluded} suspended")),
+        }
+    }
+
+    fn pause(&self) -> Answer {
+        let now = self.dispatcher.now();
+        let first = self.dispatcher.drain().pause(now);
+        Answer::yes(if first {
+            "emptying"
+        } else {
+            "emptying since before"
+        })
+    }
+
+    fn resume(&self) -> Answer {
+        let was_paused = self.dispatcher.drain().resume();
+        Answer::yes(if was_paused {
+            "taking clients"
+        } else {
+            "was taking clients"
+        })
+    }
+
+    /// Excludes an endpoint at this ingress, or ends that, and keeps it beyond the end of this process.
+    fn set_excluded(&self, name: &str, exclude: bool) -> Answer {
+        let (done, done_before) = if exclude {
+            ("suspended", "was suspended")
+        } else {
+            ("restored", "was not suspended")
+        };
+        let text = match self.dispatcher.set_excluded(name, exclude) {
+            ExclusionOutcome::Done => done,
+            ExclusionOutcome::AlreadyDone => done_before,
+            ExclusionOutcome::NeverListed => return Answer::no(format!("{name} was never listed")),
+            ExclusionOutcome::TooMany => return Answer::no("too many are suspended"),
+        };
+        // Kept also where nothing changed here: another process of this ingress may not have heard of it.
+        let kept = self.store.as_ref().map(|store| store.keep(name, exclude));
+        match kept {
+            Some(Err(e)) => {
+                tracing::error!(name, out = exclude, error = %e, "not kept over an upgrade");
+                Answer::yes(format!("{name} {text}, but not over an upgrade: {e}"))
+            }
+            _ => Answer::yes(format!("{name} {text}")),
+        }
+    }
+
+    /// A call that the group has to agree to, or to answer.
+    async fn carry_out_in_group(&self, group: &Group, call: &Call) -> Answer {
+        if self.waiting_for_group.get() >= MAX_WAITING_FOR_GROUP {
+            return Answer::no("not done: too many calls wait for the group");
+        }
+        self.waiting_for_group.set(self.waiting_for_group.get() + 1);
+        let answer = match call {
+            Call::Group(GroupCall::Status) => membership_status(group.membership_status().await),
+            Call::Group(GroupCall::Out) => group_exclusions(group).await,
             Call::Suspend(name) | Call::Restore(name) if !self.dispatcher.was_listed(name) => {
-                return Answer::no(format!("{name} was never listed"));
+                Answer::no(format!("{name} was never listed"))
             }
-            Call::Suspend(name) => Proposal::Suspend(name.clone()),
-            Call::Restore(name) => Proposal::Restore(name.clone()),
-            Call::Group(GroupCall::Add(name, at)) => Proposal::Invite {
-                name: name.clone(),
-                address: at.to_string(),
-                instead_of: None,
-            },
-            Call::Group(GroupCall::Replace(old, name, at)) => Proposal::Invite {
-                name: name.clone(),
-                address: at.to_string(),
-                instead_of: Some(old.clone()),
+            call => match proposal(call) {
+                Some(proposal) => self.propose(group, call, proposal).await,
+                None => Answer::no(BadCall::Name.to_string()),
             },
-            Call::Group(GroupCall::Remove(name)) => Proposal::Remove(name.clone()),
-            Call::Group(GroupCall::Status) => {
-                return membership_status(group.membership_status().await)
-            }
-            _ => {
-                return match group.read().await {
-                    Ended::Done(_, view) => {
-                        let out: Vec<&str> = view.out.iter().map(String::as_str).collect();
-                        Answer::yes(format!("at {}: {}", view.applied, out.join(" ")))
-                    }
-                    Ended::Refused(why) => Answer::no(why),
-                    Ended::Open => Answer::no("no answer in time"),
-                };
-            }
         };
+        self.waiting_for_group.set(self.waiting_for_group.get() - 1);
+        answer
+    }
+
+    async fn propose(&self, group: &Group, call: &Call, proposal: Proposal) -> Answer {
         match group.ask(proposal).await {
             Ended::Done(outcome, _) => {
-                // The answer says that it holds here: it does, from before the answer goes out. By now the group may
-                // hold something later, which must not be taken back.
+                // The answer says that it holds here, so it is put in force before the answer goes out. The latest
+                // view is taken: the group may have agreed on something later, which must not be undone.
                 let latest = group.view().borrow().out.clone();
                 self.dispatcher.set_group_exclusions(latest);
                 agreed(&self.dispatcher, call, outcome)
@@ -338,27 +361,52 @@
             }
         }
     }
+}
 
-    fn set_excluded(&self, name: &str, out: bool) -> Answer {
-        let done = self.dispatcher.set_excluded(name, out);
-        let (word, before) = if out {
-            ("suspended", "was suspended")
-        } else {
-            ("restored", "was not suspended")
-        };
-        let word = match done {
-            ExclusionOutcome::Done => word,
-            ExclusionOutcome::Before => before,
-            ExclusionOutcome::Unknown => return Answer::no(format!("{name} was never listed")),
-            ExclusionOutcome::TooMany => return Answer::no("too many are suspended"),
-        };
-        // Kept also where nothing changed here: another process of this ingress may not have heard of it.
-        match self.keeper.as_ref().map(|keeper| keeper.keep(name, out)) {
-            Some(Err(e)) => {
-                tracing::error!(name, out, error = %e, "not kept over an upgrade");
-                Answer::yes(format!("{name} {word}, but not over an upgrade: {e}"))
-            }
-            _ => Answer::yes(format!("{name} {word}")),
+/// The call of a connection; what comes behind its line is left unread.
+async fn read_line(stream: &mut TcpStream) -> std::io::Result<Line> {
+    let mut line = Vec::with_capacity(MAX_LINE);
+    loop {
+        match Call::read(&line) {
+            Ok(Some(call)) => return Ok(Line::Call(call)),
+            Ok(None) => {}
+            Err(problem) => return Ok(Line::Bad(problem)),
+        }
+        let mut rest = (&mut *stream).take((MAX_LINE - line.len()) as u64);
+        if rest.read_buf(&mut line).await? == 0 {
+            return Ok(Line::Unfinished);
+        }
+    }
+}
+
+/// The change that a call asks the group for; none: it asks for no change.
+fn proposal(call: &Call) -> Option<Proposal> {
+    Some(match call {
+        Call::Suspend(name) => Proposal::Suspend(name.clone()),
+        Call::Restore(name) => Proposal::Restore(name.clone()),
+        Call::Group(GroupCall::Add(name, address)) => Proposal::Invite {
+            name: name.clone(),
+            address: address.to_string(),
+            instead_of: None,
+        },
+        Call::Group(GroupCall::Replace(old, name, address)) => Proposal::Invite {
+            name: name.clone(),
+            address: address.to_string(),
+            instead_of: Some(old.clone()),
+        },
+        Call::Group(GroupCall::Remove(name)) => Proposal::Remove(name.clone()),
+        _ => return None,
+    })
+}
+
+/// The endpoints that the group has excluded, once this ingress knows all that has been confirmed to anybody.
+async fn group_exclusions(group: &Group) -> Answer {
+    match group.read().await {
+        Ended::Done(_, view) => {
+            let excluded: Vec<&str> = view.out.iter().map(String::as_str).collect();
+            Answer::yes(format!("at {}: {}", view.applied, excluded.join(" ")))
         }
+        Ended::Refused(why) => Answer::no(why),
+        Ended::Open => Answer::no("no answer in time"),
     }
 }
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -156,17 +156,17 @@
     }
 
     /// Ends all connections in order while the ingress is being emptied.
-    pub async fn look(self: Rc<Self>) {
+    pub async fn supervise(self: Rc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
             if self.dispatcher.drain_state() >= DrainState::Draining {
-                self.leave();
+                self.drain();
             }
         }
     }
 
     /// Sends GOAWAY everywhere; open streams are finished.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         let all: Vec<_> = self
             .connections
             .borrow()
@@ -262,7 +262,7 @@
             dispatcher.arrive(*request, client, 0, places, |number| id.set(number));
         }
         Ok(Wanted::Away(retry_after_ms)) => {
-            dispatcher.refuse(retry_after_ms, client, 0, |number| id.set(number))
+            dispatcher.reject(retry_after_ms, client, 0, |number| id.set(number))
         }
         Ok(Wanted::Word(status, word)) => {
             return send(dispatcher, respond, plain(status), word.into()).await
--- a/src/frontend/resp.rs
+++ b/src/frontend/resp.rs
@@ -187,11 +187,11 @@
     }
 
     /// Looks after clients that take a place and neither finish a request nor read an answer.
-    pub async fn look(self: Rc<Self>) {
+    pub async fn supervise(self: Rc<Self>) {
         loop {
             tokio::time::sleep(LOOK).await;
             if self.dispatcher.drain_state() >= DrainState::Draining {
-                self.leave();
+                self.drain();
             }
             let now = self.dispatcher.now();
             for client in self.clients.borrow().values().filter_map(Weak::upgrade) {
@@ -236,7 +236,7 @@
 
     /// Ends every connection as soon as nothing is owed on it. One that has said nothing yet has its time for that:
     /// its first request may be under way.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         let now = self.dispatcher.now();
         for client in self.clients.borrow().values().filter_map(Weak::upgrade) {
             if client.spoken.get() || now - client.used.get() > FRESH_MS {
@@ -547,7 +547,7 @@
                     Err(Turned::Away(retry_after_ms)) => {
                         client
                             .dispatcher
-                            .refuse(retry_after_ms, client.clone(), ticket, known)
+                            .reject(retry_after_ms, client.clone(), ticket, known)
                     }
                     Err(Turned::Down) => {
                         client.fill(
--- a/src/runtime/clock.rs
+++ b/src/runtime/clock.rs
@@ -1,29 +1,35 @@
-//! The one clock of the program. It owns the anchor that ties monotonic time to Unix time, taken once at
-//! start: counter window names derive from it, so it must agree over all ingresses and must never step back
-//! or follow later corrections of the system's clock. It must never be bypassed: nothing else asks the
-//! system for the time.
+//! The one clock of the program: nothing else asks the system for the time.
+//!
+//! Unix time is read once, at the start, and monotonic time is added to it from there. The names of the counter's
+//! windows derive from it, so it has to agree over all ingresses. Guards against corrections of the system's clock: a
+//! step back would count requests twice in one window.
 
 use std::cell::Cell;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Latest instant, ms after the start: about 30 years. Guards against a time that `Instant` cannot hold.
+const MAX_TIMER_MS: f64 = 1e12;
 
 /// Milliseconds since the Unix epoch, never going back.
 #[derive(Debug)]
 pub struct Clock {
     start: Instant,
-    anchor: f64,
-    set: Cell<Option<f64>>,
+    /// Unix time at `start`, ms.
+    start_ms: f64,
+    /// The time that a test has set, ms.
+    fixed_ms: Cell<Option<f64>>,
 }
 
 impl Clock {
     /// A clock that runs with the system's, from the system's present time.
     pub fn system() -> Clock {
-        let anchor = SystemTime::now()
+        let start_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0.0, |d| d.as_secs_f64() * 1e3);
         Clock {
             start: Instant::now(),
-            anchor,
-            set: Cell::new(None),
+            start_ms,
+            fixed_ms: Cell::new(None),
         }
     }
 
@@ -31,56 +37,29 @@
     pub fn fixed(ms: f64) -> Clock {
         Clock {
             start: Instant::now(),
-            anchor: ms,
-            set: Cell::new(Some(ms)),
+            start_ms: ms,
+            fixed_ms: Cell::new(Some(ms)),
         }
     }
 
     /// Sets a test's clock; it never goes back.
     pub fn set(&self, ms: f64) {
-        self.set.set(Some(ms.max(self.now())));
+        self.fixed_ms.set(Some(ms.max(self.now())));
     }
 
-    /// The time.
+    /// The time, ms since the Unix epoch.
     pub fn now(&self) -> f64 {
-        self.set
+        self.fixed_ms
             .get()
-            .unwrap_or_else(|| self.anchor + self.start.elapsed().as_secs_f64() * 1e3)
+            .unwrap_or_else(|| self.start_ms + self.start.elapsed().as_secs_f64() * 1e3)
     }
 
     /// The instant at which this clock shows `ms`, for a timer.
     pub fn instant(&self, ms: f64) -> Instant {
-        let after = (ms - self.anchor).clamp(0.0, 1e12);
-        self.start + std::time::Duration::from_secs_f64(after / 1e3)
+        let after_ms = (ms - self.start_ms).clamp(0.0, MAX_TIMER_MS);
+        self.start + Duration::from_secs_f64(after_ms / 1e3)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_set_clock_stands_still_and_never_goes_back() {
-        let clock = Clock::fixed(1e12);
-        clock.set(1e12 + 5.0);
-        clock.set(1e12);
-        assert_eq!(clock.now(), 1e12 + 5.0);
-        assert_eq!(
-            clock.instant(1e12 + 20.0) - clock.instant(1e12),
-            std::time::Duration::from_millis(20)
-        );
-    }
-
-    #[test]
-    fn the_systems_clock_shows_unix_time_and_runs_on() {
-        let clock = Clock::system();
-        let unix = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap()
-            .as_secs_f64()
-            * 1e3;
-        let first = clock.now();
-        assert!((first - unix).abs() < 1000.0, "{first} beside {unix}");
-        assert!(clock.now() >= first);
-    }
-}
+mod tests;
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -1,126 +1,98 @@
-//! What all parts of the ingress share: the clock, the settings, the core with its requests, the endpoint registry, and
-//! who is owed which answer. It owns the way of effects out of the core (answers to their clients, all
-//! else to the [`ActionExecutor`]) and of news into it. It must never know a wire, a socket or a task, decide about a
-//! request, or hold the core while somebody else runs: the parts know the dispatcher, and it knows none of them.
+//! What all parts of the ingress share: the clock, the settings, the request table, the endpoint registry, and who is
+//! owed which answer.
+//!
+//! Actions go from the request table through the dispatcher (answers to their clients, all others to the
+//! [`ActionExecutor`]), and events of every part go through it into the request table. It knows no wire, socket or
+//! task, and decides about no request: the parts know the dispatcher, and it knows none of them. Nobody else runs
+//! while it borrows the request table.
+
+mod endpoints;
+mod exclusions;
+mod requests;
+mod unsent_budget;
+
+pub use unsent_budget::UnsentBudget;
 
 use crate::buffer::body_stream::BodyStreams;
 use crate::config::settings::{Config, Platform};
 use crate::decision::driver::{DecisionDriver, EndpointId, RequestId};
-use crate::decision::{EndpointEntry, EndpointState, ListKind};
+use crate::decision::EndpointEntry;
 use crate::discovery::registry::EndpointRegistry;
-use crate::plugin::{Plugin, PluginVerdict};
-use crate::request::{Action, ClientRequest, FinalAnswer, RequestCounts, RequestTable};
+use crate::plugin::Plugin;
+use crate::request::{Action, FinalAnswer, RequestCounts, RequestTable};
 use crate::runtime::clock::Clock;
-use driftgap_admin::{DrainControl, DrainState, ExcludedEndpoints, ExclusionOutcome};
-use driftgap_routes::{Endpoint, Replaced, Request, Router, Rules, Ticket, TooSoon, Verdict, ALL};
+use driftgap_admin::{DrainControl, DrainState, ExcludedEndpoints};
+use driftgap_routes::{Router, Ticket};
 use std::cell::{Cell, OnceCell, RefCell, RefMut};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
-use std::sync::Arc;
 
-/// Without a word from discovery, the last known list serves after this long, ms.
-const ALONE_MS: f64 = 300.0;
+/// How long a new process waits for an answer of discovery before it counts as ready with the list it has, ms.
+const DISCOVERY_WAIT_MS: f64 = 300.0;
 
-/// When to come back to an ingress that has been emptied, ms; elsewhere they are served at once.
-const AWAY_MS: f64 = 500.0;
-
-/// Who carries out what the core wants done, answers to clients apart. Called without the core held,
-/// so that it may bring news at once.
+/// Carries out what the request table wants done, answers to clients apart. It is called while the request table is
+/// not borrowed, so that it may report events at once.
 pub trait ActionExecutor {
-    /// Carries out one effect, in the order given.
-    fn carry_out(&self, effect: Action);
+    /// Carries out one action. Actions come in the order in which they were asked for.
+    fn carry_out(&self, action: Action);
 }
 
-/// One end of a front that is owed answers; `ticket` is the front's own mark for one request.
+/// Where a frontend wants answers. `ticket` is the frontend's own mark for one request.
 pub trait ResponseSink {
     /// Gives it the one final answer to a request.
     fn answer(&self, ticket: u64, answer: FinalAnswer);
 }
 
-/// What one client has not read yet, out of what all clients together may leave unread. Guards memory against
-/// clients that ask for much and read nothing: a cap for each of many connections is no bound.
-pub struct UnsentBudget {
-    all: Rc<Cell<usize>>,
-    max: usize,
-    mine: Cell<usize>,
-}
-
-impl UnsentBudget {
-    /// Nothing yet; `all` is shared by all clients.
-    pub fn new(all: Rc<Cell<usize>>, max: usize) -> UnsentBudget {
-        UnsentBudget {
-            all,
-            max,
-            mine: Cell::new(0),
-        }
-    }
-
-    /// Notes bytes that wait to be sent; false: there are too many, and this client is to be cut off.
-    pub fn add(&self, bytes: usize) -> bool {
-        self.mine.set(self.mine.get() + bytes);
-        self.all.set(self.all.get() + bytes);
-        self.all.get() <= self.max
-    }
-
-    /// Notes that so many bytes are held now, no more and no less; false: too many are held by all together.
-    pub fn hold(&self, bytes: usize) -> bool {
-        self.sent(usize::MAX);
-        self.add(bytes)
-    }
-
-    /// Notes bytes that were sent.
-    pub fn sent(&self, bytes: usize) {
-        let bytes = bytes.min(self.mine.get());
-        self.mine.set(self.mine.get() - bytes);
-        self.all.set(self.all.get() - bytes);
-    }
-}
-
-impl Drop for UnsentBudget {
-    fn drop(&mut self) {
-        self.sent(usize::MAX);
-    }
+/// An answer that a client is owed.
+struct PendingAnswer {
+    client: Rc<dyn ResponseSink>,
+    ticket: u64,
+    /// The request's places under the operator's limits, free again when this is dropped.
+    _limit_tickets: Vec<Ticket>,
 }
 
-/// Who is owed an answer, its mark for the request, and the request's places under the operator's limits.
-type Owed = (Rc<dyn ResponseSink>, u64, Vec<Ticket>);
-
-/// What all tasks share.
+/// What all tasks of the ingress share.
 pub struct Dispatcher {
     clock: Clock,
+    /// When the process started, ms.
+    started_ms: f64,
     platform: Rc<Platform>,
-    core: RefCell<RequestTable>,
-    table: RefCell<EndpointRegistry>,
-    /// Who carries effects out. Set once at the start; weak, since it holds the dispatcher.
-    network: OnceCell<Weak<dyn ActionExecutor>>,
-    clients: RefCell<HashMap<RequestId, Owed>>,
+    requests: RefCell<RequestTable>,
+    registry: RefCell<EndpointRegistry>,
+    /// Set once during start-up; weak, since it holds the dispatcher.
+    executor: OnceCell<Weak<dyn ActionExecutor>>,
+    /// Whether actions are being carried out further up the stack.
+    carrying_out: Cell<bool>,
+    pending: RefCell<HashMap<RequestId, PendingAnswer>>,
     plugin: Option<Plugin>,
     /// The operator's rules.
     router: RefCell<Option<Router>>,
-    /// The endpoints that are ready, as the core was told of them.
-    listed: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
-    /// What staff have taken out, and every endpoint that a list holds, as the list has it; none: nobody can call.
+    /// The endpoints that are ready, as the request table knows them.
+    ready: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
+    /// None: nobody can exclude an endpoint.
     excluded: Option<RefCell<ExcludedEndpoints>>,
-    notified: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
-    /// How far the ingress has been emptied.
+    /// Every endpoint as its list has it, without exclusions; empty where nobody can exclude one.
+    listed: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
     drain: RefCell<DrainControl>,
-    /// Ids given to requests whose clients name none.
-    ids: Cell<u64>,
-    unsent: Rc<Cell<usize>>,
-    max_unsent: usize,
-    incoming: Rc<Cell<usize>>,
-    ways: BodyStreams,
-    pumping: Cell<bool>,
-    started: f64,
-    answered: Cell<bool>,
+    generated_ids: Cell<u64>,
+    /// Bytes of answers that all clients together have not read.
+    unsent_bytes: Rc<Cell<usize>>,
+    /// Most of them.
+    max_unsent_bytes: usize,
+    /// Bytes of requests of which all clients together have sent only a part.
+    incoming_bytes: Rc<Cell<usize>>,
+    body_streams: BodyStreams,
+    /// Whether discovery has answered, or there is none.
+    discovery_answered: Cell<bool>,
 }
 
 impl Dispatcher {
-    /// The shared state of an ingress with this configuration, within so much of its memory; others may take
-    /// endpoints out for it where it is in a group.
+    /// The shared state of an ingress with this configuration. `memory_mb` is the memory that requests may use: a
+    /// third for requests that are held, a sixth each for unread answers and for large bodies. In a group, others may
+    /// exclude endpoints.
     ///
     /// # Errors
-    /// Settings that make no sense.
+    /// The settings make no sense to the decision module.
     pub fn new(
         config: &Config,
         memory_mb: f64,
@@ -132,479 +104,130 @@
         let driver = DecisionDriver::new(platform.decision.clone(), config.seed)?;
         let max_bytes = (memory_mb * 1e6 / 3.0) as usize;
         Ok(Rc::new(Dispatcher {
-            started: clock.now(),
-            core: RequestTable::new(platform.clone(), driver, max_bytes).into(),
-            table: EndpointRegistry::new(platform.zones.clone()).into(),
-            network: OnceCell::new(),
-            clients: RefCell::default(),
-            pumping: Cell::new(false),
+            started_ms: clock.now(),
+            requests: RequestTable::new(platform.clone(), driver, max_bytes).into(),
+            registry: EndpointRegistry::new(platform.zones.clone()).into(),
+            executor: OnceCell::new(),
+            carrying_out: Cell::new(false),
+            pending: RefCell::default(),
             // Without discovery, what is known is all there is.
-            answered: Cell::new(config.discovery.is_none()),
+            discovery_answered: Cell::new(config.discovery.is_none()),
             plugin,
             router: RefCell::default(),
-            listed: RefCell::default(),
+            ready: RefCell::default(),
             excluded: (config.operator.is_some() || in_group).then(RefCell::default),
-            notified: RefCell::default(),
+            listed: RefCell::default(),
             drain: RefCell::default(),
-            ids: Cell::new(0),
-            unsent: Rc::default(),
-            max_unsent: max_bytes / 2,
-            incoming: Rc::default(),
-            ways: BodyStreams::new(max_bytes / 2),
+            generated_ids: Cell::new(0),
+            unsent_bytes: Rc::default(),
+            max_unsent_bytes: max_bytes / 2,
+            incoming_bytes: Rc::default(),
+            body_streams: BodyStreams::new(max_bytes / 2),
             platform,
             clock,
         }))
     }
 
-    /// The time.
+    /// The time, ms since the Unix epoch.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
+    /// The clock.
+    pub fn clock(&self) -> &Clock {
+        &self.clock
+    }
+
     /// The settings.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// The endpoint registry.
-    pub fn table(&self) -> RefMut<'_, EndpointRegistry> {
-        self.table.borrow_mut()
-    }
-
-    /// Names who carries effects out from now on; the first one named stays.
-    pub fn set_executor(&self, network: &Rc<dyn ActionExecutor>) {
-        let _ = self.network.set(Rc::downgrade(network));
+    /// The longest deadline of all classes, ms.
+    pub fn longest_deadline_ms(&self) -> f64 {
+        let classes = self.platform.decision.classes.iter();
+        classes
+            .map(|class| 1e3 * class.deadline)
+            .fold(0.0, f64::max)
     }
 
-    /// The clock.
-    pub fn clock(&self) -> &Clock {
-        &self.clock
+    /// The endpoint registry.
+    pub fn table(&self) -> RefMut<'_, EndpointRegistry> {
+        self.registry.borrow_mut()
     }
 
-    /// Discovery has answered: the list is as good as it gets.
-    pub fn mark_discovery_answered(&self) {
-        self.answered.set(true);
+    /// A new client's part of the answers that clients may leave unread.
+    pub fn unsent_budget(&self) -> UnsentBudget {
+        UnsentBudget::new(self.unsent_bytes.clone(), self.max_unsent_bytes)
     }
 
-    /// A new client's part of what may come half written from all clients together.
+    /// A new client's part of the requests of which only a part has come.
     pub fn incoming_budget(&self) -> UnsentBudget {
-        // Rings grow by doubling: what they take is up to twice of what they hold.
-        UnsentBudget::new(self.incoming.clone(), self.max_unsent / 2)
+        // Ring buffers grow by doubling: they may take twice the bytes that they hold.
+        UnsentBudget::new(self.incoming_bytes.clone(), self.max_unsent_bytes / 2)
     }
 
-    /// Large values on their way.
+    /// The large bodies that are being streamed.
     pub fn body_streams(&self) -> &BodyStreams {
-        &self.ways
+        &self.body_streams
     }
 
-    /// A new client's part of what clients may leave unread.
-    pub fn unsent_budget(&self) -> UnsentBudget {
-        UnsentBudget::new(self.unsent.clone(), self.max_unsent)
+    /// When [`RequestTable::tick`] must be called at the latest, ms; none: nothing is due.
+    pub fn next_due(&self) -> Option<f64> {
+        self.requests.borrow_mut().next_due()
     }
 
-    /// When [`RequestTable::tick`] must be called at the latest.
-    pub fn next_due(&self) -> Option<f64> {
-        self.core.borrow_mut().next_due()
+    /// What has been counted since the start.
+    pub fn request_counts(&self) -> RequestCounts {
+        self.requests.borrow().counts()
     }
 
-    /// Requests so far, and those that are owed an answer.
-    pub fn statistics(&self) -> (RequestCounts, usize) {
-        let core = self.core.borrow();
-        (core.counts(), core.unanswered())
+    /// How many requests are owed an answer.
+    pub fn unanswered(&self) -> usize {
+        self.requests.borrow().unanswered()
+    }
+
+    /// Discovery has answered: the list is as good as it gets.
+    pub fn mark_discovery_answered(&self) {
+        self.discovery_answered.set(true);
     }
 
-    /// Whether clients are to come: requests can be served, and no call has emptied the ingress.
+    /// Whether clients are to come: requests can be served, and no call has paused the ingress.
     pub fn ready(&self) -> bool {
-        self.lacks().is_none() && !self.drain.borrow().paused()
+        self.cannot_serve().is_none() && !self.drain.borrow().paused()
     }
 
-    /// What keeps a caller from sending clients here; none: nothing.
-    pub fn unready(&self) -> Option<&'static str> {
+    /// Why clients are not to come, for people; none: they are.
+    pub fn unready_reason(&self) -> Option<&'static str> {
         let drain = self.drain.borrow();
-        match (drain.stopped(), drain.paused()) {
-            (true, _) => Some("stopping"),
-            (_, true) => Some("paused"),
-            _ => self.lacks(),
+        if drain.stopped() {
+            Some("stopping")
+        } else if drain.paused() {
+            Some("paused")
+        } else {
+            self.cannot_serve()
         }
     }
 
-    /// What requests cannot be served for; none: they can.
-    fn lacks(&self) -> Option<&'static str> {
-        let notified = self.answered.get() || self.now() - self.started > ALONE_MS;
-        match (notified, self.core.borrow().endpoints()) {
-            (false, _) => Some("no list yet"),
-            (_, 0) => Some("no instance is ready"),
-            _ => None,
+    /// Why requests cannot be served, for people; none: they can.
+    fn cannot_serve(&self) -> Option<&'static str> {
+        let waited_ms = self.now() - self.started_ms;
+        if !self.discovery_answered.get() && waited_ms <= DISCOVERY_WAIT_MS {
+            Some("no list yet")
+        } else if self.requests.borrow().endpoints() == 0 {
+            Some("no instance is ready")
+        } else {
+            None
         }
     }
 
-    /// How far it is being emptied.
+    /// How far the ingress is drained, to be changed.
     pub fn drain(&self) -> RefMut<'_, DrainControl> {
         self.drain.borrow_mut()
     }
 
-    /// What becomes of clients now.
+    /// How far the ingress is drained now.
     pub fn drain_state(&self) -> DrainState {
         self.drain.borrow().state(self.now())
     }
-
-    /// How many endpoints staff have taken out.
-    pub fn out(&self) -> usize {
-        self.excluded
-            .as_ref()
-            .map_or(0, |excluded| excluded.borrow().out().count())
-    }
-
-    /// Whether staff have taken this one out.
-    pub fn is_out(&self, name: &str) -> bool {
-        self.excluded
-            .as_ref()
-            .is_some_and(|excluded| excluded.borrow().is_out(name))
-    }
-
-    /// Takes an endpoint out, whatever the lists say, or puts it back.
-    pub fn set_excluded(&self, name: &str, out: bool) -> ExclusionOutcome {
-        let Some(excluded) = &self.excluded else {
-            return ExclusionOutcome::Unknown;
-        };
-        let done = if out {
-            excluded.borrow_mut().suspend(name)
-        } else {
-            excluded.borrow_mut().restore(name)
-        };
-        if done == ExclusionOutcome::Done {
-            self.notify_again(&[name.to_string()]);
-        }
-        done
-    }
-
-    /// Another process of this ingress says which endpoints are out; the names that have changed.
-    pub fn take_over(&self, out: BTreeSet<String>) -> Vec<String> {
-        let Some(excluded) = &self.excluded else {
-            return Vec::new();
-        };
-        let changed = excluded.borrow_mut().take_over(out);
-        if !changed.is_empty() {
-            self.notify_again(&changed);
-        }
-        changed
-    }
-
-    /// Whether a call here has taken this one out.
-    pub fn is_excluded_here(&self, name: &str) -> bool {
-        self.excluded
-            .as_ref()
-            .is_some_and(|excluded| excluded.borrow().is_excluded_here(name))
-    }
-
-    /// Whether any list has named this one.
-    pub fn was_listed(&self, name: &str) -> bool {
-        self.excluded
-            .as_ref()
-            .is_some_and(|excluded| excluded.borrow().was_listed(name))
-    }
-
-    /// The group of ingresses holds these endpoints as taken out, from now on.
-    pub fn set_group_exclusions(&self, out: Arc<BTreeSet<String>>) {
-        let Some(excluded) = &self.excluded else {
-            return;
-        };
-        let changed = excluded.borrow_mut().set_group_exclusions(out);
-        if !changed.is_empty() {
-            tracing::info!(
-                changed = changed.join(" "),
-                "taken out or put back by the group"
-            );
-            self.notify_again(&changed);
-        }
-    }
-
-    /// Tells the core once more of these endpoints, as far as a list holds them.
-    fn notify_again(&self, names: &[String]) {
-        let named = |id: EndpointId| {
-            self.table
-                .borrow()
-                .endpoint(id)
-                .is_some_and(|i| names.contains(&i.name))
-        };
-        let entries: Vec<EndpointEntry> = self
-            .notified
-            .borrow()
-            .values()
-            .filter(|e| named(e.id))
-            .cloned()
-            .collect();
-        if !entries.is_empty() {
-            self.update_endpoints(ListKind::Delta, entries);
-        }
-    }
-
-    /// Keeps what a list says, and marks those that staff have taken out as draining.
-    fn apply_exclusions(&self, kind: ListKind, entries: &mut [EndpointEntry]) {
-        let Some(excluded) = &self.excluded else {
-            return;
-        };
-        let (table, mut excluded, mut notified) = (
-            self.table.borrow(),
-            excluded.borrow_mut(),
-            self.notified.borrow_mut(),
-        );
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
-            notified.clear();
-        }
-        for entry in entries {
-            if entry.state == EndpointState::Gone {
-                notified.remove(&entry.id);
-                continue;
-            }
-            notified.insert(entry.id, entry.clone());
-            let Some(endpoint) = table.endpoint(entry.id) else {
-                continue;
-            };
-            excluded.listed(&endpoint.name);
-            if entry.state == EndpointState::Ready && excluded.is_out(&endpoint.name) {
-                entry.state = EndpointState::Draining;
-            }
-        }
-    }
-
-    /// Lets the core act, then carries out what it wants done.
-    pub fn with_requests(&self, act: impl FnOnce(&mut RequestTable, f64)) {
-        act(&mut self.core.borrow_mut(), self.clock.now());
-        self.pump();
-    }
-
-    /// Whether an endpoint may be sent requests right now: asked again just before a request is written, since
-    /// the endpoint registry may have changed while its connection came up.
-    pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
-        self.core.borrow().accepts_requests(endpoint)
-    }
-
-    /// Takes a request; `known` hears its number before any answer can come.
-    pub fn arrive(
-        &self,
-        mut request: ClientRequest,
-        client: Rc<dyn ResponseSink>,
-        ticket: u64,
-        places: Vec<Ticket>,
-        known: impl FnOnce(RequestId),
-    ) {
-        let now = self.clock.now();
-        if self.drain.borrow().state(now) == DrainState::Drained {
-            return self.refuse(AWAY_MS, client, ticket, known);
-        }
-        let wish = self
-            .plugin
-            .as_ref()
-            .map(|plugin| plugin.decide(now, &self.platform, &request));
-        let id = match wish {
-            Some(PluginVerdict::Reject(retry_after_ms)) => {
-                self.core.borrow_mut().refuse(retry_after_ms)
-            }
-            wish => {
-                if let Some(PluginVerdict::Pass(notes)) =
-                    wish.filter(|w| *w != PluginVerdict::Pass(Vec::new()))
-                {
-                    tracing::debug!(id = request.id, ?notes, "notes of the plug-in");
-                    request.notes.extend(notes);
-                }
-                self.core.borrow_mut().arrive(now, request)
-            }
-        };
-        self.clients
-            .borrow_mut()
-            .insert(id, (client, ticket, places));
-        known(id);
-        self.pump();
-    }
-
-    /// Refuses a request on a rule's word, before any decision.
-    pub fn refuse(
-        &self,
-        retry_after_ms: f64,
-        client: Rc<dyn ResponseSink>,
-        ticket: u64,
-        known: impl FnOnce(RequestId),
-    ) {
-        let id = self.core.borrow_mut().refuse(retry_after_ms);
-        self.clients
-            .borrow_mut()
-            .insert(id, (client, ticket, Vec::new()));
-        known(id);
-        self.pump();
-    }
-
-    /// Whether there are rules: without, what they would see of a request need not be put together.
-    pub fn has_rules(&self) -> bool {
-        self.router.borrow().is_some()
-    }
-
-    /// A request's way through the rules.
-    pub fn route(&self, request: &Request<'_>) -> Verdict {
-        match &mut *self.router.borrow_mut() {
-            Some(router) => router.route(request, self.clock.now()),
-            None => Verdict::Go(Box::default()),
-        }
-    }
-
-    /// An id for a request whose client names none: like no other of this ingress.
-    pub fn generate_request_id(&self) -> String {
-        self.ids.set(self.ids.get() + 1);
-        format!("r{:x}-{:x}", self.started as u64, self.ids.get())
-    }
-
-    /// The rules in force.
-    pub fn rules(&self) -> Option<Rules> {
-        self.router
-            .borrow()
-            .as_ref()
-            .map(|router| router.rules().clone())
-    }
-
-    /// Puts rules in force; what they replace is to be dropped on another thread. Requests under way end under
-    /// those that they began with.
-    ///
-    /// # Errors
-    /// Those still need too many pools; the old rules stay.
-    pub fn put_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
-        let longest = self
-            .platform
-            .decision
-            .classes
-            .iter()
-            .map(|c| 1e3 * c.deadline)
-            .fold(0.0, f64::max);
-        let replaced = match &mut *self.router.borrow_mut() {
-            Some(router) => Some(router.replace(rules, self.clock.now(), longest)?),
-            none => {
-                *none = Some(Router::new(rules));
-                None
-            }
-        };
-        // Without a new pool, every endpoint has the pools already that it would be told.
-        if replaced.as_ref().is_none_or(Replaced::has_new_pools) {
-            let listed = self.listed.borrow().values().cloned().collect();
-            self.update_endpoints(ListKind::Delta, listed);
-        }
-        Ok(replaced)
-    }
-
-    /// Ready endpoints by pool, and evaluations of rules that failed.
-    pub fn pools(&self) -> Option<(String, u64)> {
-        let router = self.router.borrow();
-        let router = router.as_ref()?;
-        let ready: Vec<String> = router
-            .figures()
-            .map(|(pool, ready)| format!("{pool}={ready}"))
-            .collect();
-        Some((ready.join(" "), router.faults()))
-    }
-
-    /// The endpoint registry has news: endpoints get their pools, and the core hears of it.
-    pub fn update_endpoints(&self, kind: ListKind, mut entries: Vec<EndpointEntry>) {
-        self.apply_exclusions(kind, &mut entries);
-        if let Some(router) = &mut *self.router.borrow_mut() {
-            let table = self.table.borrow();
-            let mut listed = self.listed.borrow_mut();
-            for entry in entries
-                .iter_mut()
-                .filter(|entry| entry.state == EndpointState::Ready)
-            {
-                entry.pools = match table.endpoint(entry.id) {
-                    Some(endpoint) => router.pools_of(&Endpoint {
-                        name: &endpoint.name,
-                        zone: self
-                            .platform
-                            .zones
-                            .get(entry.zone as usize)
-                            .map_or("", String::as_str),
-                        cell: entry.cell,
-                        weight: entry.weight,
-                        protocol: endpoint.protocol.name(),
-                        ip: endpoint.addr.ip(),
-                        labels: &endpoint.labels,
-                    }),
-                    None => ALL,
-                };
-            }
-            list(&mut listed, kind, &entries);
-            router.ready(listed.values().map(|entry| entry.pools));
-        } else {
-            list(&mut self.listed.borrow_mut(), kind, &entries);
-        }
-        self.with_requests(|core, now| core.update_endpoints(now, kind, entries));
-    }
-
-    /// The process ends: everything that is held gets its final answer now.
-    pub fn give_up(&self) {
-        self.with_requests(|core, now| core.give_up(now, AWAY_MS));
-    }
-
-    /// A client is gone.
-    pub fn client_gone(&self, id: RequestId) {
-        self.clients.borrow_mut().remove(&id);
-        self.with_requests(|core, now| core.client_gone(now, id));
-    }
-
-    fn pump(&self) {
-        if self.pumping.replace(true) {
-            return;
-        }
-        loop {
-            let effect = self.core.borrow_mut().next_action();
-            match effect {
-                Some(Action::Reply(id, answer)) => {
-                    let client = self.clients.borrow_mut().remove(&id);
-                    if let Some((client, ticket, _places)) = client {
-                        client.answer(ticket, answer);
-                    }
-                }
-                Some(effect) => {
-                    // Without a network, as before the start is done, what was asked for has no effect.
-                    if let Some(network) = self.network.get().and_then(Weak::upgrade) {
-                        network.carry_out(effect);
-                    }
-                }
-                None => break,
-            }
-        }
-        self.pumping.set(false);
-    }
-}
-
-/// Keeps the ready endpoints after news of the endpoint registry.
-fn list(
-    listed: &mut BTreeMap<EndpointId, EndpointEntry>,
-    kind: ListKind,
-    entries: &[EndpointEntry],
-) {
-    if matches!(kind, ListKind::Full | ListKind::Cached) {
-        listed.clear();
-    }
-    for entry in entries {
-        if entry.state == EndpointState::Ready {
-            listed.insert(entry.id, entry.clone());
-        } else {
-            listed.remove(&entry.id);
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_clients_leave_unread_is_bounded_over_all_of_them() {
-        let all = Rc::default();
-        let (a, b) = (
-            UnsentBudget::new(Rc::clone(&all), 100),
-            UnsentBudget::new(Rc::clone(&all), 100),
-        );
-        assert!(a.add(60) && b.add(40) && !b.add(1));
-        a.sent(30);
-        assert!(b.add(10) && !b.add(60));
-        drop(b);
-        assert_eq!(all.get(), 30);
-    }
 }
--- /dev/null
+++ b/src/runtime/server/inventory.rs
@@ -0,0 +1,62 @@
+//! The operator's inventory of endpoints: read at the start and on SIGHUP, with the group's copy as fallback at the
+//! start alone.
+
+use super::startup::StartError;
+use crate::decision::ListKind;
+use crate::discovery::inventory::{Inventory, InventoryError};
+use crate::group::Group;
+use crate::runtime::dispatcher::Dispatcher;
+use driftgap_group::DocumentKind;
+
+/// Reads the inventory file and puts its endpoints in force; a wrong file changes nothing.
+pub(super) fn load(
+    dispatcher: &Dispatcher,
+    inventory: &mut Inventory,
+) -> Result<(), InventoryError> {
+    let loaded = inventory.load(&mut dispatcher.table(), dispatcher.now());
+    let (entries, warnings) = loaded?;
+    for warning in driftgap_inventory::summary(&warnings) {
+        tracing::warn!(warning, "inventory");
+    }
+    dispatcher.update_endpoints(ListKind::Delta, entries);
+    // Draining endpoints stay in the registry until the next reading finds them absent from the list before.
+    dispatcher.table().forget(|id| inventory.dropped(id));
+    Ok(())
+}
+
+/// Loads the inventory at the start; where the file is wrong, the one that the group accepted last.
+///
+/// # Errors
+/// The file's fault, where the group has no usable inventory either.
+pub(super) async fn load_at_start(
+    dispatcher: &Dispatcher,
+    inventory: &mut Inventory,
+    group: Option<&Group>,
+) -> Result<(), StartError> {
+    let Err(error) = load(dispatcher, inventory) else {
+        return Ok(());
+    };
+    let fault = StartError::Inventory(inventory.path().display().to_string(), error);
+    match group {
+        Some(group) => load_from_group(dispatcher, inventory, group, fault).await,
+        None => Err(fault),
+    }
+}
+
+async fn load_from_group(
+    dispatcher: &Dispatcher,
+    inventory: &mut Inventory,
+    group: &Group,
+    fault: StartError,
+) -> Result<(), StartError> {
+    let Some(document) = group.document(DocumentKind::Inventory).await else {
+        return Err(fault);
+    };
+    let restored = inventory.restore(&document.bytes, &mut dispatcher.table(), dispatcher.now());
+    let Ok((entries, _)) = restored else {
+        return Err(fault);
+    };
+    tracing::error!(%fault, number = document.number, "serves the group's last good inventory");
+    dispatcher.update_endpoints(ListKind::Delta, entries);
+    Ok(())
+}
--- /dev/null
+++ b/src/runtime/server/rules.rs
@@ -0,0 +1,131 @@
+//! The operator's rules: read and put in force at the start, and replaced by what a reload has read.
+
+use super::startup::StartError;
+use crate::group::Group;
+use crate::routing::reload::{Reading, ReloadError};
+use crate::routing::{catalog, Source};
+use crate::runtime::dispatcher::Dispatcher;
+use driftgap_group::DocumentKind;
+use driftgap_routes::{Catalog, Fault, Rules};
+
+/// Rules with the text that they were compiled from.
+struct RuleText {
+    rules: Rules,
+    text: String,
+}
+
+/// Reads the rules and puts them in force; where the file is wrong, those that the group accepted last. The text
+/// that is in force.
+///
+/// # Errors
+/// The file's first fault, where the group has no usable rules either.
+pub(super) async fn load_at_start(
+    dispatcher: &Dispatcher,
+    source: &Source,
+    group: Option<&Group>,
+) -> Result<String, StartError> {
+    let catalog = catalog(dispatcher.platform());
+    let loaded = match read_file(source, &catalog) {
+        Ok(loaded) => loaded,
+        Err(faults) => read_from_group(source, &catalog, group, &faults)
+            .await
+            .ok_or_else(|| start_error(&faults))?,
+    };
+    let RuleText { rules, text } = loaded;
+    tracing::info!(
+        rules = rules.len(),
+        cost = rules.cost(),
+        unindexed = rules.unindexed(),
+        "rules in force"
+    );
+    dispatcher
+        .put_rules(rules)
+        .map_err(|e| StartError::Routes(e.to_string()))?;
+    Ok(text)
+}
+
+fn read_file(source: &Source, catalog: &Catalog) -> Result<RuleText, Vec<Fault>> {
+    let text = source.text()?;
+    let rules = source.judge(&text, catalog, None)?;
+    Ok(RuleText { rules, text })
+}
+
+/// The rules that the group accepted last, if there are any and they compile here.
+async fn read_from_group(
+    source: &Source,
+    catalog: &Catalog,
+    group: Option<&Group>,
+    faults: &[Fault],
+) -> Option<RuleText> {
+    let document = group?.document(DocumentKind::Rules).await?;
+    let text = String::from_utf8_lossy(&document.bytes).to_string();
+    let rules = source.judge(&text, catalog, None).ok()?;
+    let fault = faults.first().map(|fault| &fault.line);
+    tracing::error!(
+        fault,
+        number = document.number,
+        "serves the group's last good rules"
+    );
+    Some(RuleText { rules, text })
+}
+
+fn start_error(faults: &[Fault]) -> StartError {
+    let first = faults.first().map_or("", |fault| fault.line.as_str());
+    let more = match faults.len() {
+        0 | 1 => String::new(),
+        count => format!(" (and {} more: driftgap check)", count - 1),
+    };
+    StartError::Routes(format!("{first}{more}"))
+}
+
+/// Puts rules in force that were read again; after a failed reading the old ones stay. With `keep_text`, the text
+/// that is in force now.
+pub(super) fn replace(
+    dispatcher: &Dispatcher,
+    read: Result<Reading, ReloadError>,
+    keep_text: bool,
+) -> Option<String> {
+    let reading = match read {
+        Ok(reading) => reading,
+        Err(ReloadError::Faults(faults)) => {
+            tracing::error!(faults, "the old rules stay");
+            return None;
+        }
+        Err(e) => {
+            tracing::error!(error = %e, "the old rules stay");
+            return None;
+        }
+    };
+    let Reading {
+        rules,
+        text,
+        retired,
+    } = reading;
+    let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
+    let (taken_over, bytes) = (rules.report().taken_over, rules.heap_bytes());
+    let begun_ms = dispatcher.now();
+    let replaced = match dispatcher.put_rules(rules) {
+        Ok(replaced) => replaced,
+        Err(e) => {
+            tracing::error!(error = %e, "the old rules stay");
+            return None;
+        }
+    };
+    let held_ms = dispatcher.now() - begun_ms;
+    // Dropping rules takes long: it is left to the thread that read the new ones.
+    retired.leave(replaced);
+    tracing::info!(
+        rules = count,
+        taken_over,
+        cost,
+        unindexed,
+        bytes,
+        held_ms,
+        "rules replaced"
+    );
+    if keep_text {
+        return Some(text);
+    }
+    retired.leave(text);
+    None
+}
--- /dev/null
+++ b/src/runtime/server/timers.rs
@@ -0,0 +1,61 @@
+//! What comes due with time: the request table's deadlines, the counter's timeouts, idle connections, statistics.
+
+use super::ingress::Ingress;
+use std::rc::Rc;
+
+/// Longest between two rounds, ms: the decision module is to be called at least this often.
+const MAX_INTERVAL_MS: f64 = 50.0;
+/// Idle connections to endpoints are looked through this often, ms.
+const SWEEP_INTERVAL_MS: f64 = 1000.0;
+/// Statistics are logged this often, ms.
+const STATISTICS_INTERVAL_MS: f64 = 10_000.0;
+
+/// Runs until the process ends; each round begins when the earliest deadline comes due.
+pub(super) async fn run(ingress: Rc<Ingress>) {
+    let dispatcher = &ingress.dispatcher;
+    let mut last_sweep = dispatcher.now();
+    let mut last_statistics = dispatcher.now();
+    loop {
+        wait_for_next_deadline(&ingress).await;
+        dispatcher.with_requests(|requests, now| requests.tick(now));
+        let now = dispatcher.now();
+        ingress.counter.expire(dispatcher, now);
+        if now - last_sweep > SWEEP_INTERVAL_MS {
+            last_sweep = now;
+            ingress.upstream.sweep(now);
+        }
+        if now - last_statistics > STATISTICS_INTERVAL_MS {
+            last_statistics = now;
+            log_statistics(&ingress);
+        }
+    }
+}
+
+async fn wait_for_next_deadline(ingress: &Ingress) {
+    let dispatcher = &ingress.dispatcher;
+    let latest = dispatcher.now() + MAX_INTERVAL_MS;
+    let deadlines = [dispatcher.next_due(), ingress.counter.next_due()];
+    let due = deadlines.into_iter().flatten().fold(latest, f64::min);
+    tokio::time::sleep_until(dispatcher.clock().instant(due).into()).await;
+}
+
+/// Logs what has been counted since the start, and how many endpoints each pool has.
+pub(super) fn log_statistics(ingress: &Ingress) {
+    let dispatcher = &ingress.dispatcher;
+    let counts = dispatcher.request_counts();
+    tracing::info!(
+        received = counts.taken,
+        served = counts.served,
+        rejected = counts.rejected,
+        failed = counts.failed,
+        client_gone = counts.gone,
+        attempts = counts.attempts,
+        counter_calls = counts.counts,
+        unanswered = dispatcher.unanswered(),
+        connections = ingress.upstream.open(),
+        "statistics"
+    );
+    if let Some((ready, faults)) = dispatcher.pools() {
+        tracing::info!(ready, faults, "pools");
+    }
+}
