--- /dev/null
+++ b/src/frontend/resp/answers.rs
@@ -0,0 +1,232 @@
+//! Answers in the order of their requests: each has a slot in its connection's queue, and is written once all before
+//! it have been.
+
+use super::connection::Connection;
+use super::session::MAX_PIPELINED;
+use crate::buffer::body_stream::BodyReceiver;
+use crate::decision::driver::RequestId;
+use crate::frontend::advice;
+use crate::request::{FinalAnswer, ResponseBody};
+use crate::runtime::dispatcher::ResponseSink;
+use std::io::ErrorKind;
+use std::rc::Rc;
+
+/// One request's place in the order of answers.
+pub(super) enum AnswerSlot {
+    /// There is no answer yet. The request's number, where it has one.
+    Pending(Option<RequestId>),
+    /// The bytes of the answer.
+    Ready(Vec<u8>),
+    /// A large body, which is written while it comes.
+    Streaming(Rc<BodyReceiver>),
+}
+
+/// What became of one attempt to write.
+enum Written {
+    /// Bytes were taken, or there was nothing to write.
+    Progress,
+    /// The client takes no more now, or the connection has failed.
+    Stopped,
+}
+
+impl Connection {
+    /// Opens a slot behind all others; its ticket.
+    pub(super) fn open_slot(&self) -> u64 {
+        let mut answers = self.answers.borrow_mut();
+        answers.push_back(AnswerSlot::Pending(None));
+        self.first_ticket.get() + answers.len() as u64 - 1
+    }
+
+    /// Notes which request is to fill a slot.
+    pub(super) fn set_request(&self, ticket: u64, id: RequestId) {
+        let position = (ticket - self.first_ticket.get()) as usize;
+        if let Some(slot) = self.answers.borrow_mut().get_mut(position) {
+            *slot = AnswerSlot::Pending(Some(id));
+        }
+    }
+
+    /// Fills a slot with an answer of the frontend's own.
+    pub(super) fn answer_with(&self, ticket: u64, bytes: &[u8]) {
+        self.fill_slot(ticket, AnswerSlot::Ready(bytes.to_vec()));
+    }
+
+    /// The requests that have no answer yet.
+    pub(super) fn pending_requests(&self) -> Vec<RequestId> {
+        let answers = self.answers.borrow();
+        let pending = |slot: &AnswerSlot| match slot {
+            AnswerSlot::Pending(id) => *id,
+            _ => None,
+        };
+        answers.iter().filter_map(pending).collect()
+    }
+
+    /// How many answers are still to be written, one that is being streamed included.
+    pub(super) fn owed_answers(&self) -> usize {
+        self.answers.borrow().len() + usize::from(self.streaming.borrow().is_some())
+    }
+
+    /// Whether answers are still to be written.
+    pub(super) fn owes_answers(&self) -> bool {
+        self.owed_answers() > 0
+    }
+
+    /// Whether there are bytes that the client has not taken.
+    pub(super) fn has_unsent(&self) -> bool {
+        if !self.output.borrow().is_empty() {
+            return true;
+        }
+        let streaming = self.streaming.borrow();
+        streaming.as_ref().is_some_and(|body| !body.dry())
+    }
+
+    fn fill_slot(&self, ticket: u64, filled: AnswerSlot) {
+        let was_full = self.answers.borrow().len() >= MAX_PIPELINED;
+        if !self.replace_slot(ticket, filled) {
+            return;
+        }
+        self.move_to_output();
+        self.flush();
+        let unwritten = !self.output.borrow().is_empty() || self.streaming.borrow().is_some();
+        // With a full queue the session did not read: it does now.
+        if was_full || self.failed.get() || self.draining.get() || unwritten {
+            self.wake.notify_one();
+        }
+    }
+
+    /// Puts an answer into its slot; false: there is no such slot any more.
+    fn replace_slot(&self, ticket: u64, filled: AnswerSlot) -> bool {
+        let mut answers = self.answers.borrow_mut();
+        let Some(position) = ticket.checked_sub(self.first_ticket.get()) else {
+            return false;
+        };
+        let Some(slot) = answers.get_mut(position as usize) else {
+            return false;
+        };
+        let within_budget = match &filled {
+            AnswerSlot::Ready(bytes) => self.unsent.add(bytes.len()),
+            _ => true,
+        };
+        if !within_budget {
+            // Guards memory against clients that ask for much and read nothing: this one is cut off.
+            self.failed.set(true);
+        }
+        *slot = filled;
+        true
+    }
+
+    /// Moves answers to the output in order, up to one that is not there yet or a body that is being streamed.
+    fn move_to_output(&self) {
+        let mut answers = self.answers.borrow_mut();
+        while self.streaming.borrow().is_none() {
+            match answers.front() {
+                Some(AnswerSlot::Ready(bytes)) => self.push_output(bytes),
+                Some(AnswerSlot::Streaming(body)) => {
+                    self.push_output(format!("${}\r\n", body.size()).as_bytes());
+                    *self.streaming.borrow_mut() = Some(body.clone());
+                }
+                Some(AnswerSlot::Pending(_)) | None => return,
+            }
+            answers.pop_front();
+            self.first_ticket.set(self.first_ticket.get() + 1);
+        }
+    }
+
+    fn push_output(&self, bytes: &[u8]) {
+        if self.output.borrow_mut().push(bytes).is_err() {
+            self.failed.set(true);
+        }
+    }
+
+    /// Writes as much as the client takes now.
+    pub(super) fn flush(&self) {
+        while !self.failed.get() {
+            if let Written::Stopped = self.write_output() {
+                return;
+            }
+            let Some(body) = self.streaming.borrow().clone() else {
+                return;
+            };
+            if body.over() {
+                self.end_body();
+            } else if body.broken() {
+                // The client sees an incomplete body as what it is: its connection ends within it.
+                self.failed.set(true);
+            } else if body.dry() {
+                return;
+            } else if let Written::Stopped = self.write_body(&body) {
+                return;
+            }
+        }
+    }
+
+    fn write_output(&self) -> Written {
+        let mut output = self.output.borrow_mut();
+        while !output.is_empty() {
+            match self.stream.try_write(output.front()) {
+                Ok(count) => {
+                    output.consume(count);
+                    self.unsent.sent(count);
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Written::Stopped,
+                Err(_) => {
+                    self.failed.set(true);
+                    return Written::Stopped;
+                }
+            }
+        }
+        Written::Progress
+    }
+
+    fn write_body(&self, body: &BodyReceiver) -> Written {
+        let written = self.stream.try_write(body.bytes().front());
+        match written {
+            Ok(count) => {
+                body.took(count);
+                self.last_active_ms.set(self.dispatcher.now());
+                Written::Progress
+            }
+            Err(e) if e.kind() == ErrorKind::WouldBlock => Written::Stopped,
+            Err(_) => {
+                self.failed.set(true);
+                Written::Stopped
+            }
+        }
+    }
+
+    /// A streamed body is complete: the answers behind it are due.
+    fn end_body(&self) {
+        *self.streaming.borrow_mut() = None;
+        // There is room: the output has just been written.
+        let _ = self.output.borrow_mut().push(b"\r\n");
+        self.move_to_output();
+    }
+}
+
+impl ResponseSink for Connection {
+    fn answer(&self, ticket: u64, answer: FinalAnswer) {
+        self.last_active_ms.set(self.dispatcher.now());
+        self.fill_slot(ticket, encode(answer));
+    }
+}
+
+/// An answer in the platform's words, or a body to be streamed.
+fn encode(answer: FinalAnswer) -> AnswerSlot {
+    AnswerSlot::Ready(match answer {
+        FinalAnswer::Served(ResponseBody::Streaming(body)) => return AnswerSlot::Streaming(body),
+        FinalAnswer::Served(ResponseBody::Complete(body)) => encode_body(&body),
+        FinalAnswer::Rejected { retry_after_ms } => match advice(retry_after_ms) {
+            Some(ms) => format!("-BUSY {ms}\r\n").into_bytes(),
+            None => b"-BUSY\r\n".to_vec(),
+        },
+        FinalAnswer::Failed { late: true } => b"-ERR failed: no answer in time\r\n".to_vec(),
+        FinalAnswer::Failed { late: false } => b"-ERR failed\r\n".to_vec(),
+    })
+}
+
+fn encode_body(body: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(body.len() + 16);
+    out.extend_from_slice(format!("${}\r\n", body.len()).as_bytes());
+    out.extend_from_slice(body);
+    out.extend_from_slice(b"\r\n");
+    out
+}
