--- /dev/null
+++ b/src/frontend/http2/requests.rs
@@ -0,0 +1,227 @@
+//! Makes a request of a stream's headers and body, through the operator's rules where there are any.
+
+use crate::protocol::http2::{
+    terms, text, DEADLINE, ID, PLAN, REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
+};
+use crate::protocol::resp::MAX_VALUE;
+use crate::request::{pairs, ClientRequest, InvalidRequest};
+use crate::routing::{self, HeaderView};
+use crate::runtime::dispatcher::Dispatcher;
+use driftgap_routes::{Headers, Mapped, Request as RuleRequest, Route, Ticket, Verdict};
+use h2::{Reason, RecvStream};
+use http::request::Parts;
+use http::{Method, Request, StatusCode};
+use std::net::IpAddr;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Where load balancers ask whether clients are to come.
+const READY_PATH: &str = "/-/ready";
+/// Where it is asked whether the process runs.
+const HEALTHY_PATH: &str = "/-/healthy";
+/// Longest time that a client may name as its timeout, ms.
+const MAX_DEADLINE_MS: f64 = 3.6e6;
+
+/// What a stream asks for.
+pub(super) enum Received {
+    /// A request, with its places under the operator's limits.
+    Request(Box<ClientRequest>, Vec<Ticket>),
+    /// A rule rejects it, to be sent again after so long, ms.
+    Rejected { retry_after_ms: f64 },
+    /// Only for an answer of the frontend's own.
+    Answer(StatusCode, &'static str),
+}
+
+/// Why a stream is no request.
+pub(super) enum RequestError {
+    /// It is answered with this status and text.
+    Status(StatusCode, String),
+    /// Its body has not come: the stream is reset.
+    Reset(Reason),
+}
+
+fn bad_request(why: impl ToString) -> RequestError {
+    RequestError::Status(StatusCode::BAD_REQUEST, why.to_string())
+}
+
+/// As on every wire, a request that names an unknown class or plan, or bad units, has failed; any other is malformed.
+fn invalid(problem: InvalidRequest) -> RequestError {
+    match problem {
+        InvalidRequest::Class | InvalidRequest::Plan | InvalidRequest::Term("units") => {
+            RequestError::Status(StatusCode::BAD_GATEWAY, problem.to_string())
+        }
+        problem => bad_request(problem),
+    }
+}
+
+/// Reads a stream's headers and body.
+pub(super) async fn read_request(
+    dispatcher: &Dispatcher,
+    peer: IpAddr,
+    incoming: Request<RecvStream>,
+) -> Result<Received, RequestError> {
+    let (head, mut stream) = incoming.into_parts();
+    if let Some((status, text)) = health(dispatcher, head.uri.path()) {
+        return Ok(Received::Answer(status, text));
+    }
+    let headers = Head { peer, head: &head };
+    let route = match apply_rules(dispatcher, &headers)? {
+        RuleVerdict::Route(route) => *route,
+        RuleVerdict::Reject { retry_after_ms } => {
+            return Ok(Received::Rejected { retry_after_ms });
+        }
+    };
+    let (mut request, body_timeout_ms) = match (route.command, headers.class()) {
+        (Some(mapped), _) => mapped_request(dispatcher, mapped, &headers)?,
+        (None, Some(class)) => named_request(dispatcher, class, &head)?,
+        (None, None) => return Ok(Received::Answer(StatusCode::NOT_FOUND, "no such path")),
+    };
+    let body_timeout = Duration::from_secs_f64(body_timeout_ms / 1e3);
+    let body = read_body(&mut stream, body_timeout).await?;
+    request
+        .take_body(dispatcher.platform(), body)
+        .map_err(invalid)?;
+    request.ask.pools = route.pools;
+    request.notes = route.notes;
+    Ok(Received::Request(Box::new(request), route.tickets))
+}
+
+/// The answer to a health check; none: the path is no health check's.
+fn health(dispatcher: &Dispatcher, path: &str) -> Option<(StatusCode, &'static str)> {
+    match path {
+        READY_PATH if dispatcher.ready() => Some((StatusCode::OK, "ready")),
+        READY_PATH => Some((StatusCode::SERVICE_UNAVAILABLE, "not ready")),
+        HEALTHY_PATH => Some((StatusCode::OK, "healthy")),
+        _ => None,
+    }
+}
+
+/// What the operator's rules say of a request.
+enum RuleVerdict {
+    Route(Box<Route>),
+    Reject { retry_after_ms: f64 },
+}
+
+/// Takes a request through the operator's rules; without rules it goes on as it is.
+fn apply_rules(dispatcher: &Dispatcher, headers: &Head<'_>) -> Result<RuleVerdict, RequestError> {
+    if !dispatcher.has_rules() {
+        return Ok(RuleVerdict::Route(Box::default()));
+    }
+    let view = HeaderView(&headers.head.headers);
+    match dispatcher.route(&headers.for_rules(&view)) {
+        Verdict::Go(route) => Ok(RuleVerdict::Route(route)),
+        Verdict::Reject { retry_after_ms, by } => {
+            tracing::debug!(by, retry_after_ms, "refused by a rule");
+            Ok(RuleVerdict::Reject { retry_after_ms })
+        }
+        Verdict::Bad { rule, why } => {
+            tracing::debug!(rule, why, "makes no sense to a rule");
+            Err(bad_request(why))
+        }
+    }
+}
+
+/// The request that a rule has made of another, and how long its body may take, ms.
+fn mapped_request(
+    dispatcher: &Dispatcher,
+    mapped: Mapped,
+    headers: &Head<'_>,
+) -> Result<(ClientRequest, f64), RequestError> {
+    let view = HeaderView(&headers.head.headers);
+    let seen = headers.for_rules(&view);
+    let generate_id = || dispatcher.generate_request_id();
+    let request = routing::request(dispatcher.platform(), mapped, &seen, generate_id);
+    let request = request.map_err(invalid)?;
+    let timeout_ms = request.client_timeout_ms;
+    Ok((request, timeout_ms))
+}
+
+/// The request that a client's own headers name, and how long its body may take, ms.
+fn named_request(
+    dispatcher: &Dispatcher,
+    class: &str,
+    head: &Parts,
+) -> Result<(ClientRequest, f64), RequestError> {
+    if head.method != Method::POST && head.method != Method::GET {
+        let why = "POST or GET".to_string();
+        return Err(RequestError::Status(StatusCode::METHOD_NOT_ALLOWED, why));
+    }
+    let (terms, timeout_ms) = terms(&head.headers, class).map_err(bad_request)?;
+    let tenant = text(&head.headers, TENANT).map_err(bad_request)?;
+    let id = text(&head.headers, ID).map_err(bad_request)?;
+    let request = ClientRequest::new(dispatcher.platform(), tenant, id, terms, None);
+    Ok((request.map_err(invalid)?, timeout_ms))
+}
+
+/// The head of a request, and who sent it.
+struct Head<'a> {
+    peer: IpAddr,
+    head: &'a Parts,
+}
+
+impl Head<'_> {
+    /// The class that the path names.
+    fn class(&self) -> Option<&str> {
+        self.head.uri.path().strip_prefix(REQUEST_PATH_PREFIX)
+    }
+
+    /// The request as the operator's rules see it. Headers that make no sense are absent there; the client hears of
+    /// them when the request itself is made.
+    fn for_rules<'a>(&'a self, headers: &'a dyn Headers) -> RuleRequest<'a> {
+        let head = self.head;
+        let named = |name| text(&head.headers, name).ok();
+        let units = named(TERMS).and_then(|list| pairs(list).find(|(name, _)| *name == "units"));
+        let deadline_ms = named(DEADLINE).and_then(|ms| ms.parse::<f64>().ok());
+        RuleRequest {
+            protocol: "http2",
+            method: head.method.as_str(),
+            path: head.uri.path(),
+            query: head.uri.query(),
+            host: head.uri.authority().map(|authority| authority.as_str()),
+            headers,
+            class: self.class(),
+            plan: named(PLAN),
+            partner: named(TENANT),
+            id: named(ID),
+            units: units
+                .and_then(|(_, units)| units.parse().ok())
+                .filter(|units: &f64| units.is_finite()),
+            deadline_ms: deadline_ms
+                .filter(|ms| (0.0..=MAX_DEADLINE_MS).contains(ms))
+                .map(|ms| ms as i64),
+            retry: head.headers.get(RETRY).is_some_and(|r| r == "1"),
+            length: named("content-length").and_then(|length| length.parse().ok()),
+            client: self.peer,
+        }
+    }
+}
+
+/// A body, if it comes completely within `wait`; none: there is none. Guards memory against many bodies that come in
+/// part: the window is opened again only once a body is complete, so a connection never makes this process hold more
+/// than that window.
+async fn read_body(
+    stream: &mut RecvStream,
+    wait: Duration,
+) -> Result<Option<Vec<u8>>, RequestError> {
+    if stream.is_end_stream() {
+        return Ok(None);
+    }
+    let mut body = Vec::new();
+    let read = timeout(wait, read_parts(stream, &mut body)).await;
+    let read = read.unwrap_or(Err(RequestError::Reset(Reason::CANCEL)));
+    // On a stream that has ended there is no window to open.
+    let _ = stream.flow_control().release_capacity(body.len());
+    read.map(|()| Some(body))
+}
+
+async fn read_parts(stream: &mut RecvStream, body: &mut Vec<u8>) -> Result<(), RequestError> {
+    while let Some(part) = stream.data().await {
+        let part = part.map_err(|_| RequestError::Reset(Reason::CANCEL))?;
+        body.extend_from_slice(&part);
+        if body.len() > MAX_VALUE {
+            let why = "the body is too long".to_string();
+            return Err(RequestError::Status(StatusCode::PAYLOAD_TOO_LARGE, why));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/frontend/http2/stream.rs
@@ -0,0 +1,146 @@
+//! One stream: from its headers to its answer.
+
+use super::connection::Connection;
+use super::requests::{read_request, Received, RequestError};
+use super::CLIENT_TIMEOUT;
+use crate::decision::driver::RequestId;
+use crate::protocol::http2::{plain, push_body, push_coming, wording, Body};
+use crate::request::{ClientRequest, FinalAnswer};
+use crate::runtime::dispatcher::{Dispatcher, ResponseSink};
+use bytes::Bytes;
+use driftgap_routes::Ticket;
+use h2::server::SendResponse;
+use h2::{Reason, RecvStream};
+use http::{Request, Response};
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+/// Passes the answer on to the stream that waits for it.
+struct StreamSink(RefCell<Option<oneshot::Sender<FinalAnswer>>>);
+
+impl ResponseSink for StreamSink {
+    fn answer(&self, _ticket: u64, answer: FinalAnswer) {
+        if let Some(sender) = self.0.borrow_mut().take() {
+            // A stream that has just been reset needs no answer.
+            let _ = sender.send(answer);
+        }
+    }
+}
+
+/// Serves one stream.
+pub(super) async fn serve(
+    connection: &Connection,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+) {
+    let dispatcher = &connection.dispatcher;
+    let received_ms = dispatcher.now();
+    match read_request(dispatcher, connection.peer, request).await {
+        Ok(Received::Request(mut request, limit_tickets)) => {
+            // The client's timeout counts from its send, not from the end of its body.
+            request.client_timeout_ms -= dispatcher.now() - received_ms;
+            dispatch(connection, respond, *request, limit_tickets).await;
+        }
+        Ok(Received::Rejected { retry_after_ms }) => {
+            wait_for_answer(connection, respond, |sink, id| {
+                dispatcher.reject(retry_after_ms, sink, 0, |number| id.set(number));
+            })
+            .await;
+        }
+        Ok(Received::Answer(status, text)) => {
+            send(dispatcher, respond, plain(status), text.into()).await;
+        }
+        Err(RequestError::Status(status, why)) => {
+            send(dispatcher, respond, plain(status), why.into()).await;
+        }
+        Err(RequestError::Reset(reason)) => respond.send_reset(reason),
+    }
+}
+
+async fn dispatch(
+    connection: &Connection,
+    mut respond: SendResponse<Bytes>,
+    request: ClientRequest,
+    limit_tickets: Vec<Ticket>,
+) {
+    // Guards against work for nobody: the client may have reset the stream behind what it wrote.
+    if poll_fn(|cx| Poll::Ready(respond.poll_reset(cx).is_ready())).await {
+        return connection.count_reset();
+    }
+    wait_for_answer(connection, respond, |sink, id| {
+        let dispatcher = &connection.dispatcher;
+        dispatcher.arrive(request, sink, 0, limit_tickets, |number| id.set(number));
+    })
+    .await;
+}
+
+/// Hands a request over by `submit`, which notes its number, and sends the answer once it comes. A reset means that
+/// the client has gone.
+async fn wait_for_answer(
+    connection: &Connection,
+    mut respond: SendResponse<Bytes>,
+    submit: impl FnOnce(Rc<dyn ResponseSink>, &Cell<RequestId>),
+) {
+    let (sender, mut receiver) = oneshot::channel();
+    let id = Cell::new(0);
+    submit(Rc::new(StreamSink(RefCell::new(Some(sender)))), &id);
+    let answer = tokio::select! {
+        biased;
+        answer = &mut receiver => answer,
+        _ = poll_fn(|cx| respond.poll_reset(cx)) => {
+            connection.dispatcher.client_gone(id.get());
+            return connection.count_reset();
+        }
+    };
+    if let Ok(answer) = answer {
+        send_answer(&connection.dispatcher, respond, answer).await;
+    }
+}
+
+async fn send_answer(
+    dispatcher: &Dispatcher,
+    mut respond: SendResponse<Bytes>,
+    answer: FinalAnswer,
+) {
+    let (response, body) = wording(answer);
+    match body {
+        Body::Complete(body) => send(dispatcher, respond, response, body).await,
+        Body::Streaming(body) => {
+            let Ok(mut stream) = respond.send_response(response, false) else {
+                return;
+            };
+            if !push_coming(&mut stream, &body, CLIENT_TIMEOUT).await {
+                // The client has to see that an incomplete body is one.
+                stream.send_reset(Reason::INTERNAL_ERROR);
+            }
+        }
+    }
+}
+
+/// Sends an answer as the client's window allows. Guards memory against clients that do not read: beyond the budget
+/// of all clients together, or after [`CLIENT_TIMEOUT`], the stream is reset.
+async fn send(
+    dispatcher: &Dispatcher,
+    mut respond: SendResponse<Bytes>,
+    response: Response<()>,
+    body: Bytes,
+) {
+    let unsent = dispatcher.unsent_budget();
+    if !unsent.add(body.len()) {
+        return respond.send_reset(Reason::ENHANCE_YOUR_CALM);
+    }
+    let Ok(mut stream) = respond.send_response(response, body.is_empty()) else {
+        return;
+    };
+    if body.is_empty() {
+        return;
+    }
+    let sent = timeout(CLIENT_TIMEOUT, push_body(&mut stream, body, true)).await;
+    if sent.is_err() {
+        stream.send_reset(Reason::CANCEL);
+    }
+}
