--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,5 +1,6 @@
-//! `driftgap check`: reads all that `serve` would read and names every fault. It owns the order of reading and
-//! nothing else: each part judges its own file. It must never open a socket or change anything.
+//! `driftgap check`: reads all that `serve` would read, and names every fault.
+//!
+//! Each part judges its own file; this module reads them in order. It opens no socket and changes nothing.
 
 use crate::config::operator_file::OperatorFile;
 use crate::config::settings::{Config, ConfigError};
@@ -9,6 +10,7 @@
 use crate::discovery::registry::EndpointRegistry;
 use crate::plugin::Plugin;
 use crate::routing::Source;
+use std::fmt::Display;
 use std::path::Path;
 
 /// What there is to say of the files that `serve` would read, a line each.
@@ -16,98 +18,121 @@
 pub struct Findings {
     /// Every fault; empty: it would start, if its addresses are free.
     pub faults: Vec<String>,
-    /// Keys of the settings that nobody here knows.
+    /// Keys of the settings that are not known, and not read.
     pub unknown: Vec<String>,
     /// What the settings mean.
-    pub words: Vec<String>,
+    pub description: Vec<String>,
 }
 
-/// Reads all that `serve` would read.
-pub fn look(config: Option<&Path>, operator: Option<&Path>) -> Findings {
-    let text = config.map(Config::text);
-    let config = text.as_ref().map(|text| {
-        text.as_ref()
-            .map_err(Clone::clone)
-            .and_then(|t| Config::parse(t))
-    });
+/// Reads all that `serve` would read: the configuration at `config`, the operator's file at `operator` and what it
+/// names.
+pub fn read_all(config: Option<&Path>, operator: Option<&Path>) -> Findings {
     let mut findings = Findings::default();
-    if let (Some(Ok(text)), Some(Ok(config))) = (&text, &config) {
-        let value: serde_json::Value = serde_json::from_str(text).unwrap_or_default();
-        findings.unknown = value
-            .get("settings")
-            .map_or(Vec::new(), settings_description::unknown);
-        findings.words = settings_description::words(&config.platform);
-    }
-    findings.faults = faults(config, operator);
-    findings
-}
-
-fn faults(config: Option<Result<Config, ConfigError>>, operator: Option<&Path>) -> Vec<String> {
-    let mut faults = Vec::new();
-    let mut note = |place: &str, problem: &dyn std::fmt::Display| {
-        faults.push(format!(
-            "{place}: {}",
-            problem.to_string().replace('\n', " ")
-        ));
-    };
+    let mut faults = Faults::default();
     let config = match config {
         None => {
-            note("EDGE_CONFIG", &"not set");
+            faults.add("EDGE_CONFIG", "not set");
             None
         }
-        Some(Err(e)) => {
-            note("EDGE_CONFIG", &e);
-            None
-        }
-        Some(Ok(config)) => Some(config),
+        Some(path) => read_config(path, &mut findings)
+            .map_err(|e| faults.add("EDGE_CONFIG", e))
+            .ok(),
     };
     let zones = config
         .as_ref()
         .map_or(Vec::new(), |config| config.platform.zones.clone());
-    let mut table = EndpointRegistry::new(zones);
+    let mut registry = EndpointRegistry::new(zones);
     if let Some(config) = &config {
-        if let Err(e) = DecisionDriver::new(config.platform.decision.clone(), config.seed) {
-            note("EDGE_CONFIG: settings", &e);
-        }
-        if !config.known.is_null() {
-            if let Err(e) = table.take(&config.known) {
-                note("EDGE_CONFIG: known", &e);
-            }
-        }
+        check_config(config, &mut registry, &mut faults);
     }
-    let Some(path) = operator else { return faults };
+    if let Some(path) = operator {
+        check_operator_file(path, config.as_ref(), &mut registry, &mut faults);
+    }
+    findings.faults = faults.0;
+    findings
+}
+
+/// Faults, one line each.
+#[derive(Default)]
+struct Faults(Vec<String>);
+
+impl Faults {
+    fn add(&mut self, place: impl Display, problem: impl Display) {
+        let problem = problem.to_string().replace('\n', " ");
+        self.0.push(format!("{place}: {problem}"));
+    }
+}
+
+fn read_config(path: &Path, findings: &mut Findings) -> Result<Config, ConfigError> {
+    let text = Config::text(path)?;
+    let config = Config::parse(&text)?;
+    let value: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
+    findings.unknown = value
+        .get("settings")
+        .map_or(Vec::new(), settings_description::unknown);
+    findings.description = settings_description::words(&config.platform);
+    Ok(config)
+}
+
+fn check_config(config: &Config, registry: &mut EndpointRegistry, faults: &mut Faults) {
+    if let Err(e) = DecisionDriver::new(config.platform.decision.clone(), config.seed) {
+        faults.add("EDGE_CONFIG: settings", e);
+    }
+    if config.known.is_null() {
+        return;
+    }
+    if let Err(e) = registry.take(&config.known) {
+        faults.add("EDGE_CONFIG: known", e);
+    }
+}
+
+fn check_operator_file(
+    path: &Path,
+    config: Option<&Config>,
+    registry: &mut EndpointRegistry,
+    faults: &mut Faults,
+) {
     let operator = match OperatorFile::read(path) {
         Ok(operator) => operator,
-        Err(e) => {
-            note(&path.display().to_string(), &e);
-            return faults;
-        }
+        Err(e) => return faults.add(path.display(), e),
     };
     if let Some(plugin) = &operator.plugin {
         if let Err(e) = Plugin::load(plugin, &operator.folder) {
-            note("plugin", &e);
+            faults.add("plugin", e);
         }
     }
-    if let (Some(group), Some(config)) = (&operator.group, &config) {
+    // The rest is judged by the configuration: without its zones and classes, every one would seem wrong.
+    let Some(config) = config else {
+        return;
+    };
+    if let Some(group) = &operator.group {
         if let Err(e) = group.judge_for(&config.name) {
-            note(&path.display().to_string(), &e);
+            faults.add(path.display(), e);
         }
     }
-    if let Some(config) = &config {
-        let rules =
-            Source::of(&operator, config.memory_mb).map(|rules| rules.read(&config.platform));
-        for fault in rules.and_then(Result::err).unwrap_or_default() {
-            note("routes", &fault);
-        }
+    check_rules(&operator, config, faults);
+    check_inventory(&operator, registry, faults);
+}
+
+fn check_rules(operator: &OperatorFile, config: &Config, faults: &mut Faults) {
+    let Some(source) = Source::of(operator, config.memory_mb) else {
+        return;
+    };
+    let read = source.read(&config.platform);
+    for fault in read.err().unwrap_or_default() {
+        faults.add("routes", fault);
     }
-    // Without the settings no zone is known, and each would seem wrong.
-    if let (Some(inventory), Some(_)) = (&operator.inventory, &config) {
-        let mut inventory = Inventory::new(inventory.clone(), &operator.folder);
-        if let Err(e) = inventory.load(&mut table, 0.0) {
-            for line in e.lines() {
-                note(&format!("inventory {}", inventory.path().display()), &line);
-            }
+}
+
+fn check_inventory(operator: &OperatorFile, registry: &mut EndpointRegistry, faults: &mut Faults) {
+    let Some(settings) = &operator.inventory else {
+        return;
+    };
+    let mut inventory = Inventory::new(settings.clone(), &operator.folder);
+    if let Err(e) = inventory.load(registry, 0.0) {
+        let place = format!("inventory {}", inventory.path().display());
+        for line in e.lines() {
+            faults.add(&place, line);
         }
     }
-    faults
 }
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,5 +1,5 @@
-//! The log: structured lines on standard error. It owns the choice of form and level. It must never be needed
-//! to serve: an ingress whose log cannot be set up says so and goes on without.
+//! The log: structured lines on standard error. It is not needed to serve: an ingress whose log cannot be set up says
+//! so and goes on without.
 
 use clap::ValueEnum;
 use tracing_subscriber::EnvFilter;
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -1,8 +1,8 @@
-//! `driftgap rules`: checks a file of rules, explains a request's way through it, measures it. It owns the form
-//! of what it prints and of the request's JSON. It must never judge anything itself: the ingress and this read
-//! the same rules by the same code.
+//! `driftgap rules`: checks a file of rules, explains what it does with a request, and measures it.
+//!
+//! The ingress reads the same rules by the same code; nothing is judged here.
 
-use crate::config::settings::Config;
+use crate::config::settings::{Config, Platform};
 use crate::routing::{catalog, Source};
 use driftgap_routes::{Explained, Explainer, Fault, Headers, Request, Router, Rules, Verdict};
 use serde::Deserialize;
@@ -13,16 +13,30 @@
 use std::time::{Duration, Instant};
 
 /// How long each size of a set of rules is measured.
-const MEASURED: Duration = Duration::from_millis(200);
+const MEASURING_TIME: Duration = Duration::from_millis(200);
+
+/// The clock is read after so many rounds of a measurement: it takes longer than a request against few rules.
+const ROUNDS_PER_LOOK: u32 = 1000;
+
+/// Why a sample request cannot be used; the text names the file.
+#[derive(Debug, thiserror::Error)]
+pub enum SampleError {
+    /// The file cannot be read.
+    #[error("{0}: {1}")]
+    Read(String, std::io::Error),
+    /// A field is missing or makes no sense.
+    #[error("{0}: {1}")]
+    Parse(String, serde_json::Error),
+}
 
 /// A request as a JSON file gives it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sample {
     /// `http2` or `resp`.
-    #[serde(default = "http2")]
+    #[serde(default = "default_protocol")]
     protocol: String,
-    #[serde(default = "get")]
+    #[serde(default = "default_method")]
     method: String,
     path: String,
     query: Option<String>,
@@ -38,19 +52,19 @@
     #[serde(default)]
     retry: bool,
     length: Option<i64>,
-    #[serde(default = "local")]
+    #[serde(default = "default_client")]
     client: IpAddr,
 }
 
-fn http2() -> String {
+fn default_protocol() -> String {
     "http2".into()
 }
 
-fn get() -> String {
+fn default_method() -> String {
     "GET".into()
 }
 
-fn local() -> IpAddr {
+fn default_client() -> IpAddr {
     IpAddr::from([127, 0, 0, 1])
 }
 
@@ -69,12 +83,12 @@
     ///
     /// # Errors
     /// It cannot be read, or a field makes no sense.
-    pub fn read(path: &Path) -> Result<Sample, String> {
-        let place = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{place}: {e}"))?;
-        let mut sample: Sample =
-            serde_json::from_str(&text).map_err(|e| format!("{place}: {e}"))?;
-        // As on the wire, names of headers are in lower case.
+    pub fn read(path: &Path) -> Result<Sample, SampleError> {
+        let place = || path.display().to_string();
+        let text = std::fs::read_to_string(path).map_err(|e| SampleError::Read(place(), e))?;
+        let sample = serde_json::from_str(&text);
+        let mut sample: Sample = sample.map_err(|e| SampleError::Parse(place(), e))?;
+        // As in a request of HTTP/2, names of headers are in lower case.
         let headers = std::mem::take(&mut sample.headers);
         sample.headers = headers
             .into_iter()
@@ -128,10 +142,10 @@
     faults.into_iter().map(|fault| fault.shown).collect()
 }
 
-/// What a file of rules is; or every fault, with the line it is in.
+/// What a file of rules holds, as one line.
 ///
 /// # Errors
-/// The faults.
+/// Every fault, with the line that it is in.
 pub fn check(file: &Path, config: &Config) -> Result<String, Vec<String>> {
     let rules = read(file, config)?;
     let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
@@ -141,53 +155,53 @@
     ))
 }
 
-/// A request's way through a file of rules, as if every pool had a ready endpoint.
+/// What each rule of a file does with a request, as if every pool had a ready endpoint.
 ///
 /// # Errors
 /// What is wrong with the file or the request.
 pub fn explain(file: &Path, config: &Config, sample: &Sample) -> Result<String, Vec<String>> {
     let explainer = read_to_explain(file, config)?;
-    let platform = &config.platform;
     let mut router = Router::new(explainer.rules().clone());
     router.ready([u64::MAX].into_iter());
     let request = sample.request();
     let mut text = String::new();
-    // Writing to memory does not fail.
     for rule in explainer.explain(&request) {
-        let _ = tell(&mut text, &rule);
+        // Writing to memory does not fail.
+        let _ = write_rule(&mut text, &rule);
     }
-    let _ = match router.route(&request, 0.0) {
+    text.push_str(&describe(router.route(&request, 0.0), &config.platform));
+    Ok(text)
+}
+
+/// What becomes of a request, as one line.
+fn describe(verdict: Verdict, platform: &Platform) -> String {
+    match verdict {
         Verdict::Go(route) => {
-            let command = route.command.as_ref().map(|mapped| {
-                let class = &platform.classes[mapped.class];
-                format!("command {class}: {mapped:?}")
-            });
-            let command = command.unwrap_or_else(|| "no command of a rule's".into());
-            writeln!(
-                text,
-                "=> goes on: {command}; pools {:#x}; notes {:?}",
-                route.pools, route.notes
-            )
+            let mapped = match &route.command {
+                Some(mapped) => {
+                    let class = &platform.classes[mapped.class];
+                    format!("command {class}: {mapped:?}")
+                }
+                None => "no command of a rule's".to_string(),
+            };
+            let (pools, notes) = (route.pools, route.notes);
+            format!("=> goes on: {mapped}; pools {pools:#x}; notes {notes:?}\n")
         }
         Verdict::Reject { retry_after_ms, by } => {
-            writeln!(
-                text,
-                "=> refused by {by}, to come back in {retry_after_ms} ms"
-            )
+            format!("=> refused by {by}, to come back in {retry_after_ms} ms\n")
         }
-        Verdict::Bad { rule, why } => writeln!(text, "=> makes no sense to {rule}: {why}"),
-    };
-    Ok(text)
+        Verdict::Bad { rule, why } => format!("=> makes no sense to {rule}: {why}\n"),
+    }
 }
 
-fn tell(text: &mut String, rule: &Explained) -> std::fmt::Result {
-    let word = match (rule.behind, rule.ruled_out, rule.matched) {
+fn write_rule(text: &mut String, rule: &Explained) -> std::fmt::Result {
+    let outcome = match (rule.behind, rule.ruled_out, rule.matched) {
         (true, ..) => "behind a rule that ended the way",
         (_, true, _) => "ruled out by the index",
         (_, _, true) => "matches",
         _ => "does not match",
     };
-    writeln!(text, "{}: {word}", rule.rule)?;
+    writeln!(text, "{}: {outcome}", rule.rule)?;
     for (name, steps) in &rule.parts {
         for step in steps {
             let label = if step.depth == 0 { name.as_str() } else { "" };
@@ -214,20 +228,24 @@
         std::iter::successors(Some(1), |size| Some(size * 10)).take_while(|size| *size < whole);
     let mut text = String::from("   rules   ns/request\n");
     for size in sizes.chain([whole]) {
-        let mut router = Router::new(rules.first(size));
-        router.ready([u64::MAX].into_iter());
-        let (begun, mut rounds) = (Instant::now(), 0u32);
-        while begun.elapsed() < MEASURED {
-            for _ in 0..1000 {
-                // Time goes on so that limits let requests through as in service.
-                let verdict =
-                    router.route(std::hint::black_box(&sample.request()), f64::from(rounds));
-                std::hint::black_box(&verdict);
-                rounds += 1;
-            }
-        }
-        let each = begun.elapsed().as_nanos() as f64 / f64::from(rounds);
+        let each = measure(rules.first(size), sample);
         let _ = writeln!(text, "{size:>8} {each:>12.0}");
     }
     Ok(text)
 }
+
+/// Nanoseconds for a request against these rules.
+fn measure(rules: Rules, sample: &Sample) -> f64 {
+    let mut router = Router::new(rules);
+    router.ready([u64::MAX].into_iter());
+    let (begun, mut rounds) = (Instant::now(), 0u32);
+    while begun.elapsed() < MEASURING_TIME {
+        for _ in 0..ROUNDS_PER_LOOK {
+            // Time goes on so that limits let requests through as in service.
+            let verdict = router.route(std::hint::black_box(&sample.request()), f64::from(rounds));
+            std::hint::black_box(&verdict);
+            rounds += 1;
+        }
+    }
+    begun.elapsed().as_nanos() as f64 / f64::from(rounds)
+}
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -130,7 +130,7 @@
     let view = HeaderView(&headers.head.headers);
     let seen = headers.for_rules(&view);
     let generate_id = || dispatcher.generate_request_id();
-    let request = routing::request(dispatcher.platform(), mapped, &seen, generate_id);
+    let request = routing::mapped_request(dispatcher.platform(), mapped, &seen, generate_id);
     let request = request.map_err(invalid)?;
     let timeout_ms = request.client_timeout_ms;
     Ok((request, timeout_ms))
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -88,8 +88,8 @@
         return Ok(Vec::new());
     }
     let platform = dispatcher.platform();
-    let path = routing::path(platform, request);
-    let seen = routing::request_of(platform, request, &path, &NoHeaders, connection.peer);
+    let path = routing::request_path(platform, request);
+    let seen = routing::rule_request(platform, request, &path, &NoHeaders, connection.peer);
     match dispatcher.route(&seen) {
         Verdict::Go(route) => {
             request.ask.pools = route.pools;
--- a/src/plugin/mod.rs
+++ b/src/plugin/mod.rs
@@ -1,7 +1,8 @@
-//! The operator's hook: a script that sees each request before the decision and may pass, rejection or annotate
-//! it. It owns the embedded engine and its bounds on operations, depth and memory. It must never show a
-//! script a socket, a file or the time, let it touch quotas, a class's effect or an answer, or take the
-//! ingress down: a script that fails at run time is logged, and the operator's setting decides.
+//! The operator's hook: a script that sees each request before the decision, and may pass, reject or annotate it.
+//!
+//! The script runs in an embedded engine with bounds on operations, depth and memory. It sees a copy of the request and
+//! no socket, file or clock, and cannot change quotas, a class's idempotency or an answer. Where it fails, that is
+//! logged, and the operator's setting says whether the request passes.
 
 use crate::config::settings::Platform;
 use crate::request::ClientRequest;
@@ -12,14 +13,24 @@
 
 /// The function that a script must have.
 const HOOK: &str = "decide";
-/// Most notes on a request, longest name and value of one.
+/// Most notes on a request. They are sent to endpoints with every attempt.
 const MAX_NOTES: usize = 8;
-const MAX_NAME: usize = 32;
-const MAX_VALUE: usize = 128;
-/// Longest that a script may send a client away, ms.
-const MAX_AWAY: i64 = 60_000;
-/// Failures are logged this often, ms.
-const LOG_MS: f64 = 5000.0;
+/// Longest name of a note, bytes.
+const MAX_NOTE_NAME: usize = 32;
+/// Longest value of a note, bytes.
+const MAX_NOTE_VALUE: usize = 128;
+/// Longest Retry-After that a script may give, ms.
+const MAX_RETRY_AFTER_MS: i64 = 60_000;
+/// Retry-After where a script fails and the setting rejects, ms.
+const FAILURE_RETRY_AFTER_MS: f64 = 1000.0;
+/// Failures are logged at most this often, ms: a script may fail on each request.
+const LOG_INTERVAL_MS: f64 = 5000.0;
+/// Deepest nesting of calls in a script. Guards the stack of the serving thread.
+const MAX_CALL_DEPTH: usize = 16;
+/// Deepest nesting of an expression, for the same reason.
+const MAX_EXPRESSION_DEPTH: usize = 32;
+/// Most variables at a time, and most functions.
+const MAX_DEFINITIONS: usize = 64;
 
 /// What happens to a request when the script fails on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -28,7 +39,7 @@
     /// It goes on as if there were no script.
     #[default]
     Pass,
-    /// It is refused.
+    /// It is rejected.
     #[serde(rename = "nack")]
     Reject,
 }
@@ -43,28 +54,28 @@
     #[serde(default)]
     pub on_error: OnError,
     /// Most operations for one request.
-    #[serde(default = "operations")]
+    #[serde(default = "default_operations")]
     pub operations: u64,
     /// Most bytes in one text, and entries in one list or map.
-    #[serde(default = "size")]
+    #[serde(default = "default_size")]
     pub size: usize,
 }
 
-fn operations() -> u64 {
+fn default_operations() -> u64 {
     10_000
 }
 
-fn size() -> usize {
+fn default_size() -> usize {
     4096
 }
 
 /// A script that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PluginError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is no script; with its line.
+    /// It is no script: file, line and fault.
     #[error("{0}, line {1}: {2}")]
     Parse(String, usize, String),
     /// It lacks the hook.
@@ -72,12 +83,12 @@
     NoHook(String),
 }
 
-/// What the script wants.
+/// What the script says of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PluginVerdict {
     /// Go on, with these notes.
     Pass(Vec<(String, String)>),
-    /// Refuse, and come back after so long, ms.
+    /// Reject, with this Retry-After, ms.
     Reject(f64),
 }
 
@@ -88,7 +99,7 @@
     on_error: OnError,
     name: String,
     failures: Cell<u64>,
-    logged: Cell<f64>,
+    last_logged_ms: Cell<f64>,
 }
 
 impl Plugin {
@@ -105,19 +116,7 @@
     }
 
     fn new(settings: &PluginSettings, name: String, text: &str) -> Result<Plugin, PluginError> {
-        let mut engine = Engine::new();
-        engine
-            .set_max_operations(settings.operations)
-            .set_max_call_levels(16)
-            .set_max_expr_depths(32, 32)
-            .set_max_variables(64)
-            .set_max_functions(64)
-            .set_max_string_size(settings.size)
-            .set_max_array_size(settings.size)
-            .set_max_map_size(settings.size)
-            .disable_symbol("eval")
-            .on_print(|text| tracing::debug!(text, "plugin"))
-            .on_debug(|text, _, _| tracing::debug!(text, "plugin"));
+        let engine = bounded_engine(settings);
         let script = engine.compile(text).map_err(|e| {
             PluginError::Parse(
                 name.clone(),
@@ -125,191 +124,155 @@
                 e.err_type().to_string(),
             )
         })?;
-        if !script
-            .iter_functions()
-            .any(|f| f.name == HOOK && f.params.len() == 1)
-        {
+        let is_hook = |f: &rhai::ScriptFnMetadata| f.name == HOOK && f.params.len() == 1;
+        if !script.iter_functions().any(|f| is_hook(&f)) {
             return Err(PluginError::NoHook(name));
         }
-        let (failures, logged) = (Cell::new(0), Cell::new(f64::NEG_INFINITY));
         Ok(Plugin {
             engine,
             script,
             on_error: settings.on_error,
             name,
-            failures,
-            logged,
+            failures: Cell::new(0),
+            last_logged_ms: Cell::new(f64::NEG_INFINITY),
         })
     }
 
-    /// What the script wants of a request.
+    /// What the script says of a request; where it fails, what the operator's setting says.
     pub fn decide(&self, now: f64, platform: &Platform, request: &ClientRequest) -> PluginVerdict {
-        let options = CallFnOptions::new().eval_ast(false);
-        let seen = (seen(platform, request),);
-        let result: Result<Dynamic, Box<EvalAltResult>> =
-            self.engine
-                .call_fn_with_options(options, &mut Scope::new(), &self.script, HOOK, seen);
-        let problem = match result.map(wish) {
-            Ok(Ok(wish)) => return wish,
+        let problem = match self.call_hook(platform, request).map(verdict) {
+            Ok(Ok(verdict)) => return verdict,
             Ok(Err(problem)) => problem.to_string(),
             Err(e) => e.to_string().replace('\n', " "),
         };
-        self.failures.set(self.failures.get() + 1);
-        if now - self.logged.get() >= LOG_MS {
-            self.logged.set(now);
-            tracing::warn!(
-                script = self.name,
-                failures = self.failures.get(),
-                problem,
-                "plugin failed"
-            );
-        }
+        self.note_failure(now, &problem);
         match self.on_error {
             OnError::Pass => PluginVerdict::Pass(Vec::new()),
-            OnError::Reject => PluginVerdict::Reject(1000.0),
+            OnError::Reject => PluginVerdict::Reject(FAILURE_RETRY_AFTER_MS),
+        }
+    }
+
+    fn call_hook(
+        &self,
+        platform: &Platform,
+        request: &ClientRequest,
+    ) -> Result<Dynamic, Box<EvalAltResult>> {
+        let options = CallFnOptions::new().eval_ast(false);
+        let arguments = (script_request(platform, request),);
+        let mut scope = Scope::new();
+        self.engine
+            .call_fn_with_options(options, &mut scope, &self.script, HOOK, arguments)
+    }
+
+    fn note_failure(&self, now: f64, problem: &str) {
+        self.failures.set(self.failures.get() + 1);
+        if now - self.last_logged_ms.get() < LOG_INTERVAL_MS {
+            return;
         }
+        self.last_logged_ms.set(now);
+        tracing::warn!(
+            script = self.name,
+            failures = self.failures.get(),
+            problem,
+            "plugin failed"
+        );
     }
 }
 
-/// A request as the script sees it: a copy, so that nothing it does comes back.
-fn seen(platform: &Platform, request: &ClientRequest) -> Map {
+/// An engine within the bounds of these settings. Guards the serving thread: a script that runs away, or fills memory,
+/// is stopped by the engine.
+fn bounded_engine(settings: &PluginSettings) -> Engine {
+    let mut engine = Engine::new();
+    engine
+        .set_max_operations(settings.operations)
+        .set_max_call_levels(MAX_CALL_DEPTH)
+        .set_max_expr_depths(MAX_EXPRESSION_DEPTH, MAX_EXPRESSION_DEPTH)
+        .set_max_variables(MAX_DEFINITIONS)
+        .set_max_functions(MAX_DEFINITIONS)
+        .set_max_string_size(settings.size)
+        .set_max_array_size(settings.size)
+        .set_max_map_size(settings.size)
+        .disable_symbol("eval")
+        .on_print(|text| tracing::debug!(text, "plugin"))
+        .on_debug(|text, _, _| tracing::debug!(text, "plugin"));
+    engine
+}
+
+/// What a script may know of a request: a copy, so that nothing it does to it comes back.
+fn script_request(platform: &Platform, request: &ClientRequest) -> Map {
     let ask = &request.ask;
-    let mut map = Map::new();
-    map.insert("class".into(), platform.classes[ask.class].clone().into());
-    map.insert("plan".into(), platform.plans[ask.plan].clone().into());
-    map.insert("partner".into(), request.tenant.clone().into());
-    map.insert("id".into(), request.id.clone().into());
-    map.insert("units".into(), ask.units.into());
-    map.insert("retry".into(), ask.repeat.into());
-    map.insert("patience_ms".into(), request.client_timeout_ms.into());
-    map.insert(
-        "body_bytes".into(),
-        (request.body.as_ref().map_or(0, Vec::len) as i64).into(),
-    );
-    map
+    let body_bytes = request.body.as_ref().map_or(0, Vec::len) as i64;
+    Map::from([
+        ("class".into(), platform.classes[ask.class].clone().into()),
+        ("plan".into(), platform.plans[ask.plan].clone().into()),
+        ("partner".into(), request.tenant.clone().into()),
+        ("id".into(), request.id.clone().into()),
+        ("units".into(), ask.units.into()),
+        ("retry".into(), ask.repeat.into()),
+        ("patience_ms".into(), request.client_timeout_ms.into()),
+        ("body_bytes".into(), body_bytes.into()),
+    ])
 }
 
-fn wish(result: Dynamic) -> Result<PluginVerdict, &'static str> {
+/// Why a hook's result is none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+enum InvalidResult {
+    #[error("the hook returned neither () nor a map")]
+    Type,
+    #[error("nack is not a number from 0 to 60000")]
+    RetryAfter,
+    #[error("the hook's map has neither nack nor notes")]
+    Keys,
+    #[error("notes is not a map")]
+    Notes,
+    #[error("more than 8 notes")]
+    TooManyNotes,
+    #[error("a note's name or value cannot be carried")]
+    Note,
+}
+
+/// Reads the result of a hook: `()`, `#{ nack: MS }` or `#{ notes: #{ NAME: VALUE } }`.
+fn verdict(result: Dynamic) -> Result<PluginVerdict, InvalidResult> {
     if result.is_unit() {
         return Ok(PluginVerdict::Pass(Vec::new()));
     }
-    let Some(map) = result.try_cast::<Map>() else {
-        return Err("the hook returned neither () nor a map");
-    };
-    if let Some(after) = map.get("nack") {
-        let ms = after.as_int().ok().filter(|ms| (0..=MAX_AWAY).contains(ms));
-        return ms
-            .map(|ms| PluginVerdict::Reject(ms as f64))
-            .ok_or("nack is not a number from 0 to 60000");
+    let map = result.try_cast::<Map>().ok_or(InvalidResult::Type)?;
+    if let Some(retry_after) = map.get("nack") {
+        let ms = retry_after.as_int().ok();
+        let ms = ms.filter(|ms| (0..=MAX_RETRY_AFTER_MS).contains(ms));
+        let ms = ms.ok_or(InvalidResult::RetryAfter)?;
+        return Ok(PluginVerdict::Reject(ms as f64));
     }
-    let Some(notes) = map.get("notes") else {
-        return Err("the hook's map has neither nack nor notes");
-    };
-    let Some(notes) = notes.clone().try_cast::<Map>() else {
-        return Err("notes is not a map");
-    };
+    let notes = map.get("notes").ok_or(InvalidResult::Keys)?;
+    let notes = notes.clone().try_cast::<Map>();
+    read_notes(notes.ok_or(InvalidResult::Notes)?).map(PluginVerdict::Pass)
+}
+
+fn read_notes(notes: Map) -> Result<Vec<(String, String)>, InvalidResult> {
     if notes.len() > MAX_NOTES {
-        return Err("more than 8 notes");
+        return Err(InvalidResult::TooManyNotes);
     }
-    let mut list = Vec::with_capacity(notes.len());
+    let mut read = Vec::with_capacity(notes.len());
     for (name, value) in notes {
         let value = value.to_string();
-        let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-        let named = !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain);
-        if !named || value.len() > MAX_VALUE || !value.bytes().all(|b| (b' '..=b'~').contains(&b)) {
-            return Err("a note's name or value cannot be carried");
+        if !is_note_name(&name) || !is_note_value(&value) {
+            return Err(InvalidResult::Note);
         }
-        list.push((name.to_string(), value));
+        read.push((name.to_string(), value));
     }
-    Ok(PluginVerdict::Pass(list))
+    Ok(read)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const SETTINGS: &str = include_str!("../../tests/stage/settings.json");
-
-    fn settings(on_error: OnError) -> PluginSettings {
-        PluginSettings {
-            script: PathBuf::new(),
-            on_error,
-            operations: 5000,
-            size: 1000,
-        }
-    }
-
-    fn decide(script: &str, on_error: OnError) -> PluginVerdict {
-        let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
-        let platform = crate::config::settings::Config::parse(&config)
-            .unwrap()
-            .platform;
-        let list = "c=book-rebroadcast,t=city,d=900,units=2,spread=1,first=0".to_string();
-        let request = ClientRequest::new(&platform, "0000000000000007", "k1", list, None).unwrap();
-        let plugin = Plugin::new(&settings(on_error), "hook.rhai".into(), script).unwrap();
-        plugin.decide(0.0, &platform, &request)
-    }
-
-    #[test]
-    fn it_passes_nacks_and_annotates() {
-        let script = r#"fn decide(command) {
-            if command.plan == "city" && command.units > 1.0 { return #{ nack: 250 }; }
-        }"#;
-        assert_eq!(decide(script, OnError::Pass), PluginVerdict::Reject(250.0));
-        assert_eq!(
-            decide("fn decide(c) { c.units = 0.0; }", OnError::Reject),
-            PluginVerdict::Pass(vec![])
-        );
-        let noted = PluginVerdict::Pass(vec![("origin".into(), "0000000000000007".into())]);
-        assert_eq!(
-            decide(
-                "fn decide(c) { #{ notes: #{ origin: c.partner } } }",
-                OnError::Pass
-            ),
-            noted
-        );
-    }
-
-    #[test]
-    fn what_runs_away_or_fails_is_stopped_and_the_setting_decides() {
-        for script in [
-            "fn decide(c) { loop {} }",
-            "fn decide(c) { let s = \"x\"; loop { s += s; } }",
-            "fn decide(c) { let a = []; loop { a.push(a); } }",
-            "fn decide(c) { decide(c) }",
-            "fn decide(c) { c.no_such() }",
-            "fn decide(c) { 42 }",
-            "fn decide(c) { #{ nack: -1 } }",
-            "fn decide(c) { #{ notes: #{ x: \"a\\nb\" } } }",
-        ] {
-            assert_eq!(
-                decide(script, OnError::Pass),
-                PluginVerdict::Pass(vec![]),
-                "{script}"
-            );
-            assert_eq!(
-                decide(script, OnError::Reject),
-                PluginVerdict::Reject(1000.0),
-                "{script}"
-            );
-        }
-    }
+/// Whether a name can be part of a header's name.
+fn is_note_name(name: &str) -> bool {
+    let valid = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
+    !name.is_empty() && name.len() <= MAX_NOTE_NAME && name.bytes().all(valid)
+}
 
-    #[test]
-    fn a_script_that_does_not_load_is_named_with_its_line() {
-        let load = |text| {
-            Plugin::new(&settings(OnError::Pass), "hook.rhai".into(), text)
-                .err()
-                .unwrap()
-        };
-        assert!(load("fn decide(c) {\n  let x = ;\n}")
-            .to_string()
-            .starts_with("hook.rhai, line 2: "));
-        assert!(load("fn other(c) {}")
-            .to_string()
-            .contains("no function decide(command)"));
-        assert!(load("fn decide(c) { eval(\"1\") }")
-            .to_string()
-            .starts_with("hook.rhai, line 1: "));
-    }
+/// Whether a value can be a header's value.
+fn is_note_value(value: &str) -> bool {
+    value.len() <= MAX_NOTE_VALUE && value.bytes().all(|b| (b' '..=b'~').contains(&b))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,111 +1,22 @@
-//! The operator's rules in the ingress: from their file to a router, from a request of either wire to what rules
-//! see, from what they say to a request. It owns the turn between `driftgap_routes` and the core's terms. It
-//! must never decide where a request belongs (the rules do), whom to serve (the module does), or let a rule
-//! touch what the platform's protocol says of a request.
+//! Between the operator's rules (`driftgap_routes`) and the ingress: what rules see of a request, and what becomes of
+//! a request that a rule maps.
+//!
+//! The rules decide where a request belongs, and the decision module whom to serve; nothing here does. No rule can
+//! change what the platform's protocol says of a request.
 
 pub mod reload;
+mod source;
+
+pub use source::{Source, MEMORY_SHARE};
 
-use crate::config::operator_file::OperatorFile;
 use crate::config::settings::Platform;
 use crate::decision::Idempotency;
 use crate::request::{ClientRequest, InvalidRequest};
-use driftgap_routes::{
-    Catalog, Effect as RuleEffect, Fault, Headers, Mapped, ReadOptions, Request, Rules,
-};
+use driftgap_routes::{Catalog, Effect as RuleEffect, Headers, Mapped, Request};
 use http::HeaderMap;
 use std::net::IpAddr;
-use std::path::PathBuf;
-
-/// The part of the memory that rules may take where there are any: the file's text, the rules in force and those that
-/// a reload compiles anew, all together. Requests share what is left.
-pub const MEMORY_SHARE: f64 = 0.25;
-
-/// Where rules are read from.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Source {
-    path: PathBuf,
-    /// The table of the file that holds them; none: the file holds nothing else.
-    part: Option<&'static str>,
-    /// Bytes that the file's text, the rules in force and those that are compiled anew may take together.
-    max_bytes: usize,
-}
-
-impl Source {
-    /// The operator's rules, if there are any, for an ingress with so much memory.
-    pub fn of(operator: &OperatorFile, memory_mb: f64) -> Option<Source> {
-        let routes = operator.routes.as_ref()?;
-        let (path, part) = match &routes.file {
-            Some(file) => (operator.folder.join(file), None),
-            None => (operator.path.clone(), Some("routes")),
-        };
-        Some(Source {
-            path,
-            part,
-            max_bytes: max_bytes(memory_mb),
-        })
-    }
-
-    /// A file of rules by itself, for an ingress with so much memory.
-    pub fn file(path: PathBuf, memory_mb: f64) -> Source {
-        Source {
-            path,
-            part: None,
-            max_bytes: max_bytes(memory_mb),
-        }
-    }
-
-    /// Bytes that rules may take while they are read.
-    pub fn max_bytes(&self) -> usize {
-        self.max_bytes
-    }
-
-    /// Reads them.
-    ///
-    /// # Errors
-    /// Every fault of theirs.
-    pub fn read(&self, platform: &Platform) -> Result<Rules, Vec<Fault>> {
-        self.judge(&self.text()?, &catalog(platform), None)
-    }
-
-    /// The file's text.
-    ///
-    /// # Errors
-    /// It cannot be read.
-    pub fn text(&self) -> Result<String, Vec<Fault>> {
-        std::fs::read_to_string(&self.path).map_err(|e| {
-            let line = format!("{}: {e}", self.path.display());
-            vec![Fault {
-                shown: line.clone(),
-                line,
-            }]
-        })
-    }
-
-    /// Rules by their text; those that are in force already are taken over.
-    ///
-    /// # Errors
-    /// Every fault of theirs.
-    pub fn judge(
-        &self,
-        text: &str,
-        catalog: &Catalog,
-        previous: Option<&Rules>,
-    ) -> Result<Rules, Vec<Fault>> {
-        let file = self.path.display().to_string();
-        let options = ReadOptions {
-            previous,
-            max_bytes: self.max_bytes,
-        };
-        Rules::read_part(text, &file, self.part, catalog, &options)
-    }
-}
-
-/// Bytes that rules may take, out of so much memory for the ingress.
-fn max_bytes(memory_mb: f64) -> usize {
-    (memory_mb * 1e6 * MEMORY_SHARE) as usize
-}
 
-/// What rules are judged by.
+/// What rules may name: the classes with their idempotency, the plans, and the most units of a request.
 pub fn catalog(platform: &Platform) -> Catalog {
     let effect = |effect| match effect {
         Idempotency::Safe => RuleEffect::Pure,
@@ -124,8 +35,8 @@
     }
 }
 
-/// A request of the platform's wire as rules see it; `path` is [`path`]'s.
-pub fn request_of<'a>(
+/// A request of the platform's protocol as rules see it; `path` is [`request_path`]'s.
+pub fn rule_request<'a>(
     platform: &'a Platform,
     request: &'a ClientRequest,
     path: &'a str,
@@ -153,8 +64,8 @@
     }
 }
 
-/// The path that a request has on every wire.
-pub fn path(platform: &Platform, request: &ClientRequest) -> String {
+/// The path that a request has over HTTP/2, and that rules see whatever protocol it came by.
+pub fn request_path(platform: &Platform, request: &ClientRequest) -> String {
     format!(
         "{}{}",
         driftgap_routes::COMMANDS,
@@ -162,7 +73,7 @@
     )
 }
 
-/// The headers of an HTTP/2 request.
+/// The headers of an HTTP/2 request, as rules see them.
 pub struct HeaderView<'a>(pub &'a HeaderMap);
 
 impl Headers for HeaderView<'_> {
@@ -175,47 +86,43 @@
     }
 }
 
-/// The request that a rule has made of a request. What neither names is taken so that it holds for every
-/// ingress: all of them may be the tenant's, and the class's deadline is how long its client waits.
+/// The request that a rule has made of `seen`. What neither the rule nor the client names is taken so that it holds at
+/// every ingress: the tenant's quota may be spent at all of them, and the client waits for the class's deadline.
 ///
 /// # Errors
-/// The value that makes no sense.
-pub fn request(
+/// The value that is missing or makes no sense.
+pub fn mapped_request(
     platform: &Platform,
     mapped: Mapped,
-    request: &Request<'_>,
+    seen: &Request<'_>,
     generate_request_id: impl FnOnce() -> String,
 ) -> Result<ClientRequest, InvalidRequest> {
-    let set = &platform.decision;
-    let said = |ours: Option<String>, theirs: Option<&str>, name| {
-        ours.or_else(|| theirs.map(str::to_string))
-            .ok_or(InvalidRequest::Term(name))
-    };
-    let plan = said(mapped.plan, request.plan, "plan")?;
-    let tenant = said(mapped.partner, request.partner, "customer")?;
+    let plan = required(mapped.plan, seen.plan, "plan")?;
+    let tenant = required(mapped.partner, seen.partner, "customer")?;
     let units = mapped
         .units
-        .or(request.units)
+        .or(seen.units)
         .ok_or(InvalidRequest::Term("units"))?;
     let id = mapped
         .id
-        .or_else(|| request.id.map(str::to_string))
+        .or_else(|| seen.id.map(str::to_string))
         .unwrap_or_else(generate_request_id);
-    let longest = (1e3 * set.classes[mapped.class].deadline) as i64;
-    let deadline = mapped
+    let decision = &platform.decision;
+    let class_deadline_ms = (1e3 * decision.classes[mapped.class].deadline) as i64;
+    let deadline_ms = mapped
         .deadline_ms
-        .or(request.deadline_ms)
-        .unwrap_or(longest);
-    // Guards the platform's wire, on which a comma would begin a further term.
+        .or(seen.deadline_ms)
+        .unwrap_or(class_deadline_ms);
+    // Guards the platform's protocol: behind a comma would be a further term.
     if plan.contains(',') {
         return Err(InvalidRequest::Term("plan"));
     }
-    let spread = mapped.spread.unwrap_or(i64::from(set.ingresses));
-    let first = mapped.first.unwrap_or(0);
     let class = &platform.classes[mapped.class];
+    let spread = mapped.spread.unwrap_or(i64::from(decision.ingresses));
+    let first = mapped.first.unwrap_or(0);
     let mut terms =
-        format!("c={class},t={plan},d={deadline},units={units},spread={spread},first={first}");
-    if request.retry {
+        format!("c={class},t={plan},d={deadline_ms},units={units},spread={spread},first={first}");
+    if seen.retry {
         terms.push_str(",r=1");
     }
     for (name, value) in &mapped.terms {
@@ -224,68 +131,16 @@
     ClientRequest::new(platform, &tenant, &id, terms, None)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use driftgap_routes::NoHeaders;
-
-    const SETTINGS: &str = include_str!("../../tests/stage/settings.json");
-
-    fn platform() -> Platform {
-        let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
-        crate::config::settings::Config::parse(&config)
-            .unwrap()
-            .platform
-    }
-
-    #[test]
-    fn what_a_rule_leaves_out_is_the_clients_or_holds_everywhere() {
-        let platform = platform();
-        let list = "c=fetch-episode,t=city,d=900,units=2,spread=1,first=0".to_string();
-        let own = ClientRequest::new(&platform, "0000000000000007", "k1", list, None).unwrap();
-        let path = path(&platform, &own);
-        let seen = request_of(
-            &platform,
-            &own,
-            &path,
-            &NoHeaders,
-            IpAddr::from([127, 0, 0, 1]),
-        );
-        assert_eq!(
-            (seen.path, seen.method, seen.units),
-            ("/commands/fetch-episode", "GET", Some(2.0))
-        );
-        let class = own.ask.class;
-        let mapped = Mapped {
-            class,
-            units: Some(1.5),
-            terms: vec![("episode".into(), "7".into())],
-            ..Mapped::default()
-        };
-        let made = request(&platform, mapped.clone(), &seen, || "fresh".into()).unwrap();
-        assert_eq!(
-            (made.ask.units, &*made.id, made.client_timeout_ms),
-            (1.5, "k1", 900.0)
-        );
-        assert!(made.terms.ends_with(",episode=7"), "{}", made.terms);
-        let anonymous = Request {
-            id: None,
-            deadline_ms: None,
-            partner: None,
-            ..seen
-        };
-        let made = |mapped| request(&platform, mapped, &anonymous, || "fresh".into());
-        assert_eq!(made(mapped.clone()), Err(InvalidRequest::Term("customer")));
-        let tenant = Some("0000000000000009".to_string());
-        let made = made(Mapped {
-            partner: tenant,
-            ..mapped
-        })
-        .unwrap();
-        let deadline = 1e3 * platform.decision.classes[class].deadline;
-        assert_eq!(
-            (&*made.id, made.client_timeout_ms, made.ask.tenant),
-            ("fresh", deadline, 9)
-        );
-    }
+/// A text that the rule sets, or else the client names.
+fn required(
+    mapped: Option<String>,
+    named: Option<&str>,
+    name: &'static str,
+) -> Result<String, InvalidRequest> {
+    mapped
+        .or_else(|| named.map(str::to_string))
+        .ok_or(InvalidRequest::Term(name))
 }
+
+#[cfg(test)]
+mod tests;
