--- a/src/frontend/resp/answers.rs
+++ b/src/frontend/resp/answers.rs
@@ -165,7 +165,7 @@
             match self.stream.try_write(output.front()) {
                 Ok(count) => {
                     output.consume(count);
-                    self.unsent.sent(count);
+                    self.unsent.release(count);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Written::Stopped,
                 Err(_) => {
--- a/src/frontend/resp/connection.rs
+++ b/src/frontend/resp/connection.rs
@@ -4,7 +4,7 @@
 use super::{FIRST_REQUEST_MS, REQUEST_TIMEOUT_MS, STALLED_READER_MS};
 use crate::buffer::body_stream::BodyReceiver;
 use crate::buffer::ring_buffer::RingBuffer;
-use crate::runtime::dispatcher::{Dispatcher, UnsentBudget};
+use crate::runtime::dispatcher::{ByteBudget, Dispatcher};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -31,7 +31,7 @@
     pub(super) first_ticket: Cell<u64>,
     /// The large body that is being written behind `output`.
     pub(super) streaming: RefCell<Option<Rc<BodyReceiver>>>,
-    pub(super) unsent: UnsentBudget,
+    pub(super) unsent: ByteBudget,
 
     /// The connection is to be closed at once: writing failed, or the client is cut off.
     pub(super) failed: Cell<bool>,
--- a/src/frontend/resp/session.rs
+++ b/src/frontend/resp/session.rs
@@ -6,7 +6,7 @@
 use crate::buffer::body_stream::BodyReceiver;
 use crate::buffer::ring_buffer::RingBuffer;
 use crate::protocol::resp::{request_words, Parsed, MAX_VALUE};
-use crate::runtime::dispatcher::UnsentBudget;
+use crate::runtime::dispatcher::ByteBudget;
 use driftgap_admin::DrainState;
 use std::net::Shutdown;
 use std::ops::ControlFlow;
@@ -57,7 +57,7 @@
     read: OwnedReadHalf,
     input: RingBuffer,
     /// This connection's part of what all clients together may have sent in part.
-    input_budget: UnsentBudget,
+    input_budget: ByteBudget,
     /// Whether further requests are taken. Once false, what comes is left unread.
     accepts_requests: bool,
     /// Bytes of input that the next request has at least. Guards against parsing a request from its start for each
@@ -199,7 +199,7 @@
     fn over_input_budget(&self) -> bool {
         let length = self.input.len();
         let counted = if length > SHORT_INPUT { length } else { 0 };
-        !self.input_budget.hold(counted) && counted > 0
+        !self.input_budget.set(counted) && counted > 0
     }
 
     /// Waits for input, for the client to take output, or for a change of the connection's state. Break: the
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -6,12 +6,12 @@
 //! task, and decides about no request: the parts know the dispatcher, and it knows none of them. Nobody else runs
 //! while it borrows the request table.
 
+mod byte_budget;
 mod endpoints;
 mod exclusions;
 mod requests;
-mod unsent_budget;
 
-pub use unsent_budget::UnsentBudget;
+pub use byte_budget::ByteBudget;
 
 use crate::buffer::body_stream::BodyStreams;
 use crate::config::settings::{Config, Platform};
@@ -157,14 +157,14 @@
     }
 
     /// A new client's part of the answers that clients may leave unread.
-    pub fn unsent_budget(&self) -> UnsentBudget {
-        UnsentBudget::new(self.unsent_bytes.clone(), self.max_unsent_bytes)
+    pub fn unsent_budget(&self) -> ByteBudget {
+        ByteBudget::new(self.unsent_bytes.clone(), self.max_unsent_bytes)
     }
 
     /// A new client's part of the requests of which only a part has come.
-    pub fn incoming_budget(&self) -> UnsentBudget {
+    pub fn incoming_budget(&self) -> ByteBudget {
         // Ring buffers grow by doubling: they may take twice the bytes that they hold.
-        UnsentBudget::new(self.incoming_bytes.clone(), self.max_unsent_bytes / 2)
+        ByteBudget::new(self.incoming_bytes.clone(), self.max_unsent_bytes / 2)
     }
 
     /// The large bodies that are being streamed.
--- a/src/runtime/dispatcher/unsent_budget.rs
+++ b/src/runtime/dispatcher/byte_budget.rs
@@ -8,7 +8,7 @@
 ///
 /// Guards memory against many clients that each stay within a bound of their own: with thousands of connections no
 /// bound per connection is both useful and safe. Dropping it returns the client's part.
-pub struct UnsentBudget {
+pub struct ByteBudget {
     /// Bytes held for all clients.
     total: Rc<Cell<usize>>,
     /// Most bytes for all clients.
@@ -17,10 +17,10 @@
     held: Cell<usize>,
 }
 
-impl UnsentBudget {
+impl ByteBudget {
     /// Holds nothing yet. `total` is shared by all clients, `max` its bound, bytes.
-    pub fn new(total: Rc<Cell<usize>>, max: usize) -> UnsentBudget {
-        UnsentBudget {
+    pub fn new(total: Rc<Cell<usize>>, max: usize) -> ByteBudget {
+        ByteBudget {
             total,
             max,
             held: Cell::new(0),
@@ -28,7 +28,7 @@
     }
 
     /// Adds bytes that are held for this client. False: all clients together hold too many. The bytes count all the
-    /// same, until they are sent or the client is cut off.
+    /// same, until they are released or the client is cut off.
     pub fn add(&self, bytes: usize) -> bool {
         self.held.set(self.held.get() + bytes);
         self.total.set(self.total.get() + bytes);
@@ -36,22 +36,22 @@
     }
 
     /// Sets the bytes that are held for this client. False: all clients together hold too many.
-    pub fn hold(&self, bytes: usize) -> bool {
-        self.sent(usize::MAX);
+    pub fn set(&self, bytes: usize) -> bool {
+        self.release(usize::MAX);
         self.add(bytes)
     }
 
     /// Takes off bytes that are held no more; at most what this client holds.
-    pub fn sent(&self, bytes: usize) {
+    pub fn release(&self, bytes: usize) {
         let bytes = bytes.min(self.held.get());
         self.held.set(self.held.get() - bytes);
         self.total.set(self.total.get() - bytes);
     }
 }
 
-impl Drop for UnsentBudget {
+impl Drop for ByteBudget {
     fn drop(&mut self) {
-        self.sent(usize::MAX);
+        self.release(usize::MAX);
     }
 }
 
