--- /dev/null
+++ b/src/counter/call.rs
@@ -0,0 +1,106 @@
+//! One call to the counter: its request, what its answer says, and how it ended.
+
+use crate::decision::driver::CounterAdd;
+use crate::decision::Outcome;
+use crate::protocol::resp::HttpAnswer;
+use std::io::Write;
+use std::net::SocketAddr;
+
+/// The longest and the shortest life of a counter's entry that a call may ask for, ms.
+const MIN_LIFE_MS: f64 = 1.0;
+const MAX_LIFE_MS: f64 = 60_000.0;
+
+/// A call that waits to be written or to be answered.
+pub(super) struct Call {
+    pub add: CounterAdd,
+    /// When it was made, ms.
+    pub made_at_ms: f64,
+    /// Its end has been reported; a total that still comes is a late one.
+    pub reported: bool,
+}
+
+/// A call that came to its end without a total.
+pub(super) struct FailedCall {
+    /// The name of the counter's entry.
+    pub name: u64,
+    pub outcome: Outcome,
+}
+
+/// Why an answer brings no total.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum AnswerError {
+    #[error("the call was counted, but its total cannot be read")]
+    UnreadableTotal,
+    #[error("the counter rejected the call or knows no such call")]
+    Rejected,
+    #[error("the counter answered with status {0}: the call may have been counted")]
+    UnexpectedStatus(u16),
+}
+
+impl AnswerError {
+    pub(super) fn outcome(self) -> Outcome {
+        match self {
+            AnswerError::UnreadableTotal => Outcome::Error,
+            AnswerError::Rejected => Outcome::Rejected,
+            AnswerError::UnexpectedStatus(_) => Outcome::Timeout,
+        }
+    }
+
+    /// Whether what follows on the connection could be the rest of this answer.
+    pub(super) fn spoils_connection(self) -> bool {
+        self != AnswerError::Rejected
+    }
+}
+
+impl Call {
+    /// A call made at `now`, ms.
+    pub(super) fn new(add: CounterAdd, now: f64) -> Call {
+        Call {
+            add,
+            made_at_ms: now,
+            reported: false,
+        }
+    }
+
+    pub(super) fn failed(self, outcome: Outcome) -> FailedCall {
+        FailedCall {
+            name: self.add.name,
+            outcome,
+        }
+    }
+
+    /// Its HTTP/1.1 request.
+    pub(super) fn request(&self, counter: SocketAddr) -> Vec<u8> {
+        let CounterAdd {
+            name,
+            amount,
+            lives_ms,
+        } = self.add;
+        let keep_ms = lives_ms.clamp(MIN_LIFE_MS, MAX_LIFE_MS) as u64;
+        let mut request = Vec::with_capacity(128);
+        // Writing to memory does not fail.
+        let _ = write!(
+            request,
+            "POST /tally/{name:016x}?n={amount}&keep_ms={keep_ms} HTTP/1.1\r\nHost: {counter}\r\nContent-Length: 0\r\n\r\n"
+        );
+        request
+    }
+}
+
+/// The total that an answer brings.
+///
+/// # Errors
+/// It brings none; whether the call was counted is in the error.
+pub(super) fn read_total(answer: &HttpAnswer) -> Result<f64, AnswerError> {
+    match answer.status {
+        200 => parse_total(&answer.body).ok_or(AnswerError::UnreadableTotal),
+        503 | 400 | 404 => Err(AnswerError::Rejected),
+        status => Err(AnswerError::UnexpectedStatus(status)),
+    }
+}
+
+fn parse_total(body: &[u8]) -> Option<f64> {
+    let text = std::str::from_utf8(body).ok()?;
+    let total: f64 = text.trim().parse().ok()?;
+    total.is_finite().then_some(total)
+}
