--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -250,7 +250,8 @@
             body,
             close: false,
         };
-        discovery::take(&self.dispatcher, &answer).map_err(ExperimentError::Refused)?;
+        discovery::take(&self.dispatcher, &answer)
+            .map_err(|error| ExperimentError::Refused(error.to_string()))?;
         Ok(())
     }
 
--- /dev/null
+++ b/src/discovery/endpoint_list.rs
@@ -0,0 +1,118 @@
+//! Lists of endpoints in discovery's form, as it answers polls and as the platform's file gives the last known one.
+//! This is the one place that knows the names of its fields. It must never judge more than form.
+
+use crate::decision::{EndpointState, ListKind};
+use crate::discovery::registry::EndpointProtocol;
+use driftgap_routes::MAX_LABELS;
+use serde_json::Value;
+use std::net::SocketAddr;
+
+/// A list that makes no sense.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct InvalidEndpointList(pub String);
+
+/// The field of an entry that is missing or makes no sense.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0} is missing or makes no sense")]
+pub(super) struct InvalidField(pub &'static str);
+
+/// A list; its entries are read one by one.
+pub(super) struct EndpointList<'a> {
+    pub kind: ListKind,
+    pub version: u64,
+    pub servers: &'a [Value],
+}
+
+impl EndpointList<'_> {
+    /// # Errors
+    /// The version or the entries are missing.
+    pub fn read(value: &Value) -> Result<EndpointList<'_>, InvalidEndpointList> {
+        let missing = |field: &str| InvalidEndpointList(format!("{field} is missing"));
+        let version = value.get("version").and_then(Value::as_u64);
+        let version = version.ok_or_else(|| missing("version"))?;
+        let servers = value.get("servers").and_then(Value::as_array);
+        let servers = servers.ok_or_else(|| missing("servers"))?;
+        let is_full = value.get("full").and_then(Value::as_bool);
+        let kind = if is_full.unwrap_or(false) {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        };
+        Ok(EndpointList {
+            kind,
+            version,
+            servers,
+        })
+    }
+}
+
+/// One entry of a list.
+pub(super) struct ListedEndpoint<'a> {
+    pub name: &'a str,
+    pub state: EndpointState,
+    /// None: it names none that makes sense; one that drains or is gone needs none.
+    pub addr: Option<SocketAddr>,
+    pub protocol: EndpointProtocol,
+    pub zone: Option<&'a str>,
+    pub cell: u32,
+    pub weight: f64,
+    /// Unix time, s.
+    pub started: f64,
+    pub labels: Vec<(String, String)>,
+}
+
+impl ListedEndpoint<'_> {
+    /// # Errors
+    /// Its state or its name is missing or makes no sense.
+    pub fn read(server: &Value) -> Result<ListedEndpoint<'_>, InvalidField> {
+        let number =
+            |key: &str, absent: f64| server.get(key).and_then(Value::as_f64).unwrap_or(absent);
+        Ok(ListedEndpoint {
+            state: read_state(server)?,
+            name: read_text(server, "id")?,
+            addr: read_address(server),
+            protocol: read_protocol(server),
+            zone: server.get("zone").and_then(Value::as_str),
+            cell: number("cell", 0.0) as u32,
+            weight: number("weight", 1.0),
+            started: number("started_ms", 0.0) / 1e3,
+            labels: read_labels(server),
+        })
+    }
+}
+
+fn read_text<'a>(server: &'a Value, key: &'static str) -> Result<&'a str, InvalidField> {
+    let text = server.get(key).and_then(Value::as_str);
+    text.ok_or(InvalidField(key))
+}
+
+fn read_state(server: &Value) -> Result<EndpointState, InvalidField> {
+    match read_text(server, "state")? {
+        "active" => Ok(EndpointState::Ready),
+        "leaving" => Ok(EndpointState::Draining),
+        "left" => Ok(EndpointState::Gone),
+        _ => Err(InvalidField("state")),
+    }
+}
+
+fn read_address(server: &Value) -> Option<SocketAddr> {
+    read_text(server, "addr").ok()?.parse().ok()
+}
+
+fn read_protocol(server: &Value) -> EndpointProtocol {
+    match server.get("protocol").and_then(Value::as_str) {
+        Some("http2") => EndpointProtocol::Http2,
+        _ => EndpointProtocol::Resp,
+    }
+}
+
+/// Names and texts, [`MAX_LABELS`] at most.
+fn read_labels(server: &Value) -> Vec<(String, String)> {
+    let labels = server.get("labels").and_then(Value::as_object);
+    let texts = labels
+        .into_iter()
+        .flatten()
+        .filter_map(|(name, value)| Some((name.clone(), value.as_str()?.to_string())));
+    texts.take(MAX_LABELS).collect()
+}
--- /dev/null
+++ b/src/discovery/inventory/mod.rs
@@ -0,0 +1,195 @@
+//! The operator's inventory in the ingress: what its files change in the endpoint registry. What a file means and
+//! whether it is whole is judged by `driftgap_inventory`. It must never change the list for a file that is wrong
+//! anywhere or has to be confirmed first, nor drop a host that is no longer named without letting it drain.
+
+mod confirmation;
+mod error;
+mod files;
+mod settings;
+
+pub use error::InventoryError;
+pub use settings::InventorySettings;
+
+use crate::decision::driver::EndpointId;
+use crate::decision::{EndpointEntry, EndpointState, ALL_ENDPOINTS};
+use crate::discovery::registry::{Endpoint, EndpointProtocol, EndpointRegistry};
+use confirmation::Confirmation;
+use driftgap_inventory::{read, Fault, File, Host, Protocol, Schema, State};
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+/// The inventory and the list of it that is in force.
+#[derive(Debug)]
+pub struct Inventory {
+    settings: InventorySettings,
+    path: PathBuf,
+    /// The list in force.
+    hosts: Vec<Host>,
+    /// The endpoints that it names.
+    named: BTreeSet<EndpointId>,
+    /// Those that the list before it named and it does not.
+    draining: BTreeSet<EndpointId>,
+    /// Those that were draining when it was applied, and that it does not name either.
+    dropped: BTreeSet<EndpointId>,
+    confirmation: Confirmation,
+    /// The files that the list in force was read from.
+    accepted: Vec<File>,
+}
+
+impl Inventory {
+    /// An inventory by its settings; a relative path counts from `folder`. Nothing is read yet.
+    pub fn new(settings: InventorySettings, folder: &Path) -> Inventory {
+        Inventory {
+            path: folder.join(&settings.file),
+            settings,
+            hosts: Vec::new(),
+            named: BTreeSet::new(),
+            draining: BTreeSet::new(),
+            dropped: BTreeSet::new(),
+            confirmation: Confirmation::default(),
+            accepted: Vec::new(),
+        }
+    }
+
+    /// The file or the folder.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// Whether an endpoint was named by the reading before the last and by none since.
+    pub fn dropped(&self, id: EndpointId) -> bool {
+        self.dropped.contains(&id)
+    }
+
+    /// Reads the inventory into the registry at `now`, ms: what changes by it, and warnings. Hosts that are no longer
+    /// named drain.
+    ///
+    /// # Errors
+    /// It is wrong, or must be confirmed; the registry is as it was.
+    pub fn load(
+        &mut self,
+        registry: &mut EndpointRegistry,
+        now: f64,
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
+        self.apply(files::read_files(&self.path)?, registry, now)
+    }
+
+    /// The files that the list in force was read from, as one text that [`Inventory::restore`] reads.
+    pub fn accepted(&self) -> Vec<u8> {
+        let files: Vec<(&str, &[u8])> = self
+            .accepted
+            .iter()
+            .map(|file| (&*file.path, &*file.bytes))
+            .collect();
+        postcard::to_stdvec(&files).unwrap_or_default()
+    }
+
+    /// The same as [`Inventory::load`] with what another ingress has accepted.
+    ///
+    /// # Errors
+    /// It is wrong here, or no such text.
+    pub fn restore(
+        &mut self,
+        accepted: &[u8],
+        registry: &mut EndpointRegistry,
+        now: f64,
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
+        let files: Vec<(String, Vec<u8>)> = postcard::from_bytes(accepted)
+            .map_err(|e| std::io::Error::new(std::io::ErrorKind::InvalidData, e.to_string()))?;
+        let files = files
+            .into_iter()
+            .map(|(path, bytes)| File { path, bytes })
+            .collect();
+        self.apply(files, registry, now)
+    }
+
+    fn apply(
+        &mut self,
+        files: Vec<File>,
+        registry: &mut EndpointRegistry,
+        now: f64,
+    ) -> Result<(Vec<EndpointEntry>, Vec<Fault>), InventoryError> {
+        let schema = Schema {
+            zones: registry.zones().to_vec(),
+            columns: self.settings.columns.clone(),
+        };
+        let reading = read(&files, &schema);
+        if !reading.holds() {
+            return Err(InventoryError::Faults(reading.faults));
+        }
+        self.confirmation
+            .confirm(&self.hosts, &reading.hosts, &self.settings, now)
+            .map_err(InventoryError::Held)?;
+        let hosts = reading.hosts.iter();
+        let mut entries: Vec<EndpointEntry> =
+            hosts.map(|host| apply_host(host, registry)).collect();
+        self.replace_named(entries.iter().map(|entry| entry.id).collect());
+        entries.extend(self.draining.iter().map(|id| draining_entry(*id)));
+        registry.set_inventory(&entries);
+        self.hosts = reading.hosts;
+        self.accepted = files;
+        Ok((entries, reading.faults))
+    }
+
+    /// Endpoints that are no longer named drain, and are dropped by the list after.
+    fn replace_named(&mut self, named: BTreeSet<EndpointId>) {
+        self.dropped = self.draining.difference(&named).copied().collect();
+        self.draining = self.named.difference(&named).copied().collect();
+        self.named = named;
+    }
+}
+
+/// Keeps where a host is; its entry.
+fn apply_host(host: &Host, registry: &mut EndpointRegistry) -> EndpointEntry {
+    let id = registry.id_for(&host.name);
+    let labels = host.labels.iter();
+    let endpoint = Endpoint {
+        name: host.name.clone(),
+        addr: host.address,
+        protocol: endpoint_protocol(host.protocol),
+        labels: labels
+            .map(|(name, value)| (name.clone(), value.clone()))
+            .collect(),
+    };
+    registry.set_endpoint(id, endpoint);
+    let zone = host.zone.as_ref();
+    EndpointEntry {
+        id,
+        zone: zone.map_or(0, |zone| registry.zone(zone)),
+        cell: host.cell,
+        state: endpoint_state(host.state),
+        weight: host.weight,
+        started: host.started,
+        pools: ALL_ENDPOINTS,
+    }
+}
+
+fn draining_entry(id: EndpointId) -> EndpointEntry {
+    EndpointEntry {
+        id,
+        zone: 0,
+        cell: 0,
+        state: EndpointState::Draining,
+        weight: 1.0,
+        started: 0.0,
+        pools: ALL_ENDPOINTS,
+    }
+}
+
+fn endpoint_protocol(protocol: Protocol) -> EndpointProtocol {
+    match protocol {
+        Protocol::Resp => EndpointProtocol::Resp,
+        Protocol::Http2 => EndpointProtocol::Http2,
+    }
+}
+
+fn endpoint_state(state: State) -> EndpointState {
+    match state {
+        State::Active => EndpointState::Ready,
+        State::Draining(_) => EndpointState::Draining,
+        State::Out => EndpointState::Gone,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/discovery/tests.rs
+++ b/src/discovery/poll_schedule/tests.rs
@@ -1,11 +1,11 @@
 mod fleet;
 
-use super::poll_schedule::{Failures, First, Pace, Retry, CALL_MS, NOTIFIED_MS};
+use super::{Failures, FirstPoll, PollSchedule, RetrySchedule, ASSUMED_CALL_MS, NOTIFIED_AFTER_MS};
 use fleet::{after_given_up, given_up, Configured, Fleet, Outage, Recovery};
 
 /// What an ingress of such a fleet goes by; a place in the round changes none of its bounds.
-fn pace_of(on_request: bool, ingresses: u32) -> Pace {
-    Pace::of(on_request, ingresses, ingresses / 2)
+fn schedule_of(on_request: bool, ingresses: u32) -> PollSchedule {
+    PollSchedule::new(on_request, ingresses, ingresses / 2)
 }
 
 /// Ingresses that all start at once, and a discovery that takes so long for a call, ms, one after the other. A
@@ -13,12 +13,12 @@
 fn notified(ingresses: u32, each_ms: f64) -> f64 {
     let mut dice = oorandom::Rand32::new(7);
     let mut random = || f64::from(dice.rand_float());
-    let paces: Vec<Pace> = (0..ingresses)
-        .map(|position| Pace::of(true, ingresses, position))
+    let schedules: Vec<PollSchedule> = (0..ingresses)
+        .map(|position| PollSchedule::new(true, ingresses, position))
         .collect();
-    let mut due: Vec<(f64, Failures)> = paces
+    let mut due: Vec<(f64, Failures)> = schedules
         .iter()
-        .map(|pace| (pace.first_call(0.0, random()), Failures::default()))
+        .map(|schedule| (schedule.first_poll_at(0.0, random()), Failures::default()))
         .collect();
     let (mut free, mut notified) = (0.0_f64, 0);
     loop {
@@ -32,7 +32,7 @@
             return f64::INFINITY;
         }
         free = free.max(now) + each_ms;
-        let given_up = given_up(&paces[i], now);
+        let given_up = given_up(&schedules[i], now);
         if free <= given_up {
             due[i].0 = f64::INFINITY;
             notified += 1;
@@ -41,13 +41,16 @@
             }
         } else {
             due[i].1.add(None);
-            due[i].0 = after_given_up(&paces[i], given_up, due[i].1, random());
+            due[i].0 = after_given_up(&schedules[i], given_up, due[i].1, random());
         }
     }
 }
 
+/// All ingresses of a fleet start at once, and discovery serves one call after the other, also those that were given
+/// up. If they poll again too fast, it works on nothing but calls that nobody waits for. Nine in ten must have their
+/// list soon after the work for it would be done.
 #[test]
-fn a_fleet_of_any_size_does_not_keep_discovery_overbooked() {
+fn a_fleet_of_any_size_does_not_keep_discovery_overloaded() {
     for (ingresses, each_ms) in [
         (2, 20.0),
         (10, 100.0),
@@ -63,127 +66,138 @@
             "{ingresses} ingresses have their list after {by} s, not {min}"
         );
     }
-    let back_off = pace_of(true, 2).again(
+    let backoff = schedule_of(true, 2).retry_at(
         0.0,
         Failures {
             count: 1,
-            turned_away: 0,
+            late_rejections: 0,
         },
         1.0,
     );
     assert!(
-        pace_of(true, 10).first == First::Within(0.0) && back_off < 50.0,
+        schedule_of(true, 10).first_poll == FirstPoll::Within(0.0) && backoff < 50.0,
         "a small fleet asks at once"
     );
-    assert!(longest_pause(&pace_of(true, 1_000_000)) <= 15_000.0);
+    assert!(longest_pause(&schedule_of(true, 1_000_000)) <= 15_000.0);
 }
 
 /// The longest from a watch's fall into silence to the call that is made in its place.
-fn silent(pace: &Pace) -> f64 {
-    pace.watch + pace.grace + pace.dial
+fn silent(schedule: &PollSchedule) -> f64 {
+    schedule.watch_ms + schedule.watch_grace_ms + schedule.connect_timeout_ms
 }
 
 /// The longest from a failure to the call that is made anew.
-fn longest_pause(pace: &Pace) -> f64 {
-    match pace.retry {
-        Retry::BackOff { .. } => pace.again(
+fn longest_pause(schedule: &PollSchedule) -> f64 {
+    match schedule.retry {
+        RetrySchedule::Backoff { .. } => schedule.retry_at(
             0.0,
             Failures {
                 count: u32::MAX,
-                turned_away: 0,
+                late_rejections: 0,
             },
             1.0,
         ),
-        Retry::Turns(turns) => turns.round,
+        RetrySchedule::TimeSlots(slots) => slots.round_ms,
     }
 }
 
 /// The longest from the moment in which discovery can be reached again to the call that reaches it: a try just before
 /// that moment has to end, then comes the longest pause, then a connection.
-fn reached(pace: &Pace) -> f64 {
-    pace.answer.max(pace.dial) + longest_pause(pace) + pace.dial
+fn reached(schedule: &PollSchedule) -> f64 {
+    schedule.answer_timeout_ms.max(schedule.connect_timeout_ms)
+        + longest_pause(schedule)
+        + schedule.connect_timeout_ms
 }
 
 /// The longest from the start of a process that holds a list to its first call.
-fn first_call(pace: &Pace) -> f64 {
-    match pace.first {
-        First::Within(span) => span,
-        First::Turn => longest_pause(pace),
+fn first_call(schedule: &PollSchedule) -> f64 {
+    match schedule.first_poll {
+        FirstPoll::Within(span) => span,
+        FirstPoll::InTimeSlot => longest_pause(schedule),
     }
 }
 
 const FLEETS: [u32; 5] = [1, 10, 30, 100, 300];
 
+/// The agent on this machine dies and comes back. Its watch falls silent; the ingress must have polled anew before a
+/// change counts as notified.
 #[test]
 fn a_pushed_list_is_in_force_long_before_it_counts_as_notified() {
     for ingresses in FLEETS {
-        let pace = pace_of(false, ingresses);
-        // Told 6 s after the fall; at once where discovery comes back, and then there is the least grace, 1 s.
+        let schedule = schedule_of(false, ingresses);
+        // Notified 6 s after the fall; at once where discovery comes back, and then there is the least grace, 1 s.
         assert!(
-            silent(&pace) + pace.answer <= 6000.0,
+            silent(&schedule) + schedule.answer_timeout_ms <= 6000.0,
             "{ingresses}: {} ms",
-            silent(&pace)
+            silent(&schedule)
         );
         assert!(
-            reached(&pace) <= 1000.0,
+            reached(&schedule) <= 1000.0,
             "{ingresses}: {} ms",
-            reached(&pace)
+            reached(&schedule)
         );
-        assert!(first_call(&pace) <= 0.0);
+        assert!(first_call(&schedule) <= 0.0);
     }
 }
 
+/// A connection to discovery dies without a sign, under a watch. The watch must be opened anew before what it would
+/// have brought counts as notified.
 #[test]
 fn on_request_a_silent_watch_is_opened_anew_before_it_counts_as_notified() {
     for ingresses in FLEETS {
-        let pace = pace_of(true, ingresses);
-        let notified = f64::max(6000.0, pace.watch + 2000.0);
+        let schedule = schedule_of(true, ingresses);
+        let notified = f64::max(6000.0, schedule.watch_ms + 2000.0);
         assert!(
-            silent(&pace) <= notified,
-            "{ingresses}: {} ms, told after {notified}",
-            silent(&pace)
+            silent(&schedule) <= notified,
+            "{ingresses}: {} ms, notified after {notified}",
+            silent(&schedule)
         );
-        assert!(first_call(&pace) + pace.dial <= 6000.0);
+        assert!(first_call(&schedule) + schedule.connect_timeout_ms <= 6000.0);
     }
 }
 
+/// Discovery is away and comes back. Each ingress of a small fleet must call it within the 6 s in which a change counts
+/// as notified.
 #[test]
 fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_small_fleet() {
     for ingresses in 1..=10 {
-        let by = reached(&pace_of(true, ingresses));
+        let by = reached(&schedule_of(true, ingresses));
         assert!(by <= 6000.0, "{ingresses}: {by} ms");
     }
 }
 
 /// One call of each ingress of such a fleet takes a discovery of the assumed capacity this long, ms.
 fn work(ingresses: u32) -> f64 {
-    f64::from(ingresses) * CALL_MS
+    f64::from(ingresses) * ASSUMED_CALL_MS
 }
 
+/// The same for fleets that poll in time slots, as long as one call of each fits into 6 s.
 #[test]
 fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_fleet_whose_calls_fit_into_them(
 ) {
     for ingresses in 11..=30 {
-        assert!(work(ingresses) <= NOTIFIED_MS);
-        let by = reached(&pace_of(true, ingresses));
+        assert!(work(ingresses) <= NOTIFIED_AFTER_MS);
+        let by = reached(&schedule_of(true, ingresses));
         assert!(by <= 6000.0, "{ingresses}: {by} ms");
     }
 }
 
+/// The same for larger fleets: their calls cannot all be served within 6 s, so a round takes as long as the calls do,
+/// and 15 s at most.
 #[test]
 fn on_request_the_round_of_a_larger_fleet_is_its_ingresses_times_the_price_of_a_call() {
     for ingresses in [31, 48, 75, 100, 300, 1_000_000] {
-        let pace = pace_of(true, ingresses);
-        let turns = pace.turns().expect("turns");
+        let schedule = schedule_of(true, ingresses);
+        let slots = schedule.time_slots().expect("time slots");
         // In no order can each have an answer within 6 s.
-        assert!(work(ingresses) > NOTIFIED_MS, "{ingresses}");
+        assert!(work(ingresses) > NOTIFIED_AFTER_MS, "{ingresses}");
         assert!(
-            (turns.round - work(ingresses).min(15_000.0)).abs() < 1e-6,
+            (slots.round_ms - work(ingresses).min(15_000.0)).abs() < 1e-6,
             "{ingresses}: {}",
-            turns.round
+            slots.round_ms
         );
         // With back-off by chance it was 17.5 s for 30 and more.
-        let by = reached(&pace);
+        let by = reached(&schedule);
         assert!(
             by <= (work(ingresses) + 2500.0).min(17_500.0),
             "{ingresses}: {by} ms"
@@ -216,12 +230,17 @@
 
 /// The round of such a fleet, or one call of each where that takes longer, ms.
 fn one_call_of_each(ingresses: u32, call_ms: f64) -> f64 {
-    let round = pace_of(true, ingresses).turns().expect("turns").round;
+    let round = schedule_of(true, ingresses)
+        .time_slots()
+        .expect("time slots")
+        .round_ms;
     round.max(f64::from(ingresses) * call_ms)
 }
 
+/// Discovery was away, refusing or silent, and comes back. Each ingress must have its answer by its first call, in its
+/// slot: a second one would take discovery's time from another.
 #[test]
-fn turns_bring_each_ingress_its_answer_by_one_call() {
+fn time_slots_bring_each_ingress_its_answer_by_one_call() {
     for (ingresses, call_ms) in [
         (11, 200.0),
         (12, 200.0),
@@ -238,8 +257,9 @@
     }
 }
 
+/// The same for fleets that cannot all be served within 6 s.
 #[test]
-fn turns_of_a_larger_fleet_bring_each_ingress_its_answer_by_one_call_within_a_round() {
+fn time_slots_of_a_larger_fleet_bring_each_ingress_its_answer_by_one_call_within_a_round() {
     for (ingresses, call_ms) in [(48, 200.0), (75, 200.0), (100, 100.0), (300, 40.0)] {
         for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
             let bound = one_call_of_each(ingresses, call_ms) + call_ms;
@@ -249,19 +269,21 @@
     }
 }
 
+/// The clocks of the ingresses differ, so that their slots overlap when discovery comes back.
 #[test]
-fn turns_bear_clocks_that_are_off() {
+fn time_slots_bear_clocks_that_are_off() {
     for clock_error_ms in [50.0, 100.0, 300.0] {
         let fleet = Fleet {
             clock_error_ms,
-            ..Fleet::sound(30, CALL_MS, Outage::Refused)
+            ..Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused)
         };
         for (which, recovery) in recoveries(&fleet) {
             assert!(
                 recovery.last_reached() <= 6000.0,
                 "{which}, {clock_error_ms}: {recovery:?}"
             );
-            let bound = one_call_of_each(30, CALL_MS) + CALL_MS + 2.0 * clock_error_ms;
+            let bound =
+                one_call_of_each(30, ASSUMED_CALL_MS) + ASSUMED_CALL_MS + 2.0 * clock_error_ms;
             assert!(
                 recovery.last_answered() <= bound,
                 "{which}, {clock_error_ms}: {recovery:?}"
@@ -270,15 +292,16 @@
     }
 }
 
+/// Some ingresses of the fleet are down when discovery comes back: their slots stay empty.
 #[test]
-fn turns_bear_ingresses_that_are_down() {
-    let mut fleet = Fleet::sound(30, CALL_MS, Outage::Refused);
+fn time_slots_bear_ingresses_that_are_down() {
+    let mut fleet = Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused);
     fleet
         .ingresses
         .retain(|ingress| ingress.position % 3 == 0 || ingress.position > 20);
     for (which, recovery) in recoveries(&fleet) {
         assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
-        let bound = one_call_of_each(30, CALL_MS) + CALL_MS;
+        let bound = one_call_of_each(30, ASSUMED_CALL_MS) + ASSUMED_CALL_MS;
         assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
         assert_eq!(
             recovery.calls,
@@ -289,15 +312,17 @@
 }
 
 /// As for a fleet that starts: its list takes less than three times what the work takes, and 2 s.
-fn is_not_overbooked(which: &str, work: f64, recovery: &Recovery) {
+fn is_not_overloaded(which: &str, work: f64, recovery: &Recovery) {
     assert!(
         recovery.last_answered() < 3.0 * work + 2000.0,
         "{which}: {recovery:?}"
     );
 }
 
+/// The fleet's size or the positions in it are wrong in the settings, so that slots collide when discovery comes back.
+/// It must not stay overloaded.
 #[test]
-fn turns_bear_wrong_settings() {
+fn time_slots_bear_wrong_settings() {
     let all = |configured: fn(u32) -> Configured| (0..30).map(configured).collect::<Vec<_>>();
     let wrong: [(&str, f64, Vec<Configured>); 5] = [
         (
@@ -344,20 +369,21 @@
     for (kind, reached, ingresses) in wrong {
         let fleet = Fleet {
             ingresses,
-            ..Fleet::sound(30, CALL_MS, Outage::Refused)
+            ..Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused)
         };
         for (which, recovery) in recoveries(&fleet) {
             assert!(
                 recovery.last_reached() <= reached,
                 "{kind}, {which}: {recovery:?}"
             );
-            is_not_overbooked(&format!("{kind}, {which}"), work(30), &recovery);
+            is_not_overloaded(&format!("{kind}, {which}"), work(30), &recovery);
         }
     }
 }
 
+/// Discovery comes back slower than assumed, so that calls queue there from slot to slot. It must not stay overloaded.
 #[test]
-fn turns_bear_calls_that_take_twice_as_long() {
+fn time_slots_bear_calls_that_take_twice_as_long() {
     for (ingresses, call_ms) in [
         (11, 400.0),
         (30, 300.0),
@@ -368,16 +394,18 @@
         let reached = if ingresses <= 30 { 6000.0 } else { 17_500.0 };
         for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
             assert!(recovery.last_reached() <= reached, "{which}: {recovery:?}");
-            is_not_overbooked(&which, f64::from(ingresses) * call_ms, &recovery);
+            is_not_overloaded(&which, f64::from(ingresses) * call_ms, &recovery);
         }
     }
 }
 
+/// Discovery comes back and rejects calls that have stood in its queue for 2 s, after it has worked on them. With calls
+/// slower than assumed it must still not stay overloaded.
 #[test]
-fn turns_bear_a_discovery_that_turns_away_what_has_waited_for_2_s() {
+fn time_slots_bear_a_discovery_that_rejects_what_has_waited_for_2_s() {
     // At the assumed price none waits so long.
     let fleet = |ingresses, call_ms| Fleet {
-        turns_away_after_ms: 2000.0,
+        rejects_after_ms: 2000.0,
         ..Fleet::sound(ingresses, call_ms, Outage::Refused)
     };
     for (ingresses, call_ms) in [
@@ -395,7 +423,7 @@
     }
     for (ingresses, call_ms) in [(11, 300.0), (20, 300.0), (30, 250.0), (30, 300.0)] {
         for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
-            is_not_overbooked(&which, f64::from(ingresses) * call_ms, &recovery);
+            is_not_overloaded(&which, f64::from(ingresses) * call_ms, &recovery);
         }
     }
     for (ingresses, call_ms) in [(11, 400.0), (30, 400.0), (48, 300.0)] {
@@ -409,22 +437,24 @@
     }
 }
 
+/// Discovery rejects call after call late. It must be left a round in which its queue empties, and the ingress must not
+/// be without a list for longer than 15 s a pause.
 #[test]
-fn an_overbooked_discovery_is_left_a_round_first_and_never_more_than_15_s() {
+fn an_overloaded_discovery_is_left_a_round_first_and_never_more_than_15_s() {
     for ingresses in [11, 30, 48, 100, 300] {
         for position in [0, ingresses / 3, ingresses - 1] {
-            let pace = Pace::of(true, ingresses, position);
-            let turns = pace.turns().expect("turns");
+            let schedule = PollSchedule::new(true, ingresses, position);
+            let slots = schedule.time_slots().expect("time slots");
             let mut failures = Failures::default();
             for _ in 0..20 {
                 failures.add(Some(2000.0));
                 for now in (0..150).map(|i| 1e12 + 777.0 * f64::from(i)) {
-                    let pause = pace.again(now, failures, 0.5) - now;
+                    let pause = schedule.retry_at(now, failures, 0.5) - now;
                     assert!(pause <= 15_000.0, "{ingresses}, {failures:?}: {pause} ms");
                     // A round, and the two in which half of the fleet has its turns each.
-                    if failures.turned_away == 1 && 3.0 * turns.round <= 15_000.0 {
+                    if failures.late_rejections == 1 && 3.0 * slots.round_ms <= 15_000.0 {
                         assert!(
-                            pause >= turns.round,
+                            pause >= slots.round_ms,
                             "{ingresses}, {failures:?}: {pause} ms"
                         );
                     }
@@ -432,39 +462,40 @@
             }
         }
     }
-    let pace = pace_of(true, 30);
+    let schedule = schedule_of(true, 30);
     for refused_after in [None, Some(5.0)] {
         let mut failures = Failures::default();
         failures.add(Some(2000.0));
         failures.add(refused_after);
-        let pause = pace.again(1e12, failures, 0.5) - 1e12;
+        let pause = schedule.retry_at(1e12, failures, 0.5) - 1e12;
         assert!(
-            pause <= longest_pause(&pace),
+            pause <= longest_pause(&schedule),
             "what is away at once is called in the next turn: {pause} ms"
         );
     }
 }
 
+/// Discovery comes back, and each answer is followed by a watch that costs it as much as a call.
 #[test]
-fn turns_bear_watches_that_cost_a_call_behind_each_answer() {
+fn time_slots_bear_watches_that_cost_a_call_behind_each_answer() {
     for ingresses in [11, 30, 48] {
         let fleet = Fleet {
             watches_cost: true,
-            ..Fleet::sound(ingresses, CALL_MS, Outage::Refused)
+            ..Fleet::sound(ingresses, ASSUMED_CALL_MS, Outage::Refused)
         };
         for (which, recovery) in recoveries(&fleet) {
-            is_not_overbooked(&which, 2.0 * work(ingresses), &recovery);
+            is_not_overloaded(&which, 2.0 * work(ingresses), &recovery);
         }
     }
 }
 
 #[test]
-fn turns_are_a_round_apart_and_have_their_places_in_it() {
+fn time_slots_are_a_round_apart_and_have_their_places_in_it() {
     let next = |position, now| {
-        Pace::of(true, 30, position)
-            .turns()
-            .expect("turns")
-            .next(now)
+        PollSchedule::new(true, 30, position)
+            .time_slots()
+            .expect("time slots")
+            .next_slot_at(now)
     };
     let round = next(0, 0.0);
     assert_eq!(
@@ -479,6 +510,8 @@
     }
 }
 
+/// Watches end without a change and are opened anew by all ingresses: discovery must have time left for those that have
+/// no list.
 #[test]
 fn watches_opened_anew_leave_discovery_time_for_others() {
     for (ingresses, each_ms) in [
@@ -489,7 +522,7 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let part = f64::from(ingresses) * each_ms / pace_of(true, ingresses).watch;
+        let part = f64::from(ingresses) * each_ms / schedule_of(true, ingresses).watch_ms;
         assert!(
             part <= 0.65,
             "{ingresses} ingresses take {part} of its time"
--- a/src/discovery/tests/fleet.rs
+++ b/src/discovery/poll_schedule/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of ingresses that have lost a discovery of fixed capacity, simulated with seeded random numbers.
 
-use crate::discovery::poll_schedule::{Failures, Pace, Retry};
+use crate::discovery::poll_schedule::{Failures, PollSchedule, RetrySchedule};
 
 /// Unix time at which a simulation begins, ms.
 const START_MS: f64 = 1.7e12;
@@ -38,7 +38,7 @@
     /// The watch that an ingress opens behind its answer costs discovery another call.
     pub watches_cost: bool,
     /// Discovery turns calls away that have waited so long, ms, and works on them all the same.
-    pub turns_away_after_ms: f64,
+    pub rejects_after_ms: f64,
 }
 
 /// What came of it, for each ingress, ms after discovery could be reached.
@@ -64,7 +64,7 @@
 
 /// An ingress of the simulation.
 struct Ingress {
-    pace: Pace,
+    schedule: PollSchedule,
     /// Its clock is ahead by this, ms.
     clock_error: f64,
     failures: Failures,
@@ -77,7 +77,7 @@
     /// No connection came up.
     Refused(f64),
     /// Discovery answered with a status.
-    TurnedAway(f64),
+    Rejected(f64),
     GivenUp(f64),
 }
 
@@ -87,17 +87,17 @@
         let again = match end {
             End::Refused(at) => {
                 self.failures.add(None);
-                self.pace
-                    .again(at + self.clock_error, self.failures, random)
+                self.schedule
+                    .retry_at(at + self.clock_error, self.failures, random)
             }
-            End::TurnedAway(at) => {
+            End::Rejected(at) => {
                 self.failures.add(Some(at - began));
-                self.pace
-                    .again(at + self.clock_error, self.failures, random)
+                self.schedule
+                    .retry_at(at + self.clock_error, self.failures, random)
             }
             End::GivenUp(at) => {
                 self.failures.add(None);
-                after_given_up(&self.pace, at + self.clock_error, self.failures, random)
+                after_given_up(&self.schedule, at + self.clock_error, self.failures, random)
             }
         };
         self.due = Some(again - self.clock_error);
@@ -105,18 +105,18 @@
 }
 
 /// When a call made at `now` is given up, by the caller's clock.
-pub fn given_up(pace: &Pace, now: f64) -> f64 {
-    match pace.turns() {
-        Some(turns) => turns.next(now + pace.answer),
-        None => now + pace.answer,
+pub fn given_up(schedule: &PollSchedule, now: f64) -> f64 {
+    match schedule.time_slots() {
+        Some(slots) => slots.next_slot_at(now + schedule.answer_timeout_ms),
+        None => now + schedule.answer_timeout_ms,
     }
 }
 
 /// When the call behind one that was given up is made, by the caller's clock.
-pub fn after_given_up(pace: &Pace, now: f64, failures: Failures, random: f64) -> f64 {
-    match pace.retry {
-        Retry::Turns(_) => now,
-        Retry::BackOff { .. } => pace.again(now, failures, random),
+pub fn after_given_up(schedule: &PollSchedule, now: f64, failures: Failures, random: f64) -> f64 {
+    match schedule.retry {
+        RetrySchedule::TimeSlots(_) => now,
+        RetrySchedule::Backoff { .. } => schedule.retry_at(now, failures, random),
     }
 }
 
@@ -135,7 +135,7 @@
             outage,
             clock_error_ms: 0.0,
             watches_cost: false,
-            turns_away_after_ms: f64::INFINITY,
+            rejects_after_ms: f64::INFINITY,
         }
     }
 
@@ -146,14 +146,15 @@
         let count = self.ingresses.len();
         let mut ingresses: Vec<Ingress> = Vec::new();
         for configured in &self.ingresses {
-            let pace = Pace::of(true, configured.ingresses, configured.position);
+            let schedule = PollSchedule::new(true, configured.ingresses, configured.position);
             let clock_error = self.clock_error_ms * (2.0 * random.rand_float() - 1.0);
             let lost = START_MS + OUTAGE_MS / 4.0 * random.rand_float();
             let mut failures = Failures::default();
             failures.add(None);
-            let due = pace.again(lost + clock_error, failures, random.rand_float()) - clock_error;
+            let due =
+                schedule.retry_at(lost + clock_error, failures, random.rand_float()) - clock_error;
             ingresses.push(Ingress {
-                pace,
+                schedule,
                 clock_error,
                 failures,
                 due: Some(due),
@@ -174,14 +175,15 @@
                 break;
             }
             let ingress = &mut ingresses[i];
-            let given_up = given_up(&ingress.pace, now + ingress.clock_error) - ingress.clock_error;
-            let turned_away = now + self.turns_away_after_ms;
+            let given_up =
+                given_up(&ingress.schedule, now + ingress.clock_error) - ingress.clock_error;
+            let rejected = now + self.rejects_after_ms;
             let away = now < back;
             if !away {
                 calls += 1;
                 free = free.max(now) + self.call_ms;
                 reached[i] = reached[i].min(now - back);
-                if free <= given_up.min(turned_away) {
+                if free <= given_up.min(rejected) {
                     answered[i] = free - back;
                     ingress.due = None;
                     if self.watches_cost {
@@ -192,7 +194,7 @@
             }
             let end = match self.outage {
                 Outage::Refused if away => End::Refused(now),
-                _ if !away && turned_away < given_up => End::TurnedAway(turned_away),
+                _ if !away && rejected < given_up => End::Rejected(rejected),
                 _ => End::GivenUp(given_up),
             };
             ingress.call_again(now, end, random.rand_float());
--- /dev/null
+++ b/src/discovery/poller.rs
@@ -0,0 +1,213 @@
+//! Polls of the discovery agent: one HTTP call after the other on a connection that is kept. It owns the connection,
+//! the form of the requests and their time-outs. It must never use a connection again on which a call has failed.
+
+use super::poll_schedule::PollSchedule;
+use crate::buffer::ring_buffer::{RingBuffer, RingBufferFull};
+use crate::protocol::resp::{http_answer, http_answer_at_end, HttpAnswer, Malformed, Parsed};
+use crate::runtime::clock::Clock;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{timeout, timeout_at};
+
+/// Longest answer, bytes. Bounds what an agent that has gone wrong can make this process hold.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The wait that a poll asks for which is to be answered at once, ms.
+const IMMEDIATE_WAIT_MS: f64 = 1.0;
+
+/// A poll that brought no answer.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum PollError {
+    #[error("no connection")]
+    ConnectTimeout,
+    #[error("no answer")]
+    AnswerTimeout,
+    #[error("{0}")]
+    Io(#[from] std::io::Error),
+    #[error("{0}")]
+    Malformed(#[from] Malformed),
+    #[error("{0}")]
+    AnswerTooLong(#[from] RingBufferFull),
+}
+
+/// What a poll asks for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum PollRequest {
+    /// The whole list, at once.
+    FullList,
+    /// What came after this version, at once.
+    Changes { version: u64 },
+    /// What came after this version, as soon as there is something.
+    Watch { version: u64 },
+}
+
+impl PollRequest {
+    pub fn is_watch(self) -> bool {
+        matches!(self, PollRequest::Watch { .. })
+    }
+
+    /// How long the agent may wait before it answers, ms.
+    fn wait_ms(self, schedule: &PollSchedule) -> f64 {
+        match self {
+            PollRequest::FullList => 0.0,
+            PollRequest::Changes { .. } => IMMEDIATE_WAIT_MS,
+            PollRequest::Watch { .. } => schedule.watch_ms,
+        }
+    }
+
+    /// How long the answer may take once there is a connection.
+    fn answer_timeout(self, schedule: &PollSchedule) -> Duration {
+        let beyond_wait_ms = if self.is_watch() {
+            schedule.watch_grace_ms
+        } else {
+            schedule.answer_timeout_ms
+        };
+        duration(self.wait_ms(schedule) + beyond_wait_ms)
+    }
+
+    fn path(self, schedule: &PollSchedule) -> String {
+        match self {
+            PollRequest::FullList => "/api/targets".to_string(),
+            PollRequest::Changes { version } | PollRequest::Watch { version } => {
+                let wait = self.wait_ms(schedule) as u64;
+                format!("/api/targets?index={version}&wait={wait}")
+            }
+        }
+    }
+}
+
+/// Polls one agent.
+pub(super) struct Poller {
+    agent: SocketAddr,
+    schedule: PollSchedule,
+    connection: Option<Connection>,
+}
+
+impl Poller {
+    pub fn new(agent: SocketAddr, schedule: PollSchedule) -> Poller {
+        Poller {
+            agent,
+            schedule,
+            connection: None,
+        }
+    }
+
+    pub fn agent(&self) -> SocketAddr {
+        self.agent
+    }
+
+    /// Closes the connection.
+    pub fn disconnect(&mut self) {
+        self.connection = None;
+    }
+
+    /// One poll, with the time-outs of the schedule.
+    ///
+    /// # Errors
+    /// No connection, no answer in time, or one that is none.
+    pub async fn poll(&mut self, request: PollRequest) -> Result<HttpAnswer, PollError> {
+        let answer_timeout = request.answer_timeout(&self.schedule);
+        self.connect().await?;
+        timeout(answer_timeout, self.exchange(request))
+            .await
+            .unwrap_or(Err(PollError::AnswerTimeout))
+    }
+
+    /// One poll that is given up when the clock shows `deadline`, ms, and no earlier.
+    ///
+    /// # Errors
+    /// As for [`Poller::poll`].
+    pub async fn poll_until(
+        &mut self,
+        request: PollRequest,
+        clock: &Clock,
+        deadline: f64,
+    ) -> Result<HttpAnswer, PollError> {
+        let poll = async {
+            self.connect().await?;
+            self.exchange(request).await
+        };
+        timeout_at(clock.instant(deadline).into(), poll)
+            .await
+            .unwrap_or(Err(PollError::AnswerTimeout))
+    }
+
+    async fn connect(&mut self) -> Result<(), PollError> {
+        if self.connection.is_some() {
+            return Ok(());
+        }
+        let connect_timeout = duration(self.schedule.connect_timeout_ms);
+        let stream = timeout(connect_timeout, TcpStream::connect(self.agent))
+            .await
+            .map_err(|_| PollError::ConnectTimeout)??;
+        let _ = stream.set_nodelay(true);
+        self.connection = Some(Connection {
+            stream,
+            input: RingBuffer::new(MAX_ANSWER_BYTES),
+        });
+        Ok(())
+    }
+
+    /// Sends a request and reads its answer; the connection is kept only behind an answer that leaves it open.
+    async fn exchange(&mut self, request: PollRequest) -> Result<HttpAnswer, PollError> {
+        let mut connection = self.connection.take().ok_or(PollError::ConnectTimeout)?;
+        let path = request.path(&self.schedule);
+        connection.send(&path, self.agent).await?;
+        let answer = connection.read_answer().await?;
+        if !answer.close {
+            self.connection = Some(connection);
+        }
+        Ok(answer)
+    }
+}
+
+struct Connection {
+    stream: TcpStream,
+    input: RingBuffer,
+}
+
+impl Connection {
+    async fn send(&mut self, path: &str, agent: SocketAddr) -> Result<(), PollError> {
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {agent}\r\n\r\n");
+        let mut rest = request.as_bytes();
+        while !rest.is_empty() {
+            self.stream.writable().await?;
+            match self.stream.try_write(rest) {
+                Ok(written) => rest = &rest[written..],
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
+                Err(e) => return Err(e.into()),
+            }
+        }
+        Ok(())
+    }
+
+    /// The next answer, read to its end.
+    async fn read_answer(&mut self) -> Result<HttpAnswer, PollError> {
+        loop {
+            if let Parsed::Complete(answer, length) = http_answer(self.input.whole())? {
+                self.input.consume(length);
+                return Ok(answer);
+            }
+            self.stream.readable().await?;
+            match self.stream.try_read(self.input.spare()?) {
+                Ok(0) => return self.answer_at_end(),
+                Ok(read) => self.input.filled(read),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
+                Err(e) => return Err(e.into()),
+            }
+        }
+    }
+
+    /// An answer without a length ends with the connection; a reset is no such end.
+    fn answer_at_end(&mut self) -> Result<HttpAnswer, PollError> {
+        match http_answer_at_end(self.input.whole()) {
+            Ok(Parsed::Complete(answer, _)) => Ok(answer),
+            _ => Err(std::io::Error::from(ErrorKind::UnexpectedEof).into()),
+        }
+    }
+}
+
+fn duration(ms: f64) -> Duration {
+    Duration::from_secs_f64(ms / 1e3)
+}
