--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -4,6 +4,7 @@
 //! reset means that the client has gone. One rule of the house is given up here: h2 keeps its own
 //! buffers, so a connection has no ring; the bounds below take its place.
 
+use crate::config::operator_file::Http2Limits as Limits;
 use crate::protocol::http2::{
     plain, push_body, push_coming, terms, text, wording, Body, DEADLINE, ID, PLAN,
     REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
@@ -49,15 +50,6 @@
 /// Connections are looked through this often while the ingress is being emptied.
 const LOOK: Duration = Duration::from_millis(100);
 
-/// Bounds of the front, from the operator's file.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Streams open on one connection.
-    pub streams: u32,
-    /// Connections.
-    pub connections: usize,
-}
-
 struct Connection {
     peer: IpAddr,
     leave: Notify,
