--- /dev/null
+++ b/crates/inventory/src/consistency.rs
@@ -0,0 +1,86 @@
+//! What no single value shows: hosts that contradict each other, and weights that are unlike all others. It must never
+//! compare by anything but what the files say.
+
+use crate::fault::{Fault, Faults};
+use crate::host::Host;
+use std::collections::BTreeMap;
+
+/// Fewest hosts of a zone whose weights are compared: of fewer, none is the usual one.
+const MIN_COMPARED_HOSTS: usize = 4;
+/// A weight so many times the median, or as small a part of it, is most likely a mistake.
+const OUTLIER_FACTOR: f64 = 10.0;
+
+/// Reports hosts that cannot both be.
+pub(crate) fn check_contradictions(hosts: &[Host], faults: &mut Faults) {
+    let mut names: BTreeMap<&str, &Host> = BTreeMap::new();
+    let mut addresses = BTreeMap::new();
+    for host in hosts {
+        if let Some(first) = names.get(host.name.as_str()) {
+            faults.add(same_name(first, host));
+            continue;
+        }
+        names.insert(&host.name, host);
+        if let Some(first) = addresses.insert(host.address, host) {
+            faults.add(same_address(first, host));
+        }
+    }
+}
+
+fn same_name(first: &Host, host: &Host) -> Fault {
+    let place = &first.place;
+    let differs = first.capacity != host.capacity || first.weight != host.weight;
+    let fault = if differs {
+        let (name, size) = (&host.name, size_of(first));
+        let problem = format!("{name:?} stands at {place} with {size} already");
+        Fault::error(&host.place, problem)
+            .field("capacity")
+            .value(&size_of(host))
+    } else {
+        Fault::error(&host.place, format!("stands at {place} already"))
+            .field("name")
+            .value(&host.name)
+    };
+    fault.help("one host has one row")
+}
+
+fn size_of(host: &Host) -> String {
+    host.capacity.unwrap_or(host.weight).to_string()
+}
+
+fn same_address(first: &Host, host: &Host) -> Fault {
+    let (name, place) = (&first.name, &first.place);
+    let problem = format!("is the address of {name:?} at {place} already");
+    Fault::error(&host.place, problem)
+        .field("address")
+        .value(&host.address.to_string())
+        .help("two hosts have two addresses")
+}
+
+/// Warns of weights that are far from those of the hosts in the same zone.
+pub(crate) fn check_weights(hosts: &[Host], faults: &mut Faults) {
+    let mut zones: BTreeMap<Option<&str>, Vec<&Host>> = BTreeMap::new();
+    for host in hosts {
+        zones.entry(host.zone.as_deref()).or_default().push(host);
+    }
+    for hosts in zones.values() {
+        if hosts.len() >= MIN_COMPARED_HOSTS {
+            check_zone_weights(hosts, faults);
+        }
+    }
+}
+
+fn check_zone_weights(hosts: &[&Host], faults: &mut Faults) {
+    let mut weights: Vec<f64> = hosts.iter().map(|host| host.weight).collect();
+    weights.sort_by(f64::total_cmp);
+    let median = weights[weights.len() / 2];
+    let is_outlier = |host: &&&Host| {
+        host.weight > OUTLIER_FACTOR * median || host.weight < median / OUTLIER_FACTOR
+    };
+    for host in hosts.iter().filter(is_outlier) {
+        let problem = format!("is far from its zone's median, {median}");
+        let fault = Fault::warning(&host.place, problem)
+            .field("weight")
+            .value(&host.weight.to_string());
+        faults.add(fault);
+    }
+}
--- /dev/null
+++ b/crates/inventory/src/csv_file.rs
@@ -0,0 +1,135 @@
+//! Inventories in CSV: a header in any order, quoted fields, comment lines, `,` `;` or tab as the header has it.
+//! It owns the reading of rows. It must never take a row that is not complete.
+
+use crate::fault::{Fault, Faults, Place};
+use crate::host::{Host, Schema};
+use crate::host_fields::{read_host, FieldValue, HostSource};
+use csv::{ReaderBuilder, StringRecord, Trim};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// Most characters of a header that a fault shows.
+const MAX_SHOWN_CHARS: usize = 100;
+
+/// The hosts of a file; rows that are wrong are left out, each with its fault.
+pub(crate) fn read(text: &str, file: &Arc<str>, schema: &Schema, faults: &mut Faults) -> Vec<Host> {
+    let mut reader = ReaderBuilder::new()
+        .delimiter(delimiter(text))
+        .comment(Some(b'#'))
+        .trim(Trim::All)
+        .flexible(true)
+        .from_reader(text.as_bytes());
+    let header = match reader.headers() {
+        Ok(header) => header.clone(),
+        Err(error) => {
+            let place = Place::new(file, 1, 1, "header");
+            faults.add(Fault::error(&place, error.to_string()));
+            return Vec::new();
+        }
+    };
+    let Some(columns) = read_header(&header, file, schema, faults) else {
+        return Vec::new();
+    };
+    let mut hosts = Vec::new();
+    let mut row = StringRecord::new();
+    loop {
+        match reader.read_record(&mut row) {
+            Ok(true) => hosts.extend(read_row(&row, &columns, file, schema, faults)),
+            Ok(false) => return hosts,
+            Err(error) => {
+                let line = error.position().map_or(0, csv::Position::line);
+                let place = Place::new(file, line, 1, "");
+                faults.add(Fault::error(&place, error.to_string()));
+                return hosts;
+            }
+        }
+    }
+}
+
+/// The delimiter that stands most often in the header; the comma where none stands more often.
+fn delimiter(text: &str) -> u8 {
+    let header = text
+        .lines()
+        .find(|line| !line.trim().is_empty() && !line.starts_with('#'))
+        .unwrap_or("");
+    let count = |delimiter: char| header.matches(delimiter).count();
+    let delimiters = [',', ';', '\t'];
+    let most = delimiters
+        .into_iter()
+        .max_by_key(|delimiter| (count(*delimiter), *delimiter == ','));
+    most.unwrap_or(',') as u8
+}
+
+/// The fields that the columns are; none: rows cannot be told by this header.
+fn read_header(
+    header: &StringRecord,
+    file: &Arc<str>,
+    schema: &Schema,
+    faults: &mut Faults,
+) -> Option<Vec<String>> {
+    let place = Place::new(file, 1, 1, "header");
+    let columns: Vec<String> = header
+        .iter()
+        .map(|name| schema.field(name).to_string())
+        .collect();
+    let mut seen = BTreeSet::new();
+    for column in columns.iter().filter(|column| !column.is_empty()) {
+        if !seen.insert(column) {
+            let fault = Fault::error(&place, "is a column twice");
+            faults.add(fault.field(column));
+        }
+    }
+    if !columns.iter().any(|column| column == "name") {
+        let all = columns.join(", ");
+        let shown: String = all.chars().take(MAX_SHOWN_CHARS).collect();
+        let fault = Fault::error(&place, "is no column of the header")
+            .field("name")
+            .help(format!("the header has {shown}"));
+        faults.add(fault);
+        return None;
+    }
+    Some(columns)
+}
+
+fn read_row(
+    row: &StringRecord,
+    columns: &[String],
+    file: &Arc<str>,
+    schema: &Schema,
+    faults: &mut Faults,
+) -> Option<Host> {
+    let line = row.position().map_or(0, csv::Position::line);
+    let path = format!("row {line}");
+    let row_place = Place::new(file, line, 1, &path);
+    // Guards against a row that was cut off, or has a comma too many: its values would be taken for other fields'.
+    if row.len() != columns.len() {
+        let (found, wanted) = (row.len(), columns.len());
+        let fault = Fault::error(
+            &row_place,
+            format!("has {found} values, the header {wanted}"),
+        );
+        let first = row.get(0).unwrap_or("");
+        let help = "a comma in a value needs quotes around it";
+        faults.add(fault.value(first).help(help));
+        return None;
+    }
+    let mut values = BTreeMap::new();
+    let mut column = 1;
+    for (name, value) in columns.iter().zip(row.iter()) {
+        // The column as far as it can be told: quotes and blanks around values are gone.
+        let field_value = FieldValue {
+            text: Some(value.to_string()),
+            place: Place::new(file, line, column, &path),
+        };
+        column += value.chars().count() as u64 + 1;
+        values.insert(name.clone(), field_value);
+    }
+    let name = values.get("name").and_then(|value| value.text.as_deref());
+    let source = HostSource {
+        name: name.unwrap_or_default().trim(),
+        place: &row_place,
+        values: &values,
+        groups: Vec::new(),
+    };
+    read_host(source, schema, faults)
+}
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -6,8 +6,10 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Most faults that are kept of one reading.
+/// Most faults that are kept of one reading: more than a person reads.
 pub const MAX_FAULTS: usize = 1000;
+/// Most characters that are kept of a value: a line's worth.
+const MAX_VALUE_CHARS: usize = 60;
 
 /// Where a value stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -22,6 +24,27 @@
     pub path: Arc<str>,
 }
 
+impl Place {
+    /// A file as a whole.
+    pub(crate) fn of_file(file: &Arc<str>) -> Place {
+        Place::in_file(file, 0, 0)
+    }
+
+    /// A place in a file, without a path.
+    pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Place {
+        Place::new(file, line, column, "")
+    }
+
+    pub(crate) fn new(file: &Arc<str>, line: u64, column: u64, path: &str) -> Place {
+        Place {
+            file: file.clone(),
+            line,
+            column,
+            path: path.into(),
+        }
+    }
+}
+
 impl fmt::Display for Place {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
@@ -41,7 +64,7 @@
 pub enum Weight {
     /// The file is refused.
     Error,
-    /// It is told, and the file is taken.
+    /// It is reported, and the file is taken.
     Warning,
 }
 
@@ -62,6 +85,48 @@
     pub help: String,
 }
 
+impl Fault {
+    pub(crate) fn error(place: &Place, problem: impl Into<String>) -> Fault {
+        Fault::new(Weight::Error, place, problem.into())
+    }
+
+    pub(crate) fn warning(place: &Place, problem: impl Into<String>) -> Fault {
+        Fault::new(Weight::Warning, place, problem.into())
+    }
+
+    fn new(weight: Weight, place: &Place, problem: String) -> Fault {
+        Fault {
+            weight,
+            place: place.clone(),
+            field: String::new(),
+            value: String::new(),
+            problem,
+            help: String::new(),
+        }
+    }
+
+    pub(crate) fn field(self, field: impl Into<String>) -> Fault {
+        Fault {
+            field: field.into(),
+            ..self
+        }
+    }
+
+    pub(crate) fn value(self, value: &str) -> Fault {
+        Fault {
+            value: value.chars().take(MAX_VALUE_CHARS).collect(),
+            ..self
+        }
+    }
+
+    pub(crate) fn help(self, help: impl Into<String>) -> Fault {
+        Fault {
+            help: help.into(),
+            ..self
+        }
+    }
+}
+
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = if self.weight == Weight::Warning {
@@ -87,83 +152,50 @@
 
 /// Faults as they are found.
 #[derive(Debug, Default)]
-pub(crate) struct Faults(pub(crate) Vec<Fault>);
+pub(crate) struct Faults {
+    found: Vec<Fault>,
+}
 
 impl Faults {
-    pub(crate) fn error(
-        &mut self,
-        place: &Place,
-        field: &str,
-        value: &str,
-        problem: impl Into<String>,
-        help: impl Into<String>,
-    ) {
-        self.note(
-            Weight::Error,
-            place,
-            field,
-            value,
-            problem.into(),
-            help.into(),
-        );
-    }
-
-    pub(crate) fn warning(
-        &mut self,
-        place: &Place,
-        field: &str,
-        value: &str,
-        problem: impl Into<String>,
-        help: impl Into<String>,
-    ) {
-        self.note(
-            Weight::Warning,
-            place,
-            field,
-            value,
-            problem.into(),
-            help.into(),
-        );
-    }
-
-    fn note(
-        &mut self,
-        weight: Weight,
-        place: &Place,
-        field: &str,
-        value: &str,
-        problem: String,
-        help: String,
-    ) {
-        let full = self.0.len() >= MAX_FAULTS;
+    pub(crate) fn add(&mut self, fault: Fault) {
+        let is_full = self.found.len() >= MAX_FAULTS;
         // An error must never be lost to warnings: it decides.
-        if full && (weight == Weight::Warning || self.0.iter().any(|f| f.weight == Weight::Error)) {
+        let has_error = || has_error(&self.found);
+        if is_full && (fault.weight == Weight::Warning || has_error()) {
             return;
         }
-        let value: String = value.chars().take(60).collect();
-        self.0.push(Fault {
-            weight,
-            place: place.clone(),
-            field: field.into(),
-            value,
-            problem,
-            help,
-        });
+        self.found.push(fault);
+    }
+
+    /// How many there are, for [`Faults::has_error_since`].
+    pub(crate) fn count(&self) -> usize {
+        self.found.len()
+    }
+
+    /// Whether an error was added since there were so many faults.
+    pub(crate) fn has_error_since(&self, count: usize) -> bool {
+        has_error(&self.found[count.min(self.found.len())..])
+    }
+
+    pub(crate) fn into_found(self) -> Vec<Fault> {
+        self.found
     }
 }
 
+fn has_error(faults: &[Fault]) -> bool {
+    faults.iter().any(|fault| fault.weight == Weight::Error)
+}
+
 /// One line for each kind of fault: how often, and where first.
 pub fn summary(faults: &[Fault]) -> Vec<String> {
     let mut kinds: BTreeMap<(Weight, &str, &str), (usize, &Fault)> = BTreeMap::new();
     for fault in faults {
-        kinds
-            .entry((fault.weight, &fault.field, &fault.problem))
-            .or_insert((0, fault))
-            .0 += 1;
+        let kind = (fault.weight, fault.field.as_str(), fault.problem.as_str());
+        kinds.entry(kind).or_insert((0, fault)).0 += 1;
     }
-    let told = kinds.into_values().map(|(count, first)| match count {
+    let lines = kinds.into_values().map(|(count, first)| match count {
         1 => first.to_string(),
         count => format!("{first} (and {} more like it)", count - 1),
     });
-    told.collect()
+    lines.collect()
 }
--- /dev/null
+++ b/crates/inventory/src/host_fields.rs
@@ -0,0 +1,278 @@
+//! The fields of one host with their types, ranges and defaults: each value is judged by itself. It must never fill in
+//! what is wrong: a value that makes no sense is a fault.
+
+use crate::fault::{Fault, Faults, Place};
+use crate::host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, MAX_NAME};
+use crate::host_address;
+use crate::spelling::closest_name;
+use std::collections::BTreeMap;
+
+/// A value of a host as it stands in the file.
+#[derive(Clone, Debug)]
+pub(crate) struct FieldValue {
+    /// None: it is no single value.
+    pub(crate) text: Option<String>,
+    pub(crate) place: Place,
+}
+
+/// What a file says of a host.
+pub(crate) struct HostSource<'a> {
+    pub(crate) name: &'a str,
+    pub(crate) place: &'a Place,
+    pub(crate) values: &'a BTreeMap<String, FieldValue>,
+    pub(crate) groups: Vec<String>,
+}
+
+/// A text of a field that is not empty, and where it stands.
+#[derive(Clone, Copy)]
+pub(crate) struct Text<'a> {
+    pub(crate) text: &'a str,
+    pub(crate) place: &'a Place,
+}
+
+/// A field that holds a number.
+struct NumberField {
+    name: &'static str,
+    default: f64,
+    min: f64,
+    max: f64,
+    is_whole: bool,
+}
+
+/// Latest Unix time that a field may hold, s: beyond it there is another unit in the file.
+const MAX_UNIX_TIME_S: f64 = 1e11;
+
+const CELL: NumberField = NumberField {
+    name: "cell",
+    default: 0.0,
+    min: 0.0,
+    max: 1e9,
+    is_whole: true,
+};
+const WEIGHT: NumberField = NumberField {
+    name: "weight",
+    default: 1.0,
+    min: 0.01,
+    max: 1000.0,
+    is_whole: false,
+};
+/// Below 0 where the file names none.
+const CAPACITY: NumberField = NumberField {
+    name: "capacity",
+    default: -1.0,
+    min: 0.0,
+    max: 1e9,
+    is_whole: false,
+};
+const STARTED: NumberField = NumberField {
+    name: "started",
+    default: 0.0,
+    min: 0.0,
+    max: MAX_UNIX_TIME_S,
+    is_whole: false,
+};
+/// 0 where the file names none.
+const DRAIN_BY: NumberField = NumberField {
+    name: "drain_by",
+    default: 0.0,
+    min: 0.0,
+    max: MAX_UNIX_TIME_S,
+    is_whole: false,
+};
+
+/// The host of these values, if none is wrong.
+pub(crate) fn read_host(source: HostSource, schema: &Schema, faults: &mut Faults) -> Option<Host> {
+    let faults_before = faults.count();
+    let mut reader = FieldReader { source, faults };
+    reader.check_single_values();
+    reader.check_name();
+    let address = host_address::read(&mut reader);
+    let cell = reader.number(&CELL) as u32;
+    let weight = reader.number(&WEIGHT);
+    let capacity = reader.number(&CAPACITY);
+    let started = reader.number(&STARTED);
+    let drain_by = reader.number(&DRAIN_BY);
+    let protocol = reader.protocol();
+    let state = reader.state(drain_by);
+    let zone = reader.zone(schema);
+    let labels = reader.labels();
+    if reader.faults.has_error_since(faults_before) {
+        return None;
+    }
+    Some(Host {
+        name: reader.source.name.to_string(),
+        address: address?,
+        zone,
+        cell,
+        weight,
+        capacity: (capacity >= 0.0).then_some(capacity),
+        protocol,
+        state,
+        started,
+        labels,
+        groups: reader.source.groups,
+        place: reader.source.place.clone(),
+    })
+}
+
+/// Reads the fields of one host.
+pub(crate) struct FieldReader<'a, 'f> {
+    pub(crate) source: HostSource<'a>,
+    pub(crate) faults: &'f mut Faults,
+}
+
+impl<'a> FieldReader<'a, '_> {
+    /// A field's text, unless it is absent or empty.
+    pub(crate) fn text(&self, field: &str) -> Option<Text<'a>> {
+        let value = self.source.values.get(field)?;
+        let text = value.text.as_deref()?.trim();
+        let place = &value.place;
+        (!text.is_empty()).then_some(Text { text, place })
+    }
+
+    fn check_single_values(&mut self) {
+        for field in FIELDS {
+            let value = self.source.values.get(field);
+            if let Some(value) = value.filter(|value| value.text.is_none()) {
+                let fault = Fault::error(&value.place, "is not a single value");
+                self.faults.add(fault.field(field));
+            }
+        }
+    }
+
+    fn check_name(&mut self) {
+        let name = self.source.name;
+        if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
+            let fault = Fault::error(self.source.place, "cannot be a name")
+                .field("name")
+                .value(name)
+                .help(format!("1 to {MAX_NAME} characters"));
+            self.faults.add(fault);
+        }
+    }
+
+    fn number(&mut self, field: &NumberField) -> f64 {
+        let Some(Text { text, place }) = self.text(field.name) else {
+            return field.default;
+        };
+        if let Some(number) = field.parse(text) {
+            return number;
+        }
+        let kind = if field.is_whole {
+            "a whole number"
+        } else {
+            "a number"
+        };
+        let (min, max) = (field.min, field.max);
+        let fault = Fault::error(place, format!("is not {kind} from {min} to {max}"));
+        self.faults.add(fault.field(field.name).value(text));
+        field.default
+    }
+
+    fn protocol(&mut self) -> Protocol {
+        let Some(Text { text, place }) = self.text("protocol") else {
+            return Protocol::Resp;
+        };
+        match text {
+            "resp" => Protocol::Resp,
+            "http2" => Protocol::Http2,
+            _ => {
+                let fault = Fault::error(place, "is no protocol")
+                    .field("protocol")
+                    .value(text)
+                    .help("resp or http2 was expected");
+                self.faults.add(fault);
+                Protocol::Resp
+            }
+        }
+    }
+
+    fn state(&mut self, drain_by: f64) -> State {
+        let drain_by = (drain_by > 0.0).then_some(drain_by);
+        let state = match self.text("state") {
+            None => State::Active,
+            Some(text) => self.parse_state(text, drain_by),
+        };
+        if drain_by.is_some() && !matches!(state, State::Draining(_)) {
+            let problem = "stands beside a state that does not drain";
+            let fault = Fault::warning(self.source.place, problem)
+                .field("drain_by")
+                .help("state = draining was meant?");
+            self.faults.add(fault);
+        }
+        state
+    }
+
+    fn parse_state(&mut self, state: Text, drain_by: Option<f64>) -> State {
+        let Text { text, place } = state;
+        match text {
+            "active" => State::Active,
+            "draining" => State::Draining(drain_by),
+            "out" => State::Out,
+            _ => {
+                let known = ["active", "draining", "out"].into_iter();
+                let help = match closest_name(text, known) {
+                    Some(name) => format!("{name} was meant?"),
+                    None => "active, draining or out was expected".into(),
+                };
+                let fault = Fault::error(place, "is no state")
+                    .field("state")
+                    .value(text)
+                    .help(help);
+                self.faults.add(fault);
+                State::Active
+            }
+        }
+    }
+
+    fn zone(&mut self, schema: &Schema) -> Option<String> {
+        let Text { text, place } = self.text("zone")?;
+        if schema.zones.iter().any(|zone| zone == text) {
+            return Some(text.to_string());
+        }
+        let problem = "is not in the settings";
+        let known = schema.zones.iter().map(String::as_str);
+        if let Some(zone) = closest_name(text, known) {
+            let fault = Fault::warning(place, problem)
+                .field("zone")
+                .value(text)
+                .help(format!("taken as {zone}, spelled nearly so"));
+            self.faults.add(fault);
+            return Some(zone.to_string());
+        }
+        let fault = Fault::error(place, problem)
+            .field("zone")
+            .value(text)
+            .help(format!("known are {}", schema.zones.join(", ")));
+        self.faults.add(fault);
+        None
+    }
+
+    /// What the file says beside the fields, without Ansible's own variables.
+    fn labels(&self) -> BTreeMap<String, String> {
+        let others =
+            self.source.values.iter().filter(|(name, _)| {
+                !FIELDS.contains(&name.as_str()) && !name.starts_with("ansible_")
+            });
+        let labels = others.filter_map(|(name, value)| {
+            let text = value.text.as_deref()?;
+            let is_label = !text.trim().is_empty() && text.len() <= MAX_NAME;
+            is_label.then(|| (name.clone(), text.trim().to_string()))
+        });
+        labels.take(MAX_LABELS).collect()
+    }
+}
+
+impl NumberField {
+    /// The number that a text is, if the field may hold it.
+    fn parse(&self, text: &str) -> Option<f64> {
+        // Only what is written in digits: Rust also reads `inf` and `1e9`.
+        let is_plain = text
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || matches!(byte, b'.' | b'-'));
+        let number: f64 = text.parse().ok()?;
+        let in_range = number >= self.min && number <= self.max;
+        let fits = is_plain && in_range && !(self.is_whole && number.fract() != 0.0);
+        fits.then_some(number)
+    }
+}
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,4 +1,4 @@
-//! Lists of instances as configuration tools keep them: CSV, YAML in Ansible's form, the JSON of
+//! Lists of hosts as configuration tools keep them: CSV, YAML in Ansible's form, the JSON of
 //! `ansible-inventory --list`, with `group_vars` and `host_vars` beside them. [`read`] takes the bytes of all files
 //! of an inventory and gives its hosts and every fault; [`suspicious`] says whether a list must be confirmed
 //! before it takes the place of another.
@@ -9,25 +9,34 @@
 #![warn(missing_docs)]
 
 mod ansible;
+mod completeness;
+mod consistency;
+mod csv_file;
 mod fault;
 mod host;
-mod judge;
+mod host_address;
+mod host_fields;
 mod range;
-mod table;
-mod tree;
+mod spelling;
+mod suspicion;
+mod yaml;
 
 pub use ansible::MAX_HOSTS;
 pub use fault::{summary, Fault, Place, Weight, MAX_FAULTS};
 pub use host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, PORT};
-pub use judge::{suspicious, Shares};
 pub use range::MAX_NAMES;
+pub use suspicion::{suspicious, Shares};
 
+use ansible::{FileReader, VariablesOf};
 use fault::Faults;
 use std::sync::Arc;
 
-/// Longest file, bytes.
+/// Longest file, bytes: bounds what a reading holds in memory.
 pub const MAX_FILE: usize = 32 * 1024 * 1024;
 
+/// What some editors put before a text, and is none of it.
+const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
+
 /// A file of an inventory.
 #[derive(Clone, Debug)]
 pub struct File {
@@ -57,103 +66,140 @@
 
 /// Reads the files of one inventory. They are merged in the order of their paths; `group_vars` and `host_vars`
 /// are over what the others say.
-#[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 pub fn read(files: &[File], schema: &Schema) -> Reading {
-    let mut faults = Faults::default();
     let mut sorted: Vec<&File> = files.iter().collect();
     sorted.sort_by(|a, b| a.path.cmp(&b.path));
-    let (mut hosts, mut ansible) = (Vec::new(), ansible::Inventory::default());
-    let mut declared: Option<usize> = None;
+    let mut reader = Reader::new(schema);
     for file in sorted {
+        reader.read_file(file);
+    }
+    reader.finish()
+}
+
+/// What has been read of an inventory.
+struct Reader<'a> {
+    schema: &'a Schema,
+    /// From CSV.
+    hosts: Vec<Host>,
+    ansible: ansible::Inventory,
+    /// Hosts that the files declare, together.
+    declared_hosts: Option<usize>,
+    faults: Faults,
+}
+
+/// The form of a file, by its path.
+enum FileForm<'a> {
+    Csv,
+    Groups,
+    Variables { of: VariablesOf, name: &'a str },
+}
+
+impl<'a> Reader<'a> {
+    fn new(schema: &'a Schema) -> Reader<'a> {
+        Reader {
+            schema,
+            hosts: Vec::new(),
+            ansible: ansible::Inventory::default(),
+            declared_hosts: None,
+            faults: Faults::default(),
+        }
+    }
+
+    fn read_file(&mut self, file: &File) {
         let name: Arc<str> = file.path.as_str().into();
-        let top = Place {
-            file: name.clone(),
-            ..Place::default()
+        let Some(text) = self.text(file, &name) else {
+            return;
         };
-        if file.bytes.len() > MAX_FILE {
-            faults.error(
-                &top,
-                "",
-                "",
-                format!("has {} bytes, {MAX_FILE} are the most", file.bytes.len()),
-                "",
-            );
-            continue;
+        if let Some(count) = completeness::check(text, &name, &mut self.faults) {
+            self.declared_hosts = Some(self.declared_hosts.unwrap_or(0) + count);
         }
-        // A byte order mark is none of the text.
-        let bytes = file
-            .bytes
-            .strip_prefix(b"\xef\xbb\xbf")
-            .unwrap_or(&file.bytes);
-        let text = match std::str::from_utf8(bytes) {
-            Ok(text) => text,
-            Err(e) => {
-                let line = bytes[..e.valid_up_to()]
-                    .iter()
-                    .filter(|b| **b == b'\n')
-                    .count() as u64
-                    + 1;
-                let at = Place {
-                    line,
-                    column: 1,
-                    ..top
-                };
-                faults.error(&at, "", "", "is not UTF-8 from here", "");
-                continue;
+        match FileForm::of(&file.path) {
+            FileForm::Csv => {
+                let hosts = csv_file::read(text, &name, self.schema, &mut self.faults);
+                self.hosts.extend(hosts);
             }
-        };
-        if let Some(count) = judge::whole(text, &name, &mut faults) {
-            declared = Some(declared.unwrap_or(0) + count);
+            form => self.read_yaml(text, &name, form),
         }
-        let mut parts = file.path.rsplit('/');
-        let (last, folder) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
-        if last.to_ascii_lowercase().ends_with(".csv") {
-            hosts.extend(table::read(text, &name, schema, &mut faults));
-            continue;
+    }
+
+    /// A file's text, unless it is too long or none.
+    fn text<'f>(&mut self, file: &'f File, name: &Arc<str>) -> Option<&'f str> {
+        let length = file.bytes.len();
+        if length > MAX_FILE {
+            let problem = format!("has {length} bytes, {MAX_FILE} are the most");
+            self.faults
+                .add(Fault::error(&Place::of_file(name), problem));
+            return None;
         }
-        let root = match tree::parse(text) {
+        let bytes = file.bytes.strip_prefix(BYTE_ORDER_MARK);
+        let bytes = bytes.unwrap_or(&file.bytes);
+        let error = match std::str::from_utf8(bytes) {
+            Ok(text) => return Some(text),
+            Err(error) => error,
+        };
+        let before = bytes[..error.valid_up_to()].iter();
+        let line = before.filter(|byte| **byte == b'\n').count() as u64 + 1;
+        let place = Place::in_file(name, line, 1);
+        self.faults
+            .add(Fault::error(&place, "is not UTF-8 from here"));
+        None
+    }
+
+    fn read_yaml(&mut self, text: &str, name: &Arc<str>, form: FileForm) {
+        let root = match yaml::parse(text) {
             Ok(root) => root,
-            Err(e) => {
-                let at = Place {
-                    line: e.line,
-                    column: e.column,
-                    ..top
-                };
-                faults.error(&at, "", "", e.problem, "");
-                continue;
+            Err(error) => {
+                let place = Place::in_file(name, error.line, error.column);
+                self.faults.add(Fault::error(&place, error.problem));
+                return;
             }
         };
-        let stem = last.rsplit_once('.').map_or(last, |(stem, _)| stem);
-        match folder {
-            "group_vars" | "host_vars" => {
-                ansible.add_vars(
-                    folder == "host_vars",
-                    stem,
-                    &root,
-                    &name,
-                    schema,
-                    &mut faults,
-                );
-            }
-            _ => ansible.add(&root, &name, schema, &mut faults),
+        let mut reader = FileReader {
+            inventory: &mut self.ansible,
+            file: name,
+            schema: self.schema,
+            faults: &mut self.faults,
+        };
+        match form {
+            FileForm::Variables { of, name } => reader.read_variables_file(of, name, &root),
+            FileForm::Groups | FileForm::Csv => reader.read_groups(&root),
         }
     }
-    hosts.extend(ansible.hosts(schema, &mut faults));
-    judge::contradictions(&hosts, &mut faults);
-    judge::outliers(&hosts, &mut faults);
-    if let Some(count) = declared.filter(|count| *count != hosts.len()) {
-        let problem = format!("{count} hosts are declared, {} were read", hosts.len());
-        faults.error(
-            &Place::default(),
-            "",
-            "",
-            problem,
-            "the file may have been read half-written",
-        );
+
+    /// The hosts, judged together.
+    fn finish(mut self) -> Reading {
+        let mut hosts = self.hosts;
+        hosts.extend(self.ansible.hosts(self.schema, &mut self.faults));
+        consistency::check_contradictions(&hosts, &mut self.faults);
+        consistency::check_weights(&hosts, &mut self.faults);
+        let declared = self.declared_hosts;
+        if let Some(count) = declared.filter(|count| *count != hosts.len()) {
+            let problem = format!("{count} hosts are declared, {} were read", hosts.len());
+            let fault = Fault::error(&Place::default(), problem);
+            let help = "the file may have been read half-written";
+            self.faults.add(fault.help(help));
+        }
+        hosts.sort_by(|a, b| a.name.cmp(&b.name));
+        Reading {
+            hosts,
+            faults: self.faults.into_found(),
+        }
     }
-    hosts.sort_by(|a, b| a.name.cmp(&b.name));
-    Reading {
-        hosts,
-        faults: faults.0,
+}
+
+impl FileForm<'_> {
+    fn of(path: &str) -> FileForm<'_> {
+        let mut parts = path.rsplit('/');
+        let (last, folder) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
+        if last.to_ascii_lowercase().ends_with(".csv") {
+            return FileForm::Csv;
+        }
+        let name = last.rsplit_once('.').map_or(last, |(stem, _)| stem);
+        let of = match folder {
+            "group_vars" => VariablesOf::Group,
+            "host_vars" => VariablesOf::Host,
+            _ => return FileForm::Groups,
+        };
+        FileForm::Variables { of, name }
     }
 }
--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -31,7 +31,7 @@
     files(&[("nodes.yml", text)])
 }
 
-fn told(reading: &Reading) -> Vec<String> {
+fn fault_lines(reading: &Reading) -> Vec<String> {
     reading.faults.iter().map(ToString::to_string).collect()
 }
 
@@ -58,7 +58,11 @@
     let want = csv("name,address,zone,cell,weight,protocol,state,rack\n\
                     n1,10.0.0.1:7001,building-1,2,1.5,http2,draining,r 9\n\
                     n2,10.0.0.2:7001,building-2,,,,,\n");
-    assert!(want.holds() && want.faults.is_empty(), "{:?}", told(&want));
+    assert!(
+        want.holds() && want.faults.is_empty(),
+        "{:?}",
+        fault_lines(&want)
+    );
     let variants = [
         // Another order, other names, a byte order mark, CRLF, `;`, quotes, comments.
         "\u{feff}rack;state;name;site;address;protocol;weight;cell\r\n\
@@ -71,7 +75,7 @@
     ];
     for text in variants {
         let got = csv(text);
-        assert!(got.faults.is_empty(), "{:?}", told(&got));
+        assert!(got.faults.is_empty(), "{:?}", fault_lines(&got));
         assert_eq!(plain(&got.hosts), plain(&want.hosts));
     }
     assert_eq!(want.hosts[0].state, State::Draining(None));
@@ -100,7 +104,7 @@
         ("host_vars/n-02.yml", "ansible_host: 10.0.0.2\nstate: out\n"),
         ("group_vars/coast.yml", "cell: 4\n"),
     ]);
-    assert!(want.faults.is_empty(), "{:?} {hosts}", told(&want));
+    assert!(want.faults.is_empty(), "{:?} {hosts}", fault_lines(&want));
     assert_eq!(
         plain(&want.hosts),
         [
@@ -115,13 +119,13 @@
         "n3": {"ansible_host": "10.0.0.3", "ansible_port": 7001, "zone": "building-2", "weight": 2, "cell": 4, "rack": "r3"}}},
         "all": {"children": ["coast", "inner", "ungrouped"]}, "coast": {"hosts": ["n-01", "n-02", "n3"]}, "inner": {"hosts": ["n3"]}}"#;
     let got = files(&[("list.json", listed)]);
-    assert!(got.faults.is_empty(), "{:?}", told(&got));
+    assert!(got.faults.is_empty(), "{:?}", fault_lines(&got));
     assert_eq!(plain(&got.hosts), plain(&want.hosts));
     // Anchors, merged; a host whose name is its address.
     let anchored = yaml(
         "all:\n  hosts:\n    10.0.0.9: &one {zone: building-2, rack: x}\n    '10.0.0.8:99': *one\n",
     );
-    assert!(anchored.faults.is_empty(), "{:?}", told(&anchored));
+    assert!(anchored.faults.is_empty(), "{:?}", fault_lines(&anchored));
     assert_eq!(anchored.hosts[0].address.to_string(), "10.0.0.8:99");
     assert_eq!(anchored.hosts[1].address.to_string(), "10.0.0.9:6379");
 }
@@ -140,6 +144,8 @@
     assert_eq!(yaml(own).hosts[0].cell, 9);
 }
 
+/// An operator's list has many mistakes at once. One reading must name all of them, with their places, so that they are
+/// mended at once; those that repeat must not hide the others.
 #[test]
 fn every_fault_is_named() {
     let reading = csv("name,address,zone,weight,state,cell,protocol\n\
@@ -150,7 +156,7 @@
                        e,10.0.0.5:7001\n\
                        ,10.0.0.6:7001,,,,,\n\
                        g,10.0.0.7:0,,,,,\n");
-    let all = told(&reading);
+    let all = fault_lines(&reading);
     for want in [
         "nodes.csv:2:28: row 2: weight: \"heavy\" is not a number from 0.01 to 1000",
         "nodes.csv:3:3: row 3: address: \"here\" is not an IP address and port",
@@ -183,6 +189,8 @@
     );
 }
 
+/// A host stands twice in a list, or two hosts have one address. None of the two may silently win: both places are
+/// named.
 #[test]
 fn what_contradicts_itself_is_refused_with_both_rows() {
     let cases = [
@@ -202,32 +210,34 @@
     for (rows, want) in cases {
         let reading = csv(&format!("name,address,capacity\n{rows}"));
         assert!(
-            !reading.holds() && told(&reading).iter().any(|f| f.contains(want)),
+            !reading.holds() && fault_lines(&reading).iter().any(|f| f.contains(want)),
             "{:?}",
-            told(&reading)
+            fault_lines(&reading)
         );
     }
     let twice = yaml("all:\n  children:\n    a: {hosts: {n1: {ansible_host: 10.0.0.1, capacity: 5}}}\n    b: {hosts: {n1: {capacity: 9}}}\n");
     assert!(
-        told(&twice)
+        fault_lines(&twice)
             .iter()
             .any(|f| f.contains("capacity: \"9\" says otherwise than nodes.yml:3")),
         "{:?}",
-        told(&twice)
+        fault_lines(&twice)
     );
     let two = files(&[
         ("a.csv", "name,address\nn1,10.0.0.1:1\n"),
         ("b.csv", "name,address\nn1,10.0.0.2:1\n"),
     ]);
     assert!(
-        told(&two)
+        fault_lines(&two)
             .iter()
             .any(|f| f.contains("b.csv:2:1: row 2: name") && f.contains("a.csv:2:1")),
         "{:?}",
-        told(&two)
+        fault_lines(&two)
     );
 }
 
+/// A list is read while a tool writes it, so that its end is missing. It must not be taken for a list of fewer hosts:
+/// the cut is seen, or the list must be confirmed.
 #[test]
 fn a_file_cut_anywhere_is_never_taken_for_a_shorter_one() {
     let rows: String = (0..30)
@@ -236,7 +246,7 @@
     let marked = format!(
         "# driftgap: hosts=30\n# driftgap: ends\nname,address,zone\n{rows}# driftgap: end\n"
     );
-    assert!(csv(&marked).holds(), "{:?}", told(&csv(&marked)));
+    assert!(csv(&marked).holds(), "{:?}", fault_lines(&csv(&marked)));
     for cut in 0..marked.len() - 1 {
         assert!(!csv(&marked[..cut]).holds(), "cut at {cut}");
     }
@@ -253,11 +263,12 @@
         }
     }
     let wrong = csv("# driftgap: hosts=3\nname,address\nn1,10.0.0.1:1\n");
-    assert!(told(&wrong)
+    assert!(fault_lines(&wrong)
         .iter()
         .any(|f| f.contains("3 hosts are declared, 1 were read")));
 }
 
+/// A list that is right in form takes a large part of the hosts out of service, by whatever state. It must be confirmed.
 #[test]
 fn a_list_that_takes_out_too_much_must_be_confirmed() {
     let list = |states: &[&str]| {
@@ -282,6 +293,8 @@
         .contains("4 hosts of 10 are missing"));
 }
 
+/// A file unfolds to far more than it holds, nests without end, or is no list at all. It must be refused soon, with a
+/// fault of a line.
 #[test]
 fn hostile_files_are_refused_within_bounds() {
     let bomb = "a: &a [x,x,x,x,x,x,x,x,x]\n".to_string()
@@ -321,7 +334,10 @@
             "case {i}: {:?}",
             begun.elapsed()
         );
-        assert!(told(&reading).iter().all(|f| f.len() < 600), "case {i}");
+        assert!(
+            fault_lines(&reading).iter().all(|f| f.len() < 600),
+            "case {i}"
+        );
     }
     let long = File {
         path: "x.csv".into(),
@@ -334,9 +350,9 @@
     };
     let reading = read(&[latin], &schema());
     assert!(
-        told(&reading)[0].starts_with("x.csv:2:1: is not UTF-8"),
+        fault_lines(&reading)[0].starts_with("x.csv:2:1: is not UTF-8"),
         "{:?}",
-        told(&reading)
+        fault_lines(&reading)
     );
     let weights = csv(
         "name,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\nd,10.0.0.4:1,50\n",
@@ -344,6 +360,6 @@
     assert!(
         weights.holds() && weights.faults[0].weight == Weight::Warning,
         "{:?}",
-        told(&weights)
+        fault_lines(&weights)
     );
 }
