--- a/crates/inventory/src/csv_file.rs
+++ b/crates/inventory/src/csv_file.rs
@@ -60,7 +60,7 @@
     most.unwrap_or(',') as u8
 }
 
-/// The fields that the columns are; none: rows cannot be told by this header.
+/// The fields that the columns are; none: this header does not say what rows hold.
 fn read_header(
     header: &StringRecord,
     file: &Arc<str>,
@@ -116,7 +116,7 @@
     let mut values = BTreeMap::new();
     let mut column = 1;
     for (name, value) in columns.iter().zip(row.iter()) {
-        // The column as far as it can be told: quotes and blanks around values are gone.
+        // The column as far as it is known: quotes and blanks around values are gone.
         let field_value = FieldValue {
             text: Some(value.to_string()),
             place: Place::new(file, line, column, &path),
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -1,4 +1,4 @@
-//! The platform's file (`EDGE_CONFIG`): what an ingress is told at its start and at a reload.
+//! The platform's file (`EDGE_CONFIG`): what the platform gives an ingress at its start and at a reload.
 
 use super::json_field::JsonField;
 use super::{ConfigError, Platform};
@@ -19,7 +19,7 @@
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 const MEMORY_MB: RangeInclusive<f64> = 1.0..=1e9;
 
-/// Everything that an ingress is told at its start (`EDGE_CONFIG`).
+/// Everything that the platform gives an ingress at its start (`EDGE_CONFIG`).
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name, the same after a restart.
@@ -34,7 +34,7 @@
     pub operator: Option<SocketAddr>,
     /// For random numbers.
     pub seed: u64,
-    /// Most descriptors held.
+    /// Most descriptors open at once.
     pub sockets: usize,
     /// Memory, MB.
     pub memory_mb: f64,
--- a/src/discovery/apply.rs
+++ b/src/discovery/apply.rs
@@ -12,7 +12,7 @@
 /// The status of an answer that brings a list.
 const STATUS_OK: u16 = 200;
 
-/// An answer that brings no list; what was held stays.
+/// An answer that brings no list; the last list stays.
 #[derive(Debug, thiserror::Error)]
 pub enum AnswerError {
     /// Another status than 200.
@@ -26,10 +26,10 @@
     List(#[from] InvalidEndpointList),
 }
 
-/// Applies an answer of discovery's to the endpoint registry and the decision; the version that is held from now on.
+/// Applies an answer of discovery's to the endpoint registry and the decision; the version that it brings.
 ///
 /// # Errors
-/// The status is not 200, or the body is no list; what is held stays.
+/// The status is not 200, or the body is no list; the last list stays.
 pub fn apply_answer(dispatcher: &Rc<Dispatcher>, answer: &HttpAnswer) -> Result<u64, AnswerError> {
     if answer.status != STATUS_OK {
         return Err(AnswerError::Status(answer.status));
--- a/src/discovery/follow.rs
+++ b/src/discovery/follow.rs
@@ -102,7 +102,7 @@
     }
 
     /// Guards against an old list behind an agent that says nothing: as long as it has not answered, every poll is to
-    /// be answered at once, so that its silence is told from a want of changes.
+    /// be answered at once, so that its silence is not taken for a want of changes.
     fn next_request(&self) -> PollRequest {
         match self.version {
             None => PollRequest::FullList,
--- a/src/discovery/poll_schedule/tests.rs
+++ b/src/discovery/poll_schedule/tests.rs
@@ -10,7 +10,7 @@
 
 /// Ingresses that all start at once, and a discovery that takes so long for a call, ms, one after the other. A
 /// call that is given up is worked on all the same. The time by which nine in ten have their list, s.
-fn notified(ingresses: u32, each_ms: f64) -> f64 {
+fn time_until_fleet_has_list(ingresses: u32, each_ms: f64) -> f64 {
     let mut dice = oorandom::Rand32::new(7);
     let mut random = || f64::from(dice.rand_float());
     let schedules: Vec<PollSchedule> = (0..ingresses)
@@ -20,7 +20,7 @@
         .iter()
         .map(|schedule| (schedule.first_poll_at(0.0, random()), Failures::default()))
         .collect();
-    let (mut free, mut notified) = (0.0_f64, 0);
+    let (mut free, mut informed) = (0.0_f64, 0);
     loop {
         let (i, now) = due
             .iter()
@@ -35,8 +35,8 @@
         let given_up = given_up(&schedules[i], now);
         if free <= given_up {
             due[i].0 = f64::INFINITY;
-            notified += 1;
-            if notified * 10 >= ingresses * 9 {
+            informed += 1;
+            if informed * 10 >= ingresses * 9 {
                 return free / 1e3;
             }
         } else {
@@ -59,7 +59,7 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let by = notified(ingresses, each_ms);
+        let by = time_until_fleet_has_list(ingresses, each_ms);
         let min = 0.9 * f64::from(ingresses) * each_ms / 1e3;
         assert!(
             by < 3.0 * min + 2.0,
--- a/src/discovery/poll_schedule/tests/fleet.rs
+++ b/src/discovery/poll_schedule/tests/fleet.rs
@@ -37,7 +37,7 @@
     pub clock_error_ms: f64,
     /// The watch that an ingress opens behind its answer costs discovery another call.
     pub watches_cost: bool,
-    /// Discovery turns calls away that have waited so long, ms, and works on them all the same.
+    /// Discovery rejects calls that have waited so long, ms, and works on them all the same.
     pub rejects_after_ms: f64,
 }
 
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -91,7 +91,7 @@
         self.last_id
     }
 
-    /// Drops what is held of endpoints that are gone, unless the inventory names them. Guards memory: through a long
+    /// Drops what is known of endpoints that are gone, unless the inventory names them. Guards memory: through a long
     /// day new ones come under new names without end.
     pub fn forget(&mut self, is_gone: impl Fn(EndpointId) -> bool) {
         let mut gone: HashSet<EndpointId> = self
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Through a long day endpoints come under new names and leave. What is held of those that left must not add up, and
+/// Through a long day endpoints come under new names and leave. What is known of those that left must not add up, and
 /// a late answer of one must not be taken for another's.
 #[test]
 fn what_has_left_is_forgotten_and_its_id_is_not_given_again() {
--- a/tests/poll_schedule.rs
+++ b/tests/poll_schedule.rs
@@ -28,7 +28,7 @@
     at: Instant,
     /// The version that the ingress holds.
     index: u64,
-    /// It may wait for news.
+    /// It may wait for a change.
     waits: bool,
 }
 
@@ -118,7 +118,7 @@
     }
 
     /// Resets what is open and takes nothing new.
-    fn go(&self) {
+    fn go_away(&self) {
         self.here.set(false);
         self.connections
             .borrow_mut()
@@ -221,6 +221,9 @@
     }
 }
 
+/// Discovery goes away for more than 6 s, has a change meanwhile, and comes back to a dozen ingresses, each of which has
+/// lost its watch. If they all called at once, the last would wait for 2.4 s, longer than a call is given. Each must
+/// call once, in its slot, and watch for what comes after the change within a round and a call.
 #[test]
 fn a_discovery_that_comes_back_to_a_dozen_processes_is_called_by_each_once_in_its_turn() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -237,7 +240,7 @@
         });
         let _processes = Processes::start(&discovery).await;
         discovery.each_watches(1, Duration::from_secs(10)).await;
-        discovery.go();
+        discovery.go_away();
         sleep(Duration::from_millis(6300)).await;
         discovery.version.send_replace(2);
         let back = discovery.come_back();
