--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -9,6 +9,7 @@
 mod requests;
 mod stream;
 
+use crate::config::operator_file::Http2Limits;
 use crate::runtime::dispatcher::Dispatcher;
 use connection::Connection;
 use driftgap_admin::DrainState;
@@ -27,26 +28,17 @@
 /// A client that does not complete its preface, or does not read its answer, within this is cut off.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bounds of the frontend, from the operator's file.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Most open streams on one connection.
-    pub streams: u32,
-    /// Most connections.
-    pub connections: usize,
-}
-
 /// Accepts HTTP/2 clients.
 pub struct Http2Frontend {
     dispatcher: Rc<Dispatcher>,
-    limits: Limits,
+    limits: Http2Limits,
     connections: RefCell<HashMap<u64, Weak<Connection>>>,
     next_number: Cell<u64>,
 }
 
 impl Http2Frontend {
     /// A frontend within these limits.
-    pub fn new(dispatcher: Rc<Dispatcher>, limits: Limits) -> Rc<Http2Frontend> {
+    pub fn new(dispatcher: Rc<Dispatcher>, limits: Http2Limits) -> Rc<Http2Frontend> {
         Rc::new(Http2Frontend {
             dispatcher,
             limits,
