--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -1,8 +1,10 @@
-//! The decision module in blocking style: [`DecisionDriver::pick`], [`DecisionDriver::report`],
-//! [`DecisionDriver::tick`]. It owns the module, its timers, and the turn from milliseconds to the
-//! module's seconds. Network code sees verdicts and errands, never the module's events or actions.
-//! It must never decide anything itself, nor know a request beyond the figures that the module asks
-//! for.
+//! The decision module in blocking style: [`DecisionDriver::decide`], [`DecisionDriver::observe`],
+//! [`DecisionDriver::tick`].
+//!
+//! It owns the engine, its timers, and the turn from the milliseconds of network code to the
+//! engine's seconds. Network code sees verdicts and driver actions, never the engine's events or
+//! actions. It must never decide anything itself, nor know a request beyond the figures that the
+//! engine asks for.
 
 use crate::decision::{
     Action, AttemptEnd, DecisionEngine, EndpointEntry, Event, ListKind, Outcome, Pools, Request,
@@ -11,26 +13,28 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// A request held by this ingress.
-pub type RequestId = u32;
-/// An endpoint, as numbered by the endpoint registry.
-pub type EndpointId = u32;
+pub use crate::decision::{EndpointId, RequestId};
+
+/// Milliseconds of a second.
+const MS_PER_SECOND: f64 = 1e3;
+/// Microseconds of a millisecond.
+const US_PER_MS: f64 = 1e3;
 
 /// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Wait: a later call brings the verdict.
+    /// The request is pending: a later call brings the verdict.
     Hold,
-    /// Send an attempt; it waits this long at most, 0: until the client gives up.
+    /// Send an attempt.
     Send {
         /// Where to.
         endpoint: EndpointId,
-        /// How long it may last.
+        /// How long it may last, ms; 0: until the client gives up.
         client_timeout_ms: f64,
     },
-    /// Final answer: refused; come back after so long, 0: no advice.
+    /// Final answer: rejected.
     Reject {
-        /// Milliseconds to stay away.
+        /// Retry-After, ms; 0: none.
         retry_after_ms: f64,
     },
     /// Final answer: failed.
@@ -40,9 +44,9 @@
 /// Work beside the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DriverAction {
-    /// Stop waiting for an attempt.
+    /// Stop waiting for an attempt: its request, and its number among the request's attempts.
     Cancel(RequestId, u32),
-    /// Ask an endpoint for its load.
+    /// Check the health of an endpoint, and ask for its load report.
     Probe(EndpointId),
     /// Follow the endpoint registry.
     FollowEndpointList,
@@ -55,13 +59,13 @@
 pub struct CounterAdd {
     /// The number's name.
     pub name: u64,
-    /// What to add; 0 reads.
+    /// What to add, units; 0 reads, below 0 takes off.
     pub amount: f64,
     /// A new name is forgotten after this long, ms.
     pub lives_ms: f64,
 }
 
-/// The figures of a request that decisions rest on.
+/// The attributes of a request that decisions rest on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestAttributes {
     /// Its class, by index.
@@ -72,9 +76,9 @@
     pub tenant: u64,
     /// Units that it takes from the quota.
     pub units: f64,
-    /// Through how many ingresses the tenant comes.
+    /// Through how many ingresses the tenant's requests come.
     pub spread: u32,
-    /// The first of them.
+    /// The first of them, by number.
     pub first: u32,
     /// Marked by the client as a retry.
     pub repeat: bool,
@@ -89,17 +93,17 @@
     pub request: RequestId,
     /// Its number.
     pub attempt: u32,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
     /// The request has its final answer.
     pub request_finished: bool,
     /// The endpoint's load report, if one came.
     pub load: Vec<f64>,
-    /// The true units, if they came.
+    /// The true units, if they came with the answer.
     pub settled_units: Option<f64>,
 }
 
-/// News for the module.
+/// What has happened, for the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// The endpoint registry: all of it, a change, or the list as last known.
@@ -108,7 +112,7 @@
     AttemptEnded(AttemptReport),
     /// The client has gone.
     ClientGone(RequestId),
-    /// A probe has ended, with the load it brought.
+    /// A health check has ended, with the load report that it brought.
     ProbeEnded(EndpointId, Outcome, Vec<f64>),
     /// A counter call for this name has ended, with the total.
     CounterAnswered(u64, Outcome, f64),
@@ -116,21 +120,30 @@
     CounterAnsweredLate(u64, f64, f64),
 }
 
-/// The module behind its three calls.
+/// A timer of the engine. Ordered by when it is due, then by token.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EngineTimer {
+    due_us: u64,
+    token: u64,
+}
+
+/// The engine behind its three calls. Times are milliseconds on one clock that never goes back.
 pub struct DecisionDriver {
     engine: DecisionEngine,
-    timers: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Next due first.
+    timers: BinaryHeap<Reverse<EngineTimer>>,
+    /// Kept empty between calls, for its memory.
     actions: Vec<Action>,
     verdicts: VecDeque<(RequestId, Verdict)>,
     pending_actions: VecDeque<DriverAction>,
 }
 
-fn micros(ms: f64) -> u64 {
-    (ms.max(0.0) * 1e3) as u64
+fn microseconds(ms: f64) -> u64 {
+    (ms.max(0.0) * US_PER_MS) as u64
 }
 
 impl DecisionDriver {
-    /// The module at its start.
+    /// The driver of an engine that knows nothing yet; `seed` is that of its random numbers.
     ///
     /// # Errors
     /// Settings that make no sense, by field.
@@ -144,39 +157,39 @@
         })
     }
 
-    /// A request has come in: the verdict on it.
+    /// A request has come in at `now_ms`, and its client gives up at `give_up_ms`: the verdict on
+    /// it.
     pub fn decide(
         &mut self,
-        now: f64,
+        now_ms: f64,
         id: RequestId,
-        ask: &RequestAttributes,
-        give_up: f64,
+        attributes: &RequestAttributes,
+        give_up_ms: f64,
     ) -> Verdict {
         let request = Request {
             id,
-            give_up: give_up / 1e3,
-            class: ask.class,
-            plan: ask.plan,
-            tenant: ask.tenant,
-            units: ask.units,
-            spread: ask.spread,
-            first: ask.first,
-            repeat: ask.repeat,
-            pools: ask.pools,
+            give_up: give_up_ms / MS_PER_SECOND,
+            class: attributes.class,
+            plan: attributes.plan,
+            tenant: attributes.tenant,
+            units: attributes.units,
+            spread: attributes.spread,
+            first: attributes.first,
+            repeat: attributes.repeat,
+            pools: attributes.pools,
         };
-        self.handle(now, Event::RequestArrived(request));
-        match self.verdicts.iter().position(|(request, _)| *request == id) {
-            Some(at) => self
-                .verdicts
-                .remove(at)
-                .map_or(Verdict::Hold, |(_, verdict)| verdict),
-            None => Verdict::Hold,
-        }
+        self.handle(now_ms, Event::RequestArrived(request));
+        self.take_verdict(id).unwrap_or(Verdict::Hold)
+    }
+
+    fn take_verdict(&mut self, id: RequestId) -> Option<Verdict> {
+        let position = self.verdicts.iter().position(|(of, _)| *of == id)?;
+        self.verdicts.remove(position).map(|(_, verdict)| verdict)
     }
 
-    /// Something has happened; verdicts and errands may follow.
-    pub fn observe(&mut self, now: f64, report: Observation) {
-        let event = match report {
+    /// Something has happened at `now_ms`; verdicts and driver actions may follow.
+    pub fn observe(&mut self, now_ms: f64, observation: Observation) {
+        let event = match observation {
             Observation::EndpointList(kind, entries) => Event::EndpointList { kind, entries },
             Observation::AttemptEnded(end) => Event::AttemptEnded(AttemptEnd {
                 id: end.request,
@@ -203,102 +216,108 @@
                 total,
             },
         };
-        self.handle(now, event);
+        self.handle(now_ms, event);
     }
 
-    /// Lets the module's timers come due.
-    pub fn tick(&mut self, now: f64) {
-        // Only those due by now: one that is set by these waits for the next call, as on the wire.
-        while let Some(Reverse((due, token))) = self.timers.peek().copied() {
-            if due > micros(now) {
+    /// Lets the engine's timers come due that are due by `now_ms`. One that is set by these waits
+    /// for the next call, as on the wire.
+    pub fn tick(&mut self, now_ms: f64) {
+        let now_us = microseconds(now_ms);
+        while let Some(Reverse(timer)) = self.timers.peek().copied() {
+            if timer.due_us > now_us {
                 break;
             }
             self.timers.pop();
-            self.handle(now, Event::Timer { token });
+            self.handle(now_ms, Event::Timer { token: timer.token });
         }
     }
 
-    /// When the next timer comes due. Those that the module has no use for any more are dropped
+    /// When the next timer comes due, ms. Those that the engine has no use for any more are dropped
     /// here: most are the answer timers of requests that were served long before.
     pub fn next_due(&mut self) -> Option<f64> {
-        while self
-            .timers
-            .peek()
-            .is_some_and(|Reverse((_, token))| !self.engine.awaits(*token))
-        {
+        while let Some(Reverse(timer)) = self.timers.peek() {
+            if self.engine.awaits(timer.token) {
+                return Some(timer.due_us as f64 / US_PER_MS);
+            }
             self.timers.pop();
         }
-        self.timers
-            .peek()
-            .map(|Reverse((due, _))| *due as f64 / 1e3)
+        None
     }
 
-    /// The next verdict that an earlier call left, for a request that was held or lost an attempt.
+    /// The next verdict that an earlier call left, for a request that was pending or lost an
+    /// attempt.
     pub fn next_verdict(&mut self) -> Option<(RequestId, Verdict)> {
         self.verdicts.pop_front()
     }
 
-    /// The next errand.
+    /// The next driver action.
     pub fn next_action(&mut self) -> Option<DriverAction> {
         self.pending_actions.pop_front()
     }
 
-    fn handle(&mut self, now: f64, event: Event) {
+    fn handle(&mut self, now_ms: f64, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.engine.handle(now / 1e3, event, &mut actions);
+        self.engine
+            .handle(now_ms / MS_PER_SECOND, event, &mut actions);
         for action in actions.drain(..) {
-            match action {
-                Action::Send {
-                    id,
+            self.take_action(now_ms, action);
+        }
+        self.actions = actions;
+    }
+
+    fn take_action(&mut self, now_ms: f64, action: Action) {
+        match action {
+            Action::Send {
+                id,
+                endpoint,
+                timeout,
+            } => {
+                let client_timeout_ms = timeout * MS_PER_SECOND;
+                let verdict = Verdict::Send {
                     endpoint,
-                    timeout,
-                } => self.verdicts.push_back((
-                    id,
-                    Verdict::Send {
-                        endpoint,
-                        client_timeout_ms: timeout * 1e3,
-                    },
-                )),
-                Action::Reject { id, retry_after } => {
-                    self.verdicts.push_back((
-                        id,
-                        Verdict::Reject {
-                            retry_after_ms: retry_after * 1e3,
-                        },
-                    ));
-                }
-                Action::Fail { id } => self.verdicts.push_back((id, Verdict::Fail)),
-                Action::Cancel { id, attempt } => {
-                    self.pending_actions
-                        .push_back(DriverAction::Cancel(id, attempt));
-                }
-                // One microsecond on at least, so that a timer never comes due within its own call.
-                Action::Timer { after, token } => {
-                    self.timers.push(Reverse((
-                        micros(now + after * 1e3).max(micros(now) + 1),
-                        token,
-                    )));
-                }
-                Action::Probe { endpoint } => self
-                    .pending_actions
-                    .push_back(DriverAction::Probe(endpoint)),
-                Action::FollowEndpointList => self
-                    .pending_actions
-                    .push_back(DriverAction::FollowEndpointList),
-                Action::AddToCounter {
+                    client_timeout_ms,
+                };
+                self.verdicts.push_back((id, verdict));
+            }
+            Action::Reject { id, retry_after } => {
+                let retry_after_ms = retry_after * MS_PER_SECOND;
+                let verdict = Verdict::Reject { retry_after_ms };
+                self.verdicts.push_back((id, verdict));
+            }
+            Action::Fail { id } => self.verdicts.push_back((id, Verdict::Fail)),
+            Action::Timer { after, token } => self.set_timer(now_ms, after, token),
+            Action::Cancel { id, attempt } => {
+                self.pending_actions
+                    .push_back(DriverAction::Cancel(id, attempt));
+            }
+            Action::Probe { endpoint } => {
+                self.pending_actions
+                    .push_back(DriverAction::Probe(endpoint));
+            }
+            Action::FollowEndpointList => {
+                self.pending_actions
+                    .push_back(DriverAction::FollowEndpointList);
+            }
+            Action::AddToCounter {
+                name,
+                amount,
+                lives,
+            } => {
+                let call = CounterAdd {
                     name,
                     amount,
-                    lives,
-                } => {
-                    self.pending_actions
-                        .push_back(DriverAction::AddToCounter(CounterAdd {
-                            name,
-                            amount,
-                            lives_ms: lives * 1e3,
-                        }));
-                }
+                    lives_ms: lives * MS_PER_SECOND,
+                };
+                self.pending_actions
+                    .push_back(DriverAction::AddToCounter(call));
             }
         }
-        self.actions = actions;
+    }
+
+    /// Sets a timer that is due `after` seconds from now, one microsecond at least, so that it
+    /// never comes due within its own call.
+    fn set_timer(&mut self, now_ms: f64, after: f64, token: u64) {
+        let due_us = microseconds(now_ms + after * MS_PER_SECOND).max(microseconds(now_ms) + 1);
+        self.timers.push(Reverse(EngineTimer { due_us, token }));
     }
 }
