--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 use driftgap::decision::*;
 
-pub fn class(effect: Idempotency, group: DeduplicationScope) -> Class {
+pub fn class(idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> Class {
     Class {
         latency_objective: 0.5,
         deadline: 2.0,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         idempotency_window: 1.0,
         late_share: 0.0,
         priority_weight: 1.0,
@@ -152,7 +152,7 @@
         id
     }
 
-    /// A request without a quota whose client has waited so long in earlier tries, s; its id.
+    /// A request without a quota whose client has waited so long in earlier attempts, s; its id.
     pub fn request_after_waiting(&mut self, class: usize, waited: f64) -> RequestId {
         let id = self.next_id();
         let request = Request {
@@ -177,7 +177,7 @@
         id
     }
 
-    /// Requests that stay open, one after the other, and where each was sent.
+    /// Requests that stay pending, one after the other, and where each was sent.
     pub fn request_all(&mut self, class: usize, n: usize) -> Vec<(RequestId, EndpointId)> {
         let mut sent = Vec::new();
         for _ in 0..n {
@@ -224,6 +224,15 @@
         self.handle(Event::Timer { token: 0 });
     }
 
+    /// Ends the call to a number of the counter.
+    pub fn answer_counter(&mut self, name: u64, outcome: Outcome, total: f64) {
+        self.handle(Event::CounterAnswered {
+            name,
+            outcome,
+            total,
+        });
+    }
+
     /// Where the last event sent attempts of this request.
     pub fn endpoints_sent_to(&self, id: RequestId) -> Vec<EndpointId> {
         let to = |a: &Action| match a {
--- a/tests/decision/admission.rs
+++ b/tests/decision/admission.rs
@@ -5,22 +5,22 @@
 /// Of so many requests whose clients have waited so long, s, how many an ingress at level 1 refuses. Those that it
 /// sends are answered at once, so that the level stays.
 fn rejected_at_level_1(ingress: &mut TestIngress, count: usize, waited: f64) -> usize {
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..count {
         let id = ingress.request_after_waiting(0, waited);
         assert_eq!(ingress.engine.level(), 1);
         if ingress.is_rejected(id) {
-            refused += 1;
+            rejected += 1;
         } else {
             ingress.end_attempt(id, 0, Outcome::Cancelled);
         }
     }
-    refused
+    rejected
 }
 
 #[test]
 fn under_load_requests_that_can_only_be_answered_late_are_rejected_first() {
-    for (late_share, refused_late) in [(0.0, 100..=100), (0.3, 60..=80), (1.0, 40..=60)] {
+    for (late_share, rejected_late) in [(0.0, 100..=100), (0.3, 60..=80), (1.0, 40..=60)] {
         let mut settings = settings();
         settings.classes[0].late_share = late_share;
         let mut ingress = ingress_with_threshold(settings);
@@ -30,23 +30,23 @@
             !ingress.is_rejected(id),
             "without load a late answer is worth its work"
         );
-        let mut out = vec![id];
+        let mut in_flight = vec![id];
         while ingress.engine.level() == 0 {
-            out.push(ingress.request(0, 0, 1, 1.0));
+            in_flight.push(ingress.request(0, 0, 1, 1.0));
         }
         // Between the thresholds of levels 1 and 2 the level stays.
-        while out.len() as f64 > 1.1 * ingress.engine.threshold() {
-            ingress.end_attempt(out.pop().expect("attempts out"), 0, Outcome::Ok);
+        while in_flight.len() as f64 > 1.1 * ingress.engine.threshold() {
+            ingress.end_attempt(in_flight.pop().expect("attempts in flight"), 0, Outcome::Ok);
         }
-        let refused = rejected_at_level_1(&mut ingress, 100, waited);
+        let rejected = rejected_at_level_1(&mut ingress, 100, waited);
         assert!(
-            refused_late.contains(&refused),
-            "late share {late_share}: {refused} of 100"
+            rejected_late.contains(&rejected),
+            "late share {late_share}: {rejected} of 100"
         );
-        let refused = rejected_at_level_1(&mut ingress, 100, 0.0);
+        let rejected = rejected_at_level_1(&mut ingress, 100, 0.0);
         assert!(
-            (40..=60).contains(&refused),
-            "in time, late share {late_share}: {refused} of 100"
+            (40..=60).contains(&rejected),
+            "in time, late share {late_share}: {rejected} of 100"
         );
     }
 }
@@ -87,7 +87,7 @@
 fn malformed_events_are_answered_or_ignored() {
     let mut ingress = TestIngress::new(settings(), 0);
     let id = ingress.request(0, 0, 1, 1.0);
-    assert!(ingress.is_rejected(id), "no host at all");
+    assert!(ingress.is_rejected(id), "no endpoint at all");
     for (class, plan, units) in [(9, 0, 1.0), (0, 9, 1.0), (0, 0, f64::NAN), (0, 0, -1.0)] {
         let id = ingress.request(class, plan, 1, units);
         assert!(ingress.is_rejected(id));
--- a/tests/decision/counter_health.rs
+++ b/tests/decision/counter_health.rs
@@ -4,6 +4,8 @@
 
 #[test]
 fn an_unavailable_counter_leaves_an_even_share_of_the_rate() {
+    // The counter answers no call for 20 s. Each of the two ingresses gives half of the quota by itself, and does not
+    // try the counter with every request.
     let mut ingress = TestIngress::new(settings(), 4);
     let (mut admitted, mut calls) = (0, 0);
     for _ in 0..1000 {
@@ -13,11 +15,7 @@
         if let Some(&(name, _)) = ingress.counter_calls().first() {
             calls += 1;
             ingress.now += 0.05;
-            ingress.handle(Event::CounterAnswered {
-                name,
-                outcome: Outcome::Timeout,
-                total: 0.0,
-            });
+            ingress.answer_counter(name, Outcome::Timeout, 0.0);
             sent.extend(ingress.requests_sent());
         }
         admitted += sent.len();
@@ -32,16 +30,13 @@
 
 #[test]
 fn a_counter_that_answers_only_with_errors_is_not_called_without_end() {
+    // An answer without a number is followed by a call at once. Where every answer is one, that would never end.
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let mut calls = 0;
     while let Some(&(name, _)) = ingress.counter_calls().first() {
         calls += 1;
         assert!(calls < 10, "call after call");
-        ingress.handle(Event::CounterAnswered {
-            name,
-            outcome: Outcome::Error,
-            total: 0.0,
-        });
+        ingress.answer_counter(name, Outcome::Error, 0.0);
     }
 }
--- a/tests/decision/exclusion.rs
+++ b/tests/decision/exclusion.rs
@@ -11,10 +11,10 @@
         let class = i % 2;
         let id = ingress.request(if class == 0 { 0 } else { 3 }, 0, 1, 1.0);
         let (mut attempt, mut sent) = (0, ingress.endpoints_sent_to(id));
-        while let Some(h) = sent.pop() {
-            to[class][h as usize] += 1;
+        while let Some(endpoint) = sent.pop() {
+            to[class][endpoint as usize] += 1;
             ingress.now += 0.125;
-            let fails = class == 0 && h == 0;
+            let fails = class == 0 && endpoint == 0;
             ingress.end_attempt(
                 id,
                 attempt,
@@ -47,10 +47,10 @@
         let throttled = i % 2;
         let id = ingress.request(0, if throttled == 0 { 2 } else { 0 }, 1, 1.0);
         let (mut attempt, mut sent) = (0, ingress.endpoints_sent_to(id));
-        while let Some(h) = sent.pop() {
-            to[throttled][h as usize] += 1;
+        while let Some(endpoint) = sent.pop() {
+            to[throttled][endpoint as usize] += 1;
             ingress.now += 0.125;
-            let full = throttled == 0 && h < 2;
+            let full = throttled == 0 && endpoint < 2;
             ingress.end_attempt(
                 id,
                 attempt,
@@ -67,8 +67,8 @@
 
 #[test]
 fn an_endpoint_that_is_late_while_it_answers_others_is_not_excluded() {
-    // Guards against what a jam once did: one late attempt left an endpoint out for 20 s, so that the others were
-    // late next, until few endpoints were left.
+    // In an overload, one late attempt once excluded an endpoint for 20 s. The others got its requests and were late
+    // next, until few endpoints were left.
     let mut set = settings();
     (set.hedging, set.ingresses) = (false, 1);
     let mut ingress = TestIngress::new(set, 4);
@@ -89,12 +89,14 @@
 
 #[test]
 fn timeouts_at_most_endpoints_exclude_nobody() {
+    // Under overload most endpoints time out. If all of them were excluded, the few others would get everything and be
+    // late next.
     let mut set = settings();
     (set.hedging, set.ingresses) = (false, 1);
     let mut ingress = TestIngress::new(set, 4);
-    let jammed = ingress.request_all(2, 6);
+    let overloaded = ingress.request_all(2, 6);
     ingress.now += 0.1;
-    for (id, endpoint) in jammed {
+    for (id, endpoint) in overloaded {
         ingress.end_attempt(
             id,
             0,
--- a/tests/decision/lease_window.rs
+++ b/tests/decision/lease_window.rs
@@ -4,25 +4,18 @@
 
 #[test]
 fn what_a_call_without_a_total_added_is_granted_by_the_next_total() {
-    // Guards quotas against units that are added and never granted, each by an answer without a number.
+    // The counter adds a lease's units and its answer comes back spoilt. The units are counted and nobody has them: with
+    // each such answer a tenant would lose a lease. The next total must grant them.
     let mut ingress = TestIngress::new(settings(), 4);
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, first) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Error,
-        total: 0.0,
-    });
+    ingress.answer_counter(name, Outcome::Error, 0.0);
     let (name, second) = ingress.counter_calls()[0];
     assert!(
         ingress.requests_sent().is_empty() && !ingress.is_rejected(id),
-        "held: the next total comes at once"
+        "pending: the next total comes at once"
     );
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: first + second,
-    });
+    ingress.answer_counter(name, Outcome::Ok, first + second);
     assert_eq!(ingress.requests_sent(), vec![id]);
     let granted = 1
         + (0..100)
@@ -33,36 +26,31 @@
 
 #[test]
 fn a_late_total_grants_what_its_call_added() {
-    // Under a ceiling, so that no share lets anything in.
+    // A call to the counter times out, and its total comes after that. The units were added, so they must be granted.
+    // Under a ceiling, so that no even share admits anything.
     let mut set = settings();
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
     let mut ingress = TestIngress::just_started(set, 4);
     // The last window is read first, as it is under a ceiling.
     ingress.request(0, 1, 5, 1.0);
     let (name, _) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: 0.0,
-    });
+    ingress.answer_counter(name, Outcome::Ok, 0.0);
     let (name, amount) = ingress.counter_calls()[0];
     ingress.now += 0.1;
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Timeout,
-        total: 0.0,
-    });
+    ingress.answer_counter(name, Outcome::Timeout, 0.0);
     assert!(ingress.requests_sent().is_empty());
     ingress.handle(Event::CounterAnsweredLate {
         name,
         amount,
         total: amount,
     });
-    assert_eq!(ingress.request_unit(5).len(), 1, "in hand");
+    assert_eq!(ingress.request_unit(5).len(), 1, "held locally");
 }
 
 #[test]
 fn totals_that_go_back_are_not_granted_again() {
+    // The counter restarts empty within a window, so that its totals go back. What this ingress was granted in the
+    // window must not be granted again: each restart of the counter would be a new burst.
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let (mut name, mut amount) = ingress.counter_calls()[0];
@@ -72,11 +60,7 @@
         if i == 10 {
             total = 0.0;
         }
-        ingress.handle(Event::CounterAnswered {
-            name,
-            outcome: Outcome::Ok,
-            total,
-        });
+        ingress.answer_counter(name, Outcome::Ok, total);
         admitted += ingress.requests_sent().len();
         ingress.request(0, 1, 5, 1.0);
         admitted += ingress.requests_sent().len();
--- a/tests/decision/load_level.rs
+++ b/tests/decision/load_level.rs
@@ -5,22 +5,22 @@
 #[test]
 fn five_samples_in_a_row_move_the_load_level_and_four_do_not() {
     let mut ingress = ingress_with_threshold(settings());
-    let mut out = Vec::new();
-    while out.len() as f64 <= ingress.engine.threshold() {
-        out.push(ingress.request(0, 0, 1, 1.0));
+    let mut in_flight = Vec::new();
+    while in_flight.len() as f64 <= ingress.engine.threshold() {
+        in_flight.push(ingress.request(0, 0, 1, 1.0));
     }
-    // Each arrival reads the count before it is sent itself.
+    // Each arrival takes a sample before it is sent itself.
     for i in 0..5 {
-        assert_eq!(ingress.engine.level(), 0, "after {i} readings above");
-        out.push(ingress.request(0, 0, 1, 1.0));
+        assert_eq!(ingress.engine.level(), 0, "after {i} samples above");
+        in_flight.push(ingress.request(0, 0, 1, 1.0));
     }
     assert_eq!(ingress.engine.level(), 1);
-    // Down again: five readings under the threshold, here departures.
+    // Down again: five samples under the threshold, here departures.
     let (threshold, mut below) = (ingress.engine.threshold(), 0);
     while ingress.engine.level() == 1 {
-        assert!(below < 5, "five readings below");
-        ingress.end_attempt(out.pop().expect("attempts out"), 0, Outcome::Ok);
-        below += u32::from((out.len() as f64) < threshold);
+        assert!(below < 5, "five samples below");
+        ingress.end_attempt(in_flight.pop().expect("attempts in flight"), 0, Outcome::Ok);
+        below += u32::from((in_flight.len() as f64) < threshold);
     }
     assert_eq!((ingress.engine.level(), below), (0, 5));
 }
--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -20,7 +20,7 @@
 use common::*;
 use driftgap::decision::*;
 
-/// Jams one endpoint's worth of slow answers until the threshold is learnt, then stops.
+/// An ingress that has learnt its threshold from answered requests, with nothing in flight.
 fn ingress_with_threshold(settings: Settings) -> TestIngress {
     let mut ingress = TestIngress::new(settings, 4);
     for _ in 0..30 {
--- a/tests/decision/outlier_ejection.rs
+++ b/tests/decision/outlier_ejection.rs
@@ -9,12 +9,16 @@
         let id = ingress.request([0, 1, 3][i % 3], 0, 1, 1.0);
         let mut attempt = 0;
         let mut to = ingress.endpoints_sent_to(id);
-        while let Some(h) = to.pop() {
+        while let Some(endpoint) = to.pop() {
             ingress.now += 0.125;
             ingress.end_attempt(
                 id,
                 attempt,
-                if h == 0 { Outcome::Error } else { Outcome::Ok },
+                if endpoint == 0 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
             );
             attempt += 1;
             to = ingress.endpoints_sent_to(id);
@@ -37,6 +41,7 @@
 
 #[test]
 fn endpoints_that_all_fail_alike_are_not_ejected() {
+    // A fault behind the endpoints makes all of them fail. Ejecting them would reject what might still be served.
     let mut ingress = TestIngress::new(settings(), 4);
     for _ in 0..60 {
         ingress.now += 0.01;
--- a/tests/decision/quota_lease.rs
+++ b/tests/decision/quota_lease.rs
@@ -11,22 +11,14 @@
         ingress.request(0, 1, 5, 1.0);
         assert!(ingress.counter_calls().is_empty(), "a second add in flight");
     }
-    // The window is used up: the excess is trimmed once, then the flood is refused without calls.
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: 60.0,
-    });
+    // The window is used up: the excess is trimmed once, then the flood is rejected without calls.
+    ingress.answer_counter(name, Outcome::Ok, 60.0);
     assert_eq!(
         ingress.counter_calls(),
         vec![(name, -amount)],
         "trimmed by a negative add"
     );
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: 60.0 - amount,
-    });
+    ingress.answer_counter(name, Outcome::Ok, 60.0 - amount);
     let mut calls = 0;
     for _ in 0..200 {
         let id = ingress.request(0, 1, 5, 1.0);
@@ -45,19 +37,11 @@
         "held"
     );
     let (name, amount) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: amount,
-    });
+    ingress.answer_counter(name, Outcome::Ok, amount);
     assert_eq!(ingress.requests_sent(), vec![id]);
     let id = ingress.request(0, 1, 6, 1.0);
     let (name, _) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: 60.0,
-    });
+    ingress.answer_counter(name, Outcome::Ok, 60.0);
     assert!(ingress.is_rejected(id), "the others used the window up");
 }
 
@@ -68,11 +52,7 @@
     let mut ingress = TestIngress::new(set, 4);
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: amount,
-    });
+    ingress.answer_counter(name, Outcome::Ok, amount);
     let end = AttemptEnd {
         id,
         attempt: 0,
@@ -92,33 +72,26 @@
 
 #[test]
 fn a_tenant_that_comes_now_and_then_has_no_lease_refilled_ahead() {
-    // Guards small stores: a request ahead at each of a few ingresses is most of what they hold.
+    // A small bucket holds few requests. When each of a few ingresses leased one more ahead, most of the bucket was held
+    // where nobody asked for it, and the tenant was rejected within its quota.
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: amount,
-    });
+    ingress.answer_counter(name, Outcome::Ok, amount);
     assert_eq!((ingress.requests_sent().len(), amount), (1, 2.0));
     ingress.now += 0.5;
     assert_eq!(
         (ingress.request_unit(5).len(), ingress.counter_calls()),
         (1, vec![]),
-        "the block's second half, and no call"
+        "the lease's second half, and no call"
     );
-    // One that asks more in a block's time than one request has its block refilled before it is empty.
+    // One that asks more in a lease's time than one request has its lease refilled before it is used up.
     let (mut ahead, mut total) = (0, 0.0);
     for _ in 0..12 {
         let sent = ingress.request_unit(6).len();
         if let Some(&(name, amount)) = ingress.counter_calls().first() {
             (ahead, total) = (ahead + sent, total + amount);
-            ingress.handle(Event::CounterAnswered {
-                name,
-                outcome: Outcome::Ok,
-                total,
-            });
+            ingress.answer_counter(name, Outcome::Ok, total);
         }
     }
     assert!(ahead > 0, "never refilled ahead");
@@ -134,16 +107,12 @@
     assert!(ingress.endpoints_sent_to(id).is_empty(), "it waits");
     ingress.handle(Event::ClientGone { id });
     ingress.now += 0.01;
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: amount,
-    });
+    ingress.answer_counter(name, Outcome::Ok, amount);
     assert!(
         ingress.endpoints_sent_to(id).is_empty(),
         "nothing is begun for a client that has gone"
     );
-    // All of the block is left.
+    // All of the lease is left.
     let mut sent = 0.0;
     loop {
         let id = ingress.request(0, 1, 5, 2.0);
--- a/tests/decision/retry.rs
+++ b/tests/decision/retry.rs
@@ -11,7 +11,7 @@
     ingress.end_attempt(id, 1, Outcome::Reset);
     assert!(
         ingress.endpoints_sent_to(id).is_empty() && ingress.is_failed(id),
-        "it may have run: failed, never refused"
+        "it may have run: failed, never rejected"
     );
 }
 
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -7,7 +7,7 @@
     let mut set = settings();
     set.classes.truncate(1);
     let mut ingress = TestIngress::new(set, 4);
-    let mut to_cold = 0;
+    let mut sent_while_warming = 0;
     for i in 0..600 {
         ingress.now += 0.01;
         if i == 300 {
@@ -15,11 +15,11 @@
                 state: EndpointState::Draining,
                 ..endpoint(h)
             };
-            let cold = EndpointEntry {
+            let restarted = EndpointEntry {
                 started: ingress.now,
                 ..endpoint(1)
             };
-            let entries = vec![drained(0), cold, drained(2), drained(3)];
+            let entries = vec![drained(0), restarted, drained(2), drained(3)];
             ingress.handle(Event::EndpointList {
                 kind: ListKind::Delta,
                 entries,
@@ -32,11 +32,11 @@
             ingress.end_attempt(id, 0, Outcome::Ok);
         }
         ingress.tick(0.0);
-        to_cold += usize::from((300..480).contains(&i) && to.contains(&1));
+        sent_while_warming += usize::from((300..480).contains(&i) && to.contains(&1));
     }
     // About 23 a second to a warm endpoint: half of three times a fifth to a third of 46 in 2 s.
     assert!(
-        (1..=25).contains(&to_cold),
-        "{to_cold} attempts in the first 2 s"
+        (1..=25).contains(&sent_while_warming),
+        "{sent_while_warming} attempts in the first 2 s"
     );
 }
--- a/tests/decision/tenant.rs
+++ b/tests/decision/tenant.rs
@@ -4,6 +4,7 @@
 
 #[test]
 fn memory_is_bounded_under_a_flood_of_new_tenants() {
+    // A client sends every request under another tenant's id. What is remembered of tenants must not exhaust memory.
     let mut ingress = TestIngress::new(settings(), 2);
     for tenant in 0..60_000 {
         let id = ingress.request(0, 1, tenant, 1.0);
@@ -11,11 +12,7 @@
             ingress.end_attempt(id, 0, Outcome::Ok);
         }
         if let Some(&(name, amount)) = ingress.counter_calls().first() {
-            ingress.handle(Event::CounterAnswered {
-                name,
-                outcome: Outcome::Ok,
-                total: amount,
-            });
+            ingress.answer_counter(name, Outcome::Ok, amount);
         }
     }
     assert!(ingress.engine.tenants() <= 20_000);
@@ -28,11 +25,7 @@
         ingress.now += 0.05;
         let id = ingress.request(0, (tenant % 2) as usize, tenant, 1.0);
         if let Some(&(name, amount)) = ingress.counter_calls().first() {
-            ingress.handle(Event::CounterAnswered {
-                name,
-                outcome: Outcome::Ok,
-                total: amount,
-            });
+            ingress.answer_counter(name, Outcome::Ok, amount);
         }
         ingress.end_attempt(id, 0, Outcome::Ok);
         ingress.tick(0.0);
@@ -47,21 +40,19 @@
 
 #[test]
 fn an_ingress_that_restarts_gets_no_second_burst_under_a_ceiling() {
+    // An ingress restarts again and again while the counter is unavailable. Whatever it gave each time would add up
+    // beyond the ceiling, so it gives nothing at first.
     let mut set = settings();
     (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
     let mut sent = 0;
     for _ in 0..2 {
-        // The counter is silent, and the ingress remembers nothing.
+        // The counter is unavailable, and the ingress remembers nothing.
         let mut ingress = TestIngress::just_started(set.clone(), 4);
         for _ in 0..30 {
             ingress.request(0, 1, 5, 1.0);
             sent += ingress.requests_sent().len();
             if let Some(&(name, _)) = ingress.counter_calls().first() {
-                ingress.handle(Event::CounterAnswered {
-                    name,
-                    outcome: Outcome::Timeout,
-                    total: 0.0,
-                });
+                ingress.answer_counter(name, Outcome::Timeout, 0.0);
                 sent += ingress.requests_sent().len();
             }
         }
@@ -71,27 +62,24 @@
 
 #[test]
 fn an_ingress_that_has_just_started_reads_what_was_used_before_and_an_older_one_does_not() {
-    // Guards quotas at a restart: a store that is held to be full would be used twice.
+    // An ingress forgets its tenants when it restarts. If it took their buckets to be full, each restart would give
+    // them a second burst; so it reads what the last window had used before it grants anything.
     let mut ingress = TestIngress::just_started(settings(), 4);
     ingress.now += 0.1;
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
     assert_eq!(amount, 0.0, "the last window's total");
-    ingress.handle(Event::CounterAnswered {
-        name,
-        outcome: Outcome::Ok,
-        total: 60.0,
-    });
-    let refused_or_asked: f64 = ingress.counter_calls().iter().map(|c| c.1).sum();
+    ingress.answer_counter(name, Outcome::Ok, 60.0);
+    let units_asked_for: f64 = ingress.counter_calls().iter().map(|c| c.1).sum();
     assert!(
         ingress.requests_sent().is_empty()
-            && refused_or_asked <= 1.0
-            && (ingress.is_rejected(id) || refused_or_asked > 0.0)
+            && units_asked_for <= 1.0
+            && (ingress.is_rejected(id) || units_asked_for > 0.0)
     );
     ingress.now += 60.0;
     ingress.request(0, 1, 6, 1.0);
     assert!(
         ingress.counter_calls()[0].1 > 0.0,
-        "met long after the start: a block at once"
+        "met long after the start: a lease at once"
     );
 }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -227,11 +227,7 @@
 
     fn answer_counter(&mut self, ingress: &mut TestIngress, outcome: Outcome) {
         if let Some((name, amount)) = self.calls.pop() {
-            ingress.handle(Event::CounterAnswered {
-                name,
-                outcome,
-                total: amount,
-            });
+            ingress.answer_counter(name, outcome, amount);
             self.carry_out(ingress.now, &ingress.actions);
         }
     }
