--- a/src/decision/counter_health.rs
+++ b/src/decision/counter_health.rs
@@ -3,9 +3,10 @@
 //!
 //! **Rule.** A call that fails, or takes more than [`SLOW_CALL_SHARE`] of the time allowed for it,
 //! raises congestion; a good one lowers it, and each second leaves a part of it. Congestion is the
-//! part of the calls that is not made. [`FAILURES_TO_UNAVAILABLE`] consecutive calls without an
-//! answer mean that the counter is unavailable until the next answer. A rejection is an answer: the
-//! counter is there, and congested.
+//! part of the calls to shared buckets that is not made, and while the counter is unavailable that
+//! of all calls. [`FAILURES_TO_UNAVAILABLE`] consecutive calls without an answer mean that the
+//! counter is unavailable until the next answer. A rejection is an answer: the counter is there,
+//! and congested.
 //!
 //! **Inputs.** Outcome and duration (s) of each call; the settings' counter timeout (s).
 //!
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -10,11 +10,11 @@
 //! without a unit.
 //!
 //! **Guards.** All ingresses see alike and choose alike, so each attempt of one's own counts for
-//! all of them; by one's own alone, small endpoints would stay idle until large ones hold as many
-//! times more. A small random factor keeps ingresses from choosing the same endpoint at the same
-//! moment. Where most endpoints are excluded, the cause is load and nobody counts as excluded;
-//! where all are ejected, one of them is still tried. Known harm: without load reports the attempts
-//! of other ingresses are a guess.
+//! all of them; by one's own alone, small endpoints would stay idle until large ones have as many
+//! times more in flight. A small random factor keeps ingresses from choosing the same endpoint at
+//! the same moment. Where most endpoints are excluded, the cause is load and nobody counts as
+//! excluded; where all are ejected, one of them is still tried. Known harm: without load reports
+//! the attempts of other ingresses are a guess.
 
 use super::endpoint::{DeduplicationGroup, Endpoint, EndpointRequirement};
 use super::outlier_ejection::MAX_EJECTED_SHARE;
--- a/src/decision/lease_window.rs
+++ b/src/decision/lease_window.rs
@@ -24,7 +24,7 @@
 
 /// Shortest window, s: a call or two must fit in.
 const MIN_WINDOW: f64 = 1.0;
-/// Longest window, s: a number on the counter, and the next one, must fit into its longest life.
+/// Longest window, s: a number must still be on the counter when the next window reads it.
 const MAX_WINDOW: f64 = 25.0;
 /// Least excess that is trimmed, units: less is not worth a call.
 pub(super) const MIN_TRIMMED_UNITS: f64 = 0.5;
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,11 +1,12 @@
 //! Outlier ejection: an endpoint that fails again and again is taken out of selection for a while.
 //!
 //! **Rule.** [`FAILURES_TO_EJECT`] consecutive failures eject an endpoint for [`FIRST_EJECTION`]
-//! second, twice as long after each further ejection and [`MAX_EJECTION`] seconds at most. When the
-//! time is over, a health check decides whether it comes back; where health checks are not allowed
-//! it comes back by itself. It then is on trial: it gets one request at a time, and the first
-//! failure ejects it again. A served request ends the trial, or clears the count of ejections
-//! outside one. Never more than half of the ready endpoints are ejected.
+//! seconds, twice as long after each further ejection and [`MAX_EJECTION`] seconds at most. When
+//! the time is over, a health check decides whether it comes back; where health checks are not
+//! allowed it comes back by itself. It then is on trial: it gets one request at a time, and the
+//! first failure, rejection or timeout ejects it again. A served request ends the trial, or clears
+//! the count of ejections outside one. No endpoint is ejected that would bring the ejected ones
+//! above half of those ready.
 //!
 //! **Inputs.** Outcomes of attempts and health checks; when the attempt was sent and when the
 //! endpoint last answered anybody, in seconds.
@@ -71,8 +72,8 @@
         }
     }
 
-    /// An attempt that was sent at `sent_at` (s) has failed, or is overdue. Whether the endpoint is
-    /// to be ejected.
+    /// An attempt that was sent at `sent_at` (s) has failed, was rejected, or is overdue. Whether
+    /// the endpoint is to be ejected.
     fn record_failure(&mut self, now: f64, outcome: Outcome, sent_at: f64) -> bool {
         let failed = match outcome {
             Outcome::Rejected => false,
--- a/src/decision/quota.rs
+++ b/src/decision/quota.rs
@@ -40,10 +40,13 @@
     }
 }
 
-/// This ingress's part of a cap on attempts in flight.
+/// This ingress's part of a cap on attempts in flight. The parts sum to the cap: what an even
+/// division leaves over goes to the ingresses in turn, beginning at another one for each tenant.
+/// Each has one at the least.
 fn attempts_part(settings: &Settings, request: &Request, cap: u32) -> u32 {
     let spread = request.spread.clamp(1, settings.ingresses);
     let ingresses = settings.ingresses;
+    // Counted from the first ingress that the tenant's requests come through.
     let place = (settings.position + ingresses - request.first % ingresses) % ingresses;
     let turn = (place + (request.tenant % u64::from(spread)) as u32) % spread;
     let has_odd_one = turn < cap % spread;
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -16,7 +16,7 @@
 //! **Guards.**
 //! - A bucket that is full takes in nothing: what came in with time beyond that is taken off by
 //!   whoever sees it, and what another ingress has just put right as well is taken back.
-//! - Each refused request costs a call, and flooding tenants cost many: a tenant that was just
+//! - Each rejected request costs a call, and flooding tenants cost many: a tenant that was just
 //!   rejected is asked for only when there can be room, and then in part only.
 //! - Ingresses that all came to new numbers at once would congest the counter: epochs begin at
 //!   another time for each tenant.
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -17,7 +17,7 @@
 use super::lease_window::LeaseWindow;
 use super::{DecisionEngine, Plan, Request, RequestId};
 
-/// Most tenants that are remembered: a few megabytes.
+/// Most tenants that are remembered: bounds the memory that a flood of new ids takes.
 const MAX_TENANTS: usize = 20_000;
 /// Windows after its start for which an ingress reads the last total of each tenant that it meets.
 const YOUNG_WINDOWS: f64 = 2.0;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -391,87 +391,138 @@
     restarted: u32,
 }
 
-/// Of all windows over `seconds`, the worst excess over N + 2 root N + 2, N being the budget at the window's end, and
-/// the attempts that the warming endpoints got over what the same time at a warm one's rate would have brought.
-fn worst_excess_and_part(case: &SlowStartCase, seed: u64, seconds: f64) -> (f64, f64) {
-    let mut fleet = Fleet::new(case.ingresses, Counter::Healthy, |_| {});
-    fleet.rng = oorandom::Rand32::new(seed);
-    let set = fleet.ingresses[0].settings.clone();
-    let rate = case.able * case.load * 8.0;
-    let few = (case.ingresses / 10).max(1);
-    let mut due = 0.0;
-    let mut run =
-        |fleet: &mut Fleet, seconds: f64, mut update: Vec<(f64, usize, Vec<EndpointEntry>)>| {
-            for i in 0..(seconds * 100.0) as usize {
-                let now = fleet.now();
-                for (_, g, entries) in update.extract_if(.., |n| n.0 <= now) {
-                    fleet.ingresses[g].handle(Event::EndpointList {
-                        kind: ListKind::Delta,
-                        entries,
-                    });
-                    fleet.carry_out(g);
-                }
-                due += rate / 100.0;
-                while due >= 1.0 {
-                    due -= 1.0;
-                    let some = case.uneven && fleet.rng.rand_float() < 0.5;
-                    let g = fleet
-                        .rng
-                        .rand_range(0..if some { few } else { case.ingresses });
-                    fleet.request(g as usize, 0, 5, 1.0);
-                }
-                fleet.step(i % 5 == 0);
+/// The endpoint list as it reaches one ingress.
+struct EndpointUpdate {
+    comes_at: f64,
+    ingress: usize,
+    entries: Vec<EndpointEntry>,
+}
+
+/// What a fleet sent to endpoints that were warming up.
+struct SlowStartResult {
+    /// Of all spans, the worst excess over N + 2 root N + 2, N being the budget at the span's end.
+    worst_excess: f64,
+    /// Attempts over what the same time at a warm one's rate would have brought.
+    part: f64,
+}
+
+impl SlowStartCase {
+    /// Requests a second.
+    fn rate(&self) -> f64 {
+        self.able * self.load * 8.0
+    }
+
+    /// The ingress that a request comes through.
+    fn choose_ingress(&self, rng: &mut oorandom::Rand32) -> usize {
+        let few = (self.ingresses / 10).max(1);
+        let some = self.uneven && rng.rand_float() < 0.5;
+        rng.rand_range(0..if some { few } else { self.ingresses }) as usize
+    }
+
+    /// Offers the case's load while updates come in; `due` is the part of a request that is owed.
+    fn offer(
+        &self,
+        fleet: &mut Fleet,
+        seconds: f64,
+        mut updates: Vec<EndpointUpdate>,
+        due: &mut f64,
+    ) {
+        for i in 0..(seconds * 100.0) as usize {
+            let now = fleet.now();
+            for update in updates.extract_if(.., |update| update.comes_at <= now) {
+                fleet.ingresses[update.ingress].handle(Event::EndpointList {
+                    kind: ListKind::Delta,
+                    entries: update.entries,
+                });
+                fleet.carry_out(update.ingress);
             }
-        };
-    run(&mut fleet, 6.0, Vec::new());
-    let from = fleet.now();
-    let entries: Vec<_> = (0..case.restarted)
-        .map(|id| EndpointEntry {
-            started: from,
+            *due += self.rate() / 100.0;
+            while *due >= 1.0 {
+                *due -= 1.0;
+                let ingress = self.choose_ingress(&mut fleet.rng);
+                fleet.request(ingress, 0, 5, 1.0);
+            }
+            fleet.step(i % 5 == 0);
+        }
+    }
+
+    /// Restarts the ingresses that have just started, and tells all of the endpoints that restart now.
+    fn restart(&self, fleet: &mut Fleet, seed: u64) -> Vec<EndpointUpdate> {
+        let now = fleet.now();
+        let restarted = |id| EndpointEntry {
+            started: now,
             ..endpoint(id)
-        })
-        .collect();
-    let mut update = Vec::new();
-    for g in 0..case.ingresses as usize {
-        if fleet.rng.rand_float() < case.young as f32 {
-            let ingress = &mut fleet.ingresses[g];
-            ingress.engine = DecisionEngine::new(ingress.settings.clone(), seed ^ (g as u64) << 20)
-                .expect("sound");
-            ingress.handle(Event::EndpointList {
-                kind: ListKind::Full,
-                entries: (0..8).map(endpoint).collect(),
+        };
+        let entries: Vec<_> = (0..self.restarted).map(restarted).collect();
+        let mut updates = Vec::new();
+        for number in 0..self.ingresses as usize {
+            if fleet.rng.rand_float() < self.young as f32 {
+                let ingress = &mut fleet.ingresses[number];
+                let seed = seed ^ (number as u64) << 20;
+                ingress.engine =
+                    DecisionEngine::new(ingress.settings.clone(), seed).expect("sound");
+                ingress.handle(Event::EndpointList {
+                    kind: ListKind::Full,
+                    entries: (0..8).map(endpoint).collect(),
+                });
+            }
+            let late = f64::from(fleet.rng.rand_float()) * self.late;
+            updates.push(EndpointUpdate {
+                comes_at: now + late,
+                ingress: number,
+                entries: entries.clone(),
             });
         }
-        let late = f64::from(fleet.rng.rand_float()) * case.late;
-        update.push((from + late, g, entries.clone()));
+        updates
     }
-    run(&mut fleet, seconds, update);
-    let (mut worst, mut got) = (f64::NEG_INFINITY, 0.0);
-    for id in 0..case.restarted {
-        // Who has not been told of the start is not to blame.
-        let sent: Vec<f64> = fleet
-            .sent_to
-            .get(&id)
-            .into_iter()
-            .flatten()
-            .copied()
-            .collect();
-        let sent: Vec<f64> = sent.into_iter().filter(|t| *t > from + case.late).collect();
-        got += sent.len() as f64;
-        for (i, end) in sent.iter().enumerate() {
-            let within = sent[..=i]
-                .iter()
-                .filter(|t| **t > end - set.tip_after)
-                .count() as f64;
-            let weight =
-                set.cold_share + (1.0 - set.cold_share) * ((end - from) / set.warm_up).min(1.0);
-            let budget = set.overload_factor * weight * case.able * set.tip_after;
-            worst = worst.max(within - (budget + 2.0 * budget.sqrt() + 2.0));
+
+    /// Excess of the attempts in the span that ends at the last of these, at an endpoint that started at `started`.
+    fn excess(&self, settings: &Settings, started: f64, sent: &[f64]) -> f64 {
+        let Some(end) = sent.last() else {
+            return f64::NEG_INFINITY;
+        };
+        let within = sent
+            .iter()
+            .filter(|sent_at| **sent_at > end - settings.tip_after)
+            .count() as f64;
+        let age = ((end - started) / settings.warm_up).min(1.0);
+        let weight = settings.cold_share + (1.0 - settings.cold_share) * age;
+        let budget = settings.overload_factor * weight * self.able * settings.tip_after;
+        within - (budget + 2.0 * budget.sqrt() + 2.0)
+    }
+
+    /// What the fleet sends to the restarted endpoints over so many seconds.
+    fn play(&self, seed: u64, seconds: f64) -> SlowStartResult {
+        let mut fleet = Fleet::new(self.ingresses, Counter::Healthy, |_| {});
+        fleet.rng = oorandom::Rand32::new(seed);
+        let settings = fleet.ingresses[0].settings.clone();
+        let mut due = 0.0;
+        self.offer(&mut fleet, 6.0, Vec::new(), &mut due);
+        let started = fleet.now();
+        let updates = self.restart(&mut fleet, seed);
+        self.offer(&mut fleet, seconds, updates, &mut due);
+        let mut worst_excess = f64::NEG_INFINITY;
+        let mut attempts = 0.0;
+        for id in 0..self.restarted {
+            // Who has not been told of the start is not to blame.
+            let informed = |sent_at: &f64| *sent_at > started + self.late;
+            let sent = fleet.sent_to.get(&id).into_iter().flatten().copied();
+            let sent: Vec<f64> = sent.filter(informed).collect();
+            attempts += sent.len() as f64;
+            for last in 0..sent.len() {
+                let excess = self.excess(&settings, started, &sent[..=last]);
+                worst_excess = worst_excess.max(excess);
+            }
+        }
+        let mean_age = seconds / 2.0 / settings.warm_up;
+        let weight = settings.cold_share + (1.0 - settings.cold_share) * mean_age;
+        let warm_rate = self.able * self.load;
+        let fair = warm_rate * (seconds - self.late) * weight * f64::from(self.restarted);
+        SlowStartResult {
+            worst_excess,
+            part: attempts / fair,
         }
     }
-    let weight = set.cold_share + (1.0 - set.cold_share) * seconds / 2.0 / set.warm_up;
-    let fair = case.able * case.load * (seconds - case.late) * weight * f64::from(case.restarted);
-    (worst, got / fair)
 }
 
 /// Fleets of so many ingresses, each with what is uncommon about it.
@@ -523,9 +574,9 @@
             let (mut worst, mut got) = (f64::NEG_INFINITY, 0.0);
             let seeds = if ingresses > 100 { 2 } else { 6 };
             for seed in 0..seeds {
-                let (over, part) = worst_excess_and_part(&case, 1000 + seed, 8.0);
-                worst = worst.max(over);
-                got += part / seeds as f64;
+                let result = case.play(1000 + seed, 8.0);
+                worst = worst.max(result.worst_excess);
+                got += result.part / seeds as f64;
             }
             assert!(
                 worst <= 0.0,
