--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -59,7 +59,7 @@
     pub(super) zone: u32,
     pub(super) cell: u32,
     /// Capacity beside that of the others.
-    pub(super) weight: f64,
+    pub(super) capacity: f64,
     /// Takes new requests.
     pub(super) ready: bool,
     pub(super) gone: bool,
@@ -85,7 +85,7 @@
         }
         self.zone = entry.zone;
         self.cell = entry.cell;
-        self.weight = if entry.weight > 0.0 {
+        self.capacity = if entry.weight > 0.0 {
             entry.weight
         } else {
             1.0
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -45,7 +45,7 @@
         let slowness = self.slowness.at(now);
         ((f64::from(self.in_flight * ingresses) + queue) / slow_start_weight + 1.0)
             * slowness.max(MIN_SLOWNESS)
-            / self.weight
+            / self.capacity
     }
 }
 
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -131,7 +131,8 @@
 }
 
 /// Settings that make no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: {problem}")]
 pub struct SettingsError {
     /// The field, as a path into [`Settings`].
     pub field: String,
@@ -228,11 +229,3 @@
     let sound = value.is_finite() && value >= 0.0;
     require(sound, field, "must be 0 or more")
 }
-
-impl std::fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.field, self.problem)
-    }
-}
-
-impl std::error::Error for SettingsError {}
--- a/tests/decision/exclusion.rs
+++ b/tests/decision/exclusion.rs
@@ -38,9 +38,9 @@
 
 #[test]
 fn rejecting_one_plan_neither_ejects_nor_keeps_other_plans_away() {
-    let mut set = settings();
-    set.plans.push(set.plans[0].clone());
-    let mut ingress = TestIngress::new(set, 4);
+    let mut settings = settings();
+    settings.plans.push(settings.plans[0].clone());
+    let mut ingress = TestIngress::new(settings, 4);
     let mut to = [[0; 4]; 2];
     for i in 0..80 {
         ingress.now += 0.05;
@@ -69,9 +69,9 @@
 fn an_endpoint_that_is_late_while_it_answers_others_is_not_excluded() {
     // In an overload, one late attempt once excluded an endpoint for 20 s. The others got its requests and were late
     // next, until few endpoints were left.
-    let mut set = settings();
-    (set.hedging, set.ingresses) = (false, 1);
-    let mut ingress = TestIngress::new(set, 4);
+    let mut settings = settings();
+    (settings.hedging, settings.ingresses) = (false, 1);
+    let mut ingress = TestIngress::new(settings, 4);
     let late = ingress.request_all(0, 2);
     let quick = ingress.request_all(3, 4);
     ingress.now += 0.1;
@@ -91,9 +91,9 @@
 fn timeouts_at_most_endpoints_exclude_nobody() {
     // Under overload most endpoints time out. If all of them were excluded, the few others would get everything and be
     // late next.
-    let mut set = settings();
-    (set.hedging, set.ingresses) = (false, 1);
-    let mut ingress = TestIngress::new(set, 4);
+    let mut settings = settings();
+    (settings.hedging, settings.ingresses) = (false, 1);
+    let mut ingress = TestIngress::new(settings, 4);
     let overloaded = ingress.request_all(2, 6);
     ingress.now += 0.1;
     for (id, endpoint) in overloaded {
--- a/tests/decision/lease_window.rs
+++ b/tests/decision/lease_window.rs
@@ -28,9 +28,12 @@
 fn a_late_total_grants_what_its_call_added() {
     // A call to the counter times out, and its total comes after that. The units were added, so they must be granted.
     // Under a ceiling, so that no even share admits anything.
-    let mut set = settings();
-    (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
-    let mut ingress = TestIngress::just_started(set, 4);
+    let mut settings = settings();
+    (
+        settings.plans[1].ceiling_rate,
+        settings.plans[1].ceiling_burst,
+    ) = (20.0, 40.0);
+    let mut ingress = TestIngress::just_started(settings, 4);
     // The last window is read first, as it is under a ceiling.
     ingress.request(0, 1, 5, 1.0);
     let (name, _) = ingress.counter_calls()[0];
--- a/tests/decision/quota_lease.rs
+++ b/tests/decision/quota_lease.rs
@@ -47,9 +47,9 @@
 
 #[test]
 fn units_settled_later_are_taken_from_the_lease() {
-    let mut set = settings();
-    set.settles_units_later = true;
-    let mut ingress = TestIngress::new(set, 4);
+    let mut settings = settings();
+    settings.settles_units_later = true;
+    let mut ingress = TestIngress::new(settings, 4);
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
     ingress.answer_counter(name, Outcome::Ok, amount);
--- a/tests/decision/settings.rs
+++ b/tests/decision/settings.rs
@@ -5,9 +5,12 @@
 #[test]
 fn settings_that_make_no_sense_name_their_field() {
     let wrong = |change: fn(&mut Settings)| {
-        let mut set = settings();
-        change(&mut set);
-        DecisionEngine::new(set, 1).err().expect("an error").field
+        let mut settings = settings();
+        change(&mut settings);
+        DecisionEngine::new(settings, 1)
+            .err()
+            .expect("an error")
+            .field
     };
     assert_eq!(wrong(|s| s.ingresses = 0), "gateways");
     assert_eq!(wrong(|s| s.classes.clear()), "classes");
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn an_endpoint_that_is_warming_up_is_given_little() {
-    let mut set = settings();
-    set.classes.truncate(1);
-    let mut ingress = TestIngress::new(set, 4);
+    let mut settings = settings();
+    settings.classes.truncate(1);
+    let mut ingress = TestIngress::new(settings, 4);
     let mut sent_while_warming = 0;
     for i in 0..600 {
         ingress.now += 0.01;
--- a/tests/decision/tenant.rs
+++ b/tests/decision/tenant.rs
@@ -42,12 +42,15 @@
 fn an_ingress_that_restarts_gets_no_second_burst_under_a_ceiling() {
     // An ingress restarts again and again while the counter is unavailable. Whatever it gave each time would add up
     // beyond the ceiling, so it gives nothing at first.
-    let mut set = settings();
-    (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
+    let mut settings = settings();
+    (
+        settings.plans[1].ceiling_rate,
+        settings.plans[1].ceiling_burst,
+    ) = (20.0, 40.0);
     let mut sent = 0;
     for _ in 0..2 {
         // The counter is unavailable, and the ingress remembers nothing.
-        let mut ingress = TestIngress::just_started(set.clone(), 4);
+        let mut ingress = TestIngress::just_started(settings.clone(), 4);
         for _ in 0..30 {
             ingress.request(0, 1, 5, 1.0);
             sent += ingress.requests_sent().len();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -65,10 +65,10 @@
 impl Fleet {
     fn new(ingresses: u32, counter: Counter, change: fn(&mut Settings)) -> Fleet {
         let ingress = |position| {
-            let mut set = settings();
-            (set.ingresses, set.position) = (ingresses, position);
-            change(&mut set);
-            let mut ingress = TestIngress::new(set, 8);
+            let mut settings = settings();
+            (settings.ingresses, settings.position) = (ingresses, position);
+            change(&mut settings);
+            let mut ingress = TestIngress::new(settings, 8);
             ingress.engine =
                 DecisionEngine::new(ingress.settings.clone(), 1000 + u64::from(position))
                     .expect("sound");
@@ -634,8 +634,11 @@
 #[test]
 fn a_ceiling_holds_over_ingresses_and_a_faulty_counter() {
     for seed in 0..12 {
-        let mut fleet = Fleet::new(6, Counter::Faulty, |set| {
-            (set.plans[1].ceiling_rate, set.plans[1].ceiling_burst) = (20.0, 40.0);
+        let mut fleet = Fleet::new(6, Counter::Faulty, |settings| {
+            (
+                settings.plans[1].ceiling_rate,
+                settings.plans[1].ceiling_burst,
+            ) = (20.0, 40.0);
         });
         fleet.rng = oorandom::Rand32::new(100 + seed);
         fleet.offer(1, 5, 40.0, 30.0);
