--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -111,16 +111,17 @@
 
 /// How requests are decided that the counter does not check.
 #[derive(Clone, Copy)]
-struct UncheckedRule {
-    counter_unavailable: bool,
-    acceptance_ratio: f64,
+enum UncheckedRule {
+    /// As often as checked ones of the same plan were admitted, 0 to 1.
+    AcceptanceRatio(f64),
+    /// By this ingress's even share: the counter is unavailable.
+    EvenShare,
 }
 
 impl Tenant {
     /// Chance that a request of so many units is admitted unchecked.
     fn unchecked_chance(&mut self, now: f64, units: f64, plan: &Plan, rule: UncheckedRule) -> f64 {
-        if !rule.counter_unavailable {
-            let ratio = rule.acceptance_ratio;
+        if let UncheckedRule::AcceptanceRatio(ratio) = rule {
             return (ratio - plan.over_cost * (1.0 - ratio)).max(0.0);
         }
         let rate = plan.rate / self.spread;
@@ -174,6 +175,21 @@
     epoch_age: f64,
 }
 
+/// The requests that a call was for.
+struct DecidedRequests {
+    accepted: Vec<WaitingRequest>,
+    rejected: Vec<WaitingRequest>,
+}
+
+impl DecidedRequests {
+    fn all_rejected(rejected: Vec<WaitingRequest>) -> DecidedRequests {
+        DecidedRequests {
+            accepted: Vec::new(),
+            rejected,
+        }
+    }
+}
+
 impl DecisionEngine {
     /// Asks the tenant's bucket for a request's units, or decides without where the counter is
     /// congested.
@@ -187,10 +203,7 @@
         let checked_part = 1.0 - self.counter.congestion();
         let check_number = f64::from(self.rng.rand_float());
         let chance_number = f64::from(self.rng.rand_float());
-        let rule = UncheckedRule {
-            counter_unavailable: self.counter.is_unavailable(),
-            acceptance_ratio: self.acceptance_ratios[request.plan].ratio,
-        };
+        let rule = self.unchecked_rule(request.plan);
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else {
             return QuotaDecision::Exceeded { wait: 0.0 };
         };
@@ -258,7 +271,7 @@
             });
             tenant.correct_bucket(lacking, call.amount - needed, carried_over, &plan);
         }
-        let (accepted, rejected) = self.decide_asked(now, id, asked, lacking, &plan);
+        let decided = self.decide_asked(now, id, asked, lacking);
         let first_of_epoch = total.is_some_and(|total| {
             call.window == epoch.index && (total - call.amount).abs() < FIRST_CALL_PRECISION
         });
@@ -272,10 +285,10 @@
         } else {
             self.ask_shared_bucket_again(now, id, actions);
         }
-        for waiting in accepted {
+        for waiting in decided.accepted {
             self.admit(now, waiting.id, actions);
         }
-        for waiting in rejected {
+        for waiting in decided.rejected {
             self.reject(waiting.id, wait, actions);
             self.finish(waiting.id);
         }
@@ -289,16 +302,15 @@
         id: TenantId,
         asked: Vec<WaitingRequest>,
         mut lacking: Option<f64>,
-        plan: &Plan,
-    ) -> (Vec<WaitingRequest>, Vec<WaitingRequest>) {
+    ) -> DecidedRequests {
         let chance_number = f64::from(self.rng.rand_float());
-        let Some(tenant) = self.tenants.get_mut(&id) else {
-            return (Vec::new(), asked);
+        let Some(plan_index) = self.tenants.get(&id).map(|tenant| tenant.plan) else {
+            return DecidedRequests::all_rejected(asked);
         };
-        let acceptance = &mut self.acceptance_ratios[tenant.plan];
-        let rule = UncheckedRule {
-            counter_unavailable: self.counter.is_unavailable(),
-            acceptance_ratio: acceptance.ratio,
+        let rule = self.unchecked_rule(plan_index);
+        let plan = &self.settings.plans[plan_index];
+        let Some(tenant) = self.tenants.get_mut(&id) else {
+            return DecidedRequests::all_rejected(asked);
         };
         let (accepted, rejected): (Vec<_>, Vec<_>) =
             asked.into_iter().partition(|waiting| match &mut lacking {
@@ -309,14 +321,24 @@
                 }
             });
         if lacking.is_some() {
-            acceptance.record(accepted.len(), rejected.len());
+            self.acceptance_ratios[plan_index].record(accepted.len(), rejected.len());
+        }
+        DecidedRequests { accepted, rejected }
+    }
+
+    fn unchecked_rule(&self, plan: usize) -> UncheckedRule {
+        if self.counter.is_unavailable() {
+            return UncheckedRule::EvenShare;
         }
-        (accepted, rejected)
+        UncheckedRule::AcceptanceRatio(self.acceptance_ratios[plan].ratio)
     }
 
     /// Retry-After of a request that the bucket did not hold, s.
     fn quota_wait(&self, now: f64, id: TenantId) -> f64 {
-        let rejected_until = self.tenants.get(&id).map_or(now, |t| t.rejected_until);
+        let rejected_until = self
+            .tenants
+            .get(&id)
+            .map_or(now, |tenant| tenant.rejected_until);
         (rejected_until - now).max(MIN_QUOTA_RETRY_AFTER)
     }
 
