--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -258,8 +258,8 @@
             tenant,
             units: 1.0,
             spread,
-            first,
-            repeat: false,
+            first_ingress: first,
+            is_retry: false,
             pools: ALL_ENDPOINTS,
         };
         self.counts.requests += 1;
@@ -286,7 +286,7 @@
         let of = &mut self.ingresses[ingress];
         if let Some(due) = of
             .driver
-            .next_due()
+            .next_due_ms()
             .map(|due| due + ROUNDING_MS)
             .filter(|due| *due < of.wake_ms)
         {
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -313,15 +313,15 @@
         while let Some(add) = self.peers.due_call(now) {
             let total = self.peers.add(add);
             self.dispatcher
-                .with_requests(|core, now| core.counted(now, add.name, Outcome::Ok, total));
+                .with_requests(|core, now| core.counter_answered(now, add.name, Outcome::Ok, total));
         }
         while let Some(start) = self.peers.due_attempt(now) {
             let end = AttemptResult {
-                value: Some(ResponseBody::Complete(Vec::new())),
-                ..AttemptResult::without(Outcome::Ok)
+                body: Some(ResponseBody::Complete(Vec::new())),
+                ..AttemptResult::with_outcome(Outcome::Ok)
             };
             self.dispatcher
-                .with_requests(|core, now| core.attempt_ended(now, start.id, start.attempt, end));
+                .with_requests(|core, now| core.attempt_ended(now, start.request_id, start.attempt, end));
         }
     }
 }
--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -81,12 +81,12 @@
 
 impl BodySender {
     /// Bytes of the body that have not been put in yet.
-    pub fn left(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.0.unsent.get()
     }
 
     /// Whether the receiver is gone: nobody wants the rest.
-    pub fn gone(&self) -> bool {
+    pub fn is_receiver_gone(&self) -> bool {
         self.0.receiver_gone.get()
     }
 
@@ -95,16 +95,16 @@
     ///
     /// # Errors
     /// Those of `read`.
-    pub fn fill<E>(
+    pub fn write_with<E>(
         &self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
     ) -> Option<Result<usize, E>> {
         let mut buffer = self.0.buffer.borrow_mut();
-        let spare = buffer.spare().ok()?;
+        let spare = buffer.free_slice().ok()?;
         let max = spare.len().min(self.0.unsent.get());
         let read = read(&mut spare[..max]);
         if let Ok(n) = read {
-            buffer.filled(n);
+            buffer.commit(n);
             self.0.unsent.set(self.0.unsent.get() - n);
             if n > 0 {
                 self.0.sent.notify_one();
@@ -114,15 +114,15 @@
     }
 
     /// Puts in bytes; how many there was room for.
-    pub fn push(&self, bytes: &[u8]) -> usize {
+    pub fn write(&self, bytes: &[u8]) -> usize {
         let mut done = 0;
-        while done < bytes.len() && self.left() > 0 {
+        while done < bytes.len() && self.unsent_bytes() > 0 {
             let copy = |room: &mut [u8]| {
                 let n = room.len().min(bytes.len() - done);
                 room[..n].copy_from_slice(&bytes[done..done + n]);
                 Ok::<_, std::convert::Infallible>(n)
             };
-            match self.fill(copy) {
+            match self.write_with(copy) {
                 Some(Ok(n)) => done += n,
                 None => break,
             }
@@ -131,7 +131,7 @@
     }
 
     /// Waits until there is room in the buffer, or the receiver is gone.
-    pub async fn room(&self) {
+    pub async fn wait_for_room(&self) {
         self.0.received.notified().await;
     }
 }
@@ -150,33 +150,33 @@
     }
 
     /// What can be taken out now; to be followed by [`BodyReceiver::took`].
-    pub fn bytes(&self) -> RefMut<'_, RingBuffer> {
+    pub fn buffer(&self) -> RefMut<'_, RingBuffer> {
         self.0.buffer.borrow_mut()
     }
 
     /// Notes that so many bytes of [`BodyReceiver::bytes`] were taken.
-    pub fn took(&self, n: usize) {
+    pub fn consume(&self, n: usize) {
         self.0.buffer.borrow_mut().consume(n);
         self.0.received.notify_one();
     }
 
     /// Whether all of it has been taken out.
-    pub fn over(&self) -> bool {
-        self.0.unsent.get() == 0 && self.dry()
+    pub fn is_complete(&self) -> bool {
+        self.0.unsent.get() == 0 && self.is_empty()
     }
 
     /// Whether it is broken off: the sender is gone, and the body will never be complete.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken_off(&self) -> bool {
         self.0.sender_gone.get() && self.0.unsent.get() > 0
     }
 
     /// Whether nothing can be taken out until more has come.
-    pub fn dry(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.0.buffer.borrow().is_empty()
     }
 
     /// Waits until more has come, or the sender is gone.
-    pub async fn more(&self) {
+    pub async fn wait_for_bytes(&self) {
         self.0.sent.notified().await;
     }
 }
--- a/src/buffer/body_stream/tests.rs
+++ b/src/buffer/body_stream/tests.rs
@@ -8,16 +8,16 @@
     let streams = BodyStreams::new(1_000_000);
     let (sender, receiver) = streams.open(value.len());
     let (mut sent, mut got) = (0, Vec::new());
-    while !receiver.over() {
-        sent += sender.push(&value[sent..]);
-        assert!(receiver.bytes().len() <= BUFFER_BYTES && !receiver.broken());
-        let n = 777.min(receiver.bytes().front().len());
-        got.extend_from_slice(&receiver.bytes().front()[..n]);
-        receiver.took(n);
+    while !receiver.is_complete() {
+        sent += sender.write(&value[sent..]);
+        assert!(receiver.buffer().len() <= BUFFER_BYTES && !receiver.is_broken_off());
+        let n = 777.min(receiver.buffer().first_slice().len());
+        got.extend_from_slice(&receiver.buffer().first_slice()[..n]);
+        receiver.consume(n);
     }
-    assert!(got == value && sender.left() == 0);
+    assert!(got == value && sender.unsent_bytes() == 0);
     drop(sender);
-    assert!(receiver.over() && !receiver.broken());
+    assert!(receiver.is_complete() && !receiver.is_broken_off());
 }
 
 /// A client closes its connection in the middle of a body, or an endpoint does. The other side must learn of
@@ -26,14 +26,14 @@
 fn either_side_learns_that_the_other_is_gone() {
     let streams = BodyStreams::new(0);
     let (sender, receiver) = streams.open(10);
-    assert_eq!(sender.push(b"abcdefghijkl"), 10, "nothing beyond the value");
+    assert_eq!(sender.write(b"abcdefghijkl"), 10, "nothing beyond the value");
     drop(receiver);
-    assert!(sender.gone());
+    assert!(sender.is_receiver_gone());
     drop(sender);
     let (sender, receiver) = streams.open(10);
-    sender.push(b"abc");
+    sender.write(b"abc");
     drop(sender);
-    assert!(receiver.broken() && !receiver.over() && receiver.bytes().front() == b"abc");
+    assert!(receiver.is_broken_off() && !receiver.is_complete() && receiver.buffer().first_slice() == b"abc");
     drop(receiver);
     assert_eq!(streams.open_streams.get(), 0);
 }
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -63,7 +63,7 @@
             return Ok(());
         }
         // The bytes must lie in one piece before the memory is lengthened behind them.
-        self.whole();
+        self.contiguous();
         let wanted = if self.fixed { self.cap } else { min_bytes };
         let size = wanted.max(INITIAL_BYTES).next_power_of_two();
         self.bytes.resize(size.min(self.cap), 0);
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// The ring buffer is full at its cap.
-    pub fn spare(&mut self) -> Result<&mut [u8], RingBufferFull> {
+    pub fn free_slice(&mut self) -> Result<&mut [u8], RingBufferFull> {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1)?;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes in `n` bytes that were written to [`RingBuffer::spare`].
-    pub fn filled(&mut self, n: usize) {
+    pub fn commit(&mut self, n: usize) {
         self.len = (self.len + n).min(self.bytes.len());
     }
 
@@ -96,17 +96,17 @@
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), RingBufferFull> {
         self.grow(self.len + bytes.len())?;
         while !bytes.is_empty() {
-            let spare = self.spare()?;
+            let spare = self.free_slice()?;
             let n = spare.len().min(bytes.len());
             spare[..n].copy_from_slice(&bytes[..n]);
-            self.filled(n);
+            self.commit(n);
             bytes = &bytes[n..];
         }
         Ok(())
     }
 
     /// All bytes in one piece.
-    pub fn whole(&mut self) -> &[u8] {
+    pub fn contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
             self.head = 0;
@@ -115,7 +115,7 @@
     }
 
     /// The first bytes, as many as lie in one piece.
-    pub fn front(&self) -> &[u8] {
+    pub fn first_slice(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
--- a/src/buffer/ring_buffer/tests.rs
+++ b/src/buffer/ring_buffer/tests.rs
@@ -15,7 +15,7 @@
         ring.push(&bytes).unwrap();
         next = next.wrapping_add(bytes.len() as u8);
         if ring.len() > 900 {
-            let got = ring.whole()[..850].to_vec();
+            let got = ring.contiguous()[..850].to_vec();
             ring.consume(850);
             for b in got {
                 assert_eq!(b, expect);
@@ -27,5 +27,5 @@
     assert!(ring.is_empty());
     assert_eq!(ring.push(&[0; 4097]), Err(RingBufferFull));
     ring.push(&[1; 4096]).unwrap();
-    assert_eq!(ring.spare().err(), Some(RingBufferFull));
+    assert_eq!(ring.free_slice().err(), Some(RingBufferFull));
 }
--- a/src/counter/connection.rs
+++ b/src/counter/connection.rs
@@ -123,7 +123,7 @@
         if output.is_empty() {
             return Ok(());
         }
-        match stream.try_write(output.front()) {
+        match stream.try_write(output.first_slice()) {
             Ok(written) => output.consume(written),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
--- a/src/counter/connection_task.rs
+++ b/src/counter/connection_task.rs
@@ -108,12 +108,12 @@
         let has_output = self.slot.connection.borrow().has_output();
         let spare = self
             .input
-            .spare()
+            .free_slice()
             .map_err(|_| ConnectionEnd::AnswerTooLong)?;
         tokio::select! {
             read = self.read_half.read(spare) => {
                 let count = read?;
-                self.input.filled(count);
+                self.input.commit(count);
                 Ok(if count == 0 { Input::Ended } else { Input::Open })
             }
             _ = self.write_half.writable(), if has_output => Ok(Input::Open),
@@ -132,8 +132,8 @@
             return Ok(None);
         }
         let parsed = match input {
-            Input::Open => http_answer(self.input.whole()),
-            Input::Ended => http_answer_at_end(self.input.whole()),
+            Input::Open => http_answer(self.input.contiguous()),
+            Input::Ended => http_answer_at_end(self.input.contiguous()),
         };
         let mut connection = self.slot.connection.borrow_mut();
         match parsed {
@@ -178,8 +178,8 @@
             .with_requests(|requests, now| match (reported, total) {
                 (true, Ok(total)) => requests.counter_answered_late(now, add, total),
                 (true, Err(_)) => {}
-                (false, Ok(total)) => requests.counted(now, add.name, Outcome::Ok, total),
-                (false, Err(e)) => requests.counted(now, add.name, e.outcome(), 0.0),
+                (false, Ok(total)) => requests.counter_answered(now, add.name, Outcome::Ok, total),
+                (false, Err(e)) => requests.counter_answered(now, add.name, e.outcome(), 0.0),
             });
     }
 
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -79,9 +79,9 @@
     /// Through how many ingresses the tenant's requests come.
     pub spread: u32,
     /// The first of them, by number.
-    pub first: u32,
+    pub first_ingress: u32,
     /// Marked by the client as a retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// The pools whose endpoints it may be sent to.
     pub pools: Pools,
 }
@@ -174,8 +174,8 @@
             tenant: attributes.tenant,
             units: attributes.units,
             spread: attributes.spread,
-            first: attributes.first,
-            repeat: attributes.repeat,
+            first: attributes.first_ingress,
+            repeat: attributes.is_retry,
             pools: attributes.pools,
         };
         self.handle(now_ms, Event::RequestArrived(request));
@@ -234,7 +234,7 @@
 
     /// When the next timer comes due, ms. Those that the engine has no use for any more are dropped
     /// here: most are the answer timers of requests that were served long before.
-    pub fn next_due(&mut self) -> Option<f64> {
+    pub fn next_due_ms(&mut self) -> Option<f64> {
         while let Some(Reverse(timer)) = self.timers.peek() {
             if self.engine.awaits(timer.token) {
                 return Some(timer.due_us as f64 / US_PER_MS);
--- a/src/discovery/poller.rs
+++ b/src/discovery/poller.rs
@@ -185,14 +185,14 @@
     /// The next answer, read to its end.
     async fn read_answer(&mut self) -> Result<HttpAnswer, PollError> {
         loop {
-            if let Parsed::Complete(answer, length) = http_answer(self.input.whole())? {
+            if let Parsed::Complete(answer, length) = http_answer(self.input.contiguous())? {
                 self.input.consume(length);
                 return Ok(answer);
             }
             self.stream.readable().await?;
-            match self.stream.try_read(self.input.spare()?) {
+            match self.stream.try_read(self.input.free_slice()?) {
                 Ok(0) => return self.answer_at_end(),
-                Ok(read) => self.input.filled(read),
+                Ok(read) => self.input.commit(read),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
                 Err(e) => return Err(e.into()),
             }
@@ -201,7 +201,7 @@
 
     /// An answer without a length ends with the connection; a reset is no such end.
     fn answer_at_end(&mut self) -> Result<HttpAnswer, PollError> {
-        match http_answer_at_end(self.input.whole()) {
+        match http_answer_at_end(self.input.contiguous()) {
             Ok(Parsed::Complete(answer, _)) => Ok(answer),
             _ => Err(std::io::Error::from(ErrorKind::UnexpectedEof).into()),
         }
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -81,7 +81,7 @@
     request
         .take_body(dispatcher.platform(), body)
         .map_err(invalid)?;
-    request.ask.pools = route.pools;
+    request.attributes.pools = route.pools;
     request.notes = route.notes;
     Ok(Received::Request(Box::new(request), route.tickets))
 }
--- a/src/frontend/resp/answers.rs
+++ b/src/frontend/resp/answers.rs
@@ -76,7 +76,7 @@
             return true;
         }
         let streaming = self.streaming.borrow();
-        streaming.as_ref().is_some_and(|body| !body.dry())
+        streaming.as_ref().is_some_and(|body| !body.is_empty())
     }
 
     fn fill_slot(&self, ticket: u64, filled: AnswerSlot) {
@@ -146,12 +146,12 @@
             let Some(body) = self.streaming.borrow().clone() else {
                 return;
             };
-            if body.over() {
+            if body.is_complete() {
                 self.end_body();
-            } else if body.broken() {
+            } else if body.is_broken_off() {
                 // The client sees an incomplete body as what it is: its connection ends within it.
                 self.failed.set(true);
-            } else if body.dry() {
+            } else if body.is_empty() {
                 return;
             } else if let Written::Stopped = self.write_body(&body) {
                 return;
@@ -162,7 +162,7 @@
     fn write_output(&self) -> Written {
         let mut output = self.output.borrow_mut();
         while !output.is_empty() {
-            match self.stream.try_write(output.front()) {
+            match self.stream.try_write(output.first_slice()) {
                 Ok(count) => {
                     output.consume(count);
                     self.unsent.release(count);
@@ -178,10 +178,10 @@
     }
 
     fn write_body(&self, body: &BodyReceiver) -> Written {
-        let written = self.stream.try_write(body.bytes().front());
+        let written = self.stream.try_write(body.buffer().first_slice());
         match written {
             Ok(count) => {
-                body.took(count);
+                body.consume(count);
                 self.last_active_ms.set(self.dispatcher.now());
                 Written::Progress
             }
--- a/src/frontend/resp/connection.rs
+++ b/src/frontend/resp/connection.rs
@@ -104,7 +104,7 @@
 
     /// Notes `count` further bytes at the end of the input.
     pub(super) fn note_input(&self, input: &mut RingBuffer, count: usize) {
-        input.filled(count);
+        input.commit(count);
         self.has_unparsed_input.set(true);
         if self.incomplete_since_ms.get().is_none() {
             self.incomplete_since_ms.set(Some(self.dispatcher.now()));
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -92,7 +92,7 @@
     let seen = routing::rule_request(platform, request, &path, &NoHeaders, connection.peer);
     match dispatcher.route(&seen) {
         Verdict::Go(route) => {
-            request.ask.pools = route.pools;
+            request.attributes.pools = route.pools;
             request.notes = route.notes;
             Ok(route.tickets)
         }
--- a/src/frontend/resp/session.rs
+++ b/src/frontend/resp/session.rs
@@ -155,7 +155,7 @@
             if self.input.is_empty() {
                 return AfterRequests::Read(1);
             }
-            let (received, length) = match request_words(self.input.whole()) {
+            let (received, length) = match request_words(self.input.contiguous()) {
                 Ok(Parsed::Complete(words, length)) => {
                     (interpret(&connection.dispatcher, &words), length)
                 }
@@ -211,7 +211,7 @@
         let accepts = self.accepts_requests && owed < MAX_PIPELINED && !ends && !pauses;
         let streaming = connection.streaming.borrow().clone();
         let Session { read, input, .. } = self;
-        let Ok(spare) = input.spare() else {
+        let Ok(spare) = input.free_slice() else {
             // The input is full, and holds no complete request.
             self.finish_with(TOO_LONG);
             return ControlFlow::Continue(());
@@ -277,6 +277,6 @@
 /// Waits for more of a body that is being streamed.
 async fn more_of(body: Option<&BodyReceiver>) {
     if let Some(body) = body {
-        body.more().await;
+        body.wait_for_bytes().await;
     }
 }
--- a/src/plugin/mod.rs
+++ b/src/plugin/mod.rs
@@ -200,7 +200,7 @@
 
 /// What a script may know of a request: a copy, so that nothing it does to it comes back.
 fn script_request(platform: &Platform, request: &ClientRequest) -> Map {
-    let ask = &request.ask;
+    let ask = &request.attributes;
     let body_bytes = request.body.as_ref().map_or(0, Vec::len) as i64;
     Map::from([
         ("class".into(), platform.classes[ask.class].clone().into()),
@@ -208,7 +208,7 @@
         ("partner".into(), request.tenant.clone().into()),
         ("id".into(), request.id.clone().into()),
         ("units".into(), ask.units.into()),
-        ("retry".into(), ask.repeat.into()),
+        ("retry".into(), ask.is_retry.into()),
         ("patience_ms".into(), request.client_timeout_ms.into()),
         ("body_bytes".into(), body_bytes.into()),
     ])
--- a/src/protocol/http2/body.rs
+++ b/src/protocol/http2/body.rs
@@ -30,21 +30,21 @@
     body: &BodyReceiver,
     client_timeout: Duration,
 ) -> bool {
-    while !body.over() {
-        if body.broken() {
+    while !body.is_complete() {
+        if body.is_broken_off() {
             return false;
         }
-        if body.dry() {
-            body.more().await;
+        if body.is_empty() {
+            body.wait_for_bytes().await;
             continue;
         }
-        let part = Bytes::copy_from_slice(body.bytes().front());
+        let part = Bytes::copy_from_slice(body.buffer().first_slice());
         let sent_bytes = part.len();
         let sent = timeout(client_timeout, push_body(stream, part, false)).await;
         if !sent.unwrap_or(false) {
             return false;
         }
-        body.took(sent_bytes);
+        body.consume(sent_bytes);
     }
     stream.send_data(Bytes::new(), true).is_ok()
 }
--- a/src/protocol/http2/request.rs
+++ b/src/protocol/http2/request.rs
@@ -96,20 +96,20 @@
     request: &ClientRequest,
     wait_ms: f64,
 ) -> Result<Request<()>, http::Error> {
-    let class = &platform.classes[request.ask.class];
+    let class = &platform.classes[request.attributes.class];
     let mut builder = Request::builder()
         .method(method(platform, request))
         .uri(format!("http://instance{REQUEST_PATH_PREFIX}{class}"))
         .header(TENANT, &request.tenant)
         .header(ID, &request.id)
-        .header(PLAN, &platform.plans[request.ask.plan])
+        .header(PLAN, &platform.plans[request.attributes.plan])
         .header(DEADLINE, wait_ms.max(1.0) as u64)
         .header(TERMS, terms_without_header(&request.terms));
     let key = pairs(&request.terms).find(|(name, _)| *name == wire_names::IDEMPOTENCY_KEY);
     if let Some((_, key)) = key {
         builder = builder.header(IDEMPOTENCY_KEY, key);
     }
-    if request.ask.repeat {
+    if request.attributes.is_retry {
         builder = builder.header(RETRY, wire_names::RETRY_YES);
     }
     for (name, value) in &request.notes {
@@ -134,7 +134,7 @@
 }
 
 fn method(platform: &Platform, request: &ClientRequest) -> Method {
-    let class = &platform.decision.classes[request.ask.class];
+    let class = &platform.decision.classes[request.attributes.class];
     if class.idempotency == Idempotency::Safe && request.body.is_none() {
         Method::GET
     } else {
--- a/src/protocol/resp/request.rs
+++ b/src/protocol/resp/request.rs
@@ -59,7 +59,7 @@
 }
 
 fn is_safe(platform: &Platform, request: &ClientRequest) -> bool {
-    platform.decision.classes[request.ask.class].idempotency == Idempotency::Safe
+    platform.decision.classes[request.attributes.class].idempotency == Idempotency::Safe
 }
 
 /// The client's terms in their order, with this ingress's wait in place of the client's timeout.
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptStart {
     /// Its request's number.
-    pub id: RequestId,
+    pub request_id: RequestId,
     /// Its own number among the request's attempts, from 0.
     pub attempt: u32,
     /// The endpoint to send it to.
@@ -17,7 +17,7 @@
     /// The request to send.
     pub request: Rc<ClientRequest>,
     /// Its deadline, ms on the ingress's clock.
-    pub until: f64,
+    pub deadline_ms: f64,
 }
 
 /// How an attempt ended.
@@ -26,20 +26,20 @@
     /// The outcome.
     pub outcome: Outcome,
     /// The response body, if the request was served.
-    pub value: Option<ResponseBody>,
+    pub body: Option<ResponseBody>,
     /// The endpoint's load report in the order of the settings' columns; empty: none came.
-    pub load: Vec<f64>,
+    pub load_report: Vec<f64>,
     /// The true units, where answers settle them and this one named them.
     pub settled_units: Option<f64>,
 }
 
 impl AttemptResult {
     /// A result without a body, a load report or settled units.
-    pub fn without(outcome: Outcome) -> AttemptResult {
+    pub fn with_outcome(outcome: Outcome) -> AttemptResult {
         AttemptResult {
             outcome,
-            value: None,
-            load: Vec::new(),
+            body: None,
+            load_report: Vec::new(),
             settled_units: None,
         }
     }
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// What decisions rest on: class, plan, tenant, units.
-    pub ask: RequestAttributes,
+    pub attributes: RequestAttributes,
     /// The tenant as the client wrote it.
     pub tenant: String,
     /// The request's id as the client wrote it.
@@ -90,7 +90,7 @@
         )?;
         check_unique_terms(list)?;
         let mut request = ClientRequest {
-            ask,
+            attributes: ask,
             tenant: tenant.into(),
             id: id.into(),
             terms,
@@ -113,7 +113,7 @@
     ) -> Result<(), InvalidRequest> {
         // Guards the endpoints' grammar, which closes the connection otherwise: a safe request never has a body, any
         // other one never lacks it.
-        let safe = platform.decision.classes[self.ask.class].idempotency == Idempotency::Safe;
+        let safe = platform.decision.classes[self.attributes.class].idempotency == Idempotency::Safe;
         self.body = match (safe, body) {
             (true, Some(body)) if !body.is_empty() => {
                 return Err(InvalidRequest::Term(wire_names::BODY))
@@ -164,8 +164,8 @@
         tenant: tenant_id(tenant).ok_or(InvalidRequest::Term(wire_names::TENANT))?,
         units: units(terms, platform.decision.max_units)?,
         spread: terms.integer(wire_names::SPREAD, 1.0, ingresses)?,
-        first: terms.integer(wire_names::FIRST_INGRESS, 0.0, ingresses - 1.0)?,
-        repeat: is_retry(terms)?,
+        first_ingress: terms.integer(wire_names::FIRST_INGRESS, 0.0, ingresses - 1.0)?,
+        is_retry: is_retry(terms)?,
         pools: ALL_ENDPOINTS,
     })
 }
--- a/src/request/in_flight/tests.rs
+++ b/src/request/in_flight/tests.rs
@@ -24,14 +24,14 @@
 
 fn request() -> InFlightRequest {
     let request = ClientRequest {
-        ask: RequestAttributes {
+        attributes: RequestAttributes {
             class: 0,
             plan: 0,
             tenant: 7,
             units: 1.0,
             spread: 1,
-            first: 0,
-            repeat: false,
+            first_ingress: 0,
+            is_retry: false,
             pools: ALL_ENDPOINTS,
         },
         tenant: "0000000000000007".into(),
--- a/src/request/request_counts.rs
+++ b/src/request/request_counts.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Requests taken.
-    pub taken: u64,
+    pub received: u64,
     /// Requests served.
     pub served: u64,
     /// Requests rejected.
@@ -12,9 +12,9 @@
     /// Requests failed.
     pub failed: u64,
     /// Requests whose client had gone before its answer.
-    pub gone: u64,
+    pub client_gone: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Counter calls.
-    pub counts: u64,
+    pub counter_calls: u64,
 }
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes a request that was read at `now_ms`; its one answer comes as [`Action::Reply`].
-    pub fn arrive(&mut self, now_ms: f64, request: ClientRequest) -> RequestId {
+    pub fn request_arrived(&mut self, now_ms: f64, request: ClientRequest) -> RequestId {
         let id = self.take_id();
         if !self.has_memory_for(&request) {
             self.reject_untried(id, NO_MEMORY_RETRY_AFTER_MS);
@@ -69,7 +69,7 @@
         self.in_flight
             .insert(id, InFlightRequest::new(request.clone(), give_up_ms));
         self.unanswered += 1;
-        let verdict = self.driver.decide(now_ms, id, &request.ask, give_up_ms);
+        let verdict = self.driver.decide(now_ms, id, &request.attributes, give_up_ms);
         self.carry_out(now_ms, id, verdict);
         self.settle(now_ms);
         id
@@ -77,7 +77,7 @@
 
     /// Rejects a request before any decision, as the operator's rules or plug-in say; its answer comes as for
     /// any other.
-    pub fn refuse(&mut self, retry_after_ms: f64) -> RequestId {
+    pub fn reject(&mut self, retry_after_ms: f64) -> RequestId {
         let id = self.take_id();
         self.reject_untried(id, retry_after_ms);
         id
@@ -91,7 +91,7 @@
         entry.mark_answered();
         let running = entry.running_attempts();
         self.unanswered -= 1;
-        self.counts.gone += 1;
+        self.counts.client_gone += 1;
         self.driver.observe(now_ms, Observation::ClientGone(id));
         for attempt in running {
             self.abandon(now_ms, id, attempt, Outcome::Cancelled);
@@ -102,7 +102,7 @@
 
     /// The process ends before the deadlines of its requests: each gets its final answer now, a rejection with this
     /// Retry-After where coming again does no harm.
-    pub fn give_up(&mut self, now_ms: f64, retry_after_ms: f64) {
+    pub fn answer_all_now(&mut self, now_ms: f64, retry_after_ms: f64) {
         let mut ids: Vec<RequestId> = self
             .in_flight
             .iter()
@@ -143,7 +143,7 @@
     }
 
     /// A counter call has ended; `total` counts if the outcome is [`Outcome::Ok`].
-    pub fn counted(&mut self, now_ms: f64, name: u64, outcome: Outcome, total: f64) {
+    pub fn counter_answered(&mut self, now_ms: f64, name: u64, outcome: Outcome, total: f64) {
         self.driver
             .observe(now_ms, Observation::CounterAnswered(name, outcome, total));
         self.settle(now_ms);
@@ -159,7 +159,7 @@
     }
 
     /// A health check has ended, with the load report that it brought; empty: none.
-    pub fn probed(&mut self, now_ms: f64, endpoint: EndpointId, outcome: Outcome, load: Vec<f64>) {
+    pub fn health_check_ended(&mut self, now_ms: f64, endpoint: EndpointId, outcome: Outcome, load: Vec<f64>) {
         self.driver
             .observe(now_ms, Observation::ProbeEnded(endpoint, outcome, load));
         self.settle(now_ms);
@@ -193,14 +193,14 @@
     }
 
     /// When [`RequestTable::tick`] must be called at the latest, ms; none: not before the next event.
-    pub fn next_due(&mut self) -> Option<f64> {
+    pub fn next_due_ms(&mut self) -> Option<f64> {
         let in_flight = &self.in_flight;
         let deadline = self.deadlines.next_due_ms(|deadline| {
             in_flight
                 .get(&deadline.request)
                 .is_some_and(|entry| entry.is_running(deadline.attempt))
         });
-        match (self.driver.next_due(), deadline) {
+        match (self.driver.next_due_ms(), deadline) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         }
@@ -222,14 +222,14 @@
     }
 
     /// How many endpoints may be sent requests.
-    pub fn endpoints(&self) -> usize {
+    pub fn ready_endpoints(&self) -> usize {
         self.ready.len()
     }
 
     fn take_id(&mut self) -> RequestId {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1).max(1);
-        self.counts.taken += 1;
+        self.counts.received += 1;
         id
     }
 
@@ -241,6 +241,6 @@
     }
 
     fn class(&self, request: &ClientRequest) -> &Class {
-        &self.platform.decision.classes[request.ask.class]
+        &self.platform.decision.classes[request.attributes.class]
     }
 }
--- a/src/request/request_table/attempts.rs
+++ b/src/request/request_table/attempts.rs
@@ -23,7 +23,7 @@
         let Some(location) = location else {
             entry.add_unsent_attempt(now_ms);
             let finished = entry.is_answered();
-            let result = AttemptResult::without(Outcome::NotSent);
+            let result = AttemptResult::with_outcome(Outcome::NotSent);
             return self.report_attempt(now_ms, id, attempt, finished, result);
         };
         entry.add_sent_attempt(now_ms, location);
@@ -36,11 +36,11 @@
         self.counts.attempts += 1;
         self.deadlines.push(until, id, attempt);
         self.actions.push_back(Action::StartAttempt(AttemptStart {
-            id,
+            request_id: id,
             attempt,
             endpoint,
             request,
-            until,
+            deadline_ms: until,
         }));
     }
 
@@ -67,7 +67,7 @@
 
     pub(super) fn abandon(&mut self, now_ms: f64, id: RequestId, attempt: u32, outcome: Outcome) {
         self.actions.push_back(Action::AbandonAttempt(id, attempt));
-        self.end_attempt(now_ms, id, attempt, AttemptResult::without(outcome));
+        self.end_attempt(now_ms, id, attempt, AttemptResult::with_outcome(outcome));
     }
 
     pub(super) fn end_attempt(
@@ -84,7 +84,7 @@
             return;
         }
         let served = result.outcome == Outcome::Ok;
-        if let Some(body) = result.value.take().filter(|_| served) {
+        if let Some(body) = result.body.take().filter(|_| served) {
             self.finish(id, FinalAnswer::Served(body));
         }
         let finished = self
@@ -109,7 +109,7 @@
             attempt,
             outcome: result.outcome,
             request_finished,
-            load: result.load,
+            load: result.load_report,
             settled_units: result.settled_units,
         };
         self.driver
--- a/src/request/request_table/verdicts.rs
+++ b/src/request/request_table/verdicts.rs
@@ -36,7 +36,7 @@
             // The endpoint registry is followed from the start, whoever asks.
             DriverAction::FollowEndpointList => {}
             DriverAction::AddToCounter(add) => {
-                self.counts.counts += 1;
+                self.counts.counter_calls += 1;
                 self.actions.push_back(Action::AddToCounter(add));
             }
         }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -43,7 +43,7 @@
     headers: &'a dyn Headers,
     client: IpAddr,
 ) -> Request<'a> {
-    let ask = &request.ask;
+    let ask = &request.attributes;
     let safe = platform.decision.classes[ask.class].idempotency == Idempotency::Safe;
     Request {
         protocol: "resp",
@@ -58,7 +58,7 @@
         id: Some(&request.id),
         units: Some(ask.units),
         deadline_ms: Some(request.client_timeout_ms as i64),
-        retry: ask.repeat,
+        retry: ask.is_retry,
         length: request.body.as_ref().map(|body| body.len() as i64),
         client,
     }
@@ -69,7 +69,7 @@
     format!(
         "{}{}",
         driftgap_routes::COMMANDS,
-        platform.classes[request.ask.class]
+        platform.classes[request.attributes.class]
     )
 }
 
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -27,7 +27,7 @@
         (seen.path, seen.method, seen.units),
         ("/commands/fetch-episode", "GET", Some(2.0))
     );
-    let class = own.ask.class;
+    let class = own.attributes.class;
     let mapped = Mapped {
         class,
         units: Some(1.5),
@@ -36,7 +36,7 @@
     };
     let made = mapped_request(&platform, mapped.clone(), &seen, || "fresh".into()).unwrap();
     assert_eq!(
-        (made.ask.units, &*made.id, made.client_timeout_ms),
+        (made.attributes.units, &*made.id, made.client_timeout_ms),
         (1.5, "k1", 900.0)
     );
     assert!(made.terms.ends_with(",episode=7"), "{}", made.terms);
@@ -56,7 +56,7 @@
     .unwrap();
     let deadline = 1e3 * platform.decision.classes[class].deadline;
     assert_eq!(
-        (&*made.id, made.client_timeout_ms, made.ask.tenant),
+        (&*made.id, made.client_timeout_ms, made.attributes.tenant),
         ("fresh", deadline, 9)
     );
 }
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -174,7 +174,7 @@
 
     /// When [`RequestTable::tick`] must be called at the latest, ms; none: nothing is due.
     pub fn next_due(&self) -> Option<f64> {
-        self.requests.borrow_mut().next_due()
+        self.requests.borrow_mut().next_due_ms()
     }
 
     /// What has been counted since the start.
@@ -214,7 +214,7 @@
         let waited_ms = self.now() - self.started_ms;
         if !self.discovery_answered.get() && waited_ms <= DISCOVERY_WAIT_MS {
             Some("no list yet")
-        } else if self.requests.borrow().endpoints() == 0 {
+        } else if self.requests.borrow().ready_endpoints() == 0 {
             Some("no instance is ready")
         } else {
             None
--- a/src/runtime/dispatcher/requests.rs
+++ b/src/runtime/dispatcher/requests.rs
@@ -61,7 +61,7 @@
         let verdict = plugin.map(|plugin| plugin.decide(now, &self.platform, &request));
         match verdict {
             Some(PluginVerdict::Reject(retry_after_ms)) => {
-                return self.requests.borrow_mut().refuse(retry_after_ms);
+                return self.requests.borrow_mut().reject(retry_after_ms);
             }
             Some(PluginVerdict::Pass(notes)) if !notes.is_empty() => {
                 tracing::debug!(id = request.id, ?notes, "notes of the plug-in");
@@ -69,7 +69,7 @@
             }
             Some(PluginVerdict::Pass(_)) | None => {}
         }
-        self.requests.borrow_mut().arrive(now, request)
+        self.requests.borrow_mut().request_arrived(now, request)
     }
 
     /// Rejects a request before any decision: a rule says so, or the ingress is drained.
@@ -80,7 +80,7 @@
         ticket: u64,
         on_id: impl FnOnce(RequestId),
     ) {
-        let id = self.requests.borrow_mut().refuse(retry_after_ms);
+        let id = self.requests.borrow_mut().reject(retry_after_ms);
         let pending = PendingAnswer {
             client,
             ticket,
@@ -106,7 +106,7 @@
 
     /// The process ends: everything that is unanswered gets its final answer now.
     pub fn give_up(&self) {
-        self.with_requests(|requests, now| requests.give_up(now, DRAINED_RETRY_AFTER_MS));
+        self.with_requests(|requests, now| requests.answer_all_now(now, DRAINED_RETRY_AFTER_MS));
     }
 
     /// Carries out actions until there are none. What an action causes meanwhile (a client's next request, an
--- a/src/runtime/server/ingress.rs
+++ b/src/runtime/server/ingress.rs
@@ -30,9 +30,9 @@
 impl ActionExecutor for Ingress {
     fn carry_out(&self, action: Action) {
         match action {
-            Action::StartAttempt(attempt) => self.upstream.start(attempt),
-            Action::AbandonAttempt(id, attempt) => self.upstream.abandon(id, attempt),
-            Action::Probe(endpoint) => self.upstream.probe(endpoint),
+            Action::StartAttempt(attempt) => self.upstream.start_attempt(attempt),
+            Action::AbandonAttempt(id, attempt) => self.upstream.abandon_attempt(id, attempt),
+            Action::Probe(endpoint) => self.upstream.start_health_check(endpoint),
             Action::ReleaseEndpoint(endpoint) => self.upstream.release(endpoint),
             Action::AddToCounter(add) => self.counter.add(&self.dispatcher, add),
             // The dispatcher delivers answers itself.
--- a/src/runtime/server/timers.rs
+++ b/src/runtime/server/timers.rs
@@ -22,7 +22,7 @@
         ingress.counter.expire(dispatcher, now);
         if now - last_sweep > SWEEP_INTERVAL_MS {
             last_sweep = now;
-            ingress.upstream.sweep(now);
+            ingress.upstream.close_idle(now);
         }
         if now - last_statistics > STATISTICS_INTERVAL_MS {
             last_statistics = now;
@@ -44,15 +44,15 @@
     let dispatcher = &ingress.dispatcher;
     let counts = dispatcher.request_counts();
     tracing::info!(
-        received = counts.taken,
+        received = counts.received,
         served = counts.served,
         rejected = counts.rejected,
         failed = counts.failed,
-        client_gone = counts.gone,
+        client_gone = counts.client_gone,
         attempts = counts.attempts,
-        counter_calls = counts.counts,
+        counter_calls = counts.counter_calls,
         unanswered = dispatcher.unanswered(),
-        connections = ingress.upstream.open(),
+        connections = ingress.upstream.open_connections(),
         "statistics"
     );
     if let Some((ready, faults)) = dispatcher.pools() {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -99,7 +99,7 @@
                 if output.is_empty() {
                     return true;
                 }
-                let written = self.stream.try_write(output.front());
+                let written = self.stream.try_write(output.first_slice());
                 if let Ok(n) = written {
                     output.consume(n);
                 }
@@ -123,11 +123,11 @@
     /// The connection has ended, or the ring buffer is full.
     pub(super) fn read_available(&self) -> Result<bool, ConnectionEnded> {
         let mut input = self.input.borrow_mut();
-        let spare = input.spare().map_err(|_| ConnectionEnded)?;
+        let spare = input.free_slice().map_err(|_| ConnectionEnded)?;
         match self.stream.try_read(spare) {
             Ok(0) => Err(ConnectionEnded),
             Ok(n) => {
-                input.filled(n);
+                input.commit(n);
                 Ok(true)
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(false),
@@ -155,7 +155,7 @@
             if input.len() < min_bytes {
                 continue;
             }
-            match endpoint_reply(input.whole()) {
+            match endpoint_reply(input.contiguous()) {
                 Ok(Parsed::Complete(reply, length)) => {
                     let value = interpret(reply)?;
                     input.consume(length);
@@ -164,7 +164,7 @@
                 Ok(Parsed::More(missing)) => min_bytes = input.len() + missing,
                 // Too long to be held whole, or malformed.
                 Err(_) => {
-                    let streamed = streamed_reply(input.whole())?;
+                    let streamed = streamed_reply(input.contiguous())?;
                     min_bytes = streamed.head_bytes + MIN_STREAMED_START_BYTES;
                     if input.len() >= min_bytes {
                         return Some(Incoming::Streamed(streamed));
--- a/src/upstream/http2_exchange.rs
+++ b/src/upstream/http2_exchange.rs
@@ -28,10 +28,10 @@
     handle: &AbandonHandle,
 ) -> AttemptResult {
     let Some(shared) = dial::shared(upstream, attempt.endpoint, addr).await else {
-        return AttemptResult::without(Outcome::ConnectFailed);
+        return AttemptResult::with_outcome(Outcome::ConnectFailed);
     };
     let Some(response) = send(upstream, attempt, &shared, handle).await else {
-        return AttemptResult::without(Outcome::ConnectFailed);
+        return AttemptResult::with_outcome(Outcome::ConnectFailed);
     };
     let result = read_answer(upstream, response).await;
     handle.take();
@@ -62,7 +62,7 @@
         return None;
     }
     shared.last_used_ms.set(now_ms);
-    let wait_ms = attempt.until - now_ms;
+    let wait_ms = attempt.deadline_ms - now_ms;
     let request = http2::upstream_request(dispatcher.platform(), &attempt.request, wait_ms).ok()?;
     let body = attempt.request.body.as_ref();
     let Ok((response, mut stream)) = send.send_request(request, body.is_none()) else {
@@ -81,11 +81,11 @@
     let platform = upstream.dispatcher.platform();
     let (head, mut stream) = match response.await {
         Ok(response) => response.into_parts(),
-        Err(e) => return AttemptResult::without(attempt_outcome::of_http2_error(&e)),
+        Err(e) => return AttemptResult::with_outcome(attempt_outcome::of_http2_error(&e)),
     };
     let result = AttemptResult {
-        load: load_report(platform, &head.headers),
-        ..AttemptResult::without(attempt_outcome::of_http2_head(head.status, &head.headers))
+        load_report: load_report(platform, &head.headers),
+        ..AttemptResult::with_outcome(attempt_outcome::of_http2_head(head.status, &head.headers))
     };
     if result.outcome != Outcome::Ok {
         return result;
@@ -98,12 +98,12 @@
     };
     match body {
         Some(body) => AttemptResult {
-            value: Some(body),
+            body: Some(body),
             settled_units: settled_units(platform, &head.headers),
             ..result
         },
         // It has begun to answer, so it ran, whatever ended the stream or keeps it from its end.
-        None => AttemptResult::without(Outcome::Reset),
+        None => AttemptResult::with_outcome(Outcome::Reset),
     }
 }
 
@@ -147,7 +147,7 @@
 async fn stream_body(mut stream: RecvStream, first: Bytes, sender: BodySender) {
     let mut part = first;
     loop {
-        if !forward(&mut stream, part, &sender).await || sender.left() == 0 {
+        if !forward(&mut stream, part, &sender).await || sender.unsent_bytes() == 0 {
             return;
         }
         match timeout(STREAM_STALL_TIMEOUT, stream.data()).await {
@@ -160,16 +160,16 @@
 /// Forwards one part; false: nobody wants more, or the stream has ended.
 async fn forward(stream: &mut RecvStream, mut part: Bytes, sender: &BodySender) -> bool {
     while !part.is_empty() {
-        if sender.gone() || sender.left() == 0 {
+        if sender.is_receiver_gone() || sender.unsent_bytes() == 0 {
             return false;
         }
-        let taken = sender.push(&part);
+        let taken = sender.write(&part);
         let _ = part.split_to(taken);
         if stream.flow_control().release_capacity(taken).is_err() {
             return false;
         }
         if taken == 0 {
-            sender.room().await;
+            sender.wait_for_room().await;
         }
     }
     true
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -69,7 +69,7 @@
     }
 
     /// Connections open or coming up.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.pools.open()
     }
 
@@ -79,8 +79,8 @@
     }
 
     /// Starts an attempt; the dispatcher is notified of its end.
-    pub fn start(self: &Rc<Self>, attempt: AttemptStart) {
-        let key = (attempt.id, attempt.attempt);
+    pub fn start_attempt(self: &Rc<Self>, attempt: AttemptStart) {
+        let key = (attempt.request_id, attempt.attempt);
         let endpoint = attempt.endpoint;
         let started_ms = self.dispatcher.now();
         let handle = AbandonHandle::default();
@@ -89,7 +89,7 @@
             let result = upstream.run(&attempt, &task_handle).await;
             upstream.running.borrow_mut().remove(&key);
             upstream.dispatcher.with_requests(|requests, now_ms| {
-                requests.attempt_ended(now_ms, attempt.id, attempt.attempt, result)
+                requests.attempt_ended(now_ms, attempt.request_id, attempt.attempt, result)
             });
         });
         let running = RunningAttempt {
@@ -109,13 +109,13 @@
             Some((addr, EndpointProtocol::Http2)) => {
                 http2_exchange::exchange(self, attempt, addr, handle).await
             }
-            None => AttemptResult::without(Outcome::ConnectFailed),
+            None => AttemptResult::with_outcome(Outcome::ConnectFailed),
         }
     }
 
     /// Abandons an attempt. Its connection or stream is ended here and now, not when its task is next polled: a later
     /// attempt of the same request must never overlap with it.
-    pub fn abandon(&self, id: RequestId, number: u32) {
+    pub fn abandon_attempt(&self, id: RequestId, number: u32) {
         let Some(running) = self.running.borrow_mut().remove(&(id, number)) else {
             return;
         };
@@ -135,7 +135,7 @@
     }
 
     /// Sends an endpoint a health check; the dispatcher is notified of its end.
-    pub fn probe(self: &Rc<Self>, endpoint: EndpointId) {
+    pub fn start_health_check(self: &Rc<Self>, endpoint: EndpointId) {
         let upstream = self.clone();
         spawn_local(async move {
             let check = health_check::check(&upstream, endpoint);
@@ -144,7 +144,7 @@
                 .unwrap_or((Outcome::Timeout, Vec::new()));
             upstream
                 .dispatcher
-                .with_requests(|requests, now_ms| requests.probed(now_ms, endpoint, outcome, load));
+                .with_requests(|requests, now_ms| requests.health_check_ended(now_ms, endpoint, outcome, load));
         });
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Closes connections that have been idle for long; called once a second with the time, ms.
-    pub fn sweep(&self, now: f64) {
+    pub fn close_idle(&self, now: f64) {
         self.pools.sweep(now);
     }
 
--- a/src/upstream/resp_exchange.rs
+++ b/src/upstream/resp_exchange.rs
@@ -31,11 +31,11 @@
     handle: &AbandonHandle,
 ) -> AttemptResult {
     let Some(connection) = dial::exclusive(upstream, attempt.endpoint, addr).await else {
-        return AttemptResult::without(Outcome::ConnectFailed);
+        return AttemptResult::with_outcome(Outcome::ConnectFailed);
     };
     handle.set(Abandon::Close(connection.clone()));
     if !send(upstream, attempt, &connection).await {
-        return AttemptResult::without(Outcome::ConnectFailed);
+        return AttemptResult::with_outcome(Outcome::ConnectFailed);
     }
     let platform = upstream.dispatcher.platform();
     let incoming = connection
@@ -54,7 +54,7 @@
         Some(Incoming::Streamed(reply)) => {
             start_streaming(upstream, attempt.endpoint, connection, reply)
         }
-        None => AttemptResult::without(Outcome::Reset),
+        None => AttemptResult::with_outcome(Outcome::Reset),
     }
 }
 
@@ -62,7 +62,7 @@
 /// an endpoint: it may have left while its connection came up.
 async fn send(upstream: &Upstream, attempt: &AttemptStart, connection: &Connection) -> bool {
     let dispatcher = &upstream.dispatcher;
-    let wait_ms = attempt.until - dispatcher.now();
+    let wait_ms = attempt.deadline_ms - dispatcher.now();
     let mut bytes = Vec::with_capacity(REQUEST_CAPACITY_BYTES);
     push_request(&mut bytes, dispatcher.platform(), &attempt.request, wait_ms);
     connection.queue(&bytes).is_ok()
@@ -86,8 +86,8 @@
     let usage = text_at(rest, USAGE_ITEM);
     AttemptResult {
         outcome: Outcome::Ok,
-        value: Some(ResponseBody::Complete(value.to_vec())),
-        load: load_report(platform, rest),
+        body: Some(ResponseBody::Complete(value.to_vec())),
+        load_report: load_report(platform, rest),
         settled_units: usage.and_then(|usage| endpoint_report::settled_units(platform, usage)),
     }
 }
@@ -101,8 +101,8 @@
         endpoint_report::load_report(platform, report)
     });
     Some(AttemptResult {
-        load,
-        ..AttemptResult::without(outcome)
+        load_report: load,
+        ..AttemptResult::with_outcome(outcome)
     })
 }
 
@@ -133,7 +133,7 @@
     {
         let mut input = connection.input();
         input.consume(reply.head_bytes);
-        let taken = sender.push(input.whole());
+        let taken = sender.write(input.contiguous());
         input.consume(taken);
     }
     spawn_local(stream_reply(
@@ -144,8 +144,8 @@
         sender,
     ));
     AttemptResult {
-        value: Some(ResponseBody::Streaming(Rc::new(receiver))),
-        ..AttemptResult::without(Outcome::Ok)
+        body: Some(ResponseBody::Streaming(Rc::new(receiver))),
+        ..AttemptResult::with_outcome(Outcome::Ok)
     }
 }
 
@@ -170,7 +170,7 @@
     if !load.is_empty() {
         upstream
             .dispatcher
-            .with_requests(|requests, now_ms| requests.probed(now_ms, endpoint, Outcome::Ok, load));
+            .with_requests(|requests, now_ms| requests.health_check_ended(now_ms, endpoint, Outcome::Ok, load));
     }
     upstream.keep(endpoint, connection);
 }
@@ -179,20 +179,20 @@
 /// be closed.
 async fn stream_value(connection: &Connection, sender: &BodySender) -> bool {
     let stream = connection.stream();
-    while sender.left() > 0 {
-        if sender.gone() {
+    while sender.unsent_bytes() > 0 {
+        if sender.is_receiver_gone() {
             return false;
         }
-        match sender.fill(|room| stream.try_read(room)) {
+        match sender.write_with(|room| stream.try_read(room)) {
             // The client has to take bytes first.
-            None => sender.room().await,
+            None => sender.wait_for_room().await,
             Some(Ok(0)) => return false,
             Some(Ok(_)) => {}
             Some(Err(e)) if e.kind() == ErrorKind::WouldBlock => {
                 let readable = async {
                     tokio::select! {
                         ready = stream.readable() => ready.is_ok(),
-                        () = sender.room() => true,
+                        () = sender.wait_for_room() => true,
                     }
                 };
                 if !timeout(STREAM_STALL_TIMEOUT, readable)
@@ -214,7 +214,7 @@
     loop {
         {
             let mut input = connection.input();
-            match streamed_reply_rest(input.whole(), items) {
+            match streamed_reply_rest(input.contiguous(), items) {
                 Ok(Parsed::Complete(rest, length)) => {
                     let load = load_report(platform, &rest);
                     input.consume(length);
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -45,7 +45,7 @@
         let tenant = "0000000000000007";
         let request =
             ClientRequest::new(&self.platform, tenant, "k", terms, Some(vec![0; body])).unwrap();
-        self.requests.arrive(NOW, request)
+        self.requests.request_arrived(NOW, request)
     }
 
     fn actions(&mut self) -> Vec<Action> {
@@ -72,9 +72,9 @@
     fn end(&mut self, after: f64, start: &AttemptStart, outcome: Outcome) -> Vec<Action> {
         self.requests.attempt_ended(
             NOW + after,
-            start.id,
+            start.request_id,
             start.attempt,
-            AttemptResult::without(outcome),
+            AttemptResult::with_outcome(outcome),
         );
         self.actions()
     }
@@ -100,8 +100,8 @@
     let id = ingress.arrive("fetch-episode", 0);
     let start = ingress.started();
     let end = AttemptResult {
-        value: Some(ResponseBody::Complete(b"news".to_vec())),
-        ..AttemptResult::without(Outcome::Ok)
+        body: Some(ResponseBody::Complete(b"news".to_vec())),
+        ..AttemptResult::with_outcome(Outcome::Ok)
     };
     ingress
         .requests
@@ -184,7 +184,7 @@
             Some(vec![1]),
         )
         .unwrap();
-        let id = ingress.requests.arrive(NOW, request);
+        let id = ingress.requests.request_arrived(NOW, request);
         let start = ingress.started();
         // Late, but not over: a hedged request, or none.
         let mut starts = 0;
@@ -205,8 +205,8 @@
             "{actions:?}"
         );
         let ok = AttemptResult {
-            value: Some(ResponseBody::Complete(vec![])),
-            ..AttemptResult::without(Outcome::Ok)
+            body: Some(ResponseBody::Complete(vec![])),
+            ..AttemptResult::with_outcome(Outcome::Ok)
         };
         ingress.requests.attempt_ended(NOW + 1001.0, id, 1, ok);
         let answers = ingress
@@ -244,10 +244,10 @@
     let mut ingress = Ingress::new(1 << 20);
     let id = ingress.arrive("book-rebroadcast", 0);
     let start = ingress.started();
-    assert_eq!(start.until, NOW + 1000.0);
+    assert_eq!(start.deadline_ms, NOW + 1000.0);
     let mut actions = Vec::new();
     while ingress.requests.unanswered() > 0 || actions.len() < 2 {
-        let due = ingress.requests.next_due().expect("a timer");
+        let due = ingress.requests.next_due_ms().expect("a timer");
         assert!(due <= NOW + 1001.0, "nothing by the deadline");
         ingress.requests.tick(due);
         actions.extend(ingress.actions());
@@ -267,15 +267,15 @@
     ingress.arrive("fetch-episode", 0);
     let start = ingress.started();
     let end = AttemptResult {
-        value: Some(ResponseBody::Complete(vec![])),
-        ..AttemptResult::without(Outcome::Ok)
+        body: Some(ResponseBody::Complete(vec![])),
+        ..AttemptResult::with_outcome(Outcome::Ok)
     };
-    ingress.requests.attempt_ended(NOW + 5.0, start.id, 0, end);
+    ingress.requests.attempt_ended(NOW + 5.0, start.request_id, 0, end);
     let mut now = NOW + 5.0;
     let mut wakes = 0;
     while let Some(due) = ingress
         .requests
-        .next_due()
+        .next_due_ms()
         .filter(|due| *due < NOW + 1100.0)
     {
         now = due.max(now);
@@ -293,8 +293,8 @@
     let terms = "c=fetch-episode,t=national,d=3600000,units=2,spread=1,first=0".to_string();
     let request =
         ClientRequest::new(&ingress.platform, "0000000000000007", "k", terms, None).unwrap();
-    ingress.requests.arrive(NOW, request);
-    assert_eq!(ingress.started().until, NOW + 1200.0);
+    ingress.requests.request_arrived(NOW, request);
+    assert_eq!(ingress.started().deadline_ms, NOW + 1200.0);
 }
 
 /// A client closes its connection while its request is being served. Nobody wants the answer any more, so the
