--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -12,7 +12,7 @@
 use driftgap::request::{
     Action, AttemptResult, AttemptStart, ClientRequest, FinalAnswer, ResponseBody,
 };
-use driftgap::routing::{catalog, Source};
+use driftgap::routing::{catalog, RuleSource};
 use driftgap::runtime::clock::Clock;
 use driftgap::runtime::dispatcher::{ActionExecutor, Dispatcher, ResponseSink};
 use std::cell::{Cell, RefCell};
@@ -232,11 +232,13 @@
     /// # Errors
     /// The inventory is wrong.
     pub fn load(&self, inventory: &mut Inventory) -> Result<usize, ExperimentError> {
-        let loaded = inventory.load(&mut self.dispatcher.table(), self.dispatcher.now());
+        let loaded = inventory.load(&mut self.dispatcher.registry(), self.dispatcher.now());
         let (entries, _) = loaded.map_err(|e| ExperimentError::Refused(e.to_string()))?;
         let notified = entries.len();
         self.dispatcher.update_endpoints(ListKind::Delta, entries);
-        self.dispatcher.table().forget(|id| inventory.dropped(id));
+        self.dispatcher
+            .registry()
+            .forget(|id| inventory.dropped(id));
         Ok(notified)
     }
 
@@ -260,7 +262,7 @@
     /// # Errors
     /// The text holds faults; the first of them.
     pub fn put_rules(&self, text: &str) -> Result<(), ExperimentError> {
-        let source = Source::file(RULES_FILE.into(), MEMORY_MB);
+        let source = RuleSource::file(RULES_FILE.into(), MEMORY_MB);
         let in_force = self.dispatcher.rules();
         let rules = source
             .judge(
@@ -275,7 +277,7 @@
                 ExperimentError::Refused(first)
             })?;
         self.dispatcher
-            .put_rules(rules)
+            .replace_rules(rules)
             .map_err(|e| ExperimentError::Refused(e.to_string()))?;
         Ok(())
     }
@@ -312,16 +314,18 @@
         let now = self.dispatcher.now();
         while let Some(add) = self.peers.due_call(now) {
             let total = self.peers.add(add);
-            self.dispatcher
-                .with_requests(|core, now| core.counter_answered(now, add.name, Outcome::Ok, total));
+            self.dispatcher.with_requests(|core, now| {
+                core.counter_answered(now, add.name, Outcome::Ok, total)
+            });
         }
         while let Some(start) = self.peers.due_attempt(now) {
             let end = AttemptResult {
                 body: Some(ResponseBody::Complete(Vec::new())),
                 ..AttemptResult::with_outcome(Outcome::Ok)
             };
-            self.dispatcher
-                .with_requests(|core, now| core.attempt_ended(now, start.request_id, start.attempt, end));
+            self.dispatcher.with_requests(|core, now| {
+                core.attempt_ended(now, start.request_id, start.attempt, end)
+            });
         }
     }
 }
--- a/src/buffer/body_stream/tests.rs
+++ b/src/buffer/body_stream/tests.rs
@@ -26,14 +26,22 @@
 fn either_side_learns_that_the_other_is_gone() {
     let streams = BodyStreams::new(0);
     let (sender, receiver) = streams.open(10);
-    assert_eq!(sender.write(b"abcdefghijkl"), 10, "nothing beyond the value");
+    assert_eq!(
+        sender.write(b"abcdefghijkl"),
+        10,
+        "nothing beyond the value"
+    );
     drop(receiver);
     assert!(sender.is_receiver_gone());
     drop(sender);
     let (sender, receiver) = streams.open(10);
     sender.write(b"abc");
     drop(sender);
-    assert!(receiver.is_broken_off() && !receiver.is_complete() && receiver.buffer().first_slice() == b"abc");
+    assert!(
+        receiver.is_broken_off()
+            && !receiver.is_complete()
+            && receiver.buffer().first_slice() == b"abc"
+    );
     drop(receiver);
     assert_eq!(streams.open_streams.get(), 0);
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -9,7 +9,7 @@
 use crate::discovery::inventory::Inventory;
 use crate::discovery::registry::EndpointRegistry;
 use crate::plugin::Plugin;
-use crate::routing::Source;
+use crate::routing::RuleSource;
 use std::fmt::Display;
 use std::path::Path;
 
@@ -70,7 +70,7 @@
     findings.unknown = value
         .get("settings")
         .map_or(Vec::new(), settings_description::unknown);
-    findings.description = settings_description::words(&config.platform);
+    findings.description = settings_description::describe(&config.platform);
     Ok(config)
 }
 
@@ -115,7 +115,7 @@
 }
 
 fn check_rules(operator: &OperatorFile, config: &Config, faults: &mut Faults) {
-    let Some(source) = Source::of(operator, config.memory_mb) else {
+    let Some(source) = RuleSource::of(operator, config.memory_mb) else {
         return;
     };
     let read = source.read(&config.platform);
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -3,7 +3,7 @@
 //! The ingress reads the same rules by the same code; nothing is judged here.
 
 use crate::config::settings::{Config, Platform};
-use crate::routing::{catalog, Source};
+use crate::routing::{catalog, RuleSource};
 use driftgap_routes::{Explained, Explainer, Fault, Headers, Request, Router, Rules, Verdict};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -119,14 +119,14 @@
 }
 
 fn read(file: &Path, config: &Config) -> Result<Rules, Vec<String>> {
-    Source::file(file.to_path_buf(), config.memory_mb)
+    RuleSource::file(file.to_path_buf(), config.memory_mb)
         .read(&config.platform)
         .map_err(shown)
 }
 
 /// Reads a file with what an explanation needs.
 fn read_to_explain(file: &Path, config: &Config) -> Result<Explainer, Vec<String>> {
-    let text = Source::file(file.to_path_buf(), config.memory_mb)
+    let text = RuleSource::file(file.to_path_buf(), config.memory_mb)
         .text()
         .map_err(shown)?;
     Explainer::read(
--- a/src/config/settings_description/mod.rs
+++ b/src/config/settings_description/mod.rs
@@ -5,7 +5,7 @@
 mod sentences;
 mod table;
 
-pub use sentences::describe as words;
+pub use sentences::describe;
 pub use table::{SettingDescription, SETTINGS};
 
 use serde_json::Value;
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -107,6 +107,7 @@
 
 fn report_failed(dispatcher: &Rc<Dispatcher>, failed: Vec<FailedCall>) {
     for FailedCall { name, outcome } in failed {
-        dispatcher.with_requests(|requests, now| requests.counter_answered(now, name, outcome, 0.0));
+        dispatcher
+            .with_requests(|requests, now| requests.counter_answered(now, name, outcome, 0.0));
     }
 }
--- a/src/discovery/apply.rs
+++ b/src/discovery/apply.rs
@@ -35,7 +35,7 @@
         return Err(AnswerError::Status(answer.status));
     }
     let list: Value = serde_json::from_slice(&answer.body)?;
-    let update = dispatcher.table().take(&list)?;
+    let update = dispatcher.registry().take(&list)?;
     dispatcher.mark_discovery_answered();
     if update.kind == ListKind::Delta && update.entries.is_empty() {
         return Ok(update.version);
@@ -49,7 +49,7 @@
     dispatcher.update_endpoints(update.kind, update.entries);
     let unnamed_is_gone = update.kind == ListKind::Full;
     dispatcher
-        .table()
+        .registry()
         .forget(|id| is_gone.get(&id).copied().unwrap_or(unnamed_is_gone));
     Ok(update.version)
 }
--- a/src/discovery/follow.rs
+++ b/src/discovery/follow_registry.rs
@@ -22,7 +22,7 @@
 ///
 /// `version` is that of the list held, if there is one: only what came after it is asked for. The whole list, by
 /// all ingresses of a fleet at their start, is what an overloaded discovery can bear least.
-pub async fn follow(
+pub async fn follow_registry(
     dispatcher: Rc<Dispatcher>,
     agent: SocketAddr,
     version: Option<u64>,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -4,11 +4,11 @@
 
 mod apply;
 mod endpoint_list;
-mod follow;
+mod follow_registry;
 pub mod inventory;
 mod poll_schedule;
 mod poller;
 pub mod registry;
 
 pub use apply::{apply_answer as take, AnswerError};
-pub use follow::follow;
+pub use follow_registry::follow_registry;
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/2 connection: its handshake, its streams, and its end.
 
 use super::{stream, CLIENT_TIMEOUT};
-use crate::protocol::resp::MAX_VALUE;
+use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
 use crate::runtime::dispatcher::Dispatcher;
 use bytes::Bytes;
 use h2::server::{Builder, SendResponse};
@@ -171,7 +171,7 @@
     builder
         .max_concurrent_streams(max_streams)
         .max_header_list_size(MAX_HEADER_LIST)
-        .initial_window_size(MAX_VALUE as u32 + STREAM_WINDOW_MARGIN)
+        .initial_window_size(MAX_COMPLETE_BODY_BYTES as u32 + STREAM_WINDOW_MARGIN)
         .initial_connection_window_size(CONNECTION_WINDOW)
         .max_send_buffer_size(MAX_UNSENT)
         .max_concurrent_reset_streams(MAX_REMEMBERED_RESETS)
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -1,10 +1,11 @@
 //! Makes a request of a stream's headers and body, through the operator's rules where there are any.
 
 use crate::protocol::http2::{
-    terms, text, DEADLINE, ID, PLAN, REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
+    request_terms, required_header, CLIENT_TIMEOUT_MS, PLAN, REQUEST_ID, REQUEST_PATH_PREFIX,
+    RETRY, TENANT, TERMS,
 };
-use crate::protocol::resp::MAX_VALUE;
-use crate::request::{pairs, ClientRequest, InvalidRequest};
+use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
+use crate::request::{term_pairs, ClientRequest, InvalidRequest};
 use crate::routing::{self, HeaderView};
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_routes::{Headers, Mapped, Request as RuleRequest, Route, Ticket, Verdict};
@@ -61,8 +62,8 @@
     incoming: Request<RecvStream>,
 ) -> Result<Received, RequestError> {
     let (head, mut stream) = incoming.into_parts();
-    if let Some((status, text)) = health(dispatcher, head.uri.path()) {
-        return Ok(Received::Answer(status, text));
+    if let Some((status, required_header)) = health(dispatcher, head.uri.path()) {
+        return Ok(Received::Answer(status, required_header));
     }
     let headers = Head { peer, head: &head };
     let route = match apply_rules(dispatcher, &headers)? {
@@ -146,10 +147,10 @@
         let why = "POST or GET".to_string();
         return Err(RequestError::Status(StatusCode::METHOD_NOT_ALLOWED, why));
     }
-    let (terms, timeout_ms) = terms(&head.headers, class).map_err(bad_request)?;
-    let tenant = text(&head.headers, TENANT).map_err(bad_request)?;
-    let id = text(&head.headers, ID).map_err(bad_request)?;
-    let request = ClientRequest::new(dispatcher.platform(), tenant, id, terms, None);
+    let (request_terms, timeout_ms) = request_terms(&head.headers, class).map_err(bad_request)?;
+    let tenant = required_header(&head.headers, TENANT).map_err(bad_request)?;
+    let id = required_header(&head.headers, REQUEST_ID).map_err(bad_request)?;
+    let request = ClientRequest::new(dispatcher.platform(), tenant, id, request_terms, None);
     Ok((request.map_err(invalid)?, timeout_ms))
 }
 
@@ -169,9 +170,10 @@
     /// them when the request itself is made.
     fn for_rules<'a>(&'a self, headers: &'a dyn Headers) -> RuleRequest<'a> {
         let head = self.head;
-        let named = |name| text(&head.headers, name).ok();
-        let units = named(TERMS).and_then(|list| pairs(list).find(|(name, _)| *name == "units"));
-        let deadline_ms = named(DEADLINE).and_then(|ms| ms.parse::<f64>().ok());
+        let named = |name| required_header(&head.headers, name).ok();
+        let units =
+            named(TERMS).and_then(|list| term_pairs(list).find(|(name, _)| *name == "units"));
+        let deadline_ms = named(CLIENT_TIMEOUT_MS).and_then(|ms| ms.parse::<f64>().ok());
         RuleRequest {
             protocol: "http2",
             method: head.method.as_str(),
@@ -182,7 +184,7 @@
             class: self.class(),
             plan: named(PLAN),
             partner: named(TENANT),
-            id: named(ID),
+            id: named(REQUEST_ID),
             units: units
                 .and_then(|(_, units)| units.parse().ok())
                 .filter(|units: &f64| units.is_finite()),
@@ -218,7 +220,7 @@
     while let Some(part) = stream.data().await {
         let part = part.map_err(|_| RequestError::Reset(Reason::CANCEL))?;
         body.extend_from_slice(&part);
-        if body.len() > MAX_VALUE {
+        if body.len() > MAX_COMPLETE_BODY_BYTES {
             let why = "the body is too long".to_string();
             return Err(RequestError::Status(StatusCode::PAYLOAD_TOO_LARGE, why));
         }
--- a/src/frontend/http2/stream.rs
+++ b/src/frontend/http2/stream.rs
@@ -4,7 +4,9 @@
 use super::requests::{read_request, Received, RequestError};
 use super::CLIENT_TIMEOUT;
 use crate::decision::driver::RequestId;
-use crate::protocol::http2::{plain, push_body, push_coming, wording, Body};
+use crate::protocol::http2::{
+    answer_response, send_body, send_streaming_body, status_response, Body,
+};
 use crate::request::{ClientRequest, FinalAnswer};
 use crate::runtime::dispatcher::{Dispatcher, ResponseSink};
 use bytes::Bytes;
@@ -52,10 +54,10 @@
             .await;
         }
         Ok(Received::Answer(status, text)) => {
-            send(dispatcher, respond, plain(status), text.into()).await;
+            send(dispatcher, respond, status_response(status), text.into()).await;
         }
         Err(RequestError::Status(status, why)) => {
-            send(dispatcher, respond, plain(status), why.into()).await;
+            send(dispatcher, respond, status_response(status), why.into()).await;
         }
         Err(RequestError::Reset(reason)) => respond.send_reset(reason),
     }
@@ -106,14 +108,14 @@
     mut respond: SendResponse<Bytes>,
     answer: FinalAnswer,
 ) {
-    let (response, body) = wording(answer);
+    let (response, body) = answer_response(answer);
     match body {
         Body::Complete(body) => send(dispatcher, respond, response, body).await,
         Body::Streaming(body) => {
             let Ok(mut stream) = respond.send_response(response, false) else {
                 return;
             };
-            if !push_coming(&mut stream, &body, CLIENT_TIMEOUT).await {
+            if !send_streaming_body(&mut stream, &body, CLIENT_TIMEOUT).await {
                 // The client has to see that an incomplete body is one.
                 stream.send_reset(Reason::INTERNAL_ERROR);
             }
@@ -139,7 +141,7 @@
     if body.is_empty() {
         return;
     }
-    let sent = timeout(CLIENT_TIMEOUT, push_body(&mut stream, body, true)).await;
+    let sent = timeout(CLIENT_TIMEOUT, send_body(&mut stream, body, true)).await;
     if sent.is_err() {
         stream.send_reset(Reason::CANCEL);
     }
--- a/src/frontend/resp/answers.rs
+++ b/src/frontend/resp/answers.rs
@@ -5,7 +5,7 @@
 use super::session::MAX_PIPELINED;
 use crate::buffer::body_stream::BodyReceiver;
 use crate::decision::driver::RequestId;
-use crate::frontend::advice;
+use crate::protocol::retry_after::retry_after_whole_ms;
 use crate::request::{FinalAnswer, ResponseBody};
 use crate::runtime::dispatcher::ResponseSink;
 use std::io::ErrorKind;
@@ -214,7 +214,7 @@
     AnswerSlot::Ready(match answer {
         FinalAnswer::Served(ResponseBody::Streaming(body)) => return AnswerSlot::Streaming(body),
         FinalAnswer::Served(ResponseBody::Complete(body)) => encode_body(&body),
-        FinalAnswer::Rejected { retry_after_ms } => match advice(retry_after_ms) {
+        FinalAnswer::Rejected { retry_after_ms } => match retry_after_whole_ms(retry_after_ms) {
             Some(ms) => format!("-BUSY {ms}\r\n").into_bytes(),
             None => b"-BUSY\r\n".to_vec(),
         },
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -3,6 +3,7 @@
 
 use super::connection::Connection;
 use crate::protocol::resp::parse_request;
+use crate::protocol::wire_names;
 use crate::request::ClientRequest;
 use crate::routing;
 use crate::runtime::dispatcher::Dispatcher;
@@ -33,6 +34,10 @@
     Invalid,
 }
 
+/// The platform's verbs, as bytes.
+const VERB_SAFE: &[u8] = wire_names::VERB_SAFE.as_bytes();
+const VERB_WITH_EFFECT: &[u8] = wire_names::VERB_WITH_EFFECT.as_bytes();
+
 /// Reads the words of one request.
 pub(super) fn interpret(dispatcher: &Dispatcher, words: &[&[u8]]) -> Received {
     let verb = words.first().map_or(Vec::new(), |w| w.to_ascii_uppercase());
@@ -40,9 +45,9 @@
         (b"PING", 1) if dispatcher.ready() => Received::Answer(PONG),
         (b"PING", 1) => Received::Answer(NOT_READY),
         (b"QUIT", _) => Received::Quit,
-        (b"SVC.QUERY" | b"SVC.SUBMIT", 4 | 5) => {
-            let is_query = verb == b"SVC.QUERY";
-            match parse_request(dispatcher.platform(), is_query, &words[1..]) {
+        (VERB_SAFE | VERB_WITH_EFFECT, 4 | 5) => {
+            let is_safe = verb == VERB_SAFE;
+            match parse_request(dispatcher.platform(), is_safe, &words[1..]) {
                 Ok(request) => Received::Request(Box::new(request)),
                 Err(problem) => {
                     tracing::debug!(%problem, "invalid request");
@@ -50,7 +55,7 @@
                 }
             }
         }
-        (b"SVC.QUERY" | b"SVC.SUBMIT", _) => Received::Answer(WRONG_ARGUMENTS),
+        (VERB_SAFE | VERB_WITH_EFFECT, _) => Received::Answer(WRONG_ARGUMENTS),
         _ => Received::Answer(UNKNOWN),
     }
 }
--- a/src/frontend/resp/session.rs
+++ b/src/frontend/resp/session.rs
@@ -5,7 +5,7 @@
 use super::requests::{interpret, Received};
 use crate::buffer::body_stream::BodyReceiver;
 use crate::buffer::ring_buffer::RingBuffer;
-use crate::protocol::resp::{request_words, Parsed, MAX_VALUE};
+use crate::protocol::resp::{request_words, Parsed, MAX_COMPLETE_BODY_BYTES};
 use crate::runtime::dispatcher::ByteBudget;
 use driftgap_admin::DrainState;
 use std::net::Shutdown;
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 /// Most bytes of input: a request with its longest body and some room.
-const MAX_INPUT: usize = MAX_VALUE + 16 * 1024;
+const MAX_INPUT: usize = MAX_COMPLETE_BODY_BYTES + 16 * 1024;
 /// A request of which no more than so many bytes have come does not count against what all clients together may send
 /// in part.
 const SHORT_INPUT: usize = 4 * 1024;
--- a/src/protocol/endpoint_report.rs
+++ b/src/protocol/endpoint_report.rs
@@ -3,7 +3,7 @@
 
 use crate::config::settings::Platform;
 use crate::protocol::wire_names;
-use crate::request::{decimal, pairs};
+use crate::request::{parse_decimal, term_pairs};
 
 /// The values of a load report in the order of the settings' columns; empty where one is missing or no number.
 pub fn load_report(platform: &Platform, report: &[u8]) -> Vec<f64> {
@@ -18,7 +18,7 @@
 
 fn load_column(report: &str, column: &str) -> Option<f64> {
     let alias = wire_names::load_column_alias(column);
-    let (_, value) = pairs(report).find(|(name, _)| *name == column || *name == alias)?;
+    let (_, value) = term_pairs(report).find(|(name, _)| *name == column || *name == alias)?;
     let value: f64 = value.parse().ok()?;
     (value.is_finite() && value >= 0.0).then_some(value)
 }
@@ -31,10 +31,10 @@
         return None;
     }
     let text = std::str::from_utf8(usage).ok()?;
-    let mut values = pairs(text).filter(|(name, _)| *name == wire_names::SETTLED_UNITS);
+    let mut values = term_pairs(text).filter(|(name, _)| *name == wire_names::SETTLED_UNITS);
     let (_, first) = values.next()?;
     if values.next().is_some() {
         return None;
     }
-    decimal(first).filter(|units| *units <= settings.max_units)
+    parse_decimal(first).filter(|units| *units <= settings.max_units)
 }
--- a/src/protocol/http2.rs
+++ b/src/protocol/http2.rs
@@ -7,10 +7,10 @@
 mod headers;
 mod request;
 
-pub use answer::{plain, wording, Body};
-pub use body::{collect, push_body, push_coming};
+pub use answer::{answer_response, status_response, Body};
+pub use body::{collect, send_body, send_streaming_body};
 pub use headers::{
-    DEADLINE, ID, IDEMPOTENCY_KEY, LOAD_REPORT, NOTE_PREFIX, PLAN, REJECTED, REQUEST_PATH_PREFIX,
-    RETRY, RETRY_AFTER_MS, TENANT, TERMS, USAGE,
+    CLIENT_TIMEOUT_MS, IDEMPOTENCY_KEY, LOAD_REPORT, NOTE_PREFIX, PLAN, REJECTED, REQUEST_ID,
+    REQUEST_PATH_PREFIX, RETRY, RETRY_AFTER_MS, TENANT, TERMS, USAGE,
 };
-pub use request::{terms, text, upstream_request, InvalidHeader};
+pub use request::{request_terms, required_header, upstream_request, InvalidHeader};
--- a/src/protocol/http2/answer.rs
+++ b/src/protocol/http2/answer.rs
@@ -1,8 +1,8 @@
 //! Final answers as a status, headers and a body.
 
 use crate::buffer::body_stream::BodyReceiver;
-use crate::frontend::advice;
 use crate::protocol::http2::headers::RETRY_AFTER_MS;
+use crate::protocol::retry_after::retry_after_whole_ms;
 use crate::request::{FinalAnswer, ResponseBody};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, RETRY_AFTER};
@@ -21,28 +21,33 @@
 }
 
 /// An answer with a status alone.
-pub fn plain(status: StatusCode) -> Response<()> {
+pub fn status_response(status: StatusCode) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     response
 }
 
 /// The status and headers of a final answer, and its body.
-pub fn wording(answer: FinalAnswer) -> (Response<()>, Body) {
+pub fn answer_response(answer: FinalAnswer) -> (Response<()>, Body) {
     match answer {
-        FinalAnswer::Served(ResponseBody::Complete(value)) => {
-            (plain(StatusCode::OK), Body::Complete(value.into()))
-        }
+        FinalAnswer::Served(ResponseBody::Complete(value)) => (
+            status_response(StatusCode::OK),
+            Body::Complete(value.into()),
+        ),
         FinalAnswer::Served(ResponseBody::Streaming(value)) => {
-            let mut response = plain(StatusCode::OK);
+            let mut response = status_response(StatusCode::OK);
             response
                 .headers_mut()
                 .insert(CONTENT_LENGTH, value.size().into());
             (response, Body::Streaming(value))
         }
         FinalAnswer::Rejected { retry_after_ms } => without_body(rejection(retry_after_ms)),
-        FinalAnswer::Failed { late: true } => without_body(plain(StatusCode::GATEWAY_TIMEOUT)),
-        FinalAnswer::Failed { late: false } => without_body(plain(StatusCode::BAD_GATEWAY)),
+        FinalAnswer::Failed { late: true } => {
+            without_body(status_response(StatusCode::GATEWAY_TIMEOUT))
+        }
+        FinalAnswer::Failed { late: false } => {
+            without_body(status_response(StatusCode::BAD_GATEWAY))
+        }
     }
 }
 
@@ -52,8 +57,8 @@
 
 /// A 429; its `retry-after` counts whole seconds, one at the least, and is never earlier than was meant.
 fn rejection(retry_after_ms: f64) -> Response<()> {
-    let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
-    let whole_ms = advice(retry_after_ms).unwrap_or(0);
+    let mut response = status_response(StatusCode::TOO_MANY_REQUESTS);
+    let whole_ms = retry_after_whole_ms(retry_after_ms).unwrap_or(0);
     let headers = response.headers_mut();
     headers.insert(RETRY_AFTER, whole_ms.div_ceil(MS_PER_S).max(1).into());
     if whole_ms > 0 {
--- a/src/protocol/http2/body.rs
+++ b/src/protocol/http2/body.rs
@@ -1,7 +1,7 @@
 //! Bodies on an HTTP/2 stream: read whole, written whole, and forwarded while they come.
 
 use crate::buffer::body_stream::BodyReceiver;
-use crate::protocol::resp::MAX_VALUE;
+use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
 use bytes::Bytes;
 use h2::{RecvStream, SendStream};
 use std::future::poll_fn;
@@ -9,12 +9,12 @@
 use tokio::time::timeout;
 
 /// Reads a complete body; none: the stream ended before, gave nothing more for `stall_timeout`, or the body is longer
-/// than [`MAX_VALUE`].
+/// than [`MAX_COMPLETE_BODY_BYTES`].
 pub async fn collect(stream: &mut RecvStream, stall_timeout: Duration) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     while let Some(part) = timeout(stall_timeout, stream.data()).await.ok()? {
         let part = part.ok()?;
-        if body.len() + part.len() > MAX_VALUE {
+        if body.len() + part.len() > MAX_COMPLETE_BODY_BYTES {
             return None;
         }
         body.extend_from_slice(&part);
@@ -25,7 +25,7 @@
 
 /// Sends a body while it comes, as the stream's window opens; false: the sender or the stream has ended, or
 /// the client took nothing for `client_timeout`.
-pub async fn push_coming(
+pub async fn send_streaming_body(
     stream: &mut SendStream<Bytes>,
     body: &BodyReceiver,
     client_timeout: Duration,
@@ -40,7 +40,7 @@
         }
         let part = Bytes::copy_from_slice(body.buffer().first_slice());
         let sent_bytes = part.len();
-        let sent = timeout(client_timeout, push_body(stream, part, false)).await;
+        let sent = timeout(client_timeout, send_body(stream, part, false)).await;
         if !sent.unwrap_or(false) {
             return false;
         }
@@ -51,7 +51,7 @@
 
 /// Sends a body, or a part of one that is not the last, in pieces as the stream's window opens; false: the stream has
 /// ended.
-pub async fn push_body(stream: &mut SendStream<Bytes>, mut body: Bytes, last: bool) -> bool {
+pub async fn send_body(stream: &mut SendStream<Bytes>, mut body: Bytes, last: bool) -> bool {
     while !body.is_empty() {
         stream.reserve_capacity(body.len());
         let Some(Ok(capacity)) = poll_fn(|cx| stream.poll_capacity(cx)).await else {
--- a/src/protocol/http2/headers.rs
+++ b/src/protocol/http2/headers.rs
@@ -18,11 +18,11 @@
 /// The tenant, 16 hexadecimal digits.
 pub const TENANT: &str = "api-customer";
 /// The request's id.
-pub const ID: &str = "req-id";
+pub const REQUEST_ID: &str = "req-id";
 /// The tenant's plan.
 pub const PLAN: &str = "api-plan";
 /// How long the sender will wait, ms, counted from its send.
-pub const DEADLINE: &str = "req-deadline-ms";
+pub const CLIENT_TIMEOUT_MS: &str = "req-deadline-ms";
 /// `1` marks a client's retry.
 pub const RETRY: &str = "req-retry";
 /// The other names and values: `units=2,spread=3,first=1`.
--- a/src/protocol/http2/request.rs
+++ b/src/protocol/http2/request.rs
@@ -3,10 +3,11 @@
 use crate::config::settings::Platform;
 use crate::decision::Idempotency;
 use crate::protocol::http2::headers::{
-    DEADLINE, ID, IDEMPOTENCY_KEY, NOTE_PREFIX, PLAN, REQUEST_PATH_PREFIX, RETRY, TENANT, TERMS,
+    CLIENT_TIMEOUT_MS, IDEMPOTENCY_KEY, NOTE_PREFIX, PLAN, REQUEST_ID, REQUEST_PATH_PREFIX, RETRY,
+    TENANT, TERMS,
 };
 use crate::protocol::wire_names;
-use crate::request::{pairs, ClientRequest, MAX_CLIENT_TIMEOUT_MS};
+use crate::request::{term_pairs, ClientRequest, MAX_CLIENT_TIMEOUT_MS};
 use http::{HeaderMap, Method, Request};
 
 /// Terms of the platform's wire that have a header of their own.
@@ -45,7 +46,10 @@
 ///
 /// # Errors
 /// It is missing, or is no text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, InvalidHeader> {
+pub fn required_header<'a>(
+    headers: &'a HeaderMap,
+    name: &'static str,
+) -> Result<&'a str, InvalidHeader> {
     let value = headers.get(name).ok_or(InvalidHeader::Missing(name))?;
     value.to_str().map_err(|_| InvalidHeader::NotText(name))
 }
@@ -54,37 +58,39 @@
 ///
 /// # Errors
 /// The first invalid header.
-pub fn terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), InvalidHeader> {
-    let deadline = text(headers, DEADLINE)?;
-    let plan = text(headers, PLAN)?;
+pub fn request_terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), InvalidHeader> {
+    let deadline = required_header(headers, CLIENT_TIMEOUT_MS)?;
+    let plan = required_header(headers, PLAN)?;
     let client_timeout_ms = client_timeout_ms(deadline)?;
     if [class, plan, deadline].iter().any(|v| v.contains(',')) {
         return Err(InvalidHeader::Comma(ANY_VALUE));
     }
-    let mut terms = String::new();
-    push_term(&mut terms, wire_names::CLASS, class);
-    push_term(&mut terms, wire_names::PLAN, plan);
-    push_term(&mut terms, wire_names::CLIENT_TIMEOUT_MS, deadline);
+    let mut request_terms = String::new();
+    push_term(&mut request_terms, wire_names::CLASS, class);
+    push_term(&mut request_terms, wire_names::PLAN, plan);
+    push_term(&mut request_terms, wire_names::CLIENT_TIMEOUT_MS, deadline);
     // A key may stand among the terms too; one in both places is one too many, and judged as that.
     let taken =
         |name: &str| name == wire_names::IDEMPOTENCY_KEY || !TERMS_WITH_HEADER.contains(&name);
-    for (name, value) in pairs(text(headers, TERMS)?).filter(|(name, _)| taken(name)) {
-        push_term(&mut terms, name, value);
+    for (name, value) in
+        term_pairs(required_header(headers, TERMS)?).filter(|(name, _)| taken(name))
+    {
+        push_term(&mut request_terms, name, value);
     }
     for key in headers.get_all(IDEMPOTENCY_KEY) {
         let key = key.to_str().unwrap_or("");
         if key.contains(',') {
             return Err(InvalidHeader::Comma(IDEMPOTENCY_KEY));
         }
-        push_term(&mut terms, wire_names::IDEMPOTENCY_KEY, key);
+        push_term(&mut request_terms, wire_names::IDEMPOTENCY_KEY, key);
     }
     if headers
         .get(RETRY)
         .is_some_and(|r| r == wire_names::RETRY_YES)
     {
-        push_term(&mut terms, wire_names::RETRY, wire_names::RETRY_YES);
+        push_term(&mut request_terms, wire_names::RETRY, wire_names::RETRY_YES);
     }
-    Ok((terms, client_timeout_ms))
+    Ok((request_terms, client_timeout_ms))
 }
 
 /// A request as a request to an endpoint, with how long this ingress waits, ms.
@@ -101,11 +107,11 @@
         .method(method(platform, request))
         .uri(format!("http://instance{REQUEST_PATH_PREFIX}{class}"))
         .header(TENANT, &request.tenant)
-        .header(ID, &request.id)
+        .header(REQUEST_ID, &request.id)
         .header(PLAN, &platform.plans[request.attributes.plan])
-        .header(DEADLINE, wait_ms.max(1.0) as u64)
+        .header(CLIENT_TIMEOUT_MS, wait_ms.max(1.0) as u64)
         .header(TERMS, terms_without_header(&request.terms));
-    let key = pairs(&request.terms).find(|(name, _)| *name == wire_names::IDEMPOTENCY_KEY);
+    let key = term_pairs(&request.terms).find(|(name, _)| *name == wire_names::IDEMPOTENCY_KEY);
     if let Some((_, key)) = key {
         builder = builder.header(IDEMPOTENCY_KEY, key);
     }
@@ -121,16 +127,16 @@
 fn client_timeout_ms(deadline: &str) -> Result<f64, InvalidHeader> {
     let timeout_ms: f64 = deadline
         .parse()
-        .map_err(|_| InvalidHeader::NotANumber(DEADLINE))?;
+        .map_err(|_| InvalidHeader::NotANumber(CLIENT_TIMEOUT_MS))?;
     if !(0.0..=MAX_CLIENT_TIMEOUT_MS).contains(&timeout_ms) {
-        return Err(InvalidHeader::OutOfRange(DEADLINE));
+        return Err(InvalidHeader::OutOfRange(CLIENT_TIMEOUT_MS));
     }
     Ok(timeout_ms)
 }
 
-fn push_term(terms: &mut String, name: &str, value: &str) {
-    let comma = if terms.is_empty() { "" } else { "," };
-    terms.extend([comma, name, "=", value]);
+fn push_term(request_terms: &mut String, name: &str, value: &str) {
+    let comma = if request_terms.is_empty() { "" } else { "," };
+    request_terms.extend([comma, name, "=", value]);
 }
 
 fn method(platform: &Platform, request: &ClientRequest) -> Method {
@@ -143,9 +149,11 @@
 }
 
 fn terms_without_header(client_terms: &str) -> String {
-    let mut terms = String::with_capacity(client_terms.len());
-    for (name, value) in pairs(client_terms).filter(|(name, _)| !TERMS_WITH_HEADER.contains(name)) {
-        push_term(&mut terms, name, value);
+    let mut request_terms = String::with_capacity(client_terms.len());
+    for (name, value) in
+        term_pairs(client_terms).filter(|(name, _)| !TERMS_WITH_HEADER.contains(name))
+    {
+        push_term(&mut request_terms, name, value);
     }
-    terms
+    request_terms
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -9,6 +9,7 @@
 //! | `attempt_outcome` | what an endpoint's answer proves of an attempt |
 //! | `endpoint_report` | load reports and usage that come with answers |
 //! | `parse` | what the grammars share |
+//! | `retry_after` | Retry-After in whole milliseconds |
 
 pub mod attempt_outcome;
 pub mod endpoint_report;
@@ -16,4 +17,5 @@
 pub mod http2;
 mod parse;
 pub mod resp;
+pub mod retry_after;
 pub mod wire_names;
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -10,7 +10,7 @@
 pub use crate::protocol::parse::{Malformed, Parsed};
 pub use grammar::{
     endpoint_reply, push_words, request_words, streamed_reply, streamed_reply_rest, Reply,
-    StreamedReply, MAX_STREAMED_VALUE, MAX_VALUE,
+    StreamedReply, MAX_COMPLETE_BODY_BYTES, MAX_STREAMED_BODY_BYTES,
 };
 pub use request::{parse_request, push_request};
 
--- a/src/protocol/resp/grammar.rs
+++ b/src/protocol/resp/grammar.rs
@@ -10,9 +10,9 @@
 use winnow::token::{literal, take, take_while};
 
 /// Longest value that is held in memory whole, in bytes; a longer one is streamed.
-pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_COMPLETE_BODY_BYTES: usize = 64 * 1024;
 /// Longest value of all, in bytes.
-pub const MAX_STREAMED_VALUE: usize = 4 * 1024 * 1024;
+pub const MAX_STREAMED_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Most words in a request, most items in an array.
 const MAX_ITEMS: usize = 16;
 /// Deepest array in a reply. Guards the stack against arrays in arrays.
@@ -66,7 +66,7 @@
     let Ok(Parsed::Complete((items, value_bytes), head_bytes)) = parse(bytes, streamed_head) else {
         return None;
     };
-    let streamed = (MAX_VALUE + 1..=MAX_STREAMED_VALUE).contains(&value_bytes)
+    let streamed = (MAX_COMPLETE_BODY_BYTES + 1..=MAX_STREAMED_BODY_BYTES).contains(&value_bytes)
         && (1..=MAX_ITEMS).contains(&items);
     streamed.then_some(StreamedReply {
         items,
@@ -114,7 +114,7 @@
 }
 
 fn bulk_of<'a>(size: usize, input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
-    if size > MAX_VALUE {
+    if size > MAX_COMPLETE_BODY_BYTES {
         return malformed();
     }
     terminated(take(size), crlf).parse_next(input)
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -113,7 +113,8 @@
     ) -> Result<(), InvalidRequest> {
         // Guards the endpoints' grammar, which closes the connection otherwise: a safe request never has a body, any
         // other one never lacks it.
-        let safe = platform.decision.classes[self.attributes.class].idempotency == Idempotency::Safe;
+        let safe =
+            platform.decision.classes[self.attributes.class].idempotency == Idempotency::Safe;
         self.body = match (safe, body) {
             (true, Some(body)) if !body.is_empty() => {
                 return Err(InvalidRequest::Term(wire_names::BODY))
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -37,4 +37,4 @@
 pub use client_request::{ClientRequest, InvalidRequest};
 pub use request_counts::RequestCounts;
 pub use request_table::RequestTable;
-pub use terms::{decimal, pairs};
+pub use terms::{parse_decimal, term_pairs};
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -69,7 +69,9 @@
         self.in_flight
             .insert(id, InFlightRequest::new(request.clone(), give_up_ms));
         self.unanswered += 1;
-        let verdict = self.driver.decide(now_ms, id, &request.attributes, give_up_ms);
+        let verdict = self
+            .driver
+            .decide(now_ms, id, &request.attributes, give_up_ms);
         self.carry_out(now_ms, id, verdict);
         self.settle(now_ms);
         id
@@ -159,7 +161,13 @@
     }
 
     /// A health check has ended, with the load report that it brought; empty: none.
-    pub fn health_check_ended(&mut self, now_ms: f64, endpoint: EndpointId, outcome: Outcome, load: Vec<f64>) {
+    pub fn health_check_ended(
+        &mut self,
+        now_ms: f64,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        load: Vec<f64>,
+    ) {
         self.driver
             .observe(now_ms, Observation::ProbeEnded(endpoint, outcome, load));
         self.settle(now_ms);
--- a/src/request/terms.rs
+++ b/src/request/terms.rs
@@ -8,7 +8,7 @@
 
 /// A number as the platform writes it: digits, at most one point. What else Rust reads as a number (`inf`, `1e9`,
 /// `+2`) is none to an endpoint.
-pub fn decimal(text: &str) -> Option<f64> {
+pub fn parse_decimal(text: &str) -> Option<f64> {
     let plain = text.len() <= MAX_NUMBER_LENGTH
         && text.bytes().all(|b| b.is_ascii_digit() || b == b'.')
         && text.starts_with(|c: char| c.is_ascii_digit());
@@ -16,7 +16,7 @@
 }
 
 /// The names and values of `a=1,b=2`.
-pub fn pairs(terms: &str) -> impl Iterator<Item = (&str, &str)> {
+pub fn term_pairs(terms: &str) -> impl Iterator<Item = (&str, &str)> {
     terms.split(',').filter_map(|term| term.split_once('='))
 }
 
@@ -31,12 +31,12 @@
 
     /// The first value of this name.
     pub(super) fn value(self, name: &str) -> Option<&'a str> {
-        pairs(self.0).find(|(n, _)| *n == name).map(|(_, v)| v)
+        term_pairs(self.0).find(|(n, _)| *n == name).map(|(_, v)| v)
     }
 
     /// How many values there are of this name.
     pub(super) fn count(self, name: &str) -> usize {
-        pairs(self.0).filter(|(n, _)| *n == name).count()
+        term_pairs(self.0).filter(|(n, _)| *n == name).count()
     }
 
     /// Whether every term has a name and a value.
@@ -50,7 +50,7 @@
     /// It is missing, no number, or above `max`.
     pub(super) fn number(self, name: &'static str, max: f64) -> Result<f64, InvalidRequest> {
         self.value(name)
-            .and_then(decimal)
+            .and_then(parse_decimal)
             .filter(|value| *value <= max)
             .ok_or(InvalidRequest::Term(name))
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -7,7 +7,7 @@
 pub mod reload;
 mod source;
 
-pub use source::{Source, MEMORY_SHARE};
+pub use source::{RuleSource, RULE_MEMORY_SHARE};
 
 use crate::config::settings::Platform;
 use crate::decision::Idempotency;
--- a/src/routing/reload.rs
+++ b/src/routing/reload.rs
@@ -5,7 +5,7 @@
 //! compiles or drops it. There is one reading at a time; whatever is asked for during it leads to one more. Putting
 //! rules in force is the caller's.
 
-use crate::routing::Source;
+use crate::routing::RuleSource;
 use driftgap_routes::{Catalog, Fault, Rules};
 use std::any::Any;
 use std::future::pending;
@@ -56,7 +56,7 @@
 /// Reads one file of rules whenever it is asked to.
 #[derive(Debug)]
 pub struct RuleReload {
-    source: Source,
+    source: RuleSource,
     catalog: Catalog,
     /// Brings the result of the reading under way.
     reading: Option<oneshot::Receiver<Result<Reading, ReloadError>>>,
@@ -69,7 +69,7 @@
 impl RuleReload {
     /// For the rules of this source, which may name what is in `catalog`. Nothing is read and no thread is started
     /// before [`Self::request`].
-    pub fn new(source: Source, catalog: Catalog) -> RuleReload {
+    pub fn new(source: RuleSource, catalog: Catalog) -> RuleReload {
         RuleReload {
             source,
             catalog,
@@ -131,7 +131,7 @@
 
 /// The thread: reads the file, sends the result, and drops what that replaces.
 fn read(
-    source: &Source,
+    source: &RuleSource,
     catalog: &Catalog,
     in_force: Option<Rules>,
     last_thread: Option<JoinHandle<()>>,
@@ -160,7 +160,7 @@
 }
 
 fn compile(
-    source: &Source,
+    source: &RuleSource,
     catalog: &Catalog,
     in_force: Option<&Rules>,
 ) -> Result<(Rules, String), Vec<Fault>> {
--- a/src/routing/source.rs
+++ b/src/routing/source.rs
@@ -8,11 +8,11 @@
 
 /// The part of the memory that rules may take where there are any: the file's text, the rules in force and those that
 /// a reload compiles, all together. Requests share what is left.
-pub const MEMORY_SHARE: f64 = 0.25;
+pub const RULE_MEMORY_SHARE: f64 = 0.25;
 
 /// Where rules are read from: a file of their own, or a table of the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct RuleSource {
     path: PathBuf,
     /// The table of the file that holds them; none: the file holds nothing else.
     part: Option<&'static str>,
@@ -20,15 +20,15 @@
     max_bytes: usize,
 }
 
-impl Source {
+impl RuleSource {
     /// The rules that the operator's file has or names, for an ingress with `memory_mb`; none: it has no rules.
-    pub fn of(operator: &OperatorFile, memory_mb: f64) -> Option<Source> {
+    pub fn of(operator: &OperatorFile, memory_mb: f64) -> Option<RuleSource> {
         let routes = operator.routes.as_ref()?;
         let (path, part) = match &routes.file {
             Some(file) => (operator.folder.join(file), None),
             None => (operator.path.clone(), Some("routes")),
         };
-        Some(Source {
+        Some(RuleSource {
             path,
             part,
             max_bytes: max_bytes(memory_mb),
@@ -36,15 +36,15 @@
     }
 
     /// A file of rules by itself, for an ingress with `memory_mb`.
-    pub fn file(path: PathBuf, memory_mb: f64) -> Source {
-        Source {
+    pub fn file(path: PathBuf, memory_mb: f64) -> RuleSource {
+        RuleSource {
             path,
             part: None,
             max_bytes: max_bytes(memory_mb),
         }
     }
 
-    /// Bytes that rules may take while they are read again: [`MEMORY_SHARE`] of the memory.
+    /// Bytes that rules may take while they are read again: [`RULE_MEMORY_SHARE`] of the memory.
     pub fn max_bytes(&self) -> usize {
         self.max_bytes
     }
@@ -92,5 +92,5 @@
 
 /// Bytes that rules may take, out of the memory of the ingress.
 fn max_bytes(memory_mb: f64) -> usize {
-    (memory_mb * 1e6 * MEMORY_SHARE) as usize
+    (memory_mb * 1e6 * RULE_MEMORY_SHARE) as usize
 }
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -152,7 +152,7 @@
     }
 
     /// The endpoint registry.
-    pub fn table(&self) -> RefMut<'_, EndpointRegistry> {
+    pub fn registry(&self) -> RefMut<'_, EndpointRegistry> {
         self.registry.borrow_mut()
     }
 
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     /// Requests under way still need too many pools of the old rules, which stay in force.
-    pub fn put_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
+    pub fn replace_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
         let longest_ms = self.longest_deadline_ms();
         let replaced = match &mut *self.router.borrow_mut() {
             Some(router) => Some(router.replace(rules, self.clock.now(), longest_ms)?),
--- a/src/runtime/server/ingress.rs
+++ b/src/runtime/server/ingress.rs
@@ -74,7 +74,8 @@
             return;
         }
         let following = agent.map(|agent| {
-            let poll = discovery::follow(self.dispatcher.clone(), agent, version, self.seed);
+            let poll =
+                discovery::follow_registry(self.dispatcher.clone(), agent, version, self.seed);
             let task = spawn_local(poll).abort_handle();
             DiscoveryTask { agent, task }
         });
--- a/src/runtime/server/inventory.rs
+++ b/src/runtime/server/inventory.rs
@@ -13,14 +13,14 @@
     dispatcher: &Dispatcher,
     inventory: &mut Inventory,
 ) -> Result<(), InventoryError> {
-    let loaded = inventory.load(&mut dispatcher.table(), dispatcher.now());
+    let loaded = inventory.load(&mut dispatcher.registry(), dispatcher.now());
     let (entries, warnings) = loaded?;
     for warning in driftgap_inventory::summary(&warnings) {
         tracing::warn!(warning, "inventory");
     }
     dispatcher.update_endpoints(ListKind::Delta, entries);
     // Draining endpoints stay in the registry until the next reading finds them absent from the list before.
-    dispatcher.table().forget(|id| inventory.dropped(id));
+    dispatcher.registry().forget(|id| inventory.dropped(id));
     Ok(())
 }
 
@@ -52,7 +52,11 @@
     let Some(document) = group.document(DocumentKind::Inventory).await else {
         return Err(fault);
     };
-    let restored = inventory.restore(&document.bytes, &mut dispatcher.table(), dispatcher.now());
+    let restored = inventory.restore(
+        &document.bytes,
+        &mut dispatcher.registry(),
+        dispatcher.now(),
+    );
     let Ok((entries, _)) = restored else {
         return Err(fault);
     };
--- a/src/runtime/server/reload.rs
+++ b/src/runtime/server/reload.rs
@@ -15,7 +15,7 @@
 use crate::discovery::inventory::Inventory;
 use crate::group::Group;
 use crate::routing::reload::{Reading, ReloadError, RuleReload};
-use crate::routing::{catalog, Source};
+use crate::routing::{catalog, RuleSource};
 use driftgap_group::DocumentKind;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
     config: Config,
     inventory: Option<Inventory>,
     /// Where rules come from, with the text that is in force at the start.
-    rules: Option<(Source, String)>,
+    rules: Option<(RuleSource, String)>,
     documents: GroupDocuments,
 }
 
@@ -40,7 +40,7 @@
         ingress: Rc<Ingress>,
         config: Config,
         inventory: Option<Inventory>,
-        rules: Option<(Source, String)>,
+        rules: Option<(RuleSource, String)>,
         group: Option<Group>,
     ) -> Reload {
         Reload {
--- a/src/runtime/server/rules.rs
+++ b/src/runtime/server/rules.rs
@@ -3,7 +3,7 @@
 use super::startup::StartError;
 use crate::group::Group;
 use crate::routing::reload::{Reading, ReloadError};
-use crate::routing::{catalog, Source};
+use crate::routing::{catalog, RuleSource};
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_group::DocumentKind;
 use driftgap_routes::{Catalog, Fault, Rules};
@@ -21,7 +21,7 @@
 /// The file's first fault, where the group has no usable rules either.
 pub(super) async fn load_at_start(
     dispatcher: &Dispatcher,
-    source: &Source,
+    source: &RuleSource,
     group: Option<&Group>,
 ) -> Result<String, StartError> {
     let catalog = catalog(dispatcher.platform());
@@ -39,12 +39,12 @@
         "rules in force"
     );
     dispatcher
-        .put_rules(rules)
+        .replace_rules(rules)
         .map_err(|e| StartError::Routes(e.to_string()))?;
     Ok(text)
 }
 
-fn read_file(source: &Source, catalog: &Catalog) -> Result<RuleText, Vec<Fault>> {
+fn read_file(source: &RuleSource, catalog: &Catalog) -> Result<RuleText, Vec<Fault>> {
     let text = source.text()?;
     let rules = source.judge(&text, catalog, None)?;
     Ok(RuleText { rules, text })
@@ -52,7 +52,7 @@
 
 /// The rules that the group accepted last, if there are any and they compile here.
 async fn read_from_group(
-    source: &Source,
+    source: &RuleSource,
     catalog: &Catalog,
     group: Option<&Group>,
     faults: &[Fault],
@@ -104,7 +104,7 @@
     let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
     let (taken_over, bytes) = (rules.report().taken_over, rules.heap_bytes());
     let begun_ms = dispatcher.now();
-    let replaced = match dispatcher.put_rules(rules) {
+    let replaced = match dispatcher.replace_rules(rules) {
         Ok(replaced) => replaced,
         Err(e) => {
             tracing::error!(error = %e, "the old rules stay");
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -16,7 +16,7 @@
 use crate::frontend::resp::RespFrontend;
 use crate::group::{self, Group, GroupError, View};
 use crate::plugin::{Plugin, PluginError};
-use crate::routing::{Source, MEMORY_SHARE};
+use crate::routing::{RuleSource, RULE_MEMORY_SHARE};
 use crate::runtime::clock::Clock;
 use crate::runtime::dispatcher::Dispatcher;
 use crate::runtime::process_takeover::ProcessTakeover;
@@ -77,7 +77,7 @@
 ) -> Result<Started, StartError> {
     let inherited = client_socket.is_some();
     let memory_mb = process_memory_mb(&config, inherited);
-    let rule_source = Source::of(&operator, memory_mb);
+    let rule_source = RuleSource::of(&operator, memory_mb);
     let dispatcher = new_dispatcher(&config, &operator, memory_mb, rule_source.is_some())?;
     let http2_connections = operator.http2.as_ref().map_or(0, |http2| http2.connections);
     let budget = DescriptorBudget::new(&config, http2_connections);
@@ -132,7 +132,7 @@
         None => None,
     };
     let rules_mb = if has_rules {
-        memory_mb * MEMORY_SHARE
+        memory_mb * RULE_MEMORY_SHARE
     } else {
         0.0
     };
@@ -164,7 +164,7 @@
     if config.known.is_null() {
         return Ok(None);
     }
-    let update = dispatcher.table().take(&config.known)?;
+    let update = dispatcher.registry().take(&config.known)?;
     let version = (!update.entries.is_empty()).then_some(update.version);
     dispatcher.update_endpoints(ListKind::Cached, update.entries);
     Ok(version)
@@ -198,9 +198,9 @@
 /// Where rules are read from, with the text that is in force; none without rules.
 async fn load_rules(
     dispatcher: &Dispatcher,
-    source: Option<Source>,
+    source: Option<RuleSource>,
     group: Option<&Group>,
-) -> Result<Option<(Source, String)>, StartError> {
+) -> Result<Option<(RuleSource, String)>, StartError> {
     let Some(source) = source else {
         return Ok(None);
     };
--- a/src/upstream/http2_exchange.rs
+++ b/src/upstream/http2_exchange.rs
@@ -4,7 +4,7 @@
 use crate::buffer::body_stream::BodySender;
 use crate::config::settings::Platform;
 use crate::decision::Outcome;
-use crate::protocol::resp::{MAX_STREAMED_VALUE, MAX_VALUE};
+use crate::protocol::resp::{MAX_COMPLETE_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
 use crate::protocol::{attempt_outcome, endpoint_report, http2};
 use crate::request::{AttemptResult, AttemptStart, ResponseBody};
 use crate::upstream::pools::SharedConnection;
@@ -123,7 +123,7 @@
 /// The length of a body that is too long to be held whole; none: it is short, or its length is not given.
 fn streamed_length(headers: &HeaderMap) -> Option<usize> {
     let length: usize = headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()?;
-    (MAX_VALUE + 1..=MAX_STREAMED_VALUE)
+    (MAX_COMPLETE_BODY_BYTES + 1..=MAX_STREAMED_BODY_BYTES)
         .contains(&length)
         .then_some(length)
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -142,9 +142,9 @@
             let (outcome, load) = timeout(upstream.connect_timeout, check)
                 .await
                 .unwrap_or((Outcome::Timeout, Vec::new()));
-            upstream
-                .dispatcher
-                .with_requests(|requests, now_ms| requests.health_check_ended(now_ms, endpoint, outcome, load));
+            upstream.dispatcher.with_requests(|requests, now_ms| {
+                requests.health_check_ended(now_ms, endpoint, outcome, load)
+            });
         });
     }
 
@@ -160,7 +160,7 @@
 
     fn address(&self, endpoint: EndpointId) -> Option<(SocketAddr, EndpointProtocol)> {
         self.dispatcher
-            .table()
+            .registry()
             .endpoint(endpoint)
             .map(|endpoint| (endpoint.addr, endpoint.protocol))
     }
--- a/src/upstream/resp_exchange.rs
+++ b/src/upstream/resp_exchange.rs
@@ -168,9 +168,9 @@
         return;
     };
     if !load.is_empty() {
-        upstream
-            .dispatcher
-            .with_requests(|requests, now_ms| requests.health_check_ended(now_ms, endpoint, Outcome::Ok, load));
+        upstream.dispatcher.with_requests(|requests, now_ms| {
+            requests.health_check_ended(now_ms, endpoint, Outcome::Ok, load)
+        });
     }
     upstream.keep(endpoint, connection);
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -29,7 +29,7 @@
         servers.join(",")
     );
     let update = dispatcher
-        .table()
+        .registry()
         .take(&serde_json::from_str(&list).unwrap())
         .unwrap();
     dispatcher.update_endpoints(ListKind::Full, update.entries);
@@ -56,7 +56,7 @@
     let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     let config = Config::parse(&config).unwrap();
     let dispatcher = dispatcher(&config);
-    dispatcher.put_rules(rules(&config, 8)).unwrap();
+    dispatcher.replace_rules(rules(&config, 8)).unwrap();
     let all = dispatcher.pools().unwrap().0;
     assert_eq!(
         all,
@@ -69,7 +69,7 @@
         .map(|_| {
             let rules = rules(&config, 8);
             let begun = Instant::now();
-            let replaced = dispatcher.put_rules(rules).unwrap().unwrap();
+            let replaced = dispatcher.replace_rules(rules).unwrap().unwrap();
             let took = begun.elapsed();
             assert!(!replaced.has_new_pools());
             took
@@ -79,7 +79,11 @@
     assert_eq!(dispatcher.pools().unwrap().0, all);
     let more = rules(&config, 9);
     let begun = Instant::now();
-    assert!(dispatcher.put_rules(more).unwrap().unwrap().has_new_pools());
+    assert!(dispatcher
+        .replace_rules(more)
+        .unwrap()
+        .unwrap()
+        .has_new_pools());
     println!(
         "{ENDPOINTS} endpoints: median {:?}, with a new pool {:?}",
         took[PUTS / 2],
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -270,7 +270,9 @@
         body: Some(ResponseBody::Complete(vec![])),
         ..AttemptResult::with_outcome(Outcome::Ok)
     };
-    ingress.requests.attempt_ended(NOW + 5.0, start.request_id, 0, end);
+    ingress
+        .requests
+        .attempt_ended(NOW + 5.0, start.request_id, 0, end);
     let mut now = NOW + 5.0;
     let mut wakes = 0;
     while let Some(due) = ingress
--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -288,7 +288,7 @@
     let head = head(200).header("content-length", size).body(()).unwrap();
     let mut send = respond.send_response(head, false).unwrap();
     for part in parts {
-        if !push_body(&mut send, part.into(), false).await {
+        if !send_body(&mut send, part.into(), false).await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -69,7 +69,7 @@
 use setup::entry;
 
 use bytes::Bytes;
-use driftgap::protocol::http2::push_body;
+use driftgap::protocol::http2::send_body;
 use driftgap::protocol::resp::{endpoint_reply, request_words, Parsed, Reply};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
