--- a/src/decision/counter_call.rs
+++ b/src/decision/counter_call.rs
@@ -27,6 +27,16 @@
     pub(super) amount: f64,
 }
 
+impl CounterCall {
+    /// A call that only reads the number of a window.
+    pub(super) fn read(window: i64) -> CounterCall {
+        CounterCall {
+            window,
+            amount: 0.0,
+        }
+    }
+}
+
 /// For whom a call was made, by the name of its number.
 #[derive(Clone, Copy)]
 pub(super) struct AwaitedCall {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -18,9 +18,9 @@
 //! | Which endpoint gets an attempt? | `endpoint_selection`, with `latency` |
 //! | How much does a new endpoint get? | `slow_start` |
 //! | When is an endpoint ejected and taken back? | `outlier_ejection` |
-//! | What is an endpoint not asked for? | `exclusion` |
+//! | For which classes and plans is an endpoint excluded? | `exclusion` |
 //! | Is a request retried? | `retry` |
-//! | What about attempts that take long? | `hedging` |
+//! | What happens to attempts that take long? Is a request hedged? | `hedging` |
 //! | What does the end of an attempt change? | `attempt` |
 //!
 //! State: `endpoint`, `request`, `tenant`. [`DecisionEngine::handle`] (`engine`) passes each event
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -98,16 +98,10 @@
     ) -> Option<CounterCall> {
         if without_counter {
             // Reads the number, to see whether the counter is back.
-            return counter_unavailable.then_some(CounterCall {
-                window: self.window.index,
-                amount: 0.0,
-            });
+            return counter_unavailable.then_some(CounterCall::read(self.window.index));
         }
         if self.window.read_previous {
-            return Some(CounterCall {
-                window: self.window.index - 1,
-                amount: 0.0,
-            });
+            return Some(CounterCall::read(self.window.index - 1));
         }
         let amount = self.lease_amount(now, plan)?;
         Some(CounterCall {
@@ -116,18 +110,23 @@
         })
     }
 
-    /// Units of the lease that is to be asked for now, if any.
-    fn lease_amount(&mut self, now: f64, plan: &Plan) -> Option<f64> {
+    /// Units of a full lease: the demand of a while, one request at the least.
+    fn lease_size(&self, plan: &Plan) -> f64 {
         let max_part = if plan.has_ceiling() {
             MAX_UNSPENT_BURST_PART / self.spread
         } else {
             MAX_LEASE_BURST_PART
         };
         let max_lease = max_part * plan.burst;
-        let lease = (self.demand * LEASE_DEMAND)
+        (self.demand * LEASE_DEMAND)
             .max(self.mean_units)
             .max(MIN_LEASE_UNITS)
-            .min(max_lease.max(self.mean_units));
+            .min(max_lease.max(self.mean_units))
+    }
+
+    /// Units of the lease that is to be asked for now, if any.
+    fn lease_amount(&mut self, now: f64, plan: &Plan) -> Option<f64> {
+        let lease = self.lease_size(plan);
         let need = self.waiting_units();
         // A lease of one request is not refilled ahead: one at each ingress is most of a small
         // bucket.
@@ -328,10 +327,7 @@
         window.uncertain = (window.uncertain - amount.max(0.0)).max(0.0);
         if tenant.call.is_none() {
             // As if the number had been read now.
-            tenant.call = Some(CounterCall {
-                window: awaited.window,
-                amount: 0.0,
-            });
+            tenant.call = Some(CounterCall::read(awaited.window));
             let answer = super::quota::CounterAnswer {
                 name,
                 outcome: Outcome::Ok,
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -277,10 +277,7 @@
         });
         let wait = self.quota_wait(now, id);
         if first_of_epoch && epoch.age < plan.burst / plan.rate {
-            let last_number = CounterCall {
-                window: call.window - 1,
-                amount: 0.0,
-            };
+            let last_number = CounterCall::read(call.window - 1);
             actions.push(self.call_counter(now, id, last_number, READ_NUMBER_LIFETIME));
         } else {
             self.ask_shared_bucket_again(now, id, actions);
