--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -238,7 +238,7 @@
         self.dispatcher.update_endpoints(ListKind::Delta, entries);
         self.dispatcher
             .registry()
-            .forget(|id| inventory.dropped(id));
+            .remove(|id| inventory.is_dropped(id));
         Ok(notified)
     }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -78,10 +78,10 @@
     if let Err(e) = DecisionDriver::new(config.platform.decision.clone(), config.seed) {
         faults.add("EDGE_CONFIG: settings", e);
     }
-    if config.known.is_null() {
+    if config.last_known_endpoints.is_null() {
         return;
     }
-    if let Err(e) = registry.take(&config.known) {
+    if let Err(e) = registry.apply_list(&config.last_known_endpoints) {
         faults.add("EDGE_CONFIG: known", e);
     }
 }
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -39,7 +39,7 @@
     /// Memory, MB.
     pub memory_mb: f64,
     /// The last known list of endpoints, in discovery's form; null: there is none.
-    pub known: Value,
+    pub last_known_endpoints: Value,
     /// The settings.
     pub platform: Platform,
 }
@@ -103,7 +103,7 @@
             seed,
             sockets: sockets as usize,
             memory_mb,
-            known: value.get("known").cloned().unwrap_or(Value::Null),
+            last_known_endpoints: value.get("known").cloned().unwrap_or(Value::Null),
             platform: Platform::read(&JsonField::root(settings.value()))?,
         })
     }
--- a/src/config/settings/platform.rs
+++ b/src/config/settings/platform.rs
@@ -32,7 +32,7 @@
     /// Names in a load report, by column.
     pub columns: Vec<String>,
     /// An endpoint closes a connection that was idle this long, ms; 10,000 by default.
-    pub idle_ms: f64,
+    pub endpoint_idle_close_ms: f64,
     /// A connection that is not up by then has failed, ms; 250 by default.
     pub connect_timeout_ms: f64,
     /// A counter call without an answer by then has timed out, ms; 80 by default.
@@ -52,7 +52,7 @@
             plans: names(&root.require("plans")?)?,
             zones: texts(root.get("zones"))?,
             columns: texts(root.get("report").and_then(|report| report.get("columns")))?,
-            idle_ms: 1e3 * limit("conn_idle", DEFAULT_IDLE_CLOSE_S)?,
+            endpoint_idle_close_ms: 1e3 * limit("conn_idle", DEFAULT_IDLE_CLOSE_S)?,
             connect_timeout_ms: 1e3 * limit("dial_timeout", DEFAULT_CONNECT_TIMEOUT_S)?,
             counter_timeout_ms: 1e3 * counter_timeout_s,
             max_in_flight_requests: limit("most_held", DEFAULT_MAX_IN_FLIGHT_REQUESTS)? as usize,
--- a/src/config/settings_description/table.rs
+++ b/src/config/settings_description/table.rs
@@ -112,7 +112,10 @@
     setting("plans[].excess_worth", "module: checked, decides nothing"),
     setting("plans[].name", "ingress: `t` of a request"),
     setting("plans[].never_over_rate", "module: the ceiling"),
-    setting("plans[].over_cost", "module: checked, decides nothing"),
+    setting(
+        "plans[].over_cost",
+        "module: lowers the share of unchecked requests that are admitted while the counter is congested",
+    ),
     setting("plans[].pays", "nobody: plans are rejected alike"),
     setting("plans[].store_size", "module: the quota's token bucket"),
     setting("plans[].units_per_s", "module: the quota"),
--- a/src/counter/call.rs
+++ b/src/counter/call.rs
@@ -6,8 +6,9 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// The longest and the shortest life of a counter's entry that a call may ask for, ms.
+/// Shortest life of a counter's entry that a call may ask for, ms: none would never be read.
 const MIN_LIFE_MS: f64 = 1.0;
+/// Longest life of a counter's entry, ms: the counter refuses a longer one.
 const MAX_LIFE_MS: f64 = 60_000.0;
 
 /// A call that waits to be written or to be answered.
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -12,7 +12,7 @@
 mod connection_task;
 mod server;
 
-pub use server::MAX_CONNECTIONS as LANES;
+pub use server::MAX_CONNECTIONS;
 
 use crate::decision::driver::CounterAdd;
 use crate::decision::Outcome;
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -10,13 +10,12 @@
     Action, AttemptEnd, DecisionEngine, EndpointEntry, Event, ListKind, Outcome, Pools, Request,
     Settings, SettingsError,
 };
+use crate::units::MS_PER_S;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 pub use crate::decision::{EndpointId, RequestId};
 
-/// Milliseconds of a second.
-const MS_PER_SECOND: f64 = 1e3;
 /// Microseconds of a millisecond.
 const US_PER_MS: f64 = 1e3;
 
@@ -168,7 +167,7 @@
     ) -> Verdict {
         let request = Request {
             id,
-            give_up: give_up_ms / MS_PER_SECOND,
+            give_up: give_up_ms / MS_PER_S,
             class: attributes.class,
             plan: attributes.plan,
             tenant: attributes.tenant,
@@ -257,8 +256,7 @@
 
     fn handle(&mut self, now_ms: f64, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.engine
-            .handle(now_ms / MS_PER_SECOND, event, &mut actions);
+        self.engine.handle(now_ms / MS_PER_S, event, &mut actions);
         for action in actions.drain(..) {
             self.take_action(now_ms, action);
         }
@@ -272,7 +270,7 @@
                 endpoint,
                 timeout,
             } => {
-                let client_timeout_ms = timeout * MS_PER_SECOND;
+                let client_timeout_ms = timeout * MS_PER_S;
                 let verdict = Verdict::Send {
                     endpoint,
                     client_timeout_ms,
@@ -280,7 +278,7 @@
                 self.verdicts.push_back((id, verdict));
             }
             Action::Reject { id, retry_after } => {
-                let retry_after_ms = retry_after * MS_PER_SECOND;
+                let retry_after_ms = retry_after * MS_PER_S;
                 let verdict = Verdict::Reject { retry_after_ms };
                 self.verdicts.push_back((id, verdict));
             }
@@ -306,7 +304,7 @@
                 let call = CounterAdd {
                     name,
                     amount,
-                    lives_ms: lives * MS_PER_SECOND,
+                    lives_ms: lives * MS_PER_S,
                 };
                 self.pending_actions
                     .push_back(DriverAction::AddToCounter(call));
@@ -317,7 +315,7 @@
     /// Sets a timer that is due `after` seconds from now, one microsecond at least, so that it
     /// never comes due within its own call.
     fn set_timer(&mut self, now_ms: f64, after: f64, token: u64) {
-        let due_us = microseconds(now_ms + after * MS_PER_SECOND).max(microseconds(now_ms) + 1);
+        let due_us = microseconds(now_ms + after * MS_PER_S).max(microseconds(now_ms) + 1);
         self.timers.push(Reverse(EngineTimer { due_us, token }));
     }
 }
--- a/src/discovery/apply.rs
+++ b/src/discovery/apply.rs
@@ -35,7 +35,7 @@
         return Err(AnswerError::Status(answer.status));
     }
     let list: Value = serde_json::from_slice(&answer.body)?;
-    let update = dispatcher.registry().take(&list)?;
+    let update = dispatcher.registry().apply_list(&list)?;
     dispatcher.mark_discovery_answered();
     if update.kind == ListKind::Delta && update.entries.is_empty() {
         return Ok(update.version);
@@ -50,6 +50,6 @@
     let unnamed_is_gone = update.kind == ListKind::Full;
     dispatcher
         .registry()
-        .forget(|id| is_gone.get(&id).copied().unwrap_or(unnamed_is_gone));
+        .remove(|id| is_gone.get(&id).copied().unwrap_or(unnamed_is_gone));
     Ok(update.version)
 }
--- a/src/discovery/inventory/mod.rs
+++ b/src/discovery/inventory/mod.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether an endpoint was named by the reading before the last and by none since.
-    pub fn dropped(&self, id: EndpointId) -> bool {
+    pub fn is_dropped(&self, id: EndpointId) -> bool {
         self.dropped.contains(&id)
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// The files that the list in force was read from, as one text that [`Inventory::restore`] reads.
-    pub fn accepted(&self) -> Vec<u8> {
+    pub fn accepted_bytes(&self) -> Vec<u8> {
         let files: Vec<(&str, &[u8])> = self
             .accepted
             .iter()
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// It is wrong here, or no such text.
-    pub fn restore(
+    pub fn load_copy(
         &mut self,
         accepted: &[u8],
         registry: &mut EndpointRegistry,
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -93,7 +93,7 @@
 
     /// Drops what is known of endpoints that are gone, unless the inventory names them. Guards memory: through a long
     /// day new ones come under new names without end.
-    pub fn forget(&mut self, is_gone: impl Fn(EndpointId) -> bool) {
+    pub fn remove(&mut self, is_gone: impl Fn(EndpointId) -> bool) {
         let mut gone: HashSet<EndpointId> = self
             .ids
             .values()
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// It is no list at all; nothing was applied.
-    pub fn take(&mut self, value: &Value) -> Result<RegistryUpdate, InvalidEndpointList> {
+    pub fn apply_list(&mut self, value: &Value) -> Result<RegistryUpdate, InvalidEndpointList> {
         let list = EndpointList::read(value)?;
         let mut entries = Vec::with_capacity(list.servers.len());
         for (i, server) in list.servers.iter().enumerate() {
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -12,7 +12,7 @@
         {"id": "s-3", "addr": "127.0.0.1:3", "zone": "a", "cell": 3, "state": "on fire"},
         {"addr": "127.0.0.1:4", "state": "active"}
     ]});
-    let update = registry.take(&list).unwrap();
+    let update = registry.apply_list(&list).unwrap();
     let want = EndpointEntry {
         id: 1,
         zone: 1,
@@ -31,7 +31,7 @@
         serde_json::json!({"version": 1}),
         serde_json::json!({"servers": []}),
     ] {
-        assert!(registry.take(&bad).is_err(), "{bad}");
+        assert!(registry.apply_list(&bad).is_err(), "{bad}");
     }
 }
 
@@ -48,7 +48,7 @@
             server(format!("s-{}", i - 1), "left"),
         ];
         let update = registry
-            .take(&serde_json::json!({"version": i, "servers": servers}))
+            .apply_list(&serde_json::json!({"version": i, "servers": servers}))
             .unwrap();
         let gone: HashSet<_> = update
             .entries
@@ -57,7 +57,7 @@
             .map(|e| e.id)
             .collect();
         assert!(numbers.insert(update.entries[0].id) && gone.len() == usize::from(i > 0));
-        registry.forget(|id| gone.contains(&id));
+        registry.remove(|id| gone.contains(&id));
     }
     assert_eq!((registry.len(), registry.endpoints.len()), (1, 1));
 }
@@ -79,7 +79,7 @@
     };
     registry.set_inventory(std::slice::from_ref(&mine));
     let empty = serde_json::json!({"version": 1, "full": true, "servers": []});
-    assert_eq!(registry.take(&empty).unwrap().entries, vec![mine]);
+    assert_eq!(registry.apply_list(&empty).unwrap().entries, vec![mine]);
 }
 
 /// Discovery says that an endpoint has left which the inventory names. Its address and its id must stay.
@@ -107,7 +107,7 @@
         pools: ALL_ENDPOINTS,
     };
     registry.set_inventory(&[mine]);
-    registry.forget(|id| id != ids[1]);
+    registry.remove(|id| id != ids[1]);
     assert_eq!(
         ids.map(|id| registry.endpoint(id).is_some()),
         [true, true, false]
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -5,7 +5,7 @@
     RETRY, TENANT, TERMS,
 };
 use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
-use crate::request::{term_pairs, ClientRequest, InvalidRequest};
+use crate::request::{term_pairs, ClientRequest, InvalidRequest, MAX_CLIENT_TIMEOUT_MS};
 use crate::routing::{self, HeaderView};
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_routes::{Headers, Mapped, Request as RuleRequest, Route, Ticket, Verdict};
@@ -20,8 +20,6 @@
 const READY_PATH: &str = "/-/ready";
 /// Where it is asked whether the process runs.
 const HEALTHY_PATH: &str = "/-/healthy";
-/// Longest time that a client may name as its timeout, ms.
-const MAX_DEADLINE_MS: f64 = 3.6e6;
 
 /// What a stream asks for.
 pub(super) enum Received {
@@ -189,7 +187,7 @@
                 .and_then(|(_, units)| units.parse().ok())
                 .filter(|units: &f64| units.is_finite()),
             deadline_ms: deadline_ms
-                .filter(|ms| (0.0..=MAX_DEADLINE_MS).contains(ms))
+                .filter(|ms| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(ms))
                 .map(|ms| ms as i64),
             retry: head.headers.get(RETRY).is_some_and(|r| r == "1"),
             length: named("content-length").and_then(|length| length.parse().ok()),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,4 +22,5 @@
 pub mod request;
 pub mod routing;
 pub mod runtime;
+pub mod units;
 pub mod upstream;
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -18,11 +18,9 @@
 use crate::decision::{Class, DeduplicationScope, Idempotency, Outcome};
 use crate::request::attempt::may_have_run;
 use crate::request::ClientRequest;
+use crate::units::MS_PER_S;
 use std::rc::Rc;
 
-/// Milliseconds in a second: the settings of classes count seconds.
-const MS_PER_S: f64 = 1e3;
-
 /// Where an endpoint stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Location {
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -11,13 +11,12 @@
 use crate::request::in_flight::InFlightRequest;
 use crate::request::ready_endpoints::ReadyEndpoints;
 use crate::request::{Action, AttemptResult, ClientRequest, RequestCounts};
+use crate::units::MS_PER_S;
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
 /// Retry-After of a request for which there is no memory, ms: until then requests in flight have ended.
 const NO_MEMORY_RETRY_AFTER_MS: f64 = 500.0;
-/// Milliseconds in a second: the settings of classes count seconds.
-const MS_PER_S: f64 = 1e3;
 
 /// All requests of this ingress, from their arrival to the end of their last attempt.
 pub struct RequestTable {
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -27,6 +27,15 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
 
+/// Bytes in a megabyte, as the platform counts its limits.
+const BYTES_PER_MB: f64 = 1e6;
+/// Requests in flight may take this part of the memory; the rest is for connections, rules and the program itself.
+const REQUEST_MEMORY_DIVISOR: f64 = 3.0;
+/// What all clients together leave unread takes this part of that at most, and so do streamed bodies: each is one of
+/// several things that grow under the same overload.
+const UNSENT_ANSWERS_DIVISOR: usize = 2;
+const BODY_STREAMS_DIVISOR: usize = 2;
+
 /// How long a new process waits for an answer of discovery before it counts as ready with the list it has, ms.
 const DISCOVERY_WAIT_MS: f64 = 300.0;
 
@@ -102,7 +111,7 @@
     ) -> Result<Rc<Dispatcher>, crate::decision::SettingsError> {
         let platform = Rc::new(config.platform.clone());
         let driver = DecisionDriver::new(platform.decision.clone(), config.seed)?;
-        let max_bytes = (memory_mb * 1e6 / 3.0) as usize;
+        let max_bytes = (memory_mb * BYTES_PER_MB / REQUEST_MEMORY_DIVISOR) as usize;
         Ok(Rc::new(Dispatcher {
             started_ms: clock.now(),
             requests: RequestTable::new(platform.clone(), driver, max_bytes).into(),
@@ -120,9 +129,9 @@
             drain: RefCell::default(),
             generated_ids: Cell::new(0),
             unsent_bytes: Rc::default(),
-            max_unsent_bytes: max_bytes / 2,
+            max_unsent_bytes: max_bytes / UNSENT_ANSWERS_DIVISOR,
             incoming_bytes: Rc::default(),
-            body_streams: BodyStreams::new(max_bytes / 2),
+            body_streams: BodyStreams::new(max_bytes / BODY_STREAMS_DIVISOR),
             platform,
             clock,
         }))
@@ -192,12 +201,13 @@
         self.discovery_answered.set(true);
     }
 
-    /// Whether clients are to come: requests can be served, and no call has paused the ingress.
+    /// Whether a health check at the clients' address passes: requests can be served, and no call has paused the ingress.
+    /// A shutdown does not end it: until the listeners close, clients that still come are served.
     pub fn ready(&self) -> bool {
         self.cannot_serve().is_none() && !self.drain.borrow().paused()
     }
 
-    /// Why clients are not to come, for people; none: they are.
+    /// Why staff should send no clients here; none: they may. Unlike [`Dispatcher::ready`] it names a shutdown too.
     pub fn unready_reason(&self) -> Option<&'static str> {
         let drain = self.drain.borrow();
         if drain.stopped() {
--- a/src/runtime/dispatcher/requests.rs
+++ b/src/runtime/dispatcher/requests.rs
@@ -105,7 +105,7 @@
     }
 
     /// The process ends: everything that is unanswered gets its final answer now.
-    pub fn give_up(&self) {
+    pub fn answer_all_now(&self) {
         self.with_requests(|requests, now| requests.answer_all_now(now, DRAINED_RETRY_AFTER_MS));
     }
 
--- a/src/runtime/server/descriptors.rs
+++ b/src/runtime/server/descriptors.rs
@@ -2,11 +2,11 @@
 
 use crate::admin::server::MAX_CALLERS;
 use crate::config::settings::Config;
-use crate::counter::LANES;
+use crate::counter::MAX_CONNECTIONS;
 
 /// Descriptors that are neither clients' nor endpoints': the log, the runtime's own, discovery, listeners, the
 /// group's links and files, and one for each connection to the counter.
-const RESERVED: usize = 24 + LANES;
+const RESERVED: usize = 24 + MAX_CONNECTIONS;
 /// Descriptors for the administration listener and its callers, where there is one.
 const ADMIN: usize = 1 + MAX_CALLERS;
 /// Fewest RESP connections, whatever the settings leave: with fewer the ingress could not serve at all.
--- a/src/runtime/server/inventory.rs
+++ b/src/runtime/server/inventory.rs
@@ -20,7 +20,7 @@
     }
     dispatcher.update_endpoints(ListKind::Delta, entries);
     // Draining endpoints stay in the registry until the next reading finds them absent from the list before.
-    dispatcher.registry().forget(|id| inventory.dropped(id));
+    dispatcher.registry().remove(|id| inventory.is_dropped(id));
     Ok(())
 }
 
@@ -52,7 +52,7 @@
     let Some(document) = group.document(DocumentKind::Inventory).await else {
         return Err(fault);
     };
-    let restored = inventory.restore(
+    let restored = inventory.load_copy(
         &document.bytes,
         &mut dispatcher.registry(),
         dispatcher.now(),
--- a/src/runtime/server/reload.rs
+++ b/src/runtime/server/reload.rs
@@ -6,6 +6,8 @@
 //!    thread exchanges them; SIGHUPs during a reading lead to one more reading.
 //! 3. The inventory is read again, and its changes go to the endpoint registry.
 //!
+//! The operator's file itself and the plug-in's script are read at the start only.
+//!
 //! Each file is judged by itself: a wrong one is logged, and what it would replace stays in force. Rules and
 //! inventory that are in force are handed to the group, where there is one.
 
@@ -26,7 +28,7 @@
 /// Everything that a reload reads again or compares with.
 pub(super) struct Reload {
     ingress: Rc<Ingress>,
-    /// The configuration in force, without its endpoint list.
+    /// The configuration file as it was read last, without its endpoint list: the next one is compared with it.
     config: Config,
     inventory: Option<Inventory>,
     /// Where rules come from, with the text that is in force at the start.
@@ -59,7 +61,7 @@
     pub(super) async fn run(mut self, mut hang_up: Signal, config_path: PathBuf) {
         if let Some(inventory) = &self.inventory {
             self.documents
-                .submit(DocumentKind::Inventory, inventory.accepted(), true);
+                .submit(DocumentKind::Inventory, inventory.accepted_bytes(), true);
         }
         let mut rule_reload = self.rules.take().map(|(source, text)| {
             self.documents
@@ -111,7 +113,7 @@
             counter = config.counter.map(tracing::field::display),
             "configuration read again"
         );
-        config.known = serde_json::Value::Null;
+        config.last_known_endpoints = serde_json::Value::Null;
         self.config = config;
     }
 
@@ -139,7 +141,7 @@
         match inventory::load(&self.ingress.dispatcher, inventory) {
             Ok(()) => {
                 tracing::info!("inventory read again");
-                let accepted = inventory.accepted();
+                let accepted = inventory.accepted_bytes();
                 self.documents
                     .submit(DocumentKind::Inventory, accepted, false);
             }
--- a/src/runtime/server/shutdown.rs
+++ b/src/runtime/server/shutdown.rs
@@ -1,7 +1,8 @@
 //! Graceful shutdown: the process finishes what it has received, ends idle connections, and exits in bounded time.
 //!
-//! It stops accepting after [`ACCEPT_MS`] (at once with an inherited listener), waits for at most the longest deadline
-//! of a class, then answers what is still unanswered, and exits.
+//! It accepts for [`ACCEPT_AFTER_STOP_MS`] more; an inherited RESP listener is released at once, since another process
+//! accepts from its queue, while HTTP/2 goes on for that time in any case. Then it waits for at most the longest deadline
+//! of a class, answers what is still unanswered, and exits.
 
 use super::ingress::Ingress;
 use super::timers::log_statistics;
@@ -14,13 +15,13 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// New connections are accepted for this long after SIGTERM, ms: clients that have not heard of it still come.
-const ACCEPT_MS: f64 = 500.0;
+const ACCEPT_AFTER_STOP_MS: f64 = 500.0;
 /// The longest deadline counts as this at most, ms: the platform bounds the time of a stop by it.
-const MAX_DEADLINE_MS: f64 = 3000.0;
+const MAX_COUNTED_DEADLINE_MS: f64 = 3000.0;
 /// The process runs for so long at most beyond the longest deadline, ms: time to accept, and to write answers.
 const MARGIN_MS: f64 = 650.0;
 /// What is unanswered so long before the end is answered as rejected or failed, ms: answers have to be written.
-const GIVE_UP_MS: f64 = 150.0;
+const LAST_ANSWERS_MS: f64 = 150.0;
 /// Open connections are counted this often while the process waits for their end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -73,7 +74,7 @@
             self.resp.drain();
         }
         if !self.inherited || self.http2.is_some() {
-            let end = dispatcher.clock().instant(begun_ms + ACCEPT_MS);
+            let end = dispatcher.clock().instant(begun_ms + ACCEPT_AFTER_STOP_MS);
             tokio::time::sleep_until(end.into()).await;
         }
         // Waiting for an aborted task makes sure that its listener is closed.
@@ -113,17 +114,28 @@
         clients = frontends.connections(),
         "stopping"
     );
-    let notice_ms = if frontends.inherited { 0.0 } else { ACCEPT_MS };
+    let notice_ms = if frontends.inherited {
+        0.0
+    } else {
+        ACCEPT_AFTER_STOP_MS
+    };
     dispatcher.drain().stop(begun_ms, notice_ms);
     frontends.stop_accepting(dispatcher, begun_ms).await;
-    let end_ms = begun_ms + dispatcher.longest_deadline_ms().min(MAX_DEADLINE_MS) + MARGIN_MS;
-    let give_up_at_ms = end_ms - GIVE_UP_MS;
-    if !frontends.all_closed_by(dispatcher, give_up_at_ms).await {
+    let end_ms = begun_ms
+        + dispatcher
+            .longest_deadline_ms()
+            .min(MAX_COUNTED_DEADLINE_MS)
+        + MARGIN_MS;
+    let last_answers_at_ms = end_ms - LAST_ANSWERS_MS;
+    if !frontends
+        .all_closed_by(dispatcher, last_answers_at_ms)
+        .await
+    {
         tracing::info!(
             unanswered = dispatcher.unanswered(),
             "giving up what is owed"
         );
-        dispatcher.give_up();
+        dispatcher.answer_all_now();
         frontends.all_closed_by(dispatcher, end_ms).await;
     }
     log_statistics(ingress);
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -107,7 +107,7 @@
         frontends.serve_http2(http2);
     }
     // The list is in the registry by now, and may be large.
-    config.known = serde_json::Value::Null;
+    config.last_known_endpoints = serde_json::Value::Null;
     Ok(Started {
         reload: Reload::new(ingress.clone(), config, inventory, rules, group.clone()),
         ingress,
@@ -161,10 +161,12 @@
 
 /// Puts the endpoint list of the configuration in force, as one that may be old. Its version, where it is a list.
 fn load_known_list(dispatcher: &Dispatcher, config: &Config) -> Result<Option<u64>, StartError> {
-    if config.known.is_null() {
+    if config.last_known_endpoints.is_null() {
         return Ok(None);
     }
-    let update = dispatcher.registry().take(&config.known)?;
+    let update = dispatcher
+        .registry()
+        .apply_list(&config.last_known_endpoints)?;
     let version = (!update.entries.is_empty()).then_some(update.version);
     dispatcher.update_endpoints(ListKind::Cached, update.entries);
     Ok(version)
--- /dev/null
+++ b/src/units.rs
@@ -0,0 +1,4 @@
+//! Conversions between units: settings count seconds, the ingress's clock milliseconds.
+
+/// Milliseconds in a second.
+pub const MS_PER_S: f64 = 1e3;
--- a/src/upstream/dial.rs
+++ b/src/upstream/dial.rs
@@ -1,9 +1,10 @@
 //! A connection for an attempt or a health check: one from the pools, or a new one.
 
 use crate::decision::driver::EndpointId;
+use crate::units::MS_PER_S;
 use crate::upstream::connection::Connection;
 use crate::upstream::pools::{ConnectionSlot, SharedConnection, REST_MS};
-use crate::upstream::{Upstream, MS_PER_S};
+use crate::upstream::Upstream;
 use bytes::Bytes;
 use h2::client::{Builder, Connection as Http2Driver, SendRequest};
 use std::cell::Cell;
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -29,6 +29,7 @@
 use crate::discovery::registry::EndpointProtocol;
 use crate::request::{AttemptResult, AttemptStart};
 use crate::runtime::dispatcher::Dispatcher;
+use crate::units::MS_PER_S;
 use pools::ConnectionPools;
 use running_attempt::{Abandon, AbandonHandle, RunningAttempt};
 use std::cell::RefCell;
@@ -45,8 +46,6 @@
 /// A streamed body of which nothing more comes for this long is given up. Longer than the stall of a reply, since the
 /// attempt cannot be made elsewhere any more.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Milliseconds in a second.
-const MS_PER_S: f64 = 1e3;
 
 /// All connections to endpoints, and the attempts under way.
 pub struct Upstream {
@@ -61,7 +60,7 @@
     pub fn new(dispatcher: Rc<Dispatcher>, budget: usize) -> Rc<Upstream> {
         let platform = dispatcher.platform();
         Rc::new(Upstream {
-            pools: ConnectionPools::new(budget, platform.idle_ms),
+            pools: ConnectionPools::new(budget, platform.endpoint_idle_close_ms),
             running: RefCell::default(),
             connect_timeout: Duration::from_secs_f64(platform.connect_timeout_ms / MS_PER_S),
             dispatcher,
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -30,7 +30,7 @@
     );
     let update = dispatcher
         .registry()
-        .take(&serde_json::from_str(&list).unwrap())
+        .apply_list(&serde_json::from_str(&list).unwrap())
         .unwrap();
     dispatcher.update_endpoints(ListKind::Full, update.entries);
     dispatcher
