--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -213,7 +213,11 @@
             } => {
                 self.report(
                     ingress,
-                    Observation::CounterAnswered(name, Outcome::Ok, total),
+                    Observation::CounterAnswered {
+                        name,
+                        outcome: Outcome::Ok,
+                        total,
+                    },
                 );
             }
             Event::ProbeEnds {
@@ -223,7 +227,11 @@
             } => {
                 self.report(
                     ingress,
-                    Observation::ProbeEnded(backend, outcome, Vec::new()),
+                    Observation::ProbeEnded {
+                        endpoint: backend,
+                        outcome,
+                        load_report: Vec::new(),
+                    },
                 );
             }
             Event::Wake(ingress) => {
@@ -341,7 +349,7 @@
                     },
                 );
             }
-            DriverAction::Cancel(..) | DriverAction::FollowEndpointList => {}
+            DriverAction::Cancel { .. } | DriverAction::FollowEndpointList => {}
         }
     }
 
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -44,7 +44,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DriverAction {
     /// Stop waiting for an attempt: its request, and its number among the request's attempts.
-    Cancel(RequestId, u32),
+    Cancel {
+        /// The request.
+        request: RequestId,
+        /// The number of its attempt, from 0.
+        attempt: u32,
+    },
     /// Check the health of an endpoint, and ask for its load report.
     Probe(EndpointId),
     /// Follow the endpoint registry.
@@ -112,11 +117,32 @@
     /// The client has gone.
     ClientGone(RequestId),
     /// A health check has ended, with the load report that it brought.
-    ProbeEnded(EndpointId, Outcome, Vec<f64>),
+    ProbeEnded {
+        /// The endpoint that was checked.
+        endpoint: EndpointId,
+        /// How the check ended.
+        outcome: Outcome,
+        /// The load report, in the order of the settings' columns; empty: none came.
+        load_report: Vec<f64>,
+    },
     /// A counter call for this name has ended, with the total.
-    CounterAnswered(u64, Outcome, f64),
-    /// One that had ended without has a total after all: name, amount, total.
-    CounterAnsweredLate(u64, f64, f64),
+    CounterAnswered {
+        /// The number's name.
+        name: u64,
+        /// How the call ended.
+        outcome: Outcome,
+        /// The total after the call, in units; counts if the outcome is [`Outcome::Ok`].
+        total: f64,
+    },
+    /// A call that had ended without a total has one after all.
+    CounterAnsweredLate {
+        /// The number's name.
+        name: u64,
+        /// What the call added, in units.
+        amount: f64,
+        /// The total after the call, in units.
+        total: f64,
+    },
 }
 
 /// A timer of the engine. Ordered by when it is due, then by token.
@@ -199,17 +225,29 @@
                 report: end.load,
             }),
             Observation::ClientGone(request) => Event::ClientGone { id: request },
-            Observation::ProbeEnded(endpoint, outcome, load) => Event::ProbeEnded {
+            Observation::ProbeEnded {
+                endpoint,
+                outcome,
+                load_report,
+            } => Event::ProbeEnded {
                 endpoint,
                 outcome,
-                report: load,
+                report: load_report,
             },
-            Observation::CounterAnswered(name, outcome, total) => Event::CounterAnswered {
+            Observation::CounterAnswered {
+                name,
+                outcome,
+                total,
+            } => Event::CounterAnswered {
                 name,
                 outcome,
                 total,
             },
-            Observation::CounterAnsweredLate(name, amount, total) => Event::CounterAnsweredLate {
+            Observation::CounterAnsweredLate {
+                name,
+                amount,
+                total,
+            } => Event::CounterAnsweredLate {
                 name,
                 amount,
                 total,
@@ -285,8 +323,10 @@
             Action::Fail { id } => self.verdicts.push_back((id, Verdict::Fail)),
             Action::Timer { after, token } => self.set_timer(now_ms, after, token),
             Action::Cancel { id, attempt } => {
-                self.pending_actions
-                    .push_back(DriverAction::Cancel(id, attempt));
+                self.pending_actions.push_back(DriverAction::Cancel {
+                    request: id,
+                    attempt,
+                });
             }
             Action::Probe { endpoint } => {
                 self.pending_actions
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -145,8 +145,14 @@
 
     /// A counter call has ended; `total` counts if the outcome is [`Outcome::Ok`].
     pub fn counter_answered(&mut self, now_ms: f64, name: u64, outcome: Outcome, total: f64) {
-        self.driver
-            .observe(now_ms, Observation::CounterAnswered(name, outcome, total));
+        self.driver.observe(
+            now_ms,
+            Observation::CounterAnswered {
+                name,
+                outcome,
+                total,
+            },
+        );
         self.settle(now_ms);
     }
 
@@ -154,7 +160,11 @@
     pub fn counter_answered_late(&mut self, now_ms: f64, add: CounterAdd, total: f64) {
         self.driver.observe(
             now_ms,
-            Observation::CounterAnsweredLate(add.name, add.amount, total),
+            Observation::CounterAnsweredLate {
+                name: add.name,
+                amount: add.amount,
+                total,
+            },
         );
         self.settle(now_ms);
     }
@@ -167,8 +177,14 @@
         outcome: Outcome,
         load: Vec<f64>,
     ) {
-        self.driver
-            .observe(now_ms, Observation::ProbeEnded(endpoint, outcome, load));
+        self.driver.observe(
+            now_ms,
+            Observation::ProbeEnded {
+                endpoint,
+                outcome,
+                load_report: load,
+            },
+        );
         self.settle(now_ms);
     }
 
--- a/src/request/request_table/verdicts.rs
+++ b/src/request/request_table/verdicts.rs
@@ -27,7 +27,7 @@
 
     fn carry_out_driver_action(&mut self, now_ms: f64, action: DriverAction) {
         match action {
-            DriverAction::Cancel(request, attempt) => {
+            DriverAction::Cancel { request, attempt } => {
                 if self.is_running(request, attempt) {
                     self.abandon(now_ms, request, attempt, Outcome::Cancelled);
                 }
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -12,6 +12,7 @@
 mod requests;
 
 pub use byte_budget::ByteBudget;
+pub use endpoints::PoolStatistics;
 
 use crate::buffer::body_stream::BodyStreams;
 use crate::config::settings::{Config, Platform};
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -87,19 +87,30 @@
         Ok(replaced)
     }
 
-    /// How many endpoints of each pool are ready, as `POOL=COUNT` separated by spaces, and how many evaluations of
-    /// rules have failed; none without rules.
-    pub fn pools(&self) -> Option<(String, u64)> {
+    /// Statistics of the pools that rules define; none without rules.
+    pub fn pool_statistics(&self) -> Option<PoolStatistics> {
         let router = self.router.borrow();
         let router = router.as_ref()?;
         let ready: Vec<String> = router
             .figures()
             .map(|(pool, ready)| format!("{pool}={ready}"))
             .collect();
-        Some((ready.join(" "), router.faults()))
+        Some(PoolStatistics {
+            ready: ready.join(" "),
+            failed_evaluations: router.faults(),
+        })
     }
 }
 
+/// Statistics of the pools that rules define.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PoolStatistics {
+    /// How many endpoints of each pool are ready, as `POOL=COUNT` separated by spaces.
+    pub ready: String,
+    /// How many evaluations of rules have failed since the start.
+    pub failed_evaluations: u64,
+}
+
 /// Keeps the ready endpoints up to date with a list.
 fn update_ready(
     ready: &mut BTreeMap<EndpointId, EndpointEntry>,
--- a/src/runtime/server/timers.rs
+++ b/src/runtime/server/timers.rs
@@ -55,7 +55,11 @@
         connections = ingress.upstream.open_connections(),
         "statistics"
     );
-    if let Some((ready, faults)) = dispatcher.pools() {
-        tracing::info!(ready, faults, "pools");
+    if let Some(pools) = dispatcher.pool_statistics() {
+        tracing::info!(
+            ready = pools.ready,
+            faults = pools.failed_evaluations,
+            "pools"
+        );
     }
 }
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -57,7 +57,7 @@
     let config = Config::parse(&config).unwrap();
     let dispatcher = dispatcher(&config);
     dispatcher.replace_rules(rules(&config, 8)).unwrap();
-    let all = dispatcher.pools().unwrap().0;
+    let all = dispatcher.pool_statistics().unwrap().ready;
     assert_eq!(
         all,
         (0..8)
@@ -76,7 +76,7 @@
         })
         .collect();
     took.sort();
-    assert_eq!(dispatcher.pools().unwrap().0, all);
+    assert_eq!(dispatcher.pool_statistics().unwrap().ready, all);
     let more = rules(&config, 9);
     let begun = Instant::now();
     assert!(dispatcher
