--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -201,7 +201,7 @@
                     attempt,
                     outcome,
                     request_finished: finished,
-                    load,
+                    load_report: load,
                     settled_units: cost,
                 };
                 self.report(ingress, Observation::AttemptEnded(end));
@@ -265,7 +265,7 @@
             plan: 0,
             tenant,
             units: 1.0,
-            spread,
+            ingress_count: spread,
             first_ingress: first,
             is_retry: false,
             pools: ALL_ENDPOINTS,
@@ -305,7 +305,7 @@
 
     fn carry_out(&mut self, ingress: usize, request: RequestId, verdict: Verdict) {
         match verdict {
-            Verdict::Hold => {}
+            Verdict::Pending => {}
             Verdict::Send { endpoint, .. } => self.send(ingress, request, endpoint),
             Verdict::Reject { .. } => {
                 self.counts.refused += 1;
@@ -386,8 +386,8 @@
         zone: 0,
         cell: 0,
         state,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     }
 }
--- a/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
@@ -200,8 +200,8 @@
             zone: u32::from(zone),
             cell: u32::from(cell),
             state,
-            weight: self.bytes.f32()?,
-            started: self.bytes.f64()?,
+            capacity: self.bytes.f32()?,
+            started_at: self.bytes.f64()?,
             pools: ALL_ENDPOINTS,
         })
     }
@@ -218,14 +218,14 @@
         let flags = self.bytes.u8()?;
         Ok(Event::RequestArrived(Request {
             id,
-            give_up,
+            gives_up_at: give_up,
             class,
             plan,
             tenant,
             units,
-            spread,
-            first,
-            repeat: flags & RETRY_FLAG != 0,
+            ingress_count: spread,
+            first_ingress: first,
+            is_retry: flags & RETRY_FLAG != 0,
             pools: ALL_ENDPOINTS,
         }))
     }
--- a/src/config/settings/decision_settings.rs
+++ b/src/config/settings/decision_settings.rs
@@ -42,17 +42,17 @@
         .map_or(Ok(Vec::new()), |columns| columns.items())?;
     Ok(Settings {
         ingresses: root.require("balancers")?.count()?,
-        position: root.count_or("position", 0)?,
+        ingress_index: root.count_or("position", 0)?,
         zone: root.count_or("my_zone", 0)?,
         classes: each(&root.require("request_classes")?, class)?,
         plans: each(&root.require("plans")?, plan)?,
-        report: columns
+        load_report_fields: columns
             .iter()
             .map(load_report_field)
             .collect::<Result<_, _>>()?,
-        report_by_probe: report.text_or("how", "")? == "probe",
-        list_on_request: root.text_or("discovery", "")? == "subscribe",
-        probes_allowed: limits.flag_or("probes", false)?,
+        load_reports_by_health_check: report.text_or("how", "")? == "probe",
+        endpoint_list_is_polled: root.text_or("discovery", "")? == "subscribe",
+        health_checks_allowed: limits.flag_or("probes", false)?,
         cancellation_allowed: limits.flag_or("may_cancel", false)?,
         hedging: limits.flag_or("parallel_tries", false)?,
         counter: family_info.flag_or("counter", false)?,
@@ -62,10 +62,10 @@
         max_attempts: limits.count_or("most_tries", 1)?,
         max_retry_after: limits.number_or("max_retry_after", 0.0)?,
         resolution: root.number_or("resolution", 0.0)?,
-        cold_share: rules.number_or("cold_share", 1.0)?,
+        initial_capacity_share: rules.number_or("cold_share", 1.0)?,
         warm_up: rules.number_or("warm_up", 0.0)?,
         overload_factor: rules.number_or("overload_factor", 1.0)?,
-        tip_after: rules.number_or("tip_after", 1.0)?,
+        overload_tolerance: rules.number_or("tip_after", 1.0)?,
     })
 }
 
@@ -91,7 +91,7 @@
             }
         })?,
         idempotency_window: field.number_or("window", 0.0)?,
-        late_share: field.number_or("late_share", 0.0)?,
+        late_weight_share: field.number_or("late_share", 0.0)?,
         priority_weight: field.number_or("credit", 1.0)?,
     })
 }
@@ -118,9 +118,9 @@
     Ok(Plan {
         rate: field.number_or("units_per_s", 0.0)?,
         burst: field.number_or("store_size", 0.0)?,
-        at_once: field.count_or("at_once", 0)?,
-        excess_worth: field.number_or("excess_worth", 0.0)?,
-        over_cost: field.number_or("over_cost", 0.0)?,
+        max_in_flight: field.count_or("at_once", 0)?,
+        excess_weight_share: field.number_or("excess_worth", 0.0)?,
+        excess_cost_share: field.number_or("over_cost", 0.0)?,
         ceiling_rate: field.number_or("never_over_rate", 0.0)?,
         ceiling_burst: field.number_or("ceiling_burst", 0.0)?,
     })
--- a/src/config/settings_description/sentences.rs
+++ b/src/config/settings_description/sentences.rs
@@ -42,8 +42,8 @@
         let (rate, burst) = (plan.rate, plan.burst);
         parts.push(format!("{rate} units a second, {burst} saved up"));
     }
-    if plan.at_once > 0 {
-        parts.push(format!("{} attempts at once", plan.at_once));
+    if plan.max_in_flight > 0 {
+        parts.push(format!("{} attempts at once", plan.max_in_flight));
     }
     if plan.ceiling_rate > 0.0 {
         let (rate, burst) = (plan.ceiling_rate, plan.ceiling_burst);
@@ -75,7 +75,7 @@
     } else {
         "never two at once"
     };
-    let probes = if settings.probes_allowed {
+    let probes = if settings.health_checks_allowed {
         "allowed"
     } else {
         "not allowed"
--- a/src/counter/call.rs
+++ b/src/counter/call.rs
@@ -75,7 +75,7 @@
         let CounterAdd {
             name,
             amount,
-            lives_ms,
+            lifetime_ms: lives_ms,
         } = self.add;
         let keep_ms = lives_ms.clamp(MIN_LIFE_MS, MAX_LIFE_MS) as u64;
         let mut request = Vec::with_capacity(128);
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -57,7 +57,7 @@
         if let QuotaDecision::Exceeded { wait } = decision {
             return self.reject(id, wait.max(MIN_QUOTA_RETRY_AFTER), actions);
         }
-        let answer_after = request.give_up - now - self.settings.resolution;
+        let answer_after = request.gives_up_at - now - self.settings.resolution;
         actions.push(Action::Timer {
             after: answer_after.max(0.0),
             token: ANSWER_TIMER | u64::from(id),
@@ -72,10 +72,14 @@
     fn shed_chance(&self, now: f64, request: &Request) -> f64 {
         let level = self.load.level();
         let class = &self.settings.classes[request.class];
-        let waited = class.deadline - (request.give_up - now);
+        let waited = class.deadline - (request.gives_up_at - now);
         let expected_latency = waited + self.typical_latency[request.class];
         let late = level > 0 && expected_latency > class.latency_objective;
-        let lost_share = if late { 1.0 - class.late_share } else { 0.0 };
+        let lost_share = if late {
+            1.0 - class.late_weight_share
+        } else {
+            0.0
+        };
         SHED_CHANCE[level].max(lost_share)
     }
 
--- a/src/decision/attempt.rs
+++ b/src/decision/attempt.rs
@@ -45,7 +45,7 @@
         let traffic = pending.class_and_plan();
         self.record_outcome(now, &attempt, end.outcome, traffic);
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
-            endpoint.record_load_report(now, &self.settings.report, &end.report);
+            endpoint.record_load_report(now, &self.settings.load_report_fields, &end.report);
         }
         self.load.sample(now, SampleTrigger::Departure);
         self.follow_up(now, end, actions);
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -23,13 +23,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// The request is pending: a later call brings the verdict.
-    Hold,
+    Pending,
     /// Send an attempt.
     Send {
         /// Where to.
         endpoint: EndpointId,
         /// How long it may last, ms; 0: until the client gives up.
-        client_timeout_ms: f64,
+        attempt_timeout_ms: f64,
     },
     /// Final answer: rejected.
     Reject {
@@ -66,7 +66,7 @@
     /// What to add, units; 0 reads, below 0 takes off.
     pub amount: f64,
     /// A new name is forgotten after this long, ms.
-    pub lives_ms: f64,
+    pub lifetime_ms: f64,
 }
 
 /// The attributes of a request that decisions rest on.
@@ -81,7 +81,7 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// Through how many ingresses the tenant's requests come.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// The first of them, by number.
     pub first_ingress: u32,
     /// Marked by the client as a retry.
@@ -102,7 +102,7 @@
     /// The request has its final answer.
     pub request_finished: bool,
     /// The endpoint's load report, if one came.
-    pub load: Vec<f64>,
+    pub load_report: Vec<f64>,
     /// The true units, if they came with the answer.
     pub settled_units: Option<f64>,
 }
@@ -193,18 +193,18 @@
     ) -> Verdict {
         let request = Request {
             id,
-            give_up: give_up_ms / MS_PER_S,
+            gives_up_at: give_up_ms / MS_PER_S,
             class: attributes.class,
             plan: attributes.plan,
             tenant: attributes.tenant,
             units: attributes.units,
-            spread: attributes.spread,
-            first: attributes.first_ingress,
-            repeat: attributes.is_retry,
+            ingress_count: attributes.ingress_count,
+            first_ingress: attributes.first_ingress,
+            is_retry: attributes.is_retry,
             pools: attributes.pools,
         };
         self.handle(now_ms, Event::RequestArrived(request));
-        self.take_verdict(id).unwrap_or(Verdict::Hold)
+        self.take_verdict(id).unwrap_or(Verdict::Pending)
     }
 
     fn take_verdict(&mut self, id: RequestId) -> Option<Verdict> {
@@ -222,7 +222,7 @@
                 outcome: end.outcome,
                 request_finished: end.request_finished,
                 settled_units: end.settled_units,
-                report: end.load,
+                report: end.load_report,
             }),
             Observation::ClientGone(request) => Event::ClientGone { id: request },
             Observation::ProbeEnded {
@@ -308,10 +308,10 @@
                 endpoint,
                 timeout,
             } => {
-                let client_timeout_ms = timeout * MS_PER_S;
+                let attempt_timeout_ms = timeout * MS_PER_S;
                 let verdict = Verdict::Send {
                     endpoint,
-                    client_timeout_ms,
+                    attempt_timeout_ms,
                 };
                 self.verdicts.push_back((id, verdict));
             }
@@ -344,7 +344,7 @@
                 let call = CounterAdd {
                     name,
                     amount,
-                    lives_ms: lives * MS_PER_S,
+                    lifetime_ms: lives * MS_PER_S,
                 };
                 self.pending_actions
                     .push_back(DriverAction::AddToCounter(call));
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -79,14 +79,14 @@
 impl Endpoint {
     /// Takes in a line of the endpoint list.
     fn update(&mut self, entry: &EndpointEntry) {
-        if entry.started > self.started {
+        if entry.started_at > self.started {
             self.forget_process();
-            self.started = entry.started;
+            self.started = entry.started_at;
         }
         self.zone = entry.zone;
         self.cell = entry.cell;
-        self.capacity = if entry.weight > 0.0 {
-            entry.weight
+        self.capacity = if entry.capacity > 0.0 {
+            entry.capacity
         } else {
             1.0
         };
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -140,7 +140,7 @@
     }
 
     fn follow_endpoint_list(&self, actions: &mut Vec<Action>) {
-        if self.settings.list_on_request {
+        if self.settings.endpoint_list_is_polled {
             actions.push(Action::FollowEndpointList);
         }
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -42,9 +42,9 @@
     /// Its state.
     pub state: EndpointState,
     /// Its capacity beside that of the other endpoints; 0 counts as 1.
-    pub weight: f64,
+    pub capacity: f64,
     /// When it last started, seconds; 0: long ago.
-    pub started: f64,
+    pub started_at: f64,
     /// The pools that it is in, [`ALL_ENDPOINTS`] among them.
     pub pools: Pools,
 }
@@ -89,7 +89,7 @@
     /// Its number.
     pub id: RequestId,
     /// When the client gives up, seconds on the events' clock.
-    pub give_up: f64,
+    pub gives_up_at: f64,
     /// Its class.
     pub class: usize,
     /// The tenant's plan.
@@ -99,11 +99,11 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// How many ingresses this tenant's requests can come through.
-    pub spread: u32,
+    pub ingress_count: u32,
     /// Number of the first of these; the others follow, and 0 comes after the last ingress.
-    pub first: u32,
+    pub first_ingress: u32,
     /// Marked by the client as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// It may be sent to endpoints of these pools only.
     pub pools: Pools,
 }
@@ -245,6 +245,6 @@
     /// Whether its figures make sense at this time (s) under these settings.
     pub fn sound(&self, now: f64, settings: &Settings) -> bool {
         let known = self.class < settings.classes.len() && self.plan < settings.plans.len();
-        known && self.units.is_finite() && self.units >= 0.0 && self.give_up > now
+        known && self.units.is_finite() && self.units >= 0.0 && self.gives_up_at > now
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -32,7 +32,7 @@
 //!
 //! let settings = Settings {
 //!     ingresses: 2,
-//!     position: 0,
+//!     ingress_index: 0,
 //!     zone: 0,
 //!     classes: vec![Class {
 //!         latency_objective: 0.5,
@@ -40,22 +40,22 @@
 //!         idempotency: Idempotency::Safe,
 //!         deduplication_scope: DeduplicationScope::All,
 //!         idempotency_window: 0.0,
-//!         late_share: 0.0,
+//!         late_weight_share: 0.0,
 //!         priority_weight: 1.0,
 //!     }],
 //!     plans: vec![Plan {
 //!         rate: 10.0,
 //!         burst: 20.0,
-//!         at_once: 0,
-//!         excess_worth: 0.0,
-//!         over_cost: 1.0,
+//!         max_in_flight: 0,
+//!         excess_weight_share: 0.0,
+//!         excess_cost_share: 1.0,
 //!         ceiling_rate: 0.0,
 //!         ceiling_burst: 0.0,
 //!     }],
-//!     report: vec![],
-//!     report_by_probe: false,
-//!     list_on_request: false,
-//!     probes_allowed: true,
+//!     load_report_fields: vec![],
+//!     load_reports_by_health_check: false,
+//!     endpoint_list_is_polled: false,
+//!     health_checks_allowed: true,
 //!     cancellation_allowed: true,
 //!     hedging: true,
 //!     counter: true,
@@ -65,10 +65,10 @@
 //!     max_attempts: 3,
 //!     max_retry_after: 2.0,
 //!     resolution: 0.002,
-//!     cold_share: 0.2,
+//!     initial_capacity_share: 0.2,
 //!     warm_up: 15.0,
 //!     overload_factor: 3.0,
-//!     tip_after: 2.0,
+//!     overload_tolerance: 2.0,
 //! };
 //! let mut engine = DecisionEngine::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -79,8 +79,8 @@
 //!     zone: 0,
 //!     cell: 0,
 //!     state: EndpointState::Ready,
-//!     weight: 1.0,
-//!     started: 0.0,
+//!     capacity: 1.0,
+//!     started_at: 0.0,
 //!     pools: ALL_ENDPOINTS,
 //! };
 //! let list = Event::EndpointList { kind: ListKind::Full, entries: vec![entry] };
@@ -89,14 +89,14 @@
 //! // A request waits while the counter is asked for a lease of its tenant's units ...
 //! let request = Request {
 //!     id: 1,
-//!     give_up: 202.0,
+//!     gives_up_at: 202.0,
 //!     class: 0,
 //!     plan: 0,
 //!     tenant: 9,
 //!     units: 2.0,
-//!     spread: 2,
-//!     first: 0,
-//!     repeat: false,
+//!     ingress_count: 2,
+//!     first_ingress: 0,
+//!     is_retry: false,
 //!     pools: ALL_ENDPOINTS,
 //! };
 //! actions.clear();
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -163,7 +163,7 @@
             return;
         };
         endpoint.health.record_health_check(now, outcome);
-        endpoint.record_load_report(now, &self.settings.report, report);
+        endpoint.record_load_report(now, &self.settings.load_report_fields, report);
     }
 
     /// Checks the health of endpoints whose ejection is over, or takes them back.
@@ -172,7 +172,7 @@
             if !*ready || !health.ejection_is_over(now) {
                 continue;
             }
-            if self.settings.probes_allowed {
+            if self.settings.health_checks_allowed {
                 health.ejected_until = Some(now + HEALTH_CHECK_INTERVAL);
                 actions.push(Action::Probe { endpoint: id });
             } else {
--- a/src/decision/quota.rs
+++ b/src/decision/quota.rs
@@ -44,10 +44,11 @@
 /// division leaves over goes to the ingresses in turn, beginning at another one for each tenant.
 /// Each has one at the least.
 fn attempts_part(settings: &Settings, request: &Request, cap: u32) -> u32 {
-    let spread = request.spread.clamp(1, settings.ingresses);
+    let spread = request.ingress_count.clamp(1, settings.ingresses);
     let ingresses = settings.ingresses;
     // Counted from the first ingress that the tenant's requests come through.
-    let place = (settings.position + ingresses - request.first % ingresses) % ingresses;
+    let place =
+        (settings.ingress_index + ingresses - request.first_ingress % ingresses) % ingresses;
     let turn = (place + (request.tenant % u64::from(spread)) as u32) % spread;
     let has_odd_one = turn < cap % spread;
     (cap / spread + u32::from(has_odd_one)).max(1)
@@ -71,8 +72,8 @@
             return QuotaDecision::Exceeded { wait: 0.0 };
         };
         tenant.record_demand(now, request.units);
-        if plan.at_once > 0 {
-            let part = attempts_part(&self.settings, request, plan.at_once);
+        if plan.max_in_flight > 0 {
+            let part = attempts_part(&self.settings, request, plan.max_in_flight);
             if tenant.attempts_in_flight >= part {
                 return QuotaDecision::Exceeded { wait: 0.0 };
             }
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -95,7 +95,7 @@
     }
 
     fn may_retry(&self, now: f64, pending: &PendingRequest) -> bool {
-        let time_left = pending.request.give_up - now;
+        let time_left = pending.request.gives_up_at - now;
         let time_needed = MIN_TIME_LEFT_RESOLUTIONS * self.settings.resolution;
         let attempts_left = (pending.attempts.len() as u32) < self.settings.max_attempts;
         !pending.answered
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -41,7 +41,7 @@
     /// For keyed classes: for how long after the first attempt that may have run, seconds.
     pub idempotency_window: f64,
     /// Share of the priority weight that an answer after the latency objective still earns, 0 to 1.
-    pub late_share: f64,
+    pub late_weight_share: f64,
     /// What one request answered in time is worth beside one of another class.
     pub priority_weight: f64,
 }
@@ -54,11 +54,11 @@
     /// Most units that can be saved up: the size of the quota's token bucket.
     pub burst: f64,
     /// Most attempts in flight at once; 0: no such quota.
-    pub at_once: u32,
+    pub max_in_flight: u32,
     /// Share of its priority weight that a request served beyond the quota earns.
-    pub excess_worth: f64,
+    pub excess_weight_share: f64,
     /// Share of its priority weight that a request served beyond the quota costs.
-    pub over_cost: f64,
+    pub excess_cost_share: f64,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// Most units that the ceiling's token bucket holds.
@@ -86,7 +86,7 @@
     /// How many ingresses there are.
     pub ingresses: u32,
     /// Number of this ingress among them, from 0.
-    pub position: u32,
+    pub ingress_index: u32,
     /// Zone of this ingress.
     pub zone: u32,
     /// Request classes, referred to by index.
@@ -94,13 +94,13 @@
     /// Plans, referred to by index.
     pub plans: Vec<Plan>,
     /// Columns of an endpoint's load report.
-    pub report: Vec<LoadReportField>,
+    pub load_report_fields: Vec<LoadReportField>,
     /// Load reports come with health checks alone, not with answers.
-    pub report_by_probe: bool,
+    pub load_reports_by_health_check: bool,
     /// The endpoint list must be polled for.
-    pub list_on_request: bool,
+    pub endpoint_list_is_polled: bool,
     /// Health checks are permitted.
-    pub probes_allowed: bool,
+    pub health_checks_allowed: bool,
     /// Attempts may be cancelled.
     pub cancellation_allowed: bool,
     /// Two attempts of one request may be in flight together.
@@ -120,14 +120,14 @@
     /// Smallest time between two rounds of events, seconds: the precision of every deadline.
     pub resolution: f64,
     /// An endpoint that has just started has at least this share of its capacity, 0 to 1.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// It has all of its capacity after this many seconds at the latest.
     pub warm_up: f64,
     /// An endpoint that is warming up fails when it is sent more than this multiple of its capacity
     /// ...
     pub overload_factor: f64,
     /// ... over this many seconds.
-    pub tip_after: f64,
+    pub overload_tolerance: f64,
 }
 
 /// Settings that make no sense.
@@ -148,7 +148,7 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         require(self.ingresses > 0, "gateways", "there must be one at least")?;
         require(
-            self.position < self.ingresses,
+            self.ingress_index < self.ingresses,
             "position",
             "must be under the number of gateways",
         )?;
@@ -177,10 +177,10 @@
         require_not_negative("counter_timeout", self.counter_timeout)?;
         require_not_negative("max_retry_after", self.max_retry_after)?;
         require_not_negative("resolution", self.resolution)?;
-        require_not_negative("cold_share", self.cold_share)?;
+        require_not_negative("cold_share", self.initial_capacity_share)?;
         require_not_negative("warm_up", self.warm_up)?;
         require_not_negative("overload_factor", self.overload_factor)?;
-        require_not_negative("tip_after", self.tip_after)
+        require_not_negative("tip_after", self.overload_tolerance)
     }
 }
 
@@ -189,7 +189,10 @@
         require_positive(&format!("classes[{index}].aim"), self.latency_objective)?;
         require_positive(&format!("classes[{index}].deadline"), self.deadline)?;
         require_not_negative(&format!("classes[{index}].window"), self.idempotency_window)?;
-        require_not_negative(&format!("classes[{index}].late_share"), self.late_share)?;
+        require_not_negative(
+            &format!("classes[{index}].late_share"),
+            self.late_weight_share,
+        )?;
         require_not_negative(&format!("classes[{index}].worth"), self.priority_weight)
     }
 }
@@ -198,8 +201,11 @@
     fn check(&self, index: usize) -> Result<(), SettingsError> {
         require_not_negative(&format!("plans[{index}].rate"), self.rate)?;
         require_not_negative(&format!("plans[{index}].burst"), self.burst)?;
-        require_not_negative(&format!("plans[{index}].excess_worth"), self.excess_worth)?;
-        require_not_negative(&format!("plans[{index}].over_cost"), self.over_cost)?;
+        require_not_negative(
+            &format!("plans[{index}].excess_worth"),
+            self.excess_weight_share,
+        )?;
+        require_not_negative(&format!("plans[{index}].over_cost"), self.excess_cost_share)?;
         require_not_negative(&format!("plans[{index}].ceiling_rate"), self.ceiling_rate)?;
         require_not_negative(&format!("plans[{index}].ceiling_burst"), self.ceiling_burst)?;
         require(
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -122,7 +122,7 @@
     /// Chance that a request of so many units is admitted unchecked.
     fn unchecked_chance(&mut self, now: f64, units: f64, plan: &Plan, rule: UncheckedRule) -> f64 {
         if let UncheckedRule::AcceptanceRatio(ratio) = rule {
-            return (ratio - plan.over_cost * (1.0 - ratio)).max(0.0);
+            return (ratio - plan.excess_cost_share * (1.0 - ratio)).max(0.0);
         }
         let rate = plan.rate / self.spread;
         let max = MAX_SHARE_BURSTS * plan.burst / self.spread;
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -77,11 +77,11 @@
 impl SlowStart {
     pub(super) fn new(settings: &Settings) -> SlowStart {
         SlowStart {
-            cold_share: settings.cold_share,
+            cold_share: settings.initial_capacity_share,
             warm_up: settings.warm_up,
             overload_factor: settings.overload_factor,
-            tip_after: settings.tip_after,
-            position: settings.position,
+            tip_after: settings.overload_tolerance,
+            position: settings.ingress_index,
             warm_rate: 0.0,
             rate_known_at: 0.0,
             measured_since: 0.0,
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -163,7 +163,7 @@
     }
 
     fn new_tenant(&self, now: f64, request: &Request, plan: &Plan) -> Tenant {
-        let spread = f64::from(request.spread.clamp(1, self.settings.ingresses));
+        let spread = f64::from(request.ingress_count.clamp(1, self.settings.ingresses));
         let mut tenant = Tenant::new(now, request, plan, spread);
         tenant.has_shared_bucket = self.has_small_quota(plan, spread);
         tenant.ceiling_reserve.updated_at = self.tenants_known_since;
--- a/src/discovery/follow_registry.rs
+++ b/src/discovery/follow_registry.rs
@@ -30,9 +30,9 @@
 ) {
     let settings = &dispatcher.platform().decision;
     let schedule = PollSchedule::new(
-        settings.list_on_request,
+        settings.endpoint_list_is_polled,
         settings.ingresses,
-        settings.position,
+        settings.ingress_index,
     );
     let mut follower = Follower {
         dispatcher: &dispatcher,
--- a/src/discovery/inventory/mod.rs
+++ b/src/discovery/inventory/mod.rs
@@ -158,8 +158,8 @@
         zone: zone.map_or(0, |zone| registry.zone(zone)),
         cell: host.cell,
         state: endpoint_state(host.state),
-        weight: host.weight,
-        started: host.started,
+        capacity: host.weight,
+        started_at: host.started,
         pools: ALL_ENDPOINTS,
     }
 }
@@ -170,8 +170,8 @@
         zone: 0,
         cell: 0,
         state: EndpointState::Draining,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     }
 }
--- a/src/discovery/inventory/tests.rs
+++ b/src/discovery/inventory/tests.rs
@@ -62,7 +62,8 @@
     )
     .unwrap();
     let (entries, _) = inventory.load(&mut registry, 0.0).unwrap();
-    let states: Vec<(EndpointState, f64)> = entries.iter().map(|e| (e.state, e.started)).collect();
+    let states: Vec<(EndpointState, f64)> =
+        entries.iter().map(|e| (e.state, e.started_at)).collect();
     assert_eq!(
         states,
         [
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -207,8 +207,8 @@
             zone: listed.zone.map_or(0, |zone| self.zone(zone)),
             cell: listed.cell,
             state: listed.state,
-            weight: listed.weight,
-            started: listed.started,
+            capacity: listed.weight,
+            started_at: listed.started,
             pools: ALL_ENDPOINTS,
         }))
     }
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -18,8 +18,8 @@
         zone: 1,
         cell: 3,
         state: EndpointState::Ready,
-        weight: 1.5,
-        started: 2.0,
+        capacity: 1.5,
+        started_at: 2.0,
         pools: ALL_ENDPOINTS,
     };
     assert_eq!(
@@ -73,8 +73,8 @@
         zone: 0,
         cell: 0,
         state: EndpointState::Ready,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     };
     registry.set_inventory(std::slice::from_ref(&mine));
@@ -102,8 +102,8 @@
         zone: 0,
         cell: 0,
         state: EndpointState::Ready,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     };
     registry.set_inventory(&[mine]);
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -164,7 +164,7 @@
         plan: plan.ok_or(InvalidRequest::Plan)?,
         tenant: tenant_id(tenant).ok_or(InvalidRequest::Term(wire_names::TENANT))?,
         units: units(terms, platform.decision.max_units)?,
-        spread: terms.integer(wire_names::SPREAD, 1.0, ingresses)?,
+        ingress_count: terms.integer(wire_names::SPREAD, 1.0, ingresses)?,
         first_ingress: terms.integer(wire_names::FIRST_INGRESS, 0.0, ingresses - 1.0)?,
         is_retry: is_retry(terms)?,
         pools: ALL_ENDPOINTS,
--- a/src/request/in_flight/tests.rs
+++ b/src/request/in_flight/tests.rs
@@ -17,7 +17,7 @@
         idempotency,
         deduplication_scope,
         idempotency_window: WINDOW_S,
-        late_share: 0.0,
+        late_weight_share: 0.0,
         priority_weight: 1.0,
     }
 }
@@ -29,7 +29,7 @@
             plan: 0,
             tenant: 7,
             units: 1.0,
-            spread: 1,
+            ingress_count: 1,
             first_ingress: 0,
             is_retry: false,
             pools: ALL_ENDPOINTS,
--- a/src/request/request_table/attempts.rs
+++ b/src/request/request_table/attempts.rs
@@ -109,7 +109,7 @@
             attempt,
             outcome: result.outcome,
             request_finished,
-            load: result.load_report,
+            load_report: result.load_report,
             settled_units: result.settled_units,
         };
         self.driver
--- a/src/request/request_table/verdicts.rs
+++ b/src/request/request_table/verdicts.rs
@@ -44,11 +44,11 @@
 
     pub(super) fn carry_out(&mut self, now_ms: f64, id: RequestId, verdict: Verdict) {
         match verdict {
-            Verdict::Hold => {}
+            Verdict::Pending => {}
             Verdict::Send {
                 endpoint,
-                client_timeout_ms,
-            } => self.send(now_ms, id, endpoint, client_timeout_ms),
+                attempt_timeout_ms,
+            } => self.send(now_ms, id, endpoint, attempt_timeout_ms),
             Verdict::Reject { retry_after_ms } => {
                 let answer = self.rejection(id, retry_after_ms, false);
                 self.finish(id, answer);
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -38,7 +38,7 @@
                 name: &endpoint.name,
                 zone,
                 cell: entry.cell,
-                weight: entry.weight,
+                weight: entry.capacity,
                 protocol: endpoint.protocol.name(),
                 ip: endpoint.addr.ip(),
                 labels: &endpoint.labels,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
         idempotency,
         deduplication_scope,
         idempotency_window: 1.0,
-        late_share: 0.0,
+        late_weight_share: 0.0,
         priority_weight: 1.0,
     }
 }
@@ -19,9 +19,9 @@
     Plan {
         rate,
         burst,
-        at_once: 0,
-        excess_worth: 0.0,
-        over_cost: 1.0,
+        max_in_flight: 0,
+        excess_weight_share: 0.0,
+        excess_cost_share: 1.0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
     }
@@ -31,7 +31,7 @@
 pub fn settings() -> Settings {
     Settings {
         ingresses: 2,
-        position: 0,
+        ingress_index: 0,
         zone: 0,
         classes: vec![
             class(Idempotency::Safe, DeduplicationScope::All),
@@ -40,10 +40,10 @@
             class(Idempotency::Keyed, DeduplicationScope::All),
         ],
         plans: vec![plan(0.0, 0.0), plan(10.0, 20.0)],
-        report: vec![LoadReportField::Queue],
-        report_by_probe: false,
-        list_on_request: false,
-        probes_allowed: true,
+        load_report_fields: vec![LoadReportField::Queue],
+        load_reports_by_health_check: false,
+        endpoint_list_is_polled: false,
+        health_checks_allowed: true,
         cancellation_allowed: true,
         hedging: true,
         counter: true,
@@ -53,10 +53,10 @@
         max_attempts: 4,
         max_retry_after: 2.0,
         resolution: 0.002,
-        cold_share: 0.2,
+        initial_capacity_share: 0.2,
         warm_up: 15.0,
         overload_factor: 3.0,
-        tip_after: 2.0,
+        overload_tolerance: 2.0,
     }
 }
 
@@ -67,8 +67,8 @@
         zone: cell % 2,
         cell,
         state: EndpointState::Ready,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     }
 }
@@ -138,14 +138,14 @@
         let (first, repeat) = (0, false);
         let request = Request {
             id,
-            give_up,
+            gives_up_at: give_up,
             class,
             plan,
             tenant,
             units,
-            spread,
-            first,
-            repeat,
+            ingress_count: spread,
+            first_ingress: first,
+            is_retry: repeat,
             pools: ALL_ENDPOINTS,
         };
         self.handle(Event::RequestArrived(request));
@@ -157,14 +157,14 @@
         let id = self.next_id();
         let request = Request {
             id,
-            give_up: self.now + self.settings.classes[class].deadline - waited,
+            gives_up_at: self.now + self.settings.classes[class].deadline - waited,
             class,
             plan: 0,
             tenant: 1,
             units: 1.0,
-            spread: 2,
-            first: 0,
-            repeat: false,
+            ingress_count: 2,
+            first_ingress: 0,
+            is_retry: false,
             pools: ALL_ENDPOINTS,
         };
         self.handle(Event::RequestArrived(request));
--- a/tests/decision/admission.rs
+++ b/tests/decision/admission.rs
@@ -22,7 +22,7 @@
 fn under_load_requests_that_can_only_be_answered_late_are_rejected_first() {
     for (late_share, rejected_late) in [(0.0, 100..=100), (0.3, 60..=80), (1.0, 40..=60)] {
         let mut settings = settings();
-        settings.classes[0].late_share = late_share;
+        settings.classes[0].late_weight_share = late_share;
         let mut ingress = ingress_with_threshold(settings);
         let waited = 0.6;
         let id = ingress.request_after_waiting(0, waited);
--- a/tests/decision/quota.rs
+++ b/tests/decision/quota.rs
@@ -7,8 +7,8 @@
     let mut admitted = 0;
     for position in 0..2 {
         let mut settings = settings();
-        settings.position = position;
-        settings.plans[0].at_once = 7;
+        settings.ingress_index = position;
+        settings.plans[0].max_in_flight = 7;
         let mut ingress = TestIngress::new(settings, 4);
         for _ in 0..30 {
             let id = ingress.request(0, 0, 5, 1.0);
--- a/tests/decision/settings.rs
+++ b/tests/decision/settings.rs
@@ -19,6 +19,6 @@
         "classes[1].aim"
     );
     assert_eq!(wrong(|s| s.plans[1].burst = 0.0), "plans[1].burst");
-    assert_eq!(wrong(|s| s.tip_after = -1.0), "tip_after");
-    assert_eq!(wrong(|s| s.position = 2), "position");
+    assert_eq!(wrong(|s| s.overload_tolerance = -1.0), "tip_after");
+    assert_eq!(wrong(|s| s.ingress_index = 2), "position");
 }
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -16,7 +16,7 @@
                 ..endpoint(h)
             };
             let restarted = EndpointEntry {
-                started: ingress.now,
+                started_at: ingress.now,
                 ..endpoint(1)
             };
             let entries = vec![drained(0), restarted, drained(2), drained(3)];
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -66,7 +66,7 @@
     fn new(ingresses: u32, counter: Counter, change: fn(&mut Settings)) -> Fleet {
         let ingress = |position| {
             let mut settings = settings();
-            (settings.ingresses, settings.position) = (ingresses, position);
+            (settings.ingresses, settings.ingress_index) = (ingresses, position);
             change(&mut settings);
             let mut ingress = TestIngress::new(settings, 8);
             ingress.engine =
@@ -334,7 +334,7 @@
     let mut fleet = Fleet::new(100, Counter::Healthy, |_| {});
     fleet.offer(0, 5, 200.0, 6.0);
     let entry = EndpointEntry {
-        started: fleet.now(),
+        started_at: fleet.now(),
         ..endpoint(3)
     };
     fleet.list(vec![entry]);
@@ -355,7 +355,7 @@
     fleet.list(
         (0..36)
             .map(|id| EndpointEntry {
-                started: from,
+                started_at: from,
                 ..endpoint(id)
             })
             .collect(),
@@ -450,7 +450,7 @@
     fn restart(&self, fleet: &mut Fleet, seed: u64) -> Vec<EndpointUpdate> {
         let now = fleet.now();
         let restarted = |id| EndpointEntry {
-            started: now,
+            started_at: now,
             ..endpoint(id)
         };
         let entries: Vec<_> = (0..self.restarted).map(restarted).collect();
@@ -483,11 +483,12 @@
         };
         let within = sent
             .iter()
-            .filter(|sent_at| **sent_at > end - settings.tip_after)
+            .filter(|sent_at| **sent_at > end - settings.overload_tolerance)
             .count() as f64;
         let age = ((end - started) / settings.warm_up).min(1.0);
-        let weight = settings.cold_share + (1.0 - settings.cold_share) * age;
-        let budget = settings.overload_factor * weight * self.able * settings.tip_after;
+        let weight =
+            settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * age;
+        let budget = settings.overload_factor * weight * self.able * settings.overload_tolerance;
         within - (budget + 2.0 * budget.sqrt() + 2.0)
     }
 
@@ -515,7 +516,8 @@
             }
         }
         let mean_age = seconds / 2.0 / settings.warm_up;
-        let weight = settings.cold_share + (1.0 - settings.cold_share) * mean_age;
+        let weight =
+            settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * mean_age;
         let warm_rate = self.able * self.load;
         let fair = warm_rate * (seconds - self.late) * weight * f64::from(self.restarted);
         SlowStartResult {
@@ -598,7 +600,7 @@
     fleet.list(
         (0..4)
             .map(|id| EndpointEntry {
-                weight: 3.0,
+                capacity: 3.0,
                 ..endpoint(id)
             })
             .collect(),
@@ -621,7 +623,7 @@
     fleet.offer(0, 5, 300.0, 6.0);
     let from = fleet.now();
     fleet.list(vec![EndpointEntry {
-        started: from,
+        started_at: from,
         ..endpoint(3)
     }]);
     fleet.offer(0, 5, 300.0, 6.0);
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -86,8 +86,8 @@
         zone: 0,
         cell: 0,
         state,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: driftgap::decision::ALL_ENDPOINTS,
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -36,11 +36,11 @@
         panic!("{e:?}")
     };
     assert_eq!(
-        (r.id, r.spread, r.first, r.class, r.plan),
+        (r.id, r.ingress_count, r.first_ingress, r.class, r.plan),
         (0x5d3a_91c4, 3, 1, 0, 0)
     );
-    assert_eq!((r.tenant, r.units, r.repeat), (9, 2.0, true));
-    assert!((r.give_up - 8.652).abs() < 0.01, "{}", r.give_up);
+    assert_eq!((r.tenant, r.units, r.is_retry), (9, 2.0, true));
+    assert!((r.gives_up_at - 8.652).abs() < 0.01, "{}", r.gives_up_at);
 }
 
 #[test]
@@ -62,8 +62,8 @@
         zone: 0,
         cell: 5,
         state: EndpointState::Ready,
-        weight: 1.0,
-        started: 0.0,
+        capacity: 1.0,
+        started_at: 0.0,
         pools: ALL_ENDPOINTS,
     };
     let second = EndpointEntry {
@@ -71,8 +71,8 @@
         zone: 1,
         cell: 6,
         state: EndpointState::Draining,
-        weight: 1.5,
-        started: 6.0,
+        capacity: 1.5,
+        started_at: 6.0,
         pools: ALL_ENDPOINTS,
     };
     assert_eq!(entries, vec![first, second]);
