--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -3,7 +3,8 @@
 //!
 //! **Rule.** A request is rejected at once, with a Retry-After, by a fixed chance for each load
 //! level ([`SHED_CHANCE`]); then by its tenant's quota (see [`super::quota`]); then where no
-//! endpoint may be sent an attempt. At level 1 or 2, a request that would typically be answered
+//! endpoint may be sent an attempt: none is ready, or those that are warm up and have spent their
+//! budgets (see [`super::slow_start`]). At level 1 or 2, a request that would typically be answered
 //! after its latency objective is rejected at least by the share of its priority weight that is
 //! lost by then. Nothing is delayed to be rejected later, except for one call to the counter.
 //!
@@ -23,8 +24,8 @@
 
 /// Chance of a rejection at each load level.
 const SHED_CHANCE: [f64; 3] = [0.0, 0.5, 1.0];
-/// Retry-After of a rejection that is not by quota, in latency objectives: a retry can still be in
-/// time.
+/// Retry-After, in latency objectives, of a rejection for load, for want of an endpoint or time, and
+/// of a request that waited in vain for a lease: a retry can still be in time.
 const RETRY_AFTER_OBJECTIVES: f64 = 0.3;
 /// Shortest Retry-After of a rejection by quota, s: units come in slowly, and an early retry is
 /// rejected again.
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -4,7 +4,8 @@
 //! is chosen. The wait is counted in latencies: attempts in flight and the reported queue, over the
 //! endpoint's slow-start weight and its capacity, times its slowness. Endpoints that are ejected,
 //! excluded for the class or plan, or on trial and busy are chosen only if there is no other, and
-//! those tried before never.
+//! those tried before never. One that is warming up and has spent its budget is not chosen at all,
+//! even where there is no other: the request is then rejected.
 //!
 //! **Inputs.** Attempts in flight; a queue length with its age in seconds; weights and multiples
 //! without a unit.
@@ -55,7 +56,7 @@
     pub(super) requirement: EndpointRequirement,
     /// Endpoints of earlier attempts: a failed one is likely to fail again.
     pub(super) tried: &'a [EndpointId],
-    /// The endpoints that would discard a repeat; none: any endpoint will do.
+    /// The deduplication group whose endpoints would discard a repeat; none: any endpoint will do.
     pub(super) group: Option<DeduplicationGroup>,
 }
 
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -10,7 +10,8 @@
 
 /// A back-end endpoint.
 pub type EndpointId = u32;
-/// A client request that is pending at this ingress. Never reused.
+/// A client request that is pending at this ingress. Ids wrap around after 2^32 requests, long after
+/// the earlier request of that id has ended.
 pub type RequestId = u32;
 /// A tenant, the holder of one quota.
 pub type TenantId = u64;
--- a/src/decision/hedging.rs
+++ b/src/decision/hedging.rs
@@ -15,7 +15,9 @@
 //!
 //! **Guards.** One endpoint that hangs must not hold level 2: its attempts leave the count. Where
 //! many attempts are slow, that is load and they stay in it. Hedged requests must not add to
-//! overload: hence level 0 only. Known harm: work that a hung endpoint still does is not seen.
+//! overload: an overdue one is hedged at level 0 only. One whose attempts are all lost has nothing
+//! left in flight, so it is sent again at any level, up to the most attempts of the settings.
+//! Known harm: work that a hung endpoint still does is not seen.
 
 use super::endpoint::Endpoint;
 use super::request::{Attempt, PendingRequest};
@@ -31,8 +33,8 @@
 /// An attempt in flight for this share of the latency objective is overdue: the rest is time for
 /// another one.
 const OVERDUE_OBJECTIVES: f64 = 0.75;
-/// A request is hedged while it has fewer attempts than this.
-const MAX_HEDGED_ATTEMPTS: usize = 2;
+/// A request with an overdue attempt is hedged while it has had fewer attempts than this.
+const MAX_ATTEMPTS_FOR_OVERDUE_HEDGE: usize = 2;
 
 /// Share of the last attempts that were slow, 0 to 1.
 #[derive(Default)]
@@ -100,7 +102,7 @@
                 slow_before: now - SLOW_LATENCIES * typical_latency,
                 overdue_after: OVERDUE_OBJECTIVES * class.latency_objective,
             };
-            let may_add = level == 0 && pending.attempts.len() < MAX_HEDGED_ATTEMPTS;
+            let may_add = level == 0 && pending.attempts.len() < MAX_ATTEMPTS_FOR_OVERDUE_HEDGE;
             let mut hedge = pending.awaits_answer();
             for attempt in in_flight(pending) {
                 let lost = is_lost(attempt, &self.endpoints);
--- a/src/decision/lease_window.rs
+++ b/src/decision/lease_window.rs
@@ -136,7 +136,7 @@
             self.local_tokens = self.local_tokens.min(0.0);
         }
         self.window = window;
-        self.rejected_until = 0.0;
+        self.no_units_before = 0.0;
     }
 
     /// Units in the quota's bucket by the last total: they come in evenly, never more than the
@@ -196,7 +196,7 @@
             return TotalReading::Applied { excess: 0.0 };
         }
         self.local_tokens = self.local_tokens.max(0.0);
-        self.rejected_until = now + self.mean_units / plan.rate;
+        self.no_units_before = now + self.mean_units / plan.rate;
         TotalReading::Applied { excess }
     }
 
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -5,8 +5,9 @@
 //! the time is over, a health check decides whether it comes back; where health checks are not
 //! allowed it comes back by itself. It then is on trial: it gets one request at a time, and the
 //! first failure, rejection or timeout ejects it again. A served request ends the trial, or clears
-//! the count of ejections outside one. No endpoint is ejected that would bring the ejected ones
-//! above half of those ready.
+//! the count of ejections outside one. An earlier attempt that is served after all, and a load
+//! report that comes with a streamed answer, end an ejection at once: the endpoint works. No
+//! endpoint is ejected that would bring the ejected ones above half of those ready.
 //!
 //! **Inputs.** Outcomes of attempts and health checks; when the attempt was sent and when the
 //! endpoint last answered anybody, in seconds.
@@ -26,7 +27,8 @@
 const FIRST_EJECTION: f64 = 1.0;
 /// Longest ejection, s: bounds how long a mended endpoint is missed.
 const MAX_EJECTION: f64 = 8.0;
-/// Doublings of the first ejection are counted up to here.
+/// Doublings of the first ejection are counted up to here: keeps the power of two finite, since
+/// [`MAX_EJECTION`] is reached before.
 const MAX_EJECTION_DOUBLINGS: i32 = 4;
 /// Most endpoints that may be ejected, or excluded for a class or plan, as a share of those ready.
 pub(super) const MAX_EJECTED_SHARE: f64 = 0.5;
@@ -41,15 +43,16 @@
     consecutive_ejections: i32,
     /// When it last answered anybody, s.
     last_answer_at: f64,
-    /// Until when it is ejected, s.
-    ejected_until: Option<f64>,
+    /// None: it is not ejected. Else when its next health check is due, s, or, without health
+    /// checks, when it comes back.
+    next_check_at: Option<f64>,
     /// Back after an ejection; nothing has been served since.
     pub(super) on_trial: bool,
 }
 
 impl EndpointHealth {
     pub(super) fn is_ejected(&self) -> bool {
-        self.ejected_until.is_some()
+        self.next_check_at.is_some()
     }
 
     /// A new process has started.
@@ -63,7 +66,7 @@
     /// A request has been served at `now` (s).
     pub(super) fn record_success(&mut self, now: f64) {
         self.consecutive_failures = 0;
-        self.ejected_until = None;
+        self.next_check_at = None;
         self.last_answer_at = now;
         if self.on_trial {
             self.on_trial = false;
@@ -90,19 +93,19 @@
     fn eject(&mut self, now: f64) {
         let doublings = self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         let duration = (FIRST_EJECTION * f64::from(1 << doublings)).min(MAX_EJECTION);
-        self.ejected_until = Some(now + duration);
+        self.next_check_at = Some(now + duration);
         self.consecutive_ejections += 1;
         self.on_trial = false;
         self.consecutive_failures = 0;
     }
 
     fn readmit_on_trial(&mut self) {
-        self.ejected_until = None;
+        self.next_check_at = None;
         self.on_trial = true;
     }
 
     fn ejection_is_over(&self, now: f64) -> bool {
-        self.ejected_until.is_some_and(|until| now >= until)
+        self.next_check_at.is_some_and(|until| now >= until)
     }
 
     /// A health check has ended.
@@ -173,7 +176,7 @@
                 continue;
             }
             if self.settings.health_checks_allowed {
-                health.ejected_until = Some(now + HEALTH_CHECK_INTERVAL);
+                health.next_check_at = Some(now + HEALTH_CHECK_INTERVAL);
                 actions.push(Action::Probe { endpoint: id });
             } else {
                 health.readmit_on_trial();
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -132,7 +132,7 @@
         // bucket.
         let refilled_ahead = self.demand * LEASE_DEMAND >= self.mean_units;
         let low = refilled_ahead && self.local_tokens < lease * REFILL_AT_PART;
-        if need <= 0.0 && !low || now < self.rejected_until {
+        if need <= 0.0 && !low || now < self.no_units_before {
             return None;
         }
         let available = if self.window.total_known {
@@ -144,7 +144,7 @@
         if amount < MIN_LEASE_UNITS {
             let missing = self.mean_units - available;
             let missing = missing.clamp(MIN_WAIT_REQUESTS * self.mean_units, plan.burst);
-            self.rejected_until = now + missing / plan.rate;
+            self.no_units_before = now + missing / plan.rate;
             return None;
         }
         Some(amount)
@@ -263,7 +263,7 @@
         if counter_is_there {
             return self.settle_waiting(now, id, false, actions);
         }
-        tenant.rejected_until = now + WAIT_AFTER_FAILURE;
+        tenant.no_units_before = now + WAIT_AFTER_FAILURE;
         self.settle_waiting(now, id, true, actions);
     }
 
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -6,6 +6,11 @@
 //! at endpoints that share the memory of its key. An unsafe one that may have run is never retried.
 //! An endpoint is tried once at most.
 //!
+//! The request table checks the same rule again before it sends (`request::in_flight`), by what it
+//! has itself sent: that guard counts the time in which a connection may come up, and looks at every
+//! attempt that may have run and at where its endpoint stood then. It is at least as strict but for
+//! an endpoint that has moved. An attempt that it refuses ends as `NotSent`; its token stays spent.
+//!
 //! **Inputs.** Tokens (one a retry); the client's deadline and the idempotency window in seconds;
 //! the earlier attempts.
 //!
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -134,7 +134,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// The field, as a path into [`Settings`].
+    /// The field, in the spelling that operators know from earlier messages, for example
+    /// `classes[0].aim`; it is not always the key of the settings file.
     pub field: String,
     /// What is wrong with it.
     pub problem: String,
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -138,7 +138,7 @@
         let excess = lacking.max(0.0) + units.min(self.mean_units) - plan.burst;
         if excess > 0.0 {
             // Whoever comes meanwhile, what is missing takes this long to come in.
-            self.rejected_until = now + excess / plan.rate;
+            self.no_units_before = now + excess / plan.rate;
             self.local_tokens += units;
             return false;
         }
@@ -207,11 +207,11 @@
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else {
             return QuotaDecision::Exceeded { wait: 0.0 };
         };
-        let since_rejected = now - tenant.rejected_until;
+        let since_rejected = now - tenant.no_units_before;
         let recently_rejected = since_rejected < RECENTLY_REJECTED;
         let not_asked = recently_rejected && chance_number >= ASKED_PART_AFTER_REJECTION;
-        if now < tenant.rejected_until || not_asked {
-            let wait = tenant.rejected_until - now;
+        if now < tenant.no_units_before || not_asked {
+            let wait = tenant.no_units_before - now;
             return QuotaDecision::Exceeded { wait };
         }
         if check_number >= checked_part {
@@ -332,11 +332,11 @@
 
     /// Retry-After of a request that the bucket did not hold, s.
     fn quota_wait(&self, now: f64, id: TenantId) -> f64 {
-        let rejected_until = self
+        let no_units_before = self
             .tenants
             .get(&id)
-            .map_or(now, |tenant| tenant.rejected_until);
-        (rejected_until - now).max(MIN_QUOTA_RETRY_AFTER)
+            .map_or(now, |tenant| tenant.no_units_before);
+        (no_units_before - now).max(MIN_QUOTA_RETRY_AFTER)
     }
 
     /// Makes the next call if requests wait for it, or enough is to be put right.
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -73,11 +73,13 @@
     pub(super) call: Option<CounterCall>,
     /// When the last call was made, s.
     pub(super) called_at: f64,
-    /// Units granted and not spent; below 0: spent ahead, settled by the next call.
+    /// With a lease: units granted and not spent; below 0: spent ahead, settled by the next call.
+    /// With a shared bucket: units that the next call gives back, or below 0 takes in addition.
     pub(super) local_tokens: f64,
     pub(super) window: LeaseWindow,
-    /// Until when no more units are asked for, s.
-    pub(super) rejected_until: f64,
+    /// With a lease: no call is made before this time, s; local tokens are still granted. With a
+    /// shared bucket: requests are rejected before it, since the bucket cannot hold units yet.
+    pub(super) no_units_before: f64,
     /// Units a second that are asked for, over the last seconds.
     pub(super) demand: f64,
     /// Mean units of a request.
@@ -103,7 +105,7 @@
             called_at: 0.0,
             local_tokens: 0.0,
             window: LeaseWindow::never_used(plan.burst),
-            rejected_until: 0.0,
+            no_units_before: 0.0,
             demand: 0.0,
             mean_units: request.units,
             last_request_at: 0.0,
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -12,6 +12,9 @@
 //! An endpoint discards a keyed request as a repeat if it shares its keys with the endpoint of the earlier attempt
 //! (the class's deduplication scope), and gets the request within the class's idempotency window.
 //!
+//! The decision module keeps to the same rule when it chooses (`decision::retry`); here it holds whatever that asks for.
+//! The margins differ: this guard adds the time in which a connection may come up.
+//!
 //! An attempt may have run from the moment that it is sent until its outcome proves that it did not
 //! (`attempt::may_have_run`).
 
