--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -108,7 +108,7 @@
             } => self.health_check_ended(now, endpoint, outcome, &report),
             Event::Timer {
                 token: HOUSEKEEPING_TIMER,
-            } => self.keep_house(now, actions),
+            } => self.run_housekeeping(now, actions),
             Event::Timer { token } => self.answer_is_due(token as RequestId, actions),
             Event::CounterAnswered {
                 name,
@@ -145,7 +145,7 @@
         }
     }
 
-    fn keep_house(&mut self, now: f64, actions: &mut Vec<Action>) {
+    fn run_housekeeping(&mut self, now: f64, actions: &mut Vec<Action>) {
         set_housekeeping_timer(actions);
         self.learn_load_threshold(now);
         if self.slow_start.period_is_over(now) {
