--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -89,12 +89,16 @@
             member,
             applied,
             age_ms,
+            stored,
         } => {
             let (yes, member) = (member.is_some(), member.unwrap_or_else(|| "none".into()));
             let age = age(age_ms.unwrap_or(f64::INFINITY));
+            let stored = stored.map_or("none".into(), |stored| stored.to_string());
             return Answer {
                 yes,
-                text: format!("role=beside member={member} applied={applied} age_ms={age}"),
+                text: format!(
+                    "role=beside member={member} applied={applied} age_ms={age} stored={stored}"
+                ),
             };
         }
         MembershipStatus::Member(status) => status,
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -1,7 +1,7 @@
 //! An ingress beside the group: it keeps one connection to one member. It owns that connection and the turn between it
 //! and the follower's decisions. It must never hold more than one link, or make a call wait for a member that is gone.
 
-use super::cached_replica::{CachedReplica, Keeping};
+use super::cached_replica::{CachedReplica, ReplicaWriter};
 use super::links::{connect, Counts, Outlet, Own};
 use super::member_task::STATISTICS_INTERVAL_MS;
 use super::{Ended, GroupSettings, MembershipStatus, Request, View};
@@ -41,7 +41,8 @@
     task: Option<AbortHandle>,
     waiting: BTreeMap<u64, oneshot::Sender<Ended>>,
     view: watch::Sender<View>,
-    keeping: Option<Keeping>,
+    /// None: it has no folder.
+    writer: Option<ReplicaWriter>,
     began: Instant,
     logged: f64,
 }
@@ -51,18 +52,19 @@
         settings: GroupSettings,
         name: String,
         origin: u64,
-        kept: Option<CachedReplica>,
+        cached: Option<CachedReplica>,
         view: watch::Sender<View>,
     ) -> std::io::Result<Following> {
-        let copy = kept
-            .as_ref()
-            .and_then(CachedReplica::load)
-            .unwrap_or_default();
+        let loaded = cached.as_ref().and_then(CachedReplica::load);
+        let writer = cached
+            .map(|cached| cached.into_writer(loaded.as_ref()))
+            .transpose()?;
+        let copy = loaded.unwrap_or_default();
         view.send_replace(shown(&copy));
         let members = settings.members.keys().map(String::as_str);
         let follower = Follower::new(&name, origin, members, copy, 0.0);
         Ok(Following {
-            keeping: kept.map(CachedReplica::keep).transpose()?,
+            writer,
             logged: 0.0,
             settings,
             who: Rc::new(Own {
@@ -83,6 +85,12 @@
         self.began.elapsed().as_secs_f64() * 1e3
     }
 
+    /// Up to which place in the log the copy on the disk holds everything; none: nothing is on a disk.
+    fn stored(&self) -> Option<u64> {
+        let applied = self.follower.copy().applied;
+        self.writer.as_ref()?.stored(applied)
+    }
+
     pub(super) async fn run(mut self, mut asked: mpsc::Receiver<Request>) -> std::io::Result<()> {
         let (lines, mut line) = mpsc::channel(256);
         let counts = Rc::new(Counts::default());
@@ -164,9 +172,10 @@
         }
         if self.follower.changed() {
             let copy = self.follower.copy();
-            self.keeping
-                .iter()
-                .for_each(|keeping| keeping.put(copy.clone()));
+            // Before it is shown: what is shown and not stored yet must not count as stored.
+            if let Some(writer) = &mut self.writer {
+                writer.store(copy.clone());
+            }
             self.view.send_replace(shown(copy));
         }
         for (number, answered) in self.follower.ended() {
@@ -197,6 +206,7 @@
                         .then(|| self.follower.next().0.to_string()),
                     applied: self.follower.copy().applied,
                     age_ms: self.follower.age_ms(now),
+                    stored: self.stored(),
                 });
                 return;
             }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -178,6 +178,9 @@
         applied: u64,
         /// How old that is, ms; none: it has none.
         age_ms: Option<f64>,
+        /// Up to which place in the log the copy on its disk holds everything, which a crash does not take back;
+        /// none: it has no folder, or nothing is written yet.
+        stored: Option<u64>,
     },
     /// It neither votes nor promises any more, and why.
     Lost(String),
--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -142,6 +142,9 @@
     });
 }
 
+/// A follower dies and starts again while no member can be reached. It must keep out what it knew, from the copy in its
+/// folder, say that it does not know how old that is, refuse calls for the group and serve requests. What it showed and
+/// had not written when it died is not promised: the kill waits until the copy on the disk holds what is shown.
 #[test]
 fn a_follower_that_starts_while_it_is_cut_off_keeps_out_what_it_knew() {
     play_beside(
@@ -152,6 +155,7 @@
          call 3 ACK SUSPEND a
          call 0 ACK SUSPEND b
          answers 3 2 suspended : STATUS
+         stored 3
          kill 3
          split 3
          start 3
--- a/tests/group/peers/schedule.rs
+++ b/tests/group/peers/schedule.rs
@@ -5,6 +5,7 @@
 //!     led P ...                   these know who leads, and agree on it
 //!     call P WORD TEXT            an operator's call; the answer begins with the word (@P stands for P's link)
 //!     out P NAME ...              what P knows to be out, asked until it is so (no names: nothing)
+//!     stored P                    follower P's copy on its disk holds all that P shows, asked until it is so
 //!     says P TEXT                 P's `GROUP STATUS` holds this text, asked until it is so
 //!     begin P TEXT                a call whose answer is waited for later
 //!     ended WORD                  that call's answer begins with the word (`either A or B`: with one of these)
@@ -167,6 +168,20 @@
                 })
                 .await;
             }
+            "stored" => {
+                self.until(line, async || {
+                    let answer = self.call(ids[0], "GROUP STATUS").await;
+                    let number = |key: &str| -> Option<u64> {
+                        let mut words = answer.split_ascii_whitespace();
+                        words.find_map(|w| w.strip_prefix(key))?.parse().ok()
+                    };
+                    match (number("applied="), number("stored=")) {
+                        (Some(applied), Some(stored)) if stored >= applied => Ok(()),
+                        _ => Err(answer),
+                    }
+                })
+                .await;
+            }
             "says" => {
                 let want = tail(1);
                 self.until(line, async || {
