--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -1,190 +1,190 @@
-//! An ingress beside the group: it holds a copy of what is agreed, and hands its wishes to a member. It owns which
-//! member it keeps to, and how old its copy is. It must never call a wish done that no member called done, nor all
-//! followers of a lost member go to the same other one.
+//! An ingress that follows the group: it has a replica of what is agreed, and hands its proposals to a member. It owns
+//! which member it is connected to, and how old its replica is. It must never call a proposal done that no member
+//! called done, nor may all followers of a lost member go to the same other one.
+
+mod backoff;
+mod calls;
 
 use crate::frame::{Answered, Frame};
-use crate::state::{Document, DocumentKind, OpId, Proposal};
+use crate::state::{Document, DocumentKind, Proposal};
+use backoff::{Backoff, CONNECT_BACKOFF, STALE_ROUND_BACKOFF};
+use calls::PendingCalls;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
 
-/// Between two tries of a member, at first and at most, ms.
-const AGAIN_MS: (f64, f64) = (100.0, 4000.0);
-/// A wish is given up after this, ms.
-const PATIENCE_MS: f64 = 2000.0;
-/// Most wishes under way.
-const MAX_ASKS: usize = 256;
 /// A member that says nothing for so long is left for another one, ms.
 const SILENT_MS: f64 = 2000.0;
-/// So does one whose own copy is older than this, ms: longer than any change of leaders takes, and short enough for a
+/// So is one whose own replica is older than this, ms: longer than any change of leaders takes, and short enough for a
 /// promise given meanwhile to be heard from another member within 2 s.
-const OLD_MS: f64 = 1300.0;
-/// Where all members have old copies they are gone through again after this, at first and at most, ms.
-const ROUND_MS: (f64, f64) = (1000.0, 30_000.0);
+const STALE_MS: f64 = 1300.0;
 
-/// What the group holds, as it was when it was last heard of.
+/// A replica of what the group holds, as it was when it was last heard of. Written to the disk by position: the order of
+/// fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Copy {
     /// Which group this is from; 0: none yet.
     pub group: u64,
-    /// How far the log was carried out.
+    /// The last index of the log that is carried out in it.
     pub applied: u64,
-    /// Instances that are out.
+    /// Excluded endpoints.
     pub out: BTreeSet<String>,
     /// Documents.
     pub documents: BTreeMap<DocumentKind, Document>,
 }
 
-struct Ask {
-    proposal: Option<Proposal>,
-    made_at: u64,
-    deadline: f64,
-    /// Whether a member has been asked: it may be done.
-    sent: bool,
+/// How old the replica was when a member last spoke of it.
+struct Freshness {
+    heard_ms: f64,
+    /// By the member's word, ms.
+    age_ms: f64,
 }
 
-/// An ingress beside the group.
+/// An ingress that follows the group.
 pub struct Follower {
     name: String,
-    origin: u64,
     /// Members in this follower's own order.
-    order: Vec<String>,
-    at: usize,
-    fails: u32,
-    due: f64,
-    up: bool,
+    members: Vec<String>,
+    /// Which of them it is connected to, or to be connected to.
+    current: usize,
+    failed_attempts: u32,
+    connect_at_ms: f64,
+    connected: bool,
     copy: Copy,
-    /// The group of the member that it is linked to.
-    group: u64,
-    /// When it was last heard of, and how old it was by then.
-    heard: Option<(f64, f64)>,
-    /// Whether the link has brought a copy.
-    brought: bool,
-    /// How many members in a row were left for their old copies, and until when the present one is kept all the same.
-    left: u32,
-    stays: f64,
-    spoke: f64,
-    asks: BTreeMap<u64, Ask>,
-    number: u64,
+    /// The group of the member that it is connected to.
+    connected_group: u64,
+    /// None: nothing was heard in this process incarnation.
+    freshness: Option<Freshness>,
+    /// Whether the connection has brought a replica.
+    copy_received: bool,
+    /// Members in a row that were left because their replicas were old.
+    stale_members: u32,
+    /// Until when the present member is kept though its replica is old.
+    keep_stale_until_ms: f64,
+    last_frame_ms: f64,
+    calls: PendingCalls,
     frames: VecDeque<Frame>,
-    ended: Vec<(u64, Answered)>,
     changed: bool,
 }
 
-fn hash(a: &str, b: &str) -> u64 {
-    let mut hasher = rustc_hash::FxHasher::default();
-    hasher.write(a.as_bytes());
-    hasher.write_u8(0xff);
-    hasher.write(b.as_bytes());
-    // The last bits of this hash vary least.
-    let h = hasher.finish();
-    (h ^ (h >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
-}
-
 impl Follower {
-    /// Beside these members, with what it knew when it ended last; each follower prefers members in an order of its own
-    /// (rendezvous hashing), so that a member's followers spread over all the others when it is lost.
+    /// One that follows these members, with what it knew when it ended last. Each follower prefers members in an order
+    /// of its own (rendezvous hashing), so that a member's followers spread over all the others when it is lost.
     pub fn new<'a>(
         name: &str,
         origin: u64,
         members: impl IntoIterator<Item = &'a str>,
         copy: Copy,
-        now: f64,
+        now_ms: f64,
     ) -> Follower {
-        let mut order: Vec<String> = members.into_iter().map(String::from).collect();
-        order.sort_by_key(|member| hash(name, member));
+        let mut members: Vec<String> = members.into_iter().map(String::from).collect();
+        members.sort_by_key(|member| hash(name, member));
         Follower {
             name: name.into(),
-            origin,
-            order,
-            at: 0,
-            fails: 0,
-            due: now,
-            up: false,
+            members,
+            current: 0,
+            failed_attempts: 0,
+            connect_at_ms: now_ms,
+            connected: false,
             copy,
-            group: 0,
-            heard: None,
-            brought: false,
-            left: 0,
-            stays: now,
-            spoke: now,
-            asks: BTreeMap::new(),
-            number: 0,
+            connected_group: 0,
+            freshness: None,
+            copy_received: false,
+            stale_members: 0,
+            keep_stale_until_ms: now_ms,
+            last_frame_ms: now_ms,
+            calls: PendingCalls::new(origin),
             frames: VecDeque::new(),
-            ended: Vec::new(),
             changed: false,
         }
     }
 
-    /// The member that it keeps to, and when it may be connected to, ms.
+    /// The member that it is to be connected to, and from when on, ms.
     pub fn next(&self) -> (&str, f64) {
-        (self.order.get(self.at).map_or("", String::as_str), self.due)
+        let member = self.members.get(self.current);
+        (member.map_or("", String::as_str), self.connect_at_ms)
     }
 
-    /// A link to that member, which is in this group, is up.
-    pub fn connected(&mut self, now: f64, group: u64) {
-        (self.up, self.spoke, self.group, self.brought) = (true, now, group, false);
+    /// A connection to that member, which is in this group, is up.
+    pub fn connected(&mut self, now_ms: f64, group: u64) {
+        self.connected = true;
+        self.last_frame_ms = now_ms;
+        self.connected_group = group;
+        self.copy_received = false;
         self.frames.clear();
-        // Numbers of another group's documents mean nothing to this one.
-        let known = self
-            .copy
-            .documents
-            .iter()
-            .filter(|_| group == self.copy.group);
-        let have = known.map(|(kind, d)| (*kind, d.number)).collect();
-        self.frames.push_back(Frame::Follow { have });
-        // What the last member did not answer is the same wish to this one: it takes effect once.
-        let again: Vec<u64> = self.asks.keys().copied().collect();
-        again.into_iter().for_each(|number| self.send(number));
+        self.frames.push_back(Frame::Follow {
+            have: self.known_documents(group),
+        });
+        // What the last member did not answer is the same operation at this one: it takes effect once.
+        self.frames.extend(self.calls.resend_all());
+    }
+
+    /// Numbers of another group's documents mean nothing to this one.
+    fn known_documents(&self, group: u64) -> Vec<(DocumentKind, u64)> {
+        if group != self.copy.group {
+            return Vec::new();
+        }
+        let documents = self.copy.documents.iter();
+        documents
+            .map(|(kind, document)| (*kind, document.number))
+            .collect()
     }
 
-    /// There is none, or it has ended.
-    pub fn broken(&mut self, now: f64) {
-        if self.up {
-            self.fails = 0;
+    /// There is no connection, or it has ended.
+    pub fn broken(&mut self, now_ms: f64) {
+        if self.connected {
+            self.failed_attempts = 0;
         }
-        self.up = false;
-        self.fails += 1;
-        self.at = (self.at + 1) % self.order.len().max(1);
-        // All that lost one member at one moment come at different ones; a round of members that all refuse is slow.
-        self.due = now + self.pause(AGAIN_MS, self.fails, self.fails);
+        self.connected = false;
+        self.failed_attempts += 1;
+        self.turn_to_next_member();
+        // All that lost one member at one moment come at different ones, and slowly where all members refuse.
+        let attempt = self.failed_attempts;
+        self.connect_at_ms = now_ms + self.pause_ms(CONNECT_BACKOFF, attempt, attempt);
+    }
+
+    fn turn_to_next_member(&mut self) {
+        self.current = (self.current + 1) % self.members.len().max(1);
     }
 
-    /// Doubles with each of so many times from the first to the most, spread by half: every follower and every `turn` has
-    /// another one.
-    fn pause(&self, (first, max): (f64, f64), times: u32, turn: u32) -> f64 {
-        let spread = (hash(&self.name, &turn.to_string()) % 1000) as f64 / 1000.0;
-        (first * f64::from(1u32 << times.min(6))).min(max) * (0.5 + spread)
+    /// The backoff after so many attempts, spread by half: every follower has another one, and every `salt`.
+    fn pause_ms(&self, backoff: Backoff, attempts: u32, salt: u32) -> f64 {
+        let spread = (hash(&self.name, &salt.to_string()) % 1000) as f64 / 1000.0;
+        backoff.pause_ms(attempts) * (0.5 + spread)
     }
 
-    /// Whether the link has been silent for too long.
-    pub fn silent(&self, now: f64) -> bool {
-        self.up && now - self.spoke > SILENT_MS
+    /// Whether the connection has been silent for too long.
+    pub fn silent(&self, now_ms: f64) -> bool {
+        self.connected && now_ms - self.last_frame_ms > SILENT_MS
     }
 
-    /// Whether the member is to be left for another one, which may be connected to at once: what it knows is old.
-    pub fn leaves(&mut self, now: f64) -> bool {
-        let old = self.age_ms(now).is_none_or(|age| age > OLD_MS);
-        if !self.up || !self.brought || now < self.stays {
+    /// Whether the member is to be left for another one, which may be connected to at once. A member may answer and be
+    /// cut off from the others: what it knows is old then, and calls that the others promise would not be obeyed here.
+    pub fn leaves(&mut self, now_ms: f64) -> bool {
+        let stale = self.age_ms(now_ms).is_none_or(|age_ms| age_ms > STALE_MS);
+        if !self.connected || !self.copy_received || now_ms < self.keep_stale_until_ms {
             return false;
         }
-        if !old {
-            self.left = 0;
+        if !stale {
+            self.stale_members = 0;
             return false;
         }
-        (self.up, self.due, self.fails) = (false, now, 0);
-        self.at = (self.at + 1) % self.order.len().max(1);
-        self.left += 1;
+        self.connected = false;
+        self.connect_at_ms = now_ms;
+        self.failed_attempts = 0;
+        self.turn_to_next_member();
+        self.stale_members += 1;
         // Each member is tried at once; when none is any better, there is no majority, and no hurry.
-        if let Some(rounds) = self.left.checked_sub(self.order.len() as u32) {
-            self.stays = now + self.pause(ROUND_MS, rounds, self.left);
+        if let Some(rounds) = self.stale_members.checked_sub(self.members.len() as u32) {
+            let pause_ms = self.pause_ms(STALE_ROUND_BACKOFF, rounds, self.stale_members);
+            self.keep_stale_until_ms = now_ms + pause_ms;
         }
         true
     }
 
     /// A frame from the member.
-    pub fn hear(&mut self, now: f64, frame: Frame) {
-        self.spoke = now;
+    pub fn hear(&mut self, now_ms: f64, frame: Frame) {
+        self.last_frame_ms = now_ms;
         match frame {
             Frame::Copy {
                 applied,
@@ -192,123 +192,103 @@
                 out,
                 documents,
             } => {
-                self.brought = true;
-                if self.group != self.copy.group {
-                    // A new group was begun in place of the lost one: what that had is as it says from now on.
-                    self.copy = Copy {
-                        group: self.group,
-                        ..Copy::default()
-                    };
-                    self.changed = true;
-                }
+                self.copy_received = true;
+                self.adopt_group();
                 // A member that lags behind the last one takes nothing back.
                 if applied < self.copy.applied {
                     return;
                 }
-                self.fails = 0;
-                self.heard = Some((now, age_ms));
+                self.failed_attempts = 0;
+                self.freshness = Some(Freshness {
+                    heard_ms: now_ms,
+                    age_ms,
+                });
                 self.copy.applied = applied;
-                if let Some(out) = out {
-                    self.copy.out = out.into_iter().collect();
-                    self.changed = true;
-                }
-                self.changed |= !documents.is_empty();
-                self.copy.documents.extend(documents);
-            }
-            Frame::Answer { op, answered } => {
-                let ours = op.origin == self.origin && self.asks.remove(&op.number).is_some();
-                self.ended.extend(ours.then_some((op.number, answered)));
+                self.update_copy(out, documents);
             }
+            Frame::Answer { op, answered } => self.calls.answer(op, answered),
             _ => {}
         }
     }
 
-    /// Asks for something, or for a read where there is no wish; the number by which its end is told.
-    pub fn ask(&mut self, now: f64, proposal: Option<Proposal>) -> Option<u64> {
-        if self.asks.len() >= MAX_ASKS {
-            return None;
+    /// A new group may have been begun in place of a lost one: what that held is as the new one says from now on.
+    fn adopt_group(&mut self) {
+        if self.connected_group == self.copy.group {
+            return;
         }
-        self.number += 1;
-        let deadline = now + PATIENCE_MS;
-        self.asks.insert(
-            self.number,
-            Ask {
-                proposal,
-                made_at: self.copy.applied,
-                deadline,
-                sent: false,
-            },
-        );
-        if self.up {
-            self.send(self.number);
+        self.copy = Copy {
+            group: self.connected_group,
+            ..Copy::default()
+        };
+        self.changed = true;
+    }
+
+    fn update_copy(&mut self, out: Option<Vec<String>>, documents: Vec<(DocumentKind, Document)>) {
+        self.changed |= out.is_some() || !documents.is_empty();
+        if let Some(out) = out {
+            self.copy.out = out.into_iter().collect();
         }
-        Some(self.number)
+        self.copy.documents.extend(documents);
     }
 
-    fn send(&mut self, number: u64) {
-        let Some(ask) = self.asks.get_mut(&number) else {
-            return;
-        };
-        ask.sent = true;
-        let op = OpId {
-            origin: self.origin,
-            number,
-        };
-        self.frames.push_back(Frame::Ask {
-            op,
-            made_at: ask.made_at,
-            proposal: ask.proposal.clone(),
-        });
+    /// Proposes something, or asks for a read where there is no proposal; the number by which its end is reported. None:
+    /// too many calls are pending.
+    pub fn ask(&mut self, now_ms: f64, proposal: Option<Proposal>) -> Option<u64> {
+        let number = self.calls.begin(now_ms, self.copy.applied, proposal)?;
+        if self.connected {
+            self.frames.extend(self.calls.send(number));
+        }
+        Some(number)
     }
 
     /// Time goes by.
-    pub fn pass(&mut self, now: f64) {
-        let late: Vec<u64> = self
-            .asks
-            .iter()
-            .filter(|(_, a)| now >= a.deadline)
-            .map(|(n, _)| *n)
-            .collect();
-        for number in late {
-            if let Some(ask) = self.asks.remove(&number) {
-                let refused = || Answered::Refused("no member is reached".into());
-                self.ended
-                    .push((number, if ask.sent { Answered::Open } else { refused() }));
-            }
-        }
+    pub fn pass(&mut self, now_ms: f64) {
+        self.calls.expire(now_ms);
     }
 
-    /// The frames to be sent to the member.
+    /// Takes the frames that are to be sent to the member.
     pub fn frames(&mut self) -> Vec<Frame> {
-        if self.up {
+        if self.connected {
             self.frames.drain(..).collect()
         } else {
             Vec::new()
         }
     }
 
-    /// Wishes and reads that have ended.
+    /// Takes the calls that have ended, by number.
     pub fn ended(&mut self) -> Vec<(u64, Answered)> {
-        std::mem::take(&mut self.ended)
+        self.calls.take_ended()
     }
 
-    /// Whether the copy has changed since this was asked last.
+    /// Whether the replica has changed since this was asked last.
     pub fn changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The copy.
+    /// The replica.
     pub fn copy(&self) -> &Copy {
         &self.copy
     }
 
-    /// How old the copy is, ms; none: there is none yet.
-    pub fn age_ms(&self, now: f64) -> Option<f64> {
-        self.heard.map(|(at, age)| now - at + age)
+    /// How old the replica is, ms; none: nothing was heard of it in this process incarnation.
+    pub fn age_ms(&self, now_ms: f64) -> Option<f64> {
+        let freshness = self.freshness.as_ref()?;
+        Some(now_ms - freshness.heard_ms + freshness.age_ms)
     }
 
-    /// Whether a link is up.
+    /// Whether a connection is up.
     pub fn is_up(&self) -> bool {
-        self.up
+        self.connected
     }
 }
+
+/// A hash of a pair of names.
+fn hash(first: &str, second: &str) -> u64 {
+    let mut hasher = rustc_hash::FxHasher::default();
+    hasher.write(first.as_bytes());
+    hasher.write_u8(0xff);
+    hasher.write(second.as_bytes());
+    // The last bits of this hash vary least.
+    let hash = hasher.finish();
+    (hash ^ (hash >> 32)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
--- /dev/null
+++ b/crates/group/src/follower/calls.rs
@@ -0,0 +1,113 @@
+//! A follower's calls without an answer so far.
+
+use crate::frame::{Answered, Frame};
+use crate::state::{OpId, Proposal};
+use std::collections::BTreeMap;
+
+/// A call without an answer ends after this, ms.
+const CALL_TIMEOUT_MS: f64 = 2000.0;
+/// Most calls that are pending.
+const MAX_PENDING: usize = 256;
+
+struct PendingCall {
+    /// None: a read.
+    proposal: Option<Proposal>,
+    made_at: u64,
+    deadline_ms: f64,
+    /// A member was asked: it may take effect.
+    sent: bool,
+}
+
+/// Calls by number, each of which ends once.
+pub(super) struct PendingCalls {
+    /// The process incarnation.
+    origin: u64,
+    last_number: u64,
+    pending: BTreeMap<u64, PendingCall>,
+    ended: Vec<(u64, Answered)>,
+}
+
+impl PendingCalls {
+    pub(super) fn new(origin: u64) -> PendingCalls {
+        PendingCalls {
+            origin,
+            last_number: 0,
+            pending: BTreeMap::new(),
+            ended: Vec::new(),
+        }
+    }
+
+    /// A new call's number; none: too many are pending.
+    pub(super) fn begin(
+        &mut self,
+        now_ms: f64,
+        made_at: u64,
+        proposal: Option<Proposal>,
+    ) -> Option<u64> {
+        if self.pending.len() >= MAX_PENDING {
+            return None;
+        }
+        self.last_number += 1;
+        let call = PendingCall {
+            proposal,
+            made_at,
+            deadline_ms: now_ms + CALL_TIMEOUT_MS,
+            sent: false,
+        };
+        self.pending.insert(self.last_number, call);
+        Some(self.last_number)
+    }
+
+    /// The frame of a pending call, which counts as sent from now on.
+    pub(super) fn send(&mut self, number: u64) -> Option<Frame> {
+        let call = self.pending.get_mut(&number)?;
+        call.sent = true;
+        let op = OpId {
+            origin: self.origin,
+            number,
+        };
+        Some(Frame::Ask {
+            op,
+            made_at: call.made_at,
+            proposal: call.proposal.clone(),
+        })
+    }
+
+    /// The frames of all pending calls.
+    pub(super) fn resend_all(&mut self) -> Vec<Frame> {
+        let numbers: Vec<u64> = self.pending.keys().copied().collect();
+        let frames = numbers.into_iter().filter_map(|number| self.send(number));
+        frames.collect()
+    }
+
+    /// A member has answered.
+    pub(super) fn answer(&mut self, op: OpId, answered: Answered) {
+        if op.origin == self.origin && self.pending.remove(&op.number).is_some() {
+            self.ended.push((op.number, answered));
+        }
+    }
+
+    /// Ends the calls whose time is up.
+    pub(super) fn expire(&mut self, now_ms: f64) {
+        let expired = |call: &PendingCall| now_ms >= call.deadline_ms;
+        let numbers: Vec<u64> = self
+            .pending
+            .iter()
+            .filter(|(_, call)| expired(call))
+            .map(|(number, _)| *number)
+            .collect();
+        for number in numbers {
+            let sent = self.pending.remove(&number).is_some_and(|call| call.sent);
+            let answered = match sent {
+                true => Answered::Open,
+                false => Answered::Refused("no member is reached".into()),
+            };
+            self.ended.push((number, answered));
+        }
+    }
+
+    /// Takes the calls that have ended.
+    pub(super) fn take_ended(&mut self) -> Vec<(u64, Answered)> {
+        std::mem::take(&mut self.ended)
+    }
+}
--- a/crates/group/src/forwarding_routes.rs
+++ b/crates/group/src/forwarding_routes.rs
@@ -1,116 +1,106 @@
-//! Ways between members where not every link carries: each tells all whom it hears, and a message goes round by one
-//! other member where the direct way does not carry it. It owns what is known of links, and for how long. It must
-//! never need a message to arrive: the library repeats what is lost, and a wrong way only costs time.
+//! Forwarding routes between members where not every link carries. Each member reports whom it hears, and a message
+//! goes by one other member where the direct link does not carry it. The consensus library is stuck where the only
+//! member that reaches a majority lags behind; with routes of two steps every such topology is whole for it. A wrong
+//! route costs time, never safety: the library repeats what is lost.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member that was not heard for so long is not heard any more, ms: shorter than any election, so that a way round
-/// is found before a vote is called.
-const FRESH_MS: f64 = 400.0;
+/// A member that was not heard for so long is not heard any more, ms: shorter than any election timeout, so that a
+/// route is found before a vote is called.
+const HEARD_WITHIN_MS: f64 = 400.0;
+/// What a member reported is used for routes for so long, ms: a report or two may be lost.
+const REPORT_LIFETIME_MS: f64 = 2.0 * HEARD_WITHIN_MS;
 
-/// The way of a message.
+/// The route of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Route {
     Direct,
-    By(String),
+    /// Forwarded by this member.
+    Via(String),
 }
 
-/// What is known of links.
+/// Whom a member says it hears.
+#[derive(Debug)]
+struct Report {
+    at_ms: f64,
+    hears: BTreeSet<String>,
+}
+
+/// What is known of links, by name.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardingRoutes {
-    name: String,
-    heard: BTreeMap<String, f64>,
-    notified: BTreeMap<String, (f64, BTreeSet<String>)>,
+    own_name: String,
+    /// When a frame last came directly from each member.
+    last_heard_ms: BTreeMap<String, f64>,
+    reports: BTreeMap<String, Report>,
 }
 
 impl ForwardingRoutes {
-    pub(crate) fn new(name: &str) -> ForwardingRoutes {
+    pub(crate) fn new(own_name: &str) -> ForwardingRoutes {
         ForwardingRoutes {
-            name: name.into(),
+            own_name: own_name.into(),
             ..ForwardingRoutes::default()
         }
     }
 
     /// A frame came directly from this member.
-    pub(crate) fn heard(&mut self, now: f64, from: &str) {
-        match self.heard.get_mut(from) {
-            Some(at) => *at = now,
-            None => drop(self.heard.insert(from.into(), now)),
+    pub(crate) fn note_heard(&mut self, now_ms: f64, from: &str) {
+        match self.last_heard_ms.get_mut(from) {
+            Some(at_ms) => *at_ms = now_ms,
+            None => {
+                self.last_heard_ms.insert(from.into(), now_ms);
+            }
         }
     }
 
-    /// A member says whom it hears.
-    pub(crate) fn notified(&mut self, now: f64, of: &str, hears: Vec<String>) {
-        self.notified
-            .insert(of.into(), (now, hears.into_iter().collect()));
+    /// A member reports whom it hears.
+    pub(crate) fn note_report(&mut self, now_ms: f64, of: &str, hears: Vec<String>) {
+        let report = Report {
+            at_ms: now_ms,
+            hears: hears.into_iter().collect(),
+        };
+        self.reports.insert(of.into(), report);
     }
 
     /// Whom this member hears.
-    pub(crate) fn hears(&self, now: f64) -> Vec<String> {
-        let fresh = self.heard.iter().filter(|(_, at)| now - **at < FRESH_MS);
-        fresh.map(|(name, _)| name.clone()).collect()
+    pub(crate) fn hears(&self, now_ms: f64) -> Vec<String> {
+        let is_heard = |at_ms: f64| now_ms - at_ms < HEARD_WITHIN_MS;
+        let heard = self.last_heard_ms.iter().filter(|(_, at)| is_heard(**at));
+        heard.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Who says not to hear this member.
-    pub(crate) fn unheard_by(&self, now: f64) -> Vec<String> {
-        let fresh = self
-            .notified
+    /// Members that report not to hear this one.
+    pub(crate) fn unheard_by(&self, now_ms: f64) -> Vec<String> {
+        let is_recent = |report: &Report| now_ms - report.at_ms < HEARD_WITHIN_MS;
+        let unheard = self
+            .reports
             .iter()
-            .filter(|(_, (at, _))| now - at < FRESH_MS);
-        fresh
-            .filter(|(_, (_, list))| !list.contains(&self.name))
-            .map(|(name, _)| name.clone())
-            .collect()
+            .filter(|(_, report)| is_recent(report) && !report.hears.contains(&self.own_name));
+        unheard.map(|(name, _)| name.clone()).collect()
     }
 
-    /// How to reach a member.
-    pub(crate) fn way(&self, now: f64, to: &str) -> Way {
-        let fresh = |name: &str| {
-            self.notified
-                .get(name)
-                .filter(|(at, _)| now - at < 2.0 * FRESH_MS)
+    /// How to reach a member. The direct link is as good as any where nothing is known of it, or nobody else carries.
+    pub(crate) fn route_to(&self, now_ms: f64, to: &str) -> Route {
+        let Some(report) = self.valid_report(now_ms, to) else {
+            return Route::Direct;
         };
-        let hears = |who: &str, whom: &str| fresh(who).is_some_and(|(_, list)| list.contains(whom));
-        // Of whom nothing is known, the direct way is as good as any.
-        let Some((_, list)) = fresh(to).filter(|(_, list)| !list.contains(&self.name)) else {
-            return Way::Direct;
+        if report.hears.contains(&self.own_name) {
+            return Route::Direct;
+        }
+        let hears_this_one = |name: &str| {
+            let report = self.valid_report(now_ms, name);
+            report.is_some_and(|report| report.hears.contains(&self.own_name))
         };
-        let by = list.iter().find(|by| *by != to && hears(by, &self.name));
-        by.map_or(Way::Direct, |by| Way::By(by.clone()))
+        let mut heard_by_target = report.hears.iter();
+        let via = heard_by_target.find(|name| *name != to && hears_this_one(name));
+        via.map_or(Route::Direct, |name| Route::Via(name.clone()))
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn a_message_goes_round_where_the_direct_way_does_not_carry_it() {
-        let mut routes = ForwardingRoutes::new("a");
-        let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        assert_eq!(routes.way(0.0, "c"), Way::Direct, "nothing is known");
-        routes.notified(0.0, "b", names(&["a", "c"]));
-        routes.notified(0.0, "c", names(&["a", "b"]));
-        assert_eq!(routes.way(10.0, "c"), Way::Direct);
-        routes.notified(20.0, "c", names(&["b"]));
-        assert_eq!(routes.way(30.0, "c"), Way::By("b".into()));
-        routes.notified(40.0, "b", names(&["c"]));
-        assert_eq!(
-            routes.way(50.0, "c"),
-            Way::Direct,
-            "nobody hears this member: nothing is better"
-        );
-        routes.notified(60.0, "b", names(&["a", "c"]));
-        assert_eq!(
-            routes.way(2000.0, "c"),
-            Way::Direct,
-            "what was known is old"
-        );
-        routes.heard(0.0, "b");
-        routes.heard(300.0, "c");
-        assert_eq!(
-            (routes.hears(350.0), routes.hears(500.0)),
-            (names(&["b", "c"]), names(&["c"]))
-        );
+    fn valid_report(&self, now_ms: f64, of: &str) -> Option<&Report> {
+        let report = self.reports.get(of)?;
+        (now_ms - report.at_ms < REPORT_LIFETIME_MS).then_some(report)
     }
 }
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -1,19 +1,23 @@
-//! The frames of the link between members. It owns their form, bounds and versions: a length, a checksum, a body. It
-//! must never take a body that is longer than its bound, or trust one whose checksum differs.
+//! The frames of a link: a length, a checksum, a body that is encoded by position (the order of fields and variants must
+//! not change). A body that is longer than its bound is not taken, nor one whose checksum differs.
 
 use crate::record::MessageRecord;
 use crate::state::{Document, DocumentKind, OpId, Outcome, Proposal};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// The forms of the link and of the log that this program speaks, the oldest and the newest. What a newer form adds is
-/// used only once the group has raised its own form, which it does when all members speak it.
-pub const FORMAT_VERSIONS: (u16, u16) = (1, 2);
-/// Largest frame, bytes: a state with all its documents and room beside it.
+/// The oldest format version of the link and of the log that this program speaks.
+pub const OLDEST_FORMAT: u16 = 1;
+/// The newest one. What it adds is used only once the group has raised its own format version, which it does when all
+/// members speak it.
+pub const NEWEST_FORMAT: u16 = 2;
+/// Both, the oldest first.
+pub const FORMAT_VERSIONS: (u16, u16) = (OLDEST_FORMAT, NEWEST_FORMAT);
+/// Largest frame, bytes: a snapshot with all its documents, and more.
 pub const MAX_FRAME: usize = 6 << 20;
 /// Largest greeting, bytes.
 pub const MAX_HELLO: usize = 512;
-/// Length and checksum.
-const HEAD: usize = 8;
+/// Length and checksum, 4 bytes each.
+const HEADER_BYTES: usize = 8;
 const MAGIC: [u8; 4] = *b"DGL1";
 
 /// Bytes that are no frame.
@@ -42,7 +46,7 @@
     /// It is of another group.
     #[error("of another group")]
     OtherGroup,
-    /// There is no form that both speak.
+    /// There is no format version that both speak.
     #[error("speaks no form that is known here")]
     UnknownForm,
     /// It cannot take part in what the group has agreed on.
@@ -50,13 +54,22 @@
     OlderForm,
 }
 
+/// A range of format versions.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FormatRange {
+    /// The oldest.
+    pub oldest: u16,
+    /// The newest.
+    pub newest: u16,
+}
+
 /// The first frame of whoever connects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// That this is a link at all.
     pub magic: [u8; 4],
-    /// The forms that it speaks, the oldest and the newest.
-    pub forms: (u16, u16),
+    /// The format versions that it speaks.
+    pub formats: FormatRange,
     /// Its group; 0: it is in none yet.
     pub group: u64,
     /// Its incarnation; 0: none yet.
@@ -70,7 +83,7 @@
 /// The answer to it, and the only frame that way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// The form to be spoken.
+    /// The format version to be spoken.
     pub form: u16,
     /// The group of whom it reached.
     pub group: u64,
@@ -79,12 +92,15 @@
 }
 
 impl Hello {
-    /// A greeting of one that speaks no newer form than `newest`.
+    /// A greeting of one that speaks no newer format version than `newest`.
     pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
-        let forms = (FORMAT_VERSIONS.0, newest.min(FORMAT_VERSIONS.1));
+        let formats = FormatRange {
+            oldest: OLDEST_FORMAT,
+            newest: newest.min(NEWEST_FORMAT),
+        };
         Hello {
             magic: MAGIC,
-            forms,
+            formats,
             group,
             id,
             name: name.into(),
@@ -92,12 +108,13 @@
         }
     }
 
-    /// The form to be spoken with whoever sent this; why not, if with none. `forms`: the form that the group has, and
-    /// the newest that this member speaks. Followers see no log: the oldest form is enough for them.
+    /// The format version to be spoken with whoever sent this, where this end is `name` in `group` (0: in none yet).
+    /// `spoken`: the group's own format version, and the newest that this end speaks. Followers see no log: any version
+    /// that both know is enough for them.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn judge(&self, forms: (u16, u16), group: u64, name: &str) -> Result<u16, HelloError> {
+    pub fn judge(&self, spoken: FormatRange, group: u64, name: &str) -> Result<u16, HelloError> {
         if self.magic != MAGIC {
             return Err(HelloError::Foreign);
         }
@@ -107,26 +124,26 @@
         if self.group != 0 && group != 0 && self.group != group {
             return Err(HelloError::OtherGroup);
         }
-        if self.forms.1 < FORMAT_VERSIONS.0 || self.forms.0 > forms.1 {
+        if self.formats.newest < OLDEST_FORMAT || self.formats.oldest > spoken.newest {
             return Err(HelloError::UnknownForm);
         }
-        if self.id != 0 && self.forms.1 < forms.0 {
+        if self.id != 0 && self.formats.newest < spoken.oldest {
             return Err(HelloError::OlderForm);
         }
-        Ok(self.forms.1.min(forms.1))
+        Ok(self.formats.newest.min(spoken.newest))
     }
 }
 
-/// What has become of a follower's wish or read.
+/// What has become of a follower's proposal or read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answered {
-    /// Agreed, and in the copy by now.
+    /// Committed, and in the follower's replica by now.
     Done(Outcome),
-    /// The copy is at least what anybody was told when it was asked for.
+    /// The follower's replica is at least what anybody was told when the read was asked for.
     Read,
     /// Not done, and why.
     Refused(String),
-    /// Nobody knows.
+    /// Nobody knows whether it will be done.
     Open,
 }
 
@@ -135,9 +152,9 @@
 pub enum Frame {
     /// Nothing: the link is there.
     Idle,
-    /// The library's.
+    /// A message of the consensus library.
     Raft(MessageRecord),
-    /// A member with an empty folder asks to be let in.
+    /// An ingress with an empty folder asks to be admitted.
     Join {
         /// Tells its folder from every other.
         nonce: u64,
@@ -151,27 +168,27 @@
         /// The folder that was let in.
         nonce: u64,
     },
-    /// Whom a member hears, by name; told by itself, and passed on once.
-    Hears {
-        /// Who hears.
+    /// Whom a member hears, by name: reported by itself, and forwarded once.
+    Reachability {
+        /// Who reports.
         of: String,
-        /// Whom.
+        /// Whom it hears.
         hears: Vec<String>,
     },
-    /// The library's, to be passed on to whom it is for: the direct way does not carry.
-    Round(MessageRecord),
-    /// One that came round.
-    Passed(MessageRecord),
-    /// An ingress beside the group follows this member; the answer comes on the same connection.
+    /// A message of the consensus library, to be forwarded: the direct link does not carry.
+    Forward(MessageRecord),
+    /// One that was forwarded.
+    Forwarded(MessageRecord),
+    /// A follower subscribes to this member; what it is sent comes on the same connection.
     Follow {
         /// The documents that it has.
         have: Vec<(DocumentKind, u64)>,
     },
-    /// A follower's wish, or a read where there is none.
+    /// A follower's proposal, or a read where there is none.
     Ask {
         /// Which; the same if it is asked again.
         op: OpId,
-        /// How far the follower's copy was.
+        /// The last index in the follower's replica.
         made_at: u64,
         /// What.
         proposal: Option<Proposal>,
@@ -185,11 +202,11 @@
     },
     /// What a follower lacks.
     Copy {
-        /// How far the log is carried out.
+        /// The last index of the log that is carried out.
         applied: u64,
         /// How old that is by itself, ms.
         age_ms: f64,
-        /// All that are out; none: as before.
+        /// All excluded endpoints; none: as before.
         out: Option<Vec<String>>,
         /// New versions.
         documents: Vec<(DocumentKind, Document)>,
@@ -198,13 +215,13 @@
 
 impl Frame {
     /// Whether a link may carry this whose sender has greeted as this incarnation; 0: as none, which is a follower, or
-    /// an ingress that has not been let in.
+    /// an ingress that has not been admitted.
     pub fn is_allowed_from(&self, incarnation: u64) -> bool {
         let is_member = incarnation != 0;
         match self {
             Frame::Raft(message) => is_member && message.from == incarnation,
-            Frame::Admitted { .. } | Frame::Hears { .. } => is_member,
-            Frame::Round(_) | Frame::Passed(_) => is_member,
+            Frame::Admitted { .. } | Frame::Reachability { .. } => is_member,
+            Frame::Forward(_) | Frame::Forwarded(_) => is_member,
             Frame::Follow { .. } | Frame::Ask { .. } => !is_member,
             // Members send these to followers, on the connection that the follower has opened.
             Frame::Answer { .. } | Frame::Copy { .. } => false,
@@ -221,7 +238,7 @@
 /// Any body as a frame.
 pub(crate) fn framed<T: Serialize>(body: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(body).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend((body.len() as u32).to_le_bytes());
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
     bytes.extend(body);
@@ -245,28 +262,36 @@
 /// The body that the bytes begin with, and how many of them it took; none: it is not whole yet.
 ///
 /// # Errors
-/// It is none, or longer than `most`.
+/// It is none, or longer than `max_bytes`.
 pub fn read_frame<T: DeserializeOwned>(
     bytes: &[u8],
-    max: usize,
+    max_bytes: usize,
 ) -> Result<Option<(T, usize)>, FrameError> {
-    let Some((head, rest)) = bytes.split_first_chunk::<HEAD>() else {
+    let Some((length, rest)) = split_u32(bytes) else {
+        return Ok(None);
+    };
+    let Some((checksum, rest)) = split_u32(rest) else {
         return Ok(None);
     };
-    let [a, b, c, d, e, f, g, h] = *head;
-    let length = u32::from_le_bytes([a, b, c, d]) as usize;
-    if length > max {
+    let length = length as usize;
+    if length > max_bytes {
         return Err(FrameError::Long(length));
     }
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
-    if crc32fast::hash(body) != u32::from_le_bytes([e, f, g, h]) {
+    if crc32fast::hash(body) != checksum {
         return Err(FrameError::Spoilt);
     }
     let (value, left) = postcard::take_from_bytes(body).map_err(|_| FrameError::Unknown)?;
     if !left.is_empty() {
         return Err(FrameError::Unknown);
     }
-    Ok(Some((value, HEAD + length)))
+    Ok(Some((value, HEADER_BYTES + length)))
+}
+
+/// The number that the bytes begin with, and the rest.
+fn split_u32(bytes: &[u8]) -> Option<(u32, &[u8])> {
+    let (number, rest) = bytes.split_first_chunk::<4>()?;
+    Some((u32::from_le_bytes(*number), rest))
 }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,10 +1,11 @@
 //! A group of ingresses that hold things for each other: a replicated log, the state machine on it, and the frames of
-//! the link between members. It owns what is agreed, in which order, and when a promise may be given. It must never
-//! open a socket or a file, ask for the time, or know a command of a service client: time, frames and the end of each
-//! write to the disk are passed in, so that the same code runs in a process and, by the thousand, in virtual time.
+//! the links between members. It owns what is agreed, in which order, and when a promise may be given. It must never
+//! open a socket or a file, ask for the time, or know a client's request: time, frames and the end of each write to the
+//! disk are passed in, so that the same code runs in a process and, by the thousand, in virtual time.
 //!
 //! Consensus is the library `raft`'s; around it are incarnations (a member that lost its disk is another voter), the
-//! wait for the disk, repeats that take effect once, and what a member says of itself.
+//! wait for the disk, proposals that take effect once though they are sent again, and a member's status. Times are
+//! monotonic milliseconds since a moment of the caller's choice.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -21,12 +22,16 @@
 
 pub use follower::{Copy, Follower};
 pub use frame::{
-    read_frame, Answered, Frame, FrameError, Hello, HelloError, Welcome, FORMAT_VERSIONS,
-    MAX_FRAME, MAX_HELLO,
+    read_frame, Answered, FormatRange, Frame, FrameError, Hello, HelloError, Welcome,
+    FORMAT_VERSIONS, MAX_FRAME, MAX_HELLO, NEWEST_FORMAT, OLDEST_FORMAT,
+};
+pub use member::{
+    Event, Health, Loaded, Lost, Member, MemberStatus, Recovered, Role, Settings, Standing,
 };
-pub use member::{Event, Health, Loaded, Lost, Member, MemberStatus, Role, Settings, Standing};
 pub use peer::{Job, Peer};
-pub use record::{Batch, ConfRecord, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
+pub use record::{
+    Batch, ConfRecord, EntryRecord, HardRecord, LogPosition, MessageRecord, SnapshotRecord,
+};
 pub use state::{
     Document, DocumentKind, Incarnation, Invitation, OpId, Outcome, Proposal, Proposed, State,
     MAX_DOCUMENT, MAX_EXCLUDED,
--- a/crates/group/src/log_replica.rs
+++ b/crates/group/src/log_replica.rs
@@ -1,6 +1,7 @@
-//! What is on the disk, in memory, as the library wants to read it. It owns the log between the last cut and its end.
-//! It must never hold what has not been handed out to be written, and it writes nothing itself.
+//! The log on the disk, once more in memory, as the library reads it: what is behind the last compaction. It never holds
+//! what has not been handed out to be written, and it writes nothing itself.
 
+use crate::record::LogPosition;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use std::cell::Cell;
@@ -11,17 +12,17 @@
 pub(crate) struct LogReplica {
     pub(crate) hard: HardState,
     pub(crate) conf: ConfState,
-    /// The last place that is held no more, and its term.
-    cut: (u64, u64),
+    /// The last position that was compacted away.
+    compacted: LogPosition,
     entries: VecDeque<Entry>,
     snapshot: Option<Snapshot>,
-    /// Somebody needs a state of a later place than the one held.
-    wanted: Cell<bool>,
+    /// The library has asked for a newer snapshot than the one at hand.
+    wants_snapshot: Cell<bool>,
 }
 
 impl LogReplica {
     pub(crate) fn new(
-        cut: (u64, u64),
+        compacted: LogPosition,
         hard: HardState,
         conf: ConfState,
         entries: Vec<Entry>,
@@ -29,31 +30,31 @@
         LogReplica {
             hard,
             conf,
-            cut,
+            compacted,
             entries: entries.into(),
             snapshot: None,
-            wanted: Cell::new(false),
+            wants_snapshot: Cell::new(false),
         }
     }
 
     pub(crate) fn first(&self) -> u64 {
-        self.cut.0 + 1
+        self.compacted.index + 1
     }
 
     pub(crate) fn last(&self) -> u64 {
-        self.cut.0 + self.entries.len() as u64
+        self.compacted.index + self.entries.len() as u64
     }
 
-    /// The term of a place that is held.
+    /// The term of an index that is in the log, or the last one before it.
     pub(crate) fn term_of(&self, index: u64) -> Option<u64> {
-        if index == self.cut.0 {
-            return Some(self.cut.1);
+        if index == self.compacted.index {
+            return Some(self.compacted.term);
         }
         let at = index.checked_sub(self.first())?;
         self.entries.get(at as usize).map(|e| e.term)
     }
 
-    /// Appends; what was held from the place of the first one on goes. False: there would be a gap.
+    /// Appends entries in place of those from the index of the first one on. False: there would be a gap.
     pub(crate) fn append(&mut self, entries: &[Entry]) -> bool {
         let Some(first) = entries.first().map(|e| e.index) else {
             return true;
@@ -66,35 +67,39 @@
         true
     }
 
-    /// Begins anew behind a state that came from another member.
+    /// Begins anew behind a snapshot that came from another member.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
-        let at = snapshot.get_metadata();
-        self.cut = (at.index, at.term);
+        let metadata = snapshot.get_metadata();
+        self.compacted = LogPosition {
+            index: metadata.index,
+            term: metadata.term,
+        };
         self.entries.clear();
-        self.conf = at.get_conf_state().clone();
+        self.conf = metadata.get_conf_state().clone();
         self.snapshot = Some(snapshot.clone());
     }
 
-    /// Lets entries up to this place go.
-    pub(crate) fn cut(&mut self, index: u64) -> Option<(u64, u64)> {
-        let cut = (index, self.term_of(index)?);
-        let gone = (index - self.cut.0) as usize;
+    /// Lets entries up to this index go; none: it is not in the log.
+    pub(crate) fn compact(&mut self, index: u64) -> Option<LogPosition> {
+        let term = self.term_of(index)?;
+        let gone = (index - self.compacted.index) as usize;
         self.entries.drain(..gone);
-        self.cut = cut;
-        Some(cut)
+        self.compacted = LogPosition { index, term };
+        Some(self.compacted)
     }
 
-    pub(crate) fn wanted(&self) -> bool {
-        self.wanted.get()
+    pub(crate) fn wants_snapshot(&self) -> bool {
+        self.wants_snapshot.get()
     }
 
-    pub(crate) fn offer(&mut self, snapshot: Snapshot) {
-        self.wanted.set(false);
+    pub(crate) fn offer_snapshot(&mut self, snapshot: Snapshot) {
+        self.wants_snapshot.set(false);
         self.snapshot = Some(snapshot);
     }
 }
 
-fn names(snapshot: &Snapshot, id: u64) -> bool {
+/// Whether the snapshot's configuration has this member.
+fn has_member(snapshot: &Snapshot, id: u64) -> bool {
     let conf = snapshot.get_metadata().get_conf_state();
     conf.voters.contains(&id) || conf.learners.contains(&id)
 }
@@ -127,7 +132,7 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index < self.cut.0 {
+        if index < self.compacted.index {
             return Err(Error::Store(StorageError::Compacted));
         }
         self.term_of(index)
@@ -143,12 +148,16 @@
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
-        let min = request_index.max(self.cut.0);
+        let min_index = request_index.max(self.compacted.index);
         match &self.snapshot {
-            // Whom it does not name takes it for another group's.
-            Some(held) if held.get_metadata().index >= min && names(held, to) => Ok(held.clone()),
+            // A member that is not in its configuration would refuse it.
+            Some(snapshot)
+                if snapshot.get_metadata().index >= min_index && has_member(snapshot, to) =>
+            {
+                Ok(snapshot.clone())
+            }
             _ => {
-                self.wanted.set(true);
+                self.wants_snapshot.set(true);
                 Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable))
             }
         }
--- /dev/null
+++ b/crates/group/src/state/apply.rs
@@ -0,0 +1,193 @@
+//! How a committed entry changes the state. The same entries must give the same state on every member: nothing here
+//! asks for a time, a random number or an order that memory happens to have.
+
+use super::{
+    Document, DocumentKind, Incarnation, Invitation, Outcome, Proposal, Proposed, RecentOutcome,
+    State, MAX_DOCUMENT, MAX_EXCLUDED,
+};
+use crate::{is_name, MAX_MEMBERS, MIN_MEMBERS};
+
+/// Longest name of an endpoint, bytes.
+const MAX_ENDPOINT_NAME: usize = 120;
+/// Longest address of a member's link, bytes.
+const MAX_ADDRESS: usize = 64;
+/// For so many indexes of the log a repeated proposal is known; one that comes later is refused, since nobody would
+/// know whether it had taken effect.
+const DEDUPLICATION_WINDOW: u64 = 4096;
+
+impl State {
+    /// Carries out an entry of the log; what has become of it.
+    pub fn apply(&mut self, index: u64, proposed: &Proposed) -> Outcome {
+        self.forget_outcomes_before(index);
+        if proposed.made_at + DEDUPLICATION_WINDOW < index {
+            return Outcome::Late;
+        }
+        let mut recent = self.recent_outcomes.iter();
+        if let Some(earlier) = recent.find(|recent| recent.op == proposed.op) {
+            return earlier.outcome;
+        }
+        let outcome = self.apply_proposal(index, &proposed.proposal);
+        let is_exclusion = matches!(
+            proposed.proposal,
+            Proposal::Suspend(_) | Proposal::Restore(_)
+        );
+        if is_exclusion && outcome == Outcome::Done {
+            self.changes += 1;
+        }
+        self.recent_outcomes.push_back(RecentOutcome {
+            index,
+            op: proposed.op,
+            outcome,
+        });
+        outcome
+    }
+
+    fn forget_outcomes_before(&mut self, index: u64) {
+        let is_old = |recent: &RecentOutcome| recent.index + DEDUPLICATION_WINDOW < index;
+        while self.recent_outcomes.front().is_some_and(is_old) {
+            self.recent_outcomes.pop_front();
+        }
+    }
+
+    fn apply_proposal(&mut self, index: u64, proposal: &Proposal) -> Outcome {
+        match proposal {
+            Proposal::Suspend(endpoint) => self.suspend(index, endpoint),
+            Proposal::Restore(endpoint) => self.restore(endpoint),
+            Proposal::Write(kind, made_from, bytes) => self.write(*kind, *made_from, bytes),
+            Proposal::Admit {
+                name,
+                address,
+                nonce,
+            } => self.admit(name, address, *nonce),
+            Proposal::Invite {
+                name,
+                address,
+                instead_of,
+            } => self.invite(name, address, instead_of.as_deref()),
+            Proposal::Remove(name) => self.remove(name),
+            Proposal::Raise(form) => self.raise_format(*form),
+        }
+    }
+
+    fn suspend(&mut self, index: u64, endpoint: &str) -> Outcome {
+        if self.out.contains_key(endpoint) {
+            return Outcome::Before;
+        }
+        if endpoint.is_empty() || endpoint.len() > MAX_ENDPOINT_NAME {
+            return Outcome::Refused;
+        }
+        if self.out.len() >= MAX_EXCLUDED {
+            return Outcome::TooMany;
+        }
+        self.out.insert(endpoint.into(), index);
+        Outcome::Done
+    }
+
+    fn restore(&mut self, endpoint: &str) -> Outcome {
+        match self.out.remove(endpoint) {
+            Some(_) => Outcome::Done,
+            None => Outcome::Before,
+        }
+    }
+
+    /// Writes a new version, if nobody wrote one since the version that it was made from.
+    fn write(&mut self, kind: DocumentKind, made_from: u64, bytes: &[u8]) -> Outcome {
+        if bytes.len() > MAX_DOCUMENT {
+            return Outcome::Refused;
+        }
+        let present = self.documents.get(&kind);
+        if present.is_some_and(|document| document.bytes == bytes) {
+            return Outcome::Before;
+        }
+        let present_number = present.map_or(0, |document| document.number);
+        if present_number != made_from {
+            return Outcome::Newer(present_number);
+        }
+        let document = Document {
+            number: present_number + 1,
+            bytes: bytes.to_vec(),
+        };
+        self.documents.insert(kind, document);
+        Outcome::Written(present_number + 1)
+    }
+
+    /// Admits a member as a new incarnation, which takes over the vote of its earlier ones, or of the member that it
+    /// replaces.
+    fn admit(&mut self, name: &str, address: &str, nonce: u64) -> Outcome {
+        if let Some(id) = self.admitted(name, nonce) {
+            return Outcome::Admitted(id);
+        }
+        let invitation = self.invited.get(name);
+        let instead_of = invitation.and_then(|invitation| invitation.instead_of.clone());
+        let is_replaced =
+            |member: &Incarnation| member.name == name || Some(&member.name) == instead_of.as_ref();
+        let mut members = self.members.values();
+        let grows = !members.any(|member| !member.gone && is_replaced(member));
+        if !may_be_member(name, address) || grows && self.is_full() {
+            return Outcome::Refused;
+        }
+        let id = self.next_incarnation;
+        self.next_incarnation += 1;
+        let mut place_of = Vec::new();
+        for (old_id, old) in self.members.iter_mut().filter(|(_, m)| is_replaced(m)) {
+            old.gone = true;
+            place_of.push(*old_id);
+            place_of.append(&mut old.place_of);
+        }
+        self.invited.remove(name);
+        let mut member = Incarnation::new(name, address, nonce);
+        member.place_of = place_of;
+        self.members.insert(id, member);
+        Outcome::Admitted(id)
+    }
+
+    fn invite(&mut self, name: &str, address: &str, instead_of: Option<&str>) -> Outcome {
+        let is_member = |name: &str| self.incarnation(name).is_some();
+        if is_member(name) {
+            return Outcome::Before;
+        }
+        if instead_of.is_some_and(|old| !is_member(old)) {
+            return Outcome::Unknown;
+        }
+        let grows_beyond = instead_of.is_none() && self.is_full();
+        let too_many = self.invited.len() >= MAX_MEMBERS;
+        if !may_be_member(name, address) || grows_beyond || too_many {
+            return Outcome::Refused;
+        }
+        let invitation = Invitation {
+            address: address.into(),
+            instead_of: instead_of.map(String::from),
+        };
+        self.invited.insert(name.into(), invitation);
+        Outcome::Done
+    }
+
+    fn remove(&mut self, name: &str) -> Outcome {
+        let Some((id, _)) = self.incarnation(name) else {
+            return Outcome::Unknown;
+        };
+        if self.wanted().len() <= MIN_MEMBERS {
+            return Outcome::Refused;
+        }
+        if let Some(member) = self.members.get_mut(&id) {
+            member.gone = true;
+        }
+        Outcome::Done
+    }
+
+    fn raise_format(&mut self, form: u16) -> Outcome {
+        if form <= self.form() {
+            return Outcome::Before;
+        }
+        self.form = form;
+        Outcome::Done
+    }
+
+    fn is_full(&self) -> bool {
+        self.wanted().len() >= MAX_MEMBERS
+    }
+}
+
+fn may_be_member(name: &str, address: &str) -> bool {
+    is_name(name) && address.len() <= MAX_ADDRESS
+}
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -1,159 +1,210 @@
-//! Followers of one member: which of them has what. It owns what each still has to be told. It must never send a
-//! document to somebody who has it, nor a whole list where nothing has changed.
+//! The subscribers of one member: the followers that are connected to it, and what each has been sent. No document goes
+//! to a follower that has it, nor the whole list of exclusions where nothing has changed.
 
 use crate::frame::{Answered, Frame};
-use crate::member::{Event, Member, Standing};
-use crate::state::{DocumentKind, OpId};
+use crate::member::{Event, Member};
+use crate::state::{Document, DocumentKind, OpId, Proposal, State};
 use std::collections::BTreeMap;
 
-/// A follower hears of its member this often at least, ms.
-const BEAT_MS: f64 = 500.0;
+/// A subscriber is sent the age of its member's replica this often at least, ms.
+const HEARTBEAT_INTERVAL_MS: f64 = 500.0;
 /// A member that heard of its leader so lately is led, ms.
-const LED_MS: f64 = 400.0;
+const LED_WITHIN_MS: f64 = 400.0;
 
-struct Fan {
-    /// The last change of the list that it was told.
-    notified: Option<u64>,
+/// One follower, and what it has.
+struct Subscriber {
+    /// The number of changes of the list of exclusions that it was last sent; none: it has no list of this member.
+    sent_changes: Option<u64>,
+    /// The number of each document that it has.
     documents: BTreeMap<DocumentKind, u64>,
-    beat: f64,
-    /// How old this member's copy was by then, ms.
-    age: f64,
+    last_sent_ms: f64,
+    /// How old this member's replica was by then, ms.
+    sent_age_ms: f64,
 }
 
-/// All followers of this member, by connection.
+impl Subscriber {
+    fn new(documents: Vec<(DocumentKind, u64)>) -> Subscriber {
+        Subscriber {
+            sent_changes: None,
+            documents: documents.into_iter().collect(),
+            last_sent_ms: f64::MIN,
+            sent_age_ms: 0.0,
+        }
+    }
+
+    /// What it lacks, if something is to be sent now.
+    fn next_copy(&mut self, now_ms: f64, at_once: bool, member: &Member) -> Option<Frame> {
+        let state = member.state();
+        let age_ms = member.age_ms(now_ms);
+        let documents = self.missing_documents(state);
+        let list_changed = self.sent_changes != Some(state.changes);
+        // It would leave a member that it takes for cut off: it is told at once that this one is led again.
+        let led_again = self.sent_age_ms > LED_WITHIN_MS && age_ms < LED_WITHIN_MS;
+        let heartbeat_due = now_ms - self.last_sent_ms >= HEARTBEAT_INTERVAL_MS;
+        let due = heartbeat_due || at_once || led_again;
+        if !due && !list_changed && documents.is_empty() {
+            return None;
+        }
+        self.last_sent_ms = now_ms;
+        self.sent_changes = Some(state.changes);
+        self.sent_age_ms = age_ms;
+        let numbers = documents.iter().map(|(kind, d)| (*kind, d.number));
+        self.documents.extend(numbers);
+        Some(Frame::Copy {
+            applied: member.applied(),
+            age_ms,
+            out: list_changed.then(|| state.out.keys().cloned().collect()),
+            documents,
+        })
+    }
+
+    fn missing_documents(&self, state: &State) -> Vec<(DocumentKind, Document)> {
+        let is_missing = |kind: &DocumentKind, document: &Document| {
+            let present = self.documents.get(kind);
+            present.is_none_or(|number| *number < document.number)
+        };
+        let missing = state.documents.iter().filter(|(k, d)| is_missing(k, d));
+        missing.map(|(kind, d)| (*kind, d.clone())).collect()
+    }
+}
+
+/// A follower's read, under the number that the member gave it.
+struct PendingRead {
+    connection: u64,
+    op: OpId,
+}
+
+/// All subscribers of this member, by connection.
 #[derive(Default)]
 pub(crate) struct Subscribers {
-    subscribers: BTreeMap<u64, Fan>,
-    /// Who waits for which wish, and for which read of the member's.
+    subscribers: BTreeMap<u64, Subscriber>,
+    /// Proposals without an outcome, and the connections that wait for it.
     proposals: BTreeMap<OpId, u64>,
-    reads: BTreeMap<u64, (u64, OpId)>,
+    reads: BTreeMap<u64, PendingRead>,
     frames: Vec<(u64, Frame)>,
 }
 
 impl Subscribers {
-    pub(crate) fn hear(&mut self, now: f64, from: u64, frame: Frame, member: &mut Member) {
+    /// A frame has come by this connection.
+    pub(crate) fn hear(&mut self, now_ms: f64, from: u64, frame: Frame, member: &mut Member) {
         match frame {
             Frame::Follow { have } => {
-                let fan = Fan {
-                    notified: None,
-                    documents: have.into_iter().collect(),
-                    beat: f64::MIN,
-                    age: 0.0,
-                };
-                self.subscribers.insert(from, fan);
+                self.subscribers.insert(from, Subscriber::new(have));
             }
             Frame::Ask {
                 op,
                 made_at,
-                proposal,
-            } => {
-                let begun = match proposal {
-                    Some(proposal) => member.ask_for(now, op, made_at, proposal).map(|()| {
-                        self.proposals.insert(op, from);
-                    }),
-                    None => member.read(now).map(|number| {
-                        self.reads.insert(number, (from, op));
-                    }),
-                };
-                if let Err(why) = begun {
-                    self.answer(from, op, refused(why));
-                }
-            }
+                proposal: Some(proposal),
+            } => self.propose(now_ms, from, op, made_at, proposal, member),
+            Frame::Ask {
+                op, proposal: None, ..
+            } => self.read(now_ms, from, op, member),
             _ => {}
         }
     }
 
+    fn propose(
+        &mut self,
+        now_ms: f64,
+        from: u64,
+        op: OpId,
+        made_at: u64,
+        proposal: Proposal,
+        member: &mut Member,
+    ) {
+        match member.ask_for(now_ms, op, made_at, proposal) {
+            Ok(()) => {
+                self.proposals.insert(op, from);
+            }
+            Err(refusal) => self.answer(from, op, Answered::Refused(refusal.to_string())),
+        }
+    }
+
+    fn read(&mut self, now_ms: f64, from: u64, op: OpId, member: &mut Member) {
+        match member.read(now_ms) {
+            Ok(number) => {
+                let connection = from;
+                self.reads.insert(number, PendingRead { connection, op });
+            }
+            Err(refusal) => self.answer(from, op, Answered::Refused(refusal.to_string())),
+        }
+    }
+
     fn answer(&mut self, to: u64, op: OpId, answered: Answered) {
         self.frames.push((to, Frame::Answer { op, answered }));
     }
 
+    /// A connection has ended.
     pub(crate) fn gone(&mut self, from: u64) {
         self.subscribers.remove(&from);
-        self.proposals.retain(|_, who| *who != from);
-        self.reads.retain(|_, (who, _)| *who != from);
+        self.proposals.retain(|_, connection| *connection != from);
+        self.reads.retain(|_, read| read.connection != from);
     }
 
-    /// Takes those events that followers wait for.
-    pub(crate) fn take(&mut self, now: f64, events: &mut Vec<Event>, member: &Member) {
+    /// Takes the events that subscribers wait for, and leaves the others.
+    pub(crate) fn take(&mut self, now_ms: f64, events: &mut Vec<Event>, member: &Member) {
         events.retain(|event| match event {
             Event::DoneFor(op, outcome) => {
                 if let Some(to) = self.proposals.remove(op) {
-                    self.tell(now, Some(to), member);
-                    self.answer(to, *op, Answered::Done(*outcome));
+                    self.answer_with_copy(now_ms, to, *op, Answered::Done(*outcome), member);
                 }
                 false
             }
             Event::ExpiredFor(op, sent) => {
                 if let Some(to) = self.proposals.remove(op) {
-                    let refused = || Answered::Refused("no leader in time".into());
-                    self.answer(to, *op, if *sent { Answered::Open } else { refused() });
+                    let answered = if *sent { Answered::Open } else { no_leader() };
+                    self.answer(to, *op, answered);
                 }
                 false
             }
             Event::Read(number) => match self.reads.remove(number) {
-                Some((to, op)) => {
-                    self.tell(now, Some(to), member);
-                    self.answer(to, op, Answered::Read);
+                Some(read) => {
+                    let (to, op) = (read.connection, read.op);
+                    self.answer_with_copy(now_ms, to, op, Answered::Read, member);
                     false
                 }
                 None => true,
             },
             Event::Expired(number, _) => match self.reads.remove(number) {
-                Some((to, op)) => {
-                    self.answer(to, op, Answered::Refused("no leader in time".into()));
+                Some(read) => {
+                    self.answer(read.connection, read.op, no_leader());
                     false
                 }
                 None => true,
             },
-            _ => true,
+            Event::Done(..) | Event::Changed => true,
         });
     }
 
-    /// Tells followers, or one of them at once, what they lack.
-    pub(crate) fn tell(&mut self, now: f64, only: Option<u64>, member: &Member) {
-        let state = member.state();
+    /// An answer says that the follower's replica holds what it rests on: the replica goes before it.
+    fn answer_with_copy(
+        &mut self,
+        now_ms: f64,
+        to: u64,
+        op: OpId,
+        answered: Answered,
+        member: &Member,
+    ) {
+        self.notify(now_ms, Some(to), member);
+        self.answer(to, op, answered);
+    }
+
+    /// Sends all subscribers, or one of them at once, what they lack.
+    pub(crate) fn notify(&mut self, now_ms: f64, only: Option<u64>, member: &Member) {
         if member.applied() == 0 {
             return;
         }
-        let age_ms = member.age_ms(now);
-        for (to, fan) in self
-            .subscribers
-            .iter_mut()
-            .filter(|(to, _)| only.is_none_or(|only| only == **to))
-        {
-            let lacks = |kind: &DocumentKind, number: u64| {
-                fan.documents.get(kind).is_none_or(|had| *had < number)
-            };
-            let documents: Vec<_> = state
-                .documents
-                .iter()
-                .filter(|(kind, d)| lacks(kind, d.number))
-                .map(|(kind, d)| (*kind, d.clone()))
-                .collect();
-            let out =
-                (fan.notified != Some(state.changes)).then(|| state.out.keys().cloned().collect());
-            // That it is led again they hear at once: they would leave it else.
-            let again = fan.age > LED_MS && age_ms < LED_MS;
-            let due = now - fan.beat >= BEAT_MS || only.is_some() || again;
-            if !due && out.is_none() && documents.is_empty() {
+        for (to, subscriber) in &mut self.subscribers {
+            if only.is_some_and(|only| only != *to) {
                 continue;
             }
-            (fan.beat, fan.notified, fan.age) = (now, Some(state.changes), age_ms);
-            fan.documents
-                .extend(documents.iter().map(|(kind, d)| (*kind, d.number)));
-            let applied = member.applied();
-            self.frames.push((
-                *to,
-                Frame::Copy {
-                    applied,
-                    age_ms,
-                    out,
-                    documents,
-                },
-            ));
+            if let Some(copy) = subscriber.next_copy(now_ms, only.is_some(), member) {
+                self.frames.push((*to, copy));
+            }
         }
     }
 
+    /// Takes the frames that are to be sent, by connection.
     pub(crate) fn frames(&mut self) -> Vec<(u64, Frame)> {
         std::mem::take(&mut self.frames)
     }
@@ -163,6 +214,6 @@
     }
 }
 
-fn refused(why: Standing) -> Answered {
-    Answered::Refused(why.to_string())
+fn no_leader() -> Answered {
+    Answered::Refused("no leader in time".into())
 }
--- a/crates/group/tests/waiting.rs
+++ b/crates/group/tests/waiting.rs
@@ -39,12 +39,12 @@
         0.0,
         "m0",
         1,
-        Frame::Hears {
+        Frame::Reachability {
             of: "m0".into(),
             hears: vec!["m1".into()],
         },
     );
-    waiting.hear(0.0, "m0", 1, Frame::Round(message_to_m1()));
+    waiting.hear(0.0, "m0", 1, Frame::Forward(message_to_m1()));
     let mut joins = Vec::new();
     for now in [0.0, 250.0, 501.0] {
         waiting.pass(now);
@@ -64,7 +64,7 @@
 #[test]
 fn a_link_carries_only_what_its_sender_has_greeted_as() {
     let message = message_to_m1();
-    let hears = Frame::Hears {
+    let hears = Frame::Reachability {
         of: "m0".into(),
         hears: Vec::new(),
     };
@@ -72,8 +72,8 @@
         (Frame::Idle, true, true, true),
         (Frame::Join { nonce: 1 }, true, true, true),
         (Frame::Raft(message.clone()), false, true, false),
-        (Frame::Round(message.clone()), false, true, true),
-        (Frame::Passed(message), false, true, true),
+        (Frame::Forward(message.clone()), false, true, true),
+        (Frame::Forwarded(message), false, true, true),
         (hears, false, true, true),
         (
             Frame::Admitted {
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -81,12 +81,13 @@
 
 fn save(disk: &mut Loaded, batch: Batch) {
     if let Some(restored) = batch.restored {
-        disk.cut = (restored.index, restored.term);
+        disk.compacted = restored.position();
         disk.entries.clear();
         disk.snapshot = restored;
     }
     if let Some(first) = batch.entries.first().map(|e| e.index) {
-        disk.entries.truncate((first - disk.cut.0 - 1) as usize);
+        disk.entries
+            .truncate((first - disk.compacted.index - 1) as usize);
         disk.entries.extend(batch.entries);
     }
     if let Some(hard) = batch.hard {
@@ -95,9 +96,10 @@
     if let Some(snapshot) = batch.snapshot {
         disk.snapshot = snapshot;
     }
-    if let Some(cut) = batch.cut {
-        disk.entries.drain(..(cut.0 - disk.cut.0) as usize);
-        disk.cut = cut;
+    if let Some(compacted) = batch.compacted {
+        disk.entries
+            .drain(..(compacted.index - disk.compacted.index) as usize);
+        disk.compacted = compacted;
     }
 }
 
@@ -164,7 +166,7 @@
         node.lives += 1;
         let mut settings = Settings::new(&node.name, (i as u64) << 32 | node.lives, members);
         settings.seed = seed ^ (i as u64) << 8;
-        settings.keep = 64;
+        settings.retained_entries = 64;
         node.peer = Some(match node.disk.clone() {
             Some(disk) => Peer::sitting(settings, disk, now).expect("a sound disk"),
             None => Peer::waiting(settings, nonce),
@@ -381,7 +383,7 @@
             let disk = n
                 .disk
                 .as_ref()
-                .map(|d| (d.hard, d.snapshot.index, d.cut, d.entries.len()));
+                .map(|d| (d.hard, d.snapshot.index, d.compacted, d.entries.len()));
             format!(
                 "{} up={} writing={} {disk:?} {status:?}\n",
                 n.name,
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -5,7 +5,7 @@
 use super::links::{connect, Counts, Outlet, Own};
 use super::member_task::STATISTICS_INTERVAL_MS;
 use super::{Ended, GroupSettings, MembershipStatus, Request, View};
-use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, FORMAT_VERSIONS};
+use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, NEWEST_FORMAT};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
             settings,
             who: Rc::new(Own {
                 name,
-                newest: FORMAT_VERSIONS.1,
+                newest: NEWEST_FORMAT,
                 ..Own::default()
             }),
             follower,
--- a/src/group/links.rs
+++ b/src/group/links.rs
@@ -4,7 +4,9 @@
 
 use super::follower_task::Line;
 use super::link_error::{LinkError, Refusals};
-use driftgap_group::{read_frame, Frame, Hello, HelloError, Welcome, MAX_FRAME, MAX_HELLO};
+use driftgap_group::{
+    read_frame, FormatRange, Frame, Hello, HelloError, Welcome, MAX_FRAME, MAX_HELLO,
+};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -410,9 +412,16 @@
     let hello = hello
         .map_err(|_| LinkError::GreetingTimeout)?
         .ok_or(LinkError::NoGreeting)?;
-    let form = hello.judge((who.form.get(), who.newest), who.group.get(), &who.name)?;
+    let form = hello.judge(
+        FormatRange {
+            oldest: who.form.get(),
+            newest: who.newest,
+        },
+        who.group.get(),
+        &who.name,
+    )?;
     let _ = update
-        .send(Update::Greeted(hello.name.clone(), hello.forms.1))
+        .send(Update::Greeted(hello.name.clone(), hello.formats.newest))
         .await;
     let welcome = Welcome {
         form,
--- a/src/group/member_task.rs
+++ b/src/group/member_task.rs
@@ -113,7 +113,7 @@
             promises: Vec::new(),
         };
         let mut settings = Settings::new(&engine.who.name, fresh(), engine.settings.texts());
-        settings.newest = newest;
+        settings.newest_format = newest;
         match loaded {
             Some(Ok(loaded)) => {
                 let (group, id, entries) = (loaded.group, loaded.id, loaded.entries.len());
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -13,7 +13,7 @@
 pub use cached_replica::CachedReplicaError;
 use driftgap_group::{
     is_name, Document, DocumentKind, Member, MemberStatus, Outcome, Proposal, Settings,
-    FORMAT_VERSIONS, MAX_DOCUMENT,
+    MAX_DOCUMENT, NEWEST_FORMAT, OLDEST_FORMAT,
 };
 use follower_task::Following;
 use member_task::Engine;
@@ -79,7 +79,7 @@
 
     /// The newest form that a member may speak.
     fn newest(&self) -> u16 {
-        self.form.unwrap_or(FORMAT_VERSIONS.1)
+        self.form.unwrap_or(NEWEST_FORMAT)
     }
 
     /// A member's folder.
@@ -114,11 +114,11 @@
         }
         if self
             .form
-            .is_some_and(|form| !(FORMAT_VERSIONS.0..=FORMAT_VERSIONS.1).contains(&form))
+            .is_some_and(|form| !(OLDEST_FORMAT..=NEWEST_FORMAT).contains(&form))
         {
             return Err((
                 "group.form",
-                format!("must be {} to {}", FORMAT_VERSIONS.0, FORMAT_VERSIONS.1),
+                format!("must be {} to {}", OLDEST_FORMAT, NEWEST_FORMAT),
             ));
         }
         let addresses: BTreeSet<SocketAddr> = self.members.values().copied().collect();
@@ -397,9 +397,10 @@
     old.identity(name, newest)?;
     let (group, nonce) = (fresh(), fresh());
     let loaded = old.load()?.recover(group, name, &address, nonce);
-    let (loaded, agreed, last) = loaded.map_err(|e| StoreError::Disk(e.to_string()))?;
-    let identity = Identity::new(group, name, loaded.id, nonce);
-    store.begin(&identity, &loaded)?;
+    let recovered = loaded.map_err(|e| StoreError::Disk(e.to_string()))?;
+    let (agreed, last) = (recovered.committed, recovered.last);
+    let identity = Identity::new(group, name, recovered.loaded.id, nonce);
+    store.begin(&identity, &recovered.loaded)?;
     Ok(format!(
         "group {group:x} begins with {name} and all that its old folder held, {agreed} places known as agreed and {} \
          more. Lost is what others were promised and this folder never received; a call that had a NAK may hold now: \
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -4,7 +4,8 @@
 //! use a record whose checksum differs.
 
 use driftgap_group::{
-    Batch, EntryRecord, HardRecord, Loaded, SnapshotRecord, State, FORMAT_VERSIONS,
+    Batch, EntryRecord, HardRecord, Loaded, LogPosition, SnapshotRecord, State, NEWEST_FORMAT,
+    OLDEST_FORMAT,
 };
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend,
@@ -15,7 +16,7 @@
 
 /// The newest form of a folder that this program reads. It is the form of the log in it, and goes up with that: until
 /// then an older program may go on with the folder.
-pub const FORMAT: u32 = FORMAT_VERSIONS.1 as u32;
+pub const FORMAT: u32 = NEWEST_FORMAT as u32;
 const FILE: &str = "group.redb";
 /// What the store may keep in memory beside what is on the disk, bytes.
 const CACHE: usize = 2 << 20;
@@ -200,14 +201,13 @@
         if self.head::<u32>("format")?.is_some() {
             return Err(StoreError::Taken(self.path.clone()));
         }
-        let form =
-            State::decode(&loaded.snapshot.data).map_or(FORMAT_VERSIONS.0, |state| state.form());
+        let form = State::decode(&loaded.snapshot.data).map_or(OLDEST_FORMAT, |state| state.form());
         self.commit(true, |head, _| {
             head.insert("format", sealed(&u32::from(form)).as_slice())?;
             head.insert("identity", sealed(identity).as_slice())?;
             head.insert("hard", sealed(&loaded.hard).as_slice())?;
             head.insert("snapshot", sealed(&loaded.snapshot).as_slice())?;
-            head.insert("cut", sealed(&loaded.cut).as_slice())?;
+            head.insert("cut", sealed(&loaded.compacted).as_slice())?;
             Ok(())
         })
     }
@@ -223,7 +223,7 @@
         let missing = |key: &str| StoreError::Spoilt(key.to_string());
         let hard: HardRecord = self.head("hard")?.ok_or_else(|| missing("hard"))?;
         let snapshot: SnapshotRecord = self.head("snapshot")?.ok_or_else(|| missing("snapshot"))?;
-        let cut: (u64, u64) = self.head("cut")?.ok_or_else(|| missing("cut"))?;
+        let compacted: LogPosition = self.head("cut")?.ok_or_else(|| missing("cut"))?;
         let mut entries = Vec::new();
         let read = self.database.begin_read().map_err(disk)?;
         match read.open_table(LOG) {
@@ -246,7 +246,7 @@
             id: identity.id,
             hard,
             snapshot,
-            cut,
+            compacted,
             entries,
         })
     }
@@ -256,33 +256,36 @@
     /// # Errors
     /// The disk refuses, now or before: nothing may be said that follows from the batch.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        self.commit(batch.must_sync() || batch.cut.is_some(), |head, log| {
-            if let Some(restored) = &batch.restored {
-                log.retain(|_, _| false)?;
-                head.insert("snapshot", sealed(restored).as_slice())?;
-                head.insert("cut", sealed(&(restored.index, restored.term)).as_slice())?;
-            }
-            if let Some(first) = batch.entries.first() {
-                log.retain_in(first.index.., |_, _| false)?;
-            }
-            for entry in &batch.entries {
-                log.insert(entry.index, sealed(entry).as_slice())?;
-            }
-            if let Some(form) = batch.form {
-                head.insert("format", sealed(&u32::from(form)).as_slice())?;
-            }
-            if let Some(hard) = &batch.hard {
-                head.insert("hard", sealed(hard).as_slice())?;
-            }
-            if let Some(snapshot) = &batch.snapshot {
-                head.insert("snapshot", sealed(snapshot).as_slice())?;
-            }
-            if let Some(cut) = &batch.cut {
-                log.retain_in(..=cut.0, |_, _| false)?;
-                head.insert("cut", sealed(cut).as_slice())?;
-            }
-            Ok(())
-        })
+        self.commit(
+            batch.must_sync() || batch.compacted.is_some(),
+            |head, log| {
+                if let Some(restored) = &batch.restored {
+                    log.retain(|_, _| false)?;
+                    head.insert("snapshot", sealed(restored).as_slice())?;
+                    head.insert("cut", sealed(&restored.position()).as_slice())?;
+                }
+                if let Some(first) = batch.entries.first() {
+                    log.retain_in(first.index.., |_, _| false)?;
+                }
+                for entry in &batch.entries {
+                    log.insert(entry.index, sealed(entry).as_slice())?;
+                }
+                if let Some(form) = batch.form {
+                    head.insert("format", sealed(&u32::from(form)).as_slice())?;
+                }
+                if let Some(hard) = &batch.hard {
+                    head.insert("hard", sealed(hard).as_slice())?;
+                }
+                if let Some(snapshot) = &batch.snapshot {
+                    head.insert("snapshot", sealed(snapshot).as_slice())?;
+                }
+                if let Some(compacted) = &batch.compacted {
+                    log.retain_in(..=compacted.index, |_, _| false)?;
+                    head.insert("cut", sealed(compacted).as_slice())?;
+                }
+                Ok(())
+            },
+        )
     }
 
     fn commit(
