--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -1,185 +1,203 @@
-//! An ingress beside the group: it keeps one connection to one member. It owns that connection and the turn between it
-//! and the follower's decisions. It must never hold more than one link, or make a call wait for a member that is gone.
+//! The task of a follower, on the group's thread: it carries frames and time to the follower, and away what follows from
+//! them. It owns the one connection to a member. It must never have more than one, or make a call wait for a member that
+//! is gone.
 
 use super::cached_replica::{CachedReplica, ReplicaWriter};
-use super::links::{connect, Counts, Outlet, Own};
-use super::member_task::STATISTICS_INTERVAL_MS;
-use super::{Ended, GroupSettings, MembershipStatus, Request, View};
-use driftgap_group::{Answered, Copy, Follower, Frame, Outcome, NEWEST_FORMAT};
+use super::call::{Ended, MembershipStatus, Request, View};
+use super::clock::{Clock, STATISTICS_INTERVAL_MS};
+use super::link::{follow, FollowerLinkEvent, LinkIdentity, LinkSender, LinkStatistics};
+use super::settings::GroupSettings;
+use driftgap_group::{Answered, Copy, Follower, Outcome, Proposal, NEWEST_FORMAT};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::MissedTickBehavior;
 
+/// How often the follower is told the time.
 const TICK: Duration = Duration::from_millis(50);
+/// Link events that wait for the task.
+const MAX_QUEUED_EVENTS: usize = 256;
 
-/// What the connection's task brings.
-pub(super) enum Line {
-    /// A link is up, to a member of this group.
-    Up(Rc<Outlet>, u64),
-    Frame(Box<Frame>),
-    Down,
-}
-
-/// What the rest of the ingress sees of a copy.
-fn shown(copy: &Copy) -> View {
-    View {
-        out: Arc::new(copy.out.clone()),
-        documents: Arc::new(copy.documents.clone()),
-        applied: copy.applied,
-    }
-}
-
-pub(super) struct Following {
+/// The task of a follower.
+pub(super) struct FollowerTask {
     settings: GroupSettings,
-    who: Rc<Own>,
+    identity: Rc<LinkIdentity>,
     follower: Follower,
-    outlet: Option<Rc<Outlet>>,
-    task: Option<AbortHandle>,
-    waiting: BTreeMap<u64, oneshot::Sender<Ended>>,
+    /// None: no connection is up.
+    sender: Option<Rc<LinkSender>>,
+    /// The connection's task; none: there is no connection, and none is being made.
+    link: Option<AbortHandle>,
+    link_statistics: Rc<LinkStatistics>,
+    /// By the follower's number.
+    waiting_calls: BTreeMap<u64, oneshot::Sender<Ended>>,
     view: watch::Sender<View>,
     /// None: it has no folder.
     writer: Option<ReplicaWriter>,
-    began: Instant,
-    logged: f64,
+    clock: Clock,
+    logged_ms: f64,
 }
 
-impl Following {
+impl FollowerTask {
+    /// A follower that goes on with the copy of an earlier start, if it has a folder with one.
     pub(super) fn new(
         settings: GroupSettings,
         name: String,
         origin: u64,
         cached: Option<CachedReplica>,
         view: watch::Sender<View>,
-    ) -> std::io::Result<Following> {
+    ) -> std::io::Result<FollowerTask> {
         let loaded = cached.as_ref().and_then(CachedReplica::load);
         let writer = cached
             .map(|cached| cached.into_writer(loaded.as_ref()))
             .transpose()?;
         let copy = loaded.unwrap_or_default();
-        view.send_replace(shown(&copy));
+        view.send_replace(view_of(&copy));
         let members = settings.members.keys().map(String::as_str);
         let follower = Follower::new(&name, origin, members, copy, 0.0);
-        Ok(Following {
-            writer,
-            logged: 0.0,
+        let identity = LinkIdentity {
+            name,
+            newest_format: NEWEST_FORMAT,
+            ..LinkIdentity::default()
+        };
+        Ok(FollowerTask {
             settings,
-            who: Rc::new(Own {
-                name,
-                newest: NEWEST_FORMAT,
-                ..Own::default()
-            }),
+            identity: Rc::new(identity),
             follower,
-            outlet: None,
-            task: None,
-            waiting: BTreeMap::new(),
+            sender: None,
+            link: None,
+            link_statistics: Rc::default(),
+            waiting_calls: BTreeMap::new(),
             view,
-            began: Instant::now(),
+            writer,
+            clock: Clock::start(),
+            logged_ms: 0.0,
         })
     }
 
-    fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64() * 1e3
-    }
-
-    /// Up to which place in the log the copy on the disk holds everything; none: nothing is on a disk.
-    fn stored(&self) -> Option<u64> {
-        let applied = self.follower.copy().applied;
-        self.writer.as_ref()?.stored(applied)
-    }
-
-    pub(super) async fn run(mut self, mut asked: mpsc::Receiver<Request>) -> std::io::Result<()> {
-        let (lines, mut line) = mpsc::channel(256);
-        let counts = Rc::new(Counts::default());
+    /// Runs until the rest of the ingress has dropped its handle.
+    pub(super) async fn run(
+        mut self,
+        mut requests: mpsc::Receiver<Request>,
+    ) -> std::io::Result<()> {
+        let (event_sender, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
         let mut tick = tokio::time::interval(TICK);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = tick.tick() => {}
-                Some(line) = line.recv() => self.take(line),
-                request = asked.recv() => match request {
+                Some(event) = events.recv() => self.take_event(event),
+                request = requests.recv() => match request {
                     Some(request) => self.answer(request),
                     None => return Ok(()),
                 },
             }
-            let now = self.now();
-            self.follower.pass(now);
-            if self.follower.leaves(now) {
-                tracing::info!("the member's copy is old: follows another one");
-                self.end_link();
-            }
-            if now - self.logged > STATISTICS_INTERVAL_MS {
-                self.logged = now;
-                let member = self.follower.is_up().then(|| self.follower.next().0);
-                let age_ms = self.follower.age_ms(now).map(f64::round);
-                tracing::info!(
-                    member,
-                    applied = self.follower.copy().applied,
-                    age_ms,
-                    "beside the group"
-                );
-            }
-            if self.follower.silent(now) {
-                self.drop_link();
-            }
-            let (member, due) = self.follower.next();
-            if self.task.is_none() && now >= due {
-                if let Some(address) = self.settings.members.get(member) {
-                    let (who, to) = (self.who.clone(), member.to_string());
-                    let task =
-                        spawn_local(connect(who, to, *address, lines.clone(), counts.clone()));
-                    self.task = Some(task.abort_handle());
-                }
+            self.pass_time();
+            self.open_link(&event_sender);
+            self.send_frames();
+            self.publish_copy();
+            self.end_calls();
+        }
+    }
+
+    fn take_event(&mut self, event: FollowerLinkEvent) {
+        let now_ms = self.clock.now_ms();
+        match event {
+            FollowerLinkEvent::Up { sender, group } => {
+                self.sender = Some(sender);
+                self.follower.connected(now_ms, group);
+                tracing::info!(member = self.follower.next().0, "follows");
             }
-            self.let_out();
+            FollowerLinkEvent::Frame(frame) => self.follower.hear(now_ms, *frame),
+            FollowerLinkEvent::Down => self.drop_link(),
+        }
+    }
+
+    fn pass_time(&mut self) {
+        let now_ms = self.clock.now_ms();
+        self.follower.pass(now_ms);
+        if self.follower.leaves(now_ms) {
+            tracing::info!("the member's copy is old: follows another one");
+            self.end_link();
         }
+        if now_ms - self.logged_ms > STATISTICS_INTERVAL_MS {
+            self.logged_ms = now_ms;
+            self.log_statistics(now_ms);
+        }
+        if self.follower.silent(now_ms) {
+            self.drop_link();
+        }
+    }
+
+    fn log_statistics(&self, now_ms: f64) {
+        let member = self.follower.is_up().then(|| self.follower.next().0);
+        tracing::info!(
+            member,
+            applied = self.follower.copy().applied,
+            age_ms = self.follower.age_ms(now_ms).map(f64::round),
+            "beside the group"
+        );
     }
 
-    /// Ends the link, if there is one.
+    /// Connects to the member that the follower has chosen, once it is time.
+    fn open_link(&mut self, events: &mpsc::Sender<FollowerLinkEvent>) {
+        let (member, connect_at_ms) = self.follower.next();
+        if self.link.is_some() || self.clock.now_ms() < connect_at_ms {
+            return;
+        }
+        let Some(address) = self.settings.members.get(member) else {
+            return;
+        };
+        let link = spawn_local(follow(
+            self.identity.clone(),
+            member.to_string(),
+            *address,
+            events.clone(),
+            self.link_statistics.clone(),
+        ));
+        self.link = Some(link.abort_handle());
+    }
+
+    /// Ends the link. False: there was none.
     fn end_link(&mut self) -> bool {
-        self.outlet = None;
-        self.task.take().inspect(AbortHandle::abort).is_some()
+        self.sender = None;
+        self.link.take().inspect(AbortHandle::abort).is_some()
     }
 
     fn drop_link(&mut self) {
-        let now = self.now();
+        let now_ms = self.clock.now_ms();
         if self.end_link() {
-            self.follower.broken(now);
+            self.follower.broken(now_ms);
         }
     }
 
-    fn take(&mut self, line: Line) {
-        let now = self.now();
-        match line {
-            Line::Up(outlet, group) => {
-                self.outlet = Some(outlet);
-                self.follower.connected(now, group);
-                tracing::info!(member = self.follower.next().0, "follows");
+    fn send_frames(&mut self) {
+        if let Some(sender) = &self.sender {
+            for frame in self.follower.frames() {
+                sender.send(&frame);
             }
-            Line::Frame(frame) => self.follower.hear(now, *frame),
-            Line::Down => self.drop_link(),
         }
     }
 
-    fn let_out(&mut self) {
-        if let Some(outlet) = &self.outlet {
-            for frame in self.follower.frames() {
-                outlet.send(&frame);
-            }
+    /// Shows the rest of the ingress a replica that has changed, and has it written. It does not wait for the disk, which
+    /// may be slow: a follower that crashes in between starts with the copy before.
+    fn publish_copy(&mut self) {
+        if !self.follower.changed() {
+            return;
         }
-        if self.follower.changed() {
-            let copy = self.follower.copy();
-            // Before it is shown: what is shown and not stored yet must not count as stored.
-            if let Some(writer) = &mut self.writer {
-                writer.store(copy.clone());
-            }
-            self.view.send_replace(shown(copy));
+        let copy = self.follower.copy();
+        // Before it is shown: what is shown and not stored yet must not count as stored.
+        if let Some(writer) = &mut self.writer {
+            writer.store(copy.clone());
         }
+        self.view.send_replace(view_of(copy));
+    }
+
+    fn end_calls(&mut self) {
         for (number, answered) in self.follower.ended() {
-            let Some(answer) = self.waiting.remove(&number) else {
+            let Some(answer) = self.waiting_calls.remove(&number) else {
                 continue;
             };
             let mut view = self.view.borrow().clone();
@@ -194,30 +212,44 @@
     }
 
     fn answer(&mut self, request: Request) {
-        let now = self.now();
-        let (proposal, answer) = match request {
-            Request::Proposal(proposal, answer) => (Some(proposal), answer),
-            Request::Read(answer) => (None, answer),
-            Request::MembershipStatus(answer) => {
-                let _ = answer.send(MembershipStatus::Following {
-                    member: self
-                        .follower
-                        .is_up()
-                        .then(|| self.follower.next().0.to_string()),
-                    applied: self.follower.copy().applied,
-                    age_ms: self.follower.age_ms(now),
-                    stored: self.stored(),
-                });
-                return;
-            }
-            Request::Leave(answer) => {
-                let _ = answer.send(());
-                return;
-            }
-        };
-        match self.follower.ask(now, proposal) {
-            Some(number) => drop(self.waiting.insert(number, answer)),
+        match request {
+            Request::Proposal(proposal, answer) => self.begin_call(Some(proposal), answer),
+            Request::Read(answer) => self.begin_call(None, answer),
+            Request::MembershipStatus(answer) => drop(answer.send(self.status())),
+            Request::Leave(answer) => drop(answer.send(())),
+        }
+    }
+
+    fn begin_call(&mut self, proposal: Option<Proposal>, answer: oneshot::Sender<Ended>) {
+        let now_ms = self.clock.now_ms();
+        match self.follower.ask(now_ms, proposal) {
+            Some(number) => drop(self.waiting_calls.insert(number, answer)),
             None => drop(answer.send(Ended::Refused("too many calls are under way".into()))),
         }
     }
+
+    fn status(&self) -> MembershipStatus {
+        let member = self.follower.is_up().then(|| self.follower.next().0);
+        MembershipStatus::Following {
+            member: member.map(String::from),
+            applied: self.follower.copy().applied,
+            age_ms: self.follower.age_ms(self.clock.now_ms()),
+            stored: self.stored(),
+        }
+    }
+
+    /// Up to which index of the log the copy on the disk holds everything; none: nothing is on a disk.
+    fn stored(&self) -> Option<u64> {
+        let applied = self.follower.copy().applied;
+        self.writer.as_ref()?.stored(applied)
+    }
+}
+
+/// A replica as the rest of the ingress sees it.
+fn view_of(copy: &Copy) -> View {
+    View {
+        out: Arc::new(copy.out.clone()),
+        documents: Arc::new(copy.documents.clone()),
+        applied: copy.applied,
+    }
 }
--- a/src/group/link_error.rs
+++ b/src/group/link/error.rs
@@ -1,28 +1,26 @@
 //! Why a link between ingresses could not be made, or has ended: what is logged, and by which name it is counted.
 
 use driftgap_group::{FrameError, HelloError};
-use std::cell::RefCell;
-use std::collections::BTreeMap;
 
 /// Why a link could not be made, or has ended.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum LinkError {
+pub(in crate::group) enum LinkError {
     /// The other side did not take the connection.
     #[error("no connection in time")]
     ConnectTimeout,
-    /// Who connected said nothing, or not all of it.
+    /// The side that connected sent no greeting, or not all of it.
     #[error("no greeting in time")]
     GreetingTimeout,
-    /// Who connected said something else.
+    /// The side that connected sent something else.
     #[error("no greeting")]
     NoGreeting,
-    /// The other side took the connection and said nothing.
+    /// The other side took the connection and sent nothing.
     #[error("no welcome in time")]
     WelcomeTimeout,
     /// The other side ended the connection instead of welcoming this one.
-    #[error("turned away")]
-    TurnedAway,
-    /// The other side is not whom this one can speak with.
+    #[error("rejected")]
+    Rejected,
+    /// The other side is none that this one can speak with.
     #[error(transparent)]
     Hello(#[from] HelloError),
     /// Bytes that are no frame.
@@ -40,7 +38,7 @@
     /// The connection ended within a frame.
     #[error("torn within a frame")]
     TornFrame,
-    /// Nothing came, not even that the link is there.
+    /// Nothing came, not even an idle frame.
     #[error("silent")]
     ReadTimeout,
     /// The other side took nothing of what was sent.
@@ -55,7 +53,7 @@
     /// The other side ended the connection.
     #[error("ended by the other side")]
     Closed,
-    /// This ingress has been let in since it greeted.
+    /// This ingress has been admitted since it greeted.
     #[error("let in meanwhile: greets anew")]
     IncarnationChanged,
     /// The system's.
@@ -71,7 +69,7 @@
             LinkError::GreetingTimeout => "greeting_timeout",
             LinkError::NoGreeting => "no_greeting",
             LinkError::WelcomeTimeout => "welcome_timeout",
-            LinkError::TurnedAway => "turned_away",
+            LinkError::Rejected => "rejected",
             LinkError::Hello(HelloError::Foreign) => "foreign",
             LinkError::Hello(HelloError::OtherMember) => "other_member",
             LinkError::Hello(HelloError::OtherGroup) => "other_group",
@@ -92,29 +90,3 @@
         }
     }
 }
-
-/// How many links were refused since the start, by cause.
-#[derive(Debug, Default)]
-pub(super) struct Refusals(RefCell<BTreeMap<&'static str, u64>>);
-
-impl Refusals {
-    /// Counts one.
-    pub(super) fn add(&self, error: &LinkError) {
-        *self.0.borrow_mut().entry(error.cause()).or_default() += 1;
-    }
-
-    /// Of all causes.
-    pub(super) fn total(&self) -> u64 {
-        self.0.borrow().values().sum()
-    }
-
-    /// As `cause=number`, for the log.
-    pub(super) fn by_cause(&self) -> String {
-        let counts = self.0.borrow();
-        let words: Vec<String> = counts
-            .iter()
-            .map(|(cause, count)| format!("{cause}={count}"))
-            .collect();
-        words.join(" ")
-    }
-}
--- /dev/null
+++ b/src/group/member_task/progress.rs
@@ -0,0 +1,142 @@
+//! What follows from frames, writes and time: jobs for the disk, frames for the links, what the rest of the ingress sees,
+//! and the ends of calls.
+
+use super::{MemberTask, Participation};
+use crate::group::call::{Ended, View};
+use driftgap_group::{Event, Job, Member, Outcome};
+use std::sync::Arc;
+
+/// Times of calls that one line of statistics takes in.
+const MAX_CALL_TIMES: usize = 4096;
+
+impl MemberTask {
+    /// Has written what has to be, and sends what follows from that. True: who is in the group may have changed.
+    pub(super) fn make_progress(&mut self) -> bool {
+        let now_ms = self.clock.now_ms();
+        if !self.begin_job(now_ms) {
+            return false;
+        }
+        self.send_frames(now_ms);
+        let Participation::Active(peer) = &mut self.participation else {
+            return false;
+        };
+        let events = peer.events(now_ms);
+        let Some(member) = peer.member() else {
+            return false;
+        };
+        if let Some(lost) = member.lost() {
+            self.fail(lost.to_string());
+            return false;
+        }
+        let changed = events.contains(&Event::Changed);
+        if changed {
+            self.publish_state();
+        }
+        for event in events {
+            self.end_call(event);
+        }
+        self.log_leader(now_ms);
+        changed
+    }
+
+    /// Gives the disk its next job, if it is free. False: this ingress takes no part.
+    fn begin_job(&mut self, now_ms: f64) -> bool {
+        let Participation::Active(peer) = &mut self.participation else {
+            return false;
+        };
+        while !self.disk.is_busy() {
+            let Some(job) = peer.job(now_ms) else { break };
+            if job == Job::Write(Box::default()) {
+                // Nothing to write: what waits for it goes on at once.
+                let _ = peer.done(now_ms);
+            } else if !self.disk.begin(now_ms, job) {
+                self.fail("its disk's thread has ended".into());
+                return false;
+            }
+        }
+        true
+    }
+
+    fn send_frames(&mut self, now_ms: f64) {
+        let Participation::Active(peer) = &mut self.participation else {
+            return;
+        };
+        for (to, frame) in peer.frames(now_ms) {
+            if let Some(link) = self.links.get(&to) {
+                link.send(&frame);
+            }
+        }
+        for (to, frame) in peer.to_followers(now_ms) {
+            let Some(follower) = self.followers.get(&to) else {
+                continue;
+            };
+            if !follower.send(&frame) {
+                // It reads too slowly: it connects again, and gets the whole replica.
+                follower.close();
+            }
+        }
+    }
+
+    /// Shows the rest of the ingress what the group holds now.
+    fn publish_state(&self) {
+        let Some(member) = self.member() else { return };
+        let form = member.state().form();
+        if self.identity.format.get() < form {
+            self.identity.format.set(form);
+            tracing::info!(form, "the group has raised its form");
+        }
+        let view = next_view(&self.view.borrow(), member);
+        self.view.send_replace(view);
+    }
+
+    fn end_call(&mut self, event: Event) {
+        let done = |outcome| Ended::Done(outcome, self.view.borrow().clone());
+        let (number, ended) = match event {
+            Event::Done(number, outcome) => (number, done(outcome)),
+            Event::Read(number) => (number, done(Outcome::Done)),
+            Event::Expired(number, true) => (number, Ended::Open),
+            Event::Expired(number, false) => (number, Ended::Refused("no leader in time".into())),
+            Event::Changed | Event::DoneFor(..) | Event::ExpiredFor(..) => return,
+        };
+        let Some(call) = self.waiting_calls.remove(&number) else {
+            return;
+        };
+        let is_done = matches!(ended, Ended::Done(..));
+        if is_done && self.call_times_ms.len() < MAX_CALL_TIMES {
+            let time_ms = call.began.elapsed().as_secs_f64() * 1e3;
+            self.call_times_ms.push(time_ms);
+        }
+        let _ = call.answer.send(ended);
+    }
+
+    fn log_leader(&mut self, now_ms: f64) {
+        let Some(member) = self.member() else { return };
+        let status = member.status(now_ms);
+        if self.logged_leader.as_ref() == Some(&status.leader) {
+            return;
+        }
+        match &status.leader {
+            Some(leader) => tracing::info!(leader, term = status.term, "the group is led"),
+            None => tracing::warn!(term = status.term, "the group has no leader"),
+        }
+        self.logged_leader = Some(status.leader);
+    }
+}
+
+/// The member's state as the rest of the ingress sees it. What has not changed is shared with the last view.
+fn next_view(last: &View, member: &Member) -> View {
+    let state = member.state();
+    let out = match last.out.iter().eq(state.out.keys()) {
+        true => last.out.clone(),
+        false => Arc::new(state.out.keys().cloned().collect()),
+    };
+    let documents = match *last.documents == state.documents {
+        true => last.documents.clone(),
+        false => Arc::new(state.documents.clone()),
+    };
+    View {
+        out,
+        documents,
+        applied: member.applied(),
+    }
+}
--- /dev/null
+++ b/src/group/member_task/requests.rs
@@ -0,0 +1,88 @@
+//! Requests of the rest of the ingress to a member.
+
+use super::{MemberTask, Participation, WaitingCall};
+use crate::group::call::{Ended, MembershipStatus, Request};
+use driftgap_group::{Member, Proposal, Standing};
+use std::time::Instant;
+use tokio::sync::oneshot;
+
+/// Why there is no member to ask.
+enum NoMember {
+    NotAdmitted,
+    Failed(String),
+}
+
+impl NoMember {
+    fn status(self) -> MembershipStatus {
+        match self {
+            NoMember::NotAdmitted => MembershipStatus::Waiting,
+            NoMember::Failed(why) => MembershipStatus::Lost(why),
+        }
+    }
+
+    fn refusal(self) -> Ended {
+        Ended::Refused(match self {
+            NoMember::NotAdmitted => "this ingress has not been let into the group yet".into(),
+            NoMember::Failed(why) => why,
+        })
+    }
+}
+
+impl MemberTask {
+    fn member_to_ask(&mut self) -> Result<&mut Member, NoMember> {
+        match &mut self.participation {
+            Participation::Active(peer) => peer.member_mut().ok_or(NoMember::NotAdmitted),
+            Participation::Failed(why) => Err(NoMember::Failed(why.clone())),
+        }
+    }
+
+    pub(super) fn answer(&mut self, request: Request) {
+        let now_ms = self.clock.now_ms();
+        match request {
+            Request::MembershipStatus(answer) => {
+                let status = match self.member_to_ask() {
+                    Ok(member) => MembershipStatus::Member(Box::new(member.status(now_ms))),
+                    Err(no_member) => no_member.status(),
+                };
+                let _ = answer.send(status);
+            }
+            Request::Leave(answer) => {
+                if let Ok(member) = self.member_to_ask() {
+                    member.step_down();
+                }
+                let _ = answer.send(());
+            }
+            Request::Proposal(proposal, answer) => {
+                self.begin_call(answer, |member| match proposal {
+                    Proposal::Invite { .. } | Proposal::Remove(_) => {
+                        member.change(now_ms, proposal)
+                    }
+                    proposal => member.ask(now_ms, proposal),
+                });
+            }
+            Request::Read(answer) => self.begin_call(answer, |member| member.read(now_ms)),
+        }
+    }
+
+    /// Begins a call at the member; its answer waits for the member's event of that number.
+    fn begin_call(
+        &mut self,
+        answer: oneshot::Sender<Ended>,
+        begin: impl FnOnce(&mut Member) -> Result<u64, Standing>,
+    ) {
+        let begun = match self.member_to_ask() {
+            Ok(member) => begin(member).map_err(|refusal| Ended::Refused(refusal.to_string())),
+            Err(no_member) => Err(no_member.refusal()),
+        };
+        match begun {
+            Ok(number) => {
+                let began = Instant::now();
+                let call = WaitingCall { answer, began };
+                self.waiting_calls.insert(number, call);
+            }
+            Err(ended) => {
+                let _ = answer.send(ended);
+            }
+        }
+    }
+}
--- a/tests/group/disks.rs
+++ b/tests/group/disks.rs
@@ -31,7 +31,7 @@
             peers.step("hup 0").await;
             peers
                 .step(&format!(
-                    "logged 0 kept by the group kind=Rules number={}",
+                    "logged 0 stored by the group kind=Rules number={}",
                     turn + 1
                 ))
                 .await;
--- a/tests/group/documents.rs
+++ b/tests/group/documents.rs
@@ -24,7 +24,7 @@
          call 1 ACK SUSPEND z1
          file 0 inventory.csv name,address\nz1,127.0.0.1:9\nz2,127.0.0.1:10\n
          hup 0
-         logged 0 kept by the group kind=Inventory number=2
+         logged 0 stored by the group kind=Inventory number=2
          file 2 inventory.csv name,address\nz3,127.0.0.1
          hup 2
          logged 2 the old list stays
