--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -5,7 +5,7 @@
 mod backoff;
 mod calls;
 
-use crate::frame::{Answered, Frame};
+use crate::frame::{Frame, MemberAnswer};
 use crate::state::{Document, DocumentKind, Proposal};
 use backoff::{Backoff, CONNECT_BACKOFF, STALE_ROUND_BACKOFF};
 use calls::PendingCalls;
@@ -59,7 +59,7 @@
     copy_received: bool,
     /// Members in a row that were left because their replicas were old.
     stale_members: u32,
-    /// Until when the present member is kept though its replica is old.
+    /// Until when it stays with the present member though that one's replica is old.
     keep_stale_until_ms: f64,
     last_frame_ms: f64,
     calls: PendingCalls,
@@ -186,7 +186,7 @@
     pub fn hear(&mut self, now_ms: f64, frame: Frame) {
         self.last_frame_ms = now_ms;
         match frame {
-            Frame::Copy {
+            Frame::ReplicaUpdate {
                 applied,
                 age_ms,
                 out,
@@ -206,7 +206,7 @@
                 self.copy.applied = applied;
                 self.update_copy(out, documents);
             }
-            Frame::Answer { op, answered } => self.calls.answer(op, answered),
+            Frame::Answer { op, answer } => self.calls.answer(op, answer),
             _ => {}
         }
     }
@@ -256,7 +256,7 @@
     }
 
     /// Takes the calls that have ended, by number.
-    pub fn ended(&mut self) -> Vec<(u64, Answered)> {
+    pub fn ended(&mut self) -> Vec<(u64, MemberAnswer)> {
         self.calls.take_ended()
     }
 
--- a/crates/group/src/follower/calls.rs
+++ b/crates/group/src/follower/calls.rs
@@ -1,6 +1,6 @@
 //! A follower's calls without an answer so far.
 
-use crate::frame::{Answered, Frame};
+use crate::frame::{Frame, MemberAnswer};
 use crate::state::{OpId, Proposal};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     origin: u64,
     last_number: u64,
     pending: BTreeMap<u64, PendingCall>,
-    ended: Vec<(u64, Answered)>,
+    ended: Vec<(u64, MemberAnswer)>,
 }
 
 impl PendingCalls {
@@ -66,7 +66,7 @@
             origin: self.origin,
             number,
         };
-        Some(Frame::Ask {
+        Some(Frame::Call {
             op,
             made_at: call.made_at,
             proposal: call.proposal.clone(),
@@ -81,9 +81,9 @@
     }
 
     /// A member has answered.
-    pub(super) fn answer(&mut self, op: OpId, answered: Answered) {
+    pub(super) fn answer(&mut self, op: OpId, answer: MemberAnswer) {
         if op.origin == self.origin && self.pending.remove(&op.number).is_some() {
-            self.ended.push((op.number, answered));
+            self.ended.push((op.number, answer));
         }
     }
 
@@ -98,16 +98,16 @@
             .collect();
         for number in numbers {
             let sent = self.pending.remove(&number).is_some_and(|call| call.sent);
-            let answered = match sent {
-                true => Answered::Open,
-                false => Answered::Refused("no member is reached".into()),
+            let answer = match sent {
+                true => MemberAnswer::Unknown,
+                false => MemberAnswer::Refused("no member is reached".into()),
             };
-            self.ended.push((number, answered));
+            self.ended.push((number, answer));
         }
     }
 
     /// Takes the calls that have ended.
-    pub(super) fn take_ended(&mut self) -> Vec<(u64, Answered)> {
+    pub(super) fn take_ended(&mut self) -> Vec<(u64, MemberAnswer)> {
         std::mem::take(&mut self.ended)
     }
 }
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -5,20 +5,10 @@
 use crate::state::{Document, DocumentKind, OpId, Outcome, Proposal};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// The oldest format version of the link and of the log that this program speaks.
-pub const OLDEST_FORMAT: u16 = 1;
-/// The newest one. What it adds is used only once the group has raised its own format version, which it does when all
-/// members speak it.
-pub const NEWEST_FORMAT: u16 = 2;
-/// Both, the oldest first.
-pub const FORMAT_VERSIONS: (u16, u16) = (OLDEST_FORMAT, NEWEST_FORMAT);
 /// Largest frame, bytes: a snapshot with all its documents, and more.
 pub const MAX_FRAME: usize = 6 << 20;
-/// Largest greeting, bytes.
-pub const MAX_HELLO: usize = 512;
 /// Length and checksum, 4 bytes each.
 const HEADER_BYTES: usize = 8;
-const MAGIC: [u8; 4] = *b"DGL1";
 
 /// Bytes that are no frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -34,117 +24,17 @@
     Unknown,
 }
 
-/// Why a greeting, or the answer to it, is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HelloError {
-    /// Something else speaks at this address.
-    #[error("no link of this program")]
-    Foreign,
-    /// It means to reach a member of another name.
-    #[error("meant for another member")]
-    OtherMember,
-    /// It is of another group.
-    #[error("of another group")]
-    OtherGroup,
-    /// There is no format version that both speak.
-    #[error("speaks no form that is known here")]
-    UnknownForm,
-    /// It cannot take part in what the group has agreed on.
-    #[error("an older program, or one kept to an older form, than the group has")]
-    OlderForm,
-}
-
-/// A range of format versions.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FormatRange {
-    /// The oldest.
-    pub oldest: u16,
-    /// The newest.
-    pub newest: u16,
-}
-
-/// The first frame of whoever connects.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
-    /// That this is a link at all.
-    pub magic: [u8; 4],
-    /// The format versions that it speaks.
-    pub formats: FormatRange,
-    /// Its group; 0: it is in none yet.
-    pub group: u64,
-    /// Its incarnation; 0: none yet.
-    pub id: u64,
-    /// Its name.
-    pub name: String,
-    /// Whom it means to reach.
-    pub to: String,
-}
-
-/// The answer to it, and the only frame that way.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Welcome {
-    /// The format version to be spoken.
-    pub form: u16,
-    /// The group of whom it reached.
-    pub group: u64,
-    /// Its incarnation.
-    pub id: u64,
-}
-
-impl Hello {
-    /// A greeting of one that speaks no newer format version than `newest`.
-    pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
-        let formats = FormatRange {
-            oldest: OLDEST_FORMAT,
-            newest: newest.min(NEWEST_FORMAT),
-        };
-        Hello {
-            magic: MAGIC,
-            formats,
-            group,
-            id,
-            name: name.into(),
-            to: to.into(),
-        }
-    }
-
-    /// The format version to be spoken with whoever sent this, where this end is `name` in `group` (0: in none yet).
-    /// `spoken`: the group's own format version, and the newest that this end speaks. Followers see no log: any version
-    /// that both know is enough for them.
-    ///
-    /// # Errors
-    /// What is wrong with it.
-    pub fn judge(&self, spoken: FormatRange, group: u64, name: &str) -> Result<u16, HelloError> {
-        if self.magic != MAGIC {
-            return Err(HelloError::Foreign);
-        }
-        if self.to != name {
-            return Err(HelloError::OtherMember);
-        }
-        if self.group != 0 && group != 0 && self.group != group {
-            return Err(HelloError::OtherGroup);
-        }
-        if self.formats.newest < OLDEST_FORMAT || self.formats.oldest > spoken.newest {
-            return Err(HelloError::UnknownForm);
-        }
-        if self.id != 0 && self.formats.newest < spoken.oldest {
-            return Err(HelloError::OlderForm);
-        }
-        Ok(self.formats.newest.min(spoken.newest))
-    }
-}
-
 /// What has become of a follower's proposal or read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answered {
+pub enum MemberAnswer {
     /// Committed, and in the follower's replica by now.
     Done(Outcome),
-    /// The follower's replica is at least what anybody was told when the read was asked for.
+    /// The follower's replica is at least what any caller was promised when the read was asked for.
     Read,
     /// Not done, and why.
     Refused(String),
     /// Nobody knows whether it will be done.
-    Open,
+    Unknown,
 }
 
 /// What goes over a link.
@@ -185,7 +75,7 @@
         have: Vec<(DocumentKind, u64)>,
     },
     /// A follower's proposal, or a read where there is none.
-    Ask {
+    Call {
         /// Which; the same if it is asked again.
         op: OpId,
         /// The last index in the follower's replica.
@@ -198,10 +88,10 @@
         /// Which.
         op: OpId,
         /// What.
-        answered: Answered,
+        answer: MemberAnswer,
     },
     /// What a follower lacks.
-    Copy {
+    ReplicaUpdate {
         /// The last index of the log that is carried out.
         applied: u64,
         /// How old that is by itself, ms.
@@ -222,21 +112,21 @@
             Frame::Raft(message) => is_member && message.from == incarnation,
             Frame::Admitted { .. } | Frame::Reachability { .. } => is_member,
             Frame::Forward(_) | Frame::Forwarded(_) => is_member,
-            Frame::Follow { .. } | Frame::Ask { .. } => !is_member,
+            Frame::Follow { .. } | Frame::Call { .. } => !is_member,
             // Members send these to followers, on the connection that the follower has opened.
-            Frame::Answer { .. } | Frame::Copy { .. } => false,
+            Frame::Answer { .. } | Frame::ReplicaUpdate { .. } => false,
             Frame::Join { .. } | Frame::Idle => true,
         }
     }
 
     /// The bytes to be sent.
     pub fn bytes(&self) -> Vec<u8> {
-        framed(self)
+        encode_frame(self)
     }
 }
 
-/// Any body as a frame.
-pub(crate) fn framed<T: Serialize>(body: &T) -> Vec<u8> {
+/// Any body as a frame: length, checksum, body.
+pub(crate) fn encode_frame<T: Serialize>(body: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(body).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend((body.len() as u32).to_le_bytes());
@@ -245,20 +135,6 @@
     bytes
 }
 
-impl Hello {
-    /// The bytes to be sent.
-    pub fn bytes(&self) -> Vec<u8> {
-        framed(self)
-    }
-}
-
-impl Welcome {
-    /// The bytes to be sent.
-    pub fn bytes(&self) -> Vec<u8> {
-        framed(self)
-    }
-}
-
 /// The body that the bytes begin with, and how many of them it took; none: it is not whole yet.
 ///
 /// # Errors
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -13,6 +13,7 @@
 mod follower;
 mod forwarding_routes;
 mod frame;
+mod greeting;
 mod log_replica;
 mod member;
 mod peer;
@@ -21,9 +22,10 @@
 mod subscribers;
 
 pub use follower::{Copy, Follower};
-pub use frame::{
-    read_frame, Answered, FormatRange, Frame, FrameError, Hello, HelloError, Welcome,
-    FORMAT_VERSIONS, MAX_FRAME, MAX_HELLO, NEWEST_FORMAT, OLDEST_FORMAT,
+pub use frame::{read_frame, Frame, FrameError, MemberAnswer, MAX_FRAME};
+pub use greeting::{
+    FormatRange, Hello, HelloError, Welcome, FORMAT_VERSIONS, MAX_HELLO, NEWEST_FORMAT,
+    OLDEST_FORMAT,
 };
 pub use member::{
     Event, Health, Loaded, Lost, Member, MemberStatus, Recovered, Role, Settings, Standing,
--- a/crates/group/src/member/settings.rs
+++ b/crates/group/src/member/settings.rs
@@ -14,7 +14,7 @@
     pub heartbeat_ticks: usize,
     /// Without a leader for this to twice as many ticks a member becomes a candidate. Default 10.
     pub election_ticks: usize,
-    /// Entries kept behind a snapshot, so that members that lag a little need no snapshot. Default 1,024.
+    /// Entries retained behind a snapshot, so that members that lag a little need no snapshot. Default 1,024.
     pub retained_entries: u64,
     /// A proposal or read without a result ends after this, ms. Default 2,000.
     pub call_timeout_ms: f64,
--- a/crates/group/src/peer/frames.rs
+++ b/crates/group/src/peer/frames.rs
@@ -26,9 +26,9 @@
             }
             // Between followers and members only, on the follower's connection.
             Frame::Follow { .. }
-            | Frame::Ask { .. }
+            | Frame::Call { .. }
             | Frame::Answer { .. }
-            | Frame::Copy { .. } => {}
+            | Frame::ReplicaUpdate { .. } => {}
             Frame::Idle => {}
         }
     }
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -19,7 +19,7 @@
         group: u64,
         /// The incarnation.
         id: u64,
-        /// What the folder was told apart by.
+        /// What tells the folder from every other.
         nonce: u64,
     },
     /// A member's.
@@ -62,7 +62,7 @@
 }
 
 impl Peer {
-    /// With an empty folder, told from every other by the nonce.
+    /// With an empty folder, which the nonce tells from every other.
     pub fn waiting(settings: Settings, nonce: u64) -> Peer {
         let joining = Joining {
             nonce,
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -1,7 +1,7 @@
 //! The subscribers of one member: the followers that are connected to it, and what each has been sent. No document goes
 //! to a follower that has it, nor the whole list of exclusions where nothing has changed.
 
-use crate::frame::{Answered, Frame};
+use crate::frame::{Frame, MemberAnswer};
 use crate::member::{Event, Member};
 use crate::state::{Document, DocumentKind, OpId, Proposal, State};
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
         let age_ms = member.age_ms(now_ms);
         let documents = self.missing_documents(state);
         let list_changed = self.sent_changes != Some(state.changes);
-        // It would leave a member that it takes for cut off: it is told at once that this one is led again.
+        // It would leave a member that it takes for cut off: it is notified at once that this one is led again.
         let led_again = self.sent_age_ms > LED_WITHIN_MS && age_ms < LED_WITHIN_MS;
         let heartbeat_due = now_ms - self.last_sent_ms >= HEARTBEAT_INTERVAL_MS;
         let due = heartbeat_due || at_once || led_again;
@@ -50,7 +50,7 @@
         self.sent_age_ms = age_ms;
         let numbers = documents.iter().map(|(kind, d)| (*kind, d.number));
         self.documents.extend(numbers);
-        Some(Frame::Copy {
+        Some(Frame::ReplicaUpdate {
             applied: member.applied(),
             age_ms,
             out: list_changed.then(|| state.out.keys().cloned().collect()),
@@ -91,12 +91,12 @@
             Frame::Follow { have } => {
                 self.subscribers.insert(from, Subscriber::new(have));
             }
-            Frame::Ask {
+            Frame::Call {
                 op,
                 made_at,
                 proposal: Some(proposal),
             } => self.propose(now_ms, from, op, made_at, proposal, member),
-            Frame::Ask {
+            Frame::Call {
                 op, proposal: None, ..
             } => self.read(now_ms, from, op, member),
             _ => {}
@@ -116,7 +116,7 @@
             Ok(()) => {
                 self.proposals.insert(op, from);
             }
-            Err(refusal) => self.answer(from, op, Answered::Refused(refusal.to_string())),
+            Err(refusal) => self.answer(from, op, MemberAnswer::Refused(refusal.to_string())),
         }
     }
 
@@ -126,12 +126,12 @@
                 let connection = from;
                 self.reads.insert(number, PendingRead { connection, op });
             }
-            Err(refusal) => self.answer(from, op, Answered::Refused(refusal.to_string())),
+            Err(refusal) => self.answer(from, op, MemberAnswer::Refused(refusal.to_string())),
         }
     }
 
-    fn answer(&mut self, to: u64, op: OpId, answered: Answered) {
-        self.frames.push((to, Frame::Answer { op, answered }));
+    fn answer(&mut self, to: u64, op: OpId, answer: MemberAnswer) {
+        self.frames.push((to, Frame::Answer { op, answer }));
     }
 
     /// A connection has ended.
@@ -146,21 +146,25 @@
         events.retain(|event| match event {
             Event::DoneFor(op, outcome) => {
                 if let Some(to) = self.proposals.remove(op) {
-                    self.answer_with_copy(now_ms, to, *op, Answered::Done(*outcome), member);
+                    self.answer_with_copy(now_ms, to, *op, MemberAnswer::Done(*outcome), member);
                 }
                 false
             }
             Event::ExpiredFor(op, sent) => {
                 if let Some(to) = self.proposals.remove(op) {
-                    let answered = if *sent { Answered::Open } else { no_leader() };
-                    self.answer(to, *op, answered);
+                    let answer = if *sent {
+                        MemberAnswer::Unknown
+                    } else {
+                        no_leader()
+                    };
+                    self.answer(to, *op, answer);
                 }
                 false
             }
             Event::Read(number) => match self.reads.remove(number) {
                 Some(read) => {
                     let (to, op) = (read.connection, read.op);
-                    self.answer_with_copy(now_ms, to, op, Answered::Read, member);
+                    self.answer_with_copy(now_ms, to, op, MemberAnswer::Read, member);
                     false
                 }
                 None => true,
@@ -182,11 +186,11 @@
         now_ms: f64,
         to: u64,
         op: OpId,
-        answered: Answered,
+        answer: MemberAnswer,
         member: &Member,
     ) {
         self.notify(now_ms, Some(to), member);
-        self.answer(to, op, answered);
+        self.answer(to, op, answer);
     }
 
     /// Sends all subscribers, or one of them at once, what they lack.
@@ -214,6 +218,6 @@
     }
 }
 
-fn no_leader() -> Answered {
-    Answered::Refused("no leader in time".into())
+fn no_leader() -> MemberAnswer {
+    MemberAnswer::Refused("no leader in time".into())
 }
--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -4,7 +4,7 @@
 //! name and bytes in hexadecimal.
 
 use driftgap_group::{
-    Answered, Copy, Document, DocumentKind, EntryRecord, Frame, Hello, Loaded, LogPosition,
+    Copy, Document, DocumentKind, EntryRecord, Frame, Hello, Loaded, LogPosition, MemberAnswer,
     MessageRecord, OpId, Outcome, Peer, Proposal, Proposed, Settings, State, Welcome,
 };
 use serde::{de::DeserializeOwned, Serialize};
@@ -172,11 +172,8 @@
 
 /// Every kind of frame.
 fn frames(documents: Vec<(DocumentKind, Document)>) -> Vec<(&'static str, Frame)> {
-    let answer = |answered| Frame::Answer {
-        op: op(1),
-        answered,
-    };
-    let ask = |proposal| Frame::Ask {
+    let answer = |answer| Frame::Answer { op: op(1), answer };
+    let ask = |proposal| Frame::Call {
         op: op(1),
         made_at: 7,
         proposal,
@@ -210,13 +207,16 @@
         ),
         ("propose", ask(Some(Proposal::Suspend("a".into())))),
         ("read", ask(None)),
-        ("answer-done", answer(Answered::Done(Outcome::Written(3)))),
-        ("answer-read", answer(Answered::Read)),
-        ("answer-refused", answer(Answered::Refused("no".into()))),
-        ("answer-open", answer(Answered::Open)),
+        (
+            "answer-done",
+            answer(MemberAnswer::Done(Outcome::Written(3))),
+        ),
+        ("answer-read", answer(MemberAnswer::Read)),
+        ("answer-refused", answer(MemberAnswer::Refused("no".into()))),
+        ("answer-open", answer(MemberAnswer::Unknown)),
         (
             "copy",
-            Frame::Copy {
+            Frame::ReplicaUpdate {
                 applied: 12,
                 age_ms: 3.5,
                 out: Some(vec!["b".into()]),
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use driftgap_group::{Answered, Copy, Follower, Frame, Proposal};
+use driftgap_group::{Copy, Follower, Frame, MemberAnswer, Proposal};
 use std::collections::BTreeMap;
 use world::{What, World};
 
@@ -18,7 +18,7 @@
     next: u64,
     /// When connections were opened, at which member.
     opened: Vec<(f64, usize)>,
-    ended: Vec<(usize, u64, Answered)>,
+    ended: Vec<(usize, u64, MemberAnswer)>,
     bytes: u64,
 }
 
@@ -170,7 +170,7 @@
             .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
             .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
-        assert!(matches!(fleet.ended[0], (7, n, Answered::Done(_)) if n == number));
+        assert!(matches!(fleet.ended[0], (7, n, MemberAnswer::Done(_)) if n == number));
         let leader = fleet.world.leader().unwrap();
         fleet.world.call(leader, What::Suspend("b".into())).unwrap();
         let second = fleet.until(2000.0, |f| f.all_hold("b"));
@@ -260,8 +260,9 @@
         }
     }
     fleet.until(60_000.0, |f| f.world.whole());
-    let done =
-        |(f, n, a): &(usize, u64, Answered)| matches!(a, Answered::Done(_)).then_some((*f, *n));
+    let done = |(f, n, a): &(usize, u64, MemberAnswer)| {
+        matches!(a, MemberAnswer::Done(_)).then_some((*f, *n))
+    };
     let promised: Vec<String> = fleet
         .ended
         .iter()
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
     leases: BTreeMap<String, LeaseState>,
-    /// One count for all leases: a token is told from every other one in any record.
+    /// One count for all leases: no token stands for two grants.
     last_token: u64,
 }
 
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -7,7 +7,7 @@
 use super::clock::{Clock, STATISTICS_INTERVAL_MS};
 use super::link::{follow, FollowerLinkEvent, LinkIdentity, LinkSender, LinkStatistics};
 use super::settings::GroupSettings;
-use driftgap_group::{Answered, Copy, Follower, Outcome, Proposal, NEWEST_FORMAT};
+use driftgap_group::{Copy, Follower, MemberAnswer, Outcome, Proposal, NEWEST_FORMAT};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::MissedTickBehavior;
 
-/// How often the follower is told the time.
+/// How often the follower gets the time.
 const TICK: Duration = Duration::from_millis(50);
 /// Link events that wait for the task.
 const MAX_QUEUED_EVENTS: usize = 256;
@@ -203,10 +203,10 @@
             let mut view = self.view.borrow().clone();
             view.applied = self.follower.copy().applied;
             let _ = answer.send(match answered {
-                Answered::Done(outcome) => Ended::Done(outcome, view),
-                Answered::Read => Ended::Done(Outcome::Done, view),
-                Answered::Refused(why) => Ended::Refused(why),
-                Answered::Open => Ended::Open,
+                MemberAnswer::Done(outcome) => Ended::Done(outcome, view),
+                MemberAnswer::Read => Ended::Done(Outcome::Done, view),
+                MemberAnswer::Refused(why) => Ended::Refused(why),
+                MemberAnswer::Unknown => Ended::Open,
             });
         }
     }
--- a/src/group/handle.rs
+++ b/src/group/handle.rs
@@ -9,7 +9,7 @@
 const MAX_QUEUED_REQUESTS: usize = 256;
 /// The group's thread answers by itself before this; if not, it has ended, or hangs.
 const THREAD_TIMEOUT: Duration = Duration::from_millis(2600);
-/// What callers are told of a thread that has ended, or hangs.
+/// The answer for a thread that has ended, or hangs.
 const NO_ANSWER: &str = "the group's part of this ingress does not answer";
 
 /// Why the group's thread gave no answer.
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A linearizable read of what the group holds: all that anybody was told is in it.
+    /// A linearizable read of what the group holds: all that any caller was promised is in it.
     pub async fn read(&self) -> Ended {
         let ended = self.request(Request::Read).await;
         ended.unwrap_or_else(|_| Ended::Refused(NO_ANSWER.into()))
--- a/src/group/link/incoming.rs
+++ b/src/group/link/incoming.rs
@@ -164,7 +164,7 @@
         while let Some(frame) = frames.next(reader).await? {
             let allowed = matches!(
                 frame,
-                Frame::Follow { .. } | Frame::Ask { .. } | Frame::Idle
+                Frame::Follow { .. } | Frame::Call { .. } | Frame::Idle
             );
             if !allowed || !self.report_frame(frame).await {
                 return Err(LinkError::FollowerFrameNotAllowed);
--- a/src/group/member_task/mod.rs
+++ b/src/group/member_task/mod.rs
@@ -22,7 +22,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::MissedTickBehavior;
 
-/// How often the member is told the time.
+/// How often the member gets the time.
 const TICK: Duration = Duration::from_millis(25);
 /// A leader whose disk has not done a job for so long gives leadership away, ms.
 const DISK_HANGS_MS: f64 = 1500.0;
--- a/src/group/thread.rs
+++ b/src/group/thread.rs
@@ -88,7 +88,7 @@
 }
 
 /// The thread. The consensus library aborts where its own invariants break: a panic ends this thread alone, calls are
-/// told that it does not answer, and client requests are served on.
+/// answered so, and client requests are served on.
 fn run_thread(
     part: Part,
     settings: GroupSettings,
