--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -1,6 +1,6 @@
 //! Ingresses beside the group: they obey it, hand calls in, and change the member that they follow.
 
-use crate::peers::{play_beside, run, Peers, Wire};
+use crate::peers::{play_with_followers, run, Peers, Wire};
 use crate::recovery::recover;
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 /// requests throughout.
 #[test]
 fn ingresses_beside_the_group_obey_it_hand_in_calls_and_change_members() {
-    play_beside(
+    play_with_followers(
         3,
         2,
         "start 0 1 2 3 4
@@ -155,7 +155,7 @@
 /// had not written when it died is not promised: the kill waits until the copy on the disk holds what is shown.
 #[test]
 fn a_follower_that_starts_while_it_is_cut_off_keeps_out_what_it_knew() {
-    play_beside(
+    play_with_followers(
         3,
         1,
         "start 0 1 2 3
--- a/tests/group/peers/mod.rs
+++ b/tests/group/peers/mod.rs
@@ -9,7 +9,7 @@
 use clients::{call_operator, steady_http2, steady_resp};
 use endpoints::{http2_endpoint, resp_endpoint, Arrivals};
 use relay::{relay, Link, Links};
-pub use schedule::{play, play_beside};
+pub use schedule::{play, play_with_followers};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::path::PathBuf;
@@ -42,13 +42,15 @@
     folder: PathBuf,
     programs: Vec<Option<Child>>,
     links: Links,
-    begun: Option<JoinHandle<String>>,
+    /// A call whose answer is waited for later.
+    begun_call: Option<JoinHandle<String>>,
     pub arrivals: Arrivals,
     /// The wire of clients and endpoints.
     wire: Wire,
-    /// What each one's files may hold, in blocks; 0: anything.
-    room: Vec<u64>,
-    forms: Vec<Option<u16>>,
+    /// How large each one's files may be, in blocks of 512 bytes; 0: without a bound.
+    max_file_blocks: Vec<u64>,
+    /// What each one's `[group] form` says.
+    format_versions: Vec<Option<u16>>,
     program: PathBuf,
 }
 
@@ -70,94 +72,109 @@
     )
 }
 
+/// A relay for every directed link.
+async fn start_relays(size: usize, host: &str) -> Links {
+    let links = Links::default();
+    for i in 0..size {
+        // Nobody keeps a link to those who only follow, but some of the first become members.
+        for j in 0..size.min(8) {
+            if i == j {
+                continue;
+            }
+            links.borrow_mut().insert((i, j), Link::Sound);
+            let at = format!("{host}:{}", relay_port(i, j));
+            let listener = TcpListener::bind(at).await.unwrap();
+            let to = format!("{host}:{}", LINK + j);
+            spawn_local(relay(listener, to, (i, j), links.clone()));
+        }
+    }
+    links
+}
+
+/// Endpoints for requests, as a configuration names them.
+async fn start_endpoints(wire: Wire, host: &str, arrivals: &Arrivals) -> String {
+    let mut endpoints = Vec::new();
+    for name in ["a", "b", "c", "d"] {
+        let listener = TcpListener::bind(format!("{host}:0")).await.unwrap();
+        endpoints.push(format!(
+            r#"{{"id":"{name}","addr":"{}","zone":"building-1","kind":"small-2c","cell":0,
+                "state":"active","weight":1.0,"started_ms":0,"protocol":"{}"}}"#,
+            listener.local_addr().unwrap(),
+            if wire == Wire::Http2 { "http2" } else { "resp" }
+        ));
+        let arrivals = arrivals.clone();
+        match wire {
+            Wire::Resp => drop(spawn_local(resp_endpoint(listener, name, arrivals))),
+            Wire::Http2 => drop(spawn_local(http2_endpoint(listener, name, arrivals))),
+        }
+    }
+    endpoints.join(",")
+}
+
 impl Peers {
-    /// So many members, and ingresses beside them.
-    pub async fn new(members: usize, beside: usize) -> Peers {
-        Peers::with_wire(members, beside, Wire::Resp).await
+    /// So many members, and followers.
+    pub async fn new(members: usize, followers: usize) -> Peers {
+        Peers::with_wire(members, followers, Wire::Resp).await
     }
 
     /// The same with clients and endpoints that speak this.
-    pub async fn with_wire(members: usize, beside: usize, wire: Wire) -> Peers {
-        let size = members + beside;
+    pub async fn with_wire(members: usize, followers: usize, wire: Wire) -> Peers {
+        let size = members + followers;
         let host = own_address();
         let folder =
             std::env::temp_dir().join(format!("driftgap-peers-{}-{host}", std::process::id()));
-        let links = Links::default();
-        for i in 0..size {
-            // Nobody keeps a link to those who only follow, but some of the first become members.
-            for j in 0..size.min(8) {
-                if i != j {
-                    links.borrow_mut().insert((i, j), Link::Sound);
-                    let listener = TcpListener::bind(format!("{host}:{}", relay_port(i, j)))
-                        .await
-                        .unwrap();
-                    spawn_local(relay(
-                        listener,
-                        format!("{host}:{}", LINK + j),
-                        (i, j),
-                        links.clone(),
-                    ));
-                }
-            }
-        }
-        let (mut servers, arrivals) = (Vec::new(), Arrivals::default());
-        for name in ["a", "b", "c", "d"] {
-            let listener = TcpListener::bind(format!("{host}:0")).await.unwrap();
-            servers.push(format!(
-                r#"{{"id":"{name}","addr":"{}","zone":"building-1","kind":"small-2c","cell":0,
-                    "state":"active","weight":1.0,"started_ms":0,"protocol":"{}"}}"#,
-                listener.local_addr().unwrap(),
-                if wire == Wire::Http2 { "http2" } else { "resp" }
-            ));
-            match wire {
-                Wire::Resp => drop(spawn_local(resp_endpoint(listener, name, arrivals.clone()))),
-                Wire::Http2 => drop(spawn_local(http2_endpoint(
-                    listener,
-                    name,
-                    arrivals.clone(),
-                ))),
-            }
-        }
+        let links = start_relays(size, &host).await;
+        let arrivals = Arrivals::default();
+        let endpoints = start_endpoints(wire, &host, &arrivals).await;
         // Another build is measured beside this one by its path.
         let program =
             std::env::var_os("DRIFTGAP_PROGRAM").unwrap_or(env!("CARGO_BIN_EXE_driftgap").into());
-        let mut peers = Peers {
+        let peers = Peers {
             size,
             members,
             host,
             folder,
-            programs: Vec::new(),
+            programs: (0..size).map(|_| None).collect(),
             links,
-            begun: None,
+            begun_call: None,
             arrivals,
             wire,
-            room: vec![0; size],
-            forms: vec![None; size],
+            max_file_blocks: vec![0; size],
+            format_versions: vec![None; size],
             program: program.into(),
         };
         for i in 0..size {
-            peers.programs.push(None);
-            std::fs::create_dir_all(peers.home(i)).unwrap();
-            let config = format!(
-                r#"{{"name":"m{i}","listen":"{0}:{1}","operator":"{0}:{2}","settings":{SETTINGS},
-                    "known":{{"version":1,"full":true,"servers":[{3}]}}}}"#,
-                peers.host,
-                FRONT + i,
-                CALLS + i,
-                servers.join(",")
-            );
-            std::fs::write(peers.home(i).join("config.json"), config).unwrap();
-            std::fs::write(peers.home(i).join("inventory.csv"), "name,address\n").unwrap();
-            std::fs::write(peers.home(i).join("rules.toml"), "").unwrap();
-            peers.write_operator_file(i, &(0..members).collect::<Vec<_>>());
+            peers.write_files(i, &endpoints);
         }
-        let line = peers.request(0).args(["group", "init"]).output().unwrap();
+        peers.begin_group();
+        peers
+    }
+
+    /// All files of one process. `endpoints`: those that it knows, as its configuration has them.
+    fn write_files(&self, i: usize, endpoints: &str) {
+        let home = self.home(i);
+        std::fs::create_dir_all(&home).unwrap();
+        let config = format!(
+            r#"{{"name":"m{i}","listen":"{0}:{1}","operator":"{0}:{2}","settings":{SETTINGS},
+                "known":{{"version":1,"full":true,"servers":[{endpoints}]}}}}"#,
+            self.host,
+            FRONT + i,
+            CALLS + i,
+        );
+        std::fs::write(home.join("config.json"), config).unwrap();
+        std::fs::write(home.join("inventory.csv"), "name,address\n").unwrap();
+        std::fs::write(home.join("rules.toml"), "").unwrap();
+        self.write_operator_file(i, &(0..self.members).collect::<Vec<_>>());
+    }
+
+    /// The first member begins the group.
+    fn begin_group(&self) {
+        let init = self.request(0).args(["group", "init"]).output().unwrap();
         assert!(
-            line.status.success(),
+            init.status.success(),
             "{}",
-            String::from_utf8_lossy(&line.stderr)
+            String::from_utf8_lossy(&init.stderr)
         );
-        peers
     }
 
     /// The operator's file of one process, with these members.
@@ -166,7 +183,7 @@
             let port = if *j == i { LINK + i } else { relay_port(i, *j) };
             format!("m{j} = \"{}:{port}\"\n", self.host)
         });
-        let form = self.forms[i].filter(|_| self.older(i).is_none());
+        let form = self.format_versions[i].filter(|_| self.older(i).is_none());
         let form = form.map_or(String::new(), |form| format!("form = {form}\n"));
         let http2 = match self.wire {
             Wire::Http2 => format!("[http2]\nlisten = \"{}:{}\"\n", self.host, HTTP2 + i),
@@ -193,7 +210,7 @@
 
     pub fn request(&self, i: usize) -> Command {
         let path = self.older(i).unwrap_or_else(|| self.program.clone());
-        let mut program = match self.room[i] {
+        let mut program = match self.max_file_blocks[i] {
             0 => Command::new(path),
             // A write that is too much fails as on a full disk, rather than by a signal.
             blocks => {
@@ -212,7 +229,7 @@
     /// An older build takes the place of those that are kept to the first form, where one is named: by hand only.
     fn older(&self, i: usize) -> Option<PathBuf> {
         let older = std::env::var_os("DRIFTGAP_OLDER").map(PathBuf::from);
-        older.filter(|_| self.forms[i] == Some(1))
+        older.filter(|_| self.format_versions[i] == Some(1))
     }
 
     fn start(&mut self, i: usize) {
--- a/tests/group/peers/relay.rs
+++ b/tests/group/peers/relay.rs
@@ -27,12 +27,12 @@
 pub type Links = Rc<RefCell<HashMap<(usize, usize), Link>>>;
 
 /// Carries connections of one direction to where the member listens.
-pub async fn relay(listener: TcpListener, to: String, way: (usize, usize), links: Links) {
+pub async fn relay(listener: TcpListener, to: String, link: (usize, usize), links: Links) {
     loop {
         let Ok((from, _)) = listener.accept().await else {
             return;
         };
-        if links.borrow()[&way] == Link::Cut {
+        if links.borrow()[&link] == Link::Cut {
             continue;
         }
         let (to, links) = (to.clone(), links.clone());
@@ -44,12 +44,12 @@
             let (mut from_reader, mut from_writer) = from.split();
             let (mut to_reader, mut to_writer) = to.split();
             let halved = Cell::new(false);
-            let mut rand = oorandom::Rand64::new(way.0 as u128 * 8 + way.1 as u128);
+            let mut rand = oorandom::Rand64::new(link.0 as u128 * 8 + link.1 as u128);
             let there = async {
                 let mut bytes = [0; 16 << 10];
                 loop {
                     let n = from_reader.read(&mut bytes).await.unwrap_or(0);
-                    let how = links.borrow()[&way];
+                    let how = links.borrow()[&link];
                     match how {
                         _ if n == 0 => return,
                         Link::Cut => return,
@@ -62,7 +62,7 @@
                             sleep(Duration::from_secs_f64(n as f64 / rate as f64)).await
                         }
                         Link::Half => {
-                            links.borrow_mut().insert(way, Link::Sound);
+                            links.borrow_mut().insert(link, Link::Sound);
                             halved.set(true);
                             let _ = to_writer.shutdown().await;
                             // Whoever writes here is never told, also not by the end of the other direction.
@@ -71,7 +71,7 @@
                         }
                         Link::Torn => {
                             let _ = to_writer.write_all(&bytes[..n / 2]).await;
-                            links.borrow_mut().insert(way, Link::Sound);
+                            links.borrow_mut().insert(link, Link::Sound);
                             return;
                         }
                         Link::Sound => {}
@@ -98,7 +98,7 @@
             };
             // A link that is cut while nothing goes over it ends as well.
             let cut = async {
-                while links.borrow()[&way] != Link::Cut {
+                while links.borrow()[&link] != Link::Cut {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
--- a/tests/group/peers/schedule.rs
+++ b/tests/group/peers/schedule.rs
@@ -122,11 +122,11 @@
 
 /// Plays a schedule with a group of this size.
 pub fn play(size: usize, schedule: &str) {
-    play_beside(size, 0, schedule);
+    play_with_followers(size, 0, schedule);
 }
 
 /// Plays a schedule with a group of this size and ingresses beside it.
-pub fn play_beside(size: usize, beside: usize, schedule: &str) {
+pub fn play_with_followers(size: usize, beside: usize, schedule: &str) {
     run(async {
         let mut peers = Peers::new(size, beside).await;
         for line in schedule
--- a/tests/group/peers/steps.rs
+++ b/tests/group/peers/steps.rs
@@ -71,10 +71,10 @@
                 std::fs::write(path, text.replace("\\n", "\n")).unwrap();
             }
             "form" => {
-                self.forms[step.process()] = Some(step.words[1].parse().unwrap());
+                self.format_versions[step.process()] = Some(step.words[1].parse().unwrap());
                 self.write_operator_file(step.process(), &(0..self.members).collect::<Vec<_>>());
             }
-            "full" => self.room[step.process()] = step.number(1),
+            "full" => self.max_file_blocks[step.process()] = step.number(1),
             _ => unreachable!("{}", step.line),
         }
     }
@@ -188,11 +188,11 @@
 
     pub(super) fn begin_call(&mut self, step: &Step) {
         let at = format!("{}:{}", self.host, CALLS + step.process());
-        self.begun = Some(spawn_local(call_operator(at, step.text_from(1))));
+        self.begun_call = Some(spawn_local(call_operator(at, step.text_from(1))));
     }
 
     pub(super) async fn expect_begun_answer(&mut self, step: &Step<'_>) {
-        let answer = self.begun.take().expect("a call").await.unwrap();
+        let answer = self.begun_call.take().expect("a call").await.unwrap();
         let words = step.text_from(0);
         let wanted = match words.strip_prefix("either ") {
             Some(words) => words.split(" or ").collect(),
