--- a/crates/group/tests/faults.rs
+++ b/crates/group/tests/faults.rs
@@ -19,12 +19,12 @@
         println!("seed {seed}: whole after {ms} ms");
         let leader = world.leader().unwrap();
         let call = world.call((leader + 1) % 3, suspend("a")).unwrap();
-        world.until(500.0, |w| w.seen[call].ended.is_some());
+        world.until(500.0, |w| w.seen[call].ended_ms.is_some());
         world.kill(leader);
         let ms = world.until(3000.0, |w| w.leader().is_some());
         println!("seed {seed}: a leader again after {ms} ms");
         let call = world.call((leader + 1) % 3, What::Read(None)).unwrap();
-        world.until(1000.0, |w| w.seen[call].ended.is_some());
+        world.until(1000.0, |w| w.seen[call].ended_ms.is_some());
         assert_eq!(
             world.seen[call].what,
             What::Read(Some(["a".to_string()].into())),
@@ -62,7 +62,7 @@
             world.call(leader, what).unwrap();
         }
         world.until(5000.0, |w| {
-            w.seen[first..].iter().all(|call| call.ended.is_some())
+            w.seen[first..].iter().all(|call| call.ended_ms.is_some())
         });
         made += 200;
     }
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -34,7 +34,7 @@
                 1 << 40 | f as u64,
                 members,
                 Copy::default(),
-                world.now,
+                world.now_ms,
             );
             FollowerAt {
                 follower,
@@ -53,10 +53,10 @@
     }
 
     fn run(&mut self, ms: f64) {
-        let end = self.world.now + ms;
-        while self.world.now < end {
+        let end = self.world.now_ms + ms;
+        while self.world.now_ms < end {
             self.world.run(5.0);
-            let now = self.world.now;
+            let now = self.world.now_ms;
             let mut count = BTreeMap::new();
             self.beside
                 .iter()
@@ -123,16 +123,16 @@
     }
 
     fn until(&mut self, max: f64, so: impl Fn(&Fleet) -> bool) -> f64 {
-        let began = self.world.now;
+        let began = self.world.now_ms;
         while !so(self) {
             assert!(
-                self.world.now - began < max,
+                self.world.now_ms - began < max,
                 "seed {}: nothing in {max} ms",
                 self.world.seed
             );
             self.run(5.0);
         }
-        self.world.now - began
+        self.world.now_ms - began
     }
 
     fn all_hold(&self, name: &str) -> bool {
@@ -167,7 +167,7 @@
         // A call through a follower, and one through a member, reach everyone.
         let number = fleet.beside[7]
             .follower
-            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
+            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
         assert!(matches!(fleet.ended[0], (7, n, MemberAnswer::Done(_)) if n == number));
@@ -201,7 +201,7 @@
         let ages = fleet
             .beside
             .iter()
-            .filter_map(|b| b.follower.age_ms(fleet.world.now));
+            .filter_map(|b| b.follower.age_ms(fleet.world.now_ms));
         let oldest = ages.fold(0.0, f64::max);
         assert!(oldest < 2000.0, "seed {seed}: a copy is {oldest} ms old");
     }
@@ -220,7 +220,7 @@
             let (f, name) = (pick(200), format!("s{turn}-{call}"));
             let number = fleet.beside[f]
                 .follower
-                .ask(fleet.world.now, Some(Proposal::Suspend(name.clone())));
+                .ask(fleet.world.now_ms, Some(Proposal::Suspend(name.clone())));
             asked.insert((f, number.unwrap()), name);
         }
         let (i, j) = (pick(3), pick(3));
@@ -322,7 +322,7 @@
         let (at, _) = fleet.beside[0].link.unwrap();
         fleet.beside[0]
             .follower
-            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
+            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         fleet.run(5.0 * (seed % 4) as f64);
         // Somebody else puts it back meanwhile: the repeat must not take it out again.
@@ -330,7 +330,7 @@
         fleet.until(5000.0, |f| !f.ended.is_empty());
         let leader = fleet.world.leader().unwrap();
         let call = fleet.world.call(leader, What::Restore("a".into())).unwrap();
-        fleet.until(2500.0, |f| f.world.seen[call].ended.is_some());
+        fleet.until(2500.0, |f| f.world.seen[call].ended_ms.is_some());
         fleet.run(3000.0);
         let held = &fleet.world.nodes[leader].member().unwrap().state().out;
         assert!(held.is_empty(), "seed {seed}: {:?} {held:?}", fleet.ended);
--- a/crates/group/tests/partial.rs
+++ b/crates/group/tests/partial.rs
@@ -6,16 +6,16 @@
 
 /// Calls at every member until one is agreed; how long that took, or none in 20 s.
 fn agreed(world: &mut World) -> Option<f64> {
-    let began = world.now;
+    let began = world.now_ms;
     let mut calls = Vec::new();
-    while world.now - began < 20_000.0 {
+    while world.now_ms - began < 20_000.0 {
         for i in 0..world.nodes.len() {
-            calls.extend(world.call(i, What::Suspend(format!("{}-{i}", world.now))));
+            calls.extend(world.call(i, What::Suspend(format!("{}-{i}", world.now_ms))));
         }
         for _ in 0..300 {
             world.run(1.0);
-            if calls.iter().any(|c| world.seen[*c].ended.is_some()) {
-                return Some(world.now - began);
+            if calls.iter().any(|c| world.seen[*c].ended_ms.is_some()) {
+                return Some(world.now_ms - began);
             }
         }
     }
@@ -113,7 +113,7 @@
 fn a_flapping_link_changes_no_leader() {
     for seed in 0..5 {
         let (mut w, l, o) = set(3, seed);
-        let term = w.nodes[l].member().unwrap().status(w.now).term;
+        let term = w.nodes[l].member().unwrap().status(w.now_ms).term;
         for _ in 0..20 {
             cut(&mut w, l, o[0]);
             w.run(700.0);
@@ -122,7 +122,7 @@
         }
         assert_eq!(w.leader(), Some(l), "seed {seed}");
         assert_eq!(
-            w.nodes[l].member().unwrap().status(w.now).term,
+            w.nodes[l].member().unwrap().status(w.now_ms).term,
             term,
             "seed {seed}"
         );
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -16,10 +16,10 @@
     let mut steps: Vec<(f64, bool, usize)> = Vec::new();
     for (i, call) in seen.iter().enumerate() {
         // A read without an answer says nothing.
-        if call.ended.is_some() || !matches!(call.what, What::Read(_)) {
-            steps.push((call.began, false, i));
+        if call.ended_ms.is_some() || !matches!(call.what, What::Read(_)) {
+            steps.push((call.began_ms, false, i));
         }
-        steps.extend(call.ended.map(|at| (at, true, i)));
+        steps.extend(call.ended_ms.map(|at| (at, true, i)));
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let mut tester = LinearizabilityTester::new(OneMachine::default());
@@ -66,7 +66,7 @@
     end_all_faults(&mut world);
     until_whole(&mut world)?;
     read_everywhere(&mut world)?;
-    let answered = world.seen.iter().filter(|s| s.ended.is_some()).count();
+    let answered = world.seen.iter().filter(|s| s.ended_ms.is_some()).count();
     if linearizable(&world.seen) {
         Ok(answered)
     } else {
@@ -133,10 +133,10 @@
 
 /// Every member comes back, and none finds that its disk has lost something.
 fn until_whole(world: &mut World) -> Result<(), String> {
-    let began = world.now;
+    let began = world.now_ms;
     while !world.whole() {
         world.run(20.0);
-        if world.now - began > 60_000.0 {
+        if world.now_ms - began > 60_000.0 {
             let standing = world.standing();
             return Err(format!(
                 "it does not come back once the faults are over\n{standing}"
@@ -154,10 +154,10 @@
     world.run(3000.0);
     for i in 0..world.nodes.len() {
         let read = world.call(i, What::Read(None)).map_err(|e| e.to_string())?;
-        let asked = world.now;
-        while world.seen[read].ended.is_none() {
+        let asked = world.now_ms;
+        while world.seen[read].ended_ms.is_none() {
             world.run(1.0);
-            if world.now - asked > 3000.0 {
+            if world.now_ms - asked > 3000.0 {
                 return Err("a read without an answer while nothing is wrong".into());
             }
         }
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Seen {
     pub caller: usize,
-    pub began: f64,
+    pub began_ms: f64,
     /// None: no answer, or one that leaves it open.
-    pub ended: Option<f64>,
+    pub ended_ms: Option<f64>,
     pub what: What,
     /// Whether it changed something, as its caller was told.
     pub changed: bool,
@@ -54,7 +54,8 @@
 }
 
 pub struct World {
-    pub now: f64,
+    /// Virtual time.
+    pub now_ms: f64,
     pub seed: u64,
     pub rand: Rand64,
     pub nodes: Vec<Node>,
@@ -121,7 +122,7 @@
     /// A group of so many members; the first has begun it.
     pub fn new(members: usize, seed: u64) -> World {
         let mut world = World {
-            now: 1000.0,
+            now_ms: 1000.0,
             seed,
             rand: Rand64::new(seed.into()),
             nodes: Vec::new(),
@@ -160,7 +161,7 @@
 
     pub fn start(&mut self, i: usize) {
         let nonce = self.rand.rand_u64();
-        let (now, members, seed) = (self.now, self.members.clone(), self.seed);
+        let (now, members, seed) = (self.now_ms, self.members.clone(), self.seed);
         let node = &mut self.nodes[i];
         node.up = true;
         node.incarnations += 1;
@@ -220,17 +221,17 @@
         }
         let delay = self.delay_ms.0 + self.rand.rand_float() * (self.delay_ms.1 - self.delay_ms.0);
         self.number += 1;
-        let at = ((self.now + delay) * 1e3) as u64;
+        let at = ((self.now_ms + delay) * 1e3) as u64;
         self.net.insert((at, self.number), (from, to, id, frame));
     }
 
     /// Lets time go by.
     pub fn run(&mut self, ms: f64) {
-        let end = self.now + ms;
-        while self.now < end {
-            self.now += 1.0;
+        let end = self.now_ms + ms;
+        while self.now_ms < end {
+            self.now_ms += 1.0;
             while let Some((key, _)) = self.net.first_key_value() {
-                if key.0 as f64 > self.now * 1e3 {
+                if key.0 as f64 > self.now_ms * 1e3 {
                     break;
                 }
                 let (from, to, id, frame) = self.net.pop_first().unwrap().1;
@@ -254,7 +255,7 @@
     }
 
     fn turn(&mut self, i: usize) {
-        let (now, no_sync) = (self.now, self.planted == Planted::NoSync);
+        let (now, no_sync) = (self.now_ms, self.planted == Planted::NoSync);
         let node = &mut self.nodes[i];
         if node.writing.as_ref().is_some_and(|(due, _)| *due <= now) {
             let (_, job) = node.writing.take().unwrap();
@@ -322,15 +323,15 @@
             let state = self.nodes[i].member().unwrap().state();
             *held = Some(state.out.keys().cloned().collect());
         }
-        if self.seen[seen].ended.is_none() {
-            self.seen[seen].ended = Some(self.now);
+        if self.seen[seen].ended_ms.is_none() {
+            self.seen[seen].ended_ms = Some(self.now_ms);
             self.seen[seen].changed = changed;
         }
     }
 
     /// A call at one member; its place in the record.
     pub fn call(&mut self, i: usize, what: What) -> Result<usize, Standing> {
-        let now = self.now;
+        let now = self.now_ms;
         let Some(member) = self.nodes[i].peer.as_mut().and_then(Peer::member_mut) else {
             return Err(Standing::NoMajority(0.0));
         };
@@ -343,8 +344,8 @@
         let (caller, ended) = (self.seen.len(), early.then_some(now + 0.5));
         let seen = Seen {
             caller,
-            began: now,
-            ended,
+            began_ms: now,
+            ended_ms: ended,
             changed: true,
             what,
         };
@@ -358,28 +359,28 @@
         (0..self.nodes.len())
             .filter(|i| leads(&self.nodes[*i]))
             .max_by_key(|i| {
-                let status = self.nodes[*i].member().unwrap().status(self.now);
+                let status = self.nodes[*i].member().unwrap().status(self.now_ms);
                 status.term
             })
     }
 
     /// Runs until it is so; how long that took.
     pub fn until(&mut self, max_ms: f64, so: impl Fn(&World) -> bool) -> f64 {
-        let began = self.now;
+        let began = self.now_ms;
         while !so(self) {
-            if self.now - began >= max_ms {
+            if self.now_ms - began >= max_ms {
                 println!("{}", self.standing());
                 panic!("seed {}: nothing in {max_ms} ms", self.seed);
             }
             self.run(1.0);
         }
-        self.now - began
+        self.now_ms - began
     }
 
     /// How all stand, for whoever looks into a failure.
     pub fn standing(&self) -> String {
         let one = |n: &Node| {
-            let status = n.member().map(|m| (m.id(), m.status(self.now)));
+            let status = n.member().map(|m| (m.id(), m.status(self.now_ms)));
             let disk = n
                 .disk
                 .as_ref()
@@ -401,7 +402,7 @@
             .is_some_and(|l| self.nodes[l].member().unwrap().voters() == wanted)
             && self.nodes.iter().all(|n| {
                 n.member().is_some_and(|m| {
-                    let status = m.status(self.now);
+                    let status = m.status(self.now_ms);
                     let votes = status.role != Role::Copying && !status.changing;
                     m.voters() == wanted && m.leader().is_some() && votes
                 })
