--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -2,23 +2,23 @@
 
 mod world;
 
-use driftgap_group::{Answered, Copy, Follower, Frame, Proposal};
+use driftgap_group::{Copy, Follower, Frame, MemberAnswer, Proposal};
 use std::collections::BTreeMap;
 use world::{What, World};
 
 /// A follower and its connection: to which member, and by which number.
-struct Beside {
+struct FollowerAt {
     follower: Follower,
     link: Option<(usize, u64)>,
 }
 
 struct Fleet {
     world: World,
-    beside: Vec<Beside>,
+    beside: Vec<FollowerAt>,
     next: u64,
     /// When connections were opened, at which member.
     opened: Vec<(f64, usize)>,
-    ended: Vec<(usize, u64, Answered)>,
+    ended: Vec<(usize, u64, MemberAnswer)>,
     bytes: u64,
 }
 
@@ -34,9 +34,9 @@
                 1 << 40 | f as u64,
                 members,
                 Copy::default(),
-                world.now,
+                world.now_ms,
             );
-            Beside {
+            FollowerAt {
                 follower,
                 link: None,
             }
@@ -53,16 +53,16 @@
     }
 
     fn run(&mut self, ms: f64) {
-        let end = self.world.now + ms;
-        while self.world.now < end {
+        let end = self.world.now_ms + ms;
+        while self.world.now_ms < end {
             self.world.run(5.0);
-            let now = self.world.now;
+            let now = self.world.now_ms;
             let mut count = BTreeMap::new();
             self.beside
                 .iter()
                 .filter_map(|b| b.link)
                 .for_each(|(m, _)| *count.entry(m).or_insert(0) += 1);
-            for (member, to, frame) in std::mem::take(&mut self.world.to_fans) {
+            for (member, to, frame) in std::mem::take(&mut self.world.to_followers) {
                 self.bytes += frame.bytes().len() as u64;
                 let beside = self
                     .beside
@@ -123,16 +123,16 @@
     }
 
     fn until(&mut self, max: f64, so: impl Fn(&Fleet) -> bool) -> f64 {
-        let began = self.world.now;
+        let began = self.world.now_ms;
         while !so(self) {
             assert!(
-                self.world.now - began < max,
+                self.world.now_ms - began < max,
                 "seed {}: nothing in {max} ms",
                 self.world.seed
             );
             self.run(5.0);
         }
-        self.world.now - began
+        self.world.now_ms - began
     }
 
     fn all_hold(&self, name: &str) -> bool {
@@ -152,6 +152,8 @@
     }
 }
 
+/// A member with a hundred followers dies. They must spread over the others within seconds, not all at one moment,
+/// and stay there when the member returns.
 #[test]
 fn three_hundred_followers_hear_of_calls_spread_over_members_and_never_storm() {
     for seed in 0..3 {
@@ -165,10 +167,10 @@
         // A call through a follower, and one through a member, reach everyone.
         let number = fleet.beside[7]
             .follower
-            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
+            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
-        assert!(matches!(fleet.ended[0], (7, n, Answered::Done(_)) if n == number));
+        assert!(matches!(fleet.ended[0], (7, n, MemberAnswer::Done(_)) if n == number));
         let leader = fleet.world.leader().unwrap();
         fleet.world.call(leader, What::Suspend("b".into())).unwrap();
         let second = fleet.until(2000.0, |f| f.all_hold("b"));
@@ -199,7 +201,7 @@
         let ages = fleet
             .beside
             .iter()
-            .filter_map(|b| b.follower.age_ms(fleet.world.now));
+            .filter_map(|b| b.follower.age_ms(fleet.world.now_ms));
         let oldest = ages.fold(0.0, f64::max);
         assert!(oldest < 2000.0, "seed {seed}: a copy is {oldest} ms old");
     }
@@ -218,7 +220,7 @@
             let (f, name) = (pick(200), format!("s{turn}-{call}"));
             let number = fleet.beside[f]
                 .follower
-                .ask(fleet.world.now, Some(Proposal::Suspend(name.clone())));
+                .ask(fleet.world.now_ms, Some(Proposal::Suspend(name.clone())));
             asked.insert((f, number.unwrap()), name);
         }
         let (i, j) = (pick(3), pick(3));
@@ -258,15 +260,16 @@
         }
     }
     fleet.until(60_000.0, |f| f.world.whole());
-    let done =
-        |(f, n, a): &(usize, u64, Answered)| matches!(a, Answered::Done(_)).then_some((*f, *n));
+    let done = |(f, n, a): &(usize, u64, MemberAnswer)| {
+        matches!(a, MemberAnswer::Done(_)).then_some((*f, *n))
+    };
     let promised: Vec<String> = fleet
         .ended
         .iter()
         .filter_map(done)
         .map(|call| asked[&call].clone())
         .collect();
-    let has = |b: &Beside| {
+    let has = |b: &FollowerAt| {
         promised
             .iter()
             .all(|name| b.follower.copy().out.contains(name))
@@ -280,6 +283,8 @@
     promised.len()
 }
 
+/// Members are killed and cut off at random while followers hand in calls. Every follower must hold all that was
+/// promised within seconds once the faults are over.
 #[test]
 fn two_hundred_followers_have_all_that_was_promised_after_random_faults() {
     let promised: usize = (0..8).map(through_faults).sum();
@@ -307,6 +312,8 @@
     }
 }
 
+/// A member dies with a follower's proposal unanswered, and the follower sends it to another one. It must take effect
+/// once.
 #[test]
 fn a_proposal_that_no_member_answered_is_the_same_proposal_to_the_next_one() {
     for seed in 0..20 {
@@ -315,7 +322,7 @@
         let (at, _) = fleet.beside[0].link.unwrap();
         fleet.beside[0]
             .follower
-            .ask(fleet.world.now, Some(Proposal::Suspend("a".into())))
+            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         fleet.run(5.0 * (seed % 4) as f64);
         // Somebody else puts it back meanwhile: the repeat must not take it out again.
@@ -323,7 +330,7 @@
         fleet.until(5000.0, |f| !f.ended.is_empty());
         let leader = fleet.world.leader().unwrap();
         let call = fleet.world.call(leader, What::Restore("a".into())).unwrap();
-        fleet.until(2500.0, |f| f.world.seen[call].ended.is_some());
+        fleet.until(2500.0, |f| f.world.seen[call].ended_ms.is_some());
         fleet.run(3000.0);
         let held = &fleet.world.nodes[leader].member().unwrap().state().out;
         assert!(held.is_empty(), "seed {seed}: {:?} {held:?}", fleet.ended);
