--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -22,7 +22,7 @@
 /// A replica of what the group holds, as it was when it was last heard of. Written to the disk by position: the order of
 /// fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Copy {
+pub struct Replica {
     /// Which group this is from; 0: none yet.
     pub group: u64,
     /// The last index of the log that is carried out in it.
@@ -50,7 +50,7 @@
     failed_attempts: u32,
     connect_at_ms: f64,
     connected: bool,
-    copy: Copy,
+    copy: Replica,
     /// The group of the member that it is connected to.
     connected_group: u64,
     /// None: nothing was heard in this process incarnation.
@@ -74,7 +74,7 @@
         name: &str,
         origin: u64,
         members: impl IntoIterator<Item = &'a str>,
-        copy: Copy,
+        copy: Replica,
         now_ms: f64,
     ) -> Follower {
         let mut members: Vec<String> = members.into_iter().map(String::from).collect();
@@ -100,7 +100,7 @@
     }
 
     /// The member that it is to be connected to, and from when on, ms.
-    pub fn next(&self) -> (&str, f64) {
+    pub fn next_member(&self) -> (&str, f64) {
         let member = self.members.get(self.current);
         (member.map_or("", String::as_str), self.connect_at_ms)
     }
@@ -131,7 +131,7 @@
     }
 
     /// There is no connection, or it has ended.
-    pub fn broken(&mut self, now_ms: f64) {
+    pub fn disconnected(&mut self, now_ms: f64) {
         if self.connected {
             self.failed_attempts = 0;
         }
@@ -154,13 +154,13 @@
     }
 
     /// Whether the connection has been silent for too long.
-    pub fn silent(&self, now_ms: f64) -> bool {
+    pub fn is_silent(&self, now_ms: f64) -> bool {
         self.connected && now_ms - self.last_frame_ms > SILENT_MS
     }
 
     /// Whether the member is to be left for another one, which may be connected to at once. A member may answer and be
     /// cut off from the others: what it knows is old then, and calls that the others promise would not be obeyed here.
-    pub fn leaves(&mut self, now_ms: f64) -> bool {
+    pub fn leaves_stale_member(&mut self, now_ms: f64) -> bool {
         let stale = self.age_ms(now_ms).is_none_or(|age_ms| age_ms > STALE_MS);
         if !self.connected || !self.copy_received || now_ms < self.keep_stale_until_ms {
             return false;
@@ -183,7 +183,7 @@
     }
 
     /// A frame from the member.
-    pub fn hear(&mut self, now_ms: f64, frame: Frame) {
+    pub fn receive(&mut self, now_ms: f64, frame: Frame) {
         self.last_frame_ms = now_ms;
         match frame {
             Frame::ReplicaUpdate {
@@ -216,9 +216,9 @@
         if self.connected_group == self.copy.group {
             return;
         }
-        self.copy = Copy {
+        self.copy = Replica {
             group: self.connected_group,
-            ..Copy::default()
+            ..Replica::default()
         };
         self.changed = true;
     }
@@ -233,7 +233,7 @@
 
     /// Proposes something, or asks for a read where there is no proposal; the number by which its end is reported. None:
     /// too many calls are pending.
-    pub fn ask(&mut self, now_ms: f64, proposal: Option<Proposal>) -> Option<u64> {
+    pub fn call(&mut self, now_ms: f64, proposal: Option<Proposal>) -> Option<u64> {
         let number = self.calls.begin(now_ms, self.copy.applied, proposal)?;
         if self.connected {
             self.frames.extend(self.calls.send(number));
@@ -242,7 +242,7 @@
     }
 
     /// Time goes by.
-    pub fn pass(&mut self, now_ms: f64) {
+    pub fn tick(&mut self, now_ms: f64) {
         self.calls.expire(now_ms);
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// The replica.
-    pub fn copy(&self) -> &Copy {
+    pub fn copy(&self) -> &Replica {
         &self.copy
     }
 
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -21,16 +21,17 @@
 mod state;
 mod subscribers;
 
-pub use follower::{Copy, Follower};
+pub use follower::{Follower, Replica};
 pub use frame::{read_frame, Frame, FrameError, MemberAnswer, MAX_FRAME};
 pub use greeting::{
     FormatRange, Hello, HelloError, Welcome, FORMAT_VERSIONS, MAX_HELLO, NEWEST_FORMAT,
     OLDEST_FORMAT,
 };
 pub use member::{
-    Event, Health, Loaded, Lost, Member, MemberStatus, Recovered, Role, Settings, Standing,
+    Event, Health, Member, MemberFailure, MemberStatus, ProposalRejected, Recovered, Role,
+    Settings, StoredMember,
 };
-pub use peer::{Job, Peer};
+pub use peer::{Peer, WriteJob};
 pub use record::{
     Batch, ConfRecord, EntryRecord, HardRecord, LogPosition, MessageRecord, SnapshotRecord,
 };
--- a/crates/group/src/member/apply.rs
+++ b/crates/group/src/member/apply.rs
@@ -1,6 +1,6 @@
 //! Carries out committed entries: proposals on the state, and changes of who votes.
 
-use super::{Event, Lost, Member};
+use super::{Event, Member, MemberFailure};
 use crate::log_replica::LogReplica;
 use crate::state::{OpId, Outcome, Proposed};
 use raft::eraftpb::{ConfChange, ConfChangeV2, ConfState, Entry, EntryType};
@@ -38,8 +38,9 @@
 
     /// An entry that cannot be read ends the member's vote: to pass it over would be to hold another state than those
     /// who can read it.
-    fn apply_proposal(&mut self, entry: &Entry) -> Result<(), Lost> {
-        let proposed: Proposed = postcard::from_bytes(&entry.data).map_err(|_| Lost::Unknown)?;
+    fn apply_proposal(&mut self, entry: &Entry) -> Result<(), MemberFailure> {
+        let proposed: Proposed =
+            postcard::from_bytes(&entry.data).map_err(|_| MemberFailure::Unknown)?;
         let outcome = self.state.apply(entry.index, &proposed);
         self.events.push(Event::Changed);
         self.report_outcome(proposed.op, outcome);
--- a/crates/group/src/member/calls.rs
+++ b/crates/group/src/member/calls.rs
@@ -1,7 +1,7 @@
 //! Proposals and reads of this member: when each is sent, sent again, and given up. None is called done before it came
 //! back committed.
 
-use super::{Event, Member, Standing};
+use super::{Event, Member, ProposalRejected};
 use crate::state::{OpId, Proposal, Proposed};
 use crate::MIN_MEMBERS;
 use raft::ReadState;
@@ -64,16 +64,20 @@
     ///
     /// # Errors
     /// Too few members vote, there is no leader, or too many calls are pending.
-    pub fn ask(&mut self, now_ms: f64, proposal: Proposal) -> Result<u64, Standing> {
+    pub fn propose(&mut self, now_ms: f64, proposal: Proposal) -> Result<u64, ProposalRejected> {
         self.require_voters()?;
-        self.change(now_ms, proposal)
+        self.propose_membership(now_ms, proposal)
     }
 
     /// Proposes a change of who is in the group, which is possible while too few vote.
     ///
     /// # Errors
     /// There is no leader, or too many calls are pending.
-    pub fn change(&mut self, now_ms: f64, proposal: Proposal) -> Result<u64, Standing> {
+    pub fn propose_membership(
+        &mut self,
+        now_ms: f64,
+        proposal: Proposal,
+    ) -> Result<u64, ProposalRejected> {
         let proposed = Proposed {
             op: OpId {
                 origin: self.settings.origin,
@@ -89,7 +93,7 @@
     ///
     /// # Errors
     /// There is no leader, or too many calls are pending.
-    pub fn read(&mut self, now_ms: f64) -> Result<u64, Standing> {
+    pub fn read(&mut self, now_ms: f64) -> Result<u64, ProposalRejected> {
         self.begin(now_ms, Request::Read, None)
     }
 
@@ -98,13 +102,13 @@
     ///
     /// # Errors
     /// Too few members vote, there is no leader, or too many calls are pending.
-    pub fn ask_for(
+    pub fn propose_for(
         &mut self,
         now_ms: f64,
         op: OpId,
         made_at: u64,
         proposal: Proposal,
-    ) -> Result<(), Standing> {
+    ) -> Result<(), ProposalRejected> {
         self.require_voters()?;
         let proposed = Proposed {
             op,
@@ -115,9 +119,9 @@
         Ok(())
     }
 
-    fn require_voters(&self) -> Result<(), Standing> {
+    fn require_voters(&self) -> Result<(), ProposalRejected> {
         match self.conf.voters.len() {
-            voters if voters < MIN_MEMBERS => Err(Standing::Few(voters)),
+            voters if voters < MIN_MEMBERS => Err(ProposalRejected::Few(voters)),
             _ => Ok(()),
         }
     }
@@ -127,13 +131,13 @@
         now_ms: f64,
         request: Request,
         on_behalf_of: Option<OpId>,
-    ) -> Result<u64, Standing> {
+    ) -> Result<u64, ProposalRejected> {
         let leaderless_ms = now_ms - self.leader_heard_ms;
         if self.leader().is_none() && leaderless_ms > NO_MAJORITY_MS {
-            return Err(Standing::NoMajority(leaderless_ms));
+            return Err(ProposalRejected::NoMajority(leaderless_ms));
         }
         if self.calls.len() >= MAX_PENDING {
-            return Err(Standing::Full);
+            return Err(ProposalRejected::Full);
         }
         self.last_call += 1;
         let number = self.last_call;
--- a/crates/group/src/member/error.rs
+++ b/crates/group/src/member/error.rs
@@ -2,7 +2,7 @@
 
 /// Why a member can neither vote nor promise any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lost {
+pub enum MemberFailure {
     /// The snapshot of the folder, or one from another member, cannot be read.
     #[error("the state cannot be read")]
     State,
@@ -26,7 +26,7 @@
 
 /// Why a proposal or read is refused before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum Standing {
+pub enum ProposalRejected {
     /// No leader for so long, ms.
     #[error("no majority for {0:.0} ms")]
     NoMajority(f64),
--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -33,7 +33,7 @@
         let common = self.common_format(now_ms);
         if common > self.state.form() {
             self.format_proposed_ms = Some(now_ms);
-            let _ = self.change(now_ms, Proposal::Raise(common));
+            let _ = self.propose_membership(now_ms, Proposal::Raise(common));
         }
     }
 
--- a/crates/group/src/member/loaded.rs
+++ b/crates/group/src/member/loaded.rs
@@ -1,14 +1,14 @@
 //! What a member's folder holds: of a new group, of a member that was just admitted, and of a group that is begun anew
 //! from what is left of a lost one.
 
-use super::Lost;
+use super::MemberFailure;
 use crate::record::{ConfRecord, EntryRecord, HardRecord, LogPosition, SnapshotRecord};
 use crate::state::{Proposed, State};
 use raft::eraftpb::EntryType;
 
 /// What a folder holds.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Loaded {
+pub struct StoredMember {
     /// The group.
     pub group: u64,
     /// The member's incarnation.
@@ -27,28 +27,28 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
     /// The new group's first folder.
-    pub loaded: Loaded,
+    pub loaded: StoredMember,
     /// The last index that was known as committed in the old group.
     pub committed: u64,
     /// The last index of the old log: those between the two were carried out though nobody knows if the old group did.
     pub last: u64,
 }
 
-impl Loaded {
+impl StoredMember {
     /// The folder of a new group's first member.
-    pub fn first(group: u64, name: &str, address: &str, nonce: u64) -> Loaded {
+    pub fn first(group: u64, name: &str, address: &str, nonce: u64) -> StoredMember {
         const FIRST_ID: u64 = 1;
         let start = LogPosition { index: 1, term: 1 };
         let state = State::first(group, name, address, nonce);
-        Loaded::at_snapshot(group, FIRST_ID, start, start.term, &state)
+        StoredMember::at_snapshot(group, FIRST_ID, start, start.term, &state)
     }
 
     /// The folder of a member that has just been admitted.
-    pub fn admitted(group: u64, id: u64) -> Loaded {
-        Loaded {
+    pub fn admitted(group: u64, id: u64) -> StoredMember {
+        StoredMember {
             group,
             id,
-            ..Loaded::default()
+            ..StoredMember::default()
         }
     }
 
@@ -62,8 +62,8 @@
         name: &str,
         address: &str,
         nonce: u64,
-    ) -> Result<Recovered, Lost> {
-        let mut state = State::decode(&self.snapshot.data).ok_or(Lost::State)?;
+    ) -> Result<Recovered, MemberFailure> {
+        let mut state = State::decode(&self.snapshot.data).ok_or(MemberFailure::State)?;
         let mut last = self.snapshot.position();
         let behind = |entry: &&EntryRecord| entry.index > self.snapshot.index;
         for entry in self.entries.iter().filter(behind) {
@@ -83,19 +83,19 @@
         // Beyond every term of the old group.
         let term = self.hard.term.max(last.term) + 1;
         Ok(Recovered {
-            loaded: Loaded::at_snapshot(group, id, last, term, &state),
+            loaded: StoredMember::at_snapshot(group, id, last, term, &state),
             committed,
             last: last.index,
         })
     }
 
     /// A folder with a snapshot and no log, whose only voter is this member.
-    fn at_snapshot(group: u64, id: u64, at: LogPosition, term: u64, state: &State) -> Loaded {
+    fn at_snapshot(group: u64, id: u64, at: LogPosition, term: u64, state: &State) -> StoredMember {
         let conf = ConfRecord {
             voters: vec![id],
             ..ConfRecord::default()
         };
-        Loaded {
+        StoredMember {
             group,
             id,
             hard: HardRecord {
--- a/crates/group/src/member/membership.rs
+++ b/crates/group/src/member/membership.rs
@@ -70,7 +70,7 @@
                 address,
                 nonce,
             };
-            let _ = self.change(now_ms, admit);
+            let _ = self.propose_membership(now_ms, admit);
         }
         None
     }
--- a/crates/group/src/member/mod.rs
+++ b/crates/group/src/member/mod.rs
@@ -14,8 +14,8 @@
 mod settings;
 mod status;
 
-pub use error::{Lost, Standing};
-pub use loaded::{Loaded, Recovered};
+pub use error::{MemberFailure, ProposalRejected};
+pub use loaded::{Recovered, StoredMember};
 pub use settings::Settings;
 pub use status::{Health, MemberStatus, Role};
 
@@ -83,7 +83,7 @@
     pending_write: Option<PendingWrite>,
     messages: Vec<MessageRecord>,
     events: Vec<Event>,
-    lost: Option<Lost>,
+    lost: Option<MemberFailure>,
 }
 
 impl Member {
@@ -91,10 +91,14 @@
     ///
     /// # Errors
     /// The folder's content makes no sense, or is of a newer format version than the settings allow.
-    pub fn new(settings: Settings, loaded: Loaded, now_ms: f64) -> Result<Member, Lost> {
+    pub fn new(
+        settings: Settings,
+        loaded: StoredMember,
+        now_ms: f64,
+    ) -> Result<Member, MemberFailure> {
         let state = initial_state(&settings, &loaded)?;
         if !loaded.is_contiguous() {
-            return Err(Lost::Gap);
+            return Err(MemberFailure::Gap);
         }
         let (group, applied) = (loaded.group, loaded.snapshot.index);
         let conf = loaded.snapshot.conf.clone().conf();
@@ -147,7 +151,7 @@
     }
 
     /// Why it must not go on; none: it may.
-    pub fn lost(&self) -> Option<Lost> {
+    pub fn failure(&self) -> Option<MemberFailure> {
         self.lost
     }
 
@@ -162,18 +166,21 @@
     }
 }
 
-fn initial_state(settings: &Settings, loaded: &Loaded) -> Result<State, Lost> {
+fn initial_state(settings: &Settings, loaded: &StoredMember) -> Result<State, MemberFailure> {
     let state = match loaded.snapshot.index {
         0 => State::default(),
-        _ => State::decode(&loaded.snapshot.data).ok_or(Lost::State)?,
+        _ => State::decode(&loaded.snapshot.data).ok_or(MemberFailure::State)?,
     };
     if state.form() > settings.newest_format {
-        return Err(Lost::Form(state.form()));
+        return Err(MemberFailure::Form(state.form()));
     }
     Ok(state)
 }
 
-fn raft_node(settings: &Settings, loaded: Loaded) -> Result<RawNode<LogReplica>, Lost> {
+fn raft_node(
+    settings: &Settings,
+    loaded: StoredMember,
+) -> Result<RawNode<LogReplica>, MemberFailure> {
     let applied = loaded.snapshot.index;
     let mut hard = loaded.hard;
     hard.commit = hard.commit.max(applied);
@@ -182,7 +189,7 @@
         loaded.compacted,
         hard.hard(),
         loaded.snapshot.conf.conf(),
-        entries.ok_or(Lost::Gap)?,
+        entries.ok_or(MemberFailure::Gap)?,
     );
     let config = Config {
         id: loaded.id,
@@ -196,5 +203,5 @@
         ..Config::default()
     };
     let no_logger = slog::Logger::root(slog::Discard, slog::o!());
-    RawNode::new(&config, log, &no_logger).map_err(|_| Lost::Library)
+    RawNode::new(&config, log, &no_logger).map_err(|_| MemberFailure::Library)
 }
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -1,7 +1,7 @@
 //! What has to be on the disk, and what waits for it. Nothing that follows from a write is sent before the write is
 //! done: a member that acknowledged an entry and lost it would break the promise that rests on it.
 
-use super::{Event, Lost, Member};
+use super::{Event, Member, MemberFailure};
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 use crate::state::State;
 use raft::eraftpb::{Message, Snapshot};
@@ -33,7 +33,7 @@
         let mut batch = Batch::default();
         let received = self.take_snapshot(&ready, &mut batch);
         if !self.node.mut_store().append(ready.entries()) {
-            self.lost = Some(Lost::Gap);
+            self.lost = Some(MemberFailure::Gap);
             return None;
         }
         batch.entries = ready.entries().iter().map(EntryRecord::from).collect();
@@ -152,10 +152,10 @@
     fn install_snapshot(&mut self, received: ReceivedSnapshot) {
         match received.state {
             Some(state) if state.form() > self.settings.newest_format => {
-                self.lost = Some(Lost::Form(state.form()));
+                self.lost = Some(MemberFailure::Form(state.form()));
             }
             Some(state) => self.state = state,
-            None => self.lost = Some(Lost::State),
+            None => self.lost = Some(MemberFailure::State),
         }
         let metadata = received.snapshot.get_metadata();
         self.conf = metadata.get_conf_state().clone();
--- a/crates/group/src/member/raft_step.rs
+++ b/crates/group/src/member/raft_step.rs
@@ -1,6 +1,6 @@
 //! Time and messages for the consensus library: its ticks, what other members send, and its election timeouts.
 
-use super::{Lost, Member};
+use super::{Member, MemberFailure};
 use crate::record::MessageRecord;
 use crate::state::Proposed;
 use raft::eraftpb::{Message, MessageType};
@@ -13,7 +13,7 @@
 
 impl Member {
     /// Time goes by. To be called at least once a tick.
-    pub fn pass(&mut self, now_ms: f64) {
+    pub fn tick(&mut self, now_ms: f64) {
         let mut ticks = 0;
         while now_ms - self.last_tick_ms >= self.settings.tick_ms {
             self.last_tick_ms += self.settings.tick_ms;
@@ -53,14 +53,14 @@
     }
 
     /// A message has come.
-    pub fn hear(&mut self, now_ms: f64, message: MessageRecord) {
+    pub fn receive(&mut self, now_ms: f64, message: MessageRecord) {
         let from = message.from;
         let Some(message) = message.message().filter(|m| m.to == self.id()) else {
             return;
         };
         self.last_heard_ms.insert(from, now_ms);
         if self.shows_lost_entries(&message) {
-            self.lost = Some(Lost::Behind);
+            self.lost = Some(MemberFailure::Behind);
             return;
         }
         if is_unreadable_proposal(&message) {
--- a/crates/group/src/peer/frames.rs
+++ b/crates/group/src/peer/frames.rs
@@ -13,7 +13,7 @@
 
 impl Peer {
     /// A frame has come over a link that this one opened, from the incarnation (0: none) that greeted by it.
-    pub fn hear(&mut self, now_ms: f64, from: &str, id: u64, frame: Frame) {
+    pub fn receive(&mut self, now_ms: f64, from: &str, id: u64, frame: Frame) {
         self.note_name(from, id);
         self.routes.note_heard(now_ms, from);
         match frame {
@@ -43,7 +43,7 @@
 
     fn take_message(&mut self, now_ms: f64, message: MessageRecord) {
         if let Some(member) = self.member_mut() {
-            member.hear(now_ms, message);
+            member.receive(now_ms, message);
         }
     }
 
@@ -105,10 +105,10 @@
     }
 
     /// Time goes by.
-    pub fn pass(&mut self, now_ms: f64) {
+    pub fn tick(&mut self, now_ms: f64) {
         match &mut self.stage {
             Stage::Member(member) => {
-                member.pass(now_ms);
+                member.tick(now_ms);
                 self.report_reachability(now_ms);
             }
             Stage::Joining(Joining { nonce, .. }) => {
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -5,14 +5,14 @@
 
 use crate::forwarding_routes::ForwardingRoutes;
 use crate::frame::Frame;
-use crate::member::{Event, Loaded, Lost, Member, Settings};
+use crate::member::{Event, Member, MemberFailure, Settings, StoredMember};
 use crate::record::Batch;
 use crate::subscribers::Subscribers;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What has to be on the disk before anything that follows from it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Job {
+pub enum WriteJob {
     /// The empty folder becomes this incarnation's.
     Begin {
         /// The group.
@@ -63,7 +63,7 @@
 
 impl Peer {
     /// With an empty folder, which the nonce tells from every other.
-    pub fn waiting(settings: Settings, nonce: u64) -> Peer {
+    pub fn joining(settings: Settings, nonce: u64) -> Peer {
         let joining = Joining {
             nonce,
             admission: None,
@@ -76,7 +76,11 @@
     ///
     /// # Errors
     /// That makes no sense.
-    pub fn sitting(settings: Settings, loaded: Loaded, now_ms: f64) -> Result<Peer, Lost> {
+    pub fn from_member(
+        settings: Settings,
+        loaded: StoredMember,
+        now_ms: f64,
+    ) -> Result<Peer, MemberFailure> {
         let member = Member::new(settings.clone(), loaded, now_ms)?;
         Ok(Peer::new(settings, Stage::Member(Box::new(member))))
     }
@@ -152,7 +156,7 @@
     }
 
     /// What was sent to this member is lost.
-    pub fn broken(&mut self, name: &str) {
+    pub fn disconnected(&mut self, name: &str) {
         let Some(member) = self.member_mut() else {
             return;
         };
@@ -163,16 +167,16 @@
 
     /// What has to be on the disk next; none: nothing, or an earlier job is not done. To be followed by
     /// [`Peer::done`].
-    pub fn job(&mut self, now_ms: f64) -> Option<Job> {
+    pub fn next_write(&mut self, now_ms: f64) -> Option<WriteJob> {
         match &mut self.stage {
-            Stage::Joining(joining) => joining.admission.map(|admission| Job::Begin {
+            Stage::Joining(joining) => joining.admission.map(|admission| WriteJob::Begin {
                 group: admission.group,
                 id: admission.id,
                 nonce: joining.nonce,
             }),
             Stage::Member(member) => {
                 let batch = member.batch(now_ms)?;
-                Some(Job::Write(Box::new(batch)))
+                Some(WriteJob::Write(Box::new(batch)))
             }
         }
     }
@@ -181,14 +185,14 @@
     ///
     /// # Errors
     /// The member cannot be.
-    pub fn done(&mut self, now_ms: f64) -> Result<(), Lost> {
+    pub fn written(&mut self, now_ms: f64) -> Result<(), MemberFailure> {
         match &mut self.stage {
             Stage::Member(member) => member.written(now_ms),
             Stage::Joining(joining) => {
                 let Some(admission) = joining.admission else {
                     return Ok(());
                 };
-                let loaded = Loaded::admitted(admission.group, admission.id);
+                let loaded = StoredMember::admitted(admission.group, admission.id);
                 let mut member = Member::new(self.settings.clone(), loaded, now_ms)?;
                 for (name, newest) in &joining.newest_formats {
                     member.greeted(name, *newest);
@@ -200,7 +204,7 @@
     }
 
     /// A frame has come from a follower, by its connection. False: this one is no member, and has nothing to follow.
-    pub fn hear_follower(&mut self, now_ms: f64, from: u64, frame: Frame) -> bool {
+    pub fn receive_from_follower(&mut self, now_ms: f64, from: u64, frame: Frame) -> bool {
         let Stage::Member(member) = &mut self.stage else {
             return false;
         };
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -112,7 +112,7 @@
         proposal: Proposal,
         member: &mut Member,
     ) {
-        match member.ask_for(now_ms, op, made_at, proposal) {
+        match member.propose_for(now_ms, op, made_at, proposal) {
             Ok(()) => {
                 self.proposals.insert(op, from);
             }
--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -4,8 +4,8 @@
 //! name and bytes in hexadecimal.
 
 use driftgap_group::{
-    Copy, Document, DocumentKind, EntryRecord, Frame, Hello, Loaded, LogPosition, MemberAnswer,
-    MessageRecord, OpId, Outcome, Peer, Proposal, Proposed, Settings, State, Welcome,
+    Document, DocumentKind, EntryRecord, Frame, Hello, LogPosition, MemberAnswer, MessageRecord,
+    OpId, Outcome, Peer, Proposal, Proposed, Replica, Settings, State, StoredMember, Welcome,
 };
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
@@ -130,7 +130,7 @@
     let [format_1, format_2] = states(&mut fixture);
     fixture.check_state("state-format-1", &format_1);
     fixture.check_state("state-format-2", &format_2);
-    let loaded = Loaded::first(77, "m0", "10.0.0.0:1", 1);
+    let loaded = StoredMember::first(77, "m0", "10.0.0.0:1", 1);
     fixture.check("hard-state", &loaded.hard);
     fixture.check("snapshot", &loaded.snapshot);
     let compacted = LogPosition {
@@ -146,7 +146,7 @@
         context: vec![3],
     };
     fixture.check("entry", &entry);
-    let copy = Copy {
+    let copy = Replica {
         group: 77,
         applied: 12,
         out: ["b".to_string()].into(),
@@ -231,14 +231,14 @@
     let members =
         ["m0", "m1", "m2"].map(|name| (name.to_string(), format!("10.0.0.{}:1", &name[1..])));
     let settings = Settings::new("m0", 1, BTreeMap::from(members));
-    let mut loaded = Loaded::first(77, "m0", "10.0.0.0:1", 1);
+    let mut loaded = StoredMember::first(77, "m0", "10.0.0.0:1", 1);
     loaded.snapshot.conf.voters = vec![1, 2, 3];
-    let mut candidate = Peer::sitting(settings, loaded, 0.0).unwrap();
-    candidate.hear(0.0, "m1", 2, Frame::Idle);
+    let mut candidate = Peer::from_member(settings, loaded, 0.0).unwrap();
+    candidate.receive(0.0, "m1", 2, Frame::Idle);
     for now_ms in (0..10_000).step_by(50).map(f64::from) {
-        candidate.pass(now_ms);
-        while candidate.job(now_ms).is_some() {
-            candidate.done(now_ms).unwrap();
+        candidate.tick(now_ms);
+        while candidate.next_write(now_ms).is_some() {
+            candidate.written(now_ms).unwrap();
         }
         for (to, frame) in candidate.frames(now_ms) {
             match frame {
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use driftgap_group::{Copy, Follower, Frame, MemberAnswer, Proposal};
+use driftgap_group::{Follower, Frame, MemberAnswer, Proposal, Replica};
 use std::collections::BTreeMap;
 use world::{What, World};
 
@@ -33,7 +33,7 @@
                 &format!("f{f}"),
                 1 << 40 | f as u64,
                 members,
-                Copy::default(),
+                Replica::default(),
                 world.now_ms,
             );
             FollowerAt {
@@ -69,29 +69,29 @@
                     .iter_mut()
                     .find(|b| b.link == Some((member, to)));
                 if let Some(beside) = beside {
-                    beside.follower.hear(now, frame);
+                    beside.follower.receive(now, frame);
                 }
             }
             for (f, beside) in self.beside.iter_mut().enumerate() {
                 let follower = &mut beside.follower;
-                follower.pass(now);
+                follower.tick(now);
                 if let Some((member, number)) = beside.link {
                     let node = &mut self.world.nodes[member];
-                    let leaves = follower.leaves(now);
+                    let leaves = follower.leaves_stale_member(now);
                     if leaves {
                         if let Some(peer) = &mut node.peer {
                             peer.follower_gone(number);
                         }
                         beside.link = None;
-                    } else if !node.up || follower.silent(now) {
+                    } else if !node.up || follower.is_silent(now) {
                         if let Some(peer) = &mut node.peer {
                             peer.follower_gone(number);
                         }
                         beside.link = None;
-                        follower.broken(now);
+                        follower.disconnected(now);
                     }
                 }
-                let (member, due) = follower.next();
+                let (member, due) = follower.next_member();
                 if beside.link.is_none() && now >= due {
                     let member: usize = member[1..].parse().unwrap();
                     self.opened.push((now, member));
@@ -105,7 +105,7 @@
                         beside.link = Some((member, self.next));
                         follower.connected(now, 77);
                     } else {
-                        follower.broken(now);
+                        follower.disconnected(now);
                     }
                 }
                 let frames: Vec<Frame> = follower.frames();
@@ -114,7 +114,7 @@
                 if let Some((member, number)) = beside.link {
                     if let Some(peer) = &mut self.world.nodes[member].peer {
                         for frame in frames {
-                            peer.hear_follower(now, number, frame);
+                            peer.receive_from_follower(now, number, frame);
                         }
                     }
                 }
@@ -167,7 +167,7 @@
         // A call through a follower, and one through a member, reach everyone.
         let number = fleet.beside[7]
             .follower
-            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
+            .call(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         let first = fleet.until(2000.0, |f| f.all_hold("a"));
         assert!(matches!(fleet.ended[0], (7, n, MemberAnswer::Done(_)) if n == number));
@@ -196,7 +196,7 @@
             "seed {seed}: {} opened",
             fleet.opened.len()
         );
-        let holds = |c: &Copy| c.out.len() == 2;
+        let holds = |c: &Replica| c.out.len() == 2;
         assert!(fleet.beside.iter().all(|b| holds(b.follower.copy())));
         let ages = fleet
             .beside
@@ -220,7 +220,7 @@
             let (f, name) = (pick(200), format!("s{turn}-{call}"));
             let number = fleet.beside[f]
                 .follower
-                .ask(fleet.world.now_ms, Some(Proposal::Suspend(name.clone())));
+                .call(fleet.world.now_ms, Some(Proposal::Suspend(name.clone())));
             asked.insert((f, number.unwrap()), name);
         }
         let (i, j) = (pick(3), pick(3));
@@ -322,7 +322,7 @@
         let (at, _) = fleet.beside[0].link.unwrap();
         fleet.beside[0]
             .follower
-            .ask(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
+            .call(fleet.world.now_ms, Some(Proposal::Suspend("a".into())))
             .unwrap();
         fleet.run(5.0 * (seed % 4) as f64);
         // Somebody else puts it back meanwhile: the repeat must not take it out again.
--- a/crates/group/tests/waiting.rs
+++ b/crates/group/tests/waiting.rs
@@ -1,7 +1,7 @@
 //! An ingress with an empty folder, until it is let in: its links have greeted as no member, and are ended by a frame
 //! that only members may send.
 
-use driftgap_group::{Frame, Loaded, MessageRecord, Peer, Settings};
+use driftgap_group::{Frame, MessageRecord, Peer, Settings, StoredMember};
 use std::collections::BTreeMap;
 
 fn settings(name: &str) -> Settings {
@@ -12,14 +12,14 @@
 
 /// What a member sends that seeks votes.
 fn message_to_m1() -> MessageRecord {
-    let mut loaded = Loaded::first(77, "m0", "10.0.0.0:1", 1);
+    let mut loaded = StoredMember::first(77, "m0", "10.0.0.0:1", 1);
     loaded.snapshot.conf.voters = vec![1, 2, 3];
-    let mut candidate = Peer::sitting(settings("m0"), loaded, 0.0).unwrap();
-    candidate.hear(0.0, "m1", 2, Frame::Idle);
+    let mut candidate = Peer::from_member(settings("m0"), loaded, 0.0).unwrap();
+    candidate.receive(0.0, "m1", 2, Frame::Idle);
     for now in (0..10_000).step_by(50).map(f64::from) {
-        candidate.pass(now);
-        while candidate.job(now).is_some() {
-            candidate.done(now).unwrap();
+        candidate.tick(now);
+        while candidate.next_write(now).is_some() {
+            candidate.written(now).unwrap();
         }
         for (to, frame) in candidate.frames(now) {
             match frame {
@@ -36,9 +36,9 @@
 /// nothing and ask again.
 #[test]
 fn an_ingress_that_is_not_let_in_passes_nothing_on_and_asks_again() {
-    let mut waiting = Peer::waiting(settings("m2"), 9);
-    waiting.hear(0.0, "m1", 2, Frame::Idle);
-    waiting.hear(
+    let mut waiting = Peer::joining(settings("m2"), 9);
+    waiting.receive(0.0, "m1", 2, Frame::Idle);
+    waiting.receive(
         0.0,
         "m0",
         1,
@@ -47,10 +47,10 @@
             hears: vec!["m1".into()],
         },
     );
-    waiting.hear(0.0, "m0", 1, Frame::Forward(message_to_m1()));
+    waiting.receive(0.0, "m0", 1, Frame::Forward(message_to_m1()));
     let mut joins = Vec::new();
     for now in [0.0, 250.0, 501.0] {
-        waiting.pass(now);
+        waiting.tick(now);
         for (to, frame) in waiting.frames(now) {
             assert!(frame.is_allowed_from(0), "{now} ms: to {to}: {frame:?}");
             if frame == (Frame::Join { nonce: 9 }) {
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -3,7 +3,8 @@
 #![allow(dead_code)]
 
 use driftgap_group::{
-    Batch, Event, Frame, Job, Loaded, Member, Outcome, Peer, Proposal, Role, Settings, Standing,
+    Batch, Event, Frame, Member, Outcome, Peer, Proposal, ProposalRejected, Role, Settings,
+    StoredMember, WriteJob,
 };
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,13 +30,13 @@
 
 pub struct Node {
     pub name: String,
-    pub disk: Option<Loaded>,
+    pub disk: Option<StoredMember>,
     pub peer: Option<Peer>,
     pub up: bool,
     pub stalled: bool,
     incarnations: u64,
     /// A batch on its way to the disk, and when it is there.
-    writing: Option<(f64, Job)>,
+    writing: Option<(f64, WriteJob)>,
     inbox: Vec<(usize, u64, Frame)>,
     calls: BTreeMap<u64, usize>,
     pub lost: bool,
@@ -80,7 +81,7 @@
     format!("m{i}")
 }
 
-fn save(disk: &mut Loaded, batch: Batch) {
+fn save(disk: &mut StoredMember, batch: Batch) {
     if let Some(restored) = batch.restored {
         disk.compacted = restored.position();
         disk.entries.clear();
@@ -109,11 +110,13 @@
         self.peer.as_ref().and_then(Peer::member)
     }
 
-    fn save(&mut self, job: Job) {
+    fn save(&mut self, job: WriteJob) {
         match (job, &mut self.disk) {
-            (Job::Begin { group, id, .. }, disk) => *disk = Some(Loaded::admitted(group, id)),
-            (Job::Write(batch), Some(disk)) => save(disk, *batch),
-            (Job::Write(_), None) => panic!("a write to no folder"),
+            (WriteJob::Begin { group, id, .. }, disk) => {
+                *disk = Some(StoredMember::admitted(group, id))
+            }
+            (WriteJob::Write(batch), Some(disk)) => save(disk, *batch),
+            (WriteJob::Write(_), None) => panic!("a write to no folder"),
         }
     }
 }
@@ -141,7 +144,7 @@
                 .collect(),
         };
         for i in 0..members {
-            let disk = (i == 0).then(|| Loaded::first(77, &name(0), "10.0.0.0:1", 1));
+            let disk = (i == 0).then(|| StoredMember::first(77, &name(0), "10.0.0.0:1", 1));
             world.nodes.push(Node {
                 name: name(i),
                 disk,
@@ -169,8 +172,8 @@
         settings.seed = seed ^ (i as u64) << 8;
         settings.retained_entries = 64;
         node.peer = Some(match node.disk.clone() {
-            Some(disk) => Peer::sitting(settings, disk, now).expect("a sound disk"),
-            None => Peer::waiting(settings, nonce),
+            Some(disk) => Peer::from_member(settings, disk, now).expect("a sound disk"),
+            None => Peer::joining(settings, nonce),
         });
     }
 
@@ -193,9 +196,9 @@
         self.kill(i);
         let vote = self.planted == Planted::VoteAfterLoss;
         let node = &mut self.nodes[i];
-        node.disk = node.disk.take().filter(|_| vote).map(|old| Loaded {
+        node.disk = node.disk.take().filter(|_| vote).map(|old| StoredMember {
             snapshot: old.snapshot.clone(),
-            ..Loaded::first(77, "m0", "10.0.0.0:1", 1)
+            ..StoredMember::first(77, "m0", "10.0.0.0:1", 1)
         });
         if let Some(disk) = &mut node.disk {
             // Under its old number, with the log as it was at the beginning.
@@ -205,9 +208,9 @@
                 .position(|n| *n == node.name)
                 .unwrap_or(0) as u64
                 + 1;
-            *disk = Loaded {
+            *disk = StoredMember {
                 id,
-                ..Loaded::first(77, "m0", "10.0.0.0:1", 1)
+                ..StoredMember::first(77, "m0", "10.0.0.0:1", 1)
             };
         }
     }
@@ -261,24 +264,26 @@
             let (_, job) = node.writing.take().unwrap();
             node.save(job);
             if !no_sync {
-                node.peer.as_mut().unwrap().done(now).unwrap();
+                node.peer.as_mut().unwrap().written(now).unwrap();
             }
         }
         let peer = node.peer.as_mut().unwrap();
         for (from, id, frame) in std::mem::take(&mut node.inbox) {
-            peer.hear(now, &name(from), id, frame);
+            peer.receive(now, &name(from), id, frame);
         }
-        peer.pass(now);
+        peer.tick(now);
         while node.writing.is_none() {
-            let Some(job) = peer.job(now) else { break };
-            let empty = job == Job::Write(Box::default());
+            let Some(job) = peer.next_write(now) else {
+                break;
+            };
+            let empty = job == WriteJob::Write(Box::default());
             if !empty {
                 let ms =
                     self.fsync_ms.0 + self.rand.rand_float() * (self.fsync_ms.1 - self.fsync_ms.0);
                 node.writing = Some((now + ms, job));
             }
             if empty || no_sync {
-                peer.done(now).unwrap();
+                peer.written(now).unwrap();
             }
         }
         self.to_followers.extend(
@@ -288,7 +293,7 @@
         );
         let events = peer.events(now);
         let frames = peer.frames(now);
-        if peer.member().is_some_and(|m| m.lost().is_some()) {
+        if peer.member().is_some_and(|m| m.failure().is_some()) {
             node.lost = true;
             return self.kill(i);
         }
@@ -330,14 +335,14 @@
     }
 
     /// A call at one member; its place in the record.
-    pub fn call(&mut self, i: usize, what: What) -> Result<usize, Standing> {
+    pub fn call(&mut self, i: usize, what: What) -> Result<usize, ProposalRejected> {
         let now = self.now_ms;
         let Some(member) = self.nodes[i].peer.as_mut().and_then(Peer::member_mut) else {
-            return Err(Standing::NoMajority(0.0));
+            return Err(ProposalRejected::NoMajority(0.0));
         };
         let number = match &what {
-            What::Suspend(name) => member.ask(now, Proposal::Suspend(name.clone()))?,
-            What::Restore(name) => member.ask(now, Proposal::Restore(name.clone()))?,
+            What::Suspend(name) => member.propose(now, Proposal::Suspend(name.clone()))?,
+            What::Restore(name) => member.propose(now, Proposal::Restore(name.clone()))?,
             What::Read(_) => member.read(now)?,
         };
         let early = self.planted == Planted::EarlyYes && !matches!(what, What::Read(_));
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -2,7 +2,7 @@
 
 use super::member::decode;
 use driftgap::group::View;
-use driftgap_group::{Copy, Follower};
+use driftgap_group::{Follower, Replica};
 use std::sync::Arc;
 
 /// One follower.
@@ -25,7 +25,7 @@
 impl HollowFollower {
     pub(super) fn new(name: &str, origin: u64, members: &[String], now_ms: f64) -> HollowFollower {
         let members = members.iter().map(String::as_str);
-        let follower = Follower::new(name, origin, members, Copy::default(), now_ms);
+        let follower = Follower::new(name, origin, members, Replica::default(), now_ms);
         HollowFollower {
             follower,
             view: View::default(),
@@ -42,21 +42,21 @@
         let Some(frame) = decode(bytes) else {
             return false;
         };
-        self.follower.hear(now_ms, frame);
+        self.follower.receive(now_ms, frame);
         true
     }
 
     /// Time has passed, or something has come: what is to be sent, and what becomes of the connection.
     pub(super) fn turn(&mut self, now_ms: f64, connecting: bool) -> (Vec<Vec<u8>>, Wants) {
-        self.follower.pass(now_ms);
+        self.follower.tick(now_ms);
         let mut wants = Wants::Nothing;
-        if self.follower.leaves(now_ms) {
+        if self.follower.leaves_stale_member(now_ms) {
             wants = Wants::End;
-        } else if self.follower.silent(now_ms) {
-            self.follower.broken(now_ms);
+        } else if self.follower.is_silent(now_ms) {
+            self.follower.disconnected(now_ms);
             wants = Wants::End;
         }
-        let (member, due) = self.follower.next();
+        let (member, due) = self.follower.next_member();
         if wants == Wants::Nothing && !connecting && !self.follower.is_up() && now_ms >= due {
             wants = Wants::Connect(member.into());
         }
@@ -93,7 +93,7 @@
     }
 
     /// What it knows of the group.
-    pub(super) fn copy(&self) -> &Copy {
+    pub(super) fn copy(&self) -> &Replica {
         self.follower.copy()
     }
 }
--- a/crates/scale/src/hollow/group/member.rs
+++ b/crates/scale/src/hollow/group/member.rs
@@ -2,7 +2,7 @@
 //! would take.
 
 use driftgap::group::View;
-use driftgap_group::{read_frame, Event, Frame, Job, Member, Peer, MAX_FRAME};
+use driftgap_group::{read_frame, Event, Frame, Member, Peer, WriteJob, MAX_FRAME};
 use std::sync::Arc;
 
 /// Frames that a member sends at one turn, as bytes.
@@ -46,7 +46,7 @@
         let Some(frame) = decode(bytes) else {
             return false;
         };
-        self.peer.hear(now_ms, from, id, frame);
+        self.peer.receive(now_ms, from, id, frame);
         true
     }
 
@@ -55,25 +55,25 @@
         let Some(frame) = decode(bytes) else {
             return false;
         };
-        self.peer.hear_follower(now_ms, connection, frame)
+        self.peer.receive_from_follower(now_ms, connection, frame)
     }
 
     /// The disk has done its job.
-    pub(super) fn written(&mut self, now_ms: f64) -> Result<(), driftgap_group::Lost> {
+    pub(super) fn written(&mut self, now_ms: f64) -> Result<(), driftgap_group::MemberFailure> {
         self.writing = false;
-        self.peer.done(now_ms)
+        self.peer.written(now_ms)
     }
 
     /// Time has passed, or something has come: what the member's thread does then, in its order.
-    pub(super) fn turn(&mut self, now_ms: f64) -> Result<Turn, driftgap_group::Lost> {
+    pub(super) fn turn(&mut self, now_ms: f64) -> Result<Turn, driftgap_group::MemberFailure> {
         let mut turn = Turn::default();
-        self.peer.pass(now_ms);
+        self.peer.tick(now_ms);
         while !self.writing {
-            let Some(job) = self.peer.job(now_ms) else {
+            let Some(job) = self.peer.next_write(now_ms) else {
                 break;
             };
-            if job == Job::Write(Box::default()) {
-                self.peer.done(now_ms)?;
+            if job == WriteJob::Write(Box::default()) {
+                self.peer.written(now_ms)?;
             } else {
                 (self.writing, turn.writes) = (true, true);
             }
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -13,8 +13,8 @@
 use super::{CpuTimer, Schedule, Traffic, Wire};
 use change::Changes;
 use driftgap_group::{
-    Event as MemberEvent, Frame, Hello, Loaded, Lost, Member, Peer, Proposal, Role, Settings,
-    Standing, Welcome, FORMAT_VERSIONS,
+    Event as MemberEvent, Frame, Hello, Member, MemberFailure, Peer, Proposal, ProposalRejected,
+    Role, Settings, StoredMember, Welcome, FORMAT_VERSIONS,
 };
 use follower::Wants;
 use link::{Link, LinkId, Links, Node};
@@ -44,10 +44,10 @@
 pub enum WorldError {
     /// A member cannot be one any more.
     #[error("a member is lost: {0}")]
-    Lost(#[from] Lost),
+    MemberFailure(#[from] MemberFailure),
     /// A call was refused.
     #[error("a call was refused: {0}")]
-    Refused(#[from] Standing),
+    Refused(#[from] ProposalRejected),
     /// Nobody leads.
     #[error("the group has no leader")]
     NoLeader,
@@ -184,12 +184,12 @@
             settings.seed = seed ^ (index as u64) << 8;
             let nonce = world.random.rand_u64();
             let peer = match index {
-                0 => Peer::sitting(
+                0 => Peer::from_member(
                     settings,
-                    Loaded::first(GROUP, name, &address(0), nonce),
+                    StoredMember::first(GROUP, name, &address(0), nonce),
                     now,
                 )?,
-                _ => Peer::waiting(settings, nonce),
+                _ => Peer::joining(settings, nonce),
             };
             world.members.push(HollowMember::new(name, peer));
             let phase = world.random.rand_float() * MEMBER_TICK_MS;
@@ -298,7 +298,7 @@
             .peer
             .member_mut()
             .ok_or(WorldError::NoLeader)?;
-        let number = member.ask(now, proposal)?;
+        let number = member.propose(now, proposal)?;
         self.changes.asked(now, (leader, number));
         self.member_turn(leader)
     }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -3,7 +3,7 @@
 //! What a call means is `driftgap_admin`'s; this module reads it, has it done, and words the answer. Connections are
 //! bounded in number and time, so that a caller that says nothing does not keep others out.
 
-use crate::group::{Ended, Group, MembershipStatus};
+use crate::group::{CallResult, Group, MembershipStatus};
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_admin::{Answer, BadCall, Call, ExclusionOutcome, GroupCall, MAX_LINE};
 use driftgap_group::{Outcome, Proposal, Role};
@@ -82,13 +82,13 @@
 /// How the group stands, on one line.
 fn membership_status(membership_status: MembershipStatus) -> Answer {
     let status = match membership_status {
-        MembershipStatus::Waiting => {
+        MembershipStatus::Joining => {
             return Answer::no(
                 "not in the group yet: the folder is empty, and nobody has let it in",
             )
         }
-        MembershipStatus::Lost(why) => return Answer::no(format!("votes no more: {why}")),
-        MembershipStatus::Following {
+        MembershipStatus::Failed(why) => return Answer::no(format!("votes no more: {why}")),
+        MembershipStatus::Follower {
             member,
             applied,
             age_ms,
@@ -351,16 +351,16 @@
     }
 
     async fn propose(&self, group: &Group, call: &Call, proposal: Proposal) -> Answer {
-        match group.ask(proposal).await {
-            Ended::Done(outcome, _) => {
+        match group.propose(proposal).await {
+            CallResult::Done(outcome, _) => {
                 // The answer says that it holds here, so it is put in force before the answer goes out. The latest
                 // view is taken: the group may have agreed on something later, which must not be undone.
                 let latest = group.view().borrow().out.clone();
                 self.dispatcher.set_group_exclusions(latest);
                 agreed(&self.dispatcher, call, outcome)
             }
-            Ended::Refused(why) => Answer::no(format!("not done: {why}")),
-            Ended::Open => {
+            CallResult::Refused(why) => Answer::no(format!("not done: {why}")),
+            CallResult::Unknown => {
                 Answer::no("not known whether it will be done: ask GROUP OUT, or repeat the call")
             }
         }
@@ -406,11 +406,11 @@
 /// The endpoints that the group has excluded, once this ingress knows all that has been confirmed to anybody.
 async fn group_exclusions(group: &Group) -> Answer {
     match group.read().await {
-        Ended::Done(_, view) => {
+        CallResult::Done(_, view) => {
             let excluded: Vec<&str> = view.out.iter().map(String::as_str).collect();
             Answer::yes(format!("at {}: {}", view.applied, excluded.join(" ")))
         }
-        Ended::Refused(why) => Answer::no(why),
-        Ended::Open => Answer::no("no answer in time"),
+        CallResult::Refused(why) => Answer::no(why),
+        CallResult::Unknown => Answer::no("no answer in time"),
     }
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -106,7 +106,7 @@
         return;
     };
     if let Some(group) = &operator.group {
-        if let Err(e) = group.judge_for(&config.name) {
+        if let Err(e) = group.validate_for(&config.name) {
             faults.add(path.display(), e);
         }
     }
--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -67,7 +67,7 @@
         }
         GroupTask::Check => {
             let GroupFile { settings, folder } = read_group_file(operator)?;
-            group::look(&settings, &folder, name)?
+            group::inspect(&settings, &folder, name)?
         }
         GroupTask::Recover { from } => {
             let GroupFile { settings, folder } = read_group_file(operator)?;
--- a/src/config/operator_file/mod.rs
+++ b/src/config/operator_file/mod.rs
@@ -136,7 +136,7 @@
 
 fn check_group(group: &GroupSettings) -> Result<(), OperatorFileError> {
     group
-        .judge()
+        .validate()
         .map_err(|(field, problem)| OperatorFileError::value(field, &problem))
 }
 
--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod tests;
 
-use driftgap_group::Copy;
+use driftgap_group::Replica;
 use std::fs::{File, TryLockError};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -56,7 +56,7 @@
     }
 
     /// The copy of an earlier start; none: there is no file, or none that can be read.
-    pub(super) fn load(&self) -> Option<Copy> {
+    pub(super) fn load(&self) -> Option<Replica> {
         let bytes = std::fs::read(self.folder.join(COPY_FILE)).ok()?;
         let copy = decode(&bytes);
         match &copy {
@@ -75,7 +75,7 @@
     }
 
     /// Replaces the file. A crash in between leaves the earlier one whole.
-    fn write(&self, copy: &Copy) -> std::io::Result<()> {
+    fn write(&self, copy: &Replica) -> std::io::Result<()> {
         let new_path = self.folder.join(NEW_COPY_FILE);
         let mut file = File::create(&new_path)?;
         file.write_all(&encode(copy))?;
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// The system gives no thread.
-    pub(super) fn into_writer(self, loaded: Option<&Copy>) -> std::io::Result<ReplicaWriter> {
+    pub(super) fn into_writer(self, loaded: Option<&Replica>) -> std::io::Result<ReplicaWriter> {
         let stored = loaded.map(|copy| StoredCopy {
             number: 0,
             applied: copy.applied,
@@ -129,7 +129,7 @@
 struct PendingCopy {
     /// Counted from 1 in this process.
     number: u64,
-    copy: Copy,
+    copy: Replica,
 }
 
 /// Which copy is on the disk.
@@ -184,7 +184,7 @@
 
 impl ReplicaWriter {
     /// Queues a copy in place of one that is not written yet.
-    pub(super) fn store(&mut self, copy: Copy) {
+    pub(super) fn store(&mut self, copy: Replica) {
         self.last_number += 1;
         self.queue.lock().pending = Some(PendingCopy {
             number: self.last_number,
@@ -213,7 +213,7 @@
 }
 
 /// The file's bytes: format version, checksum, body.
-fn encode(copy: &Copy) -> Vec<u8> {
+fn encode(copy: &Replica) -> Vec<u8> {
     let body = postcard::to_stdvec(copy).unwrap_or_default();
     let mut bytes = vec![FORMAT_VERSION];
     bytes.extend(crc32fast::hash(&body).to_le_bytes());
@@ -222,7 +222,7 @@
 }
 
 /// The copy that such bytes hold; none: they are torn, spoilt or of another format version.
-fn decode(bytes: &[u8]) -> Option<Copy> {
+fn decode(bytes: &[u8]) -> Option<Replica> {
     let (version, rest) = bytes.split_first()?;
     let (checksum, body) = rest.split_first_chunk::<4>()?;
     if *version != FORMAT_VERSION || crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
--- a/src/group/cached_replica/tests.rs
+++ b/src/group/cached_replica/tests.rs
@@ -6,11 +6,11 @@
 /// out endpoints that nobody excluded: it must find the damage wherever it is.
 #[test]
 fn a_copy_comes_back_whole_or_not_at_all() {
-    let copy = Copy {
+    let copy = Replica {
         group: 7,
         applied: 12,
         out: ["a".to_string()].into(),
-        ..Copy::default()
+        ..Replica::default()
     };
     let bytes = encode(&copy);
     assert_eq!(decode(&bytes), Some(copy));
@@ -27,11 +27,11 @@
 #[test]
 fn a_number_is_shown_as_stored_once_the_copy_is_on_the_disk() {
     let folder = std::env::temp_dir().join(format!("driftgap-copy-{}", std::process::id()));
-    let copy = |applied, out: &str| Copy {
+    let copy = |applied, out: &str| Replica {
         group: 7,
         applied,
         out: [out.to_string()].into(),
-        ..Copy::default()
+        ..Replica::default()
     };
     let replica = CachedReplica::open(&folder).unwrap();
     let mut writer = replica.into_writer(None).unwrap();
--- a/src/group/call.rs
+++ b/src/group/call.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug)]
 pub enum MembershipStatus {
     /// Its folder is empty, and it has not been admitted yet.
-    Waiting,
+    Joining,
     /// It is a member.
     Member(Box<MemberStatus>),
     /// It follows a member; none: it reaches none now.
-    Following {
+    Follower {
         /// The member.
         member: Option<String>,
         /// The last index in its replica.
@@ -36,24 +36,24 @@
         stored: Option<u64>,
     },
     /// It neither votes nor promises any more, and why.
-    Lost(String),
+    Failed(String),
 }
 
 /// How a call at the group ended.
 #[derive(Clone, Debug)]
-pub enum Ended {
+pub enum CallResult {
     /// It is committed, and on the disks of a majority; what the group holds now.
     Done(Outcome, View),
     /// It was not done, and why.
     Refused(String),
     /// Nobody knows whether it will yet be done.
-    Open,
+    Unknown,
 }
 
 /// What the rest of the ingress asks of the group's thread, and where the answer goes.
 pub(super) enum Request {
-    Proposal(Proposal, oneshot::Sender<Ended>),
-    Read(oneshot::Sender<Ended>),
+    Proposal(Proposal, oneshot::Sender<CallResult>),
+    Read(oneshot::Sender<CallResult>),
     MembershipStatus(oneshot::Sender<MembershipStatus>),
     Leave(oneshot::Sender<()>),
 }
--- a/src/group/documents.rs
+++ b/src/group/documents.rs
@@ -1,6 +1,6 @@
 //! Documents that the group stores: how a start waits for one, and how an accepted one is submitted.
 
-use super::call::Ended;
+use super::call::CallResult;
 use super::handle::Group;
 use driftgap_group::{Document, DocumentKind, Outcome, Proposal, MAX_DOCUMENT};
 use std::time::Duration;
@@ -45,7 +45,7 @@
 
     /// Returns once the group has answered a read.
     async fn until_read(&self, interval: Duration) {
-        while !matches!(self.read().await, Ended::Done(..)) {
+        while !matches!(self.read().await, CallResult::Done(..)) {
             tokio::time::sleep(interval).await;
         }
     }
@@ -84,11 +84,14 @@
                 _ => {}
             }
             let number = present.map_or(0, |present| present.number);
-            match self.ask(Proposal::Write(kind, number, bytes.clone())).await {
-                Ended::Done(Outcome::Written(number), _) => {
+            match self
+                .propose(Proposal::Write(kind, number, bytes.clone()))
+                .await
+            {
+                CallResult::Done(Outcome::Written(number), _) => {
                     return tracing::info!(?kind, number, "stored by the group");
                 }
-                Ended::Done(Outcome::Refused, _) => {
+                CallResult::Done(Outcome::Refused, _) => {
                     return tracing::warn!(?kind, "refused by the group");
                 }
                 _ => tokio::time::sleep(SUBMIT_INTERVAL).await,
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -3,11 +3,11 @@
 //! is gone.
 
 use super::cached_replica::{CachedReplica, ReplicaWriter};
-use super::call::{Ended, MembershipStatus, Request, View};
+use super::call::{CallResult, MembershipStatus, Request, View};
 use super::clock::{Clock, STATISTICS_INTERVAL_MS};
 use super::link::{follow, FollowerLinkEvent, LinkIdentity, LinkSender, LinkStatistics};
 use super::settings::GroupSettings;
-use driftgap_group::{Copy, Follower, MemberAnswer, Outcome, Proposal, NEWEST_FORMAT};
+use driftgap_group::{Follower, MemberAnswer, Outcome, Proposal, Replica, NEWEST_FORMAT};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     link: Option<AbortHandle>,
     link_statistics: Rc<LinkStatistics>,
     /// By the follower's number.
-    waiting_calls: BTreeMap<u64, oneshot::Sender<Ended>>,
+    waiting_calls: BTreeMap<u64, oneshot::Sender<CallResult>>,
     view: watch::Sender<View>,
     /// None: it has no folder.
     writer: Option<ReplicaWriter>,
@@ -108,17 +108,17 @@
             FollowerLinkEvent::Up { sender, group } => {
                 self.sender = Some(sender);
                 self.follower.connected(now_ms, group);
-                tracing::info!(member = self.follower.next().0, "follows");
+                tracing::info!(member = self.follower.next_member().0, "follows");
             }
-            FollowerLinkEvent::Frame(frame) => self.follower.hear(now_ms, *frame),
+            FollowerLinkEvent::Frame(frame) => self.follower.receive(now_ms, *frame),
             FollowerLinkEvent::Down => self.drop_link(),
         }
     }
 
     fn pass_time(&mut self) {
         let now_ms = self.clock.now_ms();
-        self.follower.pass(now_ms);
-        if self.follower.leaves(now_ms) {
+        self.follower.tick(now_ms);
+        if self.follower.leaves_stale_member(now_ms) {
             tracing::info!("the member's copy is old: follows another one");
             self.end_link();
         }
@@ -126,13 +126,13 @@
             self.logged_ms = now_ms;
             self.log_statistics(now_ms);
         }
-        if self.follower.silent(now_ms) {
+        if self.follower.is_silent(now_ms) {
             self.drop_link();
         }
     }
 
     fn log_statistics(&self, now_ms: f64) {
-        let member = self.follower.is_up().then(|| self.follower.next().0);
+        let member = self.follower.is_up().then(|| self.follower.next_member().0);
         tracing::info!(
             member,
             applied = self.follower.copy().applied,
@@ -143,7 +143,7 @@
 
     /// Connects to the member that the follower has chosen, once it is time.
     fn open_link(&mut self, events: &mpsc::Sender<FollowerLinkEvent>) {
-        let (member, connect_at_ms) = self.follower.next();
+        let (member, connect_at_ms) = self.follower.next_member();
         if self.link.is_some() || self.clock.now_ms() < connect_at_ms {
             return;
         }
@@ -169,7 +169,7 @@
     fn drop_link(&mut self) {
         let now_ms = self.clock.now_ms();
         if self.end_link() {
-            self.follower.broken(now_ms);
+            self.follower.disconnected(now_ms);
         }
     }
 
@@ -203,10 +203,10 @@
             let mut view = self.view.borrow().clone();
             view.applied = self.follower.copy().applied;
             let _ = answer.send(match answered {
-                MemberAnswer::Done(outcome) => Ended::Done(outcome, view),
-                MemberAnswer::Read => Ended::Done(Outcome::Done, view),
-                MemberAnswer::Refused(why) => Ended::Refused(why),
-                MemberAnswer::Unknown => Ended::Open,
+                MemberAnswer::Done(outcome) => CallResult::Done(outcome, view),
+                MemberAnswer::Read => CallResult::Done(Outcome::Done, view),
+                MemberAnswer::Refused(why) => CallResult::Refused(why),
+                MemberAnswer::Unknown => CallResult::Unknown,
             });
         }
     }
@@ -220,17 +220,17 @@
         }
     }
 
-    fn begin_call(&mut self, proposal: Option<Proposal>, answer: oneshot::Sender<Ended>) {
+    fn begin_call(&mut self, proposal: Option<Proposal>, answer: oneshot::Sender<CallResult>) {
         let now_ms = self.clock.now_ms();
-        match self.follower.ask(now_ms, proposal) {
+        match self.follower.call(now_ms, proposal) {
             Some(number) => drop(self.waiting_calls.insert(number, answer)),
-            None => drop(answer.send(Ended::Refused("too many calls are under way".into()))),
+            None => drop(answer.send(CallResult::Refused("too many calls are under way".into()))),
         }
     }
 
     fn status(&self) -> MembershipStatus {
-        let member = self.follower.is_up().then(|| self.follower.next().0);
-        MembershipStatus::Following {
+        let member = self.follower.is_up().then(|| self.follower.next_member().0);
+        MembershipStatus::Follower {
             member: member.map(String::from),
             applied: self.follower.copy().applied,
             age_ms: self.follower.age_ms(self.clock.now_ms()),
@@ -246,7 +246,7 @@
 }
 
 /// A replica as the rest of the ingress sees it.
-fn view_of(copy: &Copy) -> View {
+fn view_of(copy: &Replica) -> View {
     View {
         out: Arc::new(copy.out.clone()),
         documents: Arc::new(copy.documents.clone()),
--- a/src/group/handle.rs
+++ b/src/group/handle.rs
@@ -1,6 +1,6 @@
 //! The handle by which the rest of the ingress reaches the group's thread.
 
-use super::call::{Ended, MembershipStatus, Request, View};
+use super::call::{CallResult, MembershipStatus, Request, View};
 use driftgap_group::Proposal;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -49,25 +49,25 @@
     }
 
     /// Proposes something to the group. Returns when it is committed, or will not be known to be in time (2.6 s).
-    pub async fn ask(&self, proposal: Proposal) -> Ended {
+    pub async fn propose(&self, proposal: Proposal) -> CallResult {
         let ended = self.request(|answer| Request::Proposal(proposal, answer));
         match ended.await {
             Ok(ended) => ended,
-            Err(NoAnswer::NotAnswered) => Ended::Open,
-            Err(NoAnswer::NotAsked) => Ended::Refused(NO_ANSWER.into()),
+            Err(NoAnswer::NotAnswered) => CallResult::Unknown,
+            Err(NoAnswer::NotAsked) => CallResult::Refused(NO_ANSWER.into()),
         }
     }
 
     /// A linearizable read of what the group holds: all that any caller was promised is in it.
-    pub async fn read(&self) -> Ended {
+    pub async fn read(&self) -> CallResult {
         let ended = self.request(Request::Read).await;
-        ended.unwrap_or_else(|_| Ended::Refused(NO_ANSWER.into()))
+        ended.unwrap_or_else(|_| CallResult::Refused(NO_ANSWER.into()))
     }
 
     /// How the group's part of this ingress stands.
     pub async fn membership_status(&self) -> MembershipStatus {
         let status = self.request(Request::MembershipStatus).await;
-        status.unwrap_or_else(|_| MembershipStatus::Lost(NO_ANSWER.into()))
+        status.unwrap_or_else(|_| MembershipStatus::Failed(NO_ANSWER.into()))
     }
 
     /// Gives leadership away before the process ends.
--- a/src/group/member_task/disk.rs
+++ b/src/group/member_task/disk.rs
@@ -2,7 +2,7 @@
 //! messages, and a leader whose disk hangs gives leadership away.
 
 use crate::group::store::{Identity, Store, StoreError};
-use driftgap_group::{Job, Loaded};
+use driftgap_group::{StoredMember, WriteJob};
 use tokio::sync::mpsc;
 
 /// How a job ended.
@@ -13,7 +13,7 @@
 
 /// The way to the disk's thread, which ends when this is dropped.
 pub(super) struct Disk {
-    jobs: std::sync::mpsc::Sender<Job>,
+    jobs: std::sync::mpsc::Sender<WriteJob>,
     results: mpsc::Receiver<JobResult>,
     /// Since when it has a job to do, ms.
     busy_since_ms: Option<f64>,
@@ -44,7 +44,7 @@
     }
 
     /// Hands it a job. False: the thread has ended.
-    pub(super) fn begin(&mut self, now_ms: f64, job: Job) -> bool {
+    pub(super) fn begin(&mut self, now_ms: f64, job: WriteJob) -> bool {
         let begun = self.jobs.send(job).is_ok();
         if begun {
             self.busy_since_ms = Some(now_ms);
@@ -65,16 +65,16 @@
 fn run_jobs(
     mut store: Store,
     member: &str,
-    jobs: std::sync::mpsc::Receiver<Job>,
+    jobs: std::sync::mpsc::Receiver<WriteJob>,
     results: mpsc::Sender<JobResult>,
 ) {
     for job in jobs {
         let result = match job {
-            Job::Begin { group, id, nonce } => {
+            WriteJob::Begin { group, id, nonce } => {
                 let identity = Identity::new(group, member, id, nonce);
-                store.begin(&identity, &Loaded::admitted(group, id))
+                store.begin(&identity, &StoredMember::admitted(group, id))
             }
-            Job::Write(batch) => store.write(&batch),
+            WriteJob::Write(batch) => store.write(&batch),
         };
         if results.blocking_send(result).is_err() {
             return;
--- a/src/group/member_task/links.rs
+++ b/src/group/member_task/links.rs
@@ -73,8 +73,8 @@
                 from,
                 incarnation,
                 frame,
-            } => peer.hear(now_ms, &from, incarnation, *frame),
-            LinkEvent::Broken { name } => peer.broken(&name),
+            } => peer.receive(now_ms, &from, incarnation, *frame),
+            LinkEvent::Broken { name } => peer.disconnected(&name),
             LinkEvent::FollowerConnected {
                 connection,
                 name,
@@ -82,7 +82,7 @@
             } => self.add_follower(connection, &name, sender),
             LinkEvent::FollowerFrame { connection, frame } => {
                 let served = self.followers.contains_key(&connection)
-                    && peer.hear_follower(now_ms, connection, *frame);
+                    && peer.receive_from_follower(now_ms, connection, *frame);
                 if !served {
                     self.drop_follower(connection);
                 }
--- a/src/group/member_task/mod.rs
+++ b/src/group/member_task/mod.rs
@@ -8,14 +8,14 @@
 mod requests;
 mod statistics;
 
-use super::call::{Ended, Request, View};
+use super::call::{CallResult, Request, View};
 use super::clock::{Clock, STATISTICS_INTERVAL_MS};
 use super::link::{listen, LinkEvent, LinkIdentity, LinkSender, LinkStatistics, MemberLink};
 use super::random_id;
 use super::settings::GroupSettings;
 use super::store::{Identity, Store, StoreError};
 use disk::{Disk, JobResult};
-use driftgap_group::{Loaded, Member, Peer, Settings};
+use driftgap_group::{Member, Peer, Settings, StoredMember};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 
 /// A call of the rest of the ingress without a result so far.
 struct WaitingCall {
-    answer: oneshot::Sender<Ended>,
+    answer: oneshot::Sender<CallResult>,
     began: Instant,
 }
 
@@ -127,7 +127,7 @@
             follower.close();
         }
         for (_, call) in std::mem::take(&mut self.waiting_calls) {
-            let _ = call.answer.send(Ended::Open);
+            let _ = call.answer.send(CallResult::Unknown);
         }
     }
 
@@ -198,7 +198,7 @@
         let was_member = peer.member().is_some();
         let done = match result {
             Ok(()) => peer
-                .done(now_ms)
+                .written(now_ms)
                 .map_err(|e| format!("its folder cannot be used: {e}")),
             Err(e) => Err(format!("its disk has failed: {e}")),
         };
@@ -214,7 +214,7 @@
     fn pass_time(&mut self) {
         let now_ms = self.clock.now_ms();
         if let Participation::Active(peer) = &mut self.participation {
-            peer.pass(now_ms);
+            peer.tick(now_ms);
             // Calls wait for what the disk does not take; another member leads without that.
             let disk_hangs = self.disk.busy_ms(now_ms) > DISK_HANGS_MS;
             let leader = peer.member_mut().filter(|member| member.leads());
@@ -231,15 +231,18 @@
 }
 
 /// The ingress as its folder has it; none loaded: the folder is empty. An error says why it cannot take part.
-fn peer(settings: Settings, loaded: Option<Result<Loaded, StoreError>>) -> Result<Peer, String> {
+fn peer(
+    settings: Settings,
+    loaded: Option<Result<StoredMember, StoreError>>,
+) -> Result<Peer, String> {
     let unusable = |e: String| format!("its folder cannot be used: {e}");
     let Some(loaded) = loaded else {
         tracing::info!("the folder is empty: asks to be let into the group");
-        return Ok(Peer::waiting(settings, random_id()));
+        return Ok(Peer::joining(settings, random_id()));
     };
     let loaded = loaded.map_err(|e| unusable(e.to_string()))?;
     let (group, id, entries) = (loaded.group, loaded.id, loaded.entries.len());
-    let peer = Peer::sitting(settings, loaded, 0.0).map_err(|e| unusable(e.to_string()))?;
+    let peer = Peer::from_member(settings, loaded, 0.0).map_err(|e| unusable(e.to_string()))?;
     tracing::info!(
         group = format!("{group:x}"),
         id,
--- a/src/group/member_task/progress.rs
+++ b/src/group/member_task/progress.rs
@@ -2,8 +2,8 @@
 //! and the ends of calls.
 
 use super::{MemberTask, Participation};
-use crate::group::call::{Ended, View};
-use driftgap_group::{Event, Job, Member, Outcome};
+use crate::group::call::{CallResult, View};
+use driftgap_group::{Event, Member, Outcome, WriteJob};
 use std::sync::Arc;
 
 /// Times of calls that one line of statistics takes in.
@@ -24,7 +24,7 @@
         let Some(member) = peer.member() else {
             return false;
         };
-        if let Some(lost) = member.lost() {
+        if let Some(lost) = member.failure() {
             self.fail(lost.to_string());
             return false;
         }
@@ -45,10 +45,12 @@
             return false;
         };
         while !self.disk.is_busy() {
-            let Some(job) = peer.job(now_ms) else { break };
-            if job == Job::Write(Box::default()) {
+            let Some(job) = peer.next_write(now_ms) else {
+                break;
+            };
+            if job == WriteJob::Write(Box::default()) {
                 // Nothing to write: what waits for it goes on at once.
-                let _ = peer.done(now_ms);
+                let _ = peer.written(now_ms);
             } else if !self.disk.begin(now_ms, job) {
                 self.fail("its disk's thread has ended".into());
                 return false;
@@ -90,18 +92,20 @@
     }
 
     fn end_call(&mut self, event: Event) {
-        let done = |outcome| Ended::Done(outcome, self.view.borrow().clone());
+        let done = |outcome| CallResult::Done(outcome, self.view.borrow().clone());
         let (number, ended) = match event {
             Event::Done(number, outcome) => (number, done(outcome)),
             Event::Read(number) => (number, done(Outcome::Done)),
-            Event::Expired(number, true) => (number, Ended::Open),
-            Event::Expired(number, false) => (number, Ended::Refused("no leader in time".into())),
+            Event::Expired(number, true) => (number, CallResult::Unknown),
+            Event::Expired(number, false) => {
+                (number, CallResult::Refused("no leader in time".into()))
+            }
             Event::Changed | Event::DoneFor(..) | Event::ExpiredFor(..) => return,
         };
         let Some(call) = self.waiting_calls.remove(&number) else {
             return;
         };
-        let is_done = matches!(ended, Ended::Done(..));
+        let is_done = matches!(ended, CallResult::Done(..));
         if is_done && self.call_times_ms.len() < MAX_CALL_TIMES {
             let time_ms = call.began.elapsed().as_secs_f64() * 1e3;
             self.call_times_ms.push(time_ms);
--- a/src/group/member_task/requests.rs
+++ b/src/group/member_task/requests.rs
@@ -1,8 +1,8 @@
 //! Requests of the rest of the ingress to a member.
 
 use super::{MemberTask, Participation, WaitingCall};
-use crate::group::call::{Ended, MembershipStatus, Request};
-use driftgap_group::{Member, Proposal, Standing};
+use crate::group::call::{CallResult, MembershipStatus, Request};
+use driftgap_group::{Member, Proposal, ProposalRejected};
 use std::time::Instant;
 use tokio::sync::oneshot;
 
@@ -15,13 +15,13 @@
 impl NoMember {
     fn status(self) -> MembershipStatus {
         match self {
-            NoMember::NotAdmitted => MembershipStatus::Waiting,
-            NoMember::Failed(why) => MembershipStatus::Lost(why),
+            NoMember::NotAdmitted => MembershipStatus::Joining,
+            NoMember::Failed(why) => MembershipStatus::Failed(why),
         }
     }
 
-    fn refusal(self) -> Ended {
-        Ended::Refused(match self {
+    fn refusal(self) -> CallResult {
+        CallResult::Refused(match self {
             NoMember::NotAdmitted => "this ingress has not been let into the group yet".into(),
             NoMember::Failed(why) => why,
         })
@@ -55,9 +55,9 @@
             Request::Proposal(proposal, answer) => {
                 self.begin_call(answer, |member| match proposal {
                     Proposal::Invite { .. } | Proposal::Remove(_) => {
-                        member.change(now_ms, proposal)
+                        member.propose_membership(now_ms, proposal)
                     }
-                    proposal => member.ask(now_ms, proposal),
+                    proposal => member.propose(now_ms, proposal),
                 });
             }
             Request::Read(answer) => self.begin_call(answer, |member| member.read(now_ms)),
@@ -67,11 +67,11 @@
     /// Begins a call at the member; its answer waits for the member's event of that number.
     fn begin_call(
         &mut self,
-        answer: oneshot::Sender<Ended>,
-        begin: impl FnOnce(&mut Member) -> Result<u64, Standing>,
+        answer: oneshot::Sender<CallResult>,
+        begin: impl FnOnce(&mut Member) -> Result<u64, ProposalRejected>,
     ) {
         let begun = match self.member_to_ask() {
-            Ok(member) => begin(member).map_err(|refusal| Ended::Refused(refusal.to_string())),
+            Ok(member) => begin(member).map_err(|refusal| CallResult::Refused(refusal.to_string())),
             Err(no_member) => Err(no_member.refusal()),
         };
         match begun {
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -18,10 +18,10 @@
 mod thread;
 
 pub use cached_replica::CachedReplicaError;
-pub use call::{Ended, MembershipStatus, View};
+pub use call::{CallResult, MembershipStatus, View};
 pub use error::GroupError;
 pub use handle::Group;
-pub use offline::{init, look, recover};
+pub use offline::{init, inspect, recover};
 pub use settings::GroupSettings;
 pub use thread::start;
 
--- a/src/group/offline.rs
+++ b/src/group/offline.rs
@@ -3,7 +3,7 @@
 use super::settings::GroupSettings;
 use super::store::{Identity, Store, StoreError, NEWEST_FOLDER_FORMAT};
 use super::{random_id, GroupError};
-use driftgap_group::{Loaded, Member, Settings};
+use driftgap_group::{Member, Settings, StoredMember};
 use std::path::Path;
 
 /// Begins a new group, with this member alone in it; others are admitted as they come.
@@ -14,7 +14,7 @@
     let address = settings.address_of(name)?;
     let mut store = Store::open(&folder.join(settings.folder_of(name)?))?;
     let (group, nonce) = (random_id(), random_id());
-    let loaded = Loaded::first(group, name, &address, nonce);
+    let loaded = StoredMember::first(group, name, &address, nonce);
     let identity = Identity::new(group, name, loaded.id, nonce);
     store.begin(&identity, &loaded)?;
     Ok(group)
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// It cannot be used: which record, or who holds it.
-pub fn look(settings: &GroupSettings, folder: &Path, name: &str) -> Result<String, GroupError> {
+pub fn inspect(settings: &GroupSettings, folder: &Path, name: &str) -> Result<String, GroupError> {
     let path = folder.join(settings.folder_of(name)?);
     let store = Store::open(&path)?;
     let Some(identity) = store.identity(name, NEWEST_FOLDER_FORMAT)? else {
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     /// The field that it lacks.
-    pub fn judge_for(&self, name: &str) -> Result<(), GroupError> {
+    pub fn validate_for(&self, name: &str) -> Result<(), GroupError> {
         if self.members.contains_key(name) {
             self.folder_of(name)?;
             self.listen_of(name)?;
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// The field and what is wrong with it.
-    pub fn judge(&self) -> Result<(), (&'static str, String)> {
+    pub fn validate(&self) -> Result<(), (&'static str, String)> {
         if let Some(name) = self.members.keys().find(|name| !is_name(name)) {
             return Err(("group.members", format!("{name:?} is no name of a member")));
         }
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -12,7 +12,7 @@
 pub use error::StoreError;
 pub use identity::Identity;
 
-use driftgap_group::{Batch, EntryRecord, Loaded, State, NEWEST_FORMAT, OLDEST_FORMAT};
+use driftgap_group::{Batch, EntryRecord, State, StoredMember, NEWEST_FORMAT, OLDEST_FORMAT};
 use error::disk_error;
 use redb::{
     Builder, Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend,
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// It holds a member already, or the disk refuses.
-    pub fn begin(&mut self, identity: &Identity, loaded: &Loaded) -> Result<(), StoreError> {
+    pub fn begin(&mut self, identity: &Identity, loaded: &StoredMember) -> Result<(), StoreError> {
         if self.format()?.is_some() {
             return Err(StoreError::Taken(self.path.clone()));
         }
@@ -149,11 +149,11 @@
     ///
     /// # Errors
     /// It holds no member, or a record is missing or spoilt.
-    pub fn load(&self) -> Result<Loaded, StoreError> {
+    pub fn load(&self) -> Result<StoredMember, StoreError> {
         let identity: Identity = self
             .head(IDENTITY_KEY)?
             .ok_or_else(|| StoreError::Empty(self.path.clone()))?;
-        Ok(Loaded {
+        Ok(StoredMember {
             group: identity.group,
             id: identity.id,
             hard: self.required(HARD_STATE_KEY)?,
--- a/src/group/store/tests.rs
+++ b/src/group/store/tests.rs
@@ -121,7 +121,7 @@
 
 fn begun(disk: &Disk) -> Result<Store, StoreError> {
     let mut store = Store::on(disk.clone())?;
-    store.begin(&identity(), &Loaded::first(7, "m0", "10.0.0.1:1", 1))?;
+    store.begin(&identity(), &StoredMember::first(7, "m0", "10.0.0.1:1", 1))?;
     Ok(store)
 }
 
@@ -247,7 +247,7 @@
         })
     ));
     assert!(matches!(
-        store.begin(&identity(), &Loaded::default()),
+        store.begin(&identity(), &StoredMember::default()),
         Err(StoreError::Taken(_))
     ));
     store
