--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -28,7 +28,7 @@
     /// The last index of the log that is carried out in it.
     pub applied: u64,
     /// Excluded endpoints.
-    pub out: BTreeSet<String>,
+    pub excluded: BTreeSet<String>,
     /// Documents.
     pub documents: BTreeMap<DocumentKind, Document>,
 }
@@ -226,7 +226,7 @@
     fn update_copy(&mut self, out: Option<Vec<String>>, documents: Vec<(DocumentKind, Document)>) {
         self.changed |= out.is_some() || !documents.is_empty();
         if let Some(out) = out {
-            self.copy.out = out.into_iter().collect();
+            self.copy.excluded = out.into_iter().collect();
         }
         self.copy.documents.extend(documents);
     }
--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -49,7 +49,7 @@
     /// The configuration is joint: until that ends a majority of the earlier voters is needed as well.
     pub changing: bool,
     /// The format version of the log.
-    pub form: u16,
+    pub format_version: u16,
 }
 
 impl Member {
@@ -89,7 +89,7 @@
             age_ms: self.age_ms(now_ms),
             members: self.health(),
             changing: !self.conf.voters_outgoing.is_empty(),
-            form: self.state.form(),
+            format_version: self.state.form(),
         }
     }
 
--- a/crates/group/src/state/apply.rs
+++ b/crates/group/src/state/apply.rs
@@ -70,21 +70,21 @@
     }
 
     fn suspend(&mut self, index: u64, endpoint: &str) -> Outcome {
-        if self.out.contains_key(endpoint) {
+        if self.excluded.contains_key(endpoint) {
             return Outcome::Before;
         }
         if endpoint.is_empty() || endpoint.len() > MAX_ENDPOINT_NAME {
             return Outcome::Refused;
         }
-        if self.out.len() >= MAX_EXCLUDED {
+        if self.excluded.len() >= MAX_EXCLUDED {
             return Outcome::TooMany;
         }
-        self.out.insert(endpoint.into(), index);
+        self.excluded.insert(endpoint.into(), index);
         Outcome::Done
     }
 
     fn restore(&mut self, endpoint: &str) -> Outcome {
-        match self.out.remove(endpoint) {
+        match self.excluded.remove(endpoint) {
             Some(_) => Outcome::Done,
             None => Outcome::Before,
         }
--- a/crates/group/src/state/mod.rs
+++ b/crates/group/src/state/mod.rs
@@ -81,7 +81,7 @@
     /// How often the list of excluded endpoints has changed.
     pub changes: u64,
     /// Excluded endpoints, and the index of the log since when.
-    pub out: BTreeMap<String, u64>,
+    pub excluded: BTreeMap<String, u64>,
     /// The last accepted ones.
     pub documents: BTreeMap<DocumentKind, Document>,
     /// Who is awaited, by name.
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -53,7 +53,7 @@
         Some(Frame::ReplicaUpdate {
             applied: member.applied(),
             age_ms,
-            out: list_changed.then(|| state.out.keys().cloned().collect()),
+            out: list_changed.then(|| state.excluded.keys().cloned().collect()),
             documents,
         })
     }
--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -149,7 +149,7 @@
     let copy = Replica {
         group: 77,
         applied: 12,
-        out: ["b".to_string()].into(),
+        excluded: ["b".to_string()].into(),
         documents: format_2.documents.clone(),
     };
     fixture.check("follower-copy", &copy);
--- a/crates/group/tests/faults.rs
+++ b/crates/group/tests/faults.rs
@@ -36,7 +36,7 @@
         world.until(15_000.0, World::whole);
         let back = world.nodes[leader].member().unwrap();
         assert!(
-            back.id() > 3 && back.state().out.contains_key("a"),
+            back.id() > 3 && back.state().excluded.contains_key("a"),
             "seed {seed}"
         );
     }
@@ -76,7 +76,7 @@
         world.nodes[gone].member().unwrap(),
         world.nodes[leader].member().unwrap().state(),
     );
-    assert_eq!(held.state().out, state.out);
+    assert_eq!(held.state().excluded, state.excluded);
     // The log is bounded: what is older than a few states is in none of them.
     let log = world.nodes[leader].disk.as_ref().unwrap().entries.len();
     assert!(log < 1000, "{log} entries are kept");
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -138,7 +138,7 @@
     fn all_hold(&self, name: &str) -> bool {
         self.beside
             .iter()
-            .all(|b| b.follower.copy().out.contains(name))
+            .all(|b| b.follower.copy().excluded.contains(name))
     }
 
     fn by_member(&self) -> Vec<usize> {
@@ -196,7 +196,7 @@
             "seed {seed}: {} opened",
             fleet.opened.len()
         );
-        let holds = |c: &Replica| c.out.len() == 2;
+        let holds = |c: &Replica| c.excluded.len() == 2;
         assert!(fleet.beside.iter().all(|b| holds(b.follower.copy())));
         let ages = fleet
             .beside
@@ -272,7 +272,7 @@
     let has = |b: &FollowerAt| {
         promised
             .iter()
-            .all(|name| b.follower.copy().out.contains(name))
+            .all(|name| b.follower.copy().excluded.contains(name))
     };
     let ms = fleet.until(40_000.0, |f| f.beside.iter().all(has));
     println!(
@@ -332,7 +332,7 @@
         let call = fleet.world.call(leader, What::Restore("a".into())).unwrap();
         fleet.until(2500.0, |f| f.world.seen[call].ended_ms.is_some());
         fleet.run(3000.0);
-        let held = &fleet.world.nodes[leader].member().unwrap().state().out;
+        let held = &fleet.world.nodes[leader].member().unwrap().state().excluded;
         assert!(held.is_empty(), "seed {seed}: {:?} {held:?}", fleet.ended);
     }
 }
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -326,7 +326,7 @@
         };
         if let What::Read(held) = &mut self.seen[seen].what {
             let state = self.nodes[i].member().unwrap().state();
-            *held = Some(state.out.keys().cloned().collect());
+            *held = Some(state.excluded.keys().cloned().collect());
         }
         if self.seen[seen].ended_ms.is_none() {
             self.seen[seen].ended_ms = Some(self.now_ms);
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -76,7 +76,7 @@
     fn update_view(&mut self) {
         let copy = self.follower.copy();
         self.view = View {
-            out: Arc::new(copy.out.clone()),
+            excluded: Arc::new(copy.excluded.clone()),
             documents: Arc::new(copy.documents.clone()),
             applied: copy.applied,
         };
@@ -89,7 +89,7 @@
             .documents
             .values()
             .any(|document| document.number == number);
-        self.view.out.contains(endpoint) && numbered
+        self.view.excluded.contains(endpoint) && numbered
     }
 
     /// What it knows of the group.
--- a/crates/scale/src/hollow/group/member.rs
+++ b/crates/scale/src/hollow/group/member.rs
@@ -101,8 +101,8 @@
             return;
         };
         let state = member.state();
-        if !self.view.out.iter().eq(state.out.keys()) {
-            self.view.out = Arc::new(state.out.keys().cloned().collect());
+        if !self.view.excluded.iter().eq(state.excluded.keys()) {
+            self.view.excluded = Arc::new(state.excluded.keys().cloned().collect());
         }
         if *self.view.documents != state.documents {
             self.view.documents = Arc::new(state.documents.clone());
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -129,7 +129,7 @@
         status.committed,
         age(status.age_ms),
         if status.changing { "yes" } else { "no" },
-        status.form,
+        status.format_version,
         members.collect::<Vec<_>>().join(",")
     );
     Answer {
@@ -355,7 +355,7 @@
             CallResult::Done(outcome, _) => {
                 // The answer says that it holds here, so it is put in force before the answer goes out. The latest
                 // view is taken: the group may have agreed on something later, which must not be undone.
-                let latest = group.view().borrow().out.clone();
+                let latest = group.view().borrow().excluded.clone();
                 self.dispatcher.set_group_exclusions(latest);
                 agreed(&self.dispatcher, call, outcome)
             }
@@ -407,7 +407,7 @@
 async fn group_exclusions(group: &Group) -> Answer {
     match group.read().await {
         CallResult::Done(_, view) => {
-            let excluded: Vec<&str> = view.out.iter().map(String::as_str).collect();
+            let excluded: Vec<&str> = view.excluded.iter().map(String::as_str).collect();
             Answer::yes(format!("at {}: {}", view.applied, excluded.join(" ")))
         }
         CallResult::Refused(why) => Answer::no(why),
--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -63,7 +63,7 @@
             Some(copy) => tracing::info!(
                 group = format!("{:x}", copy.group),
                 applied = copy.applied,
-                out = copy.out.len(),
+                out = copy.excluded.len(),
                 "goes on with the copy of an earlier start until a member is heard"
             ),
             None => tracing::warn!(
--- a/src/group/cached_replica/tests.rs
+++ b/src/group/cached_replica/tests.rs
@@ -9,7 +9,7 @@
     let copy = Replica {
         group: 7,
         applied: 12,
-        out: ["a".to_string()].into(),
+        excluded: ["a".to_string()].into(),
         ..Replica::default()
     };
     let bytes = encode(&copy);
@@ -30,7 +30,7 @@
     let copy = |applied, out: &str| Replica {
         group: 7,
         applied,
-        out: [out.to_string()].into(),
+        excluded: [out.to_string()].into(),
         ..Replica::default()
     };
     let replica = CachedReplica::open(&folder).unwrap();
--- a/src/group/call.rs
+++ b/src/group/call.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Excluded endpoints.
-    pub out: Arc<BTreeSet<String>>,
+    pub excluded: Arc<BTreeSet<String>>,
     /// The last accepted versions of what operators write.
     pub documents: Arc<BTreeMap<DocumentKind, Document>>,
     /// The last index of the log that is carried out here.
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -248,7 +248,7 @@
 /// A replica as the rest of the ingress sees it.
 fn view_of(copy: &Replica) -> View {
     View {
-        out: Arc::new(copy.out.clone()),
+        excluded: Arc::new(copy.excluded.clone()),
         documents: Arc::new(copy.documents.clone()),
         applied: copy.applied,
     }
--- a/src/group/member_task/progress.rs
+++ b/src/group/member_task/progress.rs
@@ -130,16 +130,16 @@
 /// The member's state as the rest of the ingress sees it. What has not changed is shared with the last view.
 fn next_view(last: &View, member: &Member) -> View {
     let state = member.state();
-    let out = match last.out.iter().eq(state.out.keys()) {
-        true => last.out.clone(),
-        false => Arc::new(state.out.keys().cloned().collect()),
+    let out = match last.excluded.iter().eq(state.excluded.keys()) {
+        true => last.excluded.clone(),
+        false => Arc::new(state.excluded.keys().cloned().collect()),
     };
     let documents = match *last.documents == state.documents {
         true => last.documents.clone(),
         false => Arc::new(state.documents.clone()),
     };
     View {
-        out,
+        excluded: out,
         documents,
         applied: member.applied(),
     }
--- a/src/group/member_task/statistics.rs
+++ b/src/group/member_task/statistics.rs
@@ -13,7 +13,7 @@
             term = status.term,
             applied = status.applied,
             age_ms = status.age_ms.round(),
-            form = status.form,
+            form = status.format_version,
             lags = lags(&status.members),
             links = self.links.values().filter(|link| link.is_up()).count(),
             followers = self.followers.len(),
--- a/src/group/offline.rs
+++ b/src/group/offline.rs
@@ -83,6 +83,6 @@
         identity.group,
         identity.id,
         store.format()?.unwrap_or(0),
-        member.state().out.len(),
+        member.state().excluded.len(),
     ))
 }
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -188,7 +188,7 @@
 /// Puts the group's exclusions in force whenever this ingress learns of a change.
 async fn apply_group_exclusions(dispatcher: Rc<Dispatcher>, mut view: watch::Receiver<View>) {
     loop {
-        let excluded = view.borrow_and_update().out.clone();
+        let excluded = view.borrow_and_update().excluded.clone();
         dispatcher.set_group_exclusions(excluded);
         if view.changed().await.is_err() {
             // The group's thread has ended: the last exclusions stay in force.
