--- a/crates/expr/src/error/tests.rs
+++ b/crates/expr/src/error/tests.rs
@@ -16,8 +16,7 @@
         error.line("r.toml", origin),
         "r.toml:41:3: no such name; did you mean b.d?"
     );
-    let want =
-        "r.toml:41:3: no such name\n   |\n41 |   b.c ==\n   |   ^^^\n   = did you mean b.d?";
+    let want = "r.toml:41:3: no such name\n   |\n41 |   b.c ==\n   |   ^^^\n   = did you mean b.d?";
     assert_eq!(error.render("r.toml", origin), want);
     assert_eq!(Error::new(0..1, "x").located(text).position(origin), origin);
 }
--- a/crates/expr/src/facts/tests.rs
+++ b/crates/expr/src/facts/tests.rs
@@ -72,8 +72,7 @@
         },
     );
     assert!(
-        not.get(&PLACE).unwrap().never_begins("/ab")
-            && !not.get(&PLACE).unwrap().never_begins("/")
+        not.get(&PLACE).unwrap().never_begins("/ab") && !not.get(&PLACE).unwrap().never_begins("/")
     );
     assert_eq!(
         not.meet(super::tests::fact(Texts::In(texts(&["/ab"])))),
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -113,8 +113,8 @@
     pub(crate) help: String,
 }
 
-/// Whether a rule may match a command of the platform's own.
-pub(crate) fn may_be_command(facts: &Facts) -> bool {
+/// Whether a rule may match a request of the platform's own protocol.
+pub(crate) fn may_be_platform_request(facts: &Facts) -> bool {
     !facts
         .get(&Path::Field(field::PATH))
         .is_some_and(|fact| fact.never_begins(COMMANDS))
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -11,15 +11,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod content;
+mod content_hash;
 mod cost;
 mod document;
 mod effect;
 mod environment;
 mod explain;
+mod expression_reader;
 mod fault;
 mod limit;
-mod mapping;
+mod mapped_request;
 mod names;
 mod pool;
 mod read;
@@ -37,10 +38,10 @@
 pub use fault::Fault;
 pub use limit::{Allowance, Limit, Ticket};
 pub use pool::{ANY, MAX_POOLS};
-pub use read::{ReadOptions, ReadReport, DEFAULT_MOST_BYTES};
+pub use read::{ReadOptions, DEFAULT_MAX_BYTES};
 pub use request::{
     bound, endpoint_schema, request_schema, Endpoint, Headers, NoHeaders, Request, MAX_HEADER,
     MAX_HEADERS, MAX_LABELS, MAX_NAME, MAX_PATH,
 };
 pub use route::{Mapped, Replaced, Route, Router, TooSoon, Verdict, ALL};
-pub use rules::Rules;
+pub use rules::{ReadReport, Rules};
--- /dev/null
+++ b/crates/routes/src/mapped_request.rs
@@ -0,0 +1,236 @@
+//! Checks of those expressions of a rule that map an HTTP request to a request for one of the service's classes: the
+//! class itself, the units, the plan, the tenant and the rest. What cannot be proved when the file is read (the
+//! class exists and is as strict as the request's effect, the client's own units stay) is refused.
+
+use crate::effect::{self, Effect, Unfit};
+use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
+use crate::names::nearest;
+use crate::reader::Text;
+use crate::request::field;
+use crate::rule::{PartName, Parts};
+use driftgap_expr::{Expression, Outcome, Type};
+
+/// Keys that have a meaning only beside `class`.
+const KEYS: [&str; 8] = [
+    "plan", "partner", "units", "id", "deadline", "spread", "first", "terms",
+];
+/// Names of the terms that the platform's protocol defines; a rule must not set them a second time.
+const PROTOCOL_TERMS: [&str; 7] = ["c", "t", "d", "r", "units", "spread", "first"];
+/// Longest name of a term, bytes.
+const MAX_TERM_NAME: usize = 32;
+
+/// Reads the expressions that map a request to one of the service's classes.
+pub(crate) struct MappedRequestReader<'e, 'a, 'r, 't> {
+    expressions: &'e mut ExpressionReader<'a, 'r, 't>,
+}
+
+impl<'e, 'a, 'r, 't> MappedRequestReader<'e, 'a, 'r, 't> {
+    pub(crate) fn new(expressions: &'e mut ExpressionReader<'a, 'r, 't>) -> Self {
+        MappedRequestReader { expressions }
+    }
+
+    /// The expressions in the order of evaluation. Empty: the rule maps no request, or its class is wrong.
+    pub(crate) fn read(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) -> Parts {
+        if rule.table.get("class").is_none() {
+            self.refuse_without_class(rule);
+            return Parts::new();
+        }
+        self.refuse_platform_requests(rule, matched);
+        let class = self.class(rule, matched);
+        let units = self.units(rule, matched);
+        let plan = self.plan(rule, matched);
+        self.refuse_missing(rule, matched, class.as_ref());
+        let mut read = |key: &str, want: Type| {
+            self.expressions
+                .expression(rule.table, key, matched.facts, &want)
+        };
+        let partner = read("partner", Type::Text);
+        let id = read("id", Type::Text);
+        let deadline = read("deadline", Type::Duration);
+        let spread = read("spread", Type::Int);
+        let first = read("first", Type::Int);
+        let terms = self
+            .expressions
+            .named(rule.table, "terms", matched.facts, is_term_name);
+        let Some(class) = class else {
+            return Parts::new();
+        };
+        let in_order = [
+            (PartName::Class, Some(class)),
+            (PartName::Plan, plan),
+            (PartName::Partner, partner),
+            (PartName::Id, id),
+            (PartName::Units, units),
+            (PartName::Deadline, deadline),
+            (PartName::Spread, spread),
+            (PartName::First, first),
+        ];
+        let set = in_order
+            .into_iter()
+            .filter_map(|(name, expression)| Some((name, expression?)));
+        let terms = terms
+            .into_iter()
+            .map(|(name, term)| (PartName::Term(name), term));
+        set.chain(terms).collect()
+    }
+
+    /// Refuses keys that have no meaning without `class`.
+    fn refuse_without_class(&mut self, rule: &RuleFields<'_, '_>) {
+        for key in KEYS {
+            if let Some(value) = rule.table.get(key) {
+                let help = Some("a rule with `class` makes a command of a request".into());
+                self.expressions.values.fault(
+                    value.span(),
+                    format!("`{key}` stands without `class`"),
+                    help,
+                );
+            }
+        }
+    }
+
+    /// Refuses a rule that may match a request of the platform's own protocol: it keeps the class that its client
+    /// names.
+    fn refuse_platform_requests(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) {
+        if !matched.test_is_valid || !effect::may_be_platform_request(matched.facts) {
+            return;
+        }
+        let help = format!(
+            "a rule with `class` is for other paths than {}...: test request.path in `when`",
+            effect::COMMANDS
+        );
+        let problem =
+            "the rule may match a command of the platform's own, whose class and units are the client's word";
+        let span = rule
+            .table
+            .get("class")
+            .map_or(rule.span.clone(), |class| class.span());
+        self.expressions.values.fault(span, problem, Some(help));
+    }
+
+    /// The class; every branch must be a class that is as strict as the requests it is for.
+    fn class(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) -> Option<Expression> {
+        let (class, text) =
+            self.expressions
+                .with_text(rule.table, "class", matched.facts, &Type::Text)?;
+        if matched.test_is_valid {
+            let classes = &self.expressions.environment.catalog.classes;
+            let effect_of = |name: &str| classes.iter().find(|(n, _)| n == name).map(|(_, e)| *e);
+            let nearest = |name: &str| nearest(name, classes.iter().map(|(n, _)| n.as_str()));
+            let unfit = effect::class(
+                &class,
+                &self.expressions.environment.declared,
+                effect_of,
+                nearest,
+            );
+            self.refuse_unfit(&class, &text, unfit);
+        }
+        Some(class)
+    }
+
+    /// The units; a value that the client names must stay.
+    fn units(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) -> Option<Expression> {
+        let (units, text) =
+            self.expressions
+                .with_text(rule.table, "units", matched.facts, &Type::Double)?;
+        if matched.test_is_valid {
+            let unfit = effect::units(&units, self.expressions.environment.catalog.max_units);
+            self.refuse_unfit(&units, &text, unfit);
+        }
+        Some(units)
+    }
+
+    /// The plan; what is written out must be a plan of the catalog.
+    fn plan(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) -> Option<Expression> {
+        let (plan, text) =
+            self.expressions
+                .with_text(rule.table, "plan", matched.facts, &Type::Text)?;
+        let plans = &self.expressions.environment.catalog.plans;
+        for way in plan.ways().unwrap_or(&[]) {
+            let Outcome::Text(name) = &way.outcome else {
+                continue;
+            };
+            if !plans.contains(name) {
+                let help = nearest(name, plans.iter().map(String::as_str));
+                let error =
+                    plan.fault(way.span.clone(), format!("there is no plan {name:?}"), help);
+                self.expressions.values.expression_fault(&text, &error);
+            }
+        }
+        Some(plan)
+    }
+
+    fn refuse_unfit(&mut self, expression: &Expression, text: &Text, unfit: Vec<Unfit>) {
+        for unfit in unfit {
+            let error = expression.fault(unfit.span, unfit.problem, unfit.help);
+            self.expressions.values.expression_fault(text, &error);
+        }
+    }
+
+    /// Refuses a rule that leaves out what every request needs, unless its test ensures that the client names it.
+    fn refuse_missing(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+        class: Option<&Expression>,
+    ) {
+        for (key, place) in [
+            ("plan", field::PLAN),
+            ("partner", field::PARTNER),
+            ("units", field::UNITS),
+        ] {
+            if matched.may_lack(rule, key, place) {
+                let help = format!("give it, or test has(request.{key}) in `when`");
+                self.expressions.values.fault(
+                    rule.span.clone(),
+                    format!("a command needs `{key}`"),
+                    Some(help),
+                );
+            }
+        }
+        let deduplicates = class.is_some_and(|class| self.deduplicates(class));
+        if deduplicates && matched.may_lack(rule, "id", field::ID) {
+            let help = Some("give it, or test has(request.id) in `when`".into());
+            let problem = "a class whose repeats are discarded by their id needs `id`";
+            self.expressions
+                .values
+                .fault(rule.span.clone(), problem, help);
+        }
+    }
+
+    /// Whether the class may be one whose endpoints deduplicate requests by their id.
+    fn deduplicates(&self, class: &Expression) -> bool {
+        let classes = &self.expressions.environment.catalog.classes;
+        let is_token = |name: &str| {
+            classes
+                .iter()
+                .any(|(n, effect)| n == name && *effect == Effect::Token)
+        };
+        let mut ways = class.ways().unwrap_or(&[]).iter();
+        ways.any(|way| matches!(&way.outcome, Outcome::Text(name) if is_token(name)))
+    }
+}
+
+fn is_term_name(name: &str) -> bool {
+    let plain = name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_');
+    plain && name.len() <= MAX_TERM_NAME && !PROTOCOL_TERMS.contains(&name)
+}
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -11,9 +11,9 @@
 /// The name that stands for all endpoints.
 pub const ANY: &str = "any";
 /// Longest time that a rule or a pool sends a client away, ms.
-pub(crate) const MAX_AWAY: f64 = 600_000.0;
+pub(crate) const MAX_RETRY_AFTER_MS: f64 = 600_000.0;
 /// When a client is to come back to a pool without a ready endpoint unless the file says otherwise, ms.
-const DEFAULT_AWAY: f64 = 1000.0;
+const DEFAULT_RETRY_AFTER_MS: f64 = 1000.0;
 
 /// Where a pool's requests go while none of its endpoints is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -112,7 +112,7 @@
 ) -> Option<Pool> {
     values.known_keys(fields, &["name", "when", "fallback", "after"]);
     let fallback = fallback(values, fields, names);
-    let retry_after_ms = time(values, fields, "after", DEFAULT_AWAY);
+    let retry_after_ms = retry_after_ms(values, fields, "after", DEFAULT_RETRY_AFTER_MS);
     let Some(when) = fields.get("when") else {
         values.fault(value.span(), format!("pool {name:?} has no `when`"), None);
         return None;
@@ -176,7 +176,7 @@
 }
 
 /// A time after which a client is to come back, ms.
-pub(crate) fn time(
+pub(crate) fn retry_after_ms(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
     key: &str,
@@ -185,7 +185,7 @@
     let Some(text) = fields.get(key).and_then(|after| values.string(after)) else {
         return absent;
     };
-    match duration(&text.text).filter(|ms| (0.0..=MAX_AWAY).contains(ms)) {
+    match duration(&text.text).filter(|ms| (0.0..=MAX_RETRY_AFTER_MS).contains(ms)) {
         Some(ms) => ms,
         None => {
             let help = Some("a time up to 10m, such as \"250ms\" or \"1.5s\", was expected".into());
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -1,10 +1,11 @@
 //! Reading a file of rules: every rule that stood in the file before is taken over, only the others are parsed,
 //! checked and compiled. A file that is wrong anywhere yields no rules but all of its faults.
 
-use crate::content::ContentHash;
+use crate::content_hash::ContentHash;
 use crate::cost::worst_request;
 use crate::document::{Document, Excerpt, RULES};
 use crate::environment::{ceilings, effects, known_parts, Catalog, Ceilings, Environment};
+use crate::expression_reader::RuleFields;
 use crate::fault::Fault;
 use crate::limit::Limit;
 use crate::names;
@@ -12,8 +13,8 @@
 use crate::reader::{Reader, Value, Values};
 use crate::request::request_schema;
 use crate::rule::{CheckedRule, Rule, RuleLimit, Shared};
-use crate::rule_reader::{refuse_second, RuleFields, RuleReader};
-use crate::rules::{lock, RuleSet, Rules};
+use crate::rule_reader::{refuse_second, RuleReader};
+use crate::rules::{lock, ReadReport, RuleSet, Rules};
 use crate::takeover::Previous;
 use driftgap_expr::{Schema, Selector};
 use std::collections::HashSet;
@@ -22,7 +23,7 @@
 use toml::de::DeTable;
 
 /// Bytes that reading a file may take unless told otherwise.
-pub const DEFAULT_MOST_BYTES: usize = 64 * 1024 * 1024;
+pub const DEFAULT_MAX_BYTES: usize = 64 * 1024 * 1024;
 /// Bytes that are planned for each byte of what is parsed in one piece. Lists, tables and texts take up to 122;
 /// only keys of many dots take more, up to 333 were seen.
 const PARSED_FACTOR: usize = 128;
@@ -43,18 +44,41 @@
     fn default() -> Self {
         ReadOptions {
             previous: None,
-            max_bytes: DEFAULT_MOST_BYTES,
+            max_bytes: DEFAULT_MAX_BYTES,
         }
     }
 }
 
-/// What reading a file took.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReadReport {
-    /// Rules that were taken over.
-    pub taken_over: usize,
-    /// Rules that were parsed, checked and compiled.
-    pub compiled: usize,
+impl Rules {
+    /// Reads a file's text; `file` is its name in messages.
+    ///
+    /// # Errors
+    /// Every fault of the file, 100 at most.
+    pub fn read(text: &str, file: &str, catalog: &Catalog) -> Result<Rules, Vec<Fault>> {
+        Rules::read_part(text, file, None, catalog, &ReadOptions::default())
+    }
+
+    /// Reads the table `part` of a file that holds other things as well, or the whole file where there is none.
+    /// Unchanged rules of [`ReadOptions::previous`] are taken over, unless the pools' names, the effects, the
+    /// cost ceiling of an expression or the catalog have changed: then every rule is compiled anew.
+    ///
+    /// # Errors
+    /// Every fault of that table, 100 at most; the previous rules stay as they are.
+    pub fn read_part(
+        text: &str,
+        file: &str,
+        part: Option<&str>,
+        catalog: &Catalog,
+        options: &ReadOptions<'_>,
+    ) -> Result<Rules, Vec<Fault>> {
+        let input = Input {
+            text,
+            file,
+            part,
+            catalog,
+        };
+        read(&input, options, None)
+    }
 }
 
 /// What is read.
@@ -366,13 +390,7 @@
         let names = &self.names;
         let is_named = |name: &str| names.contains(&ContentHash::of(name));
         let (schema, is_named) = (&self.schema, &is_named);
-        let read = RuleReader {
-            values: &mut values,
-            environment,
-            schema,
-            is_named,
-        }
-        .read(fields);
+        let read = RuleReader::new(&mut values, environment, schema, is_named).read(fields);
         if let Some(name) = &read.name {
             self.names.insert(ContentHash::of(&*name.text));
         }
--- a/crates/routes/src/route.rs
+++ b/crates/routes/src/route.rs
@@ -3,7 +3,7 @@
 //! chooses no endpoint: that is the decision module's, among those of the pool.
 
 use crate::limit::{Limit, Ticket};
-use crate::pool::{Fallback, ANY, MAX_AWAY, MAX_POOLS};
+use crate::pool::{Fallback, ANY, MAX_POOLS, MAX_RETRY_AFTER_MS};
 use crate::request::{cut, Endpoint, Request, View};
 use crate::rule::{Part, PartName, Rule, Shared};
 use crate::rules::{RuleSet, Rules};
@@ -526,7 +526,7 @@
 /// A refusal by a rule; or why there is none.
 fn nack(nack: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> End {
     match nack.eval(view, scratch) {
-        Ok(Some(Value::Duration(ms))) => End::Reject((ms as f64).clamp(0.0, MAX_AWAY)),
+        Ok(Some(Value::Duration(ms))) => End::Reject((ms as f64).clamp(0.0, MAX_RETRY_AFTER_MS)),
         Ok(_) => End::Fault(Fault::Input),
         Err(fault) => End::Fault(fault),
     }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -1,6 +1,6 @@
 //! A rule as it is kept: its compiled test, and what it does, which rules that do the same share.
 
-use crate::content::ContentHash;
+use crate::content_hash::ContentHash;
 use crate::limit::{Allowance, Limit};
 use driftgap_expr::{Compiled, Expression, Interner, SelectKey};
 use std::collections::HashSet;
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -1,16 +1,14 @@
-//! Reads and checks one rule: its name, its test, its pool, limit, notes and refusal.
+//! Reads and checks one rule: its name, its test, and what it does with a request that matches.
 
 use crate::environment::Environment;
+use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
 use crate::limit::Allowance;
-use crate::mapping::Matched;
+use crate::mapped_request::MappedRequestReader;
 use crate::names;
-use crate::pool::{nearest_pool, time, ANY};
+use crate::pool::{nearest_pool, retry_after_ms, ANY};
 use crate::reader::{Text, Values};
 use crate::rule::{CheckedRule, LimitSpec, PartName, Parts};
 use driftgap_expr::{Expression, Facts, Outcome, Schema, Type};
-use std::collections::BTreeMap;
-use std::ops::Range;
-use std::sync::Arc;
 use toml::de::{DeTable, DeValue};
 
 /// Keys of a rule.
@@ -20,21 +18,20 @@
 ];
 /// Keys that make a rule do something.
 const ACTIONS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
-/// Most notes, and most terms, of one rule.
-const MAX_NOTES: usize = 8;
-/// Longest name of a note.
+/// Keys of a limit.
+const LIMIT_KEYS: [&str; 6] = ["key", "rate", "burst", "at_once", "after", "keys"];
+/// Longest name of a note, bytes.
 const MAX_NOTE_NAME: usize = 32;
+/// Lowest rate of a limit, requests a second: one request in about 17 minutes.
+const MIN_RATE: f64 = 0.001;
+/// Highest rate, burst, concurrency and number of keys of a limit.
+const MAX_LIMIT: f64 = 1e6;
+/// Fewest keys that a limit remembers: one set of its table.
+const MIN_KEYS: f64 = 8.0;
 /// Keys that a limit remembers unless the file says otherwise.
 const DEFAULT_KEYS: f64 = 16_384.0;
-/// When a client is to come back to an at-once limit unless the file says otherwise, ms.
-const DEFAULT_LIMIT_AWAY: f64 = 250.0;
-
-/// The fields of one rule.
-pub(crate) struct RuleFields<'v, 'd> {
-    pub(crate) table: &'v DeTable<'d>,
-    /// Where faults about the rule as a whole are told.
-    pub(crate) span: Range<usize>,
-}
+/// When a client is to retry after a concurrency limit unless the file says otherwise, ms.
+const DEFAULT_LIMIT_RETRY_AFTER_MS: f64 = 250.0;
 
 /// A rule as far as it could be read.
 pub(crate) struct ReadRule {
@@ -45,151 +42,132 @@
 
 /// Reads one rule.
 pub(crate) struct RuleReader<'a, 'r, 't> {
-    pub(crate) values: &'a mut Values<'r, 't>,
-    pub(crate) environment: &'a Environment,
-    pub(crate) schema: &'a Schema,
-    /// Whether a rule of this name stands further up.
-    pub(crate) is_named: &'a dyn Fn(&str) -> bool,
+    expressions: ExpressionReader<'a, 'r, 't>,
+    /// Whether an earlier rule of the file has this name.
+    is_used: &'a dyn Fn(&str) -> bool,
 }
 
-impl RuleReader<'_, '_, '_> {
-    /// Reads a rule and notes every fault of it.
-    pub(crate) fn read(&mut self, fields: &RuleFields<'_, '_>) -> ReadRule {
-        self.values.known_keys(fields.table, &KEYS);
-        let name = names::name(self.values, fields.table, fields.span.clone());
-        if let Some(name) = name.as_ref().filter(|name| (self.is_named)(&name.text)) {
-            refuse_second(self.values, name);
+impl<'a, 'r, 't> RuleReader<'a, 'r, 't> {
+    /// A reader for one rule; `is_used` tells whether an earlier rule of the file has a name.
+    pub(crate) fn new(
+        values: &'a mut Values<'r, 't>,
+        environment: &'a Environment,
+        schema: &'a Schema,
+        is_used: &'a dyn Fn(&str) -> bool,
+    ) -> Self {
+        let expressions = ExpressionReader {
+            values,
+            environment,
+            schema,
+        };
+        RuleReader {
+            expressions,
+            is_used,
         }
-        let when = self.when(fields.table);
+    }
+
+    /// Reads a rule and notes every fault of it.
+    pub(crate) fn read(&mut self, rule: &RuleFields<'_, '_>) -> ReadRule {
+        let name = self.name(rule);
+        let when = self.when(rule.table);
         let facts = when
             .as_ref()
             .and_then(|when| when.when_true().cloned())
             .unwrap_or_default();
-        let matched = Matched {
+        let matched = MatchedRequest {
             facts: &facts,
-            certain: when.is_some(),
+            test_is_valid: when.is_some(),
         };
-        let mapping = self.mapping(fields, &matched);
-        let pool = self.pool(fields.table, &facts);
-        let limit = self.limit(fields.table, &facts);
-        let notes = self.named(fields.table, "notes", &facts, is_note);
-        let nack = self
-            .part(fields.table, "nack", &facts, &Type::Duration)
-            .map(|(nack, _)| nack);
-        let goes_on = self.goes_on(fields.table);
-        let acts = ACTIONS.iter().any(|key| fields.table.contains_key(*key));
-        if !acts && goes_on {
-            let help = Some("class, pool, limit, notes or nack was expected".into());
-            self.values
-                .fault(fields.span.clone(), "the rule does nothing", help);
+        let (parts, limit) = self.parts(rule, &matched);
+        let goes_on = self.goes_on(rule.table);
+        self.refuse_without_action(rule, goes_on);
+        let checked = name.as_ref().zip(when).map(|(name, when)| CheckedRule {
+            name: name.text.clone(),
+            when,
+            parts,
+            limit,
+            goes_on,
+        });
+        ReadRule { name, checked }
+    }
+
+    /// The rule's name, if it has a usable one.
+    fn name(&mut self, rule: &RuleFields<'_, '_>) -> Option<Text> {
+        let values = &mut *self.expressions.values;
+        values.known_keys(rule.table, &KEYS);
+        let name = names::name(values, rule.table, rule.span.clone())?;
+        if (self.is_used)(&name.text) {
+            refuse_second(values, &name);
         }
+        Some(name)
+    }
+
+    /// What the rule does, in the order of evaluation, and its limit.
+    fn parts(
+        &mut self,
+        rule: &RuleFields<'_, '_>,
+        matched: &MatchedRequest<'_>,
+    ) -> (Parts, Option<LimitSpec>) {
+        let mapping = MappedRequestReader::new(&mut self.expressions).read(rule, matched);
+        let pool = self.pool(rule.table, matched.facts);
+        let limit = self.limit(rule.table, matched.facts);
+        let notes = self
+            .expressions
+            .named(rule.table, "notes", matched.facts, is_note_name);
+        let rejection =
+            self.expressions
+                .expression(rule.table, "nack", matched.facts, &Type::Duration);
         let (limit_key, limit) = limit.unzip();
-        // In the order in which they are evaluated.
         let mut parts = Parts::new();
-        parts.extend(nack.map(|nack| (PartName::Reject, nack)));
+        parts.extend(rejection.map(|rejection| (PartName::Reject, rejection)));
         parts.extend(pool.map(|pool| (PartName::Pool, pool)));
-        parts.extend(
-            notes
-                .into_iter()
-                .map(|(name, note)| (PartName::Note(name), note)),
-        );
+        let notes = notes.into_iter();
+        parts.extend(notes.map(|(name, note)| (PartName::Note(name), note)));
         parts.extend(mapping);
         parts.extend(limit_key.map(|key| (PartName::LimitKey, key)));
-        let checked = match (&name, when) {
-            (Some(name), Some(when)) => {
-                let name = name.text.clone();
-                Some(CheckedRule {
-                    name,
-                    when,
-                    parts,
-                    limit,
-                    goes_on,
-                })
-            }
-            _ => None,
-        };
-        ReadRule { name, checked }
+        (parts, limit)
+    }
+
+    /// Refuses a rule that would have no effect on any request.
+    fn refuse_without_action(&mut self, rule: &RuleFields<'_, '_>, goes_on: bool) {
+        let acts = ACTIONS.iter().any(|key| rule.table.contains_key(*key));
+        if !acts && goes_on {
+            let help = Some("class, pool, limit, notes or nack was expected".into());
+            let span = rule.span.clone();
+            self.expressions
+                .values
+                .fault(span, "the rule does nothing", help);
+        }
     }
 
-    /// The test; none: it is wrong, and the other parts are read knowing nothing.
+    /// The test. None: it is wrong, and the other expressions are checked without facts.
     fn when(&mut self, table: &DeTable<'_>) -> Option<Expression> {
         if !table.contains_key("when") {
-            return Expression::new("true", self.schema).ok();
+            return Expression::new("true", self.expressions.schema).ok();
         }
-        let (when, text) = self.part(table, "when", &Facts::default(), &Type::Bool)?;
+        let (when, text) =
+            self.expressions
+                .with_text(table, "when", &Facts::default(), &Type::Bool)?;
         if when.when_true().is_none() {
-            let error = when.fault(
-                0..when.text().len(),
-                "this is never true",
-                "the rule has no effect",
-            );
-            self.values.expression_fault(&text, &error);
+            let span = 0..when.text().len();
+            let error = when.fault(span, "this is never true", "the rule has no effect");
+            self.expressions.values.expression_fault(&text, &error);
         }
         Some(when)
     }
 
-    /// An expression by its key, if there is one.
-    pub(crate) fn part(
-        &mut self,
-        table: &DeTable<'_>,
-        key: &str,
-        facts: &Facts,
-        want: &Type,
-    ) -> Option<(Expression, Text)> {
-        let text = table.get(key).and_then(|value| self.values.string(value))?;
-        let expression = self.values.expression(&text, self.schema, facts, want)?;
-        Some((expression, text))
-    }
-
-    /// A table of expressions by names that `fits` allows.
-    pub(crate) fn named(
-        &mut self,
-        table: &DeTable<'_>,
-        key: &str,
-        facts: &Facts,
-        fits: impl Fn(&str) -> bool,
-    ) -> BTreeMap<Arc<str>, Expression> {
-        let mut found = BTreeMap::new();
-        let Some(value) = table.get(key) else {
-            return found;
-        };
-        let Some(table) = self.values.table(value) else {
-            return found;
-        };
-        if table.len() > MAX_NOTES {
-            self.values
-                .fault(value.span(), format!("more than {MAX_NOTES} {key}"), None);
-        }
-        for (name, value) in table.iter().take(MAX_NOTES) {
-            let text: &str = name.get_ref();
-            if text.is_empty() || !fits(text) {
-                self.values.fault(
-                    name.span(),
-                    format!("the name cannot stand in `{key}`"),
-                    None,
-                );
-                continue;
-            }
-            let Some(part) = self.values.string(value) else {
-                continue;
-            };
-            let expression = self
-                .values
-                .expression(&part, self.schema, facts, &Type::Text);
-            found.extend(expression.map(|expression| (text.into(), expression)));
-        }
-        found
-    }
-
+    /// The pool, which must be written out on every branch so that it is known before use.
     fn pool(&mut self, table: &DeTable<'_>, facts: &Facts) -> Option<Expression> {
-        let (pool, text) = self.part(table, "pool", facts, &Type::Text)?;
+        let (pool, text) = self
+            .expressions
+            .with_text(table, "pool", facts, &Type::Text)?;
         let Some(ways) = pool.ways() else {
             let problem = "the pool has too many ways to tell apart";
             let error = pool.fault(0..pool.text().len(), problem, "fewer branches");
-            self.values.expression_fault(&text, &error);
+            self.expressions.values.expression_fault(&text, &error);
             return None;
         };
-        let pools = &self.environment.pools;
+        let pools = &self.expressions.environment.pools;
         for way in ways {
             let (problem, help) = match &way.outcome {
                 Outcome::Text(name) if name == ANY || pools.contains(name) => continue,
@@ -203,7 +181,7 @@
                 ),
             };
             let error = pool.fault(way.span.clone(), problem, help);
-            self.values.expression_fault(&text, &error);
+            self.expressions.values.expression_fault(&text, &error);
         }
         Some(pool)
     }
@@ -211,82 +189,83 @@
     /// A limit: its key, and what it allows.
     fn limit(&mut self, table: &DeTable<'_>, facts: &Facts) -> Option<(Expression, LimitSpec)> {
         let value = table.get("limit")?;
-        let span = value.span();
-        let limit = self.values.table(value)?;
-        self.values
-            .known_keys(limit, &["key", "rate", "burst", "at_once", "after", "keys"]);
+        let limit = self.expressions.values.table(value)?;
+        self.expressions.values.known_keys(limit, &LIMIT_KEYS);
         if limit.get("key").is_none() {
             let help = "key = '\"all\"' is one for all requests";
-            self.values
-                .fault(span.clone(), "a limit needs `key`", Some(help.into()));
+            self.expressions
+                .values
+                .fault(value.span(), "a limit needs `key`", Some(help.into()));
         }
-        let key = self.part(limit, "key", facts, &Type::Text);
-        let mut number = |name: &str, min: f64, max: f64| {
-            limit
-                .get(name)
-                .map(|value| self.values.number(value, min..=max))
-        };
-        let (rate, burst) = (number("rate", 0.001, 1e6), number("burst", 1.0, 1e6));
-        let (at_once, keys) = (number("at_once", 1.0, 1e6), number("keys", 8.0, 1e6));
+        let key = self.expressions.with_text(limit, "key", facts, &Type::Text);
+        let rate = self.number(limit, "rate", MIN_RATE);
+        let burst = self.number(limit, "burst", 1.0);
+        let at_once = self.number(limit, "at_once", 1.0);
+        let keys = self.number(limit, "keys", MIN_KEYS);
         let allowance = match (rate, burst, at_once) {
             (Some(rate), burst, None) => {
                 let rate = rate?;
-                Allowance::Rate {
-                    rate,
-                    burst: burst.unwrap_or(Some(rate.max(1.0)))?,
-                }
-            }
-            (None, None, Some(max)) => {
-                let retry_after_ms = time(self.values, limit, "after", DEFAULT_LIMIT_AWAY);
-                Allowance::AtOnce {
-                    max: max? as u32,
-                    retry_after_ms,
-                }
+                let burst = burst.unwrap_or(Some(rate.max(1.0)))?;
+                Allowance::Rate { rate, burst }
             }
+            (None, None, Some(max)) => self.concurrency(limit, max)?,
             _ => {
-                let help =
-                    Some("`rate` with `burst`, or `at_once` with `after`, was expected".into());
-                self.values.fault(span, "the limit is not whole", help);
+                let help = "`rate` with `burst`, or `at_once` with `after`, was expected";
+                self.expressions.values.fault(
+                    value.span(),
+                    "the limit is not whole",
+                    Some(help.into()),
+                );
                 return None;
             }
         };
         let (key, text) = key?;
-        let keys = keys.unwrap_or(Some(DEFAULT_KEYS))? as usize;
-        Some((
-            key,
-            LimitSpec {
-                key: text.text.into(),
-                allowance,
-                keys,
-            },
-        ))
+        let spec = LimitSpec {
+            key: text.text.into(),
+            allowance,
+            keys: keys.unwrap_or(Some(DEFAULT_KEYS))? as usize,
+        };
+        Some((key, spec))
     }
 
+    /// The number under a key of a limit, where the key is there; none within: it is wrong, which is noted.
+    fn number(&mut self, limit: &DeTable<'_>, key: &str, min: f64) -> Option<Option<f64>> {
+        let value = limit.get(key)?;
+        Some(self.expressions.values.number(value, min..=MAX_LIMIT))
+    }
+
+    /// A limit on concurrent requests.
+    fn concurrency(&mut self, limit: &DeTable<'_>, max: Option<f64>) -> Option<Allowance> {
+        let default = DEFAULT_LIMIT_RETRY_AFTER_MS;
+        let retry_after_ms = retry_after_ms(self.expressions.values, limit, "after", default);
+        Some(Allowance::AtOnce {
+            max: max? as u32,
+            retry_after_ms,
+        })
+    }
+
+    /// Whether later rules are evaluated after this one has matched.
     fn goes_on(&mut self, table: &DeTable<'_>) -> bool {
-        match table
-            .get("go_on")
-            .map(|value| (value.get_ref(), value.span()))
-        {
-            None => false,
-            Some((DeValue::Boolean(goes_on), _)) => *goes_on,
-            Some((_, span)) => {
-                self.values.fault(span, "`go_on` is true or false", None);
-                false
-            }
+        let Some(value) = table.get("go_on") else {
+            return false;
+        };
+        if let DeValue::Boolean(goes_on) = value.get_ref() {
+            return *goes_on;
         }
+        self.expressions
+            .values
+            .fault(value.span(), "`go_on` is true or false", None);
+        false
     }
 }
 
 /// Refuses a second rule of one name.
 pub(crate) fn refuse_second(values: &mut Values<'_, '_>, name: &Text) {
-    values.fault(
-        name.span.clone(),
-        format!("there is a rule {:?} already", name.text),
-        None,
-    );
+    let problem = format!("there is a rule {:?} already", name.text);
+    values.fault(name.span.clone(), problem, None);
 }
 
-fn is_note(name: &str) -> bool {
+fn is_note_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     name.bytes().all(plain) && name.len() <= MAX_NOTE_NAME
 }
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -1,15 +1,23 @@
-//! A set of rules that holds no fault: what is in force, or about to be.
+//! The rules of a file without faults: those in force, or those that are about to be. How a file is read is not
+//! known here, so that a reading can depend on the rules in force without a circle of imports.
 
 use crate::cost::worst_request;
-use crate::environment::{Catalog, Environment};
-use crate::fault::Fault;
+use crate::environment::Environment;
 use crate::pool::Pool;
-use crate::read::{read, Input, ReadOptions, ReadReport};
 use crate::rule::{Rule, Shared};
 use driftgap_expr::Selector;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A file of rules that holds no fault. Clones share it.
+/// What reading a file took.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReadReport {
+    /// Rules that were taken over unchanged from the rules in force.
+    pub taken_over: usize,
+    /// Rules that were parsed, checked and compiled.
+    pub compiled: usize,
+}
+
+/// The rules of a file without faults. Clones share it.
 #[derive(Clone)]
 pub struct Rules {
     pub(crate) set: Arc<RuleSet>,
@@ -28,7 +36,8 @@
     report: ReadReport,
 }
 
-/// Locks what rules share. A thread that ended while it held it left nothing half done that matters.
+/// Locks the tables that rules share. A panic while the lock was held would poison it and make every later reload
+/// fail. Ignoring the poison is safe: the tables only save memory, and an entry is either complete or absent.
 pub(crate) fn lock(shared: &Mutex<Shared>) -> MutexGuard<'_, Shared> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -72,49 +81,17 @@
 }
 
 impl Rules {
-    /// Reads a file's text; `file` is its name for messages.
-    ///
-    /// # Errors
-    /// Every fault of the file.
-    pub fn read(text: &str, file: &str, catalog: &Catalog) -> Result<Rules, Vec<Fault>> {
-        Rules::read_part(text, file, None, catalog, &ReadOptions::default())
-    }
-
-    /// Reads the table `part` of a file that holds other things as well, or the whole file where there is none.
-    /// What [`ReadOptions::previous`] holds of it is taken over, unless the pools' names, the effects, the
-    /// ceiling of an expression or the catalog have changed: then every rule is compiled anew.
-    ///
-    /// # Errors
-    /// Every fault of that table; the previous rules stay as they are.
-    pub fn read_part(
-        text: &str,
-        file: &str,
-        part: Option<&str>,
-        catalog: &Catalog,
-        options: &ReadOptions<'_>,
-    ) -> Result<Rules, Vec<Fault>> {
-        read(
-            &Input {
-                text,
-                file,
-                part,
-                catalog,
-            },
-            options,
-            None,
-        )
-    }
-
+    /// Wraps a complete set.
     pub(crate) fn new(set: RuleSet) -> Rules {
         Rules { set: Arc::new(set) }
     }
 
-    /// Rules.
+    /// The number of rules.
     pub fn len(&self) -> usize {
         self.set.rules.len()
     }
 
-    /// Whether there is no rule.
+    /// Whether the file has no rule.
     pub fn is_empty(&self) -> bool {
         self.set.rules.is_empty()
     }
@@ -135,7 +112,7 @@
         self.set.heap_bytes
     }
 
-    /// What reading them took.
+    /// What reading the file took.
     pub fn report(&self) -> ReadReport {
         self.set.report
     }
--- a/crates/routes/src/takeover.rs
+++ b/crates/routes/src/takeover.rs
@@ -1,6 +1,6 @@
 //! What the reading of a file takes over from the rules in force: unchanged rules, and the states of equal limits.
 
-use crate::content::ContentHash;
+use crate::content_hash::ContentHash;
 use crate::environment::Environment;
 use crate::limit::Limit;
 use crate::rule::{LimitSpec, Rule};
--- a/crates/routes/tests/bounds.rs
+++ b/crates/routes/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{read_on, read_with, route, routes};
-use driftgap_routes::{ReadOptions, Rules, DEFAULT_MOST_BYTES};
+use driftgap_routes::{ReadOptions, Rules, DEFAULT_MAX_BYTES};
 
 fn within(text: &str, previous: Option<&Rules>, max_bytes: usize) -> Result<Rules, Vec<String>> {
     read_with(
@@ -31,7 +31,7 @@
         text.len()
     );
     assert_eq!(within(&text, None, 100).unwrap_err(), [want]);
-    assert!(within(&text, None, DEFAULT_MOST_BYTES).is_ok());
+    assert!(within(&text, None, DEFAULT_MAX_BYTES).is_ok());
 }
 
 #[test]
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{mapping, read_on, request, route, routes, POOLS};
-use driftgap_routes::{Router, Rules, Verdict, DEFAULT_MOST_BYTES};
+use driftgap_routes::{Router, Rules, Verdict, DEFAULT_MAX_BYTES};
 use libtest_mimic::{Arguments, Trial};
 use oorandom::Rand32;
 use peak_alloc::PeakAlloc;
@@ -149,7 +149,7 @@
             one_change <= WORKING_BYTES * count + changed.heap_bytes() / 8 + SMALL,
             "{one_change}"
         );
-        assert!(whole < DEFAULT_MOST_BYTES);
+        assert!(whole < DEFAULT_MAX_BYTES);
     }
 }
 
