--- /dev/null
+++ b/crates/routes/src/evaluation.rs
@@ -0,0 +1,284 @@
+//! The evaluation of rules on one request. Rules are evaluated in their order; what an earlier rule has set stays. It
+//! ends with a route, or with the reason why there is none.
+
+use crate::limit::{KeyHash, Limit, LimitExceeded};
+use crate::pool::{Pool, ANY, MAX_RETRY_AFTER_MS};
+use crate::pool_bits::{PoolBits, SelectedPool};
+use crate::request::{cut, View};
+use crate::rule::{Part, PartName, Rule};
+use crate::rules::RuleSet;
+use crate::verdict::{Mapped, Route};
+use driftgap_expr::{Compiled, Fault, Scratch, Value};
+use std::ops::ControlFlow;
+use std::sync::Arc;
+
+/// Longest value of a note, bytes; longer ones are cut.
+const MAX_NOTE: usize = 128;
+/// Longest value of a term, bytes; a request with a longer one is invalid.
+const MAX_TERM: usize = 256;
+
+/// Why a request is invalid to a rule.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum InvalidRequest {
+    /// A part of it is longer than rules may read.
+    #[error("the {0} is too long")]
+    TooLong(&'static str),
+    /// A header that the rule reads is no text, or longer than rules may read.
+    #[error("a header that it reads is too long or no text")]
+    UnreadableHeader,
+    /// The value of a term has characters, or a length, that the protocol cannot carry.
+    #[error("the term `{0}` cannot be carried")]
+    UnsafeTerm(Arc<str>),
+    /// An expression fails on it.
+    #[error(transparent)]
+    Expression(#[from] Fault),
+}
+
+/// Why an evaluation ends without a route.
+pub(crate) enum Stop {
+    /// The rule rejects the request for so long.
+    Reject { retry_after_ms: f64 },
+    /// The rule cannot be evaluated on it.
+    Invalid(InvalidRequest),
+}
+
+impl From<Fault> for Stop {
+    fn from(fault: Fault) -> Stop {
+        Stop::Invalid(fault.into())
+    }
+}
+
+impl From<InvalidRequest> for Stop {
+    fn from(error: InvalidRequest) -> Stop {
+        Stop::Invalid(error)
+    }
+}
+
+impl From<LimitExceeded> for Stop {
+    fn from(exceeded: LimitExceeded) -> Stop {
+        Stop::Reject {
+            retry_after_ms: exceeded.retry_after_ms,
+        }
+    }
+}
+
+/// The evaluation of a set of rules on one request.
+pub(crate) struct Evaluation<'a> {
+    set: &'a RuleSet,
+    view: &'a View<'a>,
+    scratch: &'a mut Scratch,
+    now_ms: f64,
+    route: Route,
+    /// What the first matching rule with a pool has selected.
+    pool: Option<SelectedPool>,
+    /// Limits that admit the request, with its key.
+    limits: Vec<(Arc<Limit>, KeyHash)>,
+}
+
+impl<'a> Evaluation<'a> {
+    /// Begins the evaluation of these rules at `now_ms`.
+    pub(crate) fn new(
+        set: &'a RuleSet,
+        view: &'a View<'a>,
+        scratch: &'a mut Scratch,
+        now_ms: f64,
+    ) -> Evaluation<'a> {
+        Evaluation {
+            set,
+            view,
+            scratch,
+            now_ms,
+            route: Route::default(),
+            pool: None,
+            limits: Vec::new(),
+        }
+    }
+
+    /// Evaluates one rule; breaks if no later rule is to be evaluated.
+    ///
+    /// # Errors
+    /// The rule rejects the request, or cannot be evaluated on it.
+    pub(crate) fn rule(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
+        let result = self.test_and_apply(rule);
+        // Without this check a header that cannot be read would look absent to the rule: a client could pass a rule that
+        // rejects requests with the header by sending bytes that are no text.
+        if self.view.has_unreadable_header() {
+            return Err(InvalidRequest::UnreadableHeader.into());
+        }
+        result
+    }
+
+    fn test_and_apply(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
+        if !rule.when.test(self.view, self.scratch)? {
+            return Ok(ControlFlow::Continue(()));
+        }
+        self.apply(rule)?;
+        if rule.goes_on {
+            Ok(ControlFlow::Continue(()))
+        } else {
+            Ok(ControlFlow::Break(()))
+        }
+    }
+
+    /// Does what a matching rule says.
+    fn apply(&mut self, rule: &Rule) -> Result<(), Stop> {
+        let is_mapped = self.route.command.is_some();
+        for part in &rule.body.parts {
+            let expression = &part.expression;
+            match &part.name {
+                PartName::Reject => return Err(self.rejection(expression)),
+                PartName::Pool if self.pool.is_none() => self.select_pool(expression)?,
+                PartName::Pool => {}
+                PartName::Note(name) => self.note(name, expression)?,
+                PartName::LimitKey => self.check_limit(rule, expression)?,
+                _ if is_mapped => {}
+                PartName::Class => self.map_to_class(expression)?,
+                _ => self.set_mapped(part)?,
+            }
+        }
+        Ok(())
+    }
+
+    /// The rejection that a rule asks for, or why it cannot be evaluated.
+    fn rejection(&mut self, expression: &Compiled) -> Stop {
+        match expression.eval(self.view, self.scratch) {
+            Ok(Some(Value::Duration(ms))) => Stop::Reject {
+                retry_after_ms: (ms as f64).clamp(0.0, MAX_RETRY_AFTER_MS),
+            },
+            Ok(_) => Fault::Input.into(),
+            Err(fault) => fault.into(),
+        }
+    }
+
+    fn select_pool(&mut self, expression: &Compiled) -> Result<(), Stop> {
+        let name = text(expression, self.view, self.scratch)?;
+        let selected = if name == ANY {
+            SelectedPool::Any
+        } else {
+            let mut pools = self.set.pools.iter();
+            let index = pools.position(|pool| pool.name == name);
+            SelectedPool::Pool(index.ok_or(Fault::Input)?)
+        };
+        self.pool = Some(selected);
+        Ok(())
+    }
+
+    fn note(&mut self, name: &str, expression: &Compiled) -> Result<(), Stop> {
+        let value = cut(text(expression, self.view, self.scratch)?, MAX_NOTE);
+        // A line break in a header would end it and begin another one. Only what every header can carry passes.
+        let value: String = value
+            .chars()
+            .map(|c| if matches!(c, ' '..='~') { c } else { '?' })
+            .collect();
+        let notes = &mut self.route.notes;
+        if !notes.iter().any(|(known, _)| known == name) {
+            notes.push((name.to_string(), value));
+        }
+        Ok(())
+    }
+
+    /// Checks a rule's limit. Nothing is acquired yet: see [`Evaluation::finish`].
+    fn check_limit(&mut self, rule: &Rule, expression: &Compiled) -> Result<(), Stop> {
+        let Some(limit) = rule.limit.as_deref() else {
+            return Ok(());
+        };
+        let key = text(expression, self.view, self.scratch)?;
+        let key = limit.limit.check(key, self.now_ms)?;
+        self.limits.push((limit.limit.clone(), key));
+        Ok(())
+    }
+
+    fn map_to_class(&mut self, expression: &Compiled) -> Result<(), Stop> {
+        let name = text(expression, self.view, self.scratch)?;
+        let mut classes = self.set.environment.catalog.classes.iter();
+        let class = classes.position(|(known, _)| known == name);
+        self.route.command = Some(Mapped {
+            class: class.ok_or(Fault::Input)?,
+            ..Mapped::default()
+        });
+        Ok(())
+    }
+
+    /// Sets a value of the mapped request; its class has been set by the same rule.
+    fn set_mapped(&mut self, part: &Part) -> Result<(), Stop> {
+        let Some(mapped) = &mut self.route.command else {
+            return Ok(());
+        };
+        let (expression, view, scratch) = (&part.expression, self.view, &mut *self.scratch);
+        match &part.name {
+            PartName::Plan => mapped.plan = Some(text(expression, view, scratch)?.to_string()),
+            PartName::Partner => {
+                mapped.partner = Some(text(expression, view, scratch)?.to_string())
+            }
+            PartName::Id => mapped.id = Some(text(expression, view, scratch)?.to_string()),
+            PartName::Units => mapped.units = Some(double(expression, view, scratch)?),
+            PartName::Deadline => mapped.deadline_ms = Some(integer(expression, view, scratch)?),
+            PartName::Spread => mapped.spread = Some(integer(expression, view, scratch)?),
+            PartName::First => mapped.first = Some(integer(expression, view, scratch)?),
+            PartName::Term(name) => {
+                let value = text(expression, view, scratch)?;
+                if !is_safe_term(value) {
+                    return Err(InvalidRequest::UnsafeTerm(name.clone()).into());
+                }
+                mapped.terms.push((name.to_string(), value.to_string()));
+            }
+            PartName::Reject
+            | PartName::Pool
+            | PartName::Note(_)
+            | PartName::Class
+            | PartName::LimitKey => {}
+        }
+        Ok(())
+    }
+
+    /// The route, once all rules have been evaluated.
+    ///
+    /// # Errors
+    /// The pool that rejects the request, since none of its endpoints is ready.
+    pub(crate) fn finish(mut self, pools: &PoolBits) -> Result<Route, &'a Pool> {
+        if let Some(selected) = self.pool {
+            self.route.pools = pools.resolve(&self.set.pools, selected)?;
+        }
+        // Acquired last: a request that a later limit or the pool rejects must not use up what an earlier limit allows.
+        for (limit, key) in &self.limits {
+            let permit = limit.acquire(*key, self.now_ms);
+            self.route.tickets.extend(permit);
+        }
+        Ok(self.route)
+    }
+}
+
+/// Whether the protocol can carry a term's value. A comma or a space in it would begin a further term on the wire, by
+/// which a client could set terms that the rule does not.
+fn is_safe_term(value: &str) -> bool {
+    let is_safe = |b: u8| b.is_ascii_graphic() && b != b',';
+    value.len() <= MAX_TERM && value.bytes().all(is_safe)
+}
+
+/// The value of a string expression.
+fn text<'b>(
+    expression: &'b Compiled,
+    view: &'b View<'_>,
+    scratch: &'b mut Scratch,
+) -> Result<&'b str, Fault> {
+    match expression.eval(view, scratch)? {
+        Some(Value::Text(text)) => Ok(text),
+        _ => Err(Fault::Input),
+    }
+}
+
+/// The value of an integer expression, or of a duration, ms.
+fn integer(expression: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> Result<i64, Fault> {
+    match expression.eval(view, scratch)? {
+        Some(Value::Int(number) | Value::Duration(number)) => Ok(number),
+        _ => Err(Fault::Input),
+    }
+}
+
+/// The value of a floating-point expression.
+fn double(expression: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> Result<f64, Fault> {
+    match expression.eval(view, scratch)? {
+        Some(Value::Double(number)) => Ok(number),
+        _ => Err(Fault::Input),
+    }
+}
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -16,6 +16,7 @@
 mod document;
 mod effect;
 mod environment;
+mod evaluation;
 mod explain;
 mod expression_reader;
 mod fault;
@@ -23,25 +24,29 @@
 mod mapped_request;
 mod names;
 mod pool;
+mod pool_bits;
 mod read;
 mod reader;
 mod request;
-mod route;
+mod router;
 mod rule;
 mod rule_reader;
 mod rules;
 mod takeover;
+mod verdict;
 
 pub use effect::{Effect, COMMANDS};
 pub use environment::Catalog;
 pub use explain::{Explained, Explainer};
 pub use fault::Fault;
-pub use limit::{Allowance, Limit, Ticket};
+pub use limit::{Allowance, KeyHash, Limit, LimitExceeded, LimitStatistics, Ticket};
 pub use pool::{ANY, MAX_POOLS};
+pub use pool_bits::{TooSoon, ALL};
 pub use read::{ReadOptions, DEFAULT_MAX_BYTES};
 pub use request::{
     bound, endpoint_schema, request_schema, Endpoint, Headers, NoHeaders, Request, MAX_HEADER,
     MAX_HEADERS, MAX_LABELS, MAX_NAME, MAX_PATH,
 };
-pub use route::{Mapped, Replaced, Route, Router, TooSoon, Verdict, ALL};
+pub use router::{Replaced, Router};
 pub use rules::{ReadReport, Rules};
+pub use verdict::{Mapped, Route, Verdict};
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -133,18 +133,24 @@
 
 /// A request while rules read it.
 pub(crate) struct View<'a> {
-    pub(crate) request: &'a Request<'a>,
-    /// A header that a rule asked for is no text, or too long: no rule may act as if it were absent.
-    pub(crate) spoilt: Cell<bool>,
+    request: &'a Request<'a>,
+    /// Whether a rule has read a header that is no text, or too long.
+    unreadable_header: Cell<bool>,
 }
 
 impl<'a> View<'a> {
     pub(crate) fn new(request: &'a Request<'a>) -> View<'a> {
         View {
             request,
-            spoilt: Cell::new(false),
+            unreadable_header: Cell::new(false),
         }
     }
+
+    /// Whether a rule has read a header that is no text, or too long. It was given as absent, which no rule may act
+    /// on.
+    pub(crate) fn has_unreadable_header(&self) -> bool {
+        self.unreadable_header.get()
+    }
 }
 
 impl Input for View<'_> {
@@ -179,7 +185,7 @@
             .ok()
             .filter(|text| text.len() <= MAX_HEADER);
         if text.is_none() {
-            self.spoilt.set(true);
+            self.unreadable_header.set(true);
         }
         text.map(Value::Text)
     }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -144,7 +144,7 @@
                 + limit.spec.key.len()
                 + ARC_HEADER
                 + size_of::<Limit>()
-                + limit.limit.memory()
+                + limit.limit.heap_bytes()
         };
         self.limit.as_deref().map_or(0, bytes)
     }
--- a/crates/routes/tests/limit.rs
+++ b/crates/routes/tests/limit.rs
@@ -1,10 +1,10 @@
 //! Local limits by key: how many requests pass, when refused ones may come back, and what is remembered.
 
-use driftgap_routes::{Allowance, Limit, Ticket};
+use driftgap_routes::{Allowance, Limit, LimitExceeded, Ticket};
 use std::sync::Arc;
 
-fn passed(limit: &Arc<Limit>, key: &str, now: f64) -> Result<Option<Ticket>, f64> {
-    limit.ask(key, now).map(|hash| limit.take(hash, now))
+fn passed(limit: &Arc<Limit>, key: &str, now: f64) -> Result<Option<Ticket>, LimitExceeded> {
+    limit.check(key, now).map(|hash| limit.acquire(hash, now))
 }
 
 fn rate(rate: f64, burst: f64, keys: usize) -> Arc<Limit> {
@@ -20,9 +20,9 @@
             .count(),
         5
     );
-    let wait = limit.ask("a", 1000.0).unwrap_err();
+    let wait = limit.check("a", 1000.0).unwrap_err().retry_after_ms;
     assert!((wait - 100.0).abs() < 1e-6, "{wait}");
-    assert!(limit.ask("a", 1000.0 + wait - 0.5).is_err());
+    assert!(limit.check("a", 1000.0 + wait - 0.5).is_err());
     assert!(passed(&limit, "a", 1000.0 + wait).is_ok());
     // Another key has a store of its own; a pause fills this one, and no fuller than it gets.
     assert!(passed(&limit, "b", 1000.0).is_ok());
@@ -51,17 +51,22 @@
         0,
     ));
     let held: Vec<_> = (0..2).map(|_| passed(&limit, "a", 0.0).unwrap()).collect();
-    assert_eq!(limit.ask("a", 0.0), Err(250.0));
-    assert!(limit.ask("b", 0.0).is_ok());
+    assert_eq!(
+        limit.check("a", 0.0),
+        Err(LimitExceeded {
+            retry_after_ms: 250.0
+        })
+    );
+    assert!(limit.check("b", 0.0).is_ok());
     drop(held);
     assert!(passed(&limit, "a", 0.0).is_ok());
-    assert_eq!(limit.keys(0.0), 0);
+    assert_eq!(limit.active_keys(0.0), 0);
 }
 
 #[test]
 fn whatever_keys_arrive_memory_stays_and_all_together_get_what_the_places_allow() {
     let limit = rate(1.0, 2.0, 1024);
-    let before = limit.memory();
+    let before = limit.heap_bytes();
     let mut let_in = 0;
     for round in 0..5 {
         for key in 0..100_000 {
@@ -69,11 +74,11 @@
             let_in += usize::from(passed(&limit, &format!("k{key}"), now).is_ok());
         }
     }
-    assert_eq!(limit.memory(), before);
+    assert_eq!(limit.heap_bytes(), before);
     // 1,024 places with a burst of 2 and one a second over 5 s.
     assert!(let_in <= 1024 * (2 + 5), "{let_in}");
     assert!(let_in >= 1024 * 4, "{let_in}");
-    assert!(limit.figures().1 > 0 && limit.keys(1e9) == 0);
+    assert!(limit.statistics().evicted > 0 && limit.active_keys(1e9) == 0);
 }
 
 #[test]
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -571,11 +571,11 @@
     let text = "[[rule]]\nname = 'l'\nlimit = { key = 'request.path', rate = 1, burst = 1 }\n";
     let (mut router, none) = (router(text), headers(&[]));
     let _ = router.route(&request("GET", "/", &none), 0.0);
-    let before = router.memory();
+    let before = router.limit_bytes();
     for i in 0..100_000 {
         let _ = router.route(&request("GET", &format!("/{i}"), &none), f64::from(i) * 0.1);
     }
-    assert_eq!(router.memory(), before);
+    assert_eq!(router.limit_bytes(), before);
     assert!(before < 300_000, "{before}");
 }
 
