--- a/crates/routes/src/cost.rs
+++ b/crates/routes/src/cost.rs
@@ -1,17 +1,17 @@
 //! The most that one request may spend on the rules of a file.
 //!
-//! A rule that is found by a text of the request costs nothing where the request has another one. Of all rules
+//! A rule that the index selects by a text of the request costs nothing where the request has another text. Of all rules
 //! found by one field, a request reaches those whose text the field equals and those whose beginnings it has:
 //! the beginnings of one text form a chain. The costliest chain of each field, the costliest equal text behind
 //! it included, and all rules that are always looked at add up to a bound that no request exceeds, whatever
-//! texts it brings.
+//! texts it has.
 
 use crate::rule::Rule;
 use driftgap_expr::{FieldId, SelectKey};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Costs of the rules that are found by one text.
+/// Costs of the rules that one text selects, in units.
 #[derive(Clone, Copy, Default)]
 struct TextCost {
     /// By rules that the field must equal it for.
@@ -38,7 +38,7 @@
         .fold(always, u64::saturating_add)
 }
 
-/// The field and the texts that a rule is found by, and what it costs for them; none: it is always looked at.
+/// The field and the texts that select a rule, and what it costs for them. None: it is evaluated for every request.
 fn found_by(rule: &Rule) -> Option<(FieldId, &[Arc<str>], TextCost)> {
     let equal = TextCost {
         equal: rule.cost,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The most that one text of a field reaches.
+/// The highest cost of the rules that one text of a field selects.
 fn worst_text(mut texts: Vec<(&str, TextCost)>) -> u64 {
     // In order, each text follows its beginnings, with nothing between that does not begin with them.
     texts.sort_unstable_by_key(|(text, _)| *text);
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -4,7 +4,7 @@
 //! The file is read as tokens by TOML's own lexer: a rule begins at a line that holds the header `[[rule]]`
 //! outside of any value and ends where the next header begins that is not one of its sub-tables. What is left is
 //! the skeleton, in which one empty header stands for each run of rules: whatever the rest of the file says
-//! about the same key is still found by parsing it. A file that spells its headers in a way that this module
+//! about the same key is still found by parsing it. A file that spells its headers in a form that this module
 //! does not resolve (escapes in a quoted key, a sub-table apart from its rule) has no sections: its skeleton is
 //! the whole file.
 
@@ -25,7 +25,7 @@
     offset: usize,
 }
 
-/// A part of a file that is parsed by itself, with the places that it has in the file.
+/// A part of a file that is parsed by itself, with the offsets of its bytes in the file.
 pub(crate) struct Excerpt<'t> {
     text: Cow<'t, str>,
     pieces: Vec<Piece>,
@@ -146,7 +146,7 @@
     OfRule,
     /// It has to do with no rule.
     Other,
-    /// Its key is spelt in a way that only a parser resolves.
+    /// Its key is spelt in a form that only a parser resolves.
     Unresolved,
 }
 
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -1,21 +1,22 @@
-//! Which effect a request is declared to have, and whether a rule may give it a class.
+//! Which effect a request is declared to have, and whether a rule may map it to a class.
 //!
-//! A rule may give a class only where every way that its expression can take is proved to give a request a class
-//! that is no safer to repeat than the request is. What cannot be proved is refused.
+//! A class whose requests are idempotent is retried. If a rule mapped a request that must not run twice to such a class,
+//! a retry would run it again. So a rule is accepted only if on every branch of its `class` the class is proved to be at
+//! least as strict as any request that reaches the branch. What cannot be proved is refused when the file is read.
 
 use crate::request::field;
-use driftgap_expr::{Expression, Facts, Outcome, Path};
+use driftgap_expr::{Expression, Facts, Outcome, Path, Way};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// How often a request may take effect; a later one is stricter.
+/// How often a request may take effect: its idempotency, under the names of the settings. A later one is stricter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// It may run any number of times.
+    /// Idempotent: it may run any number of times.
     Pure,
-    /// Endpoints discard repeats by its key for a while.
+    /// Idempotent with its key, by which endpoints discard repeats for a while.
     Token,
-    /// It must never run twice.
+    /// Unsafe: it must never run twice.
     SideEffect,
 }
 
@@ -30,7 +31,8 @@
         }
     }
 
-    fn told(self) -> &'static str {
+    /// The name that the settings use.
+    fn as_str(self) -> &'static str {
         match self {
             Effect::Pure => "pure",
             Effect::Token => "token",
@@ -39,7 +41,7 @@
     }
 }
 
-/// The effects that requests are declared to have, beside those of the platform's own commands.
+/// The effects that requests outside of the platform's own protocol are declared to have.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Declared {
     /// By method; any other has an effect.
@@ -59,11 +61,11 @@
     }
 }
 
-/// Where the platform's own commands are: their class is the client's word.
+/// The beginning of the paths of the platform's own protocol, on which the client names the class.
 pub const COMMANDS: &str = "/commands/";
 
 impl Declared {
-    /// The strictest effect that a request of which `facts` are known may have, and why.
+    /// The strictest effect that a request may have of which `facts` are known, and the reason for messages.
     pub(crate) fn strictest(&self, facts: &Facts) -> (Effect, String) {
         let mut found = (Effect::Pure, String::new());
         let mut note = |effect: Effect, why: String| {
@@ -81,7 +83,7 @@
                         .unwrap_or(Effect::SideEffect);
                     note(
                         effect,
-                        format!("the method may be {method}, which is {}", effect.told()),
+                        format!("the method may be {method}, which is {}", effect.as_str()),
                     );
                 }
             }
@@ -97,7 +99,7 @@
                     *effect,
                     format!(
                         "the path may begin with {prefix}, which is {}",
-                        effect.told()
+                        effect.as_str()
                     ),
                 );
             }
@@ -106,8 +108,9 @@
     }
 }
 
-/// What is wrong with a part of a rule's expression.
+/// Why a branch of a rule's expression is refused.
 pub(crate) struct Unfit {
+    /// The branch, in bytes of the expression.
     pub(crate) span: Range<usize>,
     pub(crate) problem: String,
     pub(crate) help: String,
@@ -120,7 +123,7 @@
         .is_some_and(|fact| fact.never_begins(COMMANDS))
 }
 
-/// Judges the class that a rule gives.
+/// Why a rule's class is refused, branch by branch; empty: it is accepted.
 pub(crate) fn class(
     expression: &Expression,
     declared: &Declared,
@@ -128,87 +131,88 @@
     nearest: impl Fn(&str) -> String,
 ) -> Vec<Unfit> {
     let Some(ways) = expression.ways() else {
-        let (problem, help) = (
-            "the class has too many ways to tell apart",
-            "a table with [key].orValue(...) is flatter",
-        );
-        return vec![Unfit {
-            span: 0..expression.text().len(),
-            problem: problem.into(),
-            help: help.into(),
-        }];
+        let help = "a table with [key].orValue(...) is flatter";
+        return vec![too_many_ways(expression, "class has", help)];
     };
-    let mut unfit = Vec::new();
-    for way in ways {
-        let span = way.span.clone();
-        let name = match &way.outcome {
-            Outcome::Text(name) => name,
-            _ => {
-                let (problem, help) = (
-                    "this class is not known before use",
-                    "a class is written out on every branch, so that its effect is known when the file is read",
-                );
-                unfit.push(Unfit {
-                    span,
-                    problem: problem.into(),
-                    help: help.into(),
-                });
-                continue;
-            }
-        };
-        let Some(effect) = effect_of(name) else {
-            unfit.push(Unfit {
-                span,
-                problem: format!("there is no class {name:?}"),
-                help: nearest(name),
-            });
-            continue;
+    let refused = ways.iter().filter_map(|way| {
+        let (problem, help) = match &way.outcome {
+            Outcome::Text(name) => match effect_of(name) {
+                Some(effect) => too_weak(name, effect, declared, &way.facts)?,
+                None => (format!("there is no class {name:?}"), nearest(name)),
+            },
+            _ => (
+                "this class is not known before use".into(),
+                "a class is written out on every branch, so that its effect is known when the file is read".into(),
+            ),
         };
-        let (needed, why) = declared.strictest(&way.facts);
-        if effect < needed {
-            unfit.push(Unfit {
-                span,
-                problem: format!("this would make a request with an effect safe to repeat: class {name:?} is {}, but {why}", effect.told()),
-                help: "test request.method and request.path in `when` so that only requests without the effect match".into(),
-            });
-        }
+        let span = way.span.clone();
+        Some(Unfit {
+            span,
+            problem,
+            help,
+        })
+    });
+    refused.collect()
+}
+
+/// The problem and its help if a class is weaker than a request of which `facts` are known may be.
+fn too_weak(
+    class: &str,
+    effect: Effect,
+    declared: &Declared,
+    facts: &Facts,
+) -> Option<(String, String)> {
+    let (needed, why) = declared.strictest(facts);
+    if effect >= needed {
+        return None;
     }
-    unfit
+    let problem = format!(
+        "this would make a request with an effect safe to repeat: class {class:?} is {}, but {why}",
+        effect.as_str()
+    );
+    let help = "test request.method and request.path in `when` so that only requests without the effect match";
+    Some((problem, help.into()))
 }
 
-/// Judges the units that a rule gives: what the client names must stay.
+/// The branches of an expression are too many to check each.
+fn too_many_ways(expression: &Expression, what: &str, help: &str) -> Unfit {
+    Unfit {
+        span: 0..expression.text().len(),
+        problem: format!("the {what} too many ways to tell apart"),
+        help: help.into(),
+    }
+}
+
+/// Why a rule's units are refused, branch by branch: they must be above 0, `max` at most, and a value that the client
+/// names must stay. Empty: they are accepted.
 pub(crate) fn units(expression: &Expression, max: f64) -> Vec<Unfit> {
+    let Some(ways) = expression.ways() else {
+        return vec![too_many_ways(expression, "units have", "fewer branches")];
+    };
     let named = Path::Field(field::UNITS);
-    let fits = |way: &driftgap_expr::Way| match &way.outcome {
-        Outcome::Place(place) => *place == named || way.facts.absent(&named),
-        Outcome::Number(number) => way.facts.absent(&named) && *number > 0.0 && *number <= max,
+    let is_allowed = |number: f64| number > 0.0 && number <= max;
+    let keeps = |way: &Way| match &way.outcome {
+        Outcome::Place(place) if *place == named => true,
+        Outcome::Number(number) => way.facts.absent(&named) && is_allowed(*number),
         _ => way.facts.absent(&named),
     };
-    let ways = expression.ways().unwrap_or(&[]);
-    if expression.ways().is_none() {
-        let (problem, help) = (
-            "the units have too many ways to tell apart",
-            "fewer branches",
-        );
-        return vec![Unfit {
-            span: 0..expression.text().len(),
-            problem: problem.into(),
-            help: help.into(),
-        }];
-    }
-    let wrong = ways.iter().filter(|way| !fits(way));
-    wrong
-        .map(|way| match &way.outcome {
-            Outcome::Number(number) if !(*number > 0.0 && *number <= max) => Unfit {
-                span: way.span.clone(),
-                problem: format!("{number} units are none that a request may count"),
-                help: format!("a number above 0, {max} at most, was expected"),
-            },
-            _ => Unfit {
-                span: way.span.clone(),
-                problem: "this would change the units that a client names itself".into(),
-                help: "request.units.orValue(...) keeps them".into(),
-            },
-        })
-        .collect()
+    let refused = ways.iter().filter(|way| !keeps(way)).map(|way| {
+        let (problem, help) = match &way.outcome {
+            Outcome::Number(number) if !is_allowed(*number) => (
+                format!("{number} units are none that a request may count"),
+                format!("a number above 0, {max} at most, was expected"),
+            ),
+            _ => (
+                "this would change the units that a client names itself".into(),
+                "request.units.orValue(...) keeps them".into(),
+            ),
+        };
+        let span = way.span.clone();
+        Unfit {
+            span,
+            problem,
+            help,
+        }
+    });
+    refused.collect()
 }
--- a/crates/routes/src/environment.rs
+++ b/crates/routes/src/environment.rs
@@ -1,6 +1,6 @@
-//! What the rules of a file are judged by besides their own text: the platform's catalog, the declared effects,
-//! the names of the pools and the ceilings of costs. Rules that were read in an equal environment are judged
-//! equally, so that they may be taken over.
+//! What the rules of a file are checked against besides their own text: the platform's catalog, the declared effects,
+//! the names of the pools and the cost ceilings. A rule that was read in an equal environment would be checked and
+//! compiled with the same result, so that it may be taken over.
 
 use crate::document::RULES;
 use crate::effect::{Declared, Effect};
@@ -14,18 +14,18 @@
 /// Highest ceiling that a file may name, in units.
 const MAX_CEILING: f64 = 1e7;
 
-/// What a file of rules is judged by, from the platform's settings.
+/// The platform's classes and plans, from its settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Classes and their effects.
+    /// Classes by name with their effects. Mapped requests name a class by its index here.
     pub classes: Vec<(String, Effect)>,
-    /// Plans.
+    /// Names of the plans.
     pub plans: Vec<String>,
-    /// Most units that one request counts.
+    /// Most units that one request may count.
     pub max_units: f64,
 }
 
-/// What the rules of one file are judged by.
+/// What the rules of one file are checked against.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Environment {
     pub(crate) catalog: Catalog,
@@ -36,18 +36,20 @@
     pub(crate) expression_cost: u64,
 }
 
-/// Ceilings of costs, in units.
+/// Cost ceilings, in units.
 pub(crate) struct Ceilings {
+    /// Of one expression.
     pub(crate) expression: u64,
+    /// Of all rules that one request can reach.
     pub(crate) request: u64,
 }
 
-/// Notes what stands beside the known parts of a file.
+/// Notes every key of a file that is not known.
 pub(crate) fn known_parts(values: &mut Values<'_, '_>, table: &DeTable<'_>) {
     values.known_keys(table, &["cost", "effects", "pool", RULES]);
 }
 
-/// Reads the ceilings of costs.
+/// Reads the cost ceilings.
 pub(crate) fn ceilings(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> Ceilings {
     let (mut expression, mut request) = (DEFAULT_EXPRESSION_COST, DEFAULT_REQUEST_COST);
     if let Some(cost) = table.get("cost").and_then(|cost| values.table(cost)) {
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,26 +1,27 @@
-//! A request's way through a file of rules, rule by rule and part by part. It keeps the checked expressions with
-//! their texts, which rules in force do not: it is for people at a terminal, not for serving.
+//! Explains how a file of rules routes a request, rule by rule and expression by expression. It keeps the checked
+//! expressions with their texts, which rules in force do not: it is for a terminal, not for serving.
 
 use crate::environment::Catalog;
 use crate::fault::Fault;
-use crate::read::{read, Input, ReadOptions};
+use crate::read::read;
+use crate::read_options::{Input, ReadOptions};
 use crate::request::{Request, View};
 use crate::rule::CheckedRule;
 use crate::rules::Rules;
 use driftgap_expr::{Chosen, Scratch, Step};
 
-/// A rule's part in the explanation of a request's way.
+/// The explanation of one rule.
 #[derive(Clone, Debug)]
 pub struct Explained {
-    /// The rule.
+    /// The rule's name.
     pub rule: String,
     /// Whether it matched.
     pub matched: bool,
-    /// The index had ruled it out: its test was not looked at.
+    /// Whether the index had ruled it out, so that its test is not evaluated when serving.
     pub ruled_out: bool,
-    /// An earlier rule had ended the way.
+    /// Whether an earlier rule had ended the evaluation.
     pub behind: bool,
-    /// Its test, and the expressions of what it does where it matched, with each part's value.
+    /// Its test and, where it matched, the expressions of what it does; each with its steps and their values.
     pub parts: Vec<(String, Vec<Step>)>,
 }
 
@@ -34,7 +35,7 @@
     /// Reads a file as [`Rules::read_part`] does.
     ///
     /// # Errors
-    /// Every fault of the file.
+    /// Every fault of the file, 100 at most.
     pub fn read(
         text: &str,
         file: &str,
@@ -57,7 +58,7 @@
         &self.rules
     }
 
-    /// A request's way rule by rule.
+    /// Explains every rule of the file on a request.
     pub fn explain(&self, request: &Request<'_>) -> Vec<Explained> {
         let view = View::new(request);
         let mut chosen = Chosen::default();
--- a/crates/routes/src/fault.rs
+++ b/crates/routes/src/fault.rs
@@ -1,12 +1,12 @@
 //! What is wrong with a file of rules.
 
-/// A fault in a file of rules.
+/// A fault of a file of rules.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{line}")]
 pub struct Fault {
-    /// As one line: file, line, column, what is wrong, how to mend it.
+    /// One line: file, line, column, what is wrong, how to mend it.
     pub line: String,
-    /// The same with the line of the file and a caret under what is meant.
+    /// The same for a terminal, with the line of the file and a caret under the faulty part.
     pub shown: String,
 }
 
--- /dev/null
+++ b/crates/routes/src/file_reader.rs
@@ -0,0 +1,401 @@
+//! Reads a file of rules: a rule that stood in the file before is taken over, only the others are parsed, checked and
+//! compiled.
+//!
+//! A reload must not take the ingress out of memory. What is parsed in one piece is bounded before it is parsed, and
+//! the rules are counted while they are read: the reading stops with a fault at the rule where the bound is reached.
+
+use crate::content_hash::ContentHash;
+use crate::cost::worst_request;
+use crate::document::{Document, Excerpt, RULES};
+use crate::environment::{ceilings, effects, known_parts, Ceilings, Environment};
+use crate::expression_reader::RuleFields;
+use crate::limit::Limit;
+use crate::names;
+use crate::pool::{self, Pool};
+use crate::read_options::{Input, ReadOptions};
+use crate::reader::{Reader, Value, Values};
+use crate::request::request_schema;
+use crate::rule::{CheckedRule, Rule, RuleLimit, Shared};
+use crate::rule_reader::{refuse_second, RuleReader};
+use crate::rules::{ReadReport, RuleSet, Rules};
+use crate::takeover::Previous;
+use driftgap_expr::{Schema, Selector};
+use std::collections::HashSet;
+use std::ops::Range;
+use std::sync::{Arc, Mutex, MutexGuard};
+use toml::de::DeTable;
+
+/// Bytes of memory that are planned for each byte that is parsed in one piece. Measured: lists, tables and texts take
+/// up to 122, keys of many dots up to 333.
+const PARSED_FACTOR: usize = 128;
+/// Bytes that reading takes for each rule besides the rule itself: its span, its name's hash, its sorted texts.
+const WORKING_BYTES: usize = 100;
+
+/// All rules of a file without faults, not indexed yet.
+pub(crate) struct RuleParts {
+    rules: Vec<Arc<Rule>>,
+    pools: Arc<[Pool]>,
+    environment: Arc<Environment>,
+    cost: u64,
+    report: ReadReport,
+}
+
+impl RuleParts {
+    /// Indexes the rules by the texts that they are found by.
+    pub(crate) fn finish(self, shared: Arc<Mutex<Shared>>) -> RuleSet {
+        let RuleParts {
+            rules,
+            pools,
+            environment,
+            cost,
+            report,
+        } = self;
+        let selector = Selector::new(rules.iter().map(|rule| &rule.key));
+        RuleSet::new(rules, pools, environment, selector, cost, report, shared)
+    }
+}
+
+/// Reads one file.
+pub(crate) struct FileReader<'a, 'g, 't> {
+    input: &'a Input<'t>,
+    options: &'a ReadOptions<'a>,
+    reader: &'a mut Reader<'t>,
+    shared: &'a mut MutexGuard<'g, Shared>,
+    keep: Option<&'a mut Vec<CheckedRule>>,
+    schema: Schema,
+    rules: Vec<Arc<Rule>>,
+    /// Hashes of the names of all rules so far.
+    names: HashSet<ContentHash>,
+    /// Bytes of the rules that were compiled.
+    compiled_bytes: usize,
+    report: ReadReport,
+}
+
+impl<'a, 'g, 't> FileReader<'a, 'g, 't> {
+    /// A reader that notes faults in `reader` and appends checked rules to `keep`, where that is given.
+    pub(crate) fn new(
+        input: &'a Input<'t>,
+        options: &'a ReadOptions<'a>,
+        reader: &'a mut Reader<'t>,
+        shared: &'a mut MutexGuard<'g, Shared>,
+        keep: Option<&'a mut Vec<CheckedRule>>,
+    ) -> Self {
+        FileReader {
+            input,
+            options,
+            reader,
+            shared,
+            keep,
+            schema: request_schema(),
+            rules: Vec::new(),
+            names: HashSet::new(),
+            compiled_bytes: 0,
+            report: ReadReport::default(),
+        }
+    }
+
+    /// Reads the whole file. None: it is faulty, and `reader` has the faults.
+    pub(crate) fn read(mut self) -> Option<RuleParts> {
+        let document = Document::split(self.input.text, self.input.part);
+        let skeleton = &document.skeleton;
+        let whole = 0..self.input.text.len();
+        if !self.may_parse(skeleton.text().len(), whole) {
+            return None;
+        }
+        let parsed = self.reader.parse(skeleton);
+        let Some(parsed) = parsed else {
+            self.find_syntax_faults(&document.sections);
+            return None;
+        };
+        let empty = DeTable::new();
+        let table = match self.input.part {
+            None => parsed.get_ref(),
+            Some(part) => match parsed.get_ref().get(part) {
+                Some(value) => Values::new(self.reader, skeleton, u64::MAX).table(value)?,
+                None => &empty,
+            },
+        };
+        let (ceilings, environment, pools) = self.head(skeleton, table);
+        let previous = Previous::new(self.options.previous, &environment);
+        if document.sections.is_empty() {
+            self.inline_rules(skeleton, table, &environment, &previous);
+        } else {
+            self.sections(&document.sections, &environment, &previous);
+        }
+        drop((previous, document.sections));
+        self.names = HashSet::new();
+        if !self.reader.clean() {
+            return None;
+        }
+        let cost = self.worst_cost(&ceilings);
+        let FileReader {
+            mut rules, report, ..
+        } = self;
+        rules.shrink_to_fit();
+        Some(RuleParts {
+            rules,
+            pools,
+            environment: Arc::new(environment),
+            cost,
+            report,
+        })
+    }
+
+    /// Whether so many bytes may be parsed in one piece; if not, a fault is noted at `span`. Without this bound a
+    /// bracket that does not end would make one piece of a large file, and parsing it could exhaust the memory.
+    fn may_parse(&mut self, length: usize, span: Range<usize>) -> bool {
+        let max = self.options.max_bytes / PARSED_FACTOR;
+        if length > max {
+            let problem =
+                format!("{length} bytes would be parsed in one piece, {max} are the most");
+            let help = "does a bracket or a quote not end? rules that begin with [[rule]] each are parsed one by one";
+            self.reader.fault_in_file(span, problem, Some(help.into()));
+        }
+        length <= max
+    }
+
+    /// Reads all but the rules.
+    fn head(
+        &mut self,
+        skeleton: &Excerpt<'_>,
+        table: &DeTable<'_>,
+    ) -> (Ceilings, Environment, Arc<[Pool]>) {
+        let mut values = Values::new(self.reader, skeleton, u64::MAX);
+        known_parts(&mut values, table);
+        let ceilings = ceilings(&mut values, table);
+        let mut values = Values::new(self.reader, skeleton, ceilings.expression);
+        let declared = effects(&mut values, table);
+        let list = pool::list(&mut values, table);
+        let names = pool::names(&mut values, list);
+        let pools = pool::pools(&mut values, list, &names, &mut self.shared.interner);
+        let catalog = self.input.catalog.clone();
+        let expression_cost = ceilings.expression;
+        let environment = Environment {
+            catalog,
+            declared,
+            pools: names,
+            expression_cost,
+        };
+        (ceilings, environment, pools.into())
+    }
+
+    /// Looks for further faults of the TOML where there are some already.
+    fn find_syntax_faults(&mut self, sections: &[Range<usize>]) {
+        for range in sections {
+            if self.may_parse(range.len(), range.clone()) {
+                self.reader
+                    .parse(&Excerpt::range(self.input.text, range.clone()));
+            }
+        }
+    }
+
+    /// Reads the rules, each by itself.
+    fn sections(
+        &mut self,
+        sections: &[Range<usize>],
+        environment: &Environment,
+        previous: &Previous<'_>,
+    ) {
+        self.rules.reserve_exact(sections.len());
+        self.names.reserve(sections.len());
+        for range in sections {
+            if !self.within_budget(range.clone()) {
+                return;
+            }
+            let content = section_content(self.input.text.get(range.clone()).unwrap_or(""));
+            match previous.rule(content) {
+                Some(rule) => self.take_over(rule, range.clone(), environment),
+                None => self.section(range.clone(), content, environment, previous),
+            }
+        }
+    }
+
+    /// Takes an unchanged rule over.
+    fn take_over(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
+        if !self.names.insert(ContentHash::of(&*rule.name)) {
+            self.refuse_second(range, environment);
+        }
+        self.report.taken_over += 1;
+        self.rules.push(rule.clone());
+    }
+
+    /// Notes the fault of an unchanged rule whose name an earlier rule of the file has.
+    fn refuse_second(&mut self, range: Range<usize>, environment: &Environment) {
+        let excerpt = Excerpt::range(self.input.text, range);
+        let Some(parsed) = self.reader.parse(&excerpt) else {
+            return;
+        };
+        let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+            return;
+        };
+        if let Some(name) = names::name(&mut values, fields.table, fields.span) {
+            refuse_second(&mut values, &name);
+        }
+    }
+
+    /// Parses and reads one rule.
+    fn section(
+        &mut self,
+        range: Range<usize>,
+        content: ContentHash,
+        environment: &Environment,
+        previous: &Previous<'_>,
+    ) {
+        if !self.may_parse(range.len(), range.clone()) {
+            return;
+        }
+        let excerpt = Excerpt::range(self.input.text, range);
+        let Some(parsed) = self.reader.parse(&excerpt) else {
+            return;
+        };
+        if !self.reader.well_formed() {
+            return;
+        }
+        let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+            return;
+        };
+        self.rule(&excerpt, &fields, content, environment, previous);
+    }
+
+    /// Reads rules that are no sections of their own.
+    fn inline_rules(
+        &mut self,
+        skeleton: &Excerpt<'_>,
+        table: &DeTable<'_>,
+        environment: &Environment,
+        previous: &Previous<'_>,
+    ) {
+        let Some(list) = table.get(RULES) else { return };
+        let list = Values::new(self.reader, skeleton, environment.expression_cost).array(list);
+        let file = ContentHash::of(self.input.text);
+        for (number, value) in list.iter().enumerate() {
+            if !self.within_budget(skeleton.in_file(&value.span())) {
+                return;
+            }
+            // The text of such a rule is not known by itself: it is unchanged where the whole file is.
+            let content = ContentHash::of(&(file, number));
+            let mut values = Values::new(self.reader, skeleton, environment.expression_cost);
+            let Some(fields) = rule_fields(&mut values, value) else {
+                continue;
+            };
+            match previous.rule(content) {
+                Some(rule) => {
+                    self.names.insert(ContentHash::of(&*rule.name));
+                    self.report.taken_over += 1;
+                    self.rules.push(rule.clone());
+                }
+                None => self.rule(skeleton, &fields, content, environment, previous),
+            }
+        }
+    }
+
+    /// Checks a rule and, as long as the file is without fault, compiles it.
+    fn rule(
+        &mut self,
+        excerpt: &Excerpt<'_>,
+        fields: &RuleFields<'_, '_>,
+        content: ContentHash,
+        environment: &Environment,
+        previous: &Previous<'_>,
+    ) {
+        let mut values = Values::new(self.reader, excerpt, environment.expression_cost);
+        let names = &self.names;
+        let is_named = |name: &str| names.contains(&ContentHash::of(name));
+        let (schema, is_named) = (&self.schema, &is_named);
+        let read = RuleReader::new(&mut values, environment, schema, is_named).read(fields);
+        if let Some(name) = &read.name {
+            self.names.insert(ContentHash::of(&*name.text));
+        }
+        let Some(checked) = read.checked.filter(|_| self.reader.clean()) else {
+            return;
+        };
+        let limit = checked.limit.as_ref().map(|spec| {
+            let new = || Arc::new(Limit::new(spec.allowance, spec.keys));
+            let limit = previous.limit(&checked.name, spec).unwrap_or_else(new);
+            Box::new(RuleLimit {
+                spec: spec.clone(),
+                limit,
+            })
+        });
+        let rule = Arc::new(self.shared.rule(&checked, content, limit));
+        self.compiled_bytes += rule.heap_bytes();
+        self.report.compiled += 1;
+        self.rules.push(rule);
+        if let Some(keep) = &mut self.keep {
+            keep.push(checked);
+        }
+    }
+
+    /// Whether what was read so far fits into memory; if not, a fault is noted at `span`.
+    fn within_budget(&mut self, span: Range<usize>) -> bool {
+        let max = self.options.max_bytes;
+        let file = self.input.text.len();
+        let in_force = self.options.previous.map_or(0, Rules::heap_bytes);
+        let taken = self.compiled_bytes + WORKING_BYTES * self.rules.len();
+        let fits = file + in_force + taken <= max;
+        if !fits {
+            let problem = format!(
+                "the rules up to here take more memory than there is: {taken} bytes beside {in_force} of the rules in force and {file} of the file, {max} are the most"
+            );
+            let help = "fewer rules, fewer keys of limits, or a change in several steps";
+            self.reader.fault_in_file(span, problem, Some(help.into()));
+        }
+        fits
+    }
+
+    /// The most that one request may spend on all rules, in units. Notes a fault if it is above the ceiling.
+    fn worst_cost(&mut self, ceilings: &Ceilings) -> u64 {
+        let cost = worst_request(&self.rules);
+        if cost > ceilings.request {
+            let costliest = self.rules.iter().max_by_key(|rule| rule.cost);
+            let costliest = costliest.map_or("", |rule| &rule.name);
+            let problem = format!(
+                "all rules together may cost {cost} units a request, {} are the most",
+                ceilings.request
+            );
+            self.reader.fault_in_file(
+                0..1,
+                problem,
+                Some(format!("rule {costliest:?} costs most")),
+            );
+        }
+        cost
+    }
+}
+
+/// The hash of a rule's text. Empty lines behind a rule do not change it.
+fn section_content(text: &str) -> ContentHash {
+    let trimmed = text.trim_end_matches('\n');
+    // A carriage return that stands alone would be wrong where one before a newline is not.
+    ContentHash::of(if trimmed.ends_with('\r') {
+        text
+    } else {
+        trimmed
+    })
+}
+
+/// The fields of the only rule of a section.
+fn section_fields<'v, 'd>(
+    values: &mut Values<'_, '_>,
+    parsed: &'v DeTable<'d>,
+    part: Option<&str>,
+) -> Option<RuleFields<'v, 'd>> {
+    let table = match part {
+        None => parsed,
+        Some(part) => values.table(parsed.get(part)?)?,
+    };
+    let rules = values.array(table.get(RULES)?);
+    rule_fields(values, rules.first()?)
+}
+
+fn rule_fields<'v, 'd>(
+    values: &mut Values<'_, '_>,
+    value: &'v Value<'d>,
+) -> Option<RuleFields<'v, 'd>> {
+    Some(RuleFields {
+        table: values.table(value)?,
+        span: value.span(),
+    })
+}
--- a/crates/routes/src/names.rs
+++ b/crates/routes/src/names.rs
@@ -1,20 +1,20 @@
-//! Names in a file of rules: which may be used, and which known one a wrong one is near to.
+//! Names in a file of rules: which may be used, and which known one is nearest to an unknown one.
 
 use crate::reader::{Text, Values};
 use std::ops::Range;
 use toml::de::DeTable;
 
-/// Longest name of a rule or a pool.
+/// Longest name of a rule or a pool, bytes.
 const MAX_NAME: usize = 64;
-/// Most known names that are told where none is near.
-const MAX_TOLD: usize = 12;
+/// Most known names that are listed where none is near.
+const MAX_LISTED: usize = 12;
 
 fn is_plain(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
 }
 
-/// The name of a rule or a pool.
+/// The name of a rule or a pool. A missing or unusable one is noted, at `span` or where it is.
 pub(crate) fn name(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
@@ -33,7 +33,7 @@
     Some(name)
 }
 
-/// The known name that is nearest, or the first of them.
+/// Help for an unknown name: the known one that is nearest, or the first of the known ones.
 pub(crate) fn nearest<'a>(wrong: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     let nearest = known
         .clone()
@@ -45,7 +45,7 @@
         }
         _ => format!(
             "known are {}",
-            known.take(MAX_TOLD).collect::<Vec<_>>().join(", ")
+            known.take(MAX_LISTED).collect::<Vec<_>>().join(", ")
         ),
     }
 }
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -6,31 +6,34 @@
 use driftgap_expr::{Compiled, Expression, FieldId, Input, Interner, Schema, Scratch, Type};
 use toml::de::DeTable;
 
-/// Most pools: an endpoint's are a word of bits, one of which stands for all endpoints.
+/// Most pools: an endpoint's pools are a word of 64 bits, of which one stands for all endpoints.
 pub const MAX_POOLS: usize = 62;
-/// The name that stands for all endpoints.
+/// The name of a pool that stands for all endpoints.
 pub const ANY: &str = "any";
-/// Longest time that a rule or a pool sends a client away, ms.
+/// Longest Retry-After of a rule or a pool, ms: 10 minutes.
 pub(crate) const MAX_RETRY_AFTER_MS: f64 = 600_000.0;
-/// When a client is to come back to a pool without a ready endpoint unless the file says otherwise, ms.
+/// Retry-After of a pool without a ready endpoint unless the file says otherwise, ms.
 const DEFAULT_RETRY_AFTER_MS: f64 = 1000.0;
 
 /// Where a pool's requests go while none of its endpoints is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
+    /// They are rejected.
     Refuse,
+    /// Another pool, by its index in the file.
     Pool(usize),
+    /// All endpoints.
     Any,
 }
 
 /// A pool of endpoints.
 pub(crate) struct Pool {
     pub(crate) name: String,
-    /// The text of its test, by which it is known again in another file.
+    /// The text of its test, by which it is recognised in another file.
     pub(crate) text: String,
     pub(crate) when: Compiled,
     pub(crate) fallback: Fallback,
-    /// When a refused client is to come back, ms.
+    /// When a rejected client may retry, ms.
     pub(crate) retry_after_ms: f64,
 }
 
@@ -97,7 +100,7 @@
         };
         pools.extend(pool(values, value, fields, name, names, &schema, interner));
     }
-    refuse_rings(values, list, &pools);
+    refuse_cycles(values, list, &pools);
     pools
 }
 
@@ -151,8 +154,8 @@
     }
 }
 
-/// Refuses pools that fall back on each other in a ring.
-fn refuse_rings(values: &mut Values<'_, '_>, list: &[Value<'_>], pools: &[Pool]) {
+/// Refuses pools that fall back on each other in a cycle, of which none would ever reject or serve a request.
+fn refuse_cycles(values: &mut Values<'_, '_>, list: &[Value<'_>], pools: &[Pool]) {
     if pools.len() != list.len() {
         return;
     }
@@ -170,12 +173,12 @@
     }
 }
 
-/// What is told of a pool that there is not.
+/// Help for the name of a pool that does not exist.
 pub(crate) fn nearest_pool(wrong: &str, names: &[String]) -> String {
     nearest(wrong, names.iter().map(String::as_str).chain([ANY]))
 }
 
-/// A time after which a client is to come back, ms.
+/// The Retry-After under a key, ms; `absent` where there is none, or a wrong one.
 pub(crate) fn retry_after_ms(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -1,6 +1,6 @@
-//! Reading the values of a file of rules: TOML with the place of every value, so that each fault names its line.
-//! It gathers the faults: reading goes on behind one, so that a file's faults are told together. It judges no
-//! rule.
+//! Reads the values of a file of rules: TOML with the span of every value, so that each fault names its line.
+//! Reading goes on after a fault, so that an operator sees all faults of a file at once. It checks the types and ranges
+//! of values, never what a rule does.
 
 use crate::document::Excerpt;
 use crate::fault::Fault;
@@ -10,21 +10,21 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Most faults that are told of one file.
+/// Most faults that are reported of one file.
 const MAX_FAULTS: usize = 100;
-/// Longest part of an unknown key that is told, in characters.
+/// Longest part of an unknown key that is shown, in characters.
 const MAX_KEY_SHOWN: usize = 40;
 
-/// A value of the file with its place in the excerpt that it was parsed from.
+/// A value of the file with its span in the excerpt that it was parsed from.
 pub(crate) type Value<'d> = Spanned<DeValue<'d>>;
 
 /// A text of the file and where it is.
 #[derive(Clone, Debug)]
 pub(crate) struct Text {
     pub(crate) text: String,
-    /// Its place in the excerpt.
+    /// Its span in the excerpt, bytes.
     pub(crate) span: Range<usize>,
-    /// Where its first character is in the file.
+    /// The offset of its first character in the file, bytes.
     start: usize,
 }
 
@@ -34,13 +34,13 @@
     problem: String,
 }
 
-/// Reads one file.
+/// One file, and the faults found in it.
 pub(crate) struct Reader<'t> {
     text: &'t str,
     file: &'t str,
     faults: Vec<Fault>,
     syntax: Vec<SyntaxFault>,
-    /// Where each line begins; found at the first fault.
+    /// The offset of each line, bytes; determined at the first fault.
     lines: OnceCell<Vec<usize>>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The faults found: those of the TOML alone, if there are any, for nothing behind them is certain.
+    /// The faults found. If the TOML itself is faulty, only those: others may be mere consequences.
     pub(crate) fn into_faults(mut self) -> Vec<Fault> {
         if self.syntax.is_empty() {
             return self.faults;
@@ -77,7 +77,7 @@
         self.syntax.is_empty()
     }
 
-    /// An excerpt as a table; none: it is no TOML, which is noted.
+    /// Parses an excerpt. None: it is no TOML, which is noted.
     pub(crate) fn parse<'d>(&mut self, excerpt: &'d Excerpt<'_>) -> Option<Spanned<DeTable<'d>>> {
         let (table, errors) = DeTable::parse_recoverable(excerpt.text());
         let fault = |error: &toml::de::Error| SyntaxFault {
@@ -85,7 +85,7 @@
             problem: error.message().replace('\n', " "),
         };
         self.syntax.extend(errors.iter().map(fault));
-        // The parser does not tell them in the order of the file, and there may be one for each of its tokens.
+        // The parser does not report them in the order of the file, and a hostile file has one for each token.
         self.syntax.sort_by_key(|fault| fault.span.start);
         self.syntax.truncate(MAX_FAULTS);
         errors.is_empty().then_some(table)
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Notes a fault at a place of the file.
+    /// Notes a fault at a span of the file.
     pub(crate) fn fault_in_file(
         &mut self,
         span: Range<usize>,
@@ -153,7 +153,7 @@
 pub(crate) struct Values<'r, 't> {
     pub(crate) reader: &'r mut Reader<'t>,
     excerpt: &'r Excerpt<'r>,
-    /// Most cost of one expression.
+    /// Highest cost of one expression, in units.
     max_cost: u64,
 }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Notes a fault at a place of the excerpt.
+    /// Notes a fault at a span of the excerpt.
     pub(crate) fn fault(
         &mut self,
         span: Range<usize>,
@@ -182,7 +182,7 @@
         self.reader.expression_fault(text, error);
     }
 
-    /// Notes every key that is none of these.
+    /// Notes every key of a table that is none of these.
     pub(crate) fn known_keys(&mut self, table: &DeTable<'_>, keys: &[&str]) {
         for key in table.keys() {
             let name: &str = key.get_ref();
@@ -205,6 +205,7 @@
         }
     }
 
+    /// The value as a table; another type is noted.
     pub(crate) fn table<'v, 'd>(&mut self, value: &'v Value<'d>) -> Option<&'v DeTable<'d>> {
         match value.get_ref() {
             DeValue::Table(table) => Some(table),
@@ -215,6 +216,7 @@
         }
     }
 
+    /// The value as an array; another type is noted, and the array is empty.
     pub(crate) fn array<'v, 'd>(&mut self, value: &'v Value<'d>) -> &'v [Value<'d>] {
         match value.get_ref() {
             DeValue::Array(array) => array,
@@ -225,38 +227,23 @@
         }
     }
 
+    /// The value as a text; another type is noted.
     pub(crate) fn string(&mut self, value: &Value<'_>) -> Option<Text> {
-        match value.get_ref() {
-            DeValue::String(text) => {
-                let span = value.span();
-                let raw = self.excerpt.text().get(span.clone()).unwrap_or("");
-                let quotes = if raw.starts_with("'''") || raw.starts_with("\"\"\"") {
-                    3
-                } else {
-                    1
-                };
-                // The first line break behind three quotes is none of the text's.
-                let rest = raw.get(quotes..).unwrap_or("");
-                let skip = quotes
-                    + if quotes == 3 {
-                        usize::from(rest.starts_with('\n'))
-                    } else {
-                        0
-                    };
-                let start = self.excerpt.in_file(&span).start + skip;
-                Some(Text {
-                    text: text.to_string(),
-                    span,
-                    start,
-                })
-            }
-            other => {
-                self.type_fault(value.span(), other, "a text");
-                None
-            }
-        }
+        let DeValue::String(text) = value.get_ref() else {
+            self.type_fault(value.span(), value.get_ref(), "a text");
+            return None;
+        };
+        let span = value.span();
+        let raw = self.excerpt.text().get(span.clone()).unwrap_or("");
+        let start = self.excerpt.in_file(&span).start + opening_length(raw);
+        Some(Text {
+            text: text.to_string(),
+            span,
+            start,
+        })
     }
 
+    /// The value as a number in this range; anything else is noted.
     pub(crate) fn number(&mut self, value: &Value<'_>, range: RangeInclusive<f64>) -> Option<f64> {
         let number = match value.get_ref() {
             DeValue::Integer(number) => i64::from_str_radix(number.as_str(), number.radix())
@@ -280,6 +267,7 @@
         fits
     }
 
+    /// Notes that a value is of another type than `want`.
     fn type_fault(&mut self, span: Range<usize>, got: &DeValue, want: &str) {
         self.fault(
             span,
@@ -288,7 +276,7 @@
         );
     }
 
-    /// An expression of this type that is evaluated where `facts` hold.
+    /// Checks an expression of this type that is evaluated where `facts` hold; its fault is noted.
     pub(crate) fn expression(
         &mut self,
         text: &Text,
@@ -305,3 +293,13 @@
         }
     }
 }
+
+/// The length of what stands before the first character of a text as it is spelt in TOML: the opening quotes, and a line
+/// break right after three of them, bytes.
+fn opening_length(raw: &str) -> usize {
+    if !raw.starts_with("'''") && !raw.starts_with("\"\"\"") {
+        return 1;
+    }
+    let has_line_break = raw.get(3..).is_some_and(|rest| rest.starts_with('\n'));
+    3 + usize::from(has_line_break)
+}
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -6,20 +6,20 @@
 use std::cell::Cell;
 use std::net::IpAddr;
 
-/// Longest path, bytes; longer ones are turned away before any rule.
+/// Longest path and longest query, bytes; a request with a longer one is rejected before any rule is evaluated.
 pub const MAX_PATH: usize = 1024;
 /// Longest header value that a rule may read, bytes.
 pub const MAX_HEADER: usize = 512;
-/// Most headers.
+/// Most headers of a request.
 pub const MAX_HEADERS: usize = 100;
-/// Longest of the other texts, bytes: host, query, partner, id, class, plan.
+/// Longest of the other texts, bytes: host, tenant, id, class, plan.
 pub const MAX_NAME: usize = 128;
-/// Most labels of an endpoint, and the longest value of one.
+/// Most labels of an endpoint that pools read; their values are read up to [`MAX_NAME`] bytes.
 pub const MAX_LABELS: usize = 32;
 
 /// The headers of a request, by name in lower case.
 pub trait Headers {
-    /// The value of the first header of this name, as it came.
+    /// The value of the first header of this name, as received.
     fn get(&self, name: &str) -> Option<&[u8]>;
     /// How many headers there are.
     fn count(&self) -> usize;
@@ -46,7 +46,7 @@
     pub method: &'a str,
     /// The path without the query; over RESP `/commands/CLASS`.
     pub path: &'a str,
-    /// What stands behind `?`.
+    /// What follows the `?`, without it.
     pub query: Option<&'a str>,
     /// The host that was asked for.
     pub host: Option<&'a str>,
@@ -56,7 +56,7 @@
     pub class: Option<&'a str>,
     /// The plan that the client names itself.
     pub plan: Option<&'a str>,
-    /// The partner that the client names itself.
+    /// The tenant that the client names itself.
     pub partner: Option<&'a str>,
     /// The id that the client names itself.
     pub id: Option<&'a str>,
@@ -64,15 +64,15 @@
     pub units: Option<f64>,
     /// How long the client says that it waits, ms.
     pub deadline_ms: Option<i64>,
-    /// The client marks it as a repeat.
+    /// Whether the client marks it as a retry.
     pub retry: bool,
-    /// The body's length where it is told ahead.
+    /// The body's length, bytes, where it is known before the body.
     pub length: Option<i64>,
     /// The client's address.
     pub client: IpAddr,
 }
 
-/// Numbers of the request's fields that rules are judged by.
+/// Fields of the request about which facts are used when rules are checked.
 pub(crate) mod field {
     use driftgap_expr::FieldId;
     pub const METHOD: FieldId = FieldId(1);
@@ -131,7 +131,7 @@
     }
 }
 
-/// A request while rules read it.
+/// A request as the input of expressions.
 pub(crate) struct View<'a> {
     request: &'a Request<'a>,
     /// Whether a rule has read a header that is no text, or too long.
@@ -200,13 +200,13 @@
     pub zone: &'a str,
     /// Its cell.
     pub cell: u32,
-    /// Its weight beside the other endpoints.
+    /// Its weight relative to the other endpoints.
     pub weight: f64,
     /// `resp` or `http2`.
     pub protocol: &'a str,
     /// Its address.
     pub ip: IpAddr,
-    /// What else is kept of it.
+    /// Further properties by name.
     pub labels: &'a [(String, String)],
 }
 
@@ -257,7 +257,7 @@
     }
 }
 
-/// The beginning of a text, in whole characters.
+/// The beginning of a text, in whole characters, `max` bytes at most.
 pub(crate) fn cut(text: &str, max: usize) -> &str {
     let mut end = text.len().min(max);
     while !text.is_char_boundary(end) {
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -1,4 +1,4 @@
-//! A rule as it is kept: its compiled test, and what it does, which rules that do the same share.
+//! A rule as it is kept in memory: its compiled test, and what it does. Rules that do the same share that.
 
 use crate::content_hash::ContentHash;
 use crate::limit::{Allowance, Limit};
@@ -17,11 +17,16 @@
 /// What an expression of a rule is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PartName {
+    /// Rejects the request; the value is the Retry-After.
     Reject,
+    /// The pool that serves it.
     Pool,
+    /// A note for the endpoint, by name.
     Note(Arc<str>),
+    /// The class of the mapped request; the next ones are its other values.
     Class,
     Plan,
+    /// The tenant.
     Partner,
     Id,
     Units,
@@ -29,9 +34,11 @@
     Spread,
     First,
     Term(Arc<str>),
+    /// The key of the rule's limit.
     LimitKey,
 }
 
+/// As the rules' language spells it, for operators.
 impl fmt::Display for PartName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -51,10 +58,10 @@
     }
 }
 
-/// Expression expressions with what they are for, in the order of their evaluation.
+/// Checked expressions with what they are for, in the order of their evaluation.
 pub(crate) type Parts = Vec<(PartName, Expression)>;
 
-/// A limit as the file has it: one that is equal under the same rule keeps its state when the file is read again.
+/// A limit as the file states it. If it is equal under the same rule after a reload, the limit keeps its state.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LimitSpec {
     /// The text of its key.
@@ -103,10 +110,10 @@
     }
 }
 
-/// What each of those who hold a value has of its bytes. The table by which they share it holds it as well.
-fn share<T>(held: &Arc<T>, bytes: usize) -> usize {
-    let holders = Arc::strong_count(held).saturating_sub(1).max(1);
-    bytes.div_ceil(holders)
+/// The part of a shared value's bytes that each owner counts. The table by which they share it is no owner.
+fn share<T>(shared: &Arc<T>, bytes: usize) -> usize {
+    let owners = Arc::strong_count(shared).saturating_sub(1).max(1);
+    bytes.div_ceil(owners)
 }
 
 /// A rule's limit with its state.
@@ -130,8 +137,8 @@
 }
 
 impl Rule {
-    /// Bytes on the heap, with its share of what it has in common with others. A limit's places count in full,
-    /// though they are allocated with its first request.
+    /// Bytes on the heap, with its part of what it shares with others. A limit's table counts in full, though it is
+    /// allocated with the first request.
     pub(crate) fn heap_bytes(&self) -> usize {
         let own = ARC_HEADER + size_of::<Rule>() + self.name.len();
         let expressions = self.when.heap_bytes() + key_bytes(&self.key) + TABLE_BYTES;
@@ -163,7 +170,7 @@
     }
 }
 
-/// What rules share, those in force and those of the next file alike.
+/// The tables by which rules share equal parts, those in force and those of the next file alike.
 #[derive(Default)]
 pub(crate) struct Shared {
     pub(crate) interner: Interner,
@@ -197,7 +204,7 @@
         }
     }
 
-    /// What a rule does; one that does the same is shared.
+    /// What a rule does, shared with the rules that do the same.
     fn body(&mut self, checked: &CheckedRule) -> Arc<Body> {
         let parts = checked
             .parts
@@ -217,7 +224,7 @@
         intern(&mut self.parts, Part { name, expression })
     }
 
-    /// Forgets what no rule needs any more.
+    /// Drops what no rule uses any more.
     pub(crate) fn sweep(&mut self) {
         self.bodies.retain(|body| Arc::strong_count(body) > 1);
         self.bodies.shrink_to_fit();
@@ -227,7 +234,7 @@
     }
 }
 
-/// The member of a set that is equal to a value, which becomes one where there is none.
+/// The member of a set that is equal to the value; the value itself becomes one where there is none.
 fn intern<T: Eq + Hash>(set: &mut HashSet<Arc<T>>, value: T) -> Arc<T> {
     if let Some(known) = set.get(&value) {
         return known.clone();
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -101,13 +101,13 @@
         self.set.cost
     }
 
-    /// Rules whose tests are looked at for every request, since no text of the request tells them apart.
+    /// The number of rules whose tests are evaluated for every request, since no text of the request selects them.
     pub fn unindexed(&self) -> usize {
         self.set.selector.unindexed()
     }
 
-    /// Bytes that the rules take, estimated. The places of limits count in full, though they are allocated with
-    /// a limit's first request.
+    /// Bytes that the rules take, estimated. The tables of limits count in full, though they are allocated
+    /// with a limit's first request.
     pub fn heap_bytes(&self) -> usize {
         self.set.heap_bytes
     }
--- a/crates/routes/src/takeover.rs
+++ b/crates/routes/src/takeover.rs
@@ -1,4 +1,4 @@
-//! What the reading of a file takes over from the rules in force: unchanged rules, and the states of equal limits.
+//! What the reading of a file takes over from the rules in force: unchanged rules, and the state of equal limits.
 
 use crate::content_hash::ContentHash;
 use crate::environment::Environment;
@@ -12,19 +12,20 @@
 /// The rules in force, as the reading of another file sees them.
 pub(crate) struct Previous<'a> {
     rules: &'a [Arc<Rule>],
-    /// Numbers of the rules in the order of their contents; empty where the environment is another one.
+    /// Indices of the rules, sorted by content; empty where the environment has changed.
     by_content: Vec<u32>,
-    /// Filled when a rule with a limit is compiled.
+    /// Indices of the rules by name; filled when the first rule with a limit is compiled.
     by_name: OnceCell<HashMap<&'a str, u32>>,
 }
 
 impl<'a> Previous<'a> {
+    /// The rules in force, if there are any, for a file that is read in this environment.
     pub(crate) fn new(previous: Option<&'a Rules>, environment: &Environment) -> Previous<'a> {
         let rules = previous.map_or(&[][..], |previous| &previous.set.rules);
         let is_same = previous.is_some_and(|previous| *previous.set.environment == *environment);
         let comparable = if is_same { rules.len() as u32 } else { 0 };
         let mut by_content: Vec<u32> = (0..comparable).collect();
-        by_content.sort_unstable_by_key(|number| rules[*number as usize].content);
+        by_content.sort_unstable_by_key(|index| rules[*index as usize].content);
         Previous {
             rules,
             by_content,
@@ -36,21 +37,21 @@
     pub(crate) fn rule(&self, content: ContentHash) -> Option<&'a Arc<Rule>> {
         let found = self
             .by_content
-            .binary_search_by_key(&content, |number| self.rules[*number as usize].content);
+            .binary_search_by_key(&content, |index| self.rules[*index as usize].content);
         self.rules.get(self.by_content[found.ok()?] as usize)
     }
 
-    /// The state of an equal limit.
+    /// The limit of the rule of this name, with its state, if it is stated as `spec`.
     pub(crate) fn limit(&self, rule: &str, spec: &LimitSpec) -> Option<Arc<Limit>> {
         let names = || {
             self.rules
                 .iter()
                 .zip(0..)
-                .map(|(rule, number)| (&*rule.name, number))
+                .map(|(rule, index)| (&*rule.name, index))
                 .collect()
         };
-        let number = *self.by_name.get_or_init(names).get(rule)?;
-        let held = self.rules.get(number as usize)?.limit.as_deref()?;
-        (held.spec == *spec).then(|| held.limit.clone())
+        let index = *self.by_name.get_or_init(names).get(rule)?;
+        let limit = self.rules.get(index as usize)?.limit.as_deref()?;
+        (limit.spec == *spec).then(|| limit.limit.clone())
     }
 }
