--- a/crates/routes/tests/common/mod.rs
+++ b/crates/routes/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! What tests of large and changing files share.
 #![allow(dead_code)] // Each test file uses a part of it.
 
+pub mod rules;
+
 use driftgap_routes::{Catalog, Effect, NoHeaders, ReadOptions, Request, Rules};
 use std::net::IpAddr;
 
@@ -33,7 +35,7 @@
     )
 }
 
-/// A rule that makes a command of a request for one path.
+/// A rule that maps requests for one path to a class.
 pub fn mapping(number: usize) -> String {
     format!(
         "[[rule]]\nname = 'map-{number}'\n\
