--- a/crates/routes/tests/cost.rs
+++ b/crates/routes/tests/cost.rs
@@ -57,8 +57,10 @@
         .sum()
 }
 
+/// Operators rely on the highest cost of a request that `rules check` states. Random files and requests look for one that
+/// spends more.
 #[test]
-fn no_request_spends_more_than_is_told() {
+fn no_request_spends_more_than_is_stated() {
     let mut nearest = 0.0f64;
     for seed in 0..FILES {
         println!("seed {seed}");
@@ -91,6 +93,7 @@
     assert!(nearest > 0.1, "{nearest}");
 }
 
+/// A file has thousands of routes of which a request reaches one. Adding up all of them would refuse the file.
 #[test]
 fn rules_that_no_request_reaches_together_are_not_added_up() {
     let few = read_on(&routes(10), None).unwrap();
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -64,7 +64,7 @@
     read_on(text, previous).unwrap_or_else(|faults| panic!("{}", faults.join("\n")))
 }
 
-/// Reads a file and tells what each of its rules takes.
+/// Reads a file; bytes that each of its rules takes.
 fn bytes_a_rule(text: &str) -> f64 {
     let region = Region::new();
     let rules = read(text, None);
@@ -81,6 +81,7 @@
     each
 }
 
+/// An operator plans for 63,000 routes. If a rule took more than the page says, a file that fits by the page would not fit.
 fn a_route_takes_at_most_400_bytes() {
     // What is made once in a process.
     drop(read(&routes(1), None));
@@ -99,6 +100,8 @@
     }
 }
 
+/// One rule of a large file is edited. If a reload held every unchanged rule twice, files of half the memory could not be
+/// reloaded.
 fn an_unchanged_rule_is_held_once_by_the_old_and_the_new_rules() {
     const RULES: usize = 5_000;
     let text = routes(RULES);
@@ -124,6 +127,8 @@
     assert!((after - one_set).abs() < one_set / 10, "{after} {one_set}");
 }
 
+/// A reload runs beside serving requests. Reading may take what it is given and no more, or the ingress is killed for its
+/// memory.
 fn reading_takes_no_more_than_it_is_given() {
     for count in sizes() {
         let text = routes(count);
@@ -153,6 +158,7 @@
     }
 }
 
+/// A hostile or torn file is parsed in one piece. What the parser takes for a byte must stay below what is planned for it.
 fn what_is_parsed_in_one_piece_takes_less_than_is_planned_for() {
     let list = |item: &str| format!("rule = [{}", item.repeat(10_000));
     let tables = |table: &str| -> String {
@@ -196,7 +202,8 @@
     each
 }
 
-fn a_limit_takes_its_places_with_its_first_request() {
+/// A file has a limit on each of many rules that few requests meet. The tables of the others are never allocated.
+fn a_limit_allocates_its_table_with_its_first_request() {
     let text = "[[rule]]\nname = 'l'\nlimit = { key = '\"all\"', rate = 1 }\n";
     drop(read(text, None));
     let region = Region::new();
@@ -211,6 +218,8 @@
     assert!(router.rules().heap_bytes() as isize > after - 4_000);
 }
 
+/// Rules are reloaded for months. What rules share must be freed with the last rule that uses it, or memory grows with
+/// each reload.
 fn memory_is_as_at_first_after_ten_thousand_changes() {
     const RULES: usize = 40;
     let seed = 7;
@@ -255,6 +264,7 @@
     assert!(matches!(router.route(&request("/"), now), Verdict::Go(_)));
 }
 
+/// One rule of a large file is edited on a loaded ingress. The reload must cost what changed, not what the file holds.
 fn reading_one_change_takes_a_small_part_of_reading_all() {
     for count in sizes() {
         let text = routes(count);
@@ -295,7 +305,7 @@
         trial!(an_unchanged_rule_is_held_once_by_the_old_and_the_new_rules),
         trial!(reading_takes_no_more_than_it_is_given),
         trial!(what_is_parsed_in_one_piece_takes_less_than_is_planned_for),
-        trial!(a_limit_takes_its_places_with_its_first_request),
+        trial!(a_limit_allocates_its_table_with_its_first_request),
         trial!(memory_is_as_at_first_after_ten_thousand_changes),
         trial!(reading_one_change_takes_a_small_part_of_reading_all),
     ];
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -66,8 +66,9 @@
         .collect()
 }
 
+/// A reload changes rules and no pools. Testing every endpoint against all pools would hold requests up for nothing.
 #[test]
-fn endpoints_need_be_told_again_only_where_there_is_a_new_pool() {
+fn endpoints_are_assigned_anew_only_where_there_is_a_new_pool() {
     let first = [pool("x", "north", "refuse"), pool("y", "south", "x")].concat();
     let mut router = Router::new(read(&first, None));
     tell(&mut router, &["north", "south", "south"]);
@@ -107,6 +108,8 @@
     pools + &(0..LARGE).map(rule).collect::<String>()
 }
 
+/// The largest file is replaced while requests wait on the same thread. What takes long, reading and dropping rules, must
+/// not be part of it.
 #[test]
 fn the_largest_file_is_put_in_force_within_a_millisecond() {
     const PUTS: usize = 21;
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Takes out what is wrong.
+    /// Removes what is wrong.
     fn mend(&mut self) {
         self.rules.retain(|rule| !rule.contains("name = 'b"));
         let mut seen = std::collections::HashSet::new();
@@ -177,7 +177,7 @@
     }
 }
 
-/// What two routers decide about the same requests; all limits are full again at `now`.
+/// Asserts that two routers decide alike about the same requests; all limits are full again at `now`, ms.
 fn decide_alike(random: &mut Rand32, taken: &Rules, anew: &Rules, now: f64) {
     let (mut taken, mut anew) = (Router::new(taken.clone()), Router::new(anew.clone()));
     for router in [&mut taken, &mut anew] {
@@ -197,6 +197,8 @@
     }
 }
 
+/// An operator edits a file again and again, with mistakes between. A rule that was taken over wrongly would decide as an
+/// earlier version of it; so the rules in force are compared with those of the same text read by a new process.
 #[test]
 fn after_any_edits_rules_decide_as_those_of_the_same_text_read_anew() {
     for seed in seeds() {
@@ -245,7 +247,7 @@
     }
 }
 
-/// Most faults that are told of one file.
+/// Most faults that are reported of one file.
 const MAX_FAULTS: usize = 100;
 
 /// The line of the file that a fault names.
@@ -262,6 +264,8 @@
     text.replacen("[[pool]]", "[[\"p\\u006fol\"]]", 1)
 }
 
+/// A file is cut into rules before it is parsed. A fault must be found, and named with its line, as if it had been parsed in
+/// one piece.
 #[test]
 fn faults_are_those_of_the_file_parsed_in_one_piece() {
     let mut faulty = 0;
@@ -356,6 +360,8 @@
     chars.into_iter().collect()
 }
 
+/// A file is read while it is being written, or damaged at any character. It must be refused exactly where the TOML parser
+/// refuses it in one piece: never read as something else.
 #[test]
 fn a_torn_file_is_refused_where_the_parser_refuses_it_in_one_piece() {
     for seed in seeds() {
@@ -425,6 +431,7 @@
     assert!(read("[[routes]]\n[[routes.rule]]\nname = 'a'\n", None).is_err());
 }
 
+/// One rule of many is edited. Only that one may be parsed and compiled.
 #[test]
 fn a_change_costs_what_changed() {
     const RULES: usize = 300;
@@ -502,6 +509,8 @@
     );
 }
 
+/// A rule is copied and its name not changed. The copy is unchanged text, taken over without being parsed, and must be
+/// refused all the same.
 #[test]
 fn a_rule_that_stands_twice_is_refused_where_it_stands_again() {
     let text = routes(3);
@@ -515,6 +524,8 @@
     assert_eq!(read_on(&twice, Some(&held)).unwrap_err(), [want]);
 }
 
+/// The rules of a file are cut out of it, and the rest says something else about the same key. TOML forbids that; cutting
+/// must not hide it, or a file would be in force that other tools refuse.
 #[test]
 fn a_file_whose_head_says_other_things_of_the_rules_is_refused() {
     let section = "[[rule]]\nname = 'a'\n";
@@ -538,22 +549,24 @@
     // A sub-table that stands apart from its rule is that rule's all the same.
     let apart = format!("{section}[cost]\nrequest = 1000\n[rule.notes]\nn = '\"1\"'\n");
     let mut router = Router::new(read_on(&apart, Some(&held)).unwrap());
-    let Verdict::Go(way) = router.route(&request("/"), 0.0) else {
+    let Verdict::Go(route) = router.route(&request("/"), 0.0) else {
         panic!("refused")
     };
-    assert_eq!(way.notes, [("n".to_string(), "1".to_string())]);
+    assert_eq!(route.notes, [("n".to_string(), "1".to_string())]);
 }
 
-/// A rule that lets one partner through once in 1000 s.
+/// A limit that admits one request of a tenant in 1,000 s.
 const LIMIT: &str = "[[rule]]\nname = 'limit'\ngo_on = true\n\
                      limit = { key = 'request.partner.orValue(\"\")', rate = 0.001, burst = 1, keys = 64 }\n";
-/// A rule that lets one request through at once.
+/// A limit that admits one request at a time.
 const AT_ONCE: &str =
     "[[rule]]\nname = 'at-once'\nwhen = 'request.path == \"/once\"'\ngo_on = true\n\
                        limit = { key = '\"all\"', at_once = 1 }\n";
 
+/// Clients are held by a limit while an operator edits other rules. If a reload began the limit anew, each reload would let
+/// a burst through.
 #[test]
-fn limits_keep_their_states_whatever_else_is_edited() {
+fn limits_keep_their_state_whatever_else_is_edited() {
     for seed in seeds() {
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
@@ -569,10 +582,10 @@
             partner: Some("other"),
             ..request("/once")
         };
-        let Verdict::Go(held) = router.route(&other, 0.0) else {
-            panic!("refused at first")
+        let Verdict::Go(in_flight) = router.route(&other, 0.0) else {
+            panic!("rejected at first")
         };
-        assert_eq!(held.tickets.len(), 1);
+        assert_eq!(in_flight.tickets.len(), 1);
         assert!(matches!(
             router.route(&request("/none"), 0.0),
             Verdict::Go(_)
@@ -604,7 +617,7 @@
                 "{refused:?}"
             );
         }
-        drop(held);
+        drop(in_flight);
         // Another rate is another limit, which begins anew.
         let faster = LIMIT.replace("rate = 0.001", "rate = 0.002");
         replace(&mut router, &with(&file, &faster), 1.0);
@@ -616,6 +629,7 @@
     }
 }
 
+/// Reading and dropping rules takes long. Were they bound to the serving thread, every reload would hold requests up.
 #[test]
 fn rules_are_read_and_dropped_on_other_threads_than_the_serving_one() {
     fn can_change_threads<T: Send>() {}
