--- /dev/null
+++ b/crates/expr/src/check/methods.rs
@@ -0,0 +1,205 @@
+//! Functions that are called on a value: `x.startsWith(y)`, `list.exists(y, test)` and so on.
+
+use super::functions::size;
+use super::messages::{article, mismatch, OPTIONAL_HELP};
+use super::{larger, CheckResult, Checker, METHODS};
+use crate::ast::{Tree, What};
+use crate::constant::Const;
+use crate::error::{nearest, Error};
+use crate::facts::Facts;
+use crate::lex::short;
+use crate::limits::MAX_PARTS;
+use crate::node::{Func, Kind, Node};
+use crate::schema::{Bound, Type};
+use std::ops::Range;
+
+/// Most parts that `split` gives where the expression does not say how many.
+const DEFAULT_PARTS: i64 = 16;
+/// Slots of a loop: its variable, the index and the list.
+const LOOP_SLOTS: u16 = 3;
+
+impl Checker<'_> {
+    /// A call of a method.
+    pub(super) fn method(
+        &mut self,
+        of: &Tree,
+        name: &str,
+        args: &[Tree],
+        span: Range<usize>,
+        facts: &Facts,
+    ) -> CheckResult<Node> {
+        if name == "exists" || name == "all" {
+            return self.looped(of, name == "all", args, span, facts);
+        }
+        let of = self.check(of, facts)?;
+        if name == "orValue" {
+            return self.or_value(of, args, span, facts);
+        }
+        if let Type::Optional(_) = &of.ty {
+            let error = Error::new(of.span.clone(), format!("this is {}", article(&of.ty)));
+            return Err(error.help(OPTIONAL_HELP));
+        }
+        let arguments: &[usize] = match (name, &of.ty) {
+            ("size", Type::Text | Type::List(_) | Type::Map(_)) => &[0],
+            ("lowerAscii", Type::Text) | ("milliseconds", Type::Duration) => &[0],
+            ("startsWith" | "endsWith" | "contains" | "matches", Type::Text) => &[1],
+            ("inCidr", Type::Ip) => &[1],
+            ("split", Type::Text) => &[1, 2],
+            _ => return Err(no_method(name, &of.ty, span)),
+        };
+        self.arity(name, args, arguments, &span)?;
+        match name {
+            "size" => size(of, span),
+            "lowerAscii" => {
+                let bound = of.bound;
+                let call = Kind::Call(Func::LowerAscii, vec![of]);
+                Ok(Node::new(call, Type::Text, bound, span))
+            }
+            "milliseconds" => {
+                let call = Kind::Call(Func::Milliseconds, vec![of]);
+                Ok(Node::new(call, Type::Int, Bound::default(), span))
+            }
+            "split" => self.split(of, args, span, facts),
+            "inCidr" => {
+                let ranges = self.check(&args[0], facts)?;
+                self.in_cidrs(of, ranges, span)
+            }
+            "matches" => {
+                let pattern = self.text(&args[0], facts)?;
+                self.matches(of, pattern, span)
+            }
+            _ => {
+                let func = match name {
+                    "startsWith" => Func::StartsWith,
+                    "endsWith" => Func::EndsWith,
+                    _ => Func::Contains,
+                };
+                let with = self.text(&args[0], facts)?;
+                let call = Kind::Call(func, vec![of, with]);
+                Ok(Node::new(call, Type::Bool, Bound::default(), span))
+            }
+        }
+    }
+
+    /// An argument that must be a text.
+    fn text(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
+        let node = self.check(tree, facts)?;
+        if node.ty == Type::Text {
+            Ok(node)
+        } else {
+            Err(mismatch(&node.span, "string", &node))
+        }
+    }
+
+    /// `x.orValue(default)`.
+    fn or_value(
+        &mut self,
+        of: Node,
+        args: &[Tree],
+        span: Range<usize>,
+        facts: &Facts,
+    ) -> CheckResult<Node> {
+        self.arity("orValue", args, &[1], &span)?;
+        let default = self.check(&args[0], facts)?;
+        // Facts establish that it is there: the default is never used.
+        if let Kind::Sure(_) = &of.kind {
+            return Ok(of);
+        }
+        let Type::Optional(ty) = &of.ty else {
+            let error = Error::new(of.span, "this is always there");
+            return Err(error.help(".orValue() is for what may be absent"));
+        };
+        if default.ty != **ty {
+            return Err(mismatch(&default.span, &ty.to_string(), &default));
+        }
+        let ty = (**ty).clone();
+        let bound = larger(of.bound, default.bound);
+        let or_value = Kind::OrValue(of.into(), default.into());
+        Ok(Node::new(or_value, ty, bound, span))
+    }
+
+    /// `x.split(by)` and `x.split(by, parts)`.
+    fn split(
+        &mut self,
+        of: Node,
+        args: &[Tree],
+        span: Range<usize>,
+        facts: &Facts,
+    ) -> CheckResult<Node> {
+        let by = self.text(&args[0], facts)?;
+        if by.as_text().is_none_or(|by| by.is_empty()) {
+            let problem = "split() takes a text that is written out and not empty";
+            return Err(Error::new(by.span, problem));
+        }
+        let max = match args.get(1) {
+            None => Node::constant(Const::Int(DEFAULT_PARTS), span.clone()),
+            Some(max) => self.check(max, facts)?,
+        };
+        let parts = match max.as_const() {
+            Some(Const::Int(parts)) if (1..=MAX_PARTS).contains(parts) => *parts as u32,
+            _ => {
+                let problem =
+                    format!("the most parts must be a number from 1 to {MAX_PARTS}, written out");
+                return Err(Error::new(max.span, problem));
+            }
+        };
+        let bound = Bound::new(of.bound.bytes, parts);
+        let ty = Type::List(Type::Text.into());
+        let call = Kind::Call(Func::Split, vec![of, by, max]);
+        Ok(Node::new(call, ty, bound, span))
+    }
+
+    /// `list.exists(x, test)` and `list.all(x, test)`.
+    fn looped(
+        &mut self,
+        of: &Tree,
+        all: bool,
+        args: &[Tree],
+        span: Range<usize>,
+        facts: &Facts,
+    ) -> CheckResult<Node> {
+        let name = if all { "all" } else { "exists" };
+        self.arity(name, args, &[2], &span)?;
+        let list = self.check(of, facts)?;
+        let Type::List(item) = &list.ty else {
+            return Err(mismatch(&list.span, "a list", &list));
+        };
+        let What::Name(variable) = &args[0].what else {
+            return Err(Error::new(args[0].span.clone(), "this is no name")
+                .help(format!("`x.{name}(y, ...)`")));
+        };
+        let item = Node::new(
+            Kind::Local(0),
+            (**item).clone(),
+            Bound::new(list.bound.bytes, 0),
+            span.clone(),
+        );
+        let slot = self.declare(
+            variable,
+            &item,
+            None,
+            None,
+            args[0].span.clone(),
+            LOOP_SLOTS,
+        )?;
+        let test = self.bool(&args[1], facts)?;
+        self.close(slot);
+        let kind = Kind::Loop {
+            all,
+            slot,
+            list: list.into(),
+            test: test.into(),
+        };
+        Ok(Node::new(kind, Type::Bool, Bound::default(), span))
+    }
+}
+
+/// The error that there is no such method for a type.
+fn no_method(name: &str, ty: &Type, span: Range<usize>) -> Error {
+    let problem = format!("there is no `.{}()` for {}", short(name), article(ty));
+    let error = Error::new(span, problem);
+    match nearest(name, METHODS.into_iter().filter(|m| *m != name)) {
+        Some(near) => error.help(format!("did you mean `{near}`?")),
+        None => error,
+    }
+}
--- a/crates/expr/src/check/truth.rs
+++ b/crates/expr/src/check/truth.rs
@@ -70,7 +70,7 @@
             Kind::Let(_, _, body) => self.facts(body),
             Kind::Local(slot) => {
                 let name = self.names.iter().find(|n| n.slot == *slot);
-                name.and_then(|name| name.when.clone())
+                name.and_then(|name| name.facts.clone())
                     .unwrap_or_else(nothing)
             }
             Kind::Has(of) => {
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -2,7 +2,7 @@
 //! compiled patterns. They are small, clone cheaply and compare by content, so that compiled expressions can
 //! share them.
 
-use crate::node::bounded;
+use crate::limits::MAX_REGEX;
 use crate::schema::{Bound, Type, Value};
 use crate::text_index::PrefixIndex;
 use ipnet::IpNet;
@@ -73,10 +73,12 @@
             items.map(|c| c.bound().bytes).max().unwrap_or(0)
         };
         match self {
-            Const::Text(text) => bounded(text.len() as u32, 0),
-            Const::List(list) => bounded(longest(&mut list.items.iter()), list.items.len() as u32),
+            Const::Text(text) => Bound::new(text.len() as u32, 0),
+            Const::List(list) => {
+                Bound::new(longest(&mut list.items.iter()), list.items.len() as u32)
+            }
             Const::Map(map) => {
-                bounded(longest(&mut map.entries.values()), map.entries.len() as u32)
+                Bound::new(longest(&mut map.entries.values()), map.entries.len() as u32)
             }
             _ => Bound::default(),
         }
@@ -257,8 +259,8 @@
     /// It is no pattern, or takes too much memory.
     pub(crate) fn new(text: &Arc<str>) -> Result<Pattern, regex::Error> {
         let regex = RegexBuilder::new(text)
-            .size_limit(crate::check::MAX_REGEX)
-            .dfa_size_limit(crate::check::MAX_REGEX)
+            .size_limit(MAX_REGEX)
+            .dfa_size_limit(MAX_REGEX)
             .nest_limit(24)
             .build()?;
         Ok(Pattern {
--- a/crates/expr/src/node.rs
+++ b/crates/expr/src/node.rs
@@ -120,8 +120,3 @@
         }
     }
 }
-
-/// A bound from its two figures.
-pub(crate) fn bounded(bytes: u32, items: u32) -> Bound {
-    Bound { bytes, items }
-}
--- a/crates/expr/src/schema.rs
+++ b/crates/expr/src/schema.rs
@@ -55,6 +55,13 @@
     pub items: u32,
 }
 
+impl Bound {
+    /// So many bytes and so many items.
+    pub(crate) fn new(bytes: u32, items: u32) -> Bound {
+        Bound { bytes, items }
+    }
+}
+
 /// A field that expressions may read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
