--- a/crates/expr/src/check/leaves.rs
+++ b/crates/expr/src/check/leaves.rs
@@ -1,23 +1,27 @@
 //! The values that an expression may have, each with what is known of the input where it has it.
 
+use super::truth::presence;
 use super::Checker;
-use crate::constant::Const;
+use crate::constant::{Const, ConstMap};
 use crate::facts::{Fact, Facts, Path, Texts};
 use crate::node::{Kind, Node};
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// Most values that are told apart of one expression.
+/// Most values of one expression. With more, a hostile text could make the work on them long.
 const MAX_LEAVES: usize = 512;
 
 /// A value that an expression may have, and what is known of the input where it has it.
 pub(crate) enum Leaf {
+    /// This constant.
     Const(Const),
     /// The value of this place of the input.
     Place(Path),
+    /// A value that is known only when it is evaluated.
     Unknown,
 }
 
+/// Values with what is known of the input, and the bytes of the text that give them.
 pub(crate) type Leaves = Vec<(Leaf, Facts, Range<usize>)>;
 
 impl Checker<'_> {
@@ -28,6 +32,7 @@
         Some(found)
     }
 
+    /// Adds the values of a node to `found`; none: there are too many.
     fn gather<'n>(
         &self,
         node: &'n Node,
@@ -39,10 +44,6 @@
             return None;
         }
         let span = node.span.clone();
-        let with = |known: &Facts, path: Option<Path>, fact: Fact| match path {
-            Some(path) => known.clone().meet(Facts::one(path, fact)),
-            None => Some(known.clone()),
-        };
         match &node.kind {
             Kind::If(test, yes, no) => {
                 let [when_yes, when_no] = self.facts(test);
@@ -62,42 +63,23 @@
             },
             Kind::Sure(of) => self.gather(of, facts, lets, found)?,
             Kind::OrValue(of, default) => match &of.kind {
-                // A table that is written out: each of its values where the key is that value's.
                 Kind::Lookup(map, key) if map.as_const().is_some() => {
                     let Some(Const::Map(map)) = map.as_const() else {
                         return None;
                     };
-                    let path = self.path(key);
-                    let mut entries: Vec<_> = map.entries.iter().collect();
-                    entries.sort_by(|a, b| a.0.cmp(b.0));
-                    for (name, value) in entries {
-                        let is = Fact {
-                            texts: Texts::In(BTreeSet::from([name.clone()])),
-                            ..Fact::default()
-                        };
-                        if let Some(known) = with(&facts, path.clone(), is) {
-                            found.push((Leaf::Const(value.clone()), known, span.clone()));
-                        }
-                    }
-                    let not = Fact {
-                        texts: Texts::NotIn(map.entries.keys().cloned().collect()),
-                        ..Fact::default()
-                    };
-                    if let Some(known) = with(&facts, path, not) {
+                    let key = self.path(key);
+                    let rest = entries(map, key, &facts, &span, found);
+                    if let Some(known) = rest {
                         self.gather(default, known, lets, found)?;
                     }
                 }
                 _ => {
                     let path = self.path(of);
-                    let there = |present| Fact {
-                        present: Some(present),
-                        ..Fact::default()
-                    };
-                    if let Some(known) = with(&facts, path.clone(), there(true)) {
+                    if let Some(known) = with(&facts, path.clone(), presence(true)) {
                         let leaf = path.clone().map_or(Leaf::Unknown, Leaf::Place);
                         found.push((leaf, known, of.span.clone()));
                     }
-                    if let Some(known) = with(&facts, path, there(false)) {
+                    if let Some(known) = with(&facts, path, presence(false)) {
                         self.gather(default, known, lets, found)?;
                     }
                 }
@@ -111,3 +93,37 @@
         (found.len() <= MAX_LEAVES).then_some(())
     }
 }
+
+/// Each value of a map that is written out, where the key is that value's; what is known where the key is none of them.
+fn entries(
+    map: &ConstMap,
+    key: Option<Path>,
+    facts: &Facts,
+    span: &Range<usize>,
+    found: &mut Leaves,
+) -> Option<Facts> {
+    let mut entries: Vec<_> = map.entries.iter().collect();
+    entries.sort_by(|a, b| a.0.cmp(b.0));
+    for (name, value) in entries {
+        let is_this = Fact {
+            texts: Texts::In(BTreeSet::from([name.clone()])),
+            ..Fact::default()
+        };
+        if let Some(known) = with(facts, key.clone(), is_this) {
+            found.push((Leaf::Const(value.clone()), known, span.clone()));
+        }
+    }
+    let is_none = Fact {
+        texts: Texts::NotIn(map.entries.keys().cloned().collect()),
+        ..Fact::default()
+    };
+    with(facts, key, is_none)
+}
+
+/// What is known where a fact holds of a place as well; none: that contradicts it.
+fn with(known: &Facts, path: Option<Path>, fact: Fact) -> Option<Facts> {
+    match path {
+        Some(path) => known.clone().meet(Facts::one(path, fact)),
+        None => Some(known.clone()),
+    }
+}
--- a/crates/expr/src/check/truth.rs
+++ b/crates/expr/src/check/truth.rs
@@ -1,5 +1,5 @@
-//! What is known of the input where a test is true, and where it is false. It must never claim more than holds
-//! for every input.
+//! What is known of the input where a test is true, and where it is false. It must never claim more than holds for every
+//! input: reads are allowed, classes proved and tests skipped by it.
 
 use super::Checker;
 use crate::ast::Binary;
@@ -9,152 +9,160 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+/// What holds of the input where a test is true, and where it is false; none: it never is.
+type TestFacts = [Option<Facts>; 2];
+
 impl Checker<'_> {
-    /// What holds of the input where a test is true, and where it is false; none: it never is. Each node is
-    /// looked at once: asking for either way by itself would double the work with each `? :` in a test.
-    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-    pub(crate) fn facts(&self, node: &Node) -> [Option<Facts>; 2] {
-        let nothing = || [Some(Facts::default()), Some(Facts::default())];
-        let both = |of: &Node, yes: Fact, no: Fact| match self.path(of) {
-            Some(path) => [
-                Some(Facts::one(path.clone(), yes)),
-                Some(Facts::one(path, no)),
-            ],
-            None => nothing(),
-        };
-        let texts = |of: &Node, all: BTreeSet<Arc<str>>| {
-            let no = Fact {
-                texts: Texts::NotIn(all.clone()),
-                ..Fact::default()
-            };
-            both(
-                of,
-                Fact {
-                    texts: Texts::In(all),
-                    ..Fact::default()
-                },
-                no,
-            )
-        };
-        let swapped = |[yes, no]: [Option<Facts>; 2]| [no, yes];
+    /// What holds of the input where a test is true, and where it is false; none: it never is. Both are derived at once:
+    /// one after the other would double the work with each `? :` in a test, which a hostile text could nest.
+    pub(crate) fn facts(&self, node: &Node) -> TestFacts {
         match &node.kind {
             Kind::Const(Const::Bool(value)) => {
                 [value.then(Facts::default), (!value).then(Facts::default)]
             }
             Kind::Not(a) => swapped(self.facts(a)),
-            Kind::And(parts) | Kind::Or(parts) => {
-                let and = matches!(node.kind, Kind::And(_));
-                let (mut all, mut any) = (Some(Facts::default()), None);
-                for part in parts {
-                    let [yes, no] = self.facts(part);
-                    let (each, either) = if and { (yes, no) } else { (no, yes) };
-                    all = all.and_then(|known| known.meet(each?));
-                    any = Facts::join(any, either);
-                }
-                if and {
-                    [all, any]
-                } else {
-                    [any, all]
-                }
-            }
-            Kind::If(test, yes, no) => {
-                let ([when_yes, when_no], yes, no) =
-                    (self.facts(test), self.facts(yes), self.facts(no));
-                let met = |when: &Option<Facts>, side: Option<Facts>| when.clone()?.meet(side?);
-                let ([yes_true, yes_false], [no_true, no_false]) = (yes, no);
-                [
-                    Facts::join(met(&when_yes, yes_true), met(&when_no, no_true)),
-                    Facts::join(met(&when_yes, yes_false), met(&when_no, no_false)),
-                ]
-            }
+            Kind::And(parts) => self.facts_of_and(parts),
+            Kind::Or(parts) => self.facts_of_or(parts),
+            Kind::If(test, yes, no) => self.facts_of_if(test, yes, no),
             Kind::Let(_, _, body) => self.facts(body),
             Kind::Local(slot) => {
-                let name = self.names.iter().find(|n| n.slot == *slot);
-                name.and_then(|name| name.facts.clone())
-                    .unwrap_or_else(nothing)
+                let local = self.names.iter().find(|n| n.slot == *slot);
+                let facts = local.and_then(|local| local.facts.clone());
+                facts.unwrap_or_else(nothing)
+            }
+            Kind::Has(of) => self.facts_about(of, presence(true), presence(false)),
+            Kind::Binary(Binary::Equal, a, b) => self.facts_of_equal(a, b),
+            Kind::Binary(Binary::Unequal, a, b) => swapped(self.facts_of_equal(a, b)),
+            Kind::InSet(of, Const::TextSet(set)) => {
+                self.facts_of_texts(of, set.iter().cloned().collect())
             }
-            Kind::Has(of) => {
-                let there = |present| Fact {
-                    present: Some(present),
+            Kind::Call(Func::StartsWith, args) => match args[1].as_text() {
+                Some(text) => self.facts_of_prefixes(&args[0], std::slice::from_ref(text)),
+                None => nothing(),
+            },
+            Kind::BeginsWithAny(of, all) => self.facts_of_prefixes(of, all),
+            _ => nothing(),
+        }
+    }
+
+    /// `a && b && ...`: where it is true all parts are, where it is false one of them is.
+    fn facts_of_and(&self, parts: &[Node]) -> TestFacts {
+        let mut all_true = Some(Facts::default());
+        let mut one_false = None;
+        for part in parts {
+            let [when_true, when_false] = self.facts(part);
+            all_true = all_true.and_then(|known| known.meet(when_true?));
+            one_false = Facts::join(one_false, when_false);
+        }
+        [all_true, one_false]
+    }
+
+    /// `a || b || ...`: where it is true one part is, where it is false all of them are.
+    fn facts_of_or(&self, parts: &[Node]) -> TestFacts {
+        let mut one_true = None;
+        let mut all_false = Some(Facts::default());
+        for part in parts {
+            let [when_true, when_false] = self.facts(part);
+            all_false = all_false.and_then(|known| known.meet(when_false?));
+            one_true = Facts::join(one_true, when_true);
+        }
+        [one_true, all_false]
+    }
+
+    /// `test ? yes : no`: what holds on either branch, with what the test establishes for it.
+    fn facts_of_if(&self, test: &Node, yes: &Node, no: &Node) -> TestFacts {
+        let [when_yes, when_no] = self.facts(test);
+        let [yes_true, yes_false] = self.facts(yes);
+        let [no_true, no_false] = self.facts(no);
+        let on = |branch: &Option<Facts>, side: Option<Facts>| branch.clone()?.meet(side?);
+        [
+            Facts::join(on(&when_yes, yes_true), on(&when_no, no_true)),
+            Facts::join(on(&when_yes, yes_false), on(&when_no, no_false)),
+        ]
+    }
+
+    /// `a == b`, of which one is a text that is written out.
+    fn facts_of_equal(&self, a: &Node, b: &Node) -> TestFacts {
+        match (a.as_text(), b.as_text()) {
+            (None, Some(text)) => self.facts_of_texts(a, BTreeSet::from([text.clone()])),
+            (Some(text), None) => self.facts_of_texts(b, BTreeSet::from([text.clone()])),
+            _ => nothing(),
+        }
+    }
+
+    /// A value is one of these texts.
+    fn facts_of_texts(&self, of: &Node, texts: BTreeSet<Arc<str>>) -> TestFacts {
+        match with_default(of) {
+            // The default is none of them: the value is there, and is one of them.
+            Some((of, default)) if !texts.contains(default) => {
+                let is_one = Fact {
+                    present: Some(true),
+                    texts: Texts::In(texts),
                     ..Fact::default()
                 };
-                both(of, there(true), there(false))
+                self.facts_about(of, is_one, Fact::default())
             }
-            Kind::Binary(operator @ (Binary::Equal | Binary::Unequal), a, b) => {
-                let (of, text) = match (a.as_text(), b.as_text()) {
-                    (None, Some(text)) => (a, text),
-                    (Some(text), None) => (b, text),
-                    _ => return nothing(),
+            _ => {
+                let is_none = Fact {
+                    texts: Texts::NotIn(texts.clone()),
+                    ..Fact::default()
                 };
-                let known = match with_default(of) {
-                    // Another text than the default is what is there.
-                    Some((of, default)) if default != text => {
-                        let texts = Texts::In(BTreeSet::from([text.clone()]));
-                        both(
-                            of,
-                            Fact {
-                                present: Some(true),
-                                texts,
-                                ..Fact::default()
-                            },
-                            Fact::default(),
-                        )
-                    }
-                    _ => texts(of, BTreeSet::from([text.clone()])),
+                let is_one = Fact {
+                    texts: Texts::In(texts),
+                    ..Fact::default()
                 };
-                if *operator == Binary::Equal {
-                    known
-                } else {
-                    swapped(known)
-                }
+                self.facts_about(of, is_one, is_none)
             }
-            Kind::InSet(of, Const::TextSet(set)) => match with_default(of) {
-                Some((of, default)) if !set.contains(default) => {
-                    let texts = Texts::In(set.iter().cloned().collect());
-                    both(
-                        of,
-                        Fact {
-                            present: Some(true),
-                            texts,
-                            ..Fact::default()
-                        },
-                        Fact::default(),
-                    )
-                }
-                _ => texts(of, set.iter().cloned().collect()),
-            },
-            Kind::Call(Func::StartsWith, args) => match args[1].as_text() {
-                Some(text) => both(
-                    &args[0],
-                    begins(std::slice::from_ref(text), true),
-                    begins(std::slice::from_ref(text), false),
-                ),
-                None => nothing(),
-            },
-            Kind::BeginsWithAny(of, all) => both(of, begins(all, true), begins(all, false)),
-            _ => nothing(),
         }
     }
+
+    /// A text begins with one of these.
+    fn facts_of_prefixes(&self, of: &Node, prefixes: &[Arc<str>]) -> TestFacts {
+        let set: BTreeSet<Arc<str>> = prefixes.iter().cloned().collect();
+        let begins = Fact {
+            prefixes: Some(set.clone()),
+            ..Fact::default()
+        };
+        let never_begins = Fact {
+            not_prefixes: set,
+            ..Fact::default()
+        };
+        self.facts_about(of, begins, never_begins)
+    }
+
+    /// Facts about the place that a node reads, if it reads one.
+    fn facts_about(&self, of: &Node, when_true: Fact, when_false: Fact) -> TestFacts {
+        let Some(path) = self.path(of) else {
+            return nothing();
+        };
+        let when_true = Facts::one(path.clone(), when_true);
+        let when_false = Facts::one(path, when_false);
+        [Some(when_true), Some(when_false)]
+    }
+}
+
+/// A test that establishes nothing.
+fn nothing() -> TestFacts {
+    [Some(Facts::default()), Some(Facts::default())]
+}
+
+/// The facts of the opposite test.
+fn swapped([when_true, when_false]: TestFacts) -> TestFacts {
+    [when_false, when_true]
+}
+
+/// Whether a value is there.
+pub(super) fn presence(present: bool) -> Fact {
+    Fact {
+        present: Some(present),
+        ..Fact::default()
+    }
 }
 
-/// What is optional and read with a default that is written out.
+/// An optional value and the default that it is read with, where that is a text that is written out.
 fn with_default(node: &Node) -> Option<(&Node, &Arc<str>)> {
     match &node.kind {
         Kind::OrValue(of, default) => Some((of, default.as_text()?)),
         _ => None,
     }
 }
-
-fn begins(all: &[Arc<str>], polarity: bool) -> Fact {
-    let set = all.iter().cloned().collect();
-    match polarity {
-        true => Fact {
-            prefixes: Some(set),
-            ..Fact::default()
-        },
-        false => Fact {
-            not_prefixes: set,
-            ..Fact::default()
-        },
-    }
-}
--- a/crates/expr/src/compiled.rs
+++ b/crates/expr/src/compiled.rs
@@ -1,8 +1,8 @@
 //! The small form of a checked expression: a program whose shape and constants are shared with other expressions.
 
+use crate::code::{Code, Shape};
 use crate::constant::{Operand, ARC_HEADER};
-use crate::machine::{run, Code, Fault, Scratch};
-use crate::program::Shape;
+use crate::machine::{run, Fault, Scratch};
 use crate::schema::{Input, Value};
 use std::mem::size_of;
 use std::sync::Arc;
--- a/crates/expr/src/interner.rs
+++ b/crates/expr/src/interner.rs
@@ -1,9 +1,10 @@
 //! Sharing between the expressions that a program keeps: equal texts, equal shapes of programs and equal
 //! expressions are held once.
 
+use crate::code::Shape;
 use crate::compiled::Compiled;
 use crate::constant::{Const, Operand};
-use crate::program::{Program, Shape};
+use crate::program::Program;
 use rapidhash::RapidHashSet;
 use std::sync::Arc;
 
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -37,6 +37,7 @@
 
 mod ast;
 mod check;
+mod code;
 mod compiled;
 mod constant;
 mod error;
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -3,10 +3,10 @@
 
 mod operators;
 
+use crate::code::{Code, Op};
 use crate::constant::{Const, Operand};
 use crate::node::Func;
 use crate::price;
-use crate::program::{Op, Shape};
 use crate::schema::{FieldId, Input, Value};
 use rapidhash::RapidHashMap;
 use smallvec::SmallVec;
@@ -96,13 +96,6 @@
     }
 }
 
-/// A program as the machine reads it, whoever holds its two parts.
-#[derive(Clone, Copy)]
-pub(crate) struct Code<'a> {
-    pub(crate) shape: &'a Shape,
-    pub(crate) operands: &'a [Operand],
-}
-
 /// Evaluates; none: the value is absent.
 pub(crate) fn run<'b>(
     code: Code<'b>,
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,98 +1,56 @@
-//! From a typed tree to a flat program and its worst-case cost. A program has two parts: its shape, which many
-//! programs may share, and its operands, the constants that its steps refer to by number.
+//! From a typed tree to flat code and its worst-case cost. Each method gives the cost of what it writes, in units, by the
+//! formulas that the machine spends by ([`crate::price`]): what is spent cannot pass what was stated.
 
 use crate::ast::Binary;
+use crate::code::{Code, Op, Shape};
 use crate::constant::{Const, Operand, Pattern};
-use crate::machine::Code;
 use crate::node::{Func, Kind, Node};
 use crate::price;
 use crate::schema::{FieldId, Schema, Type};
 use crate::text_index::PrefixIndex;
 use std::sync::Arc;
 
-/// A step of the machine. Operands, fields and locals are given by their numbers.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Op {
-    Push(u16),
-    Field(FieldId),
-    List(FieldId),
-    Map(FieldId),
-    Local(u16),
-    Store(u16),
-    Jump(u32),
-    /// Jumps where the top is false and keeps it, else drops it.
-    AndJump(u32),
-    /// Jumps where the top is true and keeps it, else drops it.
-    OrJump(u32),
-    /// Drops the top and jumps where it is false.
-    Branch(u32),
-    /// Jumps where the top is there and keeps it, else drops it.
-    SomeJump(u32),
-    Sure,
-    Has,
-    Not,
-    Binary(Binary),
-    Item,
-    Lookup,
-    InList,
-    Call(Func),
-    Hash(u32),
-    Split(u16, u16),
-    InSet(u16),
-    BeginsWithAny(u16),
-    Matches(u16),
-    InCidrs(u16),
-    /// The next item of the list in `slot + 2` into `slot`, or a jump where there is none.
-    Next(u16, u32),
-    FieldIs(FieldId, u16),
-    FieldInSet(FieldId, u16),
-    FieldBegins(FieldId, u16),
-}
-
-/// What programs share that differ in nothing but their constants. The cost is part of it: where longer
-/// constants make a program cost more, its shape is another one.
-#[derive(Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Shape {
-    pub(crate) ops: Box<[Op]>,
-    /// Locals that the steps use.
-    pub(crate) slots: u16,
-    /// The most that an evaluation costs.
-    pub(crate) cost: u64,
-}
-
 /// An expression, ready to run.
 pub(crate) struct Program {
+    /// Its instructions.
     pub(crate) shape: Arc<Shape>,
+    /// Its constants.
     pub(crate) operands: Box<[Operand]>,
 }
 
 /// Cost of a part of an expression, over all the times that it runs.
 pub(crate) struct Part {
+    /// Its bytes in the text.
     pub(crate) span: std::ops::Range<usize>,
+    /// In units.
     pub(crate) cost: u64,
-    /// Its parent's number in the list; the whole is its own.
+    /// Its parent's index in the list; the whole is its own parent.
     pub(crate) parent: usize,
 }
 
-struct Coder<'p> {
+/// Writes the code of one expression.
+struct Compiler<'p> {
     ops: Vec<Op>,
     operands: Vec<Operand>,
     parts: Vec<Part>,
+    /// The index of the part that is being written.
     parent: usize,
     /// How often the part that is being written runs at most.
     times: u64,
     schema: &'p Schema,
 }
 
-/// Most operands: their numbers have 16 bits.
+/// Most operands: their indices have 16 bits.
 const MAX_OPERANDS: usize = 1 << 16;
 
-impl Coder<'_> {
+impl Compiler<'_> {
+    /// Adds an instruction; its index.
     fn emit(&mut self, op: Op) -> usize {
         self.ops.push(op);
         self.ops.len() - 1
     }
 
+    /// Adds an operand; its index.
     fn operand(&mut self, value: Operand) -> u16 {
         // The bound on tokens keeps it far below.
         debug_assert!(self.operands.len() < MAX_OPERANDS);
@@ -100,8 +58,8 @@
         (self.operands.len() - 1) as u16
     }
 
-    /// Lets a jump lead to what comes next.
-    fn land(&mut self, at: usize) {
+    /// Lets the jump at this index lead to the next instruction.
+    fn land(&mut self, jump: usize) {
         let to = self.ops.len() as u32;
         if let Some(
             Op::Jump(t)
@@ -110,7 +68,7 @@
             | Op::Branch(t)
             | Op::SomeJump(t)
             | Op::Next(_, t),
-        ) = self.ops.get_mut(at)
+        ) = self.ops.get_mut(jump)
         {
             *t = to;
         }
@@ -118,16 +76,16 @@
 
     /// Writes a node; what it costs at worst.
     fn node(&mut self, node: &Node) -> u64 {
-        let number = self.parts.len();
+        let index = self.parts.len();
         self.parts.push(Part {
             span: node.span.clone(),
             cost: 0,
             parent: self.parent,
         });
-        let parent = std::mem::replace(&mut self.parent, number);
+        let parent = std::mem::replace(&mut self.parent, index);
         let cost = self.write(node);
         self.parent = parent;
-        self.parts[number].cost = cost.saturating_mul(self.times);
+        self.parts[index].cost = cost.saturating_mul(self.times);
         cost
     }
 
@@ -143,28 +101,20 @@
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
+    /// Writes a node's own code; what it costs at worst.
     fn write(&mut self, node: &Node) -> u64 {
-        let bytes = |node: &Node| u64::from(node.bound.bytes);
         match &node.kind {
-            Kind::Const(value) => {
-                let at = self.operand(Operand::Value(value.clone()));
-                self.emit(Op::Push(at));
-                1
-            }
+            Kind::Const(value) => self.push(value.clone()),
             Kind::Field(id) => {
-                let ty = self.schema.get(*id).map(|f| &f.ty);
-                self.emit(match ty {
+                let ty = self.schema.get(*id).map(|field| &field.ty);
+                let op = match ty {
                     Some(Type::List(_)) => Op::List(*id),
                     Some(Type::Map(_)) => Op::Map(*id),
                     _ => Op::Field(*id),
-                });
-                1
-            }
-            Kind::Local(slot) => {
-                self.emit(Op::Local(*slot));
-                1
+                };
+                self.single(op)
             }
+            Kind::Local(slot) => self.single(Op::Local(*slot)),
             Kind::Sure(a) => self.unary(a, Op::Sure),
             Kind::Has(a) => self.unary(a, Op::Has),
             Kind::Not(a) => self.unary(a, Op::Not),
@@ -172,108 +122,139 @@
             Kind::Lookup(a, b) => {
                 self.node(a) + self.unary(b, Op::Lookup) + price::lookup(bytes(b))
             }
-            Kind::InList(a, list) => {
-                let items = u64::from(list.bound.items);
-                let each = 1 + price::compare(bytes(a), bytes(list));
-                self.node(a) + self.unary(list, Op::InList) + items * each
-            }
-            Kind::OrValue(a, default) => {
-                let cost = self.unary(a, Op::SomeJump(0));
-                let jump = self.ops.len() - 1;
-                let cost = cost + self.node(default);
-                self.land(jump);
-                cost
-            }
+            Kind::InList(a, list) => self.in_list(a, list),
+            Kind::OrValue(a, default) => self.or_value(a, default),
             Kind::Let(slot, value, body) => self.unary(value, Op::Store(*slot)) + self.node(body),
             Kind::And(parts) => self.chain(parts, Op::AndJump(0)),
             Kind::Or(parts) => self.chain(parts, Op::OrJump(0)),
-            Kind::If(test, yes, no) => {
-                let cost = self.unary(test, Op::Branch(0));
-                let branch = self.ops.len() - 1;
-                let yes = self.unary(yes, Op::Jump(0));
-                let jump = self.ops.len() - 1;
-                self.land(branch);
-                let no = self.node(no);
-                self.land(jump);
-                cost + yes.max(no)
-            }
-            Kind::Binary(Binary::Equal, a, b)
-                if self.text_field(a).is_some() && b.as_const().is_some() =>
-            {
-                self.field_test(a, b, Op::FieldIs) + price::compare(bytes(a), bytes(b))
-            }
-            Kind::Binary(operator, a, b) => {
-                let extra = match (operator, &a.ty) {
-                    (Binary::Add, Type::Text) => price::copy(bytes(a) + bytes(b)),
-                    (_, Type::Text) => price::compare(bytes(a), bytes(b)),
-                    _ => 0,
-                };
-                self.node(a) + self.unary(b, Op::Binary(*operator)) + extra
-            }
+            Kind::If(test, yes, no) => self.conditional(test, yes, no),
+            Kind::Binary(operator, a, b) => self.binary(*operator, a, b),
             Kind::Call(func, args) => self.call(*func, args),
-            Kind::InSet(a, set) => {
-                let at = self.operand(Operand::Value(set.clone()));
-                let extra = price::lookup(bytes(a));
-                match self.text_field(a) {
-                    Some(id) => {
-                        self.emit(Op::FieldInSet(id, at));
-                        1 + extra
-                    }
-                    None => self.unary(a, Op::InSet(at)) + extra,
-                }
-            }
-            Kind::BeginsWithAny(a, all) => {
-                let prefixes = PrefixIndex::new(all.iter().map(|text| (text.clone(), 0)).collect());
-                let extra = price::prefixes(bytes(a), prefixes.longest() as u64);
-                let at = self.operand(Operand::Prefixes(prefixes.into()));
-                self.unary(a, Op::BeginsWithAny(at)) + extra
-            }
-            Kind::Matches(a, pattern) => match Pattern::new(pattern) {
-                Ok(pattern) => {
-                    let extra = price::matches(bytes(a), pattern.length());
-                    let at = self.operand(Operand::Pattern(pattern.into()));
-                    self.unary(a, Op::Matches(at)) + extra
-                }
-                // The checker has compiled it before; a pattern that fails now matches nothing.
-                Err(_) => self.unary(a, Op::InSet(u16::MAX)),
-            },
+            Kind::InSet(a, set) => self.in_set(a, set),
+            Kind::BeginsWithAny(a, all) => self.begins_with_any(a, all),
+            Kind::Matches(a, pattern) => self.matches(a, pattern),
             Kind::InCidrs(a, networks) => {
                 let extra = price::networks(networks.len() as u64);
-                let at = self.operand(Operand::Networks(networks.as_slice().into()));
-                self.unary(a, Op::InCidrs(at)) + extra
+                let index = self.operand(Operand::Networks(networks.as_slice().into()));
+                self.unary(a, Op::InCidrs(index)) + extra
             }
             Kind::Loop {
                 all,
                 slot,
                 list,
                 test,
-            } => {
-                let before = self.unary(list, Op::Store(slot + 2));
-                let zero = self.operand(Operand::Value(Const::Int(0)));
-                self.emit(Op::Push(zero));
-                self.emit(Op::Store(slot + 1));
-                let next = self.emit(Op::Next(*slot, 0));
-                let times = self.times;
-                self.times = times.saturating_mul(u64::from(list.bound.items));
-                let each = self.unary(test, if *all { Op::AndJump(0) } else { Op::OrJump(0) });
-                let out = self.ops.len() - 1;
-                self.times = times;
-                self.emit(Op::Jump(next as u32));
-                self.land(next);
-                let end = self.operand(Operand::Value(Const::Bool(*all)));
-                self.emit(Op::Push(end));
-                self.land(out);
-                before + 2 + u64::from(list.bound.items) * (each + 2) + 2
-            }
+            } => self.repeated(*all, *slot, list, test),
+        }
+    }
+
+    /// An instruction without operands on the stack.
+    fn single(&mut self, op: Op) -> u64 {
+        self.emit(op);
+        1
+    }
+
+    /// Pushes a constant.
+    fn push(&mut self, value: Const) -> u64 {
+        let index = self.operand(Operand::Value(value));
+        self.single(Op::Push(index))
+    }
+
+    /// `a in list`, for a list that is no constant.
+    fn in_list(&mut self, a: &Node, list: &Node) -> u64 {
+        let items = u64::from(list.bound.items);
+        let each = 1 + price::compare(bytes(a), bytes(list));
+        self.node(a) + self.unary(list, Op::InList) + items * each
+    }
+
+    /// `a.orValue(default)`.
+    fn or_value(&mut self, a: &Node, default: &Node) -> u64 {
+        let cost = self.unary(a, Op::SomeJump(0));
+        let jump = self.ops.len() - 1;
+        let cost = cost + self.node(default);
+        self.land(jump);
+        cost
+    }
+
+    /// `test ? yes : no`: the costlier side counts.
+    fn conditional(&mut self, test: &Node, yes: &Node, no: &Node) -> u64 {
+        let cost = self.unary(test, Op::Branch(0));
+        let branch = self.ops.len() - 1;
+        let yes = self.unary(yes, Op::Jump(0));
+        let jump = self.ops.len() - 1;
+        self.land(branch);
+        let no = self.node(no);
+        self.land(jump);
+        cost + yes.max(no)
+    }
+
+    fn binary(&mut self, operator: Binary, a: &Node, b: &Node) -> u64 {
+        let is_field_test = self.text_field(a).is_some() && b.as_const().is_some();
+        if operator == Binary::Equal && is_field_test {
+            return self.field_test(a, b, Op::FieldIs) + price::compare(bytes(a), bytes(b));
+        }
+        let extra = match (operator, &a.ty) {
+            (Binary::Add, Type::Text) => price::copy(bytes(a) + bytes(b)),
+            (_, Type::Text) => price::compare(bytes(a), bytes(b)),
+            _ => 0,
+        };
+        self.node(a) + self.unary(b, Op::Binary(operator)) + extra
+    }
+
+    fn in_set(&mut self, a: &Node, set: &Const) -> u64 {
+        let index = self.operand(Operand::Value(set.clone()));
+        let extra = price::lookup(bytes(a));
+        match self.text_field(a) {
+            Some(id) => self.single(Op::FieldInSet(id, index)) + extra,
+            None => self.unary(a, Op::InSet(index)) + extra,
         }
     }
 
+    fn begins_with_any(&mut self, a: &Node, all: &[Arc<str>]) -> u64 {
+        let prefixes = PrefixIndex::new(all.iter().map(|text| (text.clone(), 0)).collect());
+        let extra = price::prefixes(bytes(a), prefixes.longest() as u64);
+        let index = self.operand(Operand::Prefixes(prefixes.into()));
+        self.unary(a, Op::BeginsWithAny(index)) + extra
+    }
+
+    fn matches(&mut self, a: &Node, pattern: &Arc<str>) -> u64 {
+        let Ok(pattern) = Pattern::new(pattern) else {
+            // The checker has compiled it before. A pattern that fails now makes the evaluation fail: no operand has
+            // this index.
+            return self.unary(a, Op::InSet(u16::MAX));
+        };
+        let extra = price::matches(bytes(a), pattern.length());
+        let index = self.operand(Operand::Pattern(pattern.into()));
+        self.unary(a, Op::Matches(index)) + extra
+    }
+
+    /// `list.exists(x, test)` or `list.all(x, test)`. The variable has `slot`, the index and the list the two after it.
+    fn repeated(&mut self, all: bool, slot: u16, list: &Node, test: &Node) -> u64 {
+        let before = self.unary(list, Op::Store(slot + 2)) + self.push(Const::Int(0));
+        let before = before + self.single(Op::Store(slot + 1));
+        let next = self.emit(Op::Next(slot, 0));
+        let times = self.times;
+        let items = u64::from(list.bound.items);
+        self.times = times.saturating_mul(items);
+        let stop = if all { Op::AndJump(0) } else { Op::OrJump(0) };
+        let each = self.unary(test, stop);
+        let out = self.ops.len() - 1;
+        self.times = times;
+        self.emit(Op::Jump(next as u32));
+        self.land(next);
+        let after = self.push(Const::Bool(all));
+        self.land(out);
+        // Each turn has its Next and Jump; the last Next ends the loop.
+        before + items * (each + 2) + 1 + after
+    }
+
+    /// A node and an instruction on its value.
     fn unary(&mut self, of: &Node, op: Op) -> u64 {
         let cost = self.node(of);
         self.emit(op);
         cost + 1
     }
 
+    /// Parts of which each is evaluated only where the one before does not decide the result.
     fn chain(&mut self, parts: &[Node], op: Op) -> u64 {
         let mut jumps = Vec::new();
         let mut cost = 0u64;
@@ -288,7 +269,7 @@
         cost
     }
 
-    /// A test of a field against a constant as one step.
+    /// A test of a field against a constant as one instruction.
     fn field_test(&mut self, field: &Node, with: &Node, op: fn(FieldId, u16) -> Op) -> u64 {
         if let (Some(id), Some(value)) = (self.text_field(field), with.as_const()) {
             let at = self.operand(Operand::Value(value.clone()));
@@ -347,11 +328,16 @@
     }
 }
 
+/// The bound of a node's text, bytes.
+fn bytes(node: &Node) -> u64 {
+    u64::from(node.bound.bytes)
+}
+
 impl Program {
     /// Compiles a typed tree; with it, the cost of each part.
     pub(crate) fn new(node: &Node, slots: u16, schema: &Schema) -> (Program, Vec<Part>) {
         let (ops, operands, parts) = (Vec::new(), Vec::new(), Vec::new());
-        let mut coder = Coder {
+        let mut compiler = Compiler {
             ops,
             operands,
             parts,
@@ -359,22 +345,22 @@
             times: 1,
             schema,
         };
-        let cost = coder.node(node);
+        let cost = compiler.node(node);
         let shape = Shape {
-            ops: coder.ops.into(),
+            ops: compiler.ops.into(),
             slots,
             cost,
         };
         (
             Program {
                 shape: shape.into(),
-                operands: coder.operands.into(),
+                operands: compiler.operands.into(),
             },
-            coder.parts,
+            compiler.parts,
         )
     }
 
-    /// The most that an evaluation costs.
+    /// The most that an evaluation costs, in units.
     pub(crate) fn cost(&self) -> u64 {
         self.shape.cost
     }
