--- a/crates/routes/src/evaluation.rs
+++ b/crates/routes/src/evaluation.rs
@@ -77,6 +77,7 @@
 
 impl<'a> Evaluation<'a> {
     /// Begins the evaluation of these rules at `now_ms`.
+    #[inline]
     pub(crate) fn new(
         set: &'a RuleSet,
         view: &'a View<'a>,
@@ -98,6 +99,7 @@
     ///
     /// # Errors
     /// The rule rejects the request, or cannot be evaluated on it.
+    #[inline]
     pub(crate) fn rule(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
         let result = self.test_and_apply(rule);
         // Without this check a header that cannot be read would look absent to the rule: a client could pass a rule that
@@ -108,6 +110,7 @@
         result
     }
 
+    #[inline]
     fn test_and_apply(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
         if !rule.when.test(self.view, self.scratch)? {
             return Ok(ControlFlow::Continue(()));
@@ -235,7 +238,8 @@
     ///
     /// # Errors
     /// The pool that rejects the request, since none of its endpoints is ready.
-    pub(crate) fn finish(mut self, pools: &PoolBits) -> Result<Route, &'a Pool> {
+    #[inline]
+    pub(crate) fn finish(mut self, pools: &PoolBits) -> Result<Box<Route>, &'a Pool> {
         if let Some(selected) = self.pool {
             self.route.pools = pools.resolve(&self.set.pools, selected)?;
         }
@@ -244,7 +248,8 @@
             let permit = limit.acquire(*key, self.now_ms);
             self.route.tickets.extend(permit);
         }
-        Ok(self.route)
+        // Boxed here, since a route is large and moving it costs more than finding it.
+        Ok(Box::new(self.route))
     }
 }
 
--- a/crates/routes/src/pool_bits.rs
+++ b/crates/routes/src/pool_bits.rs
@@ -166,6 +166,7 @@
     ///
     /// # Errors
     /// The pool that rejects its requests while none of its endpoints is ready.
+    #[inline]
     pub(crate) fn resolve<'p>(
         &self,
         pools: &'p [Pool],
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -166,7 +166,7 @@
             }
         }
         match evaluation.finish(&self.pools) {
-            Ok(route) => Verdict::Go(Box::new(route)),
+            Ok(route) => Verdict::Go(route),
             Err(pool) => rejected(&pool.name, pool.retry_after_ms),
         }
     }
