--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -22,7 +22,10 @@
         })
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
+    #[expect(
+        clippy::too_many_lines,
+        reason = "split, a rule with `contains` took a tenth longer"
+    )]
     pub(super) fn binary(
         &mut self,
         operator: Binary,
@@ -124,7 +127,10 @@
         }
     }
 
-    #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
+    #[expect(
+        clippy::too_many_lines,
+        reason = "split, a rule with `contains` took a tenth longer"
+    )]
     pub(super) fn call(
         &mut self,
         func: Func,
