--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -37,6 +37,7 @@
 
 mod ast;
 mod check;
+mod code;
 mod compiled;
 mod constant;
 mod error;
@@ -45,6 +46,7 @@
 mod fold;
 mod interner;
 mod lex;
+mod limits;
 mod machine;
 mod node;
 mod price;
@@ -55,13 +57,13 @@
 mod text_index;
 
 pub use ast::MAX_DEPTH;
-pub use check::{MAX_LOCALS, MAX_MADE, MAX_PARTS, MAX_PATTERN, MAX_REGEX, MAX_REGEXES};
 pub use compiled::Compiled;
 pub use error::{Error, Origin};
 pub use explain::Step;
 pub use facts::{Fact, Facts, Path, Texts};
 pub use interner::Interner;
 pub use lex::{MAX_LITERAL, MAX_TEXT, MAX_TOKENS};
+pub use limits::{MAX_LOCALS, MAX_MADE, MAX_PARTS, MAX_PATTERN, MAX_REGEX, MAX_REGEXES};
 pub use machine::{Fault, Scratch};
 pub use schema::{Bound, Field, FieldId, Input, Schema, Type, Value};
 pub use select::{Chosen, Selector};
