--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -9,8 +9,6 @@
 /// The newest one. What it adds is used only once the group has raised its own format version, which it does when all
 /// members speak it.
 pub const NEWEST_FORMAT: u16 = 2;
-/// Both, the oldest first.
-pub const FORMAT_VERSIONS: (u16, u16) = (OLDEST_FORMAT, NEWEST_FORMAT);
 /// Largest greeting, bytes.
 pub const MAX_HELLO: usize = 512;
 /// What tells a greeting of this program from other bytes.
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -24,8 +24,7 @@
 pub use follower::{Follower, Replica};
 pub use frame::{read_frame, Frame, FrameError, MemberAnswer, MAX_FRAME};
 pub use greeting::{
-    FormatRange, Hello, HelloError, Welcome, FORMAT_VERSIONS, MAX_HELLO, NEWEST_FORMAT,
-    OLDEST_FORMAT,
+    FormatRange, Hello, HelloError, Welcome, MAX_HELLO, NEWEST_FORMAT, OLDEST_FORMAT,
 };
 pub use member::{
     Event, Health, Member, MemberFailure, MemberStatus, ProposalRejected, Recovered, Role,
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -166,7 +166,7 @@
     }
 
     /// What has to be on the disk next; none: nothing, or an earlier job is not done. To be followed by
-    /// [`Peer::done`].
+    /// [`Peer::written`].
     pub fn next_write(&mut self, now_ms: f64) -> Option<WriteJob> {
         match &mut self.stage {
             Stage::Joining(joining) => joining.admission.map(|admission| WriteJob::Begin {
--- a/crates/routes/src/evaluation.rs
+++ b/crates/routes/src/evaluation.rs
@@ -246,7 +246,7 @@
         // Acquired last: a request that a later limit or the pool rejects must not use up what an earlier limit allows.
         for (limit, key) in &self.limits {
             let permit = limit.acquire(*key, self.now_ms);
-            self.route.tickets.extend(permit);
+            self.route.permits.extend(permit);
         }
         // Boxed here, since a route is large and moving it costs more than finding it.
         Ok(Box::new(self.route))
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -53,9 +53,9 @@
 pub use environment::Catalog;
 pub use explain::{Explained, Explainer};
 pub use fault::Fault;
-pub use limit::{Allowance, KeyHash, Limit, LimitExceeded, LimitStatistics, Ticket};
+pub use limit::{Allowance, KeyHash, Limit, LimitExceeded, LimitPermit, LimitStatistics};
 pub use pool::{ANY, MAX_POOLS};
-pub use pool_bits::{TooSoon, ALL};
+pub use pool_bits::{PoolBitsExhausted, ALL};
 pub use read_options::{ReadOptions, DEFAULT_MAX_BYTES};
 pub use request::{
     bound, endpoint_schema, request_schema, Endpoint, Headers, NoHeaders, Request, MAX_HEADER,
--- a/crates/routes/src/limit.rs
+++ b/crates/routes/src/limit.rs
@@ -92,12 +92,12 @@
 }
 
 /// A permit under a concurrency limit, released when dropped.
-pub struct Ticket {
+pub struct LimitPermit {
     limit: Arc<Limit>,
     key: KeyHash,
 }
 
-impl std::fmt::Debug for Ticket {
+impl std::fmt::Debug for LimitPermit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Ticket")
             .field("key", &self.key)
@@ -105,7 +105,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for LimitPermit {
     fn drop(&mut self) {
         let in_flight = &mut self.limit.state().in_flight;
         if let Some(count) = in_flight.get_mut(&self.key.0) {
@@ -195,7 +195,7 @@
     }
 
     /// Takes what [`Limit::check`] has allowed at `now`, ms. A concurrency limit gives a permit for it.
-    pub fn acquire(self: &Arc<Self>, key: KeyHash, now: f64) -> Option<Ticket> {
+    pub fn acquire(self: &Arc<Self>, key: KeyHash, now: f64) -> Option<LimitPermit> {
         let mut state = self.state();
         match self.allowance {
             Allowance::Rate { rate, .. } => {
@@ -209,7 +209,7 @@
             }
             Allowance::AtOnce { .. } => {
                 *state.in_flight.entry(key.0).or_default() += 1;
-                Some(Ticket {
+                Some(LimitPermit {
                     limit: self.clone(),
                     key,
                 })
--- a/crates/routes/src/pool_bits.rs
+++ b/crates/routes/src/pool_bits.rs
@@ -14,7 +14,7 @@
 /// Rules cannot be put in force yet: requests in flight still need the pools of earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the pools of earlier rules still serve commands under way, and with these there would be more than {MAX_POOLS}; read the rules again once they have ended")]
-pub struct TooSoon;
+pub struct PoolBitsExhausted;
 
 /// The pool that the rules have selected for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
         new: &[Pool],
         now_ms: f64,
         longest_ms: f64,
-    ) -> Result<ReplacedPools, TooSoon> {
+    ) -> Result<ReplacedPools, PoolBitsExhausted> {
         let bits = self.assign(old, new, now_ms)?;
         let ready: Vec<Option<usize>> = bits.iter().map(|bit| self.ready_of(*bit)).collect();
         let has_new_pools = ready.iter().any(Option::is_none);
@@ -96,7 +96,12 @@
     }
 
     /// The bits of the pools `new`: a pool that `old` has as well keeps its bit, others get free ones.
-    fn assign(&self, old: &[Pool], new: &[Pool], now_ms: f64) -> Result<Vec<u8>, TooSoon> {
+    fn assign(
+        &self,
+        old: &[Pool],
+        new: &[Pool],
+        now_ms: f64,
+    ) -> Result<Vec<u8>, PoolBitsExhausted> {
         let retired = self
             .retired
             .iter()
@@ -110,7 +115,7 @@
             let kept = known.and_then(|index| self.bits.get(index).copied());
             let bit = kept.unwrap_or_else(|| taken.trailing_ones() as u8);
             if usize::from(bit) >= MAX_POOLS {
-                return Err(TooSoon);
+                return Err(PoolBitsExhausted);
             }
             taken |= 1 << bit;
             bits.push(bit);
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -4,7 +4,7 @@
 //! the endpoints of the pool that the route names.
 
 use crate::evaluation::{Evaluation, InvalidRequest, Stop};
-use crate::pool_bits::{PoolBits, RetiredPool, TooSoon};
+use crate::pool_bits::{PoolBits, PoolBitsExhausted, RetiredPool};
 use crate::request::{Endpoint, Request, View};
 use crate::rule::Shared;
 use crate::rules::Rules;
@@ -24,7 +24,7 @@
 
 impl Replaced {
     /// Whether the new rules have a pool that the old ones had not. Only then must the pools of every endpoint be
-    /// determined anew, with [`Router::pools_of`] and [`Router::ready`].
+    /// determined anew, with [`Router::pools_of`] and [`Router::count_ready`].
     pub fn has_new_pools(&self) -> bool {
         self.has_new_pools
     }
@@ -88,7 +88,7 @@
         rules: Rules,
         now: f64,
         longest_ms: f64,
-    ) -> Result<Replaced, TooSoon> {
+    ) -> Result<Replaced, PoolBitsExhausted> {
         let (old, new) = (&self.rules.set.pools, &rules.set.pools);
         let replaced = self.pools.replace(old, new, now, longest_ms)?;
         let old = std::mem::replace(&mut self.rules, rules);
@@ -107,7 +107,7 @@
     }
 
     /// The number of requests so far on which a rule could not be evaluated.
-    pub fn faults(&self) -> u64 {
+    pub fn failed_evaluations(&self) -> u64 {
         self.failed_evaluations
     }
 
@@ -128,12 +128,12 @@
 
     /// Counts the ready endpoints of each pool; an item holds the pools of one ready endpoint, as
     /// [`Router::pools_of`] gives them.
-    pub fn ready(&mut self, endpoints: impl Iterator<Item = u64>) {
+    pub fn count_ready(&mut self, endpoints: impl Iterator<Item = u64>) {
         self.pools.count_ready(endpoints);
     }
 
     /// The pools by name with the number of their ready endpoints.
-    pub fn figures(&self) -> impl Iterator<Item = (&str, usize)> {
+    pub fn ready_endpoints(&self) -> impl Iterator<Item = (&str, usize)> {
         let pools = self.rules.set.pools.iter();
         pools
             .map(|pool| pool.name.as_str())
--- a/crates/routes/src/verdict.rs
+++ b/crates/routes/src/verdict.rs
@@ -1,6 +1,6 @@
 //! What the rules decide about a request: forward it, with what the rules have set, reject it, or refuse it as invalid.
 
-use crate::limit::Ticket;
+use crate::limit::LimitPermit;
 use crate::pool_bits::ALL;
 
 /// What the rules decide about a request.
@@ -34,7 +34,7 @@
     /// Notes for the endpoint, by name. Values are printable ASCII.
     pub notes: Vec<(String, String)>,
     /// Permits under limits of concurrent requests, released when dropped.
-    pub tickets: Vec<Ticket>,
+    pub permits: Vec<LimitPermit>,
 }
 
 impl Default for Route {
@@ -44,7 +44,7 @@
             command: None,
             pools: ALL,
             notes: Vec::new(),
-            tickets: Vec::new(),
+            permits: Vec::new(),
         }
     }
 }
--- a/crates/routes/tests/limit.rs
+++ b/crates/routes/tests/limit.rs
@@ -1,10 +1,10 @@
 //! Local limits by key: how many requests pass, when rejected ones may be retried, and what is remembered.
 
-use driftgap_routes::{Allowance, Limit, LimitExceeded, Ticket};
+use driftgap_routes::{Allowance, Limit, LimitExceeded, LimitPermit};
 use std::sync::Arc;
 
 /// Checks the limit and, if it admits the request, acquires it.
-fn passed(limit: &Arc<Limit>, key: &str, now: f64) -> Result<Option<Ticket>, LimitExceeded> {
+fn passed(limit: &Arc<Limit>, key: &str, now: f64) -> Result<Option<LimitPermit>, LimitExceeded> {
     limit.check(key, now).map(|hash| limit.acquire(hash, now))
 }
 
--- a/crates/routes/tests/pools.rs
+++ b/crates/routes/tests/pools.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::rules::{go, headers, read, request, router, Map};
-use driftgap_routes::{Endpoint, Router, Rules, TooSoon, Verdict, ALL};
+use driftgap_routes::{Endpoint, PoolBitsExhausted, Router, Rules, Verdict, ALL};
 use std::net::IpAddr;
 
 const POOLS: &str = r#"
@@ -60,7 +60,7 @@
     let station = headers(&[("x-station", "dar")]);
     let none = headers(&[]);
     let mut pools = |ready: &[u64], headers: &Map, path: &str| {
-        router.ready(ready.iter().copied());
+        router.count_ready(ready.iter().copied());
         match router.route(&request("GET", path, headers), 0.0) {
             Verdict::Go(route) => Ok(route.pools),
             Verdict::Reject { retry_after_ms, by } => Err((retry_after_ms, by)),
@@ -135,7 +135,7 @@
     let mut router = Router::new(zone_pools(&names(&["dar", "tanga"])));
     let chosen = |router: &mut Router, zone: &'static str| {
         let bits = router.pools_of(&endpoint(zone));
-        router.ready([bits].into_iter());
+        router.count_ready([bits].into_iter());
         (
             go(router.route(&request("GET", "/", &none), 0.0)).pools,
             bits,
@@ -175,7 +175,10 @@
     let first = zone_pools(&numbered("z"));
     drop(router.replace(first, 5000.0, 3000.0).unwrap());
     let second = zone_pools(&numbered("y"));
-    assert_eq!(router.replace(second, 5001.0, 3000.0).err(), Some(TooSoon));
+    assert_eq!(
+        router.replace(second, 5001.0, 3000.0).err(),
+        Some(PoolBitsExhausted)
+    );
     assert_eq!(
         router.pools_of(&endpoint("z7")).count_ones(),
         2,
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -49,12 +49,12 @@
             })
         })
         .collect();
-    router.ready(pools.into_iter());
+    router.count_ready(pools.into_iter());
 }
 
 fn ready(router: &Router) -> Vec<(String, usize)> {
     router
-        .figures()
+        .ready_endpoints()
         .map(|(pool, ready)| (pool.to_string(), ready))
         .collect()
 }
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -99,7 +99,7 @@
                 [[rule]]\nname = 'b'\nlimit = { key = 'request.partner.orValue(\"\")', at_once = 1, after = \"70ms\" }\n";
     let (mut router, none) = (router(text), headers(&[]));
     let held = go(router.route(&request("GET", "/", &none), 0.0));
-    assert_eq!(held.tickets.len(), 1);
+    assert_eq!(held.permits.len(), 1);
     for _ in 0..10 {
         assert!(matches!(
             router.route(&request("GET", "/", &none), 0.0),
@@ -202,7 +202,7 @@
         router.route(&request("GET", &path, &headers(&[])), 0.0),
         Verdict::Bad { .. }
     ));
-    assert_eq!(router.faults(), 3);
+    assert_eq!(router.failed_evaluations(), 3);
 }
 
 #[test]
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::{catalog, read_on, request, route, routes, POOLS};
-use driftgap_routes::{ReadOptions, ReadReport, Replaced, Request, Router, Rules, Ticket, Verdict};
+use driftgap_routes::{
+    LimitPermit, ReadOptions, ReadReport, Replaced, Request, Router, Rules, Verdict,
+};
 use oorandom::Rand32;
 use std::ops::Range;
 
@@ -170,7 +172,7 @@
                 route.command,
                 route.pools,
                 route.notes,
-                route.tickets.len()
+                route.permits.len()
             )
         }
         refused => format!("{refused:?}"),
@@ -181,7 +183,7 @@
 fn decide_alike(random: &mut Rand32, taken: &Rules, anew: &Rules, now: f64) {
     let (mut taken, mut anew) = (Router::new(taken.clone()), Router::new(anew.clone()));
     for router in [&mut taken, &mut anew] {
-        router.ready([u64::MAX].into_iter());
+        router.count_ready([u64::MAX].into_iter());
     }
     for _ in 0..40 {
         let (path, get) = random_request(random);
@@ -577,7 +579,7 @@
             format!("{POOLS}{AT_ONCE}{}{limit}", file.text().replace(POOLS, ""))
         };
         let mut router = Router::new(read_on(&with(&file, LIMIT), None).unwrap());
-        router.ready([u64::MAX].into_iter());
+        router.count_ready([u64::MAX].into_iter());
         let other = Request {
             partner: Some("other"),
             ..request("/once")
@@ -585,7 +587,7 @@
         let Verdict::Go(in_flight) = router.route(&other, 0.0) else {
             panic!("rejected at first")
         };
-        assert_eq!(in_flight.tickets.len(), 1);
+        assert_eq!(in_flight.permits.len(), 1);
         assert!(matches!(
             router.route(&request("/none"), 0.0),
             Verdict::Go(_)
@@ -605,7 +607,7 @@
                 file.tail = format!("[effects.paths]\n'/{}/' = 'token'\n", below(random, 9));
             }
             replace(&mut router, &with(&file, &format!("{LIMIT}{comment}")), 1.0);
-            router.ready([u64::MAX].into_iter());
+            router.count_ready([u64::MAX].into_iter());
             let refused = router.route(&request("/none"), 1.0);
             assert!(
                 matches!(&refused, Verdict::Reject { by, .. } if by == "limit"),
@@ -621,7 +623,7 @@
         // Another rate is another limit, which begins anew.
         let faster = LIMIT.replace("rate = 0.001", "rate = 0.002");
         replace(&mut router, &with(&file, &faster), 1.0);
-        router.ready([u64::MAX].into_iter());
+        router.count_ready([u64::MAX].into_iter());
         assert!(matches!(
             router.route(&request("/once"), 1.0),
             Verdict::Go(_)
@@ -636,5 +638,5 @@
     fn can_be_shared<T: Send + Sync + Clone>() {}
     can_be_shared::<Rules>();
     can_change_threads::<Replaced>();
-    can_change_threads::<Ticket>();
+    can_change_threads::<LimitPermit>();
 }
--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -97,7 +97,7 @@
     }
 
     fn pools_are_ready(&mut self) {
-        self.router.ready([u64::MAX].into_iter());
+        self.router.count_ready([u64::MAX].into_iter());
     }
 }
 
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -14,7 +14,7 @@
 use change::Changes;
 use driftgap_group::{
     Event as MemberEvent, Frame, Hello, Member, MemberFailure, Peer, Proposal, ProposalRejected,
-    Role, Settings, StoredMember, Welcome, FORMAT_VERSIONS,
+    Role, Settings, StoredMember, Welcome, NEWEST_FORMAT,
 };
 use follower::Wants;
 use link::{Link, LinkId, Links, Node};
@@ -26,8 +26,10 @@
 const MEMBER_TICK_MS: f64 = 25.0;
 /// The same of a follower.
 const FOLLOWER_TICK_MS: f64 = 50.0;
-/// Shortest and longest write to a member's disk, ms.
-const DISK_MS: (f64, f64) = (0.5, 5.0);
+/// Shortest write to a member's disk, ms.
+const MIN_DISK_WRITE_MS: f64 = 0.5;
+/// Longest write to a member's disk, ms.
+const MAX_DISK_WRITE_MS: f64 = 5.0;
 /// A new group that has no leader and all its voters by then never will, ms.
 const START_MS: f64 = 30_000.0;
 /// Followers that are not all linked by then never will be, ms.
@@ -204,9 +206,7 @@
             for to in (0..names.len()).filter(|to| *to != from) {
                 let link = self.open(Node::Member(from), Node::Member(to));
                 self.member_links.insert((from, to), link);
-                self.members[to]
-                    .peer
-                    .greeted(&names[from], FORMAT_VERSIONS.1);
+                self.members[to].peer.greeted(&names[from], NEWEST_FORMAT);
             }
         }
     }
@@ -451,8 +451,8 @@
         self.member_loads[index].cpu += self.timer.end(span);
         let turn = turn?;
         if turn.writes {
-            let (min, max) = DISK_MS;
-            let ms = min + self.random.rand_float() * (max - min);
+            let range_ms = MAX_DISK_WRITE_MS - MIN_DISK_WRITE_MS;
+            let ms = MIN_DISK_WRITE_MS + self.random.rand_float() * range_ms;
             self.schedule.after(ms, Event::Written(index));
         }
         self.note_changes(index, &turn.events);
@@ -515,11 +515,11 @@
     fn greet(&mut self, follower: usize, member: usize) {
         self.connecting[follower] = true;
         let name = &self.members[member].name;
-        let hello = Hello::new(FORMAT_VERSIONS.1, 0, 0, &format!("f{follower}"), name)
+        let hello = Hello::new(NEWEST_FORMAT, 0, 0, &format!("f{follower}"), name)
             .bytes()
             .len();
         let welcome = Welcome {
-            form: FORMAT_VERSIONS.1,
+            form: NEWEST_FORMAT,
             group: GROUP,
             id: member as u64 + 1,
         }
--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -285,8 +285,8 @@
         loop {
             if let Some((request, verdict)) = self.ingresses[ingress].driver.next_verdict() {
                 self.carry_out(ingress, request, verdict);
-            } else if let Some(errand) = self.ingresses[ingress].driver.next_action() {
-                self.run_errand(ingress, errand);
+            } else if let Some(action) = self.ingresses[ingress].driver.next_action() {
+                self.carry_out_action(ingress, action);
             } else {
                 break;
             }
@@ -333,8 +333,8 @@
         self.schedule.after(SERVICE_MS, ends);
     }
 
-    fn run_errand(&mut self, ingress: usize, errand: DriverAction) {
-        match errand {
+    fn carry_out_action(&mut self, ingress: usize, action: DriverAction) {
+        match action {
             DriverAction::AddToCounter(add) => self.count(ingress, add),
             DriverAction::Probe(backend) => {
                 self.counts.probes += 1;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -14,8 +14,10 @@
 
 /// Where results go by default.
 const OUT: &str = "target/scale";
-/// How often each size is measured by default, in a full and in a quick run.
-const REPEATS: (u32, u32) = (5, 3);
+/// How often each size is measured by default.
+const REPEATS: u32 = 5;
+/// How often each size is measured by default in a quick run.
+const QUICK_REPEATS: u32 = 3;
 
 /// Measures what an ingress costs in heap, processor time and messages as a deployment grows.
 #[derive(Parser)]
@@ -200,7 +202,7 @@
             out,
         } => {
             let repeats = repeats
-                .unwrap_or(if quick { REPEATS.1 } else { REPEATS.0 })
+                .unwrap_or(if quick { QUICK_REPEATS } else { REPEATS })
                 .max(1);
             run_all(
                 &experiments,
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -6,7 +6,8 @@
 use std::path::Path;
 
 /// Size of a plot in pixels.
-const SIZE: (u32, u32) = (640, 400);
+const WIDTH_PX: u32 = 640;
+const HEIGHT_PX: u32 = 400;
 const MARGIN: u32 = 12;
 const LABEL_WIDTH: u32 = 90;
 const LABEL_HEIGHT: u32 = 40;
@@ -24,7 +25,7 @@
 /// # Errors
 /// The file cannot be written.
 pub fn draw(path: &Path, slope: &Slope) -> Result<(), PlotError> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, (WIDTH_PX, HEIGHT_PX)).into_drawing_area();
     draw_on(&area, slope).map_err(|e| PlotError(e.to_string()))
 }
 
--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -149,12 +149,12 @@
         self.0.size
     }
 
-    /// What can be taken out now; to be followed by [`BodyReceiver::took`].
+    /// What can be taken out now; to be followed by [`BodyReceiver::consume`].
     pub fn buffer(&self) -> RefMut<'_, RingBuffer> {
         self.0.buffer.borrow_mut()
     }
 
-    /// Notes that so many bytes of [`BodyReceiver::bytes`] were taken.
+    /// Notes that so many bytes of [`BodyReceiver::buffer`] were taken.
     pub fn consume(&self, n: usize) {
         self.0.buffer.borrow_mut().consume(n);
         self.0.received.notify_one();
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// Room to read into, in one piece; hand what was filled to [`RingBuffer::filled`].
+    /// Room to read into, in one piece; hand what was filled to [`RingBuffer::commit`].
     ///
     /// # Errors
     /// The ring buffer is full at its cap.
@@ -84,7 +84,7 @@
         Ok(&mut self.bytes[tail..end])
     }
 
-    /// Takes in `n` bytes that were written to [`RingBuffer::spare`].
+    /// Takes in `n` bytes that were written to [`RingBuffer::free_slice`].
     pub fn commit(&mut self, n: usize) {
         self.len = (self.len + n).min(self.bytes.len());
     }
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -162,7 +162,7 @@
 pub fn explain(file: &Path, config: &Config, sample: &Sample) -> Result<String, Vec<String>> {
     let explainer = read_to_explain(file, config)?;
     let mut router = Router::new(explainer.rules().clone());
-    router.ready([u64::MAX].into_iter());
+    router.count_ready([u64::MAX].into_iter());
     let request = sample.request();
     let mut text = String::new();
     for rule in explainer.explain(&request) {
@@ -237,7 +237,7 @@
 /// Nanoseconds for a request against these rules.
 fn measure(rules: Rules, sample: &Sample) -> f64 {
     let mut router = Router::new(rules);
-    router.ready([u64::MAX].into_iter());
+    router.count_ready([u64::MAX].into_iter());
     let (begun, mut rounds) = (Instant::now(), 0u32);
     while begun.elapsed() < MEASURING_TIME {
         for _ in 0..ROUNDS_PER_LOOK {
--- a/src/discovery/inventory/mod.rs
+++ b/src/discovery/inventory/mod.rs
@@ -74,7 +74,7 @@
         self.apply(files::read_files(&self.path)?, registry, now)
     }
 
-    /// The files that the list in force was read from, as one text that [`Inventory::restore`] reads.
+    /// The files that the list in force was read from, as one text that [`Inventory::load_copy`] reads.
     pub fn accepted_bytes(&self) -> Vec<u8> {
         let files: Vec<(&str, &[u8])> = self
             .accepted
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -8,7 +8,7 @@
 use crate::request::{term_pairs, ClientRequest, InvalidRequest, MAX_CLIENT_TIMEOUT_MS};
 use crate::routing::{self, HeaderView};
 use crate::runtime::dispatcher::Dispatcher;
-use driftgap_routes::{Headers, Mapped, Request as RuleRequest, Route, Ticket, Verdict};
+use driftgap_routes::{Headers, LimitPermit, Mapped, Request as RuleRequest, Route, Verdict};
 use h2::{Reason, RecvStream};
 use http::request::Parts;
 use http::{Method, Request, StatusCode};
@@ -24,7 +24,7 @@
 /// What a stream asks for.
 pub(super) enum Received {
     /// A request, with its places under the operator's limits.
-    Request(Box<ClientRequest>, Vec<Ticket>),
+    Request(Box<ClientRequest>, Vec<LimitPermit>),
     /// A rule rejects it, to be sent again after so long, ms.
     Rejected { retry_after_ms: f64 },
     /// Only for an answer of the frontend's own.
@@ -82,7 +82,7 @@
         .map_err(invalid)?;
     request.attributes.pools = route.pools;
     request.notes = route.notes;
-    Ok(Received::Request(Box::new(request), route.tickets))
+    Ok(Received::Request(Box::new(request), route.permits))
 }
 
 /// The answer to a health check; none: the path is no health check's.
--- a/src/frontend/http2/stream.rs
+++ b/src/frontend/http2/stream.rs
@@ -10,7 +10,7 @@
 use crate::request::{ClientRequest, FinalAnswer};
 use crate::runtime::dispatcher::{Dispatcher, ResponseSink};
 use bytes::Bytes;
-use driftgap_routes::Ticket;
+use driftgap_routes::LimitPermit;
 use h2::server::SendResponse;
 use h2::{Reason, RecvStream};
 use http::{Request, Response};
@@ -67,7 +67,7 @@
     connection: &Connection,
     mut respond: SendResponse<Bytes>,
     request: ClientRequest,
-    limit_tickets: Vec<Ticket>,
+    limit_tickets: Vec<LimitPermit>,
 ) {
     // Guards against work for nobody: the client may have reset the stream behind what it wrote.
     if poll_fn(|cx| Poll::Ready(respond.poll_reset(cx).is_ready())).await {
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -7,7 +7,7 @@
 use crate::request::ClientRequest;
 use crate::routing;
 use crate::runtime::dispatcher::Dispatcher;
-use driftgap_routes::{NoHeaders, Ticket, Verdict};
+use driftgap_routes::{LimitPermit, NoHeaders, Verdict};
 use std::rc::Rc;
 
 const PONG: &[u8] = b"+PONG\r\n";
@@ -87,7 +87,7 @@
 fn apply_rules(
     connection: &Connection,
     request: &mut ClientRequest,
-) -> Result<Vec<Ticket>, RuleRejection> {
+) -> Result<Vec<LimitPermit>, RuleRejection> {
     let dispatcher = &connection.dispatcher;
     if !dispatcher.has_rules() {
         return Ok(Vec::new());
@@ -99,7 +99,7 @@
         Verdict::Go(route) => {
             request.attributes.pools = route.pools;
             request.notes = route.notes;
-            Ok(route.tickets)
+            Ok(route.permits)
         }
         Verdict::Reject { retry_after_ms, by } => {
             tracing::debug!(id = request.id, by, retry_after_ms, "refused by a rule");
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -23,7 +23,7 @@
 use crate::request::{Action, FinalAnswer, RequestCounts, RequestTable};
 use crate::runtime::clock::Clock;
 use driftgap_admin::{DrainControl, DrainState, ExcludedEndpoints};
-use driftgap_routes::{Router, Ticket};
+use driftgap_routes::{LimitPermit, Router};
 use std::cell::{Cell, OnceCell, RefCell, RefMut};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
@@ -58,7 +58,7 @@
     client: Rc<dyn ResponseSink>,
     ticket: u64,
     /// The request's places under the operator's limits, free again when this is dropped.
-    _limit_tickets: Vec<Ticket>,
+    _limit_tickets: Vec<LimitPermit>,
 }
 
 /// What all tasks of the ingress share.
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -3,7 +3,9 @@
 use super::Dispatcher;
 use crate::decision::driver::EndpointId;
 use crate::decision::{EndpointEntry, EndpointState, ListKind};
-use driftgap_routes::{Endpoint, Replaced, Request, Router, Rules, TooSoon, Verdict, ALL};
+use driftgap_routes::{
+    Endpoint, PoolBitsExhausted, Replaced, Request, Router, Rules, Verdict, ALL,
+};
 use std::collections::BTreeMap;
 
 impl Dispatcher {
@@ -15,7 +17,7 @@
             self.assign_pools(router, &mut entries);
             update_ready(&mut self.ready.borrow_mut(), kind, &entries);
             let ready = self.ready.borrow();
-            router.ready(ready.values().map(|entry| entry.pools));
+            router.count_ready(ready.values().map(|entry| entry.pools));
         } else {
             update_ready(&mut self.ready.borrow_mut(), kind, &entries);
         }
@@ -70,7 +72,7 @@
     ///
     /// # Errors
     /// Requests under way still need too many pools of the old rules, which stay in force.
-    pub fn replace_rules(&self, rules: Rules) -> Result<Option<Replaced>, TooSoon> {
+    pub fn replace_rules(&self, rules: Rules) -> Result<Option<Replaced>, PoolBitsExhausted> {
         let longest_ms = self.longest_deadline_ms();
         let replaced = match &mut *self.router.borrow_mut() {
             Some(router) => Some(router.replace(rules, self.clock.now(), longest_ms)?),
@@ -92,12 +94,12 @@
         let router = self.router.borrow();
         let router = router.as_ref()?;
         let ready: Vec<String> = router
-            .figures()
+            .ready_endpoints()
             .map(|(pool, ready)| format!("{pool}={ready}"))
             .collect();
         Some(PoolStatistics {
             ready: ready.join(" "),
-            failed_evaluations: router.faults(),
+            failed_evaluations: router.failed_evaluations(),
         })
     }
 }
--- a/src/runtime/dispatcher/requests.rs
+++ b/src/runtime/dispatcher/requests.rs
@@ -5,7 +5,7 @@
 use crate::plugin::PluginVerdict;
 use crate::request::{Action, ClientRequest, FinalAnswer, RequestTable};
 use driftgap_admin::DrainState;
-use driftgap_routes::Ticket;
+use driftgap_routes::LimitPermit;
 use std::rc::{Rc, Weak};
 
 /// Retry-After for requests that a drained or ending ingress rejects, ms: by then the client's next connection goes
@@ -37,7 +37,7 @@
         request: ClientRequest,
         client: Rc<dyn ResponseSink>,
         ticket: u64,
-        limit_tickets: Vec<Ticket>,
+        limit_tickets: Vec<LimitPermit>,
         on_id: impl FnOnce(RequestId),
     ) {
         let now = self.clock.now();
