--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -58,6 +58,31 @@
     (format!("used=37,cost={cost}"), v)
 }
 
+/// The bytes of a reply, or what comes in its place.
+fn resp_reply(how: &str) -> String {
+    match how.split_once(' ').unwrap_or((how, "")) {
+        ("value" | "last" | "tardy", v) => {
+            format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
+        }
+        ("cost", v) => {
+            let (statistics, v) = split_cost(v);
+            format!(
+                "*3\r\n${}\r\n{v}\r\n${}\r\n{statistics}\r\n$-1\r\n",
+                v.len(),
+                statistics.len()
+            )
+        }
+        ("busy" | "refuse", _) => "-BUSY\r\n".to_string(),
+        ("error", _) => "-ERR failed\r\n".to_string(),
+        ("half" | "hang", _) => "*3\r\n$10\r\nabc".to_string(),
+        ("twice", v) => format!("*3\r\n${0}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len()).repeat(2),
+        ("noise", _) => "-what is this\r\n".to_string(),
+        ("odd", v) => format!("*3\r\n${}\r\n{v}\r\n+what\r\n$9\r\nlat_ms=no\r\n", v.len()),
+        ("garbage", _) => "!what is this\r\n".to_string(),
+        _ => String::new(),
+    }
+}
+
 pub(super) async fn resp_endpoint(name: String, mut stream: TcpStream, shared: Shared) {
     // A second answer goes out when it is written, and not with the acknowledgement of the first.
     stream.set_nodelay(true).unwrap();
@@ -101,27 +126,7 @@
             let _ = stream.write_all(b"\r\n$-1\r\n$-1\r\n").await;
             continue;
         }
-        let reply = match how.split_once(' ').unwrap_or((&how, "")) {
-            ("value" | "last" | "tardy", v) => {
-                format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
-            }
-            ("cost", v) => {
-                let (statistics, v) = split_cost(v);
-                format!(
-                    "*3\r\n${}\r\n{v}\r\n${}\r\n{statistics}\r\n$-1\r\n",
-                    v.len(),
-                    statistics.len()
-                )
-            }
-            ("busy" | "refuse", _) => "-BUSY\r\n".to_string(),
-            ("error", _) => "-ERR failed\r\n".to_string(),
-            ("half" | "hang", _) => "*3\r\n$10\r\nabc".to_string(),
-            ("twice", v) => format!("*3\r\n${0}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len()).repeat(2),
-            ("noise", _) => "-what is this\r\n".to_string(),
-            ("odd", v) => format!("*3\r\n${}\r\n{v}\r\n+what\r\n$9\r\nlat_ms=no\r\n", v.len()),
-            ("garbage", _) => "!what is this\r\n".to_string(),
-            _ => String::new(),
-        };
+        let reply = resp_reply(&how);
         let answered_at = Instant::now();
         let _ = stream.write_all(reply.as_bytes()).await;
         if how.starts_with("tardy") {
