--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -203,11 +203,11 @@
 /// depend on the wire.
 #[test]
 fn quotas_count_the_same_over_both_wires() {
-    // A store of 14 units, 2 for each request.
+    // A store of 14 units, and 3.2 a second; 2 for each request.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
         .collect();
-    play_all(&format!("always value news\n{flood}counted 14"));
+    play_all(&format!("always value news\n{flood}counted 14 3.2"));
 }
 
 /// A client names a class or plan that the settings do not have. The request fails, and its connection still
@@ -551,8 +551,8 @@
 /// stays until the new discovery answers, and the quota counts on where the counter is.
 #[test]
 fn a_new_configuration_moves_discovery_and_counter_and_a_quota_counts_on() {
-    // The old places are closed behind the move. A store of 14 units, 2 for each request: one is drawn before
-    // the move, the others where the counter is then.
+    // The old places are closed behind the move. A store of 14 units, and 3.2 a second; 2 for each request: one is
+    // drawn before the move, the others where the counter is then.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
         .collect();
@@ -565,7 +565,7 @@
          answer * k value booked
          expect d k served booked
          always value news
-         {flood}counted 14
+         {flood}counted 14 3.2
          state b left
          wait 100
          send c k12 fetch-episode national 8
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -55,6 +55,7 @@
 //!     runs K N                             N attempts for K have arrived in all
 //!     begun LEAST / begun none             notes that at least so many attempts have arrived / none has since
 //!     counted N                            the counter holds N units, and under one that time brought
+//!     counted N RATE                       it holds N units, and at most RATE for each second since it got the first
 #![allow(dead_code)]
 
 mod clients;
@@ -127,6 +128,8 @@
     arrived: ArrivedAttempts,
     runs: Rc<RefCell<HashMap<String, usize>>>,
     totals: Rc<RefCell<HashMap<String, f64>>>,
+    /// When the counter got its first units.
+    first_counted: Rc<Cell<Option<Instant>>>,
     always: Rc<RefCell<Option<String>>>,
     /// How the counter and the agent behave; empty: as they should.
     counter: Rc<RefCell<String>>,
--- a/tests/stage/services.rs
+++ b/tests/stage/services.rs
@@ -16,6 +16,8 @@
                 .split_once('?')
                 .unwrap();
             let amount = query.split('&').find_map(|p| p.strip_prefix("n=")).unwrap();
+            let first_counted = shared.first_counted.get().unwrap_or_else(Instant::now);
+            shared.first_counted.set(Some(first_counted));
             let total = {
                 let mut totals = shared.totals.borrow_mut();
                 let total = totals.entry(name.to_string()).or_default();
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -494,12 +494,33 @@
                 assert!(self.begun >= min.parse().unwrap(), "{line}: {}", self.begun);
             }
             ["counted", n] => {
-                let total: f64 = self.shared.totals.borrow().values().sum();
-                let n: f64 = n.parse().unwrap();
+                let (n, total): (f64, f64) = (n.parse().unwrap(), self.counted());
                 assert!((n..n + 1.0).contains(&total), "{line}: {total}");
             }
+            ["counted", n, rate] => {
+                self.check_counted(line, n.parse().unwrap(), rate.parse().unwrap());
+            }
             _ => return false,
         }
         true
     }
+
+    /// Units that the counter holds.
+    fn counted(&self) -> f64 {
+        self.shared.totals.borrow().values().sum()
+    }
+
+    /// The counter holds these units, and at most so many more for each second since it got the first ones.
+    fn check_counted(&self, line: &str, units: f64, units_per_s: f64) {
+        /// Amounts are rounded to single precision on their way.
+        const ROUNDING: f64 = 1e-3;
+        let first_counted = self.shared.first_counted.get();
+        let elapsed_s = first_counted.map_or(0.0, |at| at.elapsed().as_secs_f64());
+        let total = self.counted();
+        let most = units + units_per_s * elapsed_s + ROUNDING;
+        assert!(
+            (units..=most).contains(&total),
+            "{line}: {total}, {elapsed_s} s after the first"
+        );
+    }
 }
