--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -79,18 +79,17 @@
         terms: String,
         body: Option<Vec<u8>>,
     ) -> Result<ClientRequest, InvalidRequest> {
-        check_readable(id, &terms)?;
-        let list = Terms::new(&terms);
-        let ask = attributes(platform, tenant, list)?;
+        let list = readable_terms(id, &terms)?;
+        let attributes = attributes(platform, tenant, &list)?;
         let client_timeout_ms =
             list.number(wire_names::CLIENT_TIMEOUT_MS, MAX_CLIENT_TIMEOUT_MS)?;
         check_idempotency_key(
-            platform.decision.classes[ask.class].idempotency,
+            platform.decision.classes[attributes.class].idempotency,
             list.value(wire_names::IDEMPOTENCY_KEY),
         )?;
-        check_unique_terms(list)?;
+        check_unique_terms(&list)?;
         let mut request = ClientRequest {
-            attributes: ask,
+            attributes,
             tenant: tenant.into(),
             id: id.into(),
             terms,
@@ -133,24 +132,25 @@
 
 /// Guards the connections to endpoints: an endpoint closes its connection on what it cannot read, whatever other
 /// requests wait there. Only requests that are readable throughout are forwarded.
-fn check_readable(id: &str, terms: &str) -> Result<(), InvalidRequest> {
+fn readable_terms<'a>(id: &str, terms: &'a str) -> Result<Terms<'a>, InvalidRequest> {
     let readable = |text: &str, max_bytes| {
         text.len() <= max_bytes && text.bytes().all(|b| b.is_ascii_graphic())
     };
-    if !readable(terms, MAX_TERMS_BYTES) || !Terms::new(terms).all_named() {
+    if !readable(terms, MAX_TERMS_BYTES) {
         return Err(InvalidRequest::Term(wire_names::TERMS));
     }
+    let list = Terms::parse(terms).ok_or(InvalidRequest::Term(wire_names::TERMS))?;
     if id.is_empty() || !readable(id, MAX_ID_BYTES) {
         return Err(InvalidRequest::Term(wire_names::REQUEST_ID));
     }
-    Ok(())
+    Ok(list)
 }
 
 /// What decisions rest on, from the tenant's id and the terms.
 fn attributes(
     platform: &Platform,
     tenant: &str,
-    terms: Terms<'_>,
+    terms: &Terms<'_>,
 ) -> Result<RequestAttributes, InvalidRequest> {
     let ingresses = f64::from(platform.decision.ingresses);
     let class = terms
@@ -180,7 +180,7 @@
 }
 
 /// Guards quotas: one request with a million units in a tenant's name would use up all that the tenant has.
-fn units(terms: Terms<'_>, max_units: f64) -> Result<f64, InvalidRequest> {
+fn units(terms: &Terms<'_>, max_units: f64) -> Result<f64, InvalidRequest> {
     let units = terms.number(wire_names::UNITS, max_units)?;
     if units > 0.0 {
         Ok(units)
@@ -189,7 +189,7 @@
     }
 }
 
-fn is_retry(terms: Terms<'_>) -> Result<bool, InvalidRequest> {
+fn is_retry(terms: &Terms<'_>) -> Result<bool, InvalidRequest> {
     match terms.value(wire_names::RETRY) {
         None | Some(wire_names::RETRY_NO) => Ok(false),
         Some(wire_names::RETRY_YES) => Ok(true),
@@ -212,7 +212,7 @@
 
 /// Guards the quota: where a term stands twice, an endpoint could read other units or another class than this
 /// ingress did.
-fn check_unique_terms(terms: Terms<'_>) -> Result<(), InvalidRequest> {
+fn check_unique_terms(terms: &Terms<'_>) -> Result<(), InvalidRequest> {
     if UNIQUE_TERMS.iter().any(|name| terms.count(name) > 1) {
         return Err(InvalidRequest::Term(wire_names::TERMS));
     }
--- a/src/request/terms.rs
+++ b/src/request/terms.rs
@@ -20,35 +20,37 @@
     terms.split(',').filter_map(|term| term.split_once('='))
 }
 
-/// The names and values of one request.
-#[derive(Clone, Copy)]
-pub(super) struct Terms<'a>(&'a str);
+/// How many terms a request usually has at the most: beyond, their list grows.
+const USUAL_TERMS: usize = 8;
+
+/// The names and values of one request, in its order. The text is split once: every name is looked for several times.
+pub(super) struct Terms<'a>(Vec<(&'a str, &'a str)>);
 
 impl<'a> Terms<'a> {
-    pub(super) fn new(text: &'a str) -> Terms<'a> {
-        Terms(text)
+    /// The terms of a list; none: one of them lacks its name or its value.
+    pub(super) fn parse(text: &'a str) -> Option<Terms<'a>> {
+        let mut pairs = Vec::with_capacity(USUAL_TERMS);
+        for term in text.split(',') {
+            pairs.push(term.split_once('=')?);
+        }
+        Some(Terms(pairs))
     }
 
     /// The first value of this name.
-    pub(super) fn value(self, name: &str) -> Option<&'a str> {
-        term_pairs(self.0).find(|(n, _)| *n == name).map(|(_, v)| v)
+    pub(super) fn value(&self, name: &str) -> Option<&'a str> {
+        self.0.iter().find(|(n, _)| *n == name).map(|(_, v)| *v)
     }
 
     /// How many values there are of this name.
-    pub(super) fn count(self, name: &str) -> usize {
-        term_pairs(self.0).filter(|(n, _)| *n == name).count()
-    }
-
-    /// Whether every term has a name and a value.
-    pub(super) fn all_named(self) -> bool {
-        self.0.split(',').all(|term| term.contains('='))
+    pub(super) fn count(&self, name: &str) -> usize {
+        self.0.iter().filter(|(n, _)| *n == name).count()
     }
 
     /// A number from 0 to `max`.
     ///
     /// # Errors
     /// It is missing, no number, or above `max`.
-    pub(super) fn number(self, name: &'static str, max: f64) -> Result<f64, InvalidRequest> {
+    pub(super) fn number(&self, name: &'static str, max: f64) -> Result<f64, InvalidRequest> {
         self.value(name)
             .and_then(parse_decimal)
             .filter(|value| *value <= max)
@@ -60,7 +62,7 @@
     /// # Errors
     /// It is missing, no integer, or out of this range.
     pub(super) fn integer(
-        self,
+        &self,
         name: &'static str,
         min: f64,
         max: f64,
