--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -252,7 +252,7 @@
             body,
             close: false,
         };
-        discovery::take(&self.dispatcher, &answer)
+        discovery::apply_answer(&self.dispatcher, &answer)
             .map_err(|error| ExperimentError::Refused(error.to_string()))?;
         Ok(())
     }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -10,5 +10,5 @@
 mod poller;
 pub mod registry;
 
-pub use apply::{apply_answer as take, AnswerError};
+pub use apply::{apply_answer, AnswerError};
 pub use follow_registry::follow_registry;
