--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,20 +1,23 @@
-//! Admission: whether an arriving request is admitted, and the final answers that this ingress
-//! gives by itself.
+//! Admission control: whether an arriving request is admitted, and the final answers that this
+//! ingress gives without an endpoint.
 //!
-//! **Rule.** A request is rejected at once, with a Retry-After, by a fixed chance for each load
-//! level ([`SHED_CHANCE`]); then by its tenant's quota (see [`super::quota`]); then where no
-//! endpoint may be sent an attempt: none is ready, or those that are warm up and have spent their
-//! budgets (see [`super::slow_start`]). At level 1 or 2, a request that would typically be answered
-//! after its latency objective is rejected at least by the share of its priority weight that is
-//! lost by then. Nothing is delayed to be rejected later, except for one call to the counter.
+//! **Rule.** An arriving request is rejected immediately, with a Retry-After, by the first of these
+//! checks that it fails: load shedding, with a fixed probability for each load level
+//! ([`SHED_PROBABILITY`]); the quota of its tenant (see [`super::quota`]); endpoint selection,
+//! which finds no endpoint if none is ready, or if the ready ones are warming up and have spent
+//! their budgets (see [`super::slow_start`]). At level 1 or 2, a request whose expected latency
+//! exceeds its latency objective is rejected with at least the probability `1 - late_weight_share`,
+//! the share of its priority weight that a late answer loses. No request is delayed before it is
+//! rejected, except for the duration of one counter call.
 //!
-//! **Inputs.** The load level; the time that is left to the client and the typical latency of the
-//! class, in seconds; the quota's decision.
+//! **Inputs.** The load level; the time left before the client gives up and the typical latency of
+//! the class, in seconds; the decision of the quota.
 //!
-//! **Guards.** Under overload, work for answers that come too late is lost for all: hence late ones
-//! first. A rejected request must not have run, as its client repeats it: where an attempt may have
-//! run, the answer is a failure. Before its client gives up, every request is answered by a timer,
-//! whatever else fails. Known harm: at level 1 the chance is blind to what a request is worth.
+//! **Guards.** Under overload, work on answers that come too late wastes capacity that all requests
+//! share, so late requests are rejected first. A rejected request must not have run, because its
+//! client repeats it: once an attempt may have run, the answer is a failure instead. A timer
+//! answers every request before its client gives up, whatever else fails. Known harm: the shedding
+//! probability at level 1 does not depend on the priority weight of a request.
 
 use super::endpoint_selection::Selection;
 use super::load_level::SampleTrigger;
@@ -22,19 +25,19 @@
 use super::request::PendingRequest;
 use super::{Action, DecisionEngine, Request, RequestId};
 
-/// Chance of a rejection at each load level.
-const SHED_CHANCE: [f64; 3] = [0.0, 0.5, 1.0];
-/// Retry-After, in latency objectives, of a rejection for load, for want of an endpoint or time, and
-/// of a request that waited in vain for a lease: a retry can still be in time.
+/// Probability of a rejection at each load level.
+const SHED_PROBABILITY: [f64; 3] = [0.0, 0.5, 1.0];
+/// Retry-After, in latency objectives, of a rejection caused by load, by a lack of endpoints or
+/// time, or by a lease that was not granted: a retry after this time can still meet the objective.
 const RETRY_AFTER_OBJECTIVES: f64 = 0.3;
-/// Shortest Retry-After of a rejection by quota, s: units come in slowly, and an early retry is
-/// rejected again.
+/// Shortest Retry-After of a rejection by quota, s: a bucket refills slowly, so an earlier retry
+/// would be rejected again.
 pub(super) const MIN_QUOTA_RETRY_AFTER: f64 = 0.5;
-/// Marks the timer of a request's answer; the lower half of the token is the request's id.
+/// Bit that marks the token of an answer timer; the lower half of the token is the request id.
 const ANSWER_TIMER: u64 = 1 << 32;
 
 impl DecisionEngine {
-    /// A request has come in.
+    /// Handles the arrival of a request.
     pub(super) fn request_arrived(
         &mut self,
         now: f64,
@@ -45,12 +48,12 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        if !request.sound(now, &self.settings) {
+        if !request.is_valid(now, &self.settings) {
             return self.reject(id, 0.0, actions);
         }
         self.load.sample(now, SampleTrigger::Arrival);
-        let chance = self.shed_chance(now, &request);
-        if chance > 0.0 && self.happens(chance) {
+        let probability = self.shed_probability(now, &request);
+        if probability > 0.0 && self.random_bool(probability) {
             let retry_after = self.load_retry_after(request.class);
             return self.reject(id, retry_after, actions);
         }
@@ -69,8 +72,8 @@
         }
     }
 
-    /// Chance that a request is rejected for load.
-    fn shed_chance(&self, now: f64, request: &Request) -> f64 {
+    /// Returns the probability that a request is rejected because of load.
+    fn shed_probability(&self, now: f64, request: &Request) -> f64 {
         let level = self.load.level();
         let class = &self.settings.classes[request.class];
         let waited = class.deadline - (request.gives_up_at - now);
@@ -81,16 +84,16 @@
         } else {
             0.0
         };
-        SHED_CHANCE[level].max(lost_share)
+        SHED_PROBABILITY[level].max(lost_share)
     }
 
-    /// Retry-After of a rejection that is not by quota, s.
+    /// Returns the Retry-After, s, of a rejection that is not caused by a quota.
     fn load_retry_after(&self, class: usize) -> f64 {
         RETRY_AFTER_OBJECTIVES * self.settings.classes[class].latency_objective
     }
 
-    /// Sends the first attempt of a request that its quota admits, or rejects it where no endpoint
-    /// can take it.
+    /// Sends the first attempt of a request that has passed its quota, or rejects the request if no
+    /// endpoint can be selected.
     pub(super) fn admit(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|pending| !pending.answered) else {
             return;
@@ -113,7 +116,7 @@
         self.answer_without_success(id, actions);
     }
 
-    /// Rejects a request that is not pending, with a Retry-After in seconds; 0: none.
+    /// Rejects a request that is not pending. `retry_after` is in seconds; 0 means none.
     pub(super) fn reject(&self, id: RequestId, retry_after: f64, actions: &mut Vec<Action>) {
         actions.push(Action::Reject {
             id,
@@ -121,16 +124,17 @@
         });
     }
 
-    /// The answer timer of a request is due: whatever happens, the client hears in time. A streamed
-    /// answer may last longer.
-    pub(super) fn answer_is_due(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Handles the expiry of a request's answer timer: the client gets an answer before it gives
+    /// up. A response that is already streaming may continue past the timer.
+    pub(super) fn answer_timer_expired(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let pending = self.requests.get(&id);
         if pending.is_some_and(|pending| !pending.streaming) {
             self.answer_without_success(id, actions);
         }
     }
 
-    /// Final answer without success: rejected where nothing may have run, else failed.
+    /// Gives the final answer to an unsuccessful request: a rejection if no attempt may have run, a
+    /// failure otherwise.
     pub(super) fn answer_without_success(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|pending| !pending.answered) else {
             return;
--- a/src/decision/attempt.rs
+++ b/src/decision/attempt.rs
@@ -1,14 +1,14 @@
-//! The life of an attempt: sent, ended, and what its end tells.
+//! The lifecycle of an attempt: it is sent, it ends, and its outcome updates the other mechanisms.
 //!
-//! **Rule.** A served attempt answers its request, and the others in flight are cancelled. When no
-//! attempt of an unanswered request is left, the request is retried (see [`super::retry`]) or
-//! answered without success. What the outcome tells goes to the mechanisms: latency, health and
-//! exclusions of the endpoint, load level, quota.
+//! **Rule.** A successful attempt answers its request, and the request's other attempts in flight
+//! are cancelled. When the last attempt of an unanswered request has ended, the request is retried
+//! (see [`super::retry`]) or answered without success. The outcome updates the latency, health and
+//! exclusions of the endpoint, the load level, and the quota.
 //!
 //! **Inputs.** The outcome, the settled units, the endpoint's load report; times in seconds.
 //!
-//! **Guard.** A blamed attempt is not blamed twice: one that was overdue does not count as a
-//! failure when it ends.
+//! **Guard.** One attempt counts at most one failure against its endpoint: an attempt that was
+//! already counted as overdue does not count as a failure when it ends.
 
 use super::endpoint::ClassAndPlan;
 use super::latency;
@@ -34,7 +34,7 @@
         });
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn attempt_ended(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(attempt) = self.record_attempt_end(end) else {
             return;
@@ -48,11 +48,11 @@
             endpoint.record_load_report(now, &self.settings.load_report_fields, &end.report);
         }
         self.load.sample(now, SampleTrigger::Departure);
-        self.follow_up(now, end, actions);
+        self.finish_or_retry(now, end, actions);
     }
 
-    /// Notes the end with the request and its tenant; the attempt, unless it is unknown or had
-    /// ended before.
+    /// Records the end of an attempt with its request and its tenant. Returns the attempt, or
+    /// `None` if it is unknown or had already ended.
     fn record_attempt_end(&mut self, end: &AttemptEnd) -> Option<Attempt> {
         let pending = self.requests.get_mut(&end.id)?;
         let attempt = pending
@@ -61,7 +61,7 @@
             .filter(|attempt| !attempt.ended)?;
         attempt.ended = true;
         attempt.may_have_run = end.outcome.may_have_run();
-        self.load.stop_counting(attempt.uncount());
+        self.load.stop_counting(attempt.take_load_count());
         self.slow_attempts.record_ended(attempt.slow);
         let attempt = attempt.clone();
         pending.answered |= end.request_finished || end.outcome == Outcome::Ok;
@@ -77,8 +77,8 @@
         Some(attempt)
     }
 
-    /// What is to be done about the request after the end of an attempt.
-    fn follow_up(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
+    /// Finishes an answered request, or retries or rejects one whose attempts have all ended.
+    fn finish_or_retry(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&end.id) else {
             return;
         };
@@ -98,7 +98,7 @@
         }
     }
 
-    /// What an outcome tells of the endpoint and of the load.
+    /// Updates the endpoint's statistics and the load level with the outcome of an attempt.
     fn record_outcome(
         &mut self,
         now: f64,
@@ -110,7 +110,7 @@
             return;
         };
         if attempt.may_have_run && self.slow_start.is_warm(now, endpoint) {
-            self.slow_start.record_taken_by_warm();
+            self.slow_start.record_warm_attempt_ended();
         }
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         match outcome {
@@ -134,13 +134,13 @@
         endpoint.slowness.record(now, latency, *typical_latency);
         endpoint.health.record_success(now);
         endpoint.exclusions.record_success(traffic);
-        latency::learn_typical(typical_latency, latency, &endpoint.slowness);
+        latency::update_typical_latency(typical_latency, latency, &endpoint.slowness);
         self.load
             .departed(self.settings.classes[traffic.class].latency_objective);
     }
 }
 
-/// The attempts still in flight of a request that has its answer are waste.
+/// Cancels the attempts of an answered request that are still in flight.
 fn cancel_attempts(id: RequestId, attempts: &[Attempt], actions: &mut Vec<Action>) {
     for (number, attempt) in attempts.iter().enumerate() {
         if !attempt.ended {
--- a/src/decision/counter_call.rs
+++ b/src/decision/counter_call.rs
@@ -1,34 +1,34 @@
-//! Calls to the counter service: names of its numbers, and which calls are awaited.
+//! Calls to the counter service: the names of its numbers, and the calls whose answers are awaited.
 //!
-//! **Rule.** Each tenant has one number on the counter for each window (of a lease) or epoch (of a
-//! shared bucket). Its name is a hash of both, the same at every ingress, so that nothing has to be
-//! agreed on. A tenant has one call in flight at most. A call without an answer is remembered for
-//! [`LATE_ANSWER_LIMIT`] seconds: a total that comes late still tells what was added.
+//! **Rule.** Each tenant has one number on the counter for each window (with a lease) or epoch
+//! (with a shared bucket). The name of the number is a hash of tenant and window, which every
+//! ingress computes alike, so names need no coordination. A tenant has at most one call in flight.
+//! An unanswered call is remembered for [`LATE_ANSWER_LIMIT`] seconds, because a late total still
+//! shows which units were added.
 //!
-//! **Guard.** Amounts are rounded as they are on the wire before they are remembered: else totals
-//! would differ from the sum of what was added, and look like those of a counter that has lost
-//! some.
+//! **Guard.** Amounts are rounded to their wire precision before they are stored. Otherwise totals
+//! would differ from the sum of the added amounts, as if the counter had lost some of them.
 
 use super::stable_hash;
 use super::{Action, DecisionEngine, TenantId};
 
-/// Longest life of a number on the counter, s: the service keeps none longer.
+/// Longest lifetime of a number on the counter, s: the limit of the service.
 const MAX_NUMBER_LIFETIME: f64 = 60.0;
-/// A call's total is awaited this long, s: later its window is over, or the next total has told as
-/// much.
+/// Time for which the total of a call is awaited, s: after this time its window has ended, or a
+/// later total has superseded it.
 const LATE_ANSWER_LIMIT: f64 = 5.0;
 
 /// A call that is in flight for a tenant.
 #[derive(Clone, Copy)]
 pub(super) struct CounterCall {
-    /// Window or epoch whose number it adds to.
+    /// Window or epoch whose number the call adds to.
     pub(super) window: i64,
-    /// Units to add; 0 reads.
+    /// Units to add; 0 only reads the number.
     pub(super) amount: f64,
 }
 
 impl CounterCall {
-    /// A call that only reads the number of a window.
+    /// Returns a call that only reads the number of a window.
     pub(super) fn read(window: i64) -> CounterCall {
         CounterCall {
             window,
@@ -37,7 +37,7 @@
     }
 }
 
-/// For whom a call was made, by the name of its number.
+/// The tenant and window that a call was made for, stored by the name of the number.
 #[derive(Clone, Copy)]
 pub(super) struct AwaitedCall {
     pub(super) tenant: TenantId,
@@ -47,7 +47,8 @@
 }
 
 impl DecisionEngine {
-    /// Makes a call for a tenant at `now`; a new number lives for `lifetime`, both in seconds.
+    /// Starts a counter call for a tenant at `now` (s). If the call creates the number, the number
+    /// expires after `lifetime` seconds.
     pub(super) fn call_counter(
         &mut self,
         now: f64,
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Forgets calls whose totals are no longer awaited.
-    pub(super) fn forget_old_calls(&mut self, now: f64) {
+    /// Removes calls whose totals are no longer awaited.
+    pub(super) fn expire_old_calls(&mut self, now: f64) {
         self.awaited_calls
             .retain(|_, call| now - call.called_at < LATE_ANSWER_LIMIT);
     }
--- a/src/decision/counter_health.rs
+++ b/src/decision/counter_health.rs
@@ -1,44 +1,44 @@
-//! Whether the counter service can be relied on: how congested it is, and whether it is
-//! unavailable.
+//! Health of the counter service: how congested it is, and whether it is unavailable.
 //!
-//! **Rule.** A call that fails, or takes more than [`SLOW_CALL_SHARE`] of the time allowed for it,
-//! raises congestion; a good one lowers it, and each second leaves a part of it. Congestion is the
-//! part of the calls to shared buckets that is not made, and while the counter is unavailable that
-//! of all calls. [`FAILURES_TO_UNAVAILABLE`] consecutive calls without an answer mean that the
-//! counter is unavailable until the next answer. A rejection is an answer: the counter is there,
-//! and congested.
+//! **Rule.** A call that fails, or takes more than [`SLOW_CALL_SHARE`] of its timeout, raises
+//! congestion. A good call lowers it, and it also decays by a fixed factor each second. Congestion
+//! is the fraction of the calls to shared buckets that are skipped and, while the counter is
+//! unavailable, of all calls. The counter counts as unavailable after [`FAILURES_TO_UNAVAILABLE`]
+//! consecutive calls without an answer, until the next answer. A rejection is an answer: it shows a
+//! counter that is available but congested.
 //!
-//! **Inputs.** Outcome and duration (s) of each call; the settings' counter timeout (s).
+//! **Inputs.** Outcome and duration (s) of each call; the counter timeout of the settings (s).
 //!
-//! **Guards.** Ingresses that all keep calling a congested counter keep it congested. While it is
-//! unavailable quotas fall back to even shares (see [`super::quota_lease`]), and totals of windows
-//! that began before are not trusted, as the counter may have lost them. Known harm: requests that
-//! go unchecked are decided by an estimate.
+//! **Guards.** A congested counter stays congested if every ingress keeps calling it. While the
+//! counter is unavailable, quotas fall back to even shares (see [`super::quota_lease`]). Totals of
+//! windows that began before the outage are not trusted, because the counter may have lost them.
+//! Known harm: unchecked requests are decided by an estimate.
 
 use super::Outcome;
 
-/// Congestion at the start: nothing is known, and after a restart of all ingresses the counter is
-/// busy.
+/// Congestion at the start: the state of the counter is unknown, and it is busy after a restart of
+/// all ingresses.
 const START_CONGESTION: f64 = 0.3;
-/// A bad call raises congestion by this part of what is left to 1.
+/// Fraction of the remaining distance to 1 by which a bad call raises congestion.
 const CONGESTION_RISE: f64 = 0.3;
-/// A good call lowers congestion by this much.
+/// Amount by which a good call lowers congestion.
 const CONGESTION_FALL: f64 = 0.06;
-/// Most congestion: some calls must go on, or its end would not be seen.
+/// Upper bound of congestion: some calls must continue in order to detect its end.
 const MAX_CONGESTION: f64 = 0.95;
-/// What a second leaves of congestion: it ends also where there are no calls.
-const CONGESTION_LEFT_AFTER_SECOND: f64 = 0.8;
-/// A call that takes this share of the counter timeout is bad: the next ones will be late.
+/// Factor on congestion for each second, so that it also ends when there are no calls.
+const CONGESTION_DECAY_PER_SECOND: f64 = 0.8;
+/// Share of the counter timeout from which a call counts as bad: later calls would time out.
 const SLOW_CALL_SHARE: f64 = 0.4;
-/// Consecutive calls without an answer that mean unavailable: one or two are lost in passing.
+/// Consecutive unanswered calls after which the counter is unavailable: one or two can be lost in
+/// normal operation.
 const FAILURES_TO_UNAVAILABLE: u32 = 3;
 
-/// What calls have told of the counter.
+/// Health of the counter as observed through calls.
 pub(super) struct CounterHealth {
-    /// Part of the calls that is not made, 0 to 0.95.
+    /// Fraction of the calls that are skipped, 0 to [`MAX_CONGESTION`].
     congestion: f64,
     consecutive_failures: u32,
-    /// When totals were last lost, or the counter last found unavailable, s.
+    /// When totals were last found lost, or the counter was last found unavailable, s.
     totals_lost_at: f64,
 }
 
@@ -59,18 +59,19 @@
         self.consecutive_failures >= FAILURES_TO_UNAVAILABLE
     }
 
-    /// Whether a window that began at `start` (s) may have totals that were lost since.
+    /// Returns whether totals of a window that began at `start` (s) may have been lost since then.
     pub(super) fn may_have_lost_totals_since(&self, start: f64) -> bool {
         start < self.totals_lost_at
     }
 
-    /// A total is lower than what this ingress alone has added: the counter came back empty.
+    /// Records at `now` (s) that a total is lower than the units this ingress alone has added: the
+    /// counter has restarted empty.
     pub(super) fn record_lost_totals(&mut self, now: f64) {
         self.totals_lost_at = now;
     }
 
-    /// Takes in a call that ended at `now` after `duration`, where `timeout` is allowed, all in
-    /// seconds. `answered`: with a total.
+    /// Records a call that ended at `now` after `duration`, with `timeout` as its limit, all in
+    /// seconds. `answered` means that the call returned a total.
     pub(super) fn record_call(
         &mut self,
         now: f64,
@@ -88,15 +89,16 @@
         self.congestion = congestion.clamp(0.0, MAX_CONGESTION);
         let unanswered = !answered && outcome != Outcome::Rejected;
         let failures = self.consecutive_failures + u32::from(unanswered);
-        // Also at the answer that ends an outage: what was lost may have been lost until now.
+        // This includes the answer that ends an outage: totals may have been lost up to that
+        // moment.
         if failures >= FAILURES_TO_UNAVAILABLE {
             self.totals_lost_at = now;
         }
         self.consecutive_failures = if unanswered { failures } else { 0 };
     }
 
-    /// A second has passed.
-    pub(super) fn relax(&mut self) {
-        self.congestion *= CONGESTION_LEFT_AFTER_SECOND;
+    /// Applies the decay of congestion for one second.
+    pub(super) fn decay_congestion(&mut self) {
+        self.congestion *= CONGESTION_DECAY_PER_SECOND;
     }
 }
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -1,10 +1,10 @@
-//! The decision module in blocking style: [`DecisionDriver::decide`], [`DecisionDriver::observe`],
-//! [`DecisionDriver::tick`].
+//! Interface of the decision module for network code: [`DecisionDriver::decide`],
+//! [`DecisionDriver::observe`], [`DecisionDriver::tick`].
 //!
-//! It owns the engine, its timers, and the turn from the milliseconds of network code to the
-//! engine's seconds. Network code sees verdicts and driver actions, never the engine's events or
-//! actions. It must never decide anything itself, nor know a request beyond the figures that the
-//! engine asks for.
+//! The driver owns the engine and its timers, and converts between the milliseconds of network code
+//! and the seconds of the engine. Network code sees verdicts and driver actions, never the engine's
+//! events or actions. The driver must not make decisions itself, nor use any attribute of a request
+//! that the engine does not need.
 
 use crate::decision::{
     Action, AttemptEnd, DecisionEngine, EndpointEntry, Event, ListKind, Outcome, Pools, Request,
@@ -16,148 +16,148 @@
 
 pub use crate::decision::{EndpointId, RequestId};
 
-/// Microseconds of a millisecond.
+/// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1e3;
 
-/// What is to be done with a request.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// The request is pending: a later call brings the verdict.
+    /// The request is pending; a later call produces its verdict.
     Pending,
     /// Send an attempt.
     Send {
-        /// Where to.
+        /// Destination of the attempt.
         endpoint: EndpointId,
-        /// How long it may last, ms; 0: until the client gives up.
+        /// Timeout of the attempt, ms; 0: until the client gives up.
         attempt_timeout_ms: f64,
     },
-    /// Final answer: rejected.
+    /// Final answer: the request is rejected.
     Reject {
         /// Retry-After, ms; 0: none.
         retry_after_ms: f64,
     },
-    /// Final answer: failed.
+    /// Final answer: the request has failed.
     Fail,
 }
 
-/// Work beside the requests.
+/// Work that is not a verdict on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DriverAction {
-    /// Stop waiting for an attempt: its request, and its number among the request's attempts.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// The number of its attempt, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
     },
-    /// Check the health of an endpoint, and ask for its load report.
+    /// Check the health of an endpoint and request its load report.
     Probe(EndpointId),
-    /// Follow the endpoint registry.
+    /// Poll the endpoint list, or subscribe to its changes.
     FollowEndpointList,
-    /// Add to a number on the counter.
+    /// Add to a number on the counter service.
     AddToCounter(CounterAdd),
 }
 
 /// A counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterAdd {
-    /// The number's name.
+    /// Name of the number.
     pub name: u64,
-    /// What to add, units; 0 reads, below 0 takes off.
+    /// Amount to add, in units; 0 only reads the number, a negative amount subtracts.
     pub amount: f64,
-    /// A new name is forgotten after this long, ms.
+    /// If the call creates the number, the number expires after this time, ms.
     pub lifetime_ms: f64,
 }
 
-/// The attributes of a request that decisions rest on.
+/// Attributes of a request that decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestAttributes {
-    /// Its class, by index.
+    /// Class of the request, by index.
     pub class: usize,
-    /// The tenant's plan, by index.
+    /// Plan of the tenant, by index.
     pub plan: usize,
-    /// The tenant.
+    /// Tenant that the request belongs to.
     pub tenant: u64,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// Through how many ingresses the tenant's requests come.
+    /// Number of ingresses that the tenant's requests arrive through.
     pub ingress_count: u32,
-    /// The first of them, by number.
+    /// Index of the first of these ingresses.
     pub first_ingress: u32,
-    /// Marked by the client as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// The pools whose endpoints it may be sent to.
+    /// Pools whose endpoints the request may be sent to.
     pub pools: Pools,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptReport {
-    /// Its request.
+    /// Request of the attempt.
     pub request: RequestId,
-    /// Its number.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub request_finished: bool,
-    /// The endpoint's load report, if one came.
+    /// Load report of the endpoint; empty if there was none.
     pub load_report: Vec<f64>,
-    /// The true units, if they came with the answer.
+    /// Actual units, if the answer reported them.
     pub settled_units: Option<f64>,
 }
 
-/// What has happened, for the engine.
+/// An input of the engine other than a request or a timer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// The endpoint registry: all of it, a change, or the list as last known.
+    /// The endpoint list: complete, in part, or as last known.
     EndpointList(ListKind, Vec<EndpointEntry>),
     /// An attempt has ended.
     AttemptEnded(AttemptReport),
-    /// The client has gone.
+    /// The client has disconnected.
     ClientGone(RequestId),
-    /// A health check has ended, with the load report that it brought.
+    /// A health check has ended.
     ProbeEnded {
         /// The endpoint that was checked.
         endpoint: EndpointId,
         /// How the check ended.
         outcome: Outcome,
-        /// The load report, in the order of the settings' columns; empty: none came.
+        /// Load report, in the order of [`Settings::load_report_fields`]; empty if there was none.
         load_report: Vec<f64>,
     },
-    /// A counter call for this name has ended, with the total.
+    /// A counter call has ended.
     CounterAnswered {
-        /// The number's name.
+        /// Name of the number.
         name: u64,
         /// How the call ended.
         outcome: Outcome,
-        /// The total after the call, in units; counts if the outcome is [`Outcome::Ok`].
+        /// Total after the call, in units; valid only if the outcome is [`Outcome::Ok`].
         total: f64,
     },
-    /// A call that had ended without a total has one after all.
+    /// The total of a call that had already timed out has arrived.
     CounterAnsweredLate {
-        /// The number's name.
+        /// Name of the number.
         name: u64,
-        /// What the call added, in units.
+        /// Amount that the call added, in units.
         amount: f64,
-        /// The total after the call, in units.
+        /// Total after the call, in units.
         total: f64,
     },
 }
 
-/// A timer of the engine. Ordered by when it is due, then by token.
+/// A timer of the engine. Ordered by due time, then by token.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EngineTimer {
     due_us: u64,
     token: u64,
 }
 
-/// The engine behind its three calls. Times are milliseconds on one clock that never goes back.
+/// Owns the decision engine and its timers. Times are milliseconds of one monotonic clock.
 pub struct DecisionDriver {
     engine: DecisionEngine,
-    /// Next due first.
+    /// Timers, the earliest first.
     timers: BinaryHeap<Reverse<EngineTimer>>,
-    /// Kept empty between calls, for its memory.
+    /// Empty between calls; kept to reuse its allocation.
     actions: Vec<Action>,
     verdicts: VecDeque<(RequestId, Verdict)>,
     pending_actions: VecDeque<DriverAction>,
@@ -168,10 +168,10 @@
 }
 
 impl DecisionDriver {
-    /// The driver of an engine that knows nothing yet; `seed` is that of its random numbers.
+    /// Creates a driver with a new engine. `seed` initializes the engine's random numbers.
     ///
     /// # Errors
-    /// Settings that make no sense, by field.
+    /// Returns the first invalid field of the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<DecisionDriver, SettingsError> {
         Ok(DecisionDriver {
             engine: DecisionEngine::new(settings, seed)?,
@@ -182,8 +182,8 @@
         })
     }
 
-    /// A request has come in at `now_ms`, and its client gives up at `give_up_ms`: the verdict on
-    /// it.
+    /// Handles a request that arrives at `now_ms` and whose client gives up at `give_up_ms`.
+    /// Returns the verdict on it.
     pub fn decide(
         &mut self,
         now_ms: f64,
@@ -208,11 +208,14 @@
     }
 
     fn take_verdict(&mut self, id: RequestId) -> Option<Verdict> {
-        let position = self.verdicts.iter().position(|(of, _)| *of == id)?;
+        let position = self
+            .verdicts
+            .iter()
+            .position(|(request, _)| *request == id)?;
         self.verdicts.remove(position).map(|(_, verdict)| verdict)
     }
 
-    /// Something has happened at `now_ms`; verdicts and driver actions may follow.
+    /// Handles an observation made at `now_ms`. Verdicts and driver actions may follow.
     pub fn observe(&mut self, now_ms: f64, observation: Observation) {
         let event = match observation {
             Observation::EndpointList(kind, entries) => Event::EndpointList { kind, entries },
@@ -256,8 +259,8 @@
         self.handle(now_ms, event);
     }
 
-    /// Lets the engine's timers come due that are due by `now_ms`. One that is set by these waits
-    /// for the next call, as on the wire.
+    /// Handles the timers that are due by `now_ms`. A timer that they set waits for the next call,
+    /// since it is due at least one microsecond later.
     pub fn tick(&mut self, now_ms: f64) {
         let now_us = microseconds(now_ms);
         while let Some(Reverse(timer)) = self.timers.peek().copied() {
@@ -269,11 +272,11 @@
         }
     }
 
-    /// When the next timer comes due, ms. Those that the engine has no use for any more are dropped
-    /// here: most are the answer timers of requests that were served long before.
+    /// Returns when the next timer is due, ms. Removes timers that the engine no longer needs,
+    /// mostly answer timers of requests that were answered long before.
     pub fn next_due_ms(&mut self) -> Option<f64> {
         while let Some(Reverse(timer)) = self.timers.peek() {
-            if self.engine.awaits(timer.token) {
+            if self.engine.needs_timer(timer.token) {
                 return Some(timer.due_us as f64 / US_PER_MS);
             }
             self.timers.pop();
@@ -281,13 +284,12 @@
         None
     }
 
-    /// The next verdict that an earlier call left, for a request that was pending or lost an
-    /// attempt.
+    /// Returns the next queued verdict, for a request that was pending or whose attempt has ended.
     pub fn next_verdict(&mut self) -> Option<(RequestId, Verdict)> {
         self.verdicts.pop_front()
     }
 
-    /// The next driver action.
+    /// Returns the next queued driver action.
     pub fn next_action(&mut self) -> Option<DriverAction> {
         self.pending_actions.pop_front()
     }
@@ -296,12 +298,12 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.engine.handle(now_ms / MS_PER_S, event, &mut actions);
         for action in actions.drain(..) {
-            self.take_action(now_ms, action);
+            self.handle_action(now_ms, action);
         }
         self.actions = actions;
     }
 
-    fn take_action(&mut self, now_ms: f64, action: Action) {
+    fn handle_action(&mut self, now_ms: f64, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -352,8 +354,8 @@
         }
     }
 
-    /// Sets a timer that is due `after` seconds from now, one microsecond at least, so that it
-    /// never comes due within its own call.
+    /// Sets a timer that is due `after` seconds from now, at least one microsecond, so that it is
+    /// never due within the call that sets it.
     fn set_timer(&mut self, now_ms: f64, after: f64, token: u64) {
         let due_us = microseconds(now_ms + after * MS_PER_S).max(microseconds(now_ms) + 1);
         self.timers.push(Reverse(EngineTimer { due_us, token }));
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -1,4 +1,4 @@
-//! What this ingress knows of each endpoint. State only; the rules on it stand in
+//! State of each endpoint as observed by this ingress. The rules that use it are in
 //! [`super::endpoint_selection`], [`super::slow_start`], [`super::outlier_ejection`] and
 //! [`super::exclusion`].
 
@@ -19,15 +19,15 @@
     pub(super) plan: usize,
 }
 
-/// What an endpoint must serve to be chosen.
+/// What an endpoint must serve to be selected.
 #[derive(Clone, Copy)]
 pub(super) struct EndpointRequirement {
     pub(super) class_and_plan: ClassAndPlan,
-    /// Any of these pools.
+    /// The endpoint must be in at least one of these pools.
     pub(super) pools: Pools,
 }
 
-/// The endpoints that know the same idempotency keys as one in this zone and cell.
+/// Endpoints that share idempotency keys with the endpoints of this zone and cell.
 #[derive(Clone, Copy)]
 pub(super) struct DeduplicationGroup {
     pub(super) scope: DeduplicationScope,
@@ -47,22 +47,22 @@
 
 /// A queue length from a load report.
 pub(super) struct ReportedQueue {
-    /// When the report came, s.
+    /// When the report arrived, s.
     pub(super) at: f64,
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub(super) length: f64,
 }
 
-/// An endpoint of the list, or one that is gone and still has attempts in flight.
+/// An endpoint on the endpoint list, or a removed one that still has attempts in flight.
 #[derive(Default)]
 pub(super) struct Endpoint {
     pub(super) zone: u32,
     pub(super) cell: u32,
-    /// Capacity beside that of the others.
+    /// Capacity relative to the other endpoints.
     pub(super) capacity: f64,
-    /// Takes new requests.
+    /// Whether the endpoint accepts new requests.
     pub(super) ready: bool,
-    pub(super) gone: bool,
+    pub(super) removed: bool,
     pub(super) pools: Pools,
     /// When its process started, s; 0: long ago.
     pub(super) started: f64,
@@ -72,15 +72,15 @@
     pub(super) health: EndpointHealth,
     pub(super) exclusions: Exclusions,
     pub(super) reported_queue: Option<ReportedQueue>,
-    /// Attempts sent while it was warming up.
+    /// Attempts sent while the endpoint was warming up.
     pub(super) slow_start_attempts: RecentAttempts,
 }
 
 impl Endpoint {
-    /// Takes in a line of the endpoint list.
+    /// Applies an entry of the endpoint list.
     fn update(&mut self, entry: &EndpointEntry) {
         if entry.started_at > self.started {
-            self.forget_process();
+            self.reset_process_state();
             self.started = entry.started_at;
         }
         self.zone = entry.zone;
@@ -92,18 +92,18 @@
         };
         self.ready = entry.state == EndpointState::Ready;
         self.pools = entry.pools;
-        self.gone = entry.state == EndpointState::Gone;
+        self.removed = entry.state == EndpointState::Gone;
     }
 
-    /// A new process has started: what was learnt of the old one no longer holds.
-    fn forget_process(&mut self) {
+    /// Discards what was observed of the previous process after a restart.
+    fn reset_process_state(&mut self) {
         self.health.reset();
         self.slowness.reset();
         self.reported_queue = None;
         self.exclusions.clear();
     }
 
-    /// Takes in a load report that came at `now` (s); `fields` names its values.
+    /// Records a load report that arrived at `now` (s). `fields` describes `values` by position.
     pub(super) fn record_load_report(
         &mut self,
         now: f64,
@@ -120,30 +120,30 @@
         }
     }
 
-    fn mark_gone(&mut self) {
+    fn mark_removed(&mut self) {
         self.ready = false;
-        self.gone = true;
+        self.removed = true;
     }
 }
 
 impl DecisionEngine {
-    /// Takes in the whole endpoint list: an endpoint that is missing from it is gone.
+    /// Applies a complete endpoint list: endpoints that are missing from it are marked as removed.
     pub(super) fn replace_endpoints(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for (id, endpoint) in &mut self.endpoints {
             if !listed.contains(id) {
-                endpoint.mark_gone();
+                endpoint.mark_removed();
             }
         }
         self.update_endpoints(entries);
     }
 
-    /// Takes in the lines of the endpoint list that have changed.
+    /// Applies the changed entries of the endpoint list.
     pub(super) fn update_endpoints(&mut self, entries: &[EndpointEntry]) {
         for entry in entries {
             self.endpoints.entry(entry.id).or_default().update(entry);
         }
         self.endpoints
-            .retain(|_, endpoint| !endpoint.gone || endpoint.in_flight > 0);
+            .retain(|_, endpoint| !endpoint.removed || endpoint.in_flight > 0);
     }
 }
--- a/src/decision/endpoint_selection.rs
+++ b/src/decision/endpoint_selection.rs
@@ -1,35 +1,38 @@
 //! Endpoint selection: which endpoint an attempt is sent to.
 //!
-//! **Rule.** Of the endpoints that may serve the request, the one with the shortest expected wait
-//! is chosen. The wait is counted in latencies: attempts in flight and the reported queue, over the
-//! endpoint's slow-start weight and its capacity, times its slowness. Endpoints that are ejected,
-//! excluded for the class or plan, or on trial and busy are chosen only if there is no other, and
-//! those tried before never. One that is warming up and has spent its budget is not chosen at all,
-//! even where there is no other: the request is then rejected.
+//! **Rule.** Among the endpoints that may serve the request, the one with the shortest expected
+//! wait is selected. The wait is measured in latencies: attempts in flight plus the reported queue,
+//! divided by the endpoint's slow-start weight and capacity, times its slowness. Endpoints that are
+//! ejected, excluded for the class or plan, or on trial and busy are selected only if there is no
+//! other. An endpoint that the request has already tried is never selected. Neither is an endpoint
+//! that is warming up and has spent its budget, even if there is no other: the request is then
+//! rejected.
 //!
 //! **Inputs.** Attempts in flight; a queue length with its age in seconds; weights and multiples
 //! without a unit.
 //!
-//! **Guards.** All ingresses see alike and choose alike, so each attempt of one's own counts for
-//! all of them; by one's own alone, small endpoints would stay idle until large ones have as many
-//! times more in flight. A small random factor keeps ingresses from choosing the same endpoint at
-//! the same moment. Where most endpoints are excluded, the cause is load and nobody counts as
-//! excluded; where all are ejected, one of them is still tried. Known harm: without load reports
-//! the attempts of other ingresses are a guess.
+//! **Guards.** All ingresses see the same state and make the same choice, so each attempt of this
+//! ingress is counted once for every ingress. Otherwise small endpoints would stay idle until the
+//! large ones have proportionally more attempts in flight. A small random factor keeps the
+//! ingresses from selecting the same endpoint at the same moment. If most endpoints are excluded,
+//! load is the cause and exclusions are ignored; if all are ejected, one of them is still tried.
+//! Known harm: without load reports the attempts of other ingresses are only estimated.
 
 use super::endpoint::{DeduplicationGroup, Endpoint, EndpointRequirement};
 use super::outlier_ejection::MAX_EJECTED_SHARE;
 use super::{DecisionEngine, EndpointId, Pools};
 
-/// Largest random rise of an expected wait, as a share: endpoints that differ by less are alike.
-const MAX_RANDOM_RISE: f64 = 0.1;
-/// Factor on the wait at an endpoint of another zone: breaks ties, and costs no latency where waits
-/// differ.
+/// Largest random increase of an expected wait, as a share: smaller differences between endpoints
+/// do not matter.
+const MAX_RANDOM_INCREASE: f64 = 0.1;
+/// Factor on the wait at an endpoint of another zone: small enough to act only as a tie-breaker, so
+/// that it costs no latency where waits differ.
 const OTHER_ZONE_FACTOR: f64 = 1.02;
-/// A reported queue counts less with time and not at all after this long, s: queues change that
-/// fast.
-const LOAD_REPORT_MEMORY: f64 = 0.5;
-/// Least slowness that is believed: keeps a single quick endpoint from taking every request.
+/// Time over which the weight of a reported queue falls linearly to zero, s: queues change within
+/// that time.
+const LOAD_REPORT_MAX_AGE: f64 = 0.5;
+/// Lower bound of slowness in the expected wait: keeps a single quick endpoint from receiving every
+/// request.
 const MIN_SLOWNESS: f64 = 0.3;
 
 impl Endpoint {
@@ -37,11 +40,11 @@
         self.ready && self.pools & pools != 0
     }
 
-    /// Expected wait of one more attempt, in latencies, at this slow-start weight and among so many
-    /// ingresses.
+    /// Returns the expected wait of one more attempt, in latencies, at this slow-start weight and
+    /// with this number of ingresses.
     fn expected_wait(&self, now: f64, slow_start_weight: f64, ingresses: u32) -> f64 {
         let queue = self.reported_queue.as_ref().map_or(0.0, |report| {
-            report.length * (1.0 - (now - report.at) / LOAD_REPORT_MEMORY).max(0.0)
+            report.length * (1.0 - (now - report.at) / LOAD_REPORT_MAX_AGE).max(0.0)
         });
         let slowness = self.slowness.at(now);
         ((f64::from(self.in_flight * ingresses) + queue) / slow_start_weight + 1.0)
@@ -50,32 +53,33 @@
     }
 }
 
-/// What an attempt asks of an endpoint.
+/// Constraints on the selection of an endpoint for an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct Selection<'a> {
     pub(super) requirement: EndpointRequirement,
-    /// Endpoints of earlier attempts: a failed one is likely to fail again.
+    /// Endpoints of earlier attempts, never selected again: a failed endpoint is likely to fail
+    /// again.
     pub(super) tried: &'a [EndpointId],
-    /// The deduplication group whose endpoints would discard a repeat; none: any endpoint will do.
+    /// The deduplication group whose endpoints would discard a repeat; `None` allows any endpoint.
     pub(super) group: Option<DeduplicationGroup>,
 }
 
-/// How strictly endpoints are looked at.
+/// Which endpoints a selection pass considers.
 #[derive(Clone, Copy, PartialEq)]
 enum Pass {
     HealthyOnly,
     LastResort,
 }
 
-/// The state of all endpoints that may serve a request.
+/// Summary of the endpoints that may serve a request.
 struct Candidates {
     all_ejected: bool,
-    /// So many are excluded that load is the cause.
+    /// So many endpoints are excluded that load is the likely cause.
     most_excluded: bool,
 }
 
 impl DecisionEngine {
-    /// The endpoint for an attempt at `now` (s), if any may be sent one.
+    /// Returns the endpoint for an attempt at `now` (s), or `None` if no attempt may be sent.
     pub(super) fn select_endpoint(
         &mut self,
         now: f64,
@@ -121,7 +125,7 @@
             if preference <= 0.0 {
                 continue;
             }
-            let random_factor = 1.0 + MAX_RANDOM_RISE * f64::from(self.rng.rand_float());
+            let random_factor = 1.0 + MAX_RANDOM_INCREASE * f64::from(self.rng.rand_float());
             let other_zone = endpoint.zone != self.settings.zone;
             let zone_factor = if other_zone { OTHER_ZONE_FACTOR } else { 1.0 };
             let slow_start_weight = self.slow_start.weight(now, endpoint.started);
@@ -149,8 +153,8 @@
                     .exclusions
                     .cover(now, self.requirement.class_and_plan);
                 let busy_on_trial = endpoint.health.on_trial && endpoint.in_flight > 0;
-                let unwanted = excluded && !candidates.most_excluded || busy_on_trial;
-                !unwanted && !endpoint.health.is_ejected()
+                let avoided = excluded && !candidates.most_excluded || busy_on_trial;
+                !avoided && !endpoint.health.is_ejected()
             }
             Pass::LastResort => !endpoint.health.is_ejected() || candidates.all_ejected,
         }
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -1,9 +1,9 @@
-//! The engine: takes one event at a time and passes it to the mechanism that decides on it.
+//! The decision engine: dispatches each event to the mechanism that handles it.
 //!
-//! It decides nothing by itself. It owns the state of each mechanism, the random numbers, and the
-//! housekeeping pass that runs every [`HOUSEKEEPING_PERIOD`] seconds by a timer of its own. The
-//! same settings, seed and events give the same actions: mechanisms draw random numbers in a fixed
-//! order and look at endpoints, requests and tenants in the order of their ids.
+//! The engine itself makes no decisions. It owns the state of each mechanism, the random number
+//! generator, and the housekeeping pass, which a timer runs every [`HOUSEKEEPING_PERIOD`] seconds.
+//! The same settings, seed and events produce the same actions: mechanisms draw random numbers in a
+//! fixed order and iterate over endpoints, requests and tenants in the order of their ids.
 
 use super::counter_call::AwaitedCall;
 use super::counter_health::CounterHealth;
@@ -20,47 +20,48 @@
 use super::{Action, EndpointId, Event, ListKind, RequestId, Settings, SettingsError, TenantId};
 use std::collections::BTreeMap;
 
-/// Time between two housekeeping passes, s: short beside any latency objective, long beside the
-/// cost of one pass.
+/// Time between two housekeeping passes, s: short compared with any latency objective, long
+/// compared with the cost of one pass.
 pub(super) const HOUSEKEEPING_PERIOD: f64 = 0.05;
 /// Token of the housekeeping timer.
 const HOUSEKEEPING_TIMER: u64 = 0;
 
-/// The decisions of one ingress.
+/// The decision engine of one ingress.
 pub struct DecisionEngine {
     pub(super) settings: Settings,
     pub(super) rng: oorandom::Rand32,
-    /// The first event has come.
+    /// Whether the first event has been handled.
     started: bool,
-    /// Since when every tenant that comes is remembered, s.
-    pub(super) tenants_known_since: f64,
+    /// Time since which every tenant that sent a request is remembered, s.
+    pub(super) tenants_tracked_since: f64,
     pub(super) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
     pub(super) tenants: BTreeMap<TenantId, Tenant>,
-    /// Counter calls by the name of their number.
+    /// Counter calls, by the name of the number.
     pub(super) awaited_calls: BTreeMap<u64, AwaitedCall>,
     pub(super) load: LoadLevel,
     pub(super) slow_attempts: SlowAttemptShare,
     pub(super) counter: CounterHealth,
-    /// By plan.
+    /// Indexed by plan.
     pub(super) acceptance_ratios: Vec<AcceptanceRatio>,
-    /// By class, s (see [`latency`]).
+    /// Indexed by class, s (see [`latency`]).
     pub(super) typical_latency: Vec<f64>,
     pub(super) slow_start: SlowStart,
     pub(super) retry_budget: RetryBudget,
 }
 
 impl DecisionEngine {
-    /// An ingress that knows nothing yet; `seed` is that of its random numbers.
+    /// Creates an engine without endpoints, requests or tenants. `seed` initializes its random
+    /// numbers.
     ///
     /// # Errors
-    /// Settings that make no sense, by field.
+    /// Returns the first invalid field of the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<DecisionEngine, SettingsError> {
         settings.check()?;
         let typical_latency = settings
             .classes
             .iter()
-            .map(|class| latency::first_guess(class.latency_objective))
+            .map(|class| latency::initial_typical_latency(class.latency_objective))
             .collect();
         let acceptance_ratios = settings
             .plans
@@ -70,7 +71,7 @@
         Ok(DecisionEngine {
             rng: oorandom::Rand32::new(seed),
             started: false,
-            tenants_known_since: 0.0,
+            tenants_tracked_since: 0.0,
             endpoints: BTreeMap::new(),
             requests: BTreeMap::new(),
             tenants: BTreeMap::new(),
@@ -86,7 +87,7 @@
         })
     }
 
-    /// Takes an event that happened at `now` (s) and appends what is to be done, in this order.
+    /// Handles an event that happened at `now` (s) and appends the resulting actions in order.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.start(now, actions);
@@ -109,7 +110,7 @@
             Event::Timer {
                 token: HOUSEKEEPING_TIMER,
             } => self.run_housekeeping(now, actions),
-            Event::Timer { token } => self.answer_is_due(token as RequestId, actions),
+            Event::Timer { token } => self.answer_timer_expired(token as RequestId, actions),
             Event::CounterAnswered {
                 name,
                 outcome,
@@ -132,7 +133,7 @@
 
     fn start(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.started = true;
-        self.tenants_known_since = now;
+        self.tenants_tracked_since = now;
         self.slow_start.start(now);
         self.load.start(now);
         set_housekeeping_timer(actions);
@@ -147,20 +148,20 @@
 
     fn run_housekeeping(&mut self, now: f64, actions: &mut Vec<Action>) {
         set_housekeeping_timer(actions);
-        self.learn_load_threshold(now);
+        self.update_load_threshold(now);
         if self.slow_start.period_is_over(now) {
-            self.forget_idle_tenants(now);
-            self.counter.relax();
+            self.evict_idle_tenants(now);
+            self.counter.decay_congestion();
             self.measure_warm_rate(now);
         }
         self.review_attempts(now, actions);
-        self.forget_old_calls(now);
+        self.expire_old_calls(now);
         self.end_ejections(now, actions);
     }
 
-    /// Whether something happens that has this chance, 0 to 1.
-    pub(super) fn happens(&mut self, chance: f64) -> bool {
-        f64::from(self.rng.rand_float()) < chance
+    /// Draws whether an event with this probability (0 to 1) occurs.
+    pub(super) fn random_bool(&mut self, probability: f64) -> bool {
+        f64::from(self.rng.rand_float()) < probability
     }
 }
 
@@ -171,24 +172,25 @@
     });
 }
 
-/// What can be watched from outside.
+/// State that is visible from outside.
 impl DecisionEngine {
-    /// The load level: 0, 1 or 2.
+    /// Returns the load level: 0, 1 or 2.
     pub fn level(&self) -> usize {
         self.load.level()
     }
 
-    /// Attempts in flight above which the level becomes 1; infinite until learnt.
+    /// Returns the number of attempts in flight above which the level becomes 1. It is infinite
+    /// before the first housekeeping pass.
     pub fn threshold(&self) -> f64 {
         self.load.threshold()
     }
 
-    /// Whether a timer that the module has set still means anything to it.
-    pub fn awaits(&self, token: u64) -> bool {
+    /// Returns whether a timer set by the engine is still needed.
+    pub fn needs_timer(&self, token: u64) -> bool {
         token == HOUSEKEEPING_TIMER || self.requests.contains_key(&(token as RequestId))
     }
 
-    /// How many tenants are remembered.
+    /// Returns the number of tenants that are remembered.
     pub fn tenants(&self) -> usize {
         self.tenants.len()
     }
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,72 +1,72 @@
-//! What goes into the decision module ([`Event`]) and what comes out ([`Action`]). Plain data;
-//! nothing here decides.
+//! The inputs ([`Event`]) and outputs ([`Action`]) of the decision module. Plain data without any
+//! decision logic.
 //!
-//! Times are seconds. `now` and absolute times come from one clock that never goes back; names of
-//! numbers on the counter derive from it, so the ingresses of one service must keep their clocks in
-//! step: where they differ by a noticeable part of a quota window (a second or more), they count in
-//! different windows.
+//! Times are seconds. `now` and absolute times come from one monotonic clock. The names of numbers
+//! on the counter are derived from it, so the ingresses of one service must keep their clocks
+//! synchronized: if clocks differ by a noticeable part of a quota window (a second or more), the
+//! ingresses count in different windows.
 
 use super::Settings;
 
-/// A back-end endpoint.
+/// Id of a back-end endpoint.
 pub type EndpointId = u32;
-/// A client request that is pending at this ingress. Ids wrap around after 2^32 requests, long after
-/// the earlier request of that id has ended.
+/// Id of a client request that is pending at this ingress. Ids wrap around after 2^32 requests,
+/// long after the earlier request with the same id has ended.
 pub type RequestId = u32;
-/// A tenant, the holder of one quota.
+/// Id of a tenant, the holder of one quota.
 pub type TenantId = u64;
-/// Pools of endpoints, a bit each.
+/// A set of endpoint pools, one bit for each.
 pub type Pools = u64;
-/// The pool of all endpoints.
+/// The pool that contains all endpoints.
 pub const ALL_ENDPOINTS: Pools = 1 << 63;
 
-/// State of an endpoint on the list.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes its work; gets nothing new.
+    /// Finishes its requests and gets no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the list of endpoints.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u32,
-    /// Its cell: endpoints that share which keys they have seen.
+    /// Cell of the endpoint: endpoints of one cell can share the memory of idempotency keys.
     pub cell: u32,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// Its capacity beside that of the other endpoints; 0 counts as 1.
+    /// Capacity relative to the other endpoints; 0 counts as 1.
     pub capacity: f64,
-    /// When it last started, seconds; 0: long ago.
+    /// When the endpoint last started, seconds; 0: long ago.
     pub started_at: f64,
-    /// The pools that it is in, [`ALL_ENDPOINTS`] among them.
+    /// Pools of the endpoint, [`ALL_ENDPOINTS`] among them.
     pub pools: Pools,
 }
 
-/// What a list brings.
+/// What an endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Delta,
-    /// Every endpoint; those missing are gone.
+    /// Every endpoint; missing ones have been removed.
     Full,
-    /// Every endpoint as last known, perhaps long ago.
+    /// Every endpoint as last known, possibly long ago.
     Cached,
-    /// The call failed; nothing is known anew.
+    /// The call for the list failed; there are no entries.
     Failed,
 }
 
 /// How an attempt, a health check or a counter call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Success.
     Ok,
     /// Answered with an error; may have run.
     Error,
@@ -74,9 +74,9 @@
     Rejected,
     /// No answer in time; may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be established; never ran.
     ConnectFailed,
-    /// Connection lost; may have run.
+    /// The connection was lost; may have run.
     Reset,
     /// Cancelled; may have run.
     Cancelled,
@@ -84,167 +84,170 @@
     NotSent,
 }
 
-/// A client's request.
+/// A client request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// Id of the request.
     pub id: RequestId,
-    /// When the client gives up, seconds on the events' clock.
+    /// When the client gives up, seconds on the clock of the events.
     pub gives_up_at: f64,
-    /// Its class.
+    /// Class of the request, by index.
     pub class: usize,
-    /// The tenant's plan.
+    /// Plan of the tenant, by index.
     pub plan: usize,
-    /// The tenant.
+    /// Tenant that the request belongs to.
     pub tenant: TenantId,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// How many ingresses this tenant's requests can come through.
+    /// Number of ingresses that this tenant's requests can arrive through.
     pub ingress_count: u32,
-    /// Number of the first of these; the others follow, and 0 comes after the last ingress.
+    /// Index of the first of these ingresses. The others follow it in order; 0 comes after the
+    /// last.
     pub first_ingress: u32,
-    /// Marked by the client as a repeat.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// It may be sent to endpoints of these pools only.
+    /// Pools whose endpoints the request may be sent to.
     pub pools: Pools,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// Its request.
+    /// Request of the attempt.
     pub id: RequestId,
-    /// Its number among the request's attempts, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// How.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The request has its final answer by now.
+    /// Whether the request has its final answer.
     pub request_finished: bool,
-    /// True units, where they are settled by the answer.
+    /// Actual units, if the answer reported them.
     pub settled_units: Option<f64>,
-    /// The endpoint's load report; empty: none came.
+    /// Load report of the endpoint; empty if there was none.
     pub report: Vec<f64>,
 }
 
-/// What has happened: the inputs of a decision, beside the time.
+/// An input of the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The endpoint list, whole or in part.
+    /// The endpoint list, complete or in part.
     EndpointList {
-        /// What the entries mean.
+        /// What the entries represent.
         kind: ListKind,
-        /// The entries.
+        /// Entries of the list.
         entries: Vec<EndpointEntry>,
     },
-    /// A request has come in; it is owed one final answer.
+    /// A request has arrived. It must get exactly one final answer.
     RequestArrived(Request),
     /// An attempt has ended. Every attempt ends exactly once.
     AttemptEnded(AttemptEnd),
-    /// The client has gone; nothing more is owed.
+    /// The client has disconnected; no answer is needed any more.
     ClientGone {
-        /// The request.
+        /// Request of the client.
         id: RequestId,
     },
-    /// The answer of an attempt has begun to stream; its deadline is off.
+    /// The response of an attempt has begun to stream; the answer timer no longer applies.
     StreamStarted {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// The attempt that streams.
+        /// Number of the attempt that streams.
         attempt: u32,
     },
     /// A health check has ended.
     ProbeEnded {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The endpoint's load report; empty: none came.
+        /// Load report of the endpoint; empty if there was none.
         report: Vec<f64>,
     },
-    /// A timer set by the module has come due.
+    /// A timer set by the engine has expired.
     Timer {
-        /// As given in [`Action::Timer`].
+        /// Token from [`Action::Timer`].
         token: u64,
     },
-    /// A counter call has ended. Answers for one name come in the order of the calls.
+    /// A counter call has ended. Answers for one name arrive in the order of the calls.
     CounterAnswered {
-        /// The name.
+        /// Name of the number.
         name: u64,
-        /// How; after a timeout or a reset the amount may have been added, after an error it was.
+        /// How the call ended. The amount may have been added after a timeout or a reset, and has
+        /// been added after an error.
         outcome: Outcome,
-        /// Total after the call, when it is ok.
+        /// Total after the call; valid only if the outcome is [`Outcome::Ok`].
         total: f64,
     },
-    /// The total of a call that had ended in a timeout has come after all.
+    /// The total of a call that had already timed out has arrived.
     CounterAnsweredLate {
-        /// The name.
+        /// Name of the number.
         name: u64,
-        /// The call's amount, which was added.
+        /// Amount that the call added.
         amount: f64,
         /// Total after the call.
         total: f64,
     },
 }
 
-/// What the ingress is to do, in the order given.
+/// An output of the engine. The embedding program carries out actions in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt. A request's attempts are numbered 0, 1, 2 in the order of these.
+    /// Send an attempt. The attempts of a request are numbered 0, 1, 2 in the order of these
+    /// actions.
     Send {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// Where to.
+        /// Destination of the attempt.
         endpoint: EndpointId,
-        /// Its timeout, seconds; 0: till the client gives up.
+        /// Timeout of the attempt, seconds; 0: until the client gives up.
         timeout: f64,
     },
-    /// Final answer: rejected; a retry does no harm.
+    /// Final answer: the request is rejected and can be retried safely.
     Reject {
-        /// The request.
+        /// Request to reject.
         id: RequestId,
         /// Retry-After, seconds; 0: none.
         retry_after: f64,
     },
-    /// Final answer: failed; nothing is promised of its effect.
+    /// Final answer: the request has failed and may have taken effect.
     Fail {
-        /// The request.
+        /// Request that has failed.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer that produces an [`Event::Timer`].
     Timer {
-        /// From now, seconds.
+        /// Time until the timer expires, seconds.
         after: f64,
-        /// Given back with the event.
+        /// Token that the event returns.
         token: u64,
     },
     /// Check the health of an endpoint.
     Probe {
-        /// The endpoint.
+        /// Endpoint to check.
         endpoint: EndpointId,
     },
     /// Poll the endpoint list, or subscribe to its changes.
     FollowEndpointList,
-    /// Add to a number on the counter service; answered by [`Event::CounterAnswered`].
+    /// Add to a number on the counter service. [`Event::CounterAnswered`] reports the result.
     AddToCounter {
-        /// The number's name.
+        /// Name of the number.
         name: u64,
-        /// What to add, units; 0 reads, below 0 takes off.
+        /// Amount to add, in units; 0 only reads the number, a negative amount subtracts.
         amount: f64,
-        /// A new name is forgotten after this many seconds.
+        /// If the call creates the number, the number expires after this many seconds.
         lives: f64,
     },
 }
 
 impl Request {
-    /// Whether its figures make sense at this time (s) under these settings.
-    pub fn sound(&self, now: f64, settings: &Settings) -> bool {
+    /// Returns whether the request has valid values at `now` (s) under these settings.
+    pub fn is_valid(&self, now: f64, settings: &Settings) -> bool {
         let known = self.class < settings.classes.len() && self.plan < settings.plans.len();
         known && self.units.is_finite() && self.units >= 0.0 && self.gives_up_at > now
     }
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -1,30 +1,32 @@
 //! Exclusion of an endpoint for one class or one plan, while it serves all others.
 //!
-//! **Rule.** An endpoint that answers a request with an error is excluded for its class for
-//! [`MAX_EXCLUSION`] seconds. One that does not answer is excluded for the class, and one that
-//! rejects is excluded for the plan, for [`FIRST_LOAD_EXCLUSION`] seconds at first and twice as
-//! long each time it happens again. A served request ends both exclusions. Where most endpoints are
-//! excluded, nobody is (see [`super::endpoint_selection`]).
+//! **Rule.** An endpoint that answers a request with an error is excluded for the class of the
+//! request for [`MAX_EXCLUSION`] seconds. An endpoint that does not answer in time is excluded for
+//! the class, and one that rejects is excluded for the plan, for [`FIRST_LOAD_EXCLUSION`] seconds
+//! at first and twice as long after each recurrence. A successful request ends both exclusions. If
+//! most endpoints are excluded, exclusions are ignored (see [`super::endpoint_selection`]).
 //!
 //! **Inputs.** Outcomes of attempts with class and plan; times in seconds.
 //!
-//! **Guards.** An endpoint may fail one class (a missing table, a bad key) or be full to one plan
-//! and serve all others well; ejecting it would cost its capacity, and retrying there would cost
-//! every request of that class an attempt. Rejections and timeouts may be load, which passes: hence
-//! the short first exclusion. Known harm: a passing error keeps a class away for the whole time.
+//! **Guards.** An endpoint may fail for one class (a missing table, a bad key) or be full for one
+//! plan and serve all others well. Ejecting it would lose its capacity, and selecting it again
+//! would cost every request of that class an attempt. Rejections and timeouts may be caused by
+//! load, which passes, so the first exclusion is short. Known harm: a transient error excludes a
+//! class for the full duration.
 
 use super::endpoint::ClassAndPlan;
 use super::Outcome;
 
-/// Longest exclusion, s, and that after an error: errors of one class seldom pass by themselves.
+/// Longest exclusion, and the exclusion after an error, s: errors of one class seldom disappear
+/// without intervention.
 const MAX_EXCLUSION: f64 = 20.0;
-/// First exclusion after a rejection or a timeout, s: these may be load, which passes within
+/// First exclusion after a rejection or a timeout, s: load, a possible cause, passes within
 /// seconds.
 const FIRST_LOAD_EXCLUSION: f64 = 2.0;
-/// How much longer each further exclusion is.
+/// Factor between the durations of consecutive exclusions.
 const EXCLUSION_GROWTH: f64 = 2.0;
 
-/// What an endpoint is excluded for.
+/// The class or plan that an endpoint is excluded for.
 #[derive(Clone, Copy, PartialEq)]
 enum Excluded {
     Class(usize),
@@ -39,15 +41,15 @@
 
 struct Exclusion {
     excluded: Excluded,
-    /// When it ends, s.
+    /// When the exclusion ends, s.
     until: f64,
-    /// How long it was when it last began, s.
+    /// Duration of the exclusion when it last began, s.
     duration: f64,
 }
 
 impl Exclusion {
-    /// The exclusion that follows this one after a further failure at `now` (s). What was sent
-    /// before this one began says nothing new, so one that still lasts does not grow.
+    /// Returns the exclusion after a further failure at `now` (s). An exclusion that is still
+    /// active does not grow, since the failed attempt may have been sent before it began.
     fn renewed(&self, now: f64, first_duration: f64) -> Exclusion {
         if now < self.until {
             return Exclusion {
@@ -73,20 +75,20 @@
         self.0.clear();
     }
 
-    /// Whether the endpoint is excluded for this class or this plan at `now` (s).
+    /// Returns whether the endpoint is excluded for this class or this plan at `now` (s).
     pub(super) fn cover(&self, now: f64, traffic: ClassAndPlan) -> bool {
         self.0
             .iter()
             .any(|exclusion| now < exclusion.until && exclusion.excluded.covers(traffic))
     }
 
-    /// The endpoint has served a request of this class and plan.
+    /// Ends the exclusions for this class and plan after a successful request.
     pub(super) fn record_success(&mut self, traffic: ClassAndPlan) {
         self.0
             .retain(|exclusion| !exclusion.excluded.covers(traffic));
     }
 
-    /// The endpoint has not served a request of this class and plan.
+    /// Adds or renews an exclusion after an unsuccessful request of this class and plan.
     pub(super) fn record_failure(&mut self, now: f64, traffic: ClassAndPlan, outcome: Outcome) {
         let class = Excluded::Class(traffic.class);
         let plan = Excluded::Plan(traffic.plan);
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -1,48 +1,49 @@
-//! What latency is usual for a class, and how slow an endpoint is beside the others.
+//! Typical latency of each class, and slowness of each endpoint relative to it.
 //!
-//! **Inputs.** The seconds from sending an attempt to its answer, of served attempts only.
+//! **Inputs.** The time from sending an attempt to its answer in seconds, of successful attempts
+//! only.
 //!
 //! **Rule.** The typical latency of a class is a moving average over all endpoints, without the
-//! answers of endpoints at [`SLOW_ENDPOINT_RATIO`] times the usual or more. An endpoint's slowness
-//! is a moving average of its answers as multiples of that; what it has shown is forgotten with a
-//! time constant of [`SLOWNESS_MEMORY`] seconds.
+//! answers of endpoints whose slowness is [`SLOW_ENDPOINT_RATIO`] or more. The slowness of an
+//! endpoint is a moving average of its latencies as multiples of the typical latency. It decays to
+//! 1 with a time constant of [`SLOWNESS_TIME_CONSTANT`] seconds.
 //!
-//! **Guards.** Sizes of requests differ more than endpoints do: one long answer must not make an
-//! endpoint slow, hence the limits on a single sample. A slow endpoint must not raise what is held
-//! to be usual, or nobody would be slow any more. Known harm: a class that becomes slower
-//! everywhere is learnt over some tens of answers.
+//! **Guards.** Requests differ more in size than endpoints do in speed: one long answer must not
+//! make an endpoint slow, hence the limits on a single sample. A slow endpoint must not raise the
+//! typical latency, or no endpoint would count as slow any more. Known harm: the typical latency
+//! follows a class that becomes slower everywhere only after some tens of answers.
 
 /// Typical latency of a class before its first answer, as a share of the latency objective.
-const FIRST_GUESS_OBJECTIVES: f64 = 0.25;
-/// Weight of one answer in the typical latency: about ten answers of memory.
+const INITIAL_LATENCY_OBJECTIVES: f64 = 0.25;
+/// Weight of one answer in the typical latency: a memory of about ten answers.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
-/// Most that one answer counts in the typical latency, in typical latencies.
+/// Upper bound of one sample of the typical latency, in typical latencies.
 const MAX_LATENCY_SAMPLE: f64 = 10.0;
-/// From this slowness on, an endpoint's answers do not tell what is usual.
+/// Slowness from which the answers of an endpoint do not update the typical latency.
 const SLOW_ENDPOINT_RATIO: f64 = 3.0;
-/// Weight of one answer in an endpoint's slowness: about twelve answers of memory.
+/// Weight of one answer in the slowness of an endpoint: a memory of about twelve answers.
 const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.08;
-/// Most that one answer counts in an endpoint's slowness, in typical latencies.
+/// Upper bound of one sample of an endpoint's slowness, in typical latencies.
 const MAX_SLOWNESS_SAMPLE: f64 = 4.0;
-/// Time constant, s, with which slowness is forgotten: an endpoint that is no longer chosen can
-/// show nothing new.
-const SLOWNESS_MEMORY: f64 = 8.0;
-/// Shortest typical latency, s, that a ratio is computed from: keeps the division finite.
+/// Time constant, s, with which slowness decays: an endpoint that is no longer selected gives no
+/// new samples.
+const SLOWNESS_TIME_CONSTANT: f64 = 8.0;
+/// Lower bound of the typical latency, s, in a ratio: keeps the division finite.
 const MIN_TYPICAL_LATENCY: f64 = 1e-6;
 
-/// The first guess of the typical latency of a class, s.
-pub(super) fn first_guess(latency_objective: f64) -> f64 {
-    FIRST_GUESS_OBJECTIVES * latency_objective
+/// Returns the typical latency of a class before its first answer, s.
+pub(super) fn initial_typical_latency(latency_objective: f64) -> f64 {
+    INITIAL_LATENCY_OBJECTIVES * latency_objective
 }
 
-/// Takes an answer after `latency` seconds into the typical latency of its class.
-pub(super) fn learn_typical(typical: &mut f64, latency: f64, slowness: &Slowness) {
+/// Adds an answer that took `latency` seconds to the typical latency of its class.
+pub(super) fn update_typical_latency(typical: &mut f64, latency: f64, slowness: &Slowness) {
     if slowness.ratio < SLOW_ENDPOINT_RATIO {
         *typical += LATENCY_SAMPLE_WEIGHT * (latency.min(MAX_LATENCY_SAMPLE * *typical) - *typical);
     }
 }
 
-/// An endpoint's latency as a multiple of what is usual for the same class.
+/// Latency of an endpoint as a multiple of the typical latency of the same class.
 pub(super) struct Slowness {
     ratio: f64,
     /// When the ratio was last updated, s.
@@ -59,12 +60,13 @@
 }
 
 impl Slowness {
-    /// The multiple at `now` (s).
+    /// Returns the multiple at `now` (s).
     pub(super) fn at(&self, now: f64) -> f64 {
-        1.0 + (self.ratio - 1.0) * (-(now - self.updated_at) / SLOWNESS_MEMORY).exp()
+        1.0 + (self.ratio - 1.0) * (-(now - self.updated_at) / SLOWNESS_TIME_CONSTANT).exp()
     }
 
-    /// Takes in an answer after `latency` seconds, where `typical` is usual.
+    /// Adds an answer that took `latency` seconds; `typical` is the typical latency of its class,
+    /// s.
     pub(super) fn record(&mut self, now: f64, latency: f64, typical: f64) {
         let sample = (latency / typical.max(MIN_TYPICAL_LATENCY)).min(MAX_SLOWNESS_SAMPLE);
         self.ratio = self.at(now);
@@ -72,7 +74,7 @@
         self.updated_at = now;
     }
 
-    /// A new process has started: nothing is known of its slowness.
+    /// Discards the slowness of the previous process after a restart.
     pub(super) fn reset(&mut self) {
         self.ratio = 1.0;
     }
--- a/src/decision/load_level.rs
+++ b/src/decision/load_level.rs
@@ -1,73 +1,74 @@
 //! The load level of this ingress: 0 (normal), 1 or 2 (overloaded).
 //!
 //! **Rule.** Every arrival and every departure takes one sample of the attempts that this ingress
-//! has in flight. Five samples in a row above the next level's threshold raise the level by one,
-//! five below its own threshold lower it by one. [`super::admission`] sheds a fixed share of the
-//! arrivals at each level.
+//! has in flight. Five consecutive samples above the threshold of the next level raise the level by
+//! one; five below the threshold of the current level lower it by one. [`super::admission`] sheds a
+//! fixed share of the arrivals at each level.
 //!
-//! **Inputs.** Attempts in flight (a count); what departs, as latency objectives a second; the
-//! endpoints that can work, each by its slow-start weight; the number of ingresses. Times in
-//! seconds.
+//! **Inputs.** Attempts in flight (a count); departures, weighted by their latency objectives, per
+//! second; the ready endpoints that are not ejected, each counted by its slow-start weight; the
+//! number of ingresses. Times in seconds.
 //!
-//! **Threshold.** By Little's law a count of more than [`THRESHOLD_OBJECTIVES`] latency objectives
-//! of what departs in a second is not worked off in time. [`MIN_ATTEMPTS_PER_ENDPOINT`] attempts an
-//! endpoint over all ingresses together are always in order: one works while the next ones wait.
+//! **Threshold.** By Little's law, a count above [`THRESHOLD_OBJECTIVES`] times the latency
+//! objectives of the departures per second cannot be completed in time.
+//! [`MIN_ATTEMPTS_PER_ENDPOINT`] attempts per endpoint, over all ingresses together, are always
+//! allowed: one is being handled while the next ones wait.
 //!
-//! **Guards.** A single burst or gap must not switch admission: hence five samples. Under overload
-//! departures fall with what was rejected, and a threshold of departures alone would fall with them
-//! until nothing is admitted: hence the minimum, which no rejection lowers. Known harm: after an
-//! idle spell the threshold lags a rising load.
+//! **Guards.** A single burst or gap must not change admission, hence five samples. Under overload,
+//! departures fall with the rejected requests; a threshold based on departures alone would fall
+//! with them until nothing is admitted, hence the minimum, which rejections do not lower. Known
+//! harm: after an idle period the threshold lags behind a rising load.
 
 use super::DecisionEngine;
 
-/// Samples in a row that move the level: few enough to react within a burst, too many for chance.
+/// Consecutive samples that change the level: few enough to react within a burst, enough to exclude
+/// chance.
 const SAMPLES_TO_CHANGE: u32 = 5;
-/// Threshold of level 2 as a multiple of level 1's: between the two, half of the arrivals may be
-/// enough.
+/// Threshold of level 2 as a multiple of that of level 1: between the two, rejecting half of the
+/// arrivals may be enough.
 const LEVEL_2_FACTOR: f64 = 45.0 / 40.0;
-/// Latency objectives of departures whose work may be in flight: leaves most of the objective for
-/// the work itself.
+/// Share of the latency objective whose departures may be in flight: leaves most of the objective
+/// for the work itself.
 const THRESHOLD_OBJECTIVES: f64 = 0.12;
-/// Attempts that all ingresses together may always have in flight at a warm endpoint: one works,
-/// the next ones wait.
+/// Attempts that all ingresses together may always have in flight at a warm endpoint: one is being
+/// handled, the next ones wait.
 const MIN_ATTEMPTS_PER_ENDPOINT: f64 = 3.0;
-/// Below this threshold (attempts) the mean count is sampled: counts of 0 to 3 say little one by
-/// one.
+/// Threshold (attempts) below which the mean count is sampled: single counts of 0 to 3 vary too
+/// much.
 const MEAN_BELOW_THRESHOLD: f64 = 4.0;
-/// A count this many square roots of the threshold above it is no chance, also where the mean is
-/// sampled.
+/// Square roots of the threshold by which a single count must exceed it to be sampled in place of
+/// the mean: such an excess is not due to chance.
 const CERTAIN_EXCESS_ROOTS: f64 = 3.0;
-/// Shortest averaging period, s: shorter ones would follow single requests.
+/// Shortest averaging period, s: a shorter one would follow single requests.
 const MIN_AVERAGING_PERIOD: f64 = 1.5;
-/// Longest averaging period, s: longer ones would hide that endpoints have slowed down.
+/// Longest averaging period, s: a longer one would hide that endpoints have slowed down.
 const MAX_AVERAGING_PERIOD: f64 = 6.0;
-/// Departures that an averaging period should hold: enough for a steady mean.
+/// Number of departures that an averaging period should contain for a steady mean.
 const AVERAGED_DEPARTURES: f64 = 24.0;
-/// Fewest departures a second that the averaging period is computed from: keeps the division
-/// finite.
+/// Lower bound of departures per second in the averaging period: keeps the division finite.
 const MIN_DEPARTURE_RATE: f64 = 1e-3;
 
-/// What has prompted a sample.
+/// Event that triggers a sample.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum SampleTrigger {
     Arrival,
     Departure,
 }
 
-/// The level, with the samples and the threshold that it follows.
+/// The load level, with the samples and the threshold that determine it.
 pub(super) struct LoadLevel {
     level: usize,
-    /// Attempts in flight above which the level becomes 1; infinite until learnt.
+    /// Attempts in flight above which the level becomes 1; infinite before the first update.
     threshold: f64,
     samples_above: u32,
     samples_below: u32,
-    /// Attempts in flight that count as load (see [`super::hedging`] for those that no longer do).
+    /// Attempts in flight that count as load (see [`super::hedging`] for those that do not).
     in_flight: u32,
-    /// Averages over the last `averaging_period` seconds, as of `averaged_at`.
+    /// Mean over the last `averaging_period` seconds, as of `averaged_at`.
     mean_in_flight: f64,
-    /// Latency objectives (s) of what departs in a second.
+    /// Sum of the latency objectives (s) of the departures per second.
     departed_objectives: f64,
-    /// Departures a second.
+    /// Departures per second.
     departure_rate: f64,
     averaging_period: f64,
     averaged_at: f64,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Averages are taken from this time on, s.
+    /// Starts the averages at `now` (s).
     pub(super) fn start(&mut self, now: f64) {
         self.averaged_at = now;
     }
@@ -102,23 +103,23 @@
         self.threshold
     }
 
-    /// An attempt has been sent.
+    /// Records an attempt that has been sent.
     pub(super) fn attempt_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// So many attempts, 0 or 1, are no longer counted as load.
+    /// Removes this number of attempts, 0 or 1, from the count.
     pub(super) fn stop_counting(&mut self, attempts: u32) {
         self.in_flight -= attempts;
     }
 
-    /// A request has been served; its latency objective in seconds.
+    /// Records a successful request with its latency objective in seconds.
     pub(super) fn departed(&mut self, latency_objective: f64) {
         self.departed_objectives += latency_objective / self.averaging_period;
         self.departure_rate += 1.0 / self.averaging_period;
     }
 
-    /// Takes a sample at `now` (s) and moves the level when enough in a row agree.
+    /// Takes a sample at `now` (s) and changes the level after enough consecutive samples agree.
     pub(super) fn sample(&mut self, now: f64, trigger: SampleTrigger) {
         self.advance_averages(now);
         let count = self.sampled_count(trigger);
@@ -143,8 +144,8 @@
         self.samples_below = 0;
     }
 
-    /// Where few attempts are in flight the mean is sampled, except for what no chance explains:
-    /// none in flight, or far too many.
+    /// Returns the count to sample. With a low threshold this is the mean, unless chance cannot
+    /// explain the count: an arrival with none in flight, or far too many.
     fn sampled_count(&self, trigger: SampleTrigger) -> f64 {
         let count = f64::from(self.in_flight);
         let few = self.threshold < MEAN_BELOW_THRESHOLD;
@@ -155,19 +156,19 @@
         count
     }
 
-    /// Learns the threshold at `now` (s) from the departures and from this many endpoints, each
-    /// counted by its slow-start weight.
-    pub(super) fn learn_threshold(&mut self, now: f64, endpoints: f64, ingresses: u32) {
+    /// Updates the threshold at `now` (s) from the departures and from the number of endpoints,
+    /// each counted by its slow-start weight.
+    pub(super) fn update_threshold(&mut self, now: f64, endpoints: f64, ingresses: u32) {
         self.advance_averages(now);
         let min = MIN_ATTEMPTS_PER_ENDPOINT * endpoints / f64::from(ingresses);
         self.threshold = (THRESHOLD_OBJECTIVES * self.departed_objectives).max(min);
     }
 
     fn advance_averages(&mut self, now: f64) {
-        let keep = (-(now - self.averaged_at) / self.averaging_period).exp();
-        self.mean_in_flight += (1.0 - keep) * (f64::from(self.in_flight) - self.mean_in_flight);
-        self.departed_objectives *= keep;
-        self.departure_rate *= keep;
+        let decay = (-(now - self.averaged_at) / self.averaging_period).exp();
+        self.mean_in_flight += (1.0 - decay) * (f64::from(self.in_flight) - self.mean_in_flight);
+        self.departed_objectives *= decay;
+        self.departure_rate *= decay;
         self.averaged_at = now;
         self.averaging_period = (AVERAGED_DEPARTURES / self.departure_rate.max(MIN_DEPARTURE_RATE))
             .clamp(MIN_AVERAGING_PERIOD, MAX_AVERAGING_PERIOD);
@@ -175,8 +176,8 @@
 }
 
 impl DecisionEngine {
-    /// Learns the threshold from the endpoints that can work.
-    pub(super) fn learn_load_threshold(&mut self, now: f64) {
+    /// Updates the threshold from the ready endpoints that are not ejected.
+    pub(super) fn update_load_threshold(&mut self, now: f64) {
         let endpoints: f64 = self
             .endpoints
             .values()
@@ -184,6 +185,6 @@
             .map(|endpoint| self.slow_start.weight(now, endpoint.started))
             .sum();
         self.load
-            .learn_threshold(now, endpoints, self.settings.ingresses);
+            .update_threshold(now, endpoints, self.settings.ingresses);
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,23 +1,24 @@
-//! Every decision about a request: whether it is admitted, where it is forwarded, whether it is
+//! Decisions about a request: whether it is admitted, which endpoint it is sent to, whether it is
 //! retried.
 //!
 //! The module is sans-I/O: a [`DecisionEngine`] takes one [`Event`] at a time with the time of the
-//! event and appends [`Action`]s for the program that embeds it. The same events give the same
-//! actions. It knows no socket, no clock and no wire format, and it reads no load but what events
-//! tell.
+//! event and appends [`Action`]s for the program that embeds it. The same events produce the same
+//! actions. The module uses no sockets, clocks or wire formats, and its only information about load
+//! comes from events.
 //!
-//! One file a mechanism; each opens with its rule, its inputs, and what it guards against:
+//! Each file contains one mechanism and opens with its rule, its inputs, and the failures that it
+//! guards against:
 //!
 //! | question | file |
 //! | --- | --- |
 //! | Is a request admitted, rejected or failed? | `admission` |
 //! | How loaded is this ingress? | `load_level` |
 //! | Does its tenant's quota hold a request? | `quota` |
-//! | ... where the quota is large, small | `quota_lease` with `lease_window`, `shared_token_bucket` |
+//! | ... if the quota is large, small | `quota_lease` with `lease_window`, `shared_token_bucket` |
 //! | Can the counter be relied on? | `counter_health`, `counter_call` |
-//! | Which endpoint gets an attempt? | `endpoint_selection`, with `latency` |
-//! | How much does a new endpoint get? | `slow_start` |
-//! | When is an endpoint ejected and taken back? | `outlier_ejection` |
+//! | Which endpoint is an attempt sent to? | `endpoint_selection`, with `latency` |
+//! | How many attempts is a new endpoint sent? | `slow_start` |
+//! | When is an endpoint ejected and readmitted? | `outlier_ejection` |
 //! | For which classes and plans is an endpoint excluded? | `exclusion` |
 //! | Is a request retried? | `retry` |
 //! | What happens to attempts that take long? Is a request hedged? | `hedging` |
@@ -73,7 +74,7 @@
 //! let mut engine = DecisionEngine::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of endpoints.
+//! // Announce one endpoint.
 //! let entry = EndpointEntry {
 //!     id: 42,
 //!     zone: 0,
@@ -86,7 +87,7 @@
 //! let list = Event::EndpointList { kind: ListKind::Full, entries: vec![entry] };
 //! engine.handle(100.0, list, &mut actions);
 //!
-//! // A request waits while the counter is asked for a lease of its tenant's units ...
+//! // A request waits while the engine asks the counter for a lease of its tenant's units ...
 //! let request = Request {
 //!     id: 1,
 //!     gives_up_at: 202.0,
@@ -107,13 +108,13 @@
 //! });
 //! let (name, amount) = call.expect("a call");
 //!
-//! // ... is admitted by the answer and sent ...
+//! // ... is admitted and sent when the counter answers ...
 //! actions.clear();
 //! let answer = Event::CounterAnswered { name, outcome: Outcome::Ok, total: amount };
 //! engine.handle(200.11, answer, &mut actions);
 //! assert!(actions.contains(&Action::Send { id: 1, endpoint: 42, timeout: 0.0 }));
 //!
-//! // ... and answered: the client has its answer, so nothing more is owed.
+//! // ... and is finished when its attempt succeeds: no action remains.
 //! actions.clear();
 //! let ended = Event::AttemptEnded(AttemptEnd {
 //!     id: 1,
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,52 +1,53 @@
-//! Outlier ejection: an endpoint that fails again and again is taken out of selection for a while.
+//! Outlier ejection: removes an endpoint from selection for some time after consecutive failures.
 //!
 //! **Rule.** [`FAILURES_TO_EJECT`] consecutive failures eject an endpoint for [`FIRST_EJECTION`]
-//! seconds, twice as long after each further ejection and [`MAX_EJECTION`] seconds at most. When
-//! the time is over, a health check decides whether it comes back; where health checks are not
-//! allowed it comes back by itself. It then is on trial: it gets one request at a time, and the
-//! first failure, rejection or timeout ejects it again. A served request ends the trial, or clears
-//! the count of ejections outside one. An earlier attempt that is served after all, and a load
-//! report that comes with a streamed answer, end an ejection at once: the endpoint works. No
-//! endpoint is ejected that would bring the ejected ones above half of those ready.
+//! seconds, doubled after each further ejection up to [`MAX_EJECTION`] seconds. After that time a
+//! health check decides whether the endpoint is readmitted; if health checks are not allowed, it is
+//! readmitted without one. A readmitted endpoint is on trial: it gets one request at a time, and
+//! the first failure, rejection or timeout ejects it again. A successful request ends the trial;
+//! outside a trial it resets the count of ejections. A successful answer to an earlier attempt, or
+//! a load report that comes with a streamed answer, ends an ejection immediately because it shows
+//! that the endpoint works. An endpoint is not ejected if more than half of the ready endpoints
+//! would then be ejected.
 //!
 //! **Inputs.** Outcomes of attempts and health checks; when the attempt was sent and when the
-//! endpoint last answered anybody, in seconds.
+//! endpoint last answered any request, in seconds.
 //!
-//! **Guards.** Every request sent to a failed endpoint costs an attempt and time. A rejection is no
-//! failure, and a timeout is one only while the endpoint answers nobody: else it is busy, and
-//! ejecting it would load the others until they are late as well. Failures of most endpoints alike
-//! are load or a fault behind them. Known harm: the other endpoints carry more while one is
-//! ejected.
+//! **Guards.** Every request sent to a failed endpoint costs an attempt and time. A rejection does
+//! not count as a failure, and a timeout counts only while the endpoint answers no other request:
+//! an endpoint that answers others is busy, and ejecting it would load the other endpoints until
+//! they are late as well. If most endpoints fail alike, the cause is load or a fault behind them.
+//! Known harm: the other endpoints carry more load while one is ejected.
 
 use super::endpoint::Endpoint;
 use super::{Action, DecisionEngine, EndpointId, Outcome};
 
-/// Consecutive failures that eject: one or two are common in a restart.
+/// Consecutive failures that eject an endpoint: one or two are common during a restart.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection, s: about as long as a process takes to come back.
+/// Duration of the first ejection, s: about the time that a process needs to restart.
 const FIRST_EJECTION: f64 = 1.0;
-/// Longest ejection, s: bounds how long a mended endpoint is missed.
+/// Longest ejection, s: limits how long a recovered endpoint remains unused.
 const MAX_EJECTION: f64 = 8.0;
-/// Doublings of the first ejection are counted up to here: keeps the power of two finite, since
-/// [`MAX_EJECTION`] is reached before.
+/// Most doublings of the first ejection: [`MAX_EJECTION`] is reached earlier, and the limit keeps
+/// the power of two finite.
 const MAX_EJECTION_DOUBLINGS: i32 = 4;
-/// Most endpoints that may be ejected, or excluded for a class or plan, as a share of those ready.
+/// Largest share of ready endpoints that may be ejected, or excluded for a class or plan.
 pub(super) const MAX_EJECTED_SHARE: f64 = 0.5;
-/// An ejected endpoint whose health check was not answered is checked again after this long, s.
+/// Interval between health checks of an ejected endpoint that does not answer them, s.
 const HEALTH_CHECK_INTERVAL: f64 = 0.5;
 
-/// What outcomes have told of one endpoint.
+/// Health of one endpoint as observed through its outcomes.
 #[derive(Default)]
 pub(super) struct EndpointHealth {
     consecutive_failures: u32,
-    /// Ejections since it last served a request outside a trial.
+    /// Number of ejections since the last successful request outside a trial.
     consecutive_ejections: i32,
-    /// When it last answered anybody, s.
+    /// When the endpoint last answered any request, s.
     last_answer_at: f64,
-    /// None: it is not ejected. Else when its next health check is due, s, or, without health
-    /// checks, when it comes back.
+    /// `None` if the endpoint is not ejected. Otherwise when its next health check is due, s, or
+    /// when it is readmitted if health checks are not allowed.
     next_check_at: Option<f64>,
-    /// Back after an ejection; nothing has been served since.
+    /// Whether the endpoint has been readmitted and has had no successful request since.
     pub(super) on_trial: bool,
 }
 
@@ -55,7 +56,7 @@
         self.next_check_at.is_some()
     }
 
-    /// A new process has started.
+    /// Resets the state after a restart of the endpoint's process.
     pub(super) fn reset(&mut self) {
         *self = EndpointHealth {
             last_answer_at: self.last_answer_at,
@@ -63,7 +64,7 @@
         };
     }
 
-    /// A request has been served at `now` (s).
+    /// Records a successful request at `now` (s).
     pub(super) fn record_success(&mut self, now: f64) {
         self.consecutive_failures = 0;
         self.next_check_at = None;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// An attempt that was sent at `sent_at` (s) has failed, was rejected, or is overdue. Whether
-    /// the endpoint is to be ejected.
+    /// Records an attempt sent at `sent_at` (s) that has failed, was rejected, or is overdue.
+    /// Returns whether the endpoint must be ejected.
     fn record_failure(&mut self, now: f64, outcome: Outcome, sent_at: f64) -> bool {
         let failed = match outcome {
             Outcome::Rejected => false,
@@ -108,7 +109,7 @@
         self.next_check_at.is_some_and(|until| now >= until)
     }
 
-    /// A health check has ended.
+    /// Records the end of a health check.
     fn record_health_check(&mut self, now: f64, outcome: Outcome) {
         if !self.is_ejected() {
             return;
@@ -122,8 +123,8 @@
 }
 
 impl DecisionEngine {
-    /// An endpoint has failed an attempt that was sent at `sent_at` (s): after some in a row it is
-    /// ejected.
+    /// Records an unsuccessful attempt that was sent at `sent_at` (s), and ejects the endpoint
+    /// after enough consecutive failures.
     pub(super) fn record_endpoint_failure(
         &mut self,
         now: f64,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A health check has ended; the values of its load report.
+    /// Handles the end of a health check; `report` holds the values of the load report.
     pub(super) fn health_check_ended(
         &mut self,
         now: f64,
@@ -169,7 +170,8 @@
         endpoint.record_load_report(now, &self.settings.load_report_fields, report);
     }
 
-    /// Checks the health of endpoints whose ejection is over, or takes them back.
+    /// Starts a health check of each endpoint whose ejection is over, or readmits the endpoint if
+    /// health checks are not allowed.
     pub(super) fn end_ejections(&mut self, now: f64, actions: &mut Vec<Action>) {
         for (&id, Endpoint { ready, health, .. }) in &mut self.endpoints {
             if !*ready || !health.ejection_is_over(now) {
--- a/src/decision/quota.rs
+++ b/src/decision/quota.rs
@@ -1,36 +1,38 @@
-//! Quotas: whether a tenant's plan holds the units of a request.
+//! Quotas: whether the plan of a tenant has room for a request.
 //!
-//! **Rule.** A plan may cap the attempts in flight and the units a second, both over all ingresses
-//! together. The cap on attempts is divided evenly, the odd ones by turn. Units come from a lease
-//! on the counter (see [`super::quota_lease`]), for small quotas from a bucket that is shared there
-//! (see [`super::shared_token_bucket`]).
+//! **Rule.** A plan may limit the attempts in flight and the units a second, both over all
+//! ingresses together. The limit on attempts is divided evenly among the ingresses, and the
+//! remainder by rotation. Units come from a lease on the counter (see [`super::quota_lease`]) or,
+//! for small quotas, from a token bucket shared on the counter (see
+//! [`super::shared_token_bucket`]).
 //!
-//! **Inputs.** Units of the request; attempts in flight of this ingress; the counter's answers;
+//! **Inputs.** Units of the request; attempts in flight of this ingress; answers of the counter;
 //! times in seconds.
 //!
-//! **Guards.** No ingress knows what the others admit, so the parts of a cap must sum to it. A
-//! counter call in flight is answered in any case, by its timeout at the latest, so that no request
-//! waits for it without end. Known harm: a tenant whose requests come unevenly leaves parts of its
-//! cap on attempts unused.
+//! **Guards.** An ingress cannot see the admissions of other ingresses, so the shares of a limit
+//! must sum to the limit. Every counter call ends, by its timeout at the latest, so no request
+//! waits for it indefinitely. Known harm: a tenant whose requests arrive unevenly leaves part of
+//! its limit on attempts unused.
 
 use super::{Action, DecisionEngine, Outcome, Request, Settings};
 
-/// What a quota says to a request.
+/// Decision of a quota about a request.
 pub(super) enum QuotaDecision {
     Granted,
-    /// Beyond the quota; seconds until there is room, 0: not known.
+    /// The request exceeds the quota. `wait` is the time in seconds until there is room; 0:
+    /// unknown.
     Exceeded {
         wait: f64,
     },
-    /// The counter has been asked.
+    /// The request waits for the answer of a counter call.
     AwaitingCounter,
 }
 
-/// An answer of the counter.
+/// The answer to a counter call.
 pub(super) struct CounterAnswer {
     pub(super) name: u64,
     pub(super) outcome: Outcome,
-    /// The number after the call; meaningless unless the outcome is ok.
+    /// The number after the call; valid only if the outcome is [`Outcome::Ok`].
     pub(super) total: f64,
 }
 
@@ -40,22 +42,23 @@
     }
 }
 
-/// This ingress's part of a cap on attempts in flight. The parts sum to the cap: what an even
-/// division leaves over goes to the ingresses in turn, beginning at another one for each tenant.
-/// Each has one at the least.
-fn attempts_part(settings: &Settings, request: &Request, cap: u32) -> u32 {
-    let spread = request.ingress_count.clamp(1, settings.ingresses);
+/// Returns this ingress's share of a limit on attempts in flight. The shares sum to the limit: the
+/// remainder of an even division is assigned to ingresses by rotation, which starts at a different
+/// ingress for each tenant. Each share is at least one.
+fn attempt_limit_share(settings: &Settings, request: &Request, limit: u32) -> u32 {
+    let ingress_count = request.ingress_count.clamp(1, settings.ingresses);
     let ingresses = settings.ingresses;
-    // Counted from the first ingress that the tenant's requests come through.
-    let place =
+    // Offset from the first ingress that the tenant's requests arrive through.
+    let ingress_offset =
         (settings.ingress_index + ingresses - request.first_ingress % ingresses) % ingresses;
-    let turn = (place + (request.tenant % u64::from(spread)) as u32) % spread;
-    let has_odd_one = turn < cap % spread;
-    (cap / spread + u32::from(has_odd_one)).max(1)
+    let remainder_rank =
+        (ingress_offset + (request.tenant % u64::from(ingress_count)) as u32) % ingress_count;
+    let gets_remainder = remainder_rank < limit % ingress_count;
+    (limit / ingress_count + u32::from(gets_remainder)).max(1)
 }
 
 impl DecisionEngine {
-    /// Takes a request's units, or tells the time until there are some.
+    /// Takes the units of a request from the quota, or returns the time until they are available.
     pub(super) fn take_units(
         &mut self,
         now: f64,
@@ -63,18 +66,20 @@
         actions: &mut Vec<Action>,
     ) -> QuotaDecision {
         let plan = self.settings.plans[request.plan].clone();
-        if !self.remember_tenant(now, request, &plan) {
+        if !self.ensure_tenant(now, request, &plan) {
             return QuotaDecision::Exceeded { wait: 0.0 };
         }
-        // While the counter is unavailable, only some of the requests try whether it is back.
-        let skip_call = self.counter.is_unavailable() && self.happens(self.counter.congestion());
+        // While the counter is unavailable, only a fraction of the requests call it to detect its
+        // return.
+        let skip_call =
+            self.counter.is_unavailable() && self.random_bool(self.counter.congestion());
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else {
             return QuotaDecision::Exceeded { wait: 0.0 };
         };
         tenant.record_demand(now, request.units);
         if plan.max_in_flight > 0 {
-            let part = attempts_part(&self.settings, request, plan.max_in_flight);
-            if tenant.attempts_in_flight >= part {
+            let share = attempt_limit_share(&self.settings, request, plan.max_in_flight);
+            if tenant.attempts_in_flight >= share {
                 return QuotaDecision::Exceeded { wait: 0.0 };
             }
         }
@@ -87,7 +92,7 @@
         self.take_from_lease(now, request, &plan, skip_call, actions)
     }
 
-    /// A counter call has ended.
+    /// Handles the end of a counter call.
     pub(super) fn counter_answered(
         &mut self,
         now: f64,
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -1,68 +1,71 @@
-//! Quota leases: units that this ingress takes ahead from the counter and spends by itself.
+//! Quota leases: units that this ingress reserves on the counter in advance and grants locally.
 //!
-//! **Rule.** One counter call takes a lease of [`LEASE_DEMAND`] seconds of demand out of the
-//! tenant's current window (see [`super::lease_window`]), and the next call is made when half of it
-//! is spent; a lease of a single request is not refilled ahead. One call is in flight at most.
-//! Requests that find no local tokens wait for it.
+//! **Rule.** One counter call takes a lease of [`LEASE_DEMAND`] seconds of demand from the tenant's
+//! current window (see [`super::lease_window`]). The next call is made when half of the lease is
+//! used; a lease of a single request is not refilled in advance. At most one call is in flight.
+//! Requests that exceed the local tokens wait for it.
 //!
 //! **Inputs.** Units; demand in units a second; answers of the counter; times in seconds.
 //!
-//! **Guards.** When the counter is unavailable or has lost its totals, each ingress gives its even
-//! share of the quota instead. Under a ceiling a reserve must hold the units as well, which starts
-//! empty, so that restarts give nothing twice. A flood beyond the quota costs no calls: until units
-//! can have come in, none are asked for. Known harm: unspent leased tokens of one ingress are
-//! missing at another one, and an even share does not follow where requests come in.
+//! **Guards.** If the counter is unavailable or has lost its totals, each ingress grants its even
+//! share of the quota instead. Under a ceiling, a reserve must also cover the units; it starts
+//! empty so that restarts do not grant units twice. Demand beyond the quota causes no calls: none
+//! is made before units can be available. Known harm: unused leased tokens of one ingress are not
+//! available to the others, and an even share does not follow the distribution of requests over
+//! ingresses.
 
 use super::counter_call::CounterCall;
-use super::lease_window::{TotalReading, MIN_TRIMMED_UNITS};
+use super::lease_window::{TotalUpdate, MIN_TRIMMED_UNITS};
 use super::quota::QuotaDecision;
 use super::tenant::{Tenant, WaitingRequest};
 use super::{Action, DecisionEngine, Outcome, Plan, Request, RequestId, TenantId};
 
-/// Windows for which a number lives on the counter: it is read in the window after its own, perhaps
-/// late.
+/// Lifetime of a number on the counter, in windows: it is read in the window after its own,
+/// possibly late.
 const NUMBER_LIFETIME_WINDOWS: f64 = 3.0;
-/// A lease covers this much demand, s: a few calls' time, so that one in flight delays nobody.
+/// Demand that a lease covers, s: the time of a few calls, so that a call in flight delays no
+/// request.
 const LEASE_DEMAND: f64 = 0.4;
-/// Most of the burst in one lease of one ingress.
-const MAX_LEASE_BURST_PART: f64 = 0.5;
-/// Under a ceiling, most of the burst that all ingresses together hold in leases, unspent: held
-/// units come on top of what the bucket holds.
-const MAX_UNSPENT_BURST_PART: f64 = 0.2;
-/// Least units of a lease: below that a call gains nothing.
+/// Largest fraction of the burst in one lease of one ingress.
+const MAX_LEASE_BURST_FRACTION: f64 = 0.5;
+/// Under a ceiling, the largest fraction of the burst that all ingresses together hold in unused
+/// leases: these units add to those in the bucket.
+const MAX_UNUSED_BURST_FRACTION: f64 = 0.2;
+/// Fewest units of a lease: a smaller one does not justify a call.
 const MIN_LEASE_UNITS: f64 = 1.0;
-/// Part of a lease at which the next one is asked for.
-const REFILL_AT_PART: f64 = 0.5;
-/// After an empty window, no call is made before this part of a mean request has come in.
+/// Fraction of a lease below which the next one is requested.
+const REFILL_BELOW_FRACTION: f64 = 0.5;
+/// After an exhausted window, the shortest wait before the next call, as the fraction of a mean
+/// request that must become available.
 const MIN_WAIT_REQUESTS: f64 = 0.1;
-/// After a failed call, none is made for this long, s.
+/// Time without calls after a failed call, s.
 const WAIT_AFTER_FAILURE: f64 = 0.1;
 
 impl Tenant {
-    /// Takes units of this ingress's even share, where the counter is no help; false where it does
-    /// not hold them.
+    /// Takes units from this ingress's even share when the counter cannot be used. Returns whether
+    /// the share covers them.
     fn take_even_share(&mut self, units: f64, plan: &Plan) -> bool {
-        let reserve_holds = !plan.has_ceiling() || self.ceiling_reserve.tokens >= units;
-        let fits = self.even_share.tokens >= units && reserve_holds;
-        if fits {
+        let reserve_covers = !plan.has_ceiling() || self.ceiling_reserve.tokens >= units;
+        let covered = self.even_share.tokens >= units && reserve_covers;
+        if covered {
             self.even_share.tokens -= units;
             if plan.has_ceiling() {
                 self.ceiling_reserve.tokens -= units;
             }
         }
-        fits
+        covered
     }
 
-    /// Under a ceiling, what may be given without the counter comes in with time; what leases may
-    /// hold unspent is not part of it.
+    /// Under a ceiling, refills the units that may be granted without the counter. They exclude the
+    /// units that leases may hold unused.
     fn refill_reserve(&mut self, now: f64, plan: &Plan) {
-        let rate = (plan.ceiling_rate - plan.rate).max(0.0) / self.spread;
-        let leased = (1.0 + 2.0 * MAX_UNSPENT_BURST_PART) * plan.burst;
-        let max = (plan.ceiling_burst - leased).max(0.0) / self.spread;
+        let rate = (plan.ceiling_rate - plan.rate).max(0.0) / self.ingress_count;
+        let leased = (1.0 + 2.0 * MAX_UNUSED_BURST_FRACTION) * plan.burst;
+        let max = (plan.ceiling_burst - leased).max(0.0) / self.ingress_count;
         self.ceiling_reserve.refill(now, rate, max);
     }
 
-    /// Takes a request's units from what is held here, or lets it wait for a call.
+    /// Takes a request's units from the local tokens, or lets the request wait for a call.
     fn take_local_tokens(
         &mut self,
         request: &Request,
@@ -88,7 +91,7 @@
         QuotaDecision::Exceeded { wait }
     }
 
-    /// The call that is to be made now, if any.
+    /// Returns the call that must be made now, if any.
     fn next_lease_call(
         &mut self,
         now: f64,
@@ -97,10 +100,10 @@
         counter_unavailable: bool,
     ) -> Option<CounterCall> {
         if without_counter {
-            // Reads the number, to see whether the counter is back.
+            // Only reads the number, to detect whether the counter has recovered.
             return counter_unavailable.then_some(CounterCall::read(self.window.index));
         }
-        if self.window.read_previous {
+        if self.window.must_read_previous {
             return Some(CounterCall::read(self.window.index - 1));
         }
         let amount = self.lease_amount(now, plan)?;
@@ -110,28 +113,28 @@
         })
     }
 
-    /// Units of a full lease: the demand of a while, one request at the least.
+    /// Returns the units of a full lease: [`LEASE_DEMAND`] seconds of demand, at least one request.
     fn lease_size(&self, plan: &Plan) -> f64 {
-        let max_part = if plan.has_ceiling() {
-            MAX_UNSPENT_BURST_PART / self.spread
+        let max_fraction = if plan.has_ceiling() {
+            MAX_UNUSED_BURST_FRACTION / self.ingress_count
         } else {
-            MAX_LEASE_BURST_PART
+            MAX_LEASE_BURST_FRACTION
         };
-        let max_lease = max_part * plan.burst;
+        let max_lease = max_fraction * plan.burst;
         (self.demand * LEASE_DEMAND)
             .max(self.mean_units)
             .max(MIN_LEASE_UNITS)
             .min(max_lease.max(self.mean_units))
     }
 
-    /// Units of the lease that is to be asked for now, if any.
+    /// Returns the units of the lease to request now, if any.
     fn lease_amount(&mut self, now: f64, plan: &Plan) -> Option<f64> {
         let lease = self.lease_size(plan);
         let need = self.waiting_units();
-        // A lease of one request is not refilled ahead: one at each ingress is most of a small
-        // bucket.
+        // A lease of one request is not refilled in advance: one unused request at each ingress
+        // would be most of a small bucket.
         let refilled_ahead = self.demand * LEASE_DEMAND >= self.mean_units;
-        let low = refilled_ahead && self.local_tokens < lease * REFILL_AT_PART;
+        let low = refilled_ahead && self.local_tokens < lease * REFILL_BELOW_FRACTION;
         if need <= 0.0 && !low || now < self.no_units_before {
             return None;
         }
@@ -150,8 +153,8 @@
         Some(amount)
     }
 
-    /// Takes the units of waiting requests from what is held here; those that are served. After a
-    /// failed call the even share lends what is missing.
+    /// Takes the units of waiting requests from the local tokens, and returns the requests that
+    /// were served. After a failed call the even share covers the remaining ones as far as it can.
     fn serve_waiting(
         &mut self,
         plan: &Plan,
@@ -159,28 +162,30 @@
         totals_lost: bool,
     ) -> Vec<RequestId> {
         let mut served = Vec::new();
-        let mut left = Vec::new();
+        let mut still_waiting = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             let missing = self.local_tokens < waiting.units;
-            let lent = missing && call_failed && self.take_even_share(waiting.units, plan);
-            if missing && !lent {
-                left.push(waiting);
+            let from_even_share =
+                missing && call_failed && self.take_even_share(waiting.units, plan);
+            if missing && !from_even_share {
+                still_waiting.push(waiting);
                 continue;
             }
-            // What is lent while the counter goes on is counted by the next call.
-            if !(lent && totals_lost) {
+            // Units of the even share are counted by the next call, unless the counter has lost its
+            // totals.
+            if !(from_even_share && totals_lost) {
                 self.local_tokens -= waiting.units;
             }
             served.push(waiting.id);
         }
-        self.waiting = left;
+        self.waiting = still_waiting;
         served
     }
 }
 
 impl DecisionEngine {
-    /// Takes a request's units from the tenant's lease, and asks for the next one where it runs
-    /// out.
+    /// Takes a request's units from the tenant's lease, and calls for the next lease when it runs
+    /// low.
     pub(super) fn take_from_lease(
         &mut self,
         now: f64,
@@ -200,8 +205,8 @@
         }
         let window_start = tenant.window.start(plan);
         let without_counter = no_counter || self.counter.may_have_lost_totals_since(window_start);
-        let share_rate = plan.rate / tenant.spread;
-        let max_share = plan.burst / tenant.spread;
+        let share_rate = plan.rate / tenant.ingress_count;
+        let max_share = plan.burst / tenant.ingress_count;
         tenant.even_share.refill(now, share_rate, max_share);
         let decision = tenant.take_local_tokens(request, plan, without_counter);
         if !skip_call {
@@ -210,7 +215,7 @@
         let Some(tenant) = self.tenants.get_mut(&id) else {
             return decision;
         };
-        // No call was worth making: the request does not wait.
+        // No call was worthwhile: the request is rejected without waiting.
         if tenant.call.is_none() && tenant.waiting.pop().is_some() {
             let missing = (request.units - tenant.available_units(now, plan)).max(0.0);
             let wait = missing / plan.rate;
@@ -219,7 +224,7 @@
         decision
     }
 
-    /// Makes the next call for a lease, unless one is in flight or none is needed.
+    /// Starts the next call for a lease, unless one is in flight or none is needed.
     fn refill_lease(
         &mut self,
         now: f64,
@@ -241,7 +246,7 @@
         }
     }
 
-    /// A call for a lease has ended without a total.
+    /// Handles a call for a lease that has ended without a total.
     pub(super) fn lease_call_failed(
         &mut self,
         now: f64,
@@ -256,18 +261,18 @@
         if call.window == tenant.window.index {
             tenant.record_failed_lease(call, outcome);
         }
-        // The answer is lost and the counter is there: the next total tells what was granted, at
-        // once as a rule.
-        let counter_is_there =
+        // The counter is available and only its answer is lost: the next total, usually read
+        // immediately, shows what was granted.
+        let counter_responds =
             matches!(outcome, Outcome::Error | Outcome::Reset) && !self.counter.is_unavailable();
-        if counter_is_there {
+        if counter_responds {
             return self.settle_waiting(now, id, false, actions);
         }
         tenant.no_units_before = now + WAIT_AFTER_FAILURE;
         self.settle_waiting(now, id, true, actions);
     }
 
-    /// The total of a call for a lease has come.
+    /// Handles the total of a call for a lease.
     pub(super) fn lease_answered(
         &mut self,
         now: f64,
@@ -282,14 +287,14 @@
         let plan = &self.settings.plans[tenant.plan];
         let lifetime = NUMBER_LIFETIME_WINDOWS * plan.lease_window();
         if call.window == tenant.window.index - 1 {
-            tenant.read_previous_total(total, plan);
+            tenant.apply_previous_total(total, plan);
         } else if call.window == tenant.window.index {
-            match tenant.read_total(now, plan, call.amount, total) {
-                TotalReading::TotalsLost => {
+            match tenant.apply_total(now, plan, call.amount, total) {
+                TotalUpdate::TotalsLost => {
                     self.counter.record_lost_totals(now);
                     return self.settle_waiting(now, id, true, actions);
                 }
-                TotalReading::Applied { excess } if excess >= MIN_TRIMMED_UNITS => {
+                TotalUpdate::Applied { excess } if excess >= MIN_TRIMMED_UNITS => {
                     tenant.window.total -= excess;
                     let trim = CounterCall {
                         window: call.window,
@@ -297,14 +302,14 @@
                     };
                     actions.push(self.call_counter(now, id, trim, lifetime));
                 }
-                TotalReading::Applied { .. } => {}
+                TotalUpdate::Applied { .. } => {}
             }
         }
         self.settle_waiting(now, id, false, actions);
     }
 
-    /// A total that came too late for its call, which had been counted as uncertain: its units were
-    /// added.
+    /// Handles a total that arrived after its call had timed out. The call was counted as
+    /// uncertain; the total shows that its units were added.
     pub(super) fn counter_answered_late(
         &mut self,
         now: f64,
@@ -326,7 +331,7 @@
         window.ungranted += amount;
         window.uncertain = (window.uncertain - amount.max(0.0)).max(0.0);
         if tenant.call.is_none() {
-            // As if the number had been read now.
+            // Handle the total as the answer of a read that is made now.
             tenant.call = Some(CounterCall::read(awaited.window));
             let answer = super::quota::CounterAnswer {
                 name,
@@ -337,8 +342,8 @@
         }
     }
 
-    /// Answers the requests that wait for a lease, as far as local tokens or, after a failed call,
-    /// the even share last.
+    /// Answers the requests that wait for a lease, as far as the local tokens or, after a failed
+    /// call, the even share suffice.
     fn settle_waiting(
         &mut self,
         now: f64,
@@ -362,9 +367,9 @@
         let Some(tenant) = self.tenants.get_mut(&id) else {
             return;
         };
-        // A call that only trims brings nothing for those that wait.
-        let nothing_comes = tenant.call.is_none_or(|call| call.amount < 0.0);
-        if call_failed || nothing_comes {
+        // A call that only trims grants nothing to the waiting requests.
+        let no_units_expected = tenant.call.is_none_or(|call| call.amount < 0.0);
+        if call_failed || no_units_expected {
             for waiting in std::mem::take(&mut tenant.waiting) {
                 self.answer_without_success(waiting.id, actions);
             }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,5 +1,5 @@
-//! A request that is pending at this ingress, and its attempts. State only: what is decided about
-//! it stands in [`super::admission`], [`super::retry`] and [`super::hedging`].
+//! State of a pending request and of its attempts. The rules that use it are in
+//! [`super::admission`], [`super::retry`] and [`super::hedging`].
 
 use super::endpoint::{ClassAndPlan, EndpointRequirement};
 use super::{DecisionEngine, EndpointId, Outcome, Request, RequestId};
@@ -8,16 +8,16 @@
 #[derive(Clone)]
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
-    /// When it was sent, s.
+    /// When the attempt was sent, s.
     pub(super) sent_at: f64,
     pub(super) ended: bool,
-    /// Whether the endpoint may have handled it; true until an outcome proves that it has not.
+    /// Whether the endpoint may have handled the attempt; true until an outcome proves otherwise.
     pub(super) may_have_run: bool,
-    /// Whether it counts as load (see [`super::load_level`]).
+    /// Whether the attempt counts as load (see [`super::load_level`]).
     pub(super) counts_as_load: bool,
-    /// In flight for so long that its endpoint has been blamed for it.
+    /// In flight for so long that it has been counted as a timeout of its endpoint.
     pub(super) overdue: bool,
-    /// In flight for longer than is usual for its class (see [`super::hedging`]).
+    /// In flight for much longer than is typical for its class (see [`super::hedging`]).
     pub(super) slow: bool,
 }
 
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Stops counting it as load; how many are to be taken off the count, 0 or 1.
-    pub(super) fn uncount(&mut self) -> u32 {
+    /// Stops counting the attempt as load. Returns the number to subtract from the count, 0 or 1.
+    pub(super) fn take_load_count(&mut self) -> u32 {
         u32::from(std::mem::take(&mut self.counts_as_load))
     }
 }
 
 impl Outcome {
-    /// Whether the endpoint may have handled an attempt that ended so.
+    /// Returns whether the endpoint may have handled an attempt with this outcome.
     pub(super) fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -50,13 +50,13 @@
     }
 }
 
-/// A request that is owed a final answer, or whose last attempts have not ended yet.
+/// A request that has no final answer yet, or that still has attempts in flight.
 pub(super) struct PendingRequest {
     pub(super) request: Request,
     pub(super) attempts: Vec<Attempt>,
-    /// The final answer has been given.
+    /// Whether the final answer has been given.
     pub(super) answered: bool,
-    /// The answer has begun to stream.
+    /// Whether the response has begun to stream.
     pub(super) streaming: bool,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// What an endpoint must serve to be chosen for it.
+    /// Returns what an endpoint must serve to be selected for the request.
     pub(super) fn endpoint_requirement(&self) -> EndpointRequirement {
         EndpointRequirement {
             class_and_plan: self.class_and_plan(),
@@ -89,14 +89,14 @@
         self.attempts.iter().all(|attempt| attempt.ended)
     }
 
-    /// Whether any attempt may have been handled.
+    /// Returns whether an endpoint may have handled any of the attempts.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 }
 
 impl DecisionEngine {
-    /// Notes that an attempt is sent at `now` (s).
+    /// Records an attempt that is sent at `now` (s).
     pub(super) fn record_attempt(&mut self, now: f64, id: RequestId, endpoint_id: EndpointId) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -111,15 +111,15 @@
         }
     }
 
-    /// Notes that a request's answer streams.
+    /// Records that the response to a request has begun to stream.
     pub(super) fn record_stream(&mut self, id: RequestId) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.streaming = true;
         }
     }
 
-    /// Notes a request's final answer, or that its client has gone. It is forgotten once its
-    /// attempts have ended.
+    /// Records that a request has its final answer or that its client has disconnected. The request
+    /// is removed once its attempts have ended.
     pub(super) fn finish(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,40 +1,42 @@
 //! Retries: whether a request that has failed at one endpoint is sent to another one.
 //!
-//! **Rule.** A retry needs a token of the retry budget, which first attempts earn; time before the
-//! client gives up; and an attempt left of the most that a request may have. A safe request may be
-//! retried anywhere. A keyed one that may have run is retried only within its idempotency window,
-//! at endpoints that share the memory of its key. An unsafe one that may have run is never retried.
-//! An endpoint is tried once at most.
+//! **Rule.** A retry needs a token of the retry budget, which first attempts earn; time left before
+//! the client gives up; and fewer attempts so far than a request may have. A safe request may be
+//! retried at any endpoint. A keyed request that may have run is retried only within its
+//! idempotency window, at endpoints that share the memory of its key. An unsafe request that may
+//! have run is never retried. An endpoint is tried at most once.
 //!
-//! The request table checks the same rule again before it sends (`request::in_flight`), by what it
-//! has itself sent: that guard counts the time in which a connection may come up, and looks at every
-//! attempt that may have run and at where its endpoint stood then. It is at least as strict but for
-//! an endpoint that has moved. An attempt that it refuses ends as `NotSent`; its token stays spent.
+//! The request table checks the same rule again before it sends (`request::in_flight`), based on
+//! the attempts that it has sent itself. Its check includes the time in which a connection may be
+//! established, and every attempt that may have run with the location of its endpoint at that time.
+//! It is at least as strict, except for an endpoint that has moved to another zone or cell. An
+//! attempt that it refuses ends as `NotSent`; the token of that attempt remains spent.
 //!
-//! **Inputs.** Tokens (one a retry); the client's deadline and the idempotency window in seconds;
-//! the earlier attempts.
+//! **Inputs.** Tokens (one for each retry); the client's deadline and the idempotency window in
+//! seconds; the earlier attempts.
 //!
-//! **Guards.** Retries multiply load just when endpoints fail: the budget bounds them to a part of
-//! the first attempts. An unsafe request must not take effect twice. Known harm: where failures are
-//! many, requests fail for lack of tokens.
+//! **Guards.** Retries multiply load at the very time when endpoints fail: the budget limits them
+//! to a fraction of the first attempts. An unsafe request must not take effect twice. Known harm:
+//! if failures are many, requests fail because the budget has no tokens left.
 
 use super::endpoint::DeduplicationGroup;
 use super::endpoint_selection::Selection;
 use super::request::PendingRequest;
 use super::{Action, DecisionEngine, EndpointId, Idempotency, RequestId};
 
-/// Tokens that a first attempt earns: at most one retry for five requests in the long run.
-const TOKENS_EARNED: f64 = 0.2;
-/// Most tokens saved: a short fault may be retried in full, a long one may not.
+/// Tokens that a first attempt earns: in the long run at most one retry for five requests.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.2;
+/// Capacity of the budget: every request can be retried during a short fault, but not during a long
+/// one.
 const MAX_TOKENS: f64 = 20.0;
-/// Tokens at the start: a fault may come with the first requests.
+/// Tokens at the start: a fault may occur during the first requests.
 const START_TOKENS: f64 = MAX_TOKENS / 2.0;
 /// Tokens of one retry.
-const RETRY_PRICE: f64 = 1.0;
-/// Time that an attempt needs at the least, in units of the service's time resolution.
+const RETRY_COST: f64 = 1.0;
+/// Shortest time that an attempt needs, as a multiple of the service's time resolution.
 const MIN_TIME_LEFT_RESOLUTIONS: f64 = 2.0;
 
-/// Tokens that pay for retries and hedged requests.
+/// Token budget for retries and hedged requests.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
@@ -46,21 +48,21 @@
         }
     }
 
-    /// A first attempt is sent.
+    /// Adds the tokens earned by a first attempt.
     pub(super) fn earn(&mut self) {
-        self.tokens = (self.tokens + TOKENS_EARNED).min(MAX_TOKENS);
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
     fn allows_retry(&self) -> bool {
-        self.tokens >= RETRY_PRICE
+        self.tokens >= RETRY_COST
     }
 
     fn spend(&mut self) {
-        self.tokens -= RETRY_PRICE;
+        self.tokens -= RETRY_COST;
     }
 }
 
-/// Where a retry may go.
+/// Which endpoints a retry may be sent to.
 enum RetryScope {
     AnyEndpoint,
     Within(DeduplicationGroup),
@@ -68,7 +70,8 @@
 }
 
 impl DecisionEngine {
-    /// Sends a further attempt if class, time, number and budget allow it; whether it was sent.
+    /// Sends a further attempt if class, time, attempt count and budget allow it. Returns whether
+    /// it was sent.
     pub(super) fn retry(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.get(&id) else {
             return false;
@@ -124,7 +127,7 @@
                 if now - first_run.sent_at >= class.idempotency_window - margin {
                     return RetryScope::Nowhere;
                 }
-                // Without knowing the endpoint's group any more, no group is safe.
+                // If the endpoint is unknown, so is its group, and no endpoint is safe.
                 match self.endpoints.get(&first_run.endpoint) {
                     Some(endpoint) => RetryScope::Within(DeduplicationGroup {
                         scope: class.deduplication_scope,
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -1,16 +1,16 @@
-//! What an ingress is configured with: classes, plans and the service's rules, all fixed at start.
+//! Configuration of an ingress: classes, plans and rules of the service, all fixed at start.
 //!
-//! Plain data in seconds and quota units. [`Settings::check`] is the only rule here: it rejects
-//! values that the mechanisms could not compute with (no class, a rate without a burst, a figure
-//! that is not a number), so that a wrong start is one message that names the field and not a wrong
-//! decision later.
+//! Plain data in seconds and quota units. [`Settings::check`] is the only logic: it rejects values
+//! that the mechanisms could not compute with (no class, a rate without a burst, a value that is
+//! not a number). Invalid settings thus fail at start with an error that names the field, and do
+//! not cause wrong decisions later.
 
-/// How often a request may take effect.
+/// Whether a request may take effect more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// May run any number of times.
     Safe,
-    /// Carries a key: endpoints of one group discard repeats for a while.
+    /// Carries a key by which the endpoints of one group discard repeats for some time.
     Keyed,
     /// Must never run twice.
     Unsafe,
@@ -30,62 +30,63 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this many seconds earns the whole priority weight.
+    /// Time within which an answer earns the full priority weight, seconds.
     pub latency_objective: f64,
-    /// Longest the client waits over all its own attempts, seconds.
+    /// Longest time that the client waits, including its own retries, seconds.
     pub deadline: f64,
-    /// What repeating a request of the class does.
+    /// Whether a request of the class may be repeated.
     pub idempotency: Idempotency,
-    /// For keyed classes: which endpoints discard repeats together.
+    /// For keyed classes: which endpoints share the memory of idempotency keys.
     pub deduplication_scope: DeduplicationScope,
-    /// For keyed classes: for how long after the first attempt that may have run, seconds.
+    /// For keyed classes: how long repeats are discarded, from the first attempt that may have run,
+    /// seconds.
     pub idempotency_window: f64,
     /// Share of the priority weight that an answer after the latency objective still earns, 0 to 1.
     pub late_weight_share: f64,
-    /// What one request answered in time is worth beside one of another class.
+    /// Value of one request answered in time, relative to requests of other classes.
     pub priority_weight: f64,
 }
 
-/// A plan: quotas that hold for each tenant over all ingresses together.
+/// A plan: quotas that apply to each tenant over all ingresses together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second; 0: no quota by rate.
+    /// Units a second; 0: no rate quota.
     pub rate: f64,
-    /// Most units that can be saved up: the size of the quota's token bucket.
+    /// Size of the quota's token bucket, units.
     pub burst: f64,
-    /// Most attempts in flight at once; 0: no such quota.
+    /// Limit on attempts in flight; 0: no limit.
     pub max_in_flight: u32,
     /// Share of its priority weight that a request served beyond the quota earns.
     pub excess_weight_share: f64,
     /// Share of its priority weight that a request served beyond the quota costs.
     pub excess_cost_share: f64,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Units a second of the hard ceiling; 0: no ceiling.
     pub ceiling_rate: f64,
-    /// Most units that the ceiling's token bucket holds.
+    /// Size of the ceiling's token bucket, units.
     pub ceiling_burst: f64,
 }
 
 /// A value in an endpoint's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// Requests being handled.
+    /// Requests that are being handled.
     InFlight,
-    /// Requests waiting.
+    /// Requests that are waiting.
     Queue,
     /// Share of CPU in use.
     Utilization,
-    /// Recent service time without waiting, milliseconds.
+    /// Recent service time without queueing, milliseconds.
     LatencyMs,
-    /// Any value that the module does not use.
+    /// A value that the module does not use.
     Other,
 }
 
-/// Everything that is fixed when an ingress starts.
+/// Settings of an ingress, fixed when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many ingresses there are.
+    /// Number of ingresses.
     pub ingresses: u32,
-    /// Number of this ingress among them, from 0.
+    /// Index of this ingress among them, from 0.
     pub ingress_index: u32,
     /// Zone of this ingress.
     pub zone: u32,
@@ -93,81 +94,70 @@
     pub classes: Vec<Class>,
     /// Plans, referred to by index.
     pub plans: Vec<Plan>,
-    /// Columns of an endpoint's load report.
+    /// Fields of an endpoint's load report, by position.
     pub load_report_fields: Vec<LoadReportField>,
-    /// Load reports come with health checks alone, not with answers.
+    /// Whether load reports come only with health checks, not with answers.
     pub load_reports_by_health_check: bool,
-    /// The endpoint list must be polled for.
+    /// Whether the endpoint list must be polled or subscribed to.
     pub endpoint_list_is_polled: bool,
-    /// Health checks are permitted.
+    /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight together.
     pub hedging: bool,
-    /// There is a counter service.
+    /// Whether there is a counter service.
     pub counter: bool,
-    /// A counter call that has no answer by then has failed, seconds.
+    /// Timeout of a counter call, seconds.
     pub counter_timeout: f64,
-    /// Units on a request are estimates, settled by its answer.
+    /// Whether the units of a request are estimates that its answer corrects.
     pub settles_units_later: bool,
-    /// Most units that one request counts.
+    /// Largest number of units of one request.
     pub max_units: f64,
-    /// Most attempts for one request.
+    /// Largest number of attempts of one request.
     pub max_attempts: u32,
-    /// Longest retry-after that clients honour, seconds.
+    /// Longest Retry-After that clients follow, seconds.
     pub max_retry_after: f64,
-    /// Smallest time between two rounds of events, seconds: the precision of every deadline.
+    /// Shortest time between two rounds of events, seconds. It limits the precision of every
+    /// deadline.
     pub resolution: f64,
-    /// An endpoint that has just started has at least this share of its capacity, 0 to 1.
+    /// Smallest share of its capacity that a newly started endpoint has, 0 to 1.
     pub initial_capacity_share: f64,
-    /// It has all of its capacity after this many seconds at the latest.
+    /// Time after which an endpoint has its full capacity at the latest, seconds.
     pub warm_up: f64,
-    /// An endpoint that is warming up fails when it is sent more than this multiple of its capacity
-    /// ...
+    /// Multiple of its current capacity above which an endpoint that is warming up fails, if it is
+    /// exceeded for `overload_tolerance`.
     pub overload_factor: f64,
-    /// ... over this many seconds.
+    /// Time for which an endpoint that is warming up withstands such an overload, seconds.
     pub overload_tolerance: f64,
 }
 
-/// Settings that make no sense.
+/// Error of [`Settings::check`] for an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// The field, in the spelling that operators know from earlier messages, for example
-    /// `classes[0].aim`; it is not always the key of the settings file.
+    /// The field, under the name used in error messages, for example `classes[0].aim`. It can
+    /// differ from the key in the settings file.
     pub field: String,
-    /// What is wrong with it.
+    /// The requirement that the value does not meet.
     pub problem: String,
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that all values are valid.
     ///
     /// # Errors
-    /// The first field that does not, with what is wrong.
+    /// Returns the first invalid field and the requirement that it does not meet.
     pub fn check(&self) -> Result<(), SettingsError> {
-        require(self.ingresses > 0, "gateways", "there must be one at least")?;
+        require(self.ingresses > 0, "gateways", "must be at least 1")?;
         require(
             self.ingress_index < self.ingresses,
             "position",
-            "must be under the number of gateways",
-        )?;
-        require(
-            !self.classes.is_empty(),
-            "classes",
-            "there must be one at least",
-        )?;
-        require(
-            !self.plans.is_empty(),
-            "plans",
-            "there must be one at least",
-        )?;
-        require(
-            self.max_attempts > 0,
-            "max_attempts",
-            "there must be one at least",
+            "must be less than the number of gateways",
         )?;
+        require(!self.classes.is_empty(), "classes", "must not be empty")?;
+        require(!self.plans.is_empty(), "plans", "must not be empty")?;
+        require(self.max_attempts > 0, "max_attempts", "must be at least 1")?;
         for (index, class) in self.classes.iter().enumerate() {
             class.check(index)?;
         }
@@ -212,13 +202,13 @@
         require(
             self.rate <= 0.0 || self.burst > 0.0,
             &format!("plans[{index}].burst"),
-            "must be above 0 where there is a rate",
+            "must be above 0 if the plan has a rate",
         )
     }
 }
 
-fn require(sound: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
-    if sound {
+fn require(valid: bool, field: &str, problem: &str) -> Result<(), SettingsError> {
+    if valid {
         return Ok(());
     }
     Err(SettingsError {
@@ -228,11 +218,11 @@
 }
 
 fn require_positive(field: &str, value: f64) -> Result<(), SettingsError> {
-    let sound = value.is_finite() && value > 0.0;
-    require(sound, field, "must be above 0")
+    let valid = value.is_finite() && value > 0.0;
+    require(valid, field, "must be above 0")
 }
 
 fn require_not_negative(field: &str, value: f64) -> Result<(), SettingsError> {
-    let sound = value.is_finite() && value >= 0.0;
-    require(sound, field, "must be 0 or more")
+    let valid = value.is_finite() && value >= 0.0;
+    require(valid, field, "must be 0 or more")
 }
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -1,27 +1,32 @@
-//! The shared token bucket of a small-quota tenant: its bucket is a number on the counter.
+//! The shared token bucket of a tenant with a small quota: a number on the counter holds its state.
 //!
-//! **Rule.** Where an ingress's part of a burst is under a request, leases and shares would strand
-//! the quota. Each request then asks the counter by itself: one call takes its units, and the total
-//! tells whether they fit. The units taken since the number's epoch began, less the rate times its
-//! age, are what the bucket lacks. What did not fit goes back with the next call. Numbers last for
-//! one epoch; the first ingress at a new one carries over what the last one lacked.
+//! **Rule.** If an ingress's share of a burst is smaller than a request, leases and even shares
+//! would leave the quota in units too small to use. Each request is then checked at the counter on
+//! its own: one call takes its units, and the total shows whether the bucket held them. The
+//! bucket's deficit is the units taken since the epoch of the number began, minus the rate times
+//! the age of the epoch. Units that the bucket did not hold are returned with the next call. A
+//! number is valid for one epoch; the first ingress that calls in a new epoch carries over the
+//! deficit of the previous one.
 //!
 //! **Inputs.** Units; totals; rate in units a second; ages in seconds; congestion of the counter (a
-//! part of its calls).
+//! fraction of its calls).
 //!
-//! **Congestion.** A part of the requests then goes unchecked, and is admitted as often as checked
-//! ones of its plan were, less the price of one beyond the quota. While the counter is unavailable,
-//! an even share decides by chance.
+//! **Congestion.** That fraction of the requests is not checked, but admitted with the acceptance
+//! ratio of checked requests of the same plan, reduced by the cost of requests beyond the quota.
+//! While the counter is unavailable, an even share determines the probability.
 //!
 //! **Guards.**
-//! - A bucket that is full takes in nothing: what came in with time beyond that is taken off by
-//!   whoever sees it, and what another ingress has just put right as well is taken back.
-//! - Each rejected request costs a call, and flooding tenants cost many: a tenant that was just
-//!   rejected is asked for only when there can be room, and then in part only.
-//! - Ingresses that all came to new numbers at once would congest the counter: epochs begin at
-//!   another time for each tenant.
+//! - A full bucket cannot take in more units: the ingress that detects such a surplus removes it,
+//!   and
+//!   reverses the same correction if another ingress has just made it.
+//! - Each rejected request costs a call, and a tenant far beyond its quota causes many: after a
+//!   rejection, no request of the tenant is checked until there can be units, and then only a
+//!   fraction is.
+//! - If all ingresses moved to new numbers at once, they would congest the counter: epochs begin at
+//!   a different time for each tenant.
 //!
-//! Known harm: a call a request, one more for each that is rejected, and the wait for its answer.
+//! Known harm: one call for each request, a further one for each rejected request, and the latency
+//! of the call.
 
 use super::admission::MIN_QUOTA_RETRY_AFTER;
 use super::counter_call::CounterCall;
@@ -30,42 +35,45 @@
 use super::tenant::{Tenant, WaitingRequest};
 use super::{Action, DecisionEngine, Plan, Request, TenantId};
 
-/// Length of an epoch, s: a number and the next one must fit into a number's longest life on the
-/// counter.
+/// Length of an epoch, s: a number must exist for its own epoch and the next, within the longest
+/// lifetime of a number on the counter.
 const EPOCH_LENGTH: f64 = 25.0;
-/// Life of a number on the counter, s: its own epoch and the next, in which it is carried over.
+/// Lifetime of a number on the counter, s: its own epoch and the next, in which it is carried over.
 const NUMBER_LIFETIME: f64 = 2.2 * EPOCH_LENGTH;
-/// Life of a number that is only read, s.
+/// Lifetime of a number that is only read, s.
 const READ_NUMBER_LIFETIME: f64 = EPOCH_LENGTH;
-/// Hash index of a tenant's phase within the epochs.
+/// Hash index for the offset of a tenant's epochs.
 const PHASE_INDEX: i64 = 0;
-/// Bursts that the bucket may hold too much before it is put right: spares a call for small errors.
+/// Surplus of the bucket, in bursts, from which it is corrected: smaller errors do not justify a
+/// call.
 const OVERFULL_BURSTS: f64 = 0.25;
-/// Least correction, units, that is put right by a call.
+/// Smallest correction, units, that justifies a call of its own.
 const MIN_CORRECTION: f64 = 0.5;
-/// A total that differs from the call's amount by less than this is the first of its epoch.
+/// Largest difference, units, between a total and the amount of its call that identifies the first
+/// call of an epoch.
 const FIRST_CALL_PRECISION: f64 = 0.01;
-/// Most of an even share that is saved up while the counter is unavailable, in bursts.
+/// Size of the even share's bucket while the counter is unavailable, in bursts.
 const MAX_SHARE_BURSTS: f64 = 3.0;
-/// Least units that a chance is computed from: keeps the division finite.
-const MIN_CHANCE_UNITS: f64 = 1e-9;
-/// After a rejection others have just been rejected as well: for this long, s, ...
-const RECENTLY_REJECTED: f64 = 3.0;
-/// ... only this part of the requests is asked for.
-const ASKED_PART_AFTER_REJECTION: f64 = 0.3;
+/// Lower bound of units in a probability: keeps the division finite.
+const MIN_PROBABILITY_UNITS: f64 = 1e-9;
+/// Time after a rejection, s, during which only a fraction of the requests is checked, since
+/// further requests are likely to be rejected as well.
+const RECENT_REJECTION_PERIOD: f64 = 3.0;
+/// Fraction of the requests that is checked during [`RECENT_REJECTION_PERIOD`].
+const CHECKED_FRACTION_AFTER_REJECTION: f64 = 0.3;
 
-/// First guess of an acceptance ratio: most requests are within their quota.
+/// Initial acceptance ratio: most requests are within their quota.
 const START_ACCEPTANCE: f64 = 0.9;
-/// Weight of that guess: as one answer.
+/// Weight of the initial acceptance ratio: that of one answer.
 const START_ACCEPTANCE_WEIGHT: f64 = 0.5;
-/// Least weight of an answer in an acceptance ratio: an ingress among many sees few.
+/// Smallest weight of an answer in an acceptance ratio: one of many ingresses gets few answers.
 const MIN_ACCEPTANCE_WEIGHT: f64 = 0.03;
 
-/// How often the bucket had room for checked requests of one plan: decides unchecked ones.
+/// Share of the checked requests of one plan that were accepted; decides about unchecked ones.
 pub(super) struct AcceptanceRatio {
     ratio: f64,
-    /// Weight of the last answer: the ratio is the mean at first, and follows the last answers
-    /// later.
+    /// Weight of the latest answer. It decreases so that the ratio is a mean at first and a moving
+    /// average later.
     weight: f64,
 }
 
@@ -81,16 +89,16 @@
         if accepted + rejected == 0 {
             return;
         }
-        let accepted_part = accepted as f64 / (accepted + rejected) as f64;
+        let accepted_fraction = accepted as f64 / (accepted + rejected) as f64;
         self.weight = (self.weight / (1.0 + self.weight)).max(MIN_ACCEPTANCE_WEIGHT);
-        self.ratio += self.weight * (accepted_part - self.ratio);
+        self.ratio += self.weight * (accepted_fraction - self.ratio);
     }
 }
 
 /// The epoch of a tenant's number.
 struct BucketEpoch {
     index: i64,
-    /// Time since it began, s.
+    /// Time since the epoch began, s.
     age: f64,
 }
 
@@ -103,79 +111,86 @@
         }
     }
 
-    /// Time since the epoch with this index began, s.
+    /// Returns the time since the epoch with this index began, s.
     fn age_of(&self, index: i64) -> f64 {
         self.age + EPOCH_LENGTH * (self.index - index) as f64
     }
 }
 
-/// How requests are decided that the counter does not check.
+/// How requests that are not checked at the counter are decided.
 #[derive(Clone, Copy)]
 enum UncheckedRule {
-    /// As often as checked ones of the same plan were admitted, 0 to 1.
+    /// With the ratio, 0 to 1, at which checked requests of the same plan were accepted.
     AcceptanceRatio(f64),
-    /// By this ingress's even share: the counter is unavailable.
+    /// By the even share of this ingress, while the counter is unavailable.
     EvenShare,
 }
 
 impl Tenant {
-    /// Chance that a request of so many units is admitted unchecked.
-    fn unchecked_chance(&mut self, now: f64, units: f64, plan: &Plan, rule: UncheckedRule) -> f64 {
+    /// Returns the probability with which a request of `units` is admitted unchecked.
+    fn unchecked_probability(
+        &mut self,
+        now: f64,
+        units: f64,
+        plan: &Plan,
+        rule: UncheckedRule,
+    ) -> f64 {
         if let UncheckedRule::AcceptanceRatio(ratio) = rule {
             return (ratio - plan.excess_cost_share * (1.0 - ratio)).max(0.0);
         }
-        let rate = plan.rate / self.spread;
-        let max = MAX_SHARE_BURSTS * plan.burst / self.spread;
+        let rate = plan.rate / self.ingress_count;
+        let max = MAX_SHARE_BURSTS * plan.burst / self.ingress_count;
         self.even_share.refill(now, rate, max);
         let share = self.even_share.tokens;
         self.even_share.tokens = (share - units).max(0.0);
-        share / units.max(MIN_CHANCE_UNITS)
+        share / units.max(MIN_PROBABILITY_UNITS)
     }
 
-    /// Whether the bucket, which lacks so many units, holds those of a request. If so they are
-    /// taken, else they go back with the next call.
-    fn take_if_it_fits(&mut self, now: f64, units: f64, lacking: &mut f64, plan: &Plan) -> bool {
-        let excess = lacking.max(0.0) + units.min(self.mean_units) - plan.burst;
+    /// Takes a request's units if a bucket with this deficit holds them. Otherwise the units are
+    /// returned with the next call. Returns whether they were taken.
+    fn try_take(&mut self, now: f64, units: f64, deficit: &mut f64, plan: &Plan) -> bool {
+        let excess = deficit.max(0.0) + units.min(self.mean_units) - plan.burst;
         if excess > 0.0 {
-            // Whoever comes meanwhile, what is missing takes this long to come in.
+            // The missing units take this long to come in, whichever request arrives meanwhile.
             self.no_units_before = now + excess / plan.rate;
             self.local_tokens += units;
             return false;
         }
-        *lacking = lacking.max(0.0) + units;
+        *deficit = deficit.max(0.0) + units;
         true
     }
 
-    /// Notes what the next call is to put right about a bucket that lacks so many units. `unneeded`
-    /// units of the call were not for requests.
+    /// Adds corrections of the bucket to the next call. `correction` is the part of the call's
+    /// amount that was not for requests.
     fn correct_bucket(
         &mut self,
-        lacking: &mut f64,
-        unneeded: f64,
+        deficit: &mut f64,
+        correction: f64,
         carried_over: Option<CarryOver>,
         plan: &Plan,
     ) {
         if let Some(CarryOver { epoch_age }) = carried_over {
-            // What the last number lacked at its end, the new one lacks too.
-            self.local_tokens -= (*lacking + plan.rate * epoch_age).clamp(0.0, plan.burst);
-        } else if *lacking < -OVERFULL_BURSTS * plan.burst {
-            // A full bucket takes in nothing: what came in with time beyond it is taken off.
-            self.local_tokens += std::mem::take(lacking);
-        } else if unneeded >= MIN_CORRECTION && *lacking >= unneeded {
-            // Another ingress had just put the same right.
-            self.local_tokens += unneeded;
-            *lacking -= unneeded;
+            // The new number starts with the deficit that the previous one had at the end of its
+            // epoch.
+            self.local_tokens -= (*deficit + plan.rate * epoch_age).clamp(0.0, plan.burst);
+        } else if *deficit < -OVERFULL_BURSTS * plan.burst {
+            // A full bucket cannot take in more units: the surplus is removed.
+            self.local_tokens += std::mem::take(deficit);
+        } else if correction >= MIN_CORRECTION && *deficit >= correction {
+            // Another ingress had just made the same correction.
+            self.local_tokens += correction;
+            *deficit -= correction;
         }
     }
 }
 
-/// The total of the last epoch's number was read, to be carried over.
+/// Marks a total of the previous epoch's number, read to carry its deficit over.
 struct CarryOver {
     /// Time since the new epoch began, s.
     epoch_age: f64,
 }
 
-/// The requests that a call was for.
+/// Decisions about the requests of one call.
 struct DecidedRequests {
     accepted: Vec<WaitingRequest>,
     rejected: Vec<WaitingRequest>,
@@ -191,7 +206,7 @@
 }
 
 impl DecisionEngine {
-    /// Asks the tenant's bucket for a request's units, or decides without where the counter is
+    /// Checks a request at the tenant's bucket, or decides about it locally if the counter is
     /// congested.
     pub(super) fn take_from_shared_bucket(
         &mut self,
@@ -200,40 +215,40 @@
         plan: &Plan,
         actions: &mut Vec<Action>,
     ) -> QuotaDecision {
-        let checked_part = 1.0 - self.counter.congestion();
-        let check_number = f64::from(self.rng.rand_float());
-        let chance_number = f64::from(self.rng.rand_float());
+        let checked_fraction = 1.0 - self.counter.congestion();
+        let check_draw = f64::from(self.rng.rand_float());
+        let admission_draw = f64::from(self.rng.rand_float());
         let rule = self.unchecked_rule(request.plan);
         let Some(tenant) = self.tenants.get_mut(&request.tenant) else {
             return QuotaDecision::Exceeded { wait: 0.0 };
         };
         let since_rejected = now - tenant.no_units_before;
-        let recently_rejected = since_rejected < RECENTLY_REJECTED;
-        let not_asked = recently_rejected && chance_number >= ASKED_PART_AFTER_REJECTION;
-        if now < tenant.no_units_before || not_asked {
+        let recently_rejected = since_rejected < RECENT_REJECTION_PERIOD;
+        let check_skipped = recently_rejected && admission_draw >= CHECKED_FRACTION_AFTER_REJECTION;
+        if now < tenant.no_units_before || check_skipped {
             let wait = tenant.no_units_before - now;
             return QuotaDecision::Exceeded { wait };
         }
-        if check_number >= checked_part {
-            if chance_number < tenant.unchecked_chance(now, request.units, plan, rule) {
+        if check_draw >= checked_fraction {
+            if admission_draw < tenant.unchecked_probability(now, request.units, plan, rule) {
                 return QuotaDecision::Granted;
             }
             let wait = plan.burst / plan.rate;
             return QuotaDecision::Exceeded { wait };
         }
-        // A checked request pays for the unchecked ones beside it.
+        // A checked request also pays for the unchecked ones that it represents.
         tenant.waiting.push(WaitingRequest {
             id: request.id,
-            units: request.units / checked_part,
+            units: request.units / checked_fraction,
         });
         if tenant.call.is_none() {
-            self.ask_shared_bucket(now, request.tenant, actions);
+            self.call_shared_bucket(now, request.tenant, actions);
         }
         QuotaDecision::AwaitingCounter
     }
 
-    /// Takes units for all requests that wait, together with what is to be put right.
-    fn ask_shared_bucket(&mut self, now: f64, id: TenantId, actions: &mut Vec<Action>) {
+    /// Calls the counter for the units of all waiting requests and for pending corrections.
+    fn call_shared_bucket(&mut self, now: f64, id: TenantId, actions: &mut Vec<Action>) {
         let Some(tenant) = self.tenants.get_mut(&id) else {
             return;
         };
@@ -245,7 +260,7 @@
         actions.push(self.call_counter(now, id, call, NUMBER_LIFETIME));
     }
 
-    /// A call to a shared bucket has ended; the total, if one came.
+    /// Handles the end of a call to a shared bucket; `total` is `None` if the call returned none.
     pub(super) fn shared_bucket_answered(
         &mut self,
         now: f64,
@@ -259,19 +274,19 @@
         };
         let plan = self.settings.plans[tenant.plan].clone();
         let covered = std::mem::take(&mut tenant.waiting_in_call);
-        let asked: Vec<WaitingRequest> = tenant.waiting.drain(..covered).collect();
-        let needed: f64 = asked.iter().map(|waiting| waiting.units).sum();
+        let checked: Vec<WaitingRequest> = tenant.waiting.drain(..covered).collect();
+        let needed: f64 = checked.iter().map(|waiting| waiting.units).sum();
         let epoch = BucketEpoch::at(now, id);
         let age = epoch.age_of(call.window);
-        let mut lacking = total.map(|total| total - needed - plan.rate * age);
-        if let Some(lacking) = &mut lacking {
-            let carries_over = asked.is_empty() && call.window < epoch.index;
+        let mut deficit = total.map(|total| total - needed - plan.rate * age);
+        if let Some(deficit) = &mut deficit {
+            let carries_over = checked.is_empty() && call.window < epoch.index;
             let carried_over = carries_over.then_some(CarryOver {
                 epoch_age: epoch.age,
             });
-            tenant.correct_bucket(lacking, call.amount - needed, carried_over, &plan);
+            tenant.correct_bucket(deficit, call.amount - needed, carried_over, &plan);
         }
-        let decided = self.decide_asked(now, id, asked, lacking);
+        let decided = self.decide_checked(now, id, checked, deficit);
         let first_of_epoch = total.is_some_and(|total| {
             call.window == epoch.index && (total - call.amount).abs() < FIRST_CALL_PRECISION
         });
@@ -280,7 +295,7 @@
             let last_number = CounterCall::read(call.window - 1);
             actions.push(self.call_counter(now, id, last_number, READ_NUMBER_LIFETIME));
         } else {
-            self.ask_shared_bucket_again(now, id, actions);
+            self.call_shared_bucket_if_needed(now, id, actions);
         }
         for waiting in decided.accepted {
             self.admit(now, waiting.id, actions);
@@ -291,33 +306,33 @@
         }
     }
 
-    /// Divides the requests that a call was for into accepted and rejected ones: by what the bucket
-    /// lacks, or by chance where no total came.
-    fn decide_asked(
+    /// Divides the requests of a call into accepted and rejected ones, by the deficit of the
+    /// bucket, or by chance if there is no total.
+    fn decide_checked(
         &mut self,
         now: f64,
         id: TenantId,
-        asked: Vec<WaitingRequest>,
-        mut lacking: Option<f64>,
+        checked: Vec<WaitingRequest>,
+        mut deficit: Option<f64>,
     ) -> DecidedRequests {
-        let chance_number = f64::from(self.rng.rand_float());
+        let admission_draw = f64::from(self.rng.rand_float());
         let Some(plan_index) = self.tenants.get(&id).map(|tenant| tenant.plan) else {
-            return DecidedRequests::all_rejected(asked);
+            return DecidedRequests::all_rejected(checked);
         };
         let rule = self.unchecked_rule(plan_index);
         let plan = &self.settings.plans[plan_index];
         let Some(tenant) = self.tenants.get_mut(&id) else {
-            return DecidedRequests::all_rejected(asked);
+            return DecidedRequests::all_rejected(checked);
         };
         let (accepted, rejected): (Vec<_>, Vec<_>) =
-            asked.into_iter().partition(|waiting| match &mut lacking {
-                Some(lacking) => tenant.take_if_it_fits(now, waiting.units, lacking, plan),
+            checked.into_iter().partition(|waiting| match &mut deficit {
+                Some(deficit) => tenant.try_take(now, waiting.units, deficit, plan),
                 None => {
                     let units = tenant.mean_units;
-                    chance_number < tenant.unchecked_chance(now, units, plan, rule)
+                    admission_draw < tenant.unchecked_probability(now, units, plan, rule)
                 }
             });
-        if lacking.is_some() {
+        if deficit.is_some() {
             self.acceptance_ratios[plan_index].record(accepted.len(), rejected.len());
         }
         DecidedRequests { accepted, rejected }
@@ -330,7 +345,7 @@
         UncheckedRule::AcceptanceRatio(self.acceptance_ratios[plan].ratio)
     }
 
-    /// Retry-After of a request that the bucket did not hold, s.
+    /// Returns the Retry-After of a request that the bucket did not hold, s.
     fn quota_wait(&self, now: f64, id: TenantId) -> f64 {
         let no_units_before = self
             .tenants
@@ -339,13 +354,13 @@
         (no_units_before - now).max(MIN_QUOTA_RETRY_AFTER)
     }
 
-    /// Makes the next call if requests wait for it, or enough is to be put right.
-    fn ask_shared_bucket_again(&mut self, now: f64, id: TenantId, actions: &mut Vec<Action>) {
+    /// Makes the next call if requests wait for it, or if corrections are large enough.
+    fn call_shared_bucket_if_needed(&mut self, now: f64, id: TenantId, actions: &mut Vec<Action>) {
         let needed = self.tenants.get(&id).is_some_and(|tenant| {
             !tenant.waiting.is_empty() || tenant.local_tokens.abs() >= MIN_CORRECTION
         });
         if needed {
-            self.ask_shared_bucket(now, id, actions);
+            self.call_shared_bucket(now, id, actions);
         }
     }
 }
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -1,116 +1,120 @@
-//! What this ingress knows of each tenant's quota, and for how long tenants are remembered.
+//! State of each tenant's quota at this ingress, and how long tenants are remembered.
 //!
-//! **Rule.** A tenant is met with its first request. One is forgotten when it has been idle for so
-//! long that a new one would be given the same; where there are more than [`MAX_TENANTS`], the
-//! quarter that has been idle longest goes first, and a new tenant that still finds no place is
-//! rejected.
+//! **Rule.** A tenant is added with its first request. It is evicted after it has been idle for so
+//! long that a new tenant would have the same state. At [`MAX_TENANTS`], the quarter that has been
+//! idle longest is evicted first; if there is still no room, a new tenant is rejected.
 //!
 //! **Inputs.** Requests with their units; idle times in seconds.
 //!
-//! **Guards.** A flood of new tenant ids must not exhaust memory. A tenant that is met again after
-//! it was forgotten, or after a restart of this ingress, must not find its quota full: it may have
-//! been used elsewhere or a moment ago, so that the last window's total is read first, and a
-//! ceiling's reserve starts empty. Known harm: in the first windows after a start tenants are given
-//! less than their quota holds.
+//! **Guards.** A flood of new tenant ids must not exhaust memory. A tenant that returns after an
+//! eviction, or after a restart of this ingress, must not start with a full quota, because it may
+//! have used the quota at another ingress or shortly before: the total of the last window is read
+//! first, and the reserve of a ceiling starts empty. Known harm: in the first windows after a start
+//! tenants are granted less than their quota.
 
 use super::counter_call::CounterCall;
 use super::lease_window::LeaseWindow;
 use super::{DecisionEngine, Plan, Request, RequestId};
 
-/// Most tenants that are remembered: bounds the memory that a flood of new ids takes.
+/// Largest number of remembered tenants: limits the memory used by a flood of new ids.
 const MAX_TENANTS: usize = 20_000;
-/// Windows after its start for which an ingress reads the last total of each tenant that it meets.
-const YOUNG_WINDOWS: f64 = 2.0;
-/// Windows after which an idle tenant is like a new one.
+/// Windows after the start of an ingress during which it reads the last total of each new tenant.
+const STARTUP_WINDOWS: f64 = 2.0;
+/// Windows after which an idle tenant is equivalent to a new one.
 const IDLE_WINDOWS: f64 = 3.0;
-/// Part of the burst that may be used before the last total is read.
-const UNREAD_BURST_PART: f64 = 0.5;
-/// Below so many mean requests in an ingress's part of the burst, a tenant's bucket is shared on
-/// the counter: a lease of one request at each ingress would be most of it.
+/// Fraction of the burst that may be used before the last total is read.
+const UNREAD_BURST_FRACTION: f64 = 0.5;
+/// A tenant's bucket is shared on the counter if an ingress's share of the burst is less than this
+/// many mean requests: leases of one request at each ingress would be most of it.
 const SMALL_QUOTA_REQUESTS: f64 = 0.7;
-/// Time constant of the demand, s: a few leases, so that they follow a rising demand.
-const DEMAND_MEMORY: f64 = 1.5;
-/// Weight of a request in the mean units: about twenty requests of memory.
+/// Time constant of the demand, s: a few leases, so that leases follow a rising demand.
+const DEMAND_TIME_CONSTANT: f64 = 1.5;
+/// Weight of a request in the mean units: a memory of about twenty requests.
 const MEAN_UNITS_WEIGHT: f64 = 0.05;
-/// Least rate, units a second, that the filling time of a ceiling's reserve is computed from.
+/// Lower bound of the rate, units a second, in the time to fill a ceiling's reserve.
 const MIN_RESERVE_RATE: f64 = 1e-3;
 
 /// A request that waits for the counter.
 pub(super) struct WaitingRequest {
     pub(super) id: RequestId,
-    /// What is asked for it, units.
+    /// Units to request for it from the counter.
     pub(super) units: f64,
 }
 
-/// An allowance that comes in evenly.
+/// A token bucket that refills at a constant rate.
 #[derive(Default)]
 pub(super) struct Allowance {
-    /// Units there at `updated_at`.
+    /// Units at `updated_at`.
     pub(super) tokens: f64,
-    /// s.
+    /// Time of the last refill, s.
     pub(super) updated_at: f64,
 }
 
 impl Allowance {
-    /// Adds what has come in until `now` (s) at `rate` units a second, up to `max` units.
+    /// Adds the units that have come in until `now` (s) at `rate` units a second, up to `max`
+    /// units.
     pub(super) fn refill(&mut self, now: f64, rate: f64, max: f64) {
         self.tokens = (self.tokens + rate * (now - self.updated_at)).min(max);
         self.updated_at = now;
     }
 }
 
-/// A tenant's quota as this ingress sees it.
+/// State of a tenant's quota at this ingress.
 pub(super) struct Tenant {
     pub(super) plan: usize,
-    /// How many ingresses its requests come through.
-    pub(super) spread: f64,
-    /// Its token bucket is shared on the counter (see [`super::shared_token_bucket`]).
+    /// Number of ingresses that the tenant's requests arrive through.
+    pub(super) ingress_count: f64,
+    /// Whether the tenant's token bucket is shared on the counter (see
+    /// [`super::shared_token_bucket`]).
     pub(super) has_shared_bucket: bool,
     /// Requests that wait for the counter, oldest first.
     pub(super) waiting: Vec<WaitingRequest>,
-    /// With a shared bucket: how many of these the call in flight is for.
+    /// With a shared bucket: number of waiting requests, from the oldest, covered by the call in
+    /// flight.
     pub(super) waiting_in_call: usize,
     pub(super) call: Option<CounterCall>,
     /// When the last call was made, s.
     pub(super) called_at: f64,
-    /// With a lease: units granted and not spent; below 0: spent ahead, settled by the next call.
-    /// With a shared bucket: units that the next call gives back, or below 0 takes in addition.
+    /// With a lease: units granted and not used; a negative value was used in advance and is
+    /// settled by the next call. With a shared bucket: units that the next call returns, or takes
+    /// in addition if negative.
     pub(super) local_tokens: f64,
     pub(super) window: LeaseWindow,
     /// With a lease: no call is made before this time, s; local tokens are still granted. With a
-    /// shared bucket: requests are rejected before it, since the bucket cannot hold units yet.
+    /// shared bucket: requests are rejected before this time because the bucket cannot hold enough
+    /// units yet.
     pub(super) no_units_before: f64,
-    /// Units a second that are asked for, over the last seconds.
+    /// Requested units a second, averaged over the last seconds.
     pub(super) demand: f64,
     /// Mean units of a request.
     pub(super) mean_units: f64,
-    /// s.
+    /// Time of the last request, s.
     pub(super) last_request_at: f64,
-    /// This ingress's even share of the quota, for when the counter is no help.
+    /// Even share of the quota for this ingress, used when the counter cannot be used.
     pub(super) even_share: Allowance,
-    /// Under a ceiling: what this ingress may give of it without the counter.
+    /// Under a ceiling: units of it that this ingress may grant without the counter.
     pub(super) ceiling_reserve: Allowance,
     pub(super) attempts_in_flight: u32,
 }
 
 impl Tenant {
-    fn new(now: f64, request: &Request, plan: &Plan, spread: f64) -> Tenant {
+    fn new(now: f64, request: &Request, plan: &Plan, ingress_count: f64) -> Tenant {
         Tenant {
             plan: request.plan,
-            spread,
+            ingress_count,
             has_shared_bucket: false,
             waiting: Vec::new(),
             waiting_in_call: 0,
             call: None,
             called_at: 0.0,
             local_tokens: 0.0,
-            window: LeaseWindow::never_used(plan.burst),
+            window: LeaseWindow::unused(plan.burst),
             no_units_before: 0.0,
             demand: 0.0,
             mean_units: request.units,
             last_request_at: 0.0,
             even_share: Allowance {
-                tokens: plan.burst / spread,
+                tokens: plan.burst / ingress_count,
                 updated_at: now,
             },
             ceiling_reserve: Allowance::default(),
@@ -118,16 +122,16 @@
         }
     }
 
-    /// Takes a request of so many units into demand and mean.
+    /// Adds a request of `units` to the demand and to the mean.
     pub(super) fn record_demand(&mut self, now: f64, units: f64) {
-        let keep = (-(now - self.last_request_at) / DEMAND_MEMORY).exp();
-        self.demand = self.demand * keep + units / DEMAND_MEMORY;
+        let decay = (-(now - self.last_request_at) / DEMAND_TIME_CONSTANT).exp();
+        self.demand = self.demand * decay + units / DEMAND_TIME_CONSTANT;
         self.mean_units += MEAN_UNITS_WEIGHT * (units - self.mean_units);
         self.last_request_at = now;
     }
 
-    /// A request no longer waits for the counter; what the call in flight brings for it is left for
-    /// others.
+    /// Removes a request that no longer waits for the counter. Units that the call in flight
+    /// obtains for it remain available to other requests.
     pub(super) fn stop_waiting(&mut self, id: RequestId) {
         let position = self.waiting.iter().position(|waiting| waiting.id == id);
         if let Some(position) = position {
@@ -136,25 +140,27 @@
         }
     }
 
-    /// Units that are asked for the waiting requests.
+    /// Returns the units to request for the waiting requests.
     pub(super) fn waiting_units(&self) -> f64 {
         self.waiting.iter().map(|waiting| waiting.units).sum()
     }
 
-    /// Whether something of it is in flight or owed, so that it must not be forgotten.
+    /// Returns whether the tenant has attempts, a call or unsettled units, so that it must not be
+    /// evicted.
     fn is_busy(&self) -> bool {
         self.attempts_in_flight > 0 || self.call.is_some() || self.local_tokens < 0.0
     }
 }
 
 impl DecisionEngine {
-    /// Makes sure that a request's tenant is remembered; false where there is no place for it.
-    pub(super) fn remember_tenant(&mut self, now: f64, request: &Request, plan: &Plan) -> bool {
+    /// Adds the tenant of a request if it is not remembered. Returns false if there is no room for
+    /// it.
+    pub(super) fn ensure_tenant(&mut self, now: f64, request: &Request, plan: &Plan) -> bool {
         if self.tenants.contains_key(&request.tenant) {
             return true;
         }
         if self.tenants.len() >= MAX_TENANTS {
-            self.forget_longest_idle_tenants(now);
+            self.evict_longest_idle_tenants(now);
             if self.tenants.len() >= MAX_TENANTS {
                 return false;
             }
@@ -165,29 +171,33 @@
     }
 
     fn new_tenant(&self, now: f64, request: &Request, plan: &Plan) -> Tenant {
-        let spread = f64::from(request.ingress_count.clamp(1, self.settings.ingresses));
-        let mut tenant = Tenant::new(now, request, plan, spread);
-        tenant.has_shared_bucket = self.has_small_quota(plan, spread);
-        tenant.ceiling_reserve.updated_at = self.tenants_known_since;
-        // An ingress that has just started may have served it a moment ago: the last total is read.
-        let age = now - self.tenants_known_since;
-        if plan.rate > 0.0 && age < YOUNG_WINDOWS * plan.lease_window() {
-            tenant.window =
-                LeaseWindow::before(now, plan.lease_window(), UNREAD_BURST_PART * plan.burst);
+        let ingress_count = f64::from(request.ingress_count.clamp(1, self.settings.ingresses));
+        let mut tenant = Tenant::new(now, request, plan, ingress_count);
+        tenant.has_shared_bucket = self.has_small_quota(plan, ingress_count);
+        tenant.ceiling_reserve.updated_at = self.tenants_tracked_since;
+        // An ingress that has just started may have served the tenant shortly before: its last
+        // total is read.
+        let age = now - self.tenants_tracked_since;
+        if plan.rate > 0.0 && age < STARTUP_WINDOWS * plan.lease_window() {
+            tenant.window = LeaseWindow::exhausted_before(
+                now,
+                plan.lease_window(),
+                UNREAD_BURST_FRACTION * plan.burst,
+            );
         }
         tenant
     }
 
-    /// Whether leases would strand the quota, so that its token bucket is shared on the counter.
-    fn has_small_quota(&self, plan: &Plan, spread: f64) -> bool {
+    /// Returns whether leases would leave unusable remainders of the quota, so that its token
+    /// bucket is shared on the counter.
+    fn has_small_quota(&self, plan: &Plan, ingress_count: f64) -> bool {
         let max_units = self.settings.max_units.max(1.0);
-        let small_burst = SMALL_QUOTA_REQUESTS * spread * (1.0 + max_units) / 2.0;
+        let small_burst = SMALL_QUOTA_REQUESTS * ingress_count * (1.0 + max_units) / 2.0;
         self.settings.counter && plan.ceiling_rate <= 0.0 && plan.burst < small_burst
     }
 
-    /// Forgets tenants of whom nothing is known that a new one would not be given: bucket and
-    /// reserve are full.
-    pub(super) fn forget_idle_tenants(&mut self, now: f64) {
+    /// Evicts idle tenants whose bucket and reserve are full, as those of a new tenant would be.
+    pub(super) fn evict_idle_tenants(&mut self, now: f64) {
         let plans = &self.settings.plans;
         self.tenants.retain(|_, tenant| {
             let plan = &plans[tenant.plan];
@@ -198,23 +208,23 @@
             } else {
                 0.0
             };
-            let forget_after = (IDLE_WINDOWS * window).max(reserve_full_after);
-            tenant.is_busy() || now - tenant.last_request_at <= forget_after
+            let evict_after = (IDLE_WINDOWS * window).max(reserve_full_after);
+            tenant.is_busy() || now - tenant.last_request_at <= evict_after
         });
     }
 
-    /// Forgets the quarter of the tenants that has been idle longest.
-    fn forget_longest_idle_tenants(&mut self, now: f64) {
+    /// Evicts the quarter of the tenants that has been idle longest.
+    fn evict_longest_idle_tenants(&mut self, now: f64) {
         let mut last_requests: Vec<f64> = self
             .tenants
             .values()
             .map(|tenant| tenant.last_request_at)
             .collect();
         last_requests.sort_unstable_by(f64::total_cmp);
-        let cut = last_requests[last_requests.len() / 4];
+        let cutoff = last_requests[last_requests.len() / 4];
         self.tenants
-            .retain(|_, tenant| tenant.last_request_at > cut || tenant.attempts_in_flight > 0);
-        // A tenant that is met again must not find its ceiling's reserve full.
-        self.tenants_known_since = now;
+            .retain(|_, tenant| tenant.last_request_at > cutoff || tenant.attempts_in_flight > 0);
+        // An evicted tenant that returns must not start with a full ceiling reserve.
+        self.tenants_tracked_since = now;
     }
 }
