--- a/tests/decision/admission.rs
+++ b/tests/decision/admission.rs
@@ -1,9 +1,10 @@
-//! Load shedding by level, late requests first, and an answer for every request.
+//! Load shedding by level, rejection of late requests, and the final answer of every request.
 
 use super::*;
 
-/// Of so many requests whose clients have waited so long, s, how many an ingress at level 1 refuses. Those that it
-/// sends are answered at once, so that the level stays.
+/// Sends `count` requests whose clients have already waited `waited` seconds and returns how many
+/// an ingress at level 1 rejects. Each admitted attempt ends immediately, so the level does not
+/// change.
 fn rejected_at_level_1(ingress: &mut TestIngress, count: usize, waited: f64) -> usize {
     let mut rejected = 0;
     for _ in 0..count {
@@ -19,40 +20,38 @@
 }
 
 #[test]
-fn under_load_requests_that_can_only_be_answered_late_are_rejected_first() {
+fn late_requests_are_rejected_first_under_load() {
     for (late_share, rejected_late) in [(0.0, 100..=100), (0.3, 60..=80), (1.0, 40..=60)] {
         let mut settings = settings();
         settings.classes[0].late_weight_share = late_share;
         let mut ingress = ingress_with_threshold(settings);
         let waited = 0.6;
         let id = ingress.request_after_waiting(0, waited);
-        assert!(
-            !ingress.is_rejected(id),
-            "without load a late answer is worth its work"
-        );
+        assert!(!ingress.is_rejected(id), "late request rejected at level 0");
         let mut in_flight = vec![id];
         while ingress.engine.level() == 0 {
             in_flight.push(ingress.request(0, 0, 1, 1.0));
         }
-        // Between the thresholds of levels 1 and 2 the level stays.
+        // Attempts end until the count is between the thresholds of levels 1 and 2, where the level
+        // does not change.
         while in_flight.len() as f64 > 1.1 * ingress.engine.threshold() {
             ingress.end_attempt(in_flight.pop().expect("attempts in flight"), 0, Outcome::Ok);
         }
         let rejected = rejected_at_level_1(&mut ingress, 100, waited);
         assert!(
             rejected_late.contains(&rejected),
-            "late share {late_share}: {rejected} of 100"
+            "late_weight_share {late_share}: {rejected} of 100 late requests rejected"
         );
         let rejected = rejected_at_level_1(&mut ingress, 100, 0.0);
         assert!(
             (40..=60).contains(&rejected),
-            "in time, late share {late_share}: {rejected} of 100"
+            "late_weight_share {late_share}: {rejected} of 100 punctual requests rejected"
         );
     }
 }
 
 #[test]
-fn level_2_admits_nothing() {
+fn level_2_rejects_every_request() {
     let mut ingress = ingress_with_threshold(settings());
     let mut last = 0;
     for _ in 0..400 {
@@ -67,7 +66,7 @@
 }
 
 #[test]
-fn the_answer_timer_answers_a_request_that_nothing_answers() {
+fn answer_timer_fails_a_request_without_an_answer() {
     let mut ingress = TestIngress::new(settings(), 2);
     let id = ingress.request(2, 0, 1, 1.0);
     let due = ingress.actions.iter().find_map(|a| match a {
@@ -80,14 +79,14 @@
     ingress.handle(Event::Timer { token });
     assert!(ingress.is_failed(id));
     ingress.handle(Event::Timer { token });
-    assert!(ingress.actions.is_empty(), "answered once");
+    assert!(ingress.actions.is_empty(), "answered twice");
 }
 
 #[test]
 fn malformed_events_are_answered_or_ignored() {
     let mut ingress = TestIngress::new(settings(), 0);
     let id = ingress.request(0, 0, 1, 1.0);
-    assert!(ingress.is_rejected(id), "no endpoint at all");
+    assert!(ingress.is_rejected(id), "admitted without an endpoint");
     for (class, plan, units) in [(9, 0, 1.0), (0, 9, 1.0), (0, 0, f64::NAN), (0, 0, -1.0)] {
         let id = ingress.request(class, plan, 1, units);
         assert!(ingress.is_rejected(id));
--- a/tests/decision/endpoint_selection.rs
+++ b/tests/decision/endpoint_selection.rs
@@ -1,9 +1,9 @@
-//! Endpoints that must not be chosen.
+//! Endpoints that must not be selected.
 
 use super::*;
 
 #[test]
-fn a_draining_endpoint_gets_nothing() {
+fn draining_and_removed_endpoints_are_not_selected() {
     let mut ingress = TestIngress::new(settings(), 3);
     let entries = vec![
         EndpointEntry {
--- a/tests/decision/exclusion.rs
+++ b/tests/decision/exclusion.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_endpoint_that_fails_one_class_keeps_the_others() {
+fn endpoint_failing_one_class_serves_other_classes() {
     let mut ingress = TestIngress::new(settings(), 4);
     let mut to = [[0; 4]; 2];
     for i in 0..80 {
@@ -26,18 +26,18 @@
     }
     assert!(
         to[0][0] <= 1,
-        "the failing class went there {} times",
+        "endpoint 0 got {} attempts of the failing class",
         to[0][0]
     );
     assert!(
         to[1][0] >= 5,
-        "the other class went there {} times",
+        "endpoint 0 got {} attempts of the other class",
         to[1][0]
     );
 }
 
 #[test]
-fn rejecting_one_plan_neither_ejects_nor_keeps_other_plans_away() {
+fn endpoint_rejecting_one_plan_serves_other_plans() {
     let mut settings = settings();
     settings.plans.push(settings.plans[0].clone());
     let mut ingress = TestIngress::new(settings, 4);
@@ -60,15 +60,16 @@
             sent = ingress.endpoints_sent_to(id);
         }
     }
-    // Twice to each, and four seconds later once more: it might have been load.
-    assert!(to[0][0] + to[0][1] <= 6, "throttled, and sent {:?}", to[0]);
+    // Two attempts at each endpoint, and one more after four seconds, since load might have been
+    // the cause.
+    assert!(to[0][0] + to[0][1] <= 6, "rejected plan: {:?}", to[0]);
     assert!(to[1][0] + to[1][1] >= 10, "other plans: {:?}", to[1]);
 }
 
 #[test]
-fn an_endpoint_that_is_late_while_it_answers_others_is_not_excluded() {
-    // In an overload, one late attempt once excluded an endpoint for 20 s. The others got its requests and were late
-    // next, until few endpoints were left.
+fn late_endpoint_that_answers_others_is_not_excluded() {
+    // Under overload, one late attempt used to exclude an endpoint for 20 s. The other endpoints
+    // then got its requests and became late in turn, until few endpoints were left.
     let mut settings = settings();
     (settings.hedging, settings.ingresses) = (false, 1);
     let mut ingress = TestIngress::new(settings, 4);
@@ -79,18 +80,18 @@
         .iter()
         .for_each(|(id, _)| ingress.end_attempt(*id, 0, Outcome::Ok));
     ingress.tick(0.3);
-    let met = ingress.request_all(0, 8);
+    let sent = ingress.request_all(0, 8);
     assert!(
         late.iter()
-            .all(|(_, endpoint)| met.iter().any(|m| m.1 == *endpoint)),
-        "late {late:?}, met {met:?}"
+            .all(|(_, endpoint)| sent.iter().any(|m| m.1 == *endpoint)),
+        "late {late:?}, sent {sent:?}"
     );
 }
 
 #[test]
-fn timeouts_at_most_endpoints_exclude_nobody() {
-    // Under overload most endpoints time out. If all of them were excluded, the few others would get everything and be
-    // late next.
+fn timeouts_at_most_endpoints_exclude_none() {
+    // Under overload most endpoints time out. If all of them were excluded, the few others would
+    // get all requests and become late in turn.
     let mut settings = settings();
     (settings.hedging, settings.ingresses) = (false, 1);
     let mut ingress = TestIngress::new(settings, 4);
@@ -107,9 +108,9 @@
             },
         );
     }
-    let met = ingress.request_all(2, 8);
+    let sent = ingress.request_all(2, 8);
     assert!(
-        (0..4).all(|endpoint| met.iter().any(|m| m.1 == endpoint)),
-        "{met:?}"
+        (0..4).all(|endpoint| sent.iter().any(|m| m.1 == endpoint)),
+        "{sent:?}"
     );
 }
--- a/tests/decision/lease_window.rs
+++ b/tests/decision/lease_window.rs
@@ -1,11 +1,12 @@
-//! Totals that are missing, late, or lower than they were.
+//! Totals that are missing, late, or lower than before.
 
 use super::*;
 
 #[test]
-fn what_a_call_without_a_total_added_is_granted_by_the_next_total() {
-    // The counter adds a lease's units and its answer comes back spoilt. The units are counted and nobody has them: with
-    // each such answer a tenant would lose a lease. The next total must grant them.
+fn next_total_grants_units_of_call_without_total() {
+    // The counter adds the units of a lease, but its answer contains no total. The units are
+    // counted although no ingress holds them, so a tenant would lose a lease with each such answer.
+    // The next total must grant them.
     let mut ingress = TestIngress::new(settings(), 4);
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, first) = ingress.counter_calls()[0];
@@ -13,7 +14,7 @@
     let (name, second) = ingress.counter_calls()[0];
     assert!(
         ingress.requests_sent().is_empty() && !ingress.is_rejected(id),
-        "pending: the next total comes at once"
+        "not pending while the next total is read"
     );
     ingress.answer_counter(name, Outcome::Ok, first + second);
     assert_eq!(ingress.requests_sent(), vec![id]);
@@ -25,16 +26,16 @@
 }
 
 #[test]
-fn a_late_total_grants_what_its_call_added() {
-    // A call to the counter times out, and its total comes after that. The units were added, so they must be granted.
-    // Under a ceiling, so that no even share admits anything.
+fn late_total_grants_the_units_of_its_call() {
+    // A counter call times out and its total arrives afterwards. The units were added, so they must
+    // be granted. A ceiling keeps the even share from admitting requests.
     let mut settings = settings();
     (
         settings.plans[1].ceiling_rate,
         settings.plans[1].ceiling_burst,
     ) = (20.0, 40.0);
     let mut ingress = TestIngress::just_started(settings, 4);
-    // The last window is read first, as it is under a ceiling.
+    // Under a ceiling, the total of the last window is read first.
     ingress.request(0, 1, 5, 1.0);
     let (name, _) = ingress.counter_calls()[0];
     ingress.answer_counter(name, Outcome::Ok, 0.0);
@@ -47,13 +48,18 @@
         amount,
         total: amount,
     });
-    assert_eq!(ingress.request_unit(5).len(), 1, "held locally");
+    assert_eq!(
+        ingress.request_unit(5).len(),
+        1,
+        "units are not held locally"
+    );
 }
 
 #[test]
-fn totals_that_go_back_are_not_granted_again() {
-    // The counter restarts empty within a window, so that its totals go back. What this ingress was granted in the
-    // window must not be granted again: each restart of the counter would be a new burst.
+fn counter_restart_does_not_grant_units_twice() {
+    // The counter restarts empty within a window, so its totals decrease. Units that this ingress
+    // was granted in the window must not be granted again, or each restart of the counter would
+    // allow another burst.
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let (mut name, mut amount) = ingress.counter_calls()[0];
@@ -74,6 +80,6 @@
     }
     assert!(
         admitted <= 31,
-        "{admitted} units at once from a burst of 20 and a share of 10"
+        "{admitted} units admitted with a burst of 20 and a share of 10"
     );
 }
--- a/tests/decision/main.rs
+++ b/tests/decision/main.rs
@@ -1,4 +1,4 @@
-//! The decision module event by event, a file a mechanism, without the simulator.
+//! Tests of the decision module without the simulator, one file for each mechanism.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -20,7 +20,8 @@
 use common::*;
 use driftgap::decision::*;
 
-/// An ingress that has learnt its threshold from answered requests, with nothing in flight.
+/// Returns an ingress that has determined its threshold from answered requests and has no attempts
+/// in flight.
 fn ingress_with_threshold(settings: Settings) -> TestIngress {
     let mut ingress = TestIngress::new(settings, 4);
     for _ in 0..30 {
@@ -29,6 +30,9 @@
         ingress.end_attempt(id, 0, Outcome::Ok);
     }
     ingress.tick(0.01);
-    assert!(ingress.engine.threshold() < 20.0, "bounded by what departs");
+    assert!(
+        ingress.engine.threshold() < 20.0,
+        "threshold not limited by departures"
+    );
     ingress
 }
--- a/tests/decision/outlier_ejection.rs
+++ b/tests/decision/outlier_ejection.rs
@@ -1,9 +1,9 @@
-//! Ejection of failing endpoints, and its bound.
+//! Ejection of failing endpoints, and the limit on ejected endpoints.
 
 use super::*;
 
 #[test]
-fn fast_errors_eject_an_endpoint_and_its_health_is_checked_later() {
+fn consecutive_errors_eject_endpoint_until_health_check() {
     let mut ingress = TestIngress::new(settings(), 4);
     for i in 0..40 {
         let id = ingress.request([0, 1, 3][i % 3], 0, 1, 1.0);
@@ -40,8 +40,9 @@
 }
 
 #[test]
-fn endpoints_that_all_fail_alike_are_not_ejected() {
-    // A fault behind the endpoints makes all of them fail. Ejecting them would reject what might still be served.
+fn endpoints_are_not_ejected_if_all_fail() {
+    // A fault behind the endpoints makes all of them fail. Ejecting them would reject requests that
+    // might still succeed.
     let mut ingress = TestIngress::new(settings(), 4);
     for _ in 0..60 {
         ingress.now += 0.01;
@@ -54,6 +55,6 @@
     assert_eq!(
         ingress.endpoints_sent_to(id).len(),
         1,
-        "something is still tried"
+        "no endpoint is tried"
     );
 }
--- a/tests/decision/quota.rs
+++ b/tests/decision/quota.rs
@@ -1,9 +1,9 @@
-//! Caps on attempts in flight.
+//! Limits on attempts in flight.
 
 use super::*;
 
 #[test]
-fn the_parts_of_a_cap_on_attempts_in_flight_sum_to_it() {
+fn attempt_limit_shares_sum_to_the_limit() {
     let mut admitted = 0;
     for position in 0..2 {
         let mut settings = settings();
--- a/tests/decision/quota_lease.rs
+++ b/tests/decision/quota_lease.rs
@@ -1,22 +1,26 @@
-//! Leases: what is asked for, what waits for it, and what is left over.
+//! Quota leases: the units that are requested, the requests that wait, and the units that remain.
 
 use super::*;
 
 #[test]
-fn one_counter_call_is_in_flight_and_a_flood_costs_none() {
+fn one_counter_call_in_flight_and_none_beyond_quota() {
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
     for _ in 0..20 {
         ingress.request(0, 1, 5, 1.0);
-        assert!(ingress.counter_calls().is_empty(), "a second add in flight");
+        assert!(
+            ingress.counter_calls().is_empty(),
+            "second counter call in flight"
+        );
     }
-    // The window is used up: the excess is trimmed once, then the flood is rejected without calls.
+    // The window is exhausted: the excess is trimmed once, then requests are rejected without
+    // calls.
     ingress.answer_counter(name, Outcome::Ok, 60.0);
     assert_eq!(
         ingress.counter_calls(),
         vec![(name, -amount)],
-        "trimmed by a negative add"
+        "excess not subtracted by one call"
     );
     ingress.answer_counter(name, Outcome::Ok, 60.0 - amount);
     let mut calls = 0;
@@ -29,12 +33,12 @@
 }
 
 #[test]
-fn a_request_waits_for_the_counter_and_is_admitted_or_rejected_by_its_answer() {
+fn counter_answer_admits_or_rejects_waiting_request() {
     let mut ingress = TestIngress::new(settings(), 4);
     let id = ingress.request(0, 1, 5, 1.0);
     assert!(
         ingress.requests_sent().is_empty() && !ingress.is_rejected(id),
-        "held"
+        "not waiting for the counter"
     );
     let (name, amount) = ingress.counter_calls()[0];
     ingress.answer_counter(name, Outcome::Ok, amount);
@@ -42,11 +46,14 @@
     let id = ingress.request(0, 1, 6, 1.0);
     let (name, _) = ingress.counter_calls()[0];
     ingress.answer_counter(name, Outcome::Ok, 60.0);
-    assert!(ingress.is_rejected(id), "the others used the window up");
+    assert!(
+        ingress.is_rejected(id),
+        "admitted although other ingresses have exhausted the window"
+    );
 }
 
 #[test]
-fn units_settled_later_are_taken_from_the_lease() {
+fn settled_units_are_taken_from_the_lease() {
     let mut settings = settings();
     settings.settles_units_later = true;
     let mut ingress = TestIngress::new(settings, 4);
@@ -66,14 +73,15 @@
     let asked: f64 = ingress.counter_calls().iter().map(|c| c.1).sum();
     assert!(
         asked >= 13.0,
-        "the next refill settles the guess, not {asked}"
+        "next refill does not include the settled units: {asked}"
     );
 }
 
 #[test]
-fn a_tenant_that_comes_now_and_then_has_no_lease_refilled_ahead() {
-    // A small bucket holds few requests. When each of a few ingresses leased one more ahead, most of the bucket was held
-    // where nobody asked for it, and the tenant was rejected within its quota.
+fn lease_of_infrequent_tenant_is_not_refilled_in_advance() {
+    // A small bucket holds few requests. If each of a few ingresses leased one more in advance,
+    // most of the bucket would be held by ingresses that do not use it, and the tenant would be
+    // rejected within its quota.
     let mut ingress = TestIngress::new(settings(), 4);
     ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
@@ -83,9 +91,10 @@
     assert_eq!(
         (ingress.request_unit(5).len(), ingress.counter_calls()),
         (1, vec![]),
-        "the lease's second half, and no call"
+        "second half of the lease not used, or a counter call made"
     );
-    // One that asks more in a lease's time than one request has its lease refilled before it is used up.
+    // A tenant whose demand during a lease exceeds one request has its lease refilled before it is
+    // exhausted.
     let (mut ahead, mut total) = (0, 0.0);
     for _ in 0..12 {
         let sent = ingress.request_unit(6).len();
@@ -94,25 +103,28 @@
             ingress.answer_counter(name, Outcome::Ok, total);
         }
     }
-    assert!(ahead > 0, "never refilled ahead");
+    assert!(ahead > 0, "lease never refilled in advance");
 }
 
 #[test]
-fn units_of_a_client_that_left_while_the_counter_was_asked_are_there_for_others() {
+fn units_of_disconnected_client_remain_for_other_requests() {
     let mut ingress = TestIngress::new(settings(), 4);
     let id = ingress.request(0, 1, 5, 2.0);
     let [(name, amount)] = ingress.counter_calls()[..] else {
-        panic!("the counter is asked once")
+        panic!("expected exactly one counter call")
     };
-    assert!(ingress.endpoints_sent_to(id).is_empty(), "it waits");
+    assert!(
+        ingress.endpoints_sent_to(id).is_empty(),
+        "sent before the counter answered"
+    );
     ingress.handle(Event::ClientGone { id });
     ingress.now += 0.01;
     ingress.answer_counter(name, Outcome::Ok, amount);
     assert!(
         ingress.endpoints_sent_to(id).is_empty(),
-        "nothing is begun for a client that has gone"
+        "attempt sent for a disconnected client"
     );
-    // All of the lease is left.
+    // The whole lease remains.
     let mut sent = 0.0;
     loop {
         let id = ingress.request(0, 1, 5, 2.0);
--- a/tests/decision/retry.rs
+++ b/tests/decision/retry.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn unsafe_requests_are_retried_only_after_proof_that_nothing_ran() {
+fn unsafe_request_is_retried_only_if_it_never_ran() {
     let mut ingress = TestIngress::new(settings(), 4);
     let id = ingress.request(2, 0, 1, 1.0);
     ingress.end_attempt(id, 0, Outcome::Rejected);
@@ -11,7 +11,7 @@
     ingress.end_attempt(id, 1, Outcome::Reset);
     assert!(
         ingress.endpoints_sent_to(id).is_empty() && ingress.is_failed(id),
-        "it may have run: failed, never rejected"
+        "may have run, so it must fail without a retry or rejection"
     );
 }
 
@@ -23,11 +23,11 @@
     ingress.now += 0.1;
     ingress.end_attempt(id, 0, Outcome::Error);
     let second = ingress.endpoints_sent_to(id)[0];
-    assert_eq!(first / 4, second / 4, "the same cell");
+    assert_eq!(first / 4, second / 4, "retried in another cell");
     ingress.now += 1.0;
     ingress.end_attempt(id, 1, Outcome::Error);
     assert!(
         ingress.endpoints_sent_to(id).is_empty() && ingress.is_failed(id),
-        "the window is over"
+        "retried after the idempotency window"
     );
 }
--- a/tests/decision/slow_start.rs
+++ b/tests/decision/slow_start.rs
@@ -1,9 +1,9 @@
-//! What an endpoint that is warming up is sent.
+//! Attempts that an endpoint gets while it is warming up.
 
 use super::*;
 
 #[test]
-fn an_endpoint_that_is_warming_up_is_given_little() {
+fn endpoint_that_is_warming_up_gets_few_attempts() {
     let mut settings = settings();
     settings.classes.truncate(1);
     let mut ingress = TestIngress::new(settings, 4);
@@ -34,7 +34,8 @@
         ingress.tick(0.0);
         sent_while_warming += usize::from((300..480).contains(&i) && to.contains(&1));
     }
-    // About 23 a second to a warm endpoint: half of three times a fifth to a third of 46 in 2 s.
+    // A warm endpoint gets about 23 attempts a second, 46 in 2 s. The budget is half of three times
+    // 20 to 33 % of that.
     assert!(
         (1..=25).contains(&sent_while_warming),
         "{sent_while_warming} attempts in the first 2 s"
--- a/tests/decision/tenant.rs
+++ b/tests/decision/tenant.rs
@@ -1,10 +1,11 @@
-//! Which tenants are remembered, and what an ingress that has just started does not know.
+//! Eviction of tenants, and the state of an ingress that has just started.
 
 use super::*;
 
 #[test]
 fn memory_is_bounded_under_a_flood_of_new_tenants() {
-    // A client sends every request under another tenant's id. What is remembered of tenants must not exhaust memory.
+    // A client sends every request under a new tenant id. The remembered tenants must not exhaust
+    // memory.
     let mut ingress = TestIngress::new(settings(), 2);
     for tenant in 0..60_000 {
         let id = ingress.request(0, 1, tenant, 1.0);
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn tenants_that_come_once_are_forgotten_when_their_bucket_is_full_again() {
+fn idle_tenants_are_evicted_when_bucket_is_full() {
     let mut ingress = TestIngress::new(settings(), 2);
     for tenant in 0..2000 {
         ingress.now += 0.05;
@@ -30,7 +31,7 @@
         ingress.end_attempt(id, 0, Outcome::Ok);
         ingress.tick(0.0);
     }
-    // Windows of 2 s, three of them, at 10 new tenants a second, and a second between two looks.
+    // Three windows of 2 s at 10 new tenants a second, with one second between two evictions.
     assert!(
         (60..=80).contains(&ingress.engine.tenants()),
         "{}",
@@ -39,9 +40,9 @@
 }
 
 #[test]
-fn an_ingress_that_restarts_gets_no_second_burst_under_a_ceiling() {
-    // An ingress restarts again and again while the counter is unavailable. Whatever it gave each time would add up
-    // beyond the ceiling, so it gives nothing at first.
+fn restarted_ingress_grants_no_units_under_a_ceiling() {
+    // An ingress restarts repeatedly while the counter is unavailable. Units granted after each
+    // restart would add up beyond the ceiling, so it must grant nothing at first.
     let mut settings = settings();
     (
         settings.plans[1].ceiling_rate,
@@ -49,7 +50,7 @@
     ) = (20.0, 40.0);
     let mut sent = 0;
     for _ in 0..2 {
-        // The counter is unavailable, and the ingress remembers nothing.
+        // The counter is unavailable, and the ingress has no state from before its restart.
         let mut ingress = TestIngress::just_started(settings.clone(), 4);
         for _ in 0..30 {
             ingress.request(0, 1, 5, 1.0);
@@ -60,18 +61,19 @@
             }
         }
     }
-    assert_eq!(sent, 0, "the reserve starts empty");
+    assert_eq!(sent, 0, "reserve not empty after the start");
 }
 
 #[test]
-fn an_ingress_that_has_just_started_reads_what_was_used_before_and_an_older_one_does_not() {
-    // An ingress forgets its tenants when it restarts. If it took their buckets to be full, each restart would give
-    // them a second burst; so it reads what the last window had used before it grants anything.
+fn only_new_ingress_reads_previous_total_before_granting() {
+    // An ingress loses its tenants when it restarts. If it assumed full buckets, each restart would
+    // grant them another burst, so it must read the total of the last window before it grants
+    // anything.
     let mut ingress = TestIngress::just_started(settings(), 4);
     ingress.now += 0.1;
     let id = ingress.request(0, 1, 5, 1.0);
     let (name, amount) = ingress.counter_calls()[0];
-    assert_eq!(amount, 0.0, "the last window's total");
+    assert_eq!(amount, 0.0, "the last total is not read first");
     ingress.answer_counter(name, Outcome::Ok, 60.0);
     let units_asked_for: f64 = ingress.counter_calls().iter().map(|c| c.1).sum();
     assert!(
@@ -83,6 +85,6 @@
     ingress.request(0, 1, 6, 1.0);
     assert!(
         ingress.counter_calls()[0].1 > 0.0,
-        "met long after the start: a lease at once"
+        "no lease requested immediately long after the start"
     );
 }
--- a/tests/decision_layout.rs
+++ b/tests/decision_layout.rs
@@ -1,11 +1,11 @@
-//! The decision folder stays readable: small files, short lines, each opened by what it is for.
+//! Limits on the files of the decision module: file length, line length, and a module comment.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines that are not blank, in one file of the decision folder.
+/// Largest number of non-blank lines in a file.
 const MAX_FILE_LINES: usize = 400;
-/// Characters of a line, comments included.
+/// Largest number of characters in a line, comments included.
 const MAX_LINE_CHARACTERS: usize = 110;
 
 fn decision_files() -> Vec<PathBuf> {
@@ -15,7 +15,7 @@
         .map(|entry| entry.unwrap().path())
         .filter(|path| path.extension().is_some_and(|extension| extension == "rs"))
         .collect();
-    assert!(files.len() > 3, "the folder was not found: {files:?}");
+    assert!(files.len() > 3, "src/decision has too few files: {files:?}");
     files
 }
 
@@ -26,7 +26,7 @@
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(
             lines <= MAX_FILE_LINES,
-            "{}: {lines} lines that are not blank",
+            "{}: {lines} non-blank lines",
             path.display()
         );
     }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_decision_file_opens_with_what_it_is_for() {
+fn decision_files_open_with_a_module_comment() {
     for path in decision_files() {
         let text = fs::read_to_string(&path).unwrap();
         assert!(
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Invariants over generated event sequences, with a fixed seed.
+//! Invariants that hold for generated event sequences, with a fixed seed.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-/// What happens next.
+/// A step of a generated event sequence.
 #[derive(Clone, Debug)]
 enum Step {
     Request {
@@ -16,12 +16,12 @@
         tenant: u64,
         units: u8,
     },
-    /// Ends one of the attempts in flight, by index, with one of [`OUTCOMES`].
+    /// Ends one of the attempts in flight, selected by index, with one of [`OUTCOMES`].
     EndAttempt {
         attempt: usize,
         outcome: usize,
     },
-    /// Makes an endpoint drain, or ready again.
+    /// Makes an endpoint drain or become ready again.
     Drain {
         endpoint: EndpointId,
         draining: bool,
@@ -48,14 +48,14 @@
     ]
 }
 
-struct SeenAttempt {
+struct ObservedAttempt {
     endpoint: EndpointId,
     sent_at: f64,
-    /// None while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
-impl SeenAttempt {
+impl ObservedAttempt {
     fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
@@ -65,10 +65,10 @@
 }
 
 #[derive(Default)]
-struct SeenRequest {
+struct ObservedRequest {
     class: usize,
     give_up: f64,
-    attempts: Vec<SeenAttempt>,
+    attempts: Vec<ObservedAttempt>,
     answers: u32,
 }
 
@@ -82,26 +82,26 @@
     Outcome::Cancelled,
 ];
 
-/// Classes of the settings in `common`.
+/// Class indexes of the settings in `common`.
 const KEYED_IN_CELL: usize = 1;
 const UNSAFE: usize = 2;
 const KEYED_EVERYWHERE: usize = 3;
-/// Their idempotency window, s.
+/// Idempotency window of the keyed classes, s.
 const IDEMPOTENCY_WINDOW: f64 = 1.0;
 
 #[derive(Default)]
-struct World {
-    requests: BTreeMap<RequestId, SeenRequest>,
-    /// When each is due, s, and its token.
+struct Environment {
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    /// Due time, s, and token of each timer.
     timers: Vec<(f64, u64)>,
-    /// Names and amounts of counter calls without an answer.
+    /// Names and amounts of unanswered counter calls.
     calls: Vec<(u64, f64)>,
     draining: Vec<EndpointId>,
 }
 
-impl World {
-    /// Carries out what the ingress asked for and checks it against the rules.
-    fn carry_out(&mut self, now: f64, actions: &[Action]) {
+impl Environment {
+    /// Executes the actions of the ingress and checks them against the invariants.
+    fn execute_actions(&mut self, now: f64, actions: &[Action]) {
         for action in actions {
             match *action {
                 Action::Send { id, endpoint, .. } => self.send(now, id, endpoint),
@@ -114,7 +114,7 @@
         }
         assert!(
             self.requests.values().all(|request| request.answers <= 1),
-            "answered twice"
+            "request answered twice"
         );
     }
 
@@ -126,19 +126,22 @@
         let request = self.requests.get_mut(&id).unwrap();
         assert_eq!(request.answers, 0, "sent after the final answer");
         for earlier in request.attempts.iter().filter(|a| a.may_have_run()) {
-            assert_ne!(request.class, UNSAFE, "unsafe, and may have run");
+            assert_ne!(
+                request.class, UNSAFE,
+                "unsafe request that may have run is retried"
+            );
             if matches!(request.class, KEYED_IN_CELL | KEYED_EVERYWHERE) {
                 assert!(
                     now - earlier.sent_at < IDEMPOTENCY_WINDOW,
-                    "keyed, and its window is over"
+                    "keyed request retried after its idempotency window"
                 );
                 assert!(
                     request.class == KEYED_EVERYWHERE || earlier.endpoint / 4 == endpoint / 4,
-                    "keyed, another cell"
+                    "keyed request retried in another cell"
                 );
             }
         }
-        request.attempts.push(SeenAttempt {
+        request.attempts.push(ObservedAttempt {
             endpoint,
             sent_at: now,
             outcome: None,
@@ -148,10 +151,10 @@
     fn reject(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id).unwrap();
         request.answers += 1;
-        let may_have_run = request.attempts.iter().any(SeenAttempt::may_have_run);
+        let may_have_run = request.attempts.iter().any(ObservedAttempt::may_have_run);
         assert!(
             !(may_have_run && matches!(request.class, KEYED_IN_CELL | UNSAFE)),
-            "rejected, and may have run"
+            "request that may have run is rejected"
         );
     }
 
@@ -173,14 +176,14 @@
 
     fn request(&mut self, ingress: &mut TestIngress, class: usize, tenant: u64, units: u8) {
         let id = self.requests.len() as RequestId + 1;
-        let request = SeenRequest {
+        let request = ObservedRequest {
             class,
             give_up: ingress.now + 2.0,
-            ..SeenRequest::default()
+            ..ObservedRequest::default()
         };
         self.requests.insert(id, request);
         assert_eq!(ingress.request(class, 1, tenant, f64::from(units)), id);
-        self.carry_out(ingress.now, &ingress.actions);
+        self.execute_actions(ingress.now, &ingress.actions);
     }
 
     fn end_attempt(&mut self, ingress: &mut TestIngress, index: usize, outcome: Outcome) {
@@ -195,10 +198,10 @@
             request.answers = 1;
         }
         ingress.end_attempt(id, number as u32, outcome);
-        self.carry_out(ingress.now, &ingress.actions);
+        self.execute_actions(ingress.now, &ingress.actions);
     }
 
-    /// Requests and numbers of their attempts.
+    /// Returns the request id and attempt number of each attempt in flight.
     fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let mut in_flight = Vec::new();
         for (id, request) in &self.requests {
@@ -222,17 +225,17 @@
             kind: ListKind::Delta,
             entries: vec![entry],
         });
-        self.carry_out(ingress.now, &ingress.actions);
+        self.execute_actions(ingress.now, &ingress.actions);
     }
 
     fn answer_counter(&mut self, ingress: &mut TestIngress, outcome: Outcome) {
         if let Some((name, amount)) = self.calls.pop() {
             ingress.answer_counter(name, outcome, amount);
-            self.carry_out(ingress.now, &ingress.actions);
+            self.execute_actions(ingress.now, &ingress.actions);
         }
     }
 
-    /// Lets time pass, with the timers that come due.
+    /// Advances time and fires the timers that become due.
     fn wait(&mut self, ingress: &mut TestIngress, seconds: f64) {
         let until = ingress.now + seconds;
         loop {
@@ -243,19 +246,22 @@
             let (due, token) = self.timers.remove(0);
             ingress.now = ingress.now.max(due);
             ingress.handle(Event::Timer { token });
-            self.carry_out(ingress.now, &ingress.actions);
+            self.execute_actions(ingress.now, &ingress.actions);
         }
         ingress.now = until;
     }
 
     fn check_answered_in_time(&self, now: f64) {
-        let answered = |request: &SeenRequest| request.answers == 1 || request.give_up > now;
-        assert!(self.requests.values().all(answered), "not answered in time");
+        let answered = |request: &ObservedRequest| request.answers == 1 || request.give_up > now;
+        assert!(
+            self.requests.values().all(answered),
+            "request not answered in time"
+        );
     }
 }
 
 #[test]
-fn one_answer_in_time_effects_and_drains_are_kept() {
+fn event_sequences_preserve_request_invariants() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -265,11 +271,11 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let result = runner.run(&proptest::collection::vec(step(), 1..200), |steps| {
         let mut ingress = TestIngress::new(settings(), 6);
-        let mut world = World::default();
-        world.carry_out(ingress.now, &ingress.actions);
+        let mut environment = Environment::default();
+        environment.execute_actions(ingress.now, &ingress.actions);
         for step in steps.into_iter().chain([Step::Wait { ms: 3000 }]) {
-            world.apply(&mut ingress, step);
-            world.check_answered_in_time(ingress.now);
+            environment.apply(&mut ingress, step);
+            environment.check_answered_in_time(ingress.now);
         }
         Ok(())
     });
