--- a/src/decision/attempt.rs
+++ b/src/decision/attempt.rs
@@ -77,7 +77,8 @@
         Some(attempt)
     }
 
-    /// Finishes an answered request, or retries or rejects one whose attempts have all ended.
+    /// Finishes an answered request. Retries an unanswered one whose attempts have all ended, or
+    /// answers it without success.
     fn finish_or_retry(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&end.id) else {
             return;
--- a/src/decision/counter_health.rs
+++ b/src/decision/counter_health.rs
@@ -25,7 +25,7 @@
 const CONGESTION_FALL: f64 = 0.06;
 /// Upper bound of congestion: some calls must continue in order to detect its end.
 const MAX_CONGESTION: f64 = 0.95;
-/// Factor on congestion for each second, so that it also ends when there are no calls.
+/// Factor by which congestion decays each second, so that it also ends when there are no calls.
 const CONGESTION_DECAY_PER_SECOND: f64 = 0.8;
 /// Share of the counter timeout from which a call counts as bad: later calls would time out.
 const SLOW_CALL_SHARE: f64 = 0.4;
--- a/src/decision/lease_window.rs
+++ b/src/decision/lease_window.rs
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Returns the window before that of `now` (s), with `units` both allowed and used, so that
-    /// nothing is assumed to be left of it.
-    pub(super) fn exhausted_before(now: f64, length: f64, units: f64) -> LeaseWindow {
+    /// Returns the window before that of `now` (s), as assumed until its total is read: `units`
+    /// were carried over into it and used.
+    pub(super) fn assumed_previous(now: f64, length: f64, units: f64) -> LeaseWindow {
         LeaseWindow {
             index: (now / length).floor() as i64 - 1,
             total_known: true,
--- a/src/decision/load_level.rs
+++ b/src/decision/load_level.rs
@@ -36,8 +36,8 @@
 /// Threshold (attempts) below which the mean count is sampled: single counts of 0 to 3 vary too
 /// much.
 const MEAN_BELOW_THRESHOLD: f64 = 4.0;
-/// Square roots of the threshold by which a single count must exceed it to be sampled in place of
-/// the mean: such an excess is not due to chance.
+/// Multiple of the threshold's square root by which a single count must exceed the threshold where
+/// the mean is sampled: a larger excess is not due to chance.
 const CERTAIN_EXCESS_ROOTS: f64 = 3.0;
 /// Shortest averaging period, s: a shorter one would follow single requests.
 const MIN_AVERAGING_PERIOD: f64 = 1.5;
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -184,7 +184,7 @@
 }
 
 impl DecisionEngine {
-    /// Takes a request's units from the tenant's lease, and calls for the next lease when it runs
+    /// Takes a request's units from the tenant's lease, and requests the next lease when it runs
     /// low.
     pub(super) fn take_from_lease(
         &mut self,
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -98,7 +98,7 @@
     pub load_report_fields: Vec<LoadReportField>,
     /// Whether load reports come only with health checks, not with answers.
     pub load_reports_by_health_check: bool,
-    /// Whether the endpoint list must be polled or subscribed to.
+    /// Whether the endpoint list must be requested (see [`super::Action::FollowEndpointList`]).
     pub endpoint_list_is_polled: bool,
     /// Whether health checks are allowed.
     pub health_checks_allowed: bool,
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -1,12 +1,12 @@
 //! The shared token bucket of a tenant with a small quota: a number on the counter holds its state.
 //!
 //! **Rule.** If an ingress's share of a burst is smaller than a request, leases and even shares
-//! would leave the quota in units too small to use. Each request is then checked at the counter on
-//! its own: one call takes its units, and the total shows whether the bucket held them. The
-//! bucket's deficit is the units taken since the epoch of the number began, minus the rate times
-//! the age of the epoch. Units that the bucket did not hold are returned with the next call. A
-//! number is valid for one epoch; the first ingress that calls in a new epoch carries over the
-//! deficit of the previous one.
+//! would divide the quota into portions that no request can use. Each request is then checked at
+//! the counter on its own: one call takes its units, and the total shows whether the bucket held
+//! them. The bucket's deficit is the units taken since the epoch of the number began, minus the
+//! rate times the age of the epoch. Units that the bucket did not hold are returned with the next
+//! call. A number is valid for one epoch; the first ingress that calls in a new epoch carries over
+//! the deficit of the previous one.
 //!
 //! **Inputs.** Units; totals; rate in units a second; ages in seconds; congestion of the counter (a
 //! fraction of its calls).
@@ -16,12 +16,11 @@
 //! While the counter is unavailable, an even share determines the probability.
 //!
 //! **Guards.**
-//! - A full bucket cannot take in more units: the ingress that detects such a surplus removes it,
-//!   and
-//!   reverses the same correction if another ingress has just made it.
+//! - A full bucket cannot take in more units: the ingress that detects such a surplus removes it.
+//!   If another ingress has just made the same correction, this ingress reverses its own.
 //! - Each rejected request costs a call, and a tenant far beyond its quota causes many: after a
-//!   rejection, no request of the tenant is checked until there can be units, and then only a
-//!   fraction is.
+//!   rejection, no request of the tenant is checked until the bucket can hold units again, and
+//!   then only a fraction of them.
 //! - If all ingresses moved to new numbers at once, they would congest the counter: epochs begin at
 //!   a different time for each tenant.
 //!
@@ -64,7 +63,7 @@
 
 /// Initial acceptance ratio: most requests are within their quota.
 const START_ACCEPTANCE: f64 = 0.9;
-/// Weight of the initial acceptance ratio: that of one answer.
+/// Initial weight: the initial acceptance ratio counts as much as two answers.
 const START_ACCEPTANCE_WEIGHT: f64 = 0.5;
 /// Smallest weight of an answer in an acceptance ratio: one of many ingresses gets few answers.
 const MIN_ACCEPTANCE_WEIGHT: f64 = 0.03;
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -12,8 +12,8 @@
 //! **Guards.** An endpoint fails if it is sent more than its capacity for a whole span, and in a
 //! rollout each new endpoint would fail in turn, hence the budget. All ingresses discover a new
 //! endpoint at the same time, hence slots at different times for each ingress, and only from the
-//! first complete span on. Known harm: while no endpoint has ever been warm, the mean rate of
-//! admitted requests per endpoint replaces the measured rate, which is only an estimate.
+//! first complete span on. Known harm: while no endpoint has ever been warm, the rate is only
+//! estimated, as the mean rate of admitted requests per endpoint.
 
 use super::endpoint::Endpoint;
 use super::engine::HOUSEKEEPING_PERIOD;
@@ -126,8 +126,7 @@
         let weight = self.weight(now, endpoint.started);
         let span = self.overload_tolerance.max(HOUSEKEEPING_PERIOD);
         let sent = endpoint.slow_start_attempts.count_since(now - span) as f64;
-        // Attempts in a span within the endpoint's capacity, and within the overload that it
-        // withstands.
+        // Attempts in a span at full capacity, and the budget derived from them.
         let capacity = weight * self.warm_rate * span;
         let budget = USED_OVERLOAD_FRACTION * self.overload_factor * capacity;
         if weight >= 1.0 || sent + 1.0 <= budget {
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -22,8 +22,9 @@
 const STARTUP_WINDOWS: f64 = 2.0;
 /// Windows after which an idle tenant is equivalent to a new one.
 const IDLE_WINDOWS: f64 = 3.0;
-/// Fraction of the burst that may be used before the last total is read.
-const UNREAD_BURST_FRACTION: f64 = 0.5;
+/// Fraction of the burst that an unread window before a tenant's first is assumed to have carried
+/// over and used.
+const ASSUMED_CARRY_OVER_FRACTION: f64 = 0.5;
 /// A tenant's bucket is shared on the counter if an ingress's share of the burst is less than this
 /// many mean requests: leases of one request at each ingress would be most of it.
 const SMALL_QUOTA_REQUESTS: f64 = 0.7;
@@ -179,10 +180,10 @@
         // total is read.
         let age = now - self.tenants_tracked_since;
         if plan.rate > 0.0 && age < STARTUP_WINDOWS * plan.lease_window() {
-            tenant.window = LeaseWindow::exhausted_before(
+            tenant.window = LeaseWindow::assumed_previous(
                 now,
                 plan.lease_window(),
-                UNREAD_BURST_FRACTION * plan.burst,
+                ASSUMED_CARRY_OVER_FRACTION * plan.burst,
             );
         }
         tenant
