--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -1,6 +1,6 @@
-//! A response body that is streamed: one ring buffer between the endpoint that sends it and the client that
-//! receives it. It never holds more than that buffer, knows neither side's wire, and lets neither side wait
-//! for the other once that one is gone.
+//! Streaming of a response body through a ring buffer, from the endpoint that sends it to the
+//! client that receives it. A stream uses no more memory than its buffer and is independent of the
+//! protocols on both sides. When one side is dropped, the other one stops waiting.
 
 use crate::buffer::ring_buffer::RingBuffer;
 use std::cell::{Cell, RefCell, RefMut};
@@ -8,23 +8,25 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Buffer of one streamed body, in bytes: enough that neither side waits for each read of the other.
+/// Buffer size of a streamed body, in bytes: large enough that neither side waits for every single
+/// read of the other.
 const BUFFER_BYTES: usize = 64 * 1024;
-/// Buffer of one streamed body where many are open, in bytes: they get slower, and none is refused.
+/// Buffer size of a streamed body when many streams are open, in bytes. Streams become slower, but
+/// none is refused.
 const SMALL_BUFFER_BYTES: usize = 16 * 1024;
 
 struct BodyStream {
-    /// How many streams are open, this one among them.
+    /// Number of open streams, this one included.
     open_streams: Rc<Cell<usize>>,
     buffer: RefCell<RingBuffer>,
     size: usize,
-    /// Bytes that the sender has not put in yet.
+    /// Bytes that the sender has not written yet.
     unsent: Cell<usize>,
-    sender_gone: Cell<bool>,
-    receiver_gone: Cell<bool>,
-    /// Bytes were put in, or the sender is gone.
+    sender_dropped: Cell<bool>,
+    receiver_dropped: Cell<bool>,
+    /// Notified when bytes are written or the sender is dropped.
     sent: Notify,
-    /// Bytes were taken out, or the receiver is gone.
+    /// Notified when bytes are consumed or the receiver is dropped.
     received: Notify,
 }
 
@@ -34,13 +36,16 @@
     }
 }
 
-/// The endpoint's end. Dropped before the body is complete, the body is broken off.
+/// The endpoint's side of a stream. Dropping the sender before the body is complete truncates the
+/// body.
 pub struct BodySender(Rc<BodyStream>);
 
-/// The client's end. Dropped, nobody wants the rest.
+/// The client's side of a stream. Dropping the receiver means that the rest of the body is not
+/// needed.
 pub struct BodyReceiver(Rc<BodyStream>);
 
-/// All streamed bodies and the memory for them. Guards memory against many clients that read slowly.
+/// All streamed bodies and their memory limit, which bounds the memory when many clients read
+/// slowly.
 #[derive(Debug)]
 pub struct BodyStreams {
     open_streams: Rc<Cell<usize>>,
@@ -48,7 +53,8 @@
 }
 
 impl BodyStreams {
-    /// None yet; where all buffers together would pass `max` bytes, further ones are small.
+    /// Creates a set without streams. Once all buffers together would exceed `max` bytes, new
+    /// streams get small buffers.
     pub fn new(max: usize) -> BodyStreams {
         BodyStreams {
             open_streams: Rc::default(),
@@ -70,8 +76,8 @@
             buffer: RingBuffer::fixed(buffer_bytes.min(size)).into(),
             size,
             unsent: Cell::new(size),
-            sender_gone: Cell::new(false),
-            receiver_gone: Cell::new(false),
+            sender_dropped: Cell::new(false),
+            receiver_dropped: Cell::new(false),
             sent: Notify::new(),
             received: Notify::new(),
         });
@@ -80,29 +86,29 @@
 }
 
 impl BodySender {
-    /// Bytes of the body that have not been put in yet.
+    /// Bytes of the body that have not been written yet.
     pub fn unsent_bytes(&self) -> usize {
         self.0.unsent.get()
     }
 
-    /// Whether the receiver is gone: nobody wants the rest.
-    pub fn is_receiver_gone(&self) -> bool {
-        self.0.receiver_gone.get()
+    /// Whether the receiver has been dropped, so that the rest of the body is not needed.
+    pub fn is_receiver_dropped(&self) -> bool {
+        self.0.receiver_dropped.get()
     }
 
-    /// Puts in what `read` writes to the free part of the buffer, no more than the body's rest; none: the
-    /// buffer is full.
+    /// Lets `read` fill the free part of the buffer, at most up to the end of the body. Returns
+    /// none if the buffer is full.
     ///
     /// # Errors
-    /// Those of `read`.
+    /// Returns the errors of `read`.
     pub fn write_with<E>(
         &self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
     ) -> Option<Result<usize, E>> {
         let mut buffer = self.0.buffer.borrow_mut();
-        let spare = buffer.free_slice().ok()?;
-        let max = spare.len().min(self.0.unsent.get());
-        let read = read(&mut spare[..max]);
+        let free = buffer.free_slice().ok()?;
+        let max = free.len().min(self.0.unsent.get());
+        let read = read(&mut free[..max]);
         if let Ok(n) = read {
             buffer.commit(n);
             self.0.unsent.set(self.0.unsent.get() - n);
@@ -113,13 +119,13 @@
         Some(read)
     }
 
-    /// Puts in bytes; how many there was room for.
+    /// Writes as many of the bytes as the buffer has space for, and returns their number.
     pub fn write(&self, bytes: &[u8]) -> usize {
         let mut done = 0;
         while done < bytes.len() && self.unsent_bytes() > 0 {
-            let copy = |room: &mut [u8]| {
-                let n = room.len().min(bytes.len() - done);
-                room[..n].copy_from_slice(&bytes[done..done + n]);
+            let copy = |free: &mut [u8]| {
+                let n = free.len().min(bytes.len() - done);
+                free[..n].copy_from_slice(&bytes[done..done + n]);
                 Ok::<_, std::convert::Infallible>(n)
             };
             match self.write_with(copy) {
@@ -130,52 +136,52 @@
         done
     }
 
-    /// Waits until there is room in the buffer, or the receiver is gone.
-    pub async fn wait_for_room(&self) {
+    /// Waits until the buffer has space or the receiver is dropped.
+    pub async fn wait_for_space(&self) {
         self.0.received.notified().await;
     }
 }
 
 impl Drop for BodySender {
     fn drop(&mut self) {
-        self.0.sender_gone.set(true);
+        self.0.sender_dropped.set(true);
         self.0.sent.notify_one();
     }
 }
 
 impl BodyReceiver {
-    /// Bytes of the complete body.
+    /// Size of the complete body, in bytes.
     pub fn size(&self) -> usize {
         self.0.size
     }
 
-    /// What can be taken out now; to be followed by [`BodyReceiver::consume`].
+    /// The bytes that can be read now. Call [`BodyReceiver::consume`] after reading them.
     pub fn buffer(&self) -> RefMut<'_, RingBuffer> {
         self.0.buffer.borrow_mut()
     }
 
-    /// Notes that so many bytes of [`BodyReceiver::buffer`] were taken.
+    /// Removes `n` bytes that were read from [`BodyReceiver::buffer`].
     pub fn consume(&self, n: usize) {
         self.0.buffer.borrow_mut().consume(n);
         self.0.received.notify_one();
     }
 
-    /// Whether all of it has been taken out.
+    /// Whether the complete body has been consumed.
     pub fn is_complete(&self) -> bool {
         self.0.unsent.get() == 0 && self.is_empty()
     }
 
-    /// Whether it is broken off: the sender is gone, and the body will never be complete.
+    /// Whether the sender was dropped before the body was complete.
     pub fn is_broken_off(&self) -> bool {
-        self.0.sender_gone.get() && self.0.unsent.get() > 0
+        self.0.sender_dropped.get() && self.0.unsent.get() > 0
     }
 
-    /// Whether nothing can be taken out until more has come.
+    /// Whether no bytes can be read at present.
     pub fn is_empty(&self) -> bool {
         self.0.buffer.borrow().is_empty()
     }
 
-    /// Waits until more has come, or the sender is gone.
+    /// Waits until more bytes arrive or the sender is dropped.
     pub async fn wait_for_bytes(&self) {
         self.0.sent.notified().await;
     }
@@ -183,7 +189,7 @@
 
 impl Drop for BodyReceiver {
     fn drop(&mut self) {
-        self.0.receiver_gone.set(true);
+        self.0.receiver_dropped.set(true);
         self.0.received.notify_one();
     }
 }
@@ -199,7 +205,7 @@
     }
 }
 
-/// Two are equal only if they are ends of the same stream.
+/// Two receivers are equal only if they belong to the same stream.
 impl PartialEq for BodyReceiver {
     fn eq(&self, other: &BodyReceiver) -> bool {
         Rc::ptr_eq(&self.0, &other.0)
--- a/src/buffer/body_stream/tests.rs
+++ b/src/buffer/body_stream/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A body of a megabyte is streamed to a client that reads in small pieces. All bytes must come out in order,
-/// and no more than the buffer's size may wait in memory.
+/// A body of a megabyte is streamed to a client that reads in small pieces. All bytes must arrive
+/// in order, and the stream must never hold more than its buffer's size.
 #[test]
-fn a_value_goes_through_a_ring_far_smaller_than_itself() {
+fn body_larger_than_the_buffer_arrives_in_order() {
     let value: Vec<u8> = (0..1_000_000u32).map(|i| (i % 251) as u8).collect();
     let streams = BodyStreams::new(1_000_000);
     let (sender, receiver) = streams.open(value.len());
@@ -20,19 +20,16 @@
     assert!(receiver.is_complete() && !receiver.is_broken_off());
 }
 
-/// A client closes its connection in the middle of a body, or an endpoint does. The other side must learn of
-/// it, or it would wait for good, and a body that is broken off must not be taken for a complete one.
+/// A client closes its connection in the middle of a body, or an endpoint does. If the other side
+/// did not notice, it would wait forever; and a truncated body must not be taken for a complete
+/// one.
 #[test]
-fn either_side_learns_that_the_other_is_gone() {
+fn each_side_detects_that_the_other_was_dropped() {
     let streams = BodyStreams::new(0);
     let (sender, receiver) = streams.open(10);
-    assert_eq!(
-        sender.write(b"abcdefghijkl"),
-        10,
-        "nothing beyond the value"
-    );
+    assert_eq!(sender.write(b"abcdefghijkl"), 10, "nothing beyond the body");
     drop(receiver);
-    assert!(sender.is_receiver_gone());
+    assert!(sender.is_receiver_dropped());
     drop(sender);
     let (sender, receiver) = streams.open(10);
     sender.write(b"abc");
--- a/src/buffer/mod.rs
+++ b/src/buffer/mod.rs
@@ -1,5 +1,5 @@
-//! Bounded memory between two sockets: the bytes of one direction of a connection (`ring_buffer`), and a
-//! response body on its way from an endpoint to a client (`body_stream`).
+//! Bounded buffers between sockets: the bytes of one direction of a connection (`ring_buffer`), and
+//! a response body that is streamed from an endpoint to a client (`body_stream`).
 
 pub mod body_stream;
 pub mod ring_buffer;
--- a/src/buffer/ring_buffer.rs
+++ b/src/buffer/ring_buffer.rs
@@ -1,34 +1,35 @@
-//! The byte buffer of one direction of one connection. Its memory is small at first, doubled as needed up to
-//! a cap, and given back when it is empty after a large message. It never grows past its cap, never blocks,
-//! and does not know what the bytes mean.
+//! The byte buffer for one direction of one connection. Its memory starts small, doubles as needed
+//! up to a cap, and is released when the buffer becomes empty after a large message. The buffer
+//! never exceeds its cap, never blocks, and does not interpret the bytes.
 
-/// Size of a ring buffer at its first byte: most requests fit.
+/// Memory of a ring buffer when its first byte arrives, in bytes: most requests fit.
 const INITIAL_BYTES: usize = 1024;
-/// An empty ring buffer above this size gives its memory back: one large message must not cost its connection
-/// that much for good.
-const MAX_EMPTY_BYTES: usize = 16 * 1024;
+/// An empty ring buffer above this size, in bytes, releases its memory: one large message must not
+/// occupy that memory for the lifetime of its connection.
+const MAX_RETAINED_BYTES: usize = 16 * 1024;
 
-/// The ring buffer is at its cap.
+/// The ring buffer has reached its cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the connection's buffer is full")]
 pub struct RingBufferFull;
 
-/// A ring buffer.
+/// A ring buffer of bytes with a cap on its size.
 #[derive(Debug, Default)]
 pub struct RingBuffer {
     bytes: Vec<u8>,
-    /// Where the first byte is.
+    /// Position of the first byte.
     head: usize,
-    /// Bytes held.
+    /// Number of bytes in the buffer.
     len: usize,
-    /// Most bytes that it holds.
+    /// Largest number of bytes that the buffer may hold.
     cap: usize,
-    /// It has the size of its cap from the first byte on, and keeps it: for a stream of bytes.
+    /// Whether the buffer allocates its cap at the first byte and keeps that memory, as a stream of
+    /// bytes needs.
     fixed: bool,
 }
 
 impl RingBuffer {
-    /// An empty ring buffer that never holds more than `cap` bytes, and one at the least.
+    /// Creates an empty ring buffer that holds at most `cap` bytes. A `cap` of 0 is raised to 1.
     pub fn new(cap: usize) -> RingBuffer {
         RingBuffer {
             cap: cap.max(1),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// An empty ring buffer that is as large as `cap` bytes once it is used, and stays so.
+    /// Creates an empty ring buffer that allocates `cap` bytes at first use and keeps them.
     pub fn fixed(cap: usize) -> RingBuffer {
         RingBuffer {
             fixed: true,
@@ -44,17 +45,17 @@
         }
     }
 
-    /// Bytes held.
+    /// Number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is held.
+    /// Whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Makes its memory hold `min_bytes` at the least.
+    /// Grows the memory to at least `min_bytes`.
     fn grow(&mut self, min_bytes: usize) -> Result<(), RingBufferFull> {
         if min_bytes > self.cap {
             return Err(RingBufferFull);
@@ -62,18 +63,19 @@
         if min_bytes <= self.bytes.len() {
             return Ok(());
         }
-        // The bytes must lie in one piece before the memory is lengthened behind them.
+        // The bytes must be contiguous before the memory is extended at its end.
         self.contiguous();
-        let wanted = if self.fixed { self.cap } else { min_bytes };
-        let size = wanted.max(INITIAL_BYTES).next_power_of_two();
+        let required_bytes = if self.fixed { self.cap } else { min_bytes };
+        let size = required_bytes.max(INITIAL_BYTES).next_power_of_two();
         self.bytes.resize(size.min(self.cap), 0);
         Ok(())
     }
 
-    /// Room to read into, in one piece; hand what was filled to [`RingBuffer::commit`].
+    /// Returns contiguous free memory to read into. Report the bytes that were filled to
+    /// [`RingBuffer::commit`].
     ///
     /// # Errors
-    /// The ring buffer is full at its cap.
+    /// The buffer has reached its cap.
     pub fn free_slice(&mut self) -> Result<&mut [u8], RingBufferFull> {
         if self.len == self.bytes.len() {
             self.grow(self.len + 1)?;
@@ -84,28 +86,28 @@
         Ok(&mut self.bytes[tail..end])
     }
 
-    /// Takes in `n` bytes that were written to [`RingBuffer::free_slice`].
+    /// Adds `n` bytes that were written to [`RingBuffer::free_slice`].
     pub fn commit(&mut self, n: usize) {
         self.len = (self.len + n).min(self.bytes.len());
     }
 
-    /// Appends bytes.
+    /// Appends bytes, all or none.
     ///
     /// # Errors
-    /// They would take the ring buffer past its cap; nothing was appended.
+    /// The bytes would exceed the cap; none was appended.
     pub fn push(&mut self, mut bytes: &[u8]) -> Result<(), RingBufferFull> {
         self.grow(self.len + bytes.len())?;
         while !bytes.is_empty() {
-            let spare = self.free_slice()?;
-            let n = spare.len().min(bytes.len());
-            spare[..n].copy_from_slice(&bytes[..n]);
+            let free = self.free_slice()?;
+            let n = free.len().min(bytes.len());
+            free[..n].copy_from_slice(&bytes[..n]);
             self.commit(n);
             bytes = &bytes[n..];
         }
         Ok(())
     }
 
-    /// All bytes in one piece.
+    /// Returns all bytes as one slice, moving them if they wrap around the end of the memory.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -114,18 +116,18 @@
         &self.bytes[self.head..self.head + self.len]
     }
 
-    /// The first bytes, as many as lie in one piece.
+    /// Returns the first bytes, up to the end of the contiguous part.
     pub fn first_slice(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Drops the first `n` bytes.
+    /// Removes the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
         if self.len == 0 {
             self.head = 0;
-            if self.bytes.len() > MAX_EMPTY_BYTES && !self.fixed {
+            if self.bytes.len() > MAX_RETAINED_BYTES && !self.fixed {
                 self.bytes = Vec::new();
             }
         } else {
--- a/src/buffer/ring_buffer/tests.rs
+++ b/src/buffer/ring_buffer/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-/// Messages of changing length pass through a ring buffer, so that they wrap around its end at ever new
-/// places. No byte may be lost or swapped there, and a peer that sends without end must find the buffer full
-/// at its cap.
+/// Messages of varying length pass through a ring buffer, so that they wrap around its end at
+/// different positions. No byte may be lost or reordered there, and a peer that sends without end
+/// must find the buffer full at its cap.
 #[test]
-fn bytes_come_out_in_order_across_the_seam_and_the_cap_holds() {
+fn bytes_stay_in_order_across_wraparound_and_the_cap_holds() {
     let mut ring = RingBuffer::new(4096);
-    let mut expect = 0u8;
+    let mut next_expected = 0u8;
     let mut next = 0u8;
     for round in 0..500 {
         let bytes: Vec<u8> = (0..37 + round % 5)
@@ -18,8 +18,8 @@
             let got = ring.contiguous()[..850].to_vec();
             ring.consume(850);
             for b in got {
-                assert_eq!(b, expect);
-                expect = expect.wrapping_add(1);
+                assert_eq!(b, next_expected);
+                next_expected = next_expected.wrapping_add(1);
             }
         }
     }
--- a/src/request/action.rs
+++ b/src/request/action.rs
@@ -1,22 +1,23 @@
-//! What the request table wants done.
+//! Actions that the request table asks its caller to carry out.
 
 use crate::decision::driver::{CounterAdd, EndpointId, RequestId};
 use crate::request::{AttemptStart, FinalAnswer};
 
-/// Work for whoever drives the request table, to be done in order.
+/// Work that the caller of the request table carries out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Give a client its answer.
+    /// Sends the final answer to a client.
     Reply(RequestId, FinalAnswer),
-    /// Start an attempt.
+    /// Starts an attempt.
     StartAttempt(AttemptStart),
-    /// Abandon the attempt of this number: its connection or stream must be closed before anything else is done, so
-    /// that it cannot run beside a later attempt of the same request.
+    /// Abandons the attempt with this number. Its connection or stream must be closed before any
+    /// later action is carried out, so that the attempt cannot overlap with a later attempt of the
+    /// same request.
     AbandonAttempt(RequestId, u32),
-    /// Send an endpoint a health check, which brings its load report.
+    /// Sends a health check to an endpoint, which answers with its load report.
     Probe(EndpointId),
-    /// Add to a number on the counter.
+    /// Adds an amount to a value of the shared counter.
     AddToCounter(CounterAdd),
-    /// Close the idle connections to an endpoint that is draining or removed.
+    /// Closes the idle connections to an endpoint that is draining or removed.
     ReleaseEndpoint(EndpointId),
 }
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,30 +1,30 @@
-//! The one final answer to a request.
+//! Final answers to requests.
 
 use crate::buffer::body_stream::BodyReceiver;
 use std::rc::Rc;
 
-/// The response body that an endpoint gave.
+/// The body of an endpoint's response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Complete(Vec<u8>),
-    /// It is large, and is forwarded while it comes.
+    /// A large body, which is forwarded to the client while it arrives.
     Streaming(Rc<BodyReceiver>),
 }
 
-/// The one final answer.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    /// Served, with the response body that an endpoint gave.
+    /// The request was served, with this response body.
     Served(ResponseBody),
-    /// Rejected: no attempt can have had an effect, so coming again does no harm.
+    /// The request was rejected. No attempt can have had an effect, so the client may safely retry.
     Rejected {
-        /// Retry-After, ms; 0: none is given.
+        /// Retry-After in ms; 0 if none is given.
         retry_after_ms: f64,
     },
-    /// Failed: an endpoint failed it, or there was no time left.
+    /// The request failed at an endpoint, or its deadline passed.
     Failed {
-        /// There was no time left; no endpoint failed it.
+        /// The deadline passed without an endpoint failing the request.
         late: bool,
     },
 }
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,22 +1,23 @@
-//! Attempts as the network sees them: what is to be sent where, and how it ended.
+//! Attempts as the network code handles them: the request and endpoint of each attempt, and its
+//! result.
 
 use crate::decision::driver::{EndpointId, RequestId};
 use crate::decision::Outcome;
 use crate::request::{ClientRequest, ResponseBody};
 use std::rc::Rc;
 
-/// An attempt to make.
+/// An attempt to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptStart {
-    /// Its request's number.
+    /// The id of the request.
     pub request_id: RequestId,
-    /// Its own number among the request's attempts, from 0.
+    /// The number of this attempt among the attempts of the request, from 0.
     pub attempt: u32,
-    /// The endpoint to send it to.
+    /// The endpoint that receives the request.
     pub endpoint: EndpointId,
     /// The request to send.
     pub request: Rc<ClientRequest>,
-    /// Its deadline, ms on the ingress's clock.
+    /// The deadline of the attempt, ms on the ingress's clock.
     pub deadline_ms: f64,
 }
 
@@ -27,9 +28,10 @@
     pub outcome: Outcome,
     /// The response body, if the request was served.
     pub body: Option<ResponseBody>,
-    /// The endpoint's load report in the order of the settings' columns; empty: none came.
+    /// The endpoint's load report, in the order of the settings' columns; empty if there was none.
     pub load_report: Vec<f64>,
-    /// The true units, where answers settle them and this one named them.
+    /// The request's actual units, if the settings settle units from answers and this answer gave
+    /// them.
     pub settled_units: Option<f64>,
 }
 
@@ -45,9 +47,10 @@
     }
 }
 
-/// Whether an attempt that ended so may have run at an endpoint. Nothing can have run only where the endpoint
-/// rejected the request unseen, where there was no connection to send it by, and where it was not sent at
-/// all. An error, a lost connection, a timeout and a cancellation prove nothing: the request was on its way.
+/// Whether an attempt with this outcome may have run at an endpoint. The request cannot have run
+/// only if the endpoint rejected it without processing it, if no connection was established, or if
+/// it was not sent. An error, a lost connection, a timeout or a cancellation proves nothing, since
+/// the request was sent.
 pub(super) fn may_have_run(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent => false,
--- a/src/request/attempt_deadlines.rs
+++ b/src/request/attempt_deadlines.rs
@@ -1,18 +1,20 @@
-//! The deadlines of attempts, earliest first. A deadline stays queued when its attempt ends, and is skipped
-//! when it is met: removing it at once would cost a search for each attempt.
+//! Deadlines of attempts, earliest first. A deadline stays queued when its attempt ends and is
+//! skipped when it comes due: removing it earlier would need a search of the queue for each
+//! attempt.
 
 use crate::decision::driver::RequestId;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Microseconds in a millisecond: deadlines are queued as whole microseconds, which have an order.
+/// Microseconds in a millisecond. Deadlines are queued as whole microseconds because floats have no
+/// total order.
 const US_PER_MS: f64 = 1e3;
 
-/// The deadline of one attempt. Ordered by time, then by request and attempt.
+/// The deadline of one attempt. Deadlines are ordered by time, then by request and attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptDeadline {
     due_us: u64,
-    /// The request.
+    /// The id of the request.
     pub(super) request: RequestId,
     /// The attempt's number among the request's attempts.
     pub(super) attempt: u32,
@@ -24,7 +26,7 @@
     }
 }
 
-/// All deadlines of attempts.
+/// The queued deadlines of all attempts.
 #[derive(Default)]
 pub(super) struct AttemptDeadlines {
     queue: BinaryHeap<Reverse<AttemptDeadline>>,
@@ -49,8 +51,8 @@
         self.queue.pop().map(|Reverse(deadline)| deadline)
     }
 
-    /// The time of the earliest deadline whose attempt is still running, ms. Earlier ones are dropped: each
-    /// would cost a wake-up for nothing.
+    /// Returns the time of the earliest deadline whose attempt is still running, ms. Drops earlier
+    /// deadlines, since each would cause a needless wake-up.
     pub(super) fn next_due_ms(
         &mut self,
         is_running: impl Fn(AttemptDeadline) -> bool,
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -1,4 +1,5 @@
-//! A client's request, free of any wire: its parts, the bounds on them, and which values are refused and why.
+//! A client's request, independent of the protocol: its fields, their bounds, and the validation of
+//! its values.
 
 use crate::config::settings::Platform;
 use crate::decision::driver::RequestAttributes;
@@ -6,22 +7,22 @@
 use crate::protocol::wire_names;
 use crate::request::terms::Terms;
 
-/// Longest id, in bytes: it is kept and forwarded with every attempt.
+/// Longest request id, in bytes. The id is stored and forwarded with every attempt.
 const MAX_ID_BYTES: usize = 128;
-/// Longest list of names and values, in bytes.
+/// Longest list of terms, in bytes.
 const MAX_TERMS_BYTES: usize = 1024;
-/// Longest idempotency key, in bytes: endpoints keep it for as long as they know repeats.
+/// Longest idempotency key, in bytes. Endpoints store the key for the whole idempotency window.
 const MAX_KEY_BYTES: usize = 64;
-/// Digits of a tenant's id, which is written in hexadecimal.
+/// Digits of a tenant id, which is written in hexadecimal.
 const TENANT_ID_DIGITS: usize = 16;
-/// Tenants' ids are numbers below this.
-const TENANT_IDS: u64 = 1 << 33;
-/// Longest timeout that a client may name, ms: one hour.
+/// Tenant ids are numbers below this.
+const TENANT_ID_LIMIT: u64 = 1 << 33;
+/// Longest timeout that a client may request, ms (one hour).
 pub(crate) const MAX_CLIENT_TIMEOUT_MS: f64 = 3.6e6;
-/// Memory that a request takes beside its body, in bytes: its terms, its attempts and the places that refer to it.
+/// Estimated memory of a request apart from its body, in bytes: terms, attempts and table entries.
 const REQUEST_OVERHEAD_BYTES: usize = 512;
 
-/// Terms that may be given once only.
+/// Terms that may occur only once.
 const UNIQUE_TERMS: [&str; 8] = [
     wire_names::CLASS,
     wire_names::PLAN,
@@ -33,45 +34,45 @@
     wire_names::FIRST_INGRESS,
 ];
 
-/// What a client asks for, free of any wire.
+/// A client's request, independent of the protocol that carried it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// What decisions rest on: class, plan, tenant, units.
+    /// The inputs of decisions: class, plan, tenant, units and others.
     pub attributes: RequestAttributes,
-    /// The tenant as the client wrote it.
+    /// The tenant id as the client wrote it.
     pub tenant: String,
-    /// The request's id as the client wrote it.
+    /// The request id as the client wrote it.
     pub id: String,
-    /// Names and values in the client's order, class, plan and timeout among them: `c=...,t=...`
-    /// (see [`wire_names`]).
+    /// The terms in the client's order, class, plan and timeout included: `c=...,t=...` (see
+    /// [`wire_names`]).
     pub terms: String,
-    /// How long the client waits, ms, counted from its send.
+    /// The client's timeout, ms, counted from the time when it sent the request.
     pub client_timeout_ms: f64,
     /// The body, if there is one.
     pub body: Option<Vec<u8>>,
-    /// Notes of the operator's plug-in and rules, forwarded to the endpoint: names and values.
+    /// Names and values added by the operator's plug-in and rules, forwarded to the endpoint.
     pub notes: Vec<(String, String)>,
 }
 
-/// Why a request cannot be taken. It gets a failed answer.
+/// The reason why a request is invalid. The client gets a failed answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A value that is missing or invalid, by its name on the wire.
+    /// A missing or invalid value, identified by its name on the wire.
     #[error("bad {0}")]
     Term(&'static str),
-    /// A class that the settings do not name.
+    /// A class that the settings do not define.
     #[error("unknown class")]
     Class,
-    /// A plan that the settings do not name.
+    /// A plan that the settings do not define.
     #[error("unknown plan")]
     Plan,
 }
 
 impl ClientRequest {
-    /// Builds a request from the names and values that every wire carries in one form or another.
+    /// Builds a request from the fields that every protocol carries in its own form.
     ///
     /// # Errors
-    /// The first invalid value.
+    /// Returns the first invalid value.
     pub fn new(
         platform: &Platform,
         tenant: &str,
@@ -79,7 +80,7 @@
         terms: String,
         body: Option<Vec<u8>>,
     ) -> Result<ClientRequest, InvalidRequest> {
-        let list = readable_terms(id, &terms)?;
+        let list = parse_terms(id, &terms)?;
         let attributes = attributes(platform, tenant, &list)?;
         let client_timeout_ms =
             list.number(wire_names::CLIENT_TIMEOUT_MS, MAX_CLIENT_TIMEOUT_MS)?;
@@ -101,17 +102,17 @@
         Ok(request)
     }
 
-    /// Gives it its body, where that comes later than its head.
+    /// Sets the body, for protocols in which it arrives after the head.
     ///
     /// # Errors
-    /// A body that its class does not have.
+    /// The class of the request does not permit this body.
     pub fn take_body(
         &mut self,
         platform: &Platform,
         body: Option<Vec<u8>>,
     ) -> Result<(), InvalidRequest> {
-        // Guards the endpoints' grammar, which closes the connection otherwise: a safe request never has a body, any
-        // other one never lacks it.
+        // An endpoint closes its connection on a malformed request: a safe request must not have a
+        // body, and any other request must have one, even if it is empty.
         let safe =
             platform.decision.classes[self.attributes.class].idempotency == Idempotency::Safe;
         self.body = match (safe, body) {
@@ -124,29 +125,30 @@
         Ok(())
     }
 
-    /// Memory that it takes, in bytes, roughly.
+    /// Approximate memory that the request takes, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         REQUEST_OVERHEAD_BYTES + self.body.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// Guards the connections to endpoints: an endpoint closes its connection on what it cannot read, whatever other
-/// requests wait there. Only requests that are readable throughout are forwarded.
-fn readable_terms<'a>(id: &str, terms: &'a str) -> Result<Terms<'a>, InvalidRequest> {
-    let readable = |text: &str, max_bytes| {
+/// Checks that the id and the terms are printable ASCII within their bounds, and splits the terms.
+/// An endpoint closes its connection on a request that it cannot parse, which would also fail other
+/// requests waiting on that connection.
+fn parse_terms<'a>(id: &str, terms: &'a str) -> Result<Terms<'a>, InvalidRequest> {
+    let is_printable = |text: &str, max_bytes| {
         text.len() <= max_bytes && text.bytes().all(|b| b.is_ascii_graphic())
     };
-    if !readable(terms, MAX_TERMS_BYTES) {
+    if !is_printable(terms, MAX_TERMS_BYTES) {
         return Err(InvalidRequest::Term(wire_names::TERMS));
     }
     let list = Terms::parse(terms).ok_or(InvalidRequest::Term(wire_names::TERMS))?;
-    if id.is_empty() || !readable(id, MAX_ID_BYTES) {
+    if id.is_empty() || !is_printable(id, MAX_ID_BYTES) {
         return Err(InvalidRequest::Term(wire_names::REQUEST_ID));
     }
     Ok(list)
 }
 
-/// What decisions rest on, from the tenant's id and the terms.
+/// Builds the inputs of decisions from the tenant id and the terms.
 fn attributes(
     platform: &Platform,
     tenant: &str,
@@ -172,14 +174,16 @@
 }
 
 fn tenant_id(text: &str) -> Option<u64> {
-    // The parser takes a sign, which no endpoint does.
-    let digits = text.len() == TENANT_ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
+    // `from_str_radix` accepts a sign, which endpoints do not.
+    let is_hexadecimal =
+        text.len() == TENANT_ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     u64::from_str_radix(text, 16)
         .ok()
-        .filter(|id| digits && *id < TENANT_IDS)
+        .filter(|id| is_hexadecimal && *id < TENANT_ID_LIMIT)
 }
 
-/// Guards quotas: one request with a million units in a tenant's name would use up all that the tenant has.
+/// Bounds the units of one request: a single request with a million units would exhaust its
+/// tenant's quota.
 fn units(terms: &Terms<'_>, max_units: f64) -> Result<f64, InvalidRequest> {
     let units = terms.number(wire_names::UNITS, max_units)?;
     if units > 0.0 {
@@ -197,8 +201,8 @@
     }
 }
 
-/// Guards against duplicate execution: what endpoints cannot know again by its key must not be repeated, so a
-/// request of a keyed class without a key is not taken at all.
+/// Rejects a request of a keyed class without a usable key. Endpoints recognize repeats only by the
+/// key, so a retry of such a request could run twice.
 fn check_idempotency_key(
     idempotency: Idempotency,
     key: Option<&str>,
@@ -210,8 +214,8 @@
     Ok(())
 }
 
-/// Guards the quota: where a term stands twice, an endpoint could read other units or another class than this
-/// ingress did.
+/// Rejects repeated terms: given two values, an endpoint could use other units or another class
+/// than this ingress did.
 fn check_unique_terms(terms: &Terms<'_>) -> Result<(), InvalidRequest> {
     if UNIQUE_TERMS.iter().any(|name| terms.count(name) > 1) {
         return Err(InvalidRequest::Term(wire_names::TERMS));
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -1,7 +1,7 @@
-//! One request in flight, its attempts, and the rules on repeating it.
+//! A request in flight, its attempts, and the rules for sending it again.
 //!
-//! A request may be sent again, and its client may be asked to retry, only where that can do no harm. What that
-//! means depends on the idempotency of its class:
+//! A request may be sent again, and its client may be asked to retry, only if the request cannot
+//! run twice with an effect. The conditions depend on the idempotency of the request's class:
 //!
 //! | class | sent again by this ingress | client asked to retry |
 //! | --- | --- | --- |
@@ -9,14 +9,16 @@
 //! | keyed | if the next endpoint discards it as a repeat of each attempt that may have run | if none may have run |
 //! | unsafe | if no attempt may have run | if none may have run |
 //!
-//! An endpoint discards a keyed request as a repeat if it shares its keys with the endpoint of the earlier attempt
-//! (the class's deduplication scope), and gets the request within the class's idempotency window.
+//! An endpoint discards a keyed request as a repeat if it shares idempotency keys with the endpoint
+//! of the earlier attempt (the class's deduplication scope) and receives the request within the
+//! class's idempotency window.
 //!
-//! The decision module keeps to the same rule when it chooses (`decision::retry`); here it holds whatever that asks for.
-//! The margins differ: this guard adds the time in which a connection may come up.
+//! The decision module applies the same rule when it chooses a retry (`decision::retry`); this
+//! module enforces the rule whatever the decision module asks for. The margins differ: this check
+//! adds the time that establishing a connection may take.
 //!
-//! An attempt may have run from the moment that it is sent until its outcome proves that it did not
-//! (`attempt::may_have_run`).
+//! An attempt counts as one that may have run from the moment it is sent until its outcome proves
+//! that it did not (`attempt::may_have_run`).
 
 use crate::decision::{Class, DeduplicationScope, Idempotency, Outcome};
 use crate::request::attempt::may_have_run;
@@ -24,17 +26,18 @@
 use crate::units::MS_PER_S;
 use std::rc::Rc;
 
-/// Where an endpoint stands.
+/// The location of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Location {
-    /// Its zone.
+    /// The endpoint's zone.
     pub(super) zone: u32,
-    /// Its cell.
+    /// The endpoint's cell.
     pub(super) cell: u32,
 }
 
 impl Location {
-    /// Whether an endpoint here knows the keys that one at `other` has seen.
+    /// Whether an endpoint here recognizes idempotency keys that an endpoint at `other` has
+    /// received.
     fn shares_keys_with(self, other: Location, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -46,11 +49,12 @@
 
 /// An attempt that is about to be sent.
 pub(super) struct NextAttempt {
-    /// The time, ms on the ingress's clock.
+    /// The current time, ms on the ingress's clock.
     pub(super) now_ms: f64,
-    /// Where its endpoint stands.
+    /// The location of the attempt's endpoint.
     pub(super) location: Location,
-    /// How long its connection may take to come up, ms: it may be written that much later.
+    /// How long establishing the connection may take, ms: the request may be written that much
+    /// later.
     pub(super) connect_timeout_ms: f64,
 }
 
@@ -59,46 +63,47 @@
     running: bool,
     may_have_run: bool,
     sent_ms: f64,
-    /// Where its endpoint stood when it was sent.
+    /// The location of the endpoint when the attempt was sent.
     location: Location,
 }
 
-/// One request in flight.
+/// A request in flight and its attempts.
 pub(super) struct InFlightRequest {
     pub(super) request: Rc<ClientRequest>,
-    /// When its client's timeout ends, ms on the ingress's clock.
-    pub(super) give_up_ms: f64,
+    /// The earlier of the client's timeout and the class's deadline, ms on the ingress's clock.
+    pub(super) request_deadline_ms: f64,
     answered: bool,
     attempts: Vec<Attempt>,
 }
 
 impl InFlightRequest {
-    /// A request without attempts.
-    pub(super) fn new(request: Rc<ClientRequest>, give_up_ms: f64) -> InFlightRequest {
+    /// Creates an entry without attempts.
+    pub(super) fn new(request: Rc<ClientRequest>, request_deadline_ms: f64) -> InFlightRequest {
         InFlightRequest {
             request,
-            give_up_ms,
+            request_deadline_ms,
             answered: false,
             attempts: Vec::new(),
         }
     }
 
-    /// Whether its client has had its answer, or has gone.
+    /// Whether the client has been answered or has disconnected.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// Notes that its client has had its answer, or has gone.
+    /// Records that the client has been answered or has disconnected.
     pub(super) fn mark_answered(&mut self) {
         self.answered = true;
     }
 
-    /// Whether nothing is owed any more: it is answered, and no attempt is running.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the request is answered and none of its attempts is running.
+    pub(super) fn is_finished(&self) -> bool {
         self.answered && !self.has_running_attempt()
     }
 
-    /// How many attempts it has had, those that were not sent among them; the number of the next one.
+    /// The number of attempts so far, those that were not sent included; also the number of the
+    /// next attempt.
     pub(super) fn attempts(&self) -> u32 {
         self.attempts.len() as u32
     }
@@ -108,7 +113,7 @@
         self.attempts.iter().any(|attempt| attempt.running)
     }
 
-    /// Whether the attempt of this number is running.
+    /// Whether the attempt with this number is running.
     pub(super) fn is_running(&self, number: u32) -> bool {
         self.attempts
             .get(number as usize)
@@ -124,7 +129,7 @@
             .collect()
     }
 
-    /// Notes an attempt that is sent now.
+    /// Records an attempt that is sent now.
     pub(super) fn add_sent_attempt(&mut self, now_ms: f64, location: Location) {
         self.attempts.push(Attempt {
             running: true,
@@ -134,7 +139,7 @@
         });
     }
 
-    /// Notes an attempt that was asked for and is not sent.
+    /// Records an attempt that was requested but is not sent.
     pub(super) fn add_unsent_attempt(&mut self, now_ms: f64) {
         self.attempts.push(Attempt {
             running: false,
@@ -144,7 +149,7 @@
         });
     }
 
-    /// Notes the end of a running attempt; false: it was not running.
+    /// Records the end of a running attempt. Returns false if the attempt was not running.
     pub(super) fn end_attempt(&mut self, number: u32, outcome: Outcome) -> bool {
         let attempt = self
             .attempts
@@ -158,13 +163,15 @@
         true
     }
 
-    /// Whether asking the client to retry can do no harm. Its next request may come through another ingress,
-    /// which knows of no attempt made here: so neither a key nor the attempts' endpoints help.
+    /// Whether the client may be asked to retry without a risk of running the request twice. The
+    /// client's next request may arrive at another ingress, which has no record of the attempts
+    /// made here, so neither a key nor the location of the attempts' endpoints makes a retry safe.
     pub(super) fn client_may_retry(&self, class: &Class) -> bool {
         class.idempotency == Idempotency::Safe || self.attempts_that_may_have_run().next().is_none()
     }
 
-    /// Whether sending it once more can do no harm; see the module's table.
+    /// Whether the request may be sent again without a risk of running it twice; see the table
+    /// above.
     pub(super) fn may_be_sent_again(&self, class: &Class, next: &NextAttempt) -> bool {
         match class.idempotency {
             Idempotency::Safe => true,
@@ -180,13 +187,14 @@
     }
 }
 
-/// Whether the next attempt's endpoint discards the request by its key, if the earlier attempt has run.
+/// Whether the endpoint of the next attempt would discard the request by its key, if the earlier
+/// attempt has run.
 fn is_discarded_as_repeat(class: &Class, earlier: &Attempt, next: &NextAttempt) -> bool {
-    let knows_key = next
+    let shares_keys = next
         .location
         .shares_keys_with(earlier.location, class.deduplication_scope);
     let written_by_ms = next.now_ms - earlier.sent_ms + next.connect_timeout_ms;
-    knows_key && written_by_ms < MS_PER_S * class.idempotency_window
+    shares_keys && written_by_ms < MS_PER_S * class.idempotency_window
 }
 
 #[cfg(test)]
--- a/src/request/in_flight/tests.rs
+++ b/src/request/in_flight/tests.rs
@@ -2,7 +2,7 @@
 use crate::decision::driver::RequestAttributes;
 use crate::decision::ALL_ENDPOINTS;
 
-/// How long the endpoints of a keyed class know a key, s.
+/// Idempotency window of the keyed class, s.
 const WINDOW_S: f64 = 2.0;
 const CONNECT_TIMEOUT_MS: f64 = 100.0;
 
@@ -44,8 +44,8 @@
     InFlightRequest::new(Rc::new(request), 10_000.0)
 }
 
-/// A request whose one attempt went out at time 0 and ended so.
-fn after(outcome: Outcome) -> InFlightRequest {
+/// A request with one attempt, sent at time 0, that ended with this outcome.
+fn request_after(outcome: Outcome) -> InFlightRequest {
     let mut request = request();
     request.add_sent_attempt(0.0, HERE);
     assert!(request.end_attempt(0, outcome));
@@ -60,15 +60,15 @@
     }
 }
 
-/// An attempt ends in each way that there is. Where it may have run, a request with an effect must neither be
-/// sent again nor its client be asked to retry: the effect would be there twice.
+/// Checks every outcome of an attempt. If the attempt may have run, an unsafe request must neither
+/// be sent again nor its client be asked to retry, since the request would take effect twice.
 #[test]
-fn only_outcomes_that_prove_that_nothing_ran_allow_an_unsafe_request_to_be_repeated() {
+fn unsafe_request_is_repeatable_only_if_no_attempt_ran() {
     use Outcome::*;
     let unsafe_class = class(Idempotency::Unsafe, DeduplicationScope::All);
     let safe_class = class(Idempotency::Safe, DeduplicationScope::All);
     let next = next(50.0, HERE);
-    for (outcome, harmless) in [
+    for (outcome, retry_is_safe) in [
         (Ok, false),
         (Error, false),
         (Rejected, true),
@@ -78,18 +78,22 @@
         (Cancelled, false),
         (NotSent, true),
     ] {
-        let request = after(outcome);
+        let request = request_after(outcome);
         let repeated = request.may_be_sent_again(&unsafe_class, &next);
         let asked = request.client_may_retry(&unsafe_class);
-        assert_eq!((repeated, asked), (harmless, harmless), "{outcome:?}");
+        assert_eq!(
+            (repeated, asked),
+            (retry_is_safe, retry_is_safe),
+            "{outcome:?}"
+        );
         let repeated = request.may_be_sent_again(&safe_class, &next);
         let asked = request.client_may_retry(&safe_class);
         assert_eq!((repeated, asked), (true, true), "{outcome:?}, safe");
     }
 }
 
-/// An attempt is still running when the next one is asked for. It may run at any moment, so it counts as one
-/// that has.
+/// An attempt is still running when the next one is requested. The running attempt may run at any
+/// moment, so it counts as one that may have run.
 #[test]
 fn a_running_attempt_may_have_run() {
     let unsafe_class = class(Idempotency::Unsafe, DeduplicationScope::All);
@@ -107,12 +111,13 @@
     assert!(request.may_be_sent_again(&unsafe_class, &next(1.0, HERE)));
 }
 
-/// A keyed request's first attempt is lost. An endpoint outside the scope does not know its key, and none
-/// knows it once the window is over; both would run the request a second time.
+/// The first attempt of a keyed request loses its connection. An endpoint outside the deduplication
+/// scope does not have the key, and no endpoint has it after the idempotency window: either would
+/// run the request a second time.
 #[test]
-fn a_keyed_request_is_repeated_within_its_scope_and_window_only() {
+fn keyed_request_is_repeatable_only_within_scope_and_window() {
     use DeduplicationScope::*;
-    let request = after(Outcome::Reset);
+    let request = request_after(Outcome::Reset);
     for (scope, here, other_cell, other_zone) in [
         (All, true, true, true),
         (Zone, true, true, false),
@@ -123,7 +128,7 @@
             .map(|location| request.may_be_sent_again(&keyed, &next(50.0, location)));
         assert_eq!(allowed, [here, other_cell, other_zone], "{scope:?}");
     }
-    // The connection may come up that much later, and the request be written only then.
+    // The connection may take up to the connect timeout, and the request is written only then.
     let last_ms = 1e3 * WINDOW_S - CONNECT_TIMEOUT_MS;
     let keyed = class(Idempotency::Keyed, All);
     let allowed = [last_ms - 1.0, last_ms]
@@ -131,6 +136,6 @@
     assert_eq!(allowed, [true, false]);
     assert!(
         !request.client_may_retry(&keyed),
-        "another ingress knows of no attempt"
+        "another ingress has no record of the attempt"
     );
 }
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,23 +1,28 @@
-//! The life of requests, whatever wire they came by: every request from its arrival to its one final answer, the
-//! attempts made for it, their deadlines, and the answers given before the process ends.
+//! The life cycle of requests, independent of the protocol: each request from its arrival to its
+//! final answer, the attempts made for it, their deadlines, and the answers given at shutdown.
 //!
-//! [`RequestTable`] takes events and a time, and yields [`Action`]s. It never reads or writes a socket, knows neither
-//! RESP nor HTTP, never asks the system for the time, and decides nothing about whom to serve: that is the decision
-//! module's, behind its driver. Whatever that module asks for, the table guards these rules:
+//! [`RequestTable`] takes events with a time and yields [`Action`]s. The table does no I/O, has no
+//! knowledge of RESP or HTTP, and never reads the system clock. Admission and endpoint selection
+//! belong to the decision module, behind its driver. The table enforces these rules whatever the
+//! decision module asks for:
 //!
 //! - a request gets one final answer;
-//! - a request is sent again, or its client asked to retry, only where that can do no harm (`in_flight`);
-//! - nothing new goes to an endpoint that is draining or removed (`ready_endpoints`).
+//! - a request is sent again, or its client asked to retry, only if it cannot run twice with an
+//!   effect (`in_flight`);
+//! - no new request is sent to an endpoint that is draining or removed (`ready_endpoints`).
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `client_request`, `terms` | a client's request, the bounds on it, and what is refused |
-//! | `request_table` | the state machine; `verdicts` and `attempts` within it carry out what was decided |
-//! | `in_flight` | one request and its attempts: whether it may be sent again, or its client asked to retry |
-//! | `attempt`, `answer`, `action` | attempts, final answers, and all that the table wants done |
-//! | `attempt_deadlines`, `ready_endpoints`, `request_counts` | what the table keeps beside the requests |
+//! | `client_request`, `terms` | a client's request, its bounds, and its validation |
+//! | `request_table` | the state machine; its `verdicts` and `attempts` carry out decisions |
+//! | `in_flight` | one request and its attempts: whether it may be sent again or its client may
+//! retry |
+//! | `attempt`, `answer`, `action` | attempts, final answers, and the actions that the table asks
+//! for |
+//! | `attempt_deadlines`, `ready_endpoints`, `request_counts` | other state of the table |
 //!
-//! Times are ms on the ingress's clock (Unix time at start, monotonic from there) unless a name says otherwise.
+//! Times are in ms on the ingress's clock (Unix time at start, monotonic from there) unless a name
+//! says otherwise.
 
 mod action;
 mod answer;
--- a/src/request/ready_endpoints.rs
+++ b/src/request/ready_endpoints.rs
@@ -1,5 +1,6 @@
-//! The endpoints that may be sent requests, as the endpoint registry has them. Requests go to no others, whatever the
-//! decision module asks for: it may not have heard of the last update.
+//! The endpoints that may receive requests, according to the endpoint registry. Requests are sent
+//! to no others, even if the decision module asks for it: the module may not have processed the
+//! last update yet.
 
 use crate::decision::driver::EndpointId;
 use crate::decision::{EndpointEntry, EndpointState, ListKind};
@@ -11,26 +12,27 @@
     location: Location,
 }
 
-/// The endpoints that are ready.
+/// The ready endpoints and their locations.
 #[derive(Default)]
 pub(super) struct ReadyEndpoints {
-    /// All are ready between two updates.
+    /// Endpoints that are not ready are removed at the end of each update.
     endpoints: BTreeMap<EndpointId, ListedEndpoint>,
 }
 
 impl ReadyEndpoints {
-    /// Where this endpoint stands; none: it is not ready.
+    /// Returns the location of an endpoint, or none if it is not ready.
     pub(super) fn location(&self, endpoint: EndpointId) -> Option<Location> {
         self.endpoints.get(&endpoint).map(|listed| listed.location)
     }
 
-    /// How many are ready.
+    /// Number of ready endpoints.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Takes an update of the endpoint registry; which endpoints are not ready by it. A list of another kind than
-    /// [`ListKind::Delta`] is of all endpoints: those that it does not name are removed.
+    /// Applies an update of the endpoint registry, and returns the endpoints that it made not
+    /// ready. A list of a kind other than [`ListKind::Delta`] is complete: endpoints that it does
+    /// not name are removed.
     pub(super) fn update(&mut self, kind: ListKind, entries: &[EndpointEntry]) -> Vec<EndpointId> {
         if kind != ListKind::Delta {
             for listed in self.endpoints.values_mut() {
--- a/src/request/request_table.rs
+++ b/src/request/request_table.rs
@@ -1,5 +1,5 @@
-//! The state machine of all requests: events and a time go in, [`Action`]s come out. What the decision module
-//! makes of them is carried out in `verdicts`, attempts are sent and ended in `attempts`.
+//! The state machine of all requests: events with a time go in, [`Action`]s come out. The submodule
+//! `verdicts` carries out decisions, `attempts` sends and ends attempts.
 
 mod attempts;
 mod verdicts;
@@ -15,10 +15,11 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Retry-After of a request for which there is no memory, ms: until then requests in flight have ended.
+/// Retry-After of a request that is rejected for lack of memory, ms: by then, some requests in
+/// flight have ended.
 const NO_MEMORY_RETRY_AFTER_MS: f64 = 500.0;
 
-/// All requests of this ingress, from their arrival to the end of their last attempt.
+/// All requests of this ingress, from arrival to the end of the last attempt.
 pub struct RequestTable {
     platform: Rc<Platform>,
     driver: DecisionDriver,
@@ -27,16 +28,16 @@
     ready: ReadyEndpoints,
     actions: VecDeque<Action>,
     next_id: RequestId,
-    /// Memory that the requests in flight take.
+    /// Memory that the requests in flight take, in bytes.
     bytes: usize,
     max_bytes: usize,
-    /// Requests that are still owed an answer.
+    /// Requests without an answer.
     unanswered: usize,
     counts: RequestCounts,
 }
 
 impl RequestTable {
-    /// No requests yet. `max_bytes` bounds the memory that requests in flight may take.
+    /// Creates a table without requests. `max_bytes` bounds the memory of the requests in flight.
     pub fn new(platform: Rc<Platform>, driver: DecisionDriver, max_bytes: usize) -> RequestTable {
         RequestTable {
             platform,
@@ -53,38 +54,41 @@
         }
     }
 
-    /// Takes a request that was read at `now_ms`; its one answer comes as [`Action::Reply`].
+    /// Accepts a request that was read at `now_ms`. Its final answer follows as [`Action::Reply`].
     pub fn request_arrived(&mut self, now_ms: f64, request: ClientRequest) -> RequestId {
-        let id = self.take_id();
+        let id = self.allocate_id();
         if !self.has_memory_for(&request) {
-            self.reject_untried(id, NO_MEMORY_RETRY_AFTER_MS);
+            self.reject_unforwarded(id, NO_MEMORY_RETRY_AFTER_MS);
             return id;
         }
-        // Guards memory: timers live until the deadline, which a client could put an hour away.
+        // Bounds memory: timers live until the deadline, and a client may ask for a timeout of an
+        // hour.
         let class_deadline_ms = MS_PER_S * self.class(&request).deadline;
-        let give_up_ms = now_ms + request.client_timeout_ms.min(class_deadline_ms);
+        let request_deadline_ms = now_ms + request.client_timeout_ms.min(class_deadline_ms);
         self.bytes += request.memory_bytes();
         let request = Rc::new(request);
-        self.in_flight
-            .insert(id, InFlightRequest::new(request.clone(), give_up_ms));
+        self.in_flight.insert(
+            id,
+            InFlightRequest::new(request.clone(), request_deadline_ms),
+        );
         self.unanswered += 1;
         let verdict = self
             .driver
-            .decide(now_ms, id, &request.attributes, give_up_ms);
-        self.carry_out(now_ms, id, verdict);
-        self.settle(now_ms);
+            .decide(now_ms, id, &request.attributes, request_deadline_ms);
+        self.carry_out_verdict(now_ms, id, verdict);
+        self.carry_out_pending(now_ms);
         id
     }
 
-    /// Rejects a request before any decision, as the operator's rules or plug-in say; its answer comes as for
-    /// any other.
+    /// Rejects a request before any decision, as the operator's rules or plug-in require. The
+    /// answer follows as [`Action::Reply`].
     pub fn reject(&mut self, retry_after_ms: f64) -> RequestId {
-        let id = self.take_id();
-        self.reject_untried(id, retry_after_ms);
+        let id = self.allocate_id();
+        self.reject_unforwarded(id, retry_after_ms);
         id
     }
 
-    /// The client has gone: nothing is owed, and its attempts are abandoned.
+    /// Handles a client's disconnect: the request gets no answer, and its attempts are abandoned.
     pub fn client_gone(&mut self, now_ms: f64, id: RequestId) {
         let Some(entry) = self.in_flight.get_mut(&id).filter(|e| !e.is_answered()) else {
             return;
@@ -97,12 +101,12 @@
         for attempt in running {
             self.abandon(now_ms, id, attempt, Outcome::Cancelled);
         }
-        self.remove_if_over(id);
-        self.settle(now_ms);
+        self.remove_if_finished(id);
+        self.carry_out_pending(now_ms);
     }
 
-    /// The process ends before the deadlines of its requests: each gets its final answer now, a rejection with this
-    /// Retry-After where coming again does no harm.
+    /// Answers every request now, because the process ends before their deadlines. Requests that
+    /// cannot run twice with an effect are rejected with this Retry-After, the others fail.
     pub fn answer_all_now(&mut self, now_ms: f64, retry_after_ms: f64) {
         let mut ids: Vec<RequestId> = self
             .in_flight
@@ -112,18 +116,18 @@
             .collect();
         ids.sort_unstable();
         for id in ids {
-            self.give_up_request(now_ms, id, retry_after_ms);
+            self.answer_at_shutdown(now_ms, id, retry_after_ms);
         }
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    fn give_up_request(&mut self, now_ms: f64, id: RequestId, retry_after_ms: f64) {
+    fn answer_at_shutdown(&mut self, now_ms: f64, id: RequestId, retry_after_ms: f64) {
         let Some(entry) = self.in_flight.get(&id) else {
             return;
         };
         let running = entry.running_attempts();
         let answer = self.rejection(id, retry_after_ms, true);
-        // For the decision module it is as if the client had gone: it asks for no retry.
+        // The decision module must not retry: to it, the client has disconnected.
         self.driver.observe(now_ms, Observation::ClientGone(id));
         self.finish(id, answer);
         for attempt in running {
@@ -131,7 +135,7 @@
         }
     }
 
-    /// An attempt has ended by itself.
+    /// Handles the end of an attempt that was not abandoned.
     pub fn attempt_ended(
         &mut self,
         now_ms: f64,
@@ -140,10 +144,10 @@
         result: AttemptResult,
     ) {
         self.end_attempt(now_ms, id, attempt, result);
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    /// A counter call has ended; `total` counts if the outcome is [`Outcome::Ok`].
+    /// Handles the end of a counter call. `total` is valid only if the outcome is [`Outcome::Ok`].
     pub fn counter_answered(&mut self, now_ms: f64, name: u64, outcome: Outcome, total: f64) {
         self.driver.observe(
             now_ms,
@@ -153,10 +157,10 @@
                 total,
             },
         );
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    /// The total of a counter call that had timed out has come after all.
+    /// Handles the total of a counter call that arrived after the call had timed out.
     pub fn counter_answered_late(&mut self, now_ms: f64, add: CounterAdd, total: f64) {
         self.driver.observe(
             now_ms,
@@ -166,10 +170,11 @@
                 total,
             },
         );
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    /// A health check has ended, with the load report that it brought; empty: none.
+    /// Handles the end of a health check. `load` is the endpoint's load report, empty if there was
+    /// none.
     pub fn health_check_ended(
         &mut self,
         now_ms: f64,
@@ -185,37 +190,38 @@
                 load_report: load,
             },
         );
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    /// The endpoint registry has an update.
+    /// Applies an update of the endpoint registry.
     pub fn update_endpoints(&mut self, now_ms: f64, kind: ListKind, entries: Vec<EndpointEntry>) {
         let not_ready = self.ready.update(kind, &entries);
         self.actions
             .extend(not_ready.into_iter().map(Action::ReleaseEndpoint));
         self.driver
             .observe(now_ms, Observation::EndpointList(kind, entries));
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
     }
 
-    /// Lets timers and deadlines come due.
+    /// Runs the timers and deadlines that are due.
     pub fn tick(&mut self, now_ms: f64) {
         self.driver.tick(now_ms);
-        self.settle(now_ms);
+        self.carry_out_pending(now_ms);
         while let Some(deadline) = self.deadlines.pop_due(now_ms) {
             if self.is_running(deadline.request, deadline.attempt) {
                 self.abandon(now_ms, deadline.request, deadline.attempt, Outcome::Timeout);
-                self.settle(now_ms);
+                self.carry_out_pending(now_ms);
             }
         }
     }
 
-    /// Whether an endpoint may be sent requests now.
+    /// Whether requests may be sent to this endpoint now.
     pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
         self.ready.location(endpoint).is_some()
     }
 
-    /// When [`RequestTable::tick`] must be called at the latest, ms; none: not before the next event.
+    /// The latest time at which [`RequestTable::tick`] must be called, ms; none if no timer is
+    /// pending.
     pub fn next_due_ms(&mut self) -> Option<f64> {
         let in_flight = &self.in_flight;
         let deadline = self.deadlines.next_due_ms(|deadline| {
@@ -234,30 +240,30 @@
         self.actions.pop_front()
     }
 
-    /// Requests that are still owed an answer.
+    /// Number of requests without an answer.
     pub fn unanswered(&self) -> usize {
         self.unanswered
     }
 
-    /// Counts since the start.
+    /// Counts since the start of the process.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
-    /// How many endpoints may be sent requests.
+    /// Number of endpoints that may receive requests.
     pub fn ready_endpoints(&self) -> usize {
         self.ready.len()
     }
 
-    fn take_id(&mut self) -> RequestId {
+    fn allocate_id(&mut self) -> RequestId {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1).max(1);
         self.counts.received += 1;
         id
     }
 
-    /// Guards memory against more requests than the process can hold. Nothing has been forwarded by then, so
-    /// rejecting the request does no harm, whatever its class.
+    /// Bounds the number and the memory of requests in flight. This check precedes any forwarding,
+    /// so the request can be rejected safely, whatever its class.
     fn has_memory_for(&self, request: &ClientRequest) -> bool {
         self.in_flight.len() < self.platform.max_in_flight_requests
             && self.bytes + request.memory_bytes() <= self.max_bytes
--- a/src/request/request_table/attempts.rs
+++ b/src/request/request_table/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests: when one may be sent, and what follows when it ends.
+//! Sending attempts and handling their ends.
 
 use super::RequestTable;
 use crate::decision::driver::{AttemptReport, EndpointId, Observation, RequestId};
@@ -7,7 +7,8 @@
 use crate::request::{Action, AttemptResult, AttemptStart, FinalAnswer};
 
 impl RequestTable {
-    /// Sends an attempt that lasts `timeout_ms` at most; 0: until the client gives up.
+    /// Sends an attempt that lasts at most `timeout_ms`; 0 means until the request's
+    /// deadline.
     pub(super) fn send(
         &mut self,
         now_ms: f64,
@@ -15,7 +16,7 @@
         endpoint: EndpointId,
         timeout_ms: f64,
     ) {
-        let location = self.sendable_to(now_ms, id, endpoint);
+        let location = self.allowed_location(now_ms, id, endpoint);
         let Some(entry) = self.in_flight.get_mut(&id) else {
             return;
         };
@@ -27,28 +28,33 @@
             return self.report_attempt(now_ms, id, attempt, finished, result);
         };
         entry.add_sent_attempt(now_ms, location);
-        let until = if timeout_ms > 0.0 {
-            entry.give_up_ms.min(now_ms + timeout_ms)
+        let attempt_deadline_ms = if timeout_ms > 0.0 {
+            entry.request_deadline_ms.min(now_ms + timeout_ms)
         } else {
-            entry.give_up_ms
+            entry.request_deadline_ms
         };
         let request = entry.request.clone();
         self.counts.attempts += 1;
-        self.deadlines.push(until, id, attempt);
+        self.deadlines.push(attempt_deadline_ms, id, attempt);
         self.actions.push_back(Action::StartAttempt(AttemptStart {
             request_id: id,
             attempt,
             endpoint,
             request,
-            deadline_ms: until,
+            deadline_ms: attempt_deadline_ms,
         }));
     }
 
-    /// Where the endpoint stands, if the request may be sent to it now. Guards these rules whatever the
-    /// decision module asks for: nothing to an endpoint that is draining or removed, two running attempts
-    /// only where the settings allow hedged requests, no more attempts than the settings allow, and no repeat
-    /// that can do harm.
-    fn sendable_to(&self, now_ms: f64, id: RequestId, endpoint: EndpointId) -> Option<Location> {
+    /// Returns the endpoint's location if the request may be sent to it now. Enforces these rules
+    /// whatever the decision module asks for: no request to an endpoint that is draining or
+    /// removed, two running attempts only if the settings allow hedged requests, no more attempts
+    /// than the settings allow, and no attempt by which the request could run twice with an effect.
+    fn allowed_location(
+        &self,
+        now_ms: f64,
+        id: RequestId,
+        endpoint: EndpointId,
+    ) -> Option<Location> {
         let entry = self.in_flight.get(&id)?;
         let settings = &self.platform.decision;
         let location = self.ready.location(endpoint)?;
@@ -61,7 +67,7 @@
             && (settings.hedging || !entry.has_running_attempt())
             && entry.may_be_sent_again(self.class(&entry.request), &next)
             && entry.attempts() < settings.max_attempts
-            && now_ms < entry.give_up_ms;
+            && now_ms < entry.request_deadline_ms;
         allowed.then_some(location)
     }
 
@@ -92,10 +98,11 @@
             .get(&id)
             .is_none_or(InFlightRequest::is_answered);
         self.report_attempt(now_ms, id, attempt, finished, result);
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Tells the decision module how an attempt ended, and whether its request has its answer by now.
+    /// Reports to the decision module how an attempt ended, and whether its request has been
+    /// answered.
     fn report_attempt(
         &mut self,
         now_ms: f64,
@@ -122,8 +129,8 @@
             .is_some_and(|entry| entry.is_running(attempt))
     }
 
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
-        if let Some(entry) = self.in_flight.get(&id).filter(|entry| entry.is_over()) {
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        if let Some(entry) = self.in_flight.get(&id).filter(|entry| entry.is_finished()) {
             self.bytes -= entry.request.memory_bytes();
             self.in_flight.remove(&id);
         }
--- a/src/request/request_table/verdicts.rs
+++ b/src/request/request_table/verdicts.rs
@@ -1,21 +1,23 @@
-//! What the decision module wants: its verdicts on requests, and its other actions. Here each request gets its one final
-//! answer, and a rejection that could do harm becomes a failure.
+//! Carries out verdicts and other actions of the decision module. Ensures that each request gets
+//! exactly one final answer, and turns a rejection into a failure if the client's retry could run
+//! the request twice.
 
 use super::RequestTable;
 use crate::decision::driver::{DriverAction, RequestId, Verdict};
 use crate::decision::Outcome;
 use crate::request::{Action, FinalAnswer};
 
-/// A failure this close to the end of the client's timeout counts as one for want of time, ms: the decision module gives
-/// up some milliseconds before that end, so that the answer still arrives.
+/// A failure that is this close to the request's deadline counts as a timeout, ms: the decision module
+/// gives up some milliseconds before the deadline, so that the answer still arrives in time.
 const LATE_MARGIN_MS: f64 = 10.0;
 
 impl RequestTable {
-    /// Carries out what the decision module has left to do; a verdict may bring further ones.
-    pub(super) fn settle(&mut self, now_ms: f64) {
+    /// Carries out all pending verdicts and actions of the decision module; a verdict may cause
+    /// further ones.
+    pub(super) fn carry_out_pending(&mut self, now_ms: f64) {
         loop {
             if let Some((id, verdict)) = self.driver.next_verdict() {
-                self.carry_out(now_ms, id, verdict);
+                self.carry_out_verdict(now_ms, id, verdict);
                 continue;
             }
             let Some(action) = self.driver.next_action() else {
@@ -33,7 +35,7 @@
                 }
             }
             DriverAction::Probe(endpoint) => self.actions.push_back(Action::Probe(endpoint)),
-            // The endpoint registry is followed from the start, whoever asks.
+            // The ingress follows the endpoint registry from its start.
             DriverAction::FollowEndpointList => {}
             DriverAction::AddToCounter(add) => {
                 self.counts.counter_calls += 1;
@@ -42,7 +44,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, now_ms: f64, id: RequestId, verdict: Verdict) {
+    pub(super) fn carry_out_verdict(&mut self, now_ms: f64, id: RequestId, verdict: Verdict) {
         match verdict {
             Verdict::Pending => {}
             Verdict::Send {
@@ -57,34 +59,35 @@
                 let late = self
                     .in_flight
                     .get(&id)
-                    .is_some_and(|entry| now_ms + LATE_MARGIN_MS >= entry.give_up_ms);
+                    .is_some_and(|entry| now_ms + LATE_MARGIN_MS >= entry.request_deadline_ms);
                 self.finish(id, FinalAnswer::Failed { late });
             }
         }
     }
 
-    /// A rejection. Guards against duplicate execution, whatever was decided: a request that may have run is
-    /// failed, since a client that is rejected comes again.
+    /// Returns a rejection, or a failure if the request may have run: a client that is rejected
+    /// retries, and the request would run twice. Holds whatever the decision module asked for.
     pub(super) fn rejection(&self, id: RequestId, retry_after_ms: f64, late: bool) -> FinalAnswer {
-        let harmless = self
+        let retry_is_safe = self
             .in_flight
             .get(&id)
             .is_some_and(|entry| entry.client_may_retry(self.class(&entry.request)));
-        if harmless {
+        if retry_is_safe {
             FinalAnswer::Rejected { retry_after_ms }
         } else {
             FinalAnswer::Failed { late }
         }
     }
 
-    /// Rejects a request of which nothing was forwarded and nothing is kept.
-    pub(super) fn reject_untried(&mut self, id: RequestId, retry_after_ms: f64) {
+    /// Rejects a request that was never forwarded and has no entry in the table.
+    pub(super) fn reject_unforwarded(&mut self, id: RequestId, retry_after_ms: f64) {
         self.counts.rejected += 1;
         self.actions
             .push_back(Action::Reply(id, FinalAnswer::Rejected { retry_after_ms }));
     }
 
-    /// The one place where a request in flight gets its answer, once.
+    /// Answers a request in flight, unless it has been answered. All answers to requests in flight
+    /// pass through here.
     pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(entry) = self.in_flight.get_mut(&id).filter(|e| !e.is_answered()) else {
             return;
@@ -97,6 +100,6 @@
             FinalAnswer::Failed { .. } => self.counts.failed += 1,
         }
         self.actions.push_back(Action::Reply(id, answer));
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 }
--- a/src/upstream/http2_exchange.rs
+++ b/src/upstream/http2_exchange.rs
@@ -160,7 +160,7 @@
 /// Forwards one part; false: nobody wants more, or the stream has ended.
 async fn forward(stream: &mut RecvStream, mut part: Bytes, sender: &BodySender) -> bool {
     while !part.is_empty() {
-        if sender.is_receiver_gone() || sender.unsent_bytes() == 0 {
+        if sender.is_receiver_dropped() || sender.unsent_bytes() == 0 {
             return false;
         }
         let taken = sender.write(&part);
@@ -169,7 +169,7 @@
             return false;
         }
         if taken == 0 {
-            sender.wait_for_room().await;
+            sender.wait_for_space().await;
         }
     }
     true
--- a/src/upstream/resp_exchange.rs
+++ b/src/upstream/resp_exchange.rs
@@ -180,19 +180,19 @@
 async fn stream_value(connection: &Connection, sender: &BodySender) -> bool {
     let stream = connection.stream();
     while sender.unsent_bytes() > 0 {
-        if sender.is_receiver_gone() {
+        if sender.is_receiver_dropped() {
             return false;
         }
         match sender.write_with(|room| stream.try_read(room)) {
             // The client has to take bytes first.
-            None => sender.wait_for_room().await,
+            None => sender.wait_for_space().await,
             Some(Ok(0)) => return false,
             Some(Ok(_)) => {}
             Some(Err(e)) if e.kind() == ErrorKind::WouldBlock => {
                 let readable = async {
                     tokio::select! {
                         ready = stream.readable() => ready.is_ok(),
-                        () = sender.wait_for_room() => true,
+                        () = sender.wait_for_space() => true,
                     }
                 };
                 if !timeout(STREAM_STALL_TIMEOUT, readable)
