--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// Why it cannot be kept.
-    fn keep(&self, name: &str, excluded: bool) -> std::io::Result<()>;
+    fn persist(&self, name: &str, excluded: bool) -> std::io::Result<()>;
 }
 
 /// The endpoint or member that a call names.
@@ -319,8 +319,11 @@
             ExclusionOutcome::TooMany => return Answer::no("too many are suspended"),
         };
         // Kept also where nothing changed here: another process of this ingress may not have heard of it.
-        let kept = self.store.as_ref().map(|store| store.keep(name, exclude));
-        match kept {
+        let persisted = self
+            .store
+            .as_ref()
+            .map(|store| store.persist(name, exclude));
+        match persisted {
             Some(Err(e)) => {
                 tracing::error!(name, out = exclude, error = %e, "not kept over an upgrade");
                 Answer::yes(format!("{name} {text}, but not over an upgrade: {e}"))
--- a/src/frontend/http2.rs
+++ b/src/frontend/http2.rs
@@ -1,9 +1,10 @@
-//! The HTTP/2 frontend: HTTP/2 in the clear with prior knowledge, on the `h2` crate.
+//! The HTTP/2 frontend: HTTP/2 without TLS, with prior knowledge, on the `h2` crate.
 //!
-//! This module accepts connections and keeps their number within its limits. `connection` serves one of them, `stream`
-//! one of its streams, and `requests` makes a request of a stream. A stream is a request like any other, and a reset
-//! means that its client has gone; nothing here decides about a request. `h2` has buffers of its own, so a connection
-//! has no ring buffers: bounds on windows, streams and header lists take their place.
+//! This module accepts connections and limits their number. `connection` serves one connection,
+//! `stream` serves one of its streams, and `requests` builds a request from the headers and body of
+//! a stream. A stream reset by the client counts as a disconnected client. Nothing here decides
+//! about a request. `h2` has buffers of its own, so a connection has no ring buffers: limits on
+//! windows, streams and header lists bound the memory instead.
 
 mod connection;
 mod requests;
@@ -21,11 +22,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Connections are looked through this often.
+/// Interval between two checks whether the ingress drains.
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(100);
-/// The listener rests for this long after an error, and while every place is taken.
+/// Pause of the listener after an error, and between two checks while all connections are in use.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// A client that does not complete its preface, or does not read its answer, within this is cut off.
+/// A client that does not complete its preface, or does not read its answer, within this time is
+/// disconnected.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Accepts HTTP/2 clients.
@@ -37,7 +39,7 @@
 }
 
 impl Http2Frontend {
-    /// A frontend within these limits.
+    /// Creates a frontend with these limits.
     pub fn new(dispatcher: Rc<Dispatcher>, limits: Http2Limits) -> Rc<Http2Frontend> {
         Rc::new(Http2Frontend {
             dispatcher,
@@ -47,12 +49,12 @@
         })
     }
 
-    /// Connections held.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Accepts connections until its task is ended.
+    /// Accepts connections until its task is aborted.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             // While every connection has open streams, new ones wait in the listener's queue.
@@ -62,9 +64,9 @@
             }
             match listener.accept().await {
                 Ok((stream, peer)) => self.open(stream, peer.ip()),
-                // Out of descriptors, or the client has gone already.
+                // Out of descriptors, or the client has already disconnected.
                 Err(e) => {
-                    tracing::warn!(error = %e, "accept");
+                    tracing::warn!(error = %e, "HTTP/2 connection cannot be accepted; trying again");
                     self.close_idle();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -87,13 +89,13 @@
         spawn_local(async move {
             let _ = stream.set_nodelay(true);
             if let Err(e) = connection::serve(&connection, stream, max_streams).await {
-                tracing::debug!(error = %e, "http2 client");
+                tracing::debug!(error = %e, "HTTP/2 connection failed");
             }
             frontend.connections.borrow_mut().remove(&number);
         });
     }
 
-    /// Ends the connection that has been idle for longest, if any is.
+    /// Drains the connection that has been idle for longest, if any is idle.
     fn close_idle(&self) {
         let idle = self
             .open_connections()
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Sends GOAWAY on every connection; open streams are finished.
+    /// Sends GOAWAY on every connection. Open streams are completed.
     pub fn drain(&self) {
         for connection in self.open_connections() {
             connection.drain();
@@ -118,7 +120,8 @@
         connections.values().filter_map(Weak::upgrade).collect()
     }
 
-    /// Ends all connections while the ingress drains; until its task is ended.
+    /// Drains all connections, including new ones, while the ingress drains. Runs until its task is
+    /// aborted.
     pub async fn supervise(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SUPERVISE_INTERVAL).await;
--- a/src/frontend/http2/connection.rs
+++ b/src/frontend/http2/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection: its handshake, its streams, and its end.
+//! One HTTP/2 connection: handshake, streams and close.
 
 use super::{stream, CLIENT_TIMEOUT};
 use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
@@ -18,24 +18,26 @@
 
 /// Longest header list of one request, bytes.
 const MAX_HEADER_LIST: u32 = 16 * 1024;
-/// Most bytes that a connection may have sent us and we have not read.
+/// Most bytes that a client may have sent on one connection and the ingress has not read.
 const CONNECTION_WINDOW: u32 = 256 * 1024;
-/// What a stream may send beyond the longest body before we have read it, bytes.
+/// Bytes that a client may send on a stream beyond the longest body before the ingress has read the
+/// body.
 const STREAM_WINDOW_MARGIN: u32 = 1024;
-/// Most bytes that `h2` may hold of what is to be sent on one connection.
+/// Most unsent bytes that `h2` buffers on one connection.
 const MAX_UNSENT: usize = 256 * 1024;
-/// Most reset streams that `h2` remembers, or has not handed over yet. Bounds memory.
+/// Most reset streams that `h2` remembers, or holds before the ingress accepts them. Bounds memory.
 const MAX_REMEMBERED_RESETS: usize = 64;
-/// Most streams of a connection that may be reset unanswered within [`RESET_WINDOW_MS`]. Far above what a client does
-/// whose users lose patience.
+/// Most streams of a connection that may be reset unanswered within [`RESET_WINDOW_MS`]. Far more
+/// than a client resets because its users cancel.
 const MAX_RESETS: u32 = 200;
-/// Over this time resets are counted, ms.
+/// Length of the window in which resets are counted, ms.
 const RESET_WINDOW_MS: f64 = 10_000.0;
-/// A draining connection without an open stream, or whose handshake is not complete, is closed after this: its client
-/// has that long to acknowledge GOAWAY, or to open the streams that crossed it.
+/// Time after which a draining connection without an open stream, or without a complete handshake,
+/// is closed. Until then its client can acknowledge GOAWAY, or open streams that it sent before it
+/// received GOAWAY.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
-/// Streams that were reset unanswered since a time.
+/// The streams that were reset unanswered in the current window.
 #[derive(Clone, Copy)]
 struct ResetCount {
     count: u32,
@@ -46,13 +48,13 @@
 pub(super) struct Connection {
     pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) peer: IpAddr,
-    /// Wakes the connection's task: it is to send GOAWAY.
+    /// Wakes the connection's task to send GOAWAY.
     drain_requested: Notify,
-    /// Wakes the connection's task: too many streams were reset.
+    /// Wakes the connection's task because too many streams were reset.
     reset_flood: Notify,
     draining: Cell<bool>,
     open_streams: Cell<usize>,
-    /// When it was opened, or a stream began or ended, ms.
+    /// When the connection was opened or a stream last began or ended, ms.
     pub(super) last_active_ms: Cell<f64>,
     resets: Cell<ResetCount>,
 }
@@ -75,21 +77,22 @@
         }
     }
 
-    /// Whether no stream is open on it, and it has not been told to end.
+    /// Returns whether no stream is open and the connection does not drain.
     pub(super) fn is_idle(&self) -> bool {
         self.open_streams.get() == 0 && !self.draining.get()
     }
 
-    /// Sends GOAWAY, once; open streams are finished.
+    /// Sends GOAWAY once. Open streams are completed.
     pub(super) fn drain(&self) {
         if !self.draining.replace(true) {
             self.drain_requested.notify_one();
         }
     }
 
-    /// Counts a stream that its client has reset unanswered. Guards against a client that opens and resets streams
-    /// for ever (CVE-2023-44487, "rapid reset"): no stream is open for long, so no bound on open streams sees it, and
-    /// each costs an attempt. Above the bound the connection ends.
+    /// Counts a stream that its client has reset unanswered, and closes the connection above
+    /// [`MAX_RESETS`]. Stops clients that open and reset streams endlessly (CVE-2023-44487, "rapid
+    /// reset"). None of these streams is open for long, so the limit on open streams does not
+    /// apply, but each costs an attempt.
     pub(super) fn count_reset(&self) {
         let now = self.dispatcher.now();
         let mut resets = self.resets.get();
@@ -121,7 +124,7 @@
 
 type Handshake = h2::server::Connection<TcpStream, Bytes>;
 
-/// Serves a connection until it ends.
+/// Serves a connection until it closes.
 pub(super) async fn serve(
     this: &Rc<Connection>,
     stream: TcpStream,
@@ -131,14 +134,15 @@
         return Ok(());
     };
     if this.draining.get() {
-        // The handshake has taken the notice.
+        // The handshake consumed the notification.
         this.drain_requested.notify_one();
     }
-    // When a draining connection is looked at next.
+    // The next time to check a draining connection for open streams.
     let mut close_at: Option<Instant> = None;
     loop {
         tokio::select! {
-            // Guards the places of others: a client that is cut off never acknowledges GOAWAY.
+            // A client that has vanished never acknowledges GOAWAY, and would keep its connection
+            // from other clients.
             () = tokio::time::sleep_until(close_at.unwrap_or_else(Instant::now)), if close_at.is_some() => {
                 if this.open_streams.get() == 0 {
                     return Ok(());
@@ -161,7 +165,7 @@
     }
 }
 
-/// Completes the handshake; none: the client has not completed it in time.
+/// Completes the handshake; returns `None` if the client does not complete it in time.
 async fn handshake(
     this: &Connection,
     stream: TcpStream,
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -1,4 +1,4 @@
-//! Makes a request of a stream's headers and body, through the operator's rules where there are any.
+//! Builds requests from the headers and body of a stream, and applies the operator's rules to them.
 
 use crate::protocol::http2::{
     request_terms, required_header, CLIENT_TIMEOUT_MS, PLAN, REQUEST_ID, REQUEST_PATH_PREFIX,
@@ -16,26 +16,26 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Where load balancers ask whether clients are to come.
+/// Path of the readiness check, by which load balancers decide whether to route clients here.
 const READY_PATH: &str = "/-/ready";
-/// Where it is asked whether the process runs.
+/// Path of the liveness check.
 const HEALTHY_PATH: &str = "/-/healthy";
 
-/// What a stream asks for.
+/// A stream, classified by its headers.
 pub(super) enum Received {
-    /// A request, with its places under the operator's limits.
+    /// A request, with the permits that it holds under the operator's limits.
     Request(Box<ClientRequest>, Vec<LimitPermit>),
-    /// A rule rejects it, to be sent again after so long, ms.
+    /// A request that a rule rejects. The client may retry after `retry_after_ms`.
     Rejected { retry_after_ms: f64 },
-    /// Only for an answer of the frontend's own.
+    /// A stream that the frontend answers itself.
     Answer(StatusCode, &'static str),
 }
 
-/// Why a stream is no request.
+/// Why a stream is not a valid request.
 pub(super) enum RequestError {
-    /// It is answered with this status and text.
+    /// The stream is answered with this status and text.
     Status(StatusCode, String),
-    /// Its body has not come: the stream is reset.
+    /// The body has not arrived completely: the stream is reset.
     Reset(Reason),
 }
 
@@ -43,7 +43,8 @@
     RequestError::Status(StatusCode::BAD_REQUEST, why.to_string())
 }
 
-/// As on every wire, a request that names an unknown class or plan, or bad units, has failed; any other is malformed.
+/// Maps a validation error to a status. As on every wire, a request with an unknown class or plan,
+/// or with invalid units, has failed; any other error means that it is malformed.
 fn invalid(problem: InvalidRequest) -> RequestError {
     match problem {
         InvalidRequest::Class | InvalidRequest::Plan | InvalidRequest::Term("units") => {
@@ -53,17 +54,17 @@
     }
 }
 
-/// Reads a stream's headers and body.
+/// Reads and classifies the headers and body of a stream.
 pub(super) async fn read_request(
     dispatcher: &Dispatcher,
     peer: IpAddr,
     incoming: Request<RecvStream>,
 ) -> Result<Received, RequestError> {
     let (head, mut stream) = incoming.into_parts();
-    if let Some((status, required_header)) = health(dispatcher, head.uri.path()) {
-        return Ok(Received::Answer(status, required_header));
+    if let Some((status, text)) = health_check(dispatcher, head.uri.path()) {
+        return Ok(Received::Answer(status, text));
     }
-    let headers = Head { peer, head: &head };
+    let headers = RequestHead { peer, head: &head };
     let route = match apply_rules(dispatcher, &headers)? {
         RuleVerdict::Route(route) => *route,
         RuleVerdict::Reject { retry_after_ms } => {
@@ -85,8 +86,8 @@
     Ok(Received::Request(Box::new(request), route.permits))
 }
 
-/// The answer to a health check; none: the path is no health check's.
-fn health(dispatcher: &Dispatcher, path: &str) -> Option<(StatusCode, &'static str)> {
+/// Returns the answer to a health check, or `None` if the path is not one.
+fn health_check(dispatcher: &Dispatcher, path: &str) -> Option<(StatusCode, &'static str)> {
     match path {
         READY_PATH if dispatcher.ready() => Some((StatusCode::OK, "ready")),
         READY_PATH => Some((StatusCode::SERVICE_UNAVAILABLE, "not ready")),
@@ -95,14 +96,17 @@
     }
 }
 
-/// What the operator's rules say of a request.
+/// The result of the operator's rules for a request.
 enum RuleVerdict {
     Route(Box<Route>),
     Reject { retry_after_ms: f64 },
 }
 
-/// Takes a request through the operator's rules; without rules it goes on as it is.
-fn apply_rules(dispatcher: &Dispatcher, headers: &Head<'_>) -> Result<RuleVerdict, RequestError> {
+/// Applies the operator's rules to a request. Without rules the request passes unchanged.
+fn apply_rules(
+    dispatcher: &Dispatcher,
+    headers: &RequestHead<'_>,
+) -> Result<RuleVerdict, RequestError> {
     if !dispatcher.has_rules() {
         return Ok(RuleVerdict::Route(Box::default()));
     }
@@ -110,32 +114,33 @@
     match dispatcher.route(&headers.for_rules(&view)) {
         Verdict::Go(route) => Ok(RuleVerdict::Route(route)),
         Verdict::Reject { retry_after_ms, by } => {
-            tracing::debug!(by, retry_after_ms, "refused by a rule");
+            tracing::debug!(by, retry_after_ms, "request rejected by a rule");
             Ok(RuleVerdict::Reject { retry_after_ms })
         }
         Verdict::Bad { rule, why } => {
-            tracing::debug!(rule, why, "makes no sense to a rule");
+            tracing::debug!(rule, why, "request is invalid for a rule");
             Err(bad_request(why))
         }
     }
 }
 
-/// The request that a rule has made of another, and how long its body may take, ms.
+/// Builds the request to which a rule maps a stream. Also returns the time limit for its body, ms.
 fn mapped_request(
     dispatcher: &Dispatcher,
     mapped: Mapped,
-    headers: &Head<'_>,
+    headers: &RequestHead<'_>,
 ) -> Result<(ClientRequest, f64), RequestError> {
     let view = HeaderView(&headers.head.headers);
-    let seen = headers.for_rules(&view);
+    let rule_request = headers.for_rules(&view);
     let generate_id = || dispatcher.generate_request_id();
-    let request = routing::mapped_request(dispatcher.platform(), mapped, &seen, generate_id);
+    let request =
+        routing::mapped_request(dispatcher.platform(), mapped, &rule_request, generate_id);
     let request = request.map_err(invalid)?;
     let timeout_ms = request.client_timeout_ms;
     Ok((request, timeout_ms))
 }
 
-/// The request that a client's own headers name, and how long its body may take, ms.
+/// Builds the request that the client's headers name. Also returns the time limit for its body, ms.
 fn named_request(
     dispatcher: &Dispatcher,
     class: &str,
@@ -145,27 +150,27 @@
         let why = "POST or GET".to_string();
         return Err(RequestError::Status(StatusCode::METHOD_NOT_ALLOWED, why));
     }
-    let (request_terms, timeout_ms) = request_terms(&head.headers, class).map_err(bad_request)?;
+    let (terms, timeout_ms) = request_terms(&head.headers, class).map_err(bad_request)?;
     let tenant = required_header(&head.headers, TENANT).map_err(bad_request)?;
     let id = required_header(&head.headers, REQUEST_ID).map_err(bad_request)?;
-    let request = ClientRequest::new(dispatcher.platform(), tenant, id, request_terms, None);
+    let request = ClientRequest::new(dispatcher.platform(), tenant, id, terms, None);
     Ok((request.map_err(invalid)?, timeout_ms))
 }
 
-/// The head of a request, and who sent it.
-struct Head<'a> {
+/// The head of a request, and the address of its client.
+struct RequestHead<'a> {
     peer: IpAddr,
     head: &'a Parts,
 }
 
-impl Head<'_> {
-    /// The class that the path names.
+impl RequestHead<'_> {
+    /// Returns the class that the path names.
     fn class(&self) -> Option<&str> {
         self.head.uri.path().strip_prefix(REQUEST_PATH_PREFIX)
     }
 
-    /// The request as the operator's rules see it. Headers that make no sense are absent there; the client hears of
-    /// them when the request itself is made.
+    /// Returns the request as the operator's rules see it. Invalid headers are absent there; the
+    /// client gets the error when the request itself is built.
     fn for_rules<'a>(&'a self, headers: &'a dyn Headers) -> RuleRequest<'a> {
         let head = self.head;
         let named = |name| required_header(&head.headers, name).ok();
@@ -196,9 +201,9 @@
     }
 }
 
-/// A body, if it comes completely within `wait`; none: there is none. Guards memory against many bodies that come in
-/// part: the window is opened again only once a body is complete, so a connection never makes this process hold more
-/// than that window.
+/// Reads a body that arrives completely within `wait`; returns `None` if the stream has no body.
+/// The window is opened again only once the body is complete. A connection with many incomplete
+/// bodies therefore never holds more memory than one connection window.
 async fn read_body(
     stream: &mut RecvStream,
     wait: Duration,
@@ -209,7 +214,7 @@
     let mut body = Vec::new();
     let read = timeout(wait, read_parts(stream, &mut body)).await;
     let read = read.unwrap_or(Err(RequestError::Reset(Reason::CANCEL)));
-    // On a stream that has ended there is no window to open.
+    // On a stream that has ended there is no window to open, so the error is ignored.
     let _ = stream.flow_control().release_capacity(body.len());
     read.map(|()| Some(body))
 }
--- a/src/frontend/http2/stream.rs
+++ b/src/frontend/http2/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: from its headers to its answer.
+//! One HTTP/2 stream, from its headers to its answer.
 
 use super::connection::Connection;
 use super::requests::{read_request, Received, RequestError};
@@ -21,13 +21,13 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Passes the answer on to the stream that waits for it.
+/// Passes an answer to the stream that waits for it.
 struct StreamSink(RefCell<Option<oneshot::Sender<FinalAnswer>>>);
 
 impl ResponseSink for StreamSink {
     fn answer(&self, _ticket: u64, answer: FinalAnswer) {
         if let Some(sender) = self.0.borrow_mut().take() {
-            // A stream that has just been reset needs no answer.
+            // The receiver is gone if the stream has just been reset; the answer is dropped.
             let _ = sender.send(answer);
         }
     }
@@ -42,10 +42,11 @@
     let dispatcher = &connection.dispatcher;
     let received_ms = dispatcher.now();
     match read_request(dispatcher, connection.peer, request).await {
-        Ok(Received::Request(mut request, limit_tickets)) => {
-            // The client's timeout counts from its send, not from the end of its body.
+        Ok(Received::Request(mut request, limit_permits)) => {
+            // The client's timeout starts when the client sends the request, not at the end of its
+            // body.
             request.client_timeout_ms -= dispatcher.now() - received_ms;
-            dispatch(connection, respond, *request, limit_tickets).await;
+            dispatch(connection, respond, *request, limit_permits).await;
         }
         Ok(Received::Rejected { retry_after_ms }) => {
             wait_for_answer(connection, respond, |sink, id| {
@@ -67,21 +68,21 @@
     connection: &Connection,
     mut respond: SendResponse<Bytes>,
     request: ClientRequest,
-    limit_tickets: Vec<LimitPermit>,
+    limit_permits: Vec<LimitPermit>,
 ) {
-    // Guards against work for nobody: the client may have reset the stream behind what it wrote.
+    // The client may have reset the stream right after its body. Do not start work for it then.
     if poll_fn(|cx| Poll::Ready(respond.poll_reset(cx).is_ready())).await {
         return connection.count_reset();
     }
     wait_for_answer(connection, respond, |sink, id| {
         let dispatcher = &connection.dispatcher;
-        dispatcher.arrive(request, sink, 0, limit_tickets, |number| id.set(number));
+        dispatcher.arrive(request, sink, 0, limit_permits, |number| id.set(number));
     })
     .await;
 }
 
-/// Hands a request over by `submit`, which notes its number, and sends the answer once it comes. A reset means that
-/// the client has gone.
+/// Calls `submit`, which hands the request over and stores its number in the cell, then sends the
+/// answer once it arrives. If the client resets the stream, the request is cancelled.
 async fn wait_for_answer(
     connection: &Connection,
     mut respond: SendResponse<Bytes>,
@@ -116,15 +117,15 @@
                 return;
             };
             if !send_streaming_body(&mut stream, &body, CLIENT_TIMEOUT).await {
-                // The client has to see that an incomplete body is one.
+                // The reset shows the client that the body is incomplete.
                 stream.send_reset(Reason::INTERNAL_ERROR);
             }
         }
     }
 }
 
-/// Sends an answer as the client's window allows. Guards memory against clients that do not read: beyond the budget
-/// of all clients together, or after [`CLIENT_TIMEOUT`], the stream is reset.
+/// Sends an answer as the client's window allows. Resets the stream of a client that does not read:
+/// if all clients together exceed their budget for unread answers, or after [`CLIENT_TIMEOUT`].
 async fn send(
     dispatcher: &Dispatcher,
     mut respond: SendResponse<Bytes>,
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,5 +1,6 @@
-//! The frontends: how clients reach the dispatcher. Each owns its listener, its connections and the words of its
-//! protocol; none decides anything about a request, or knows another's protocol.
+//! The frontends, through which clients reach the dispatcher. Each frontend owns its listener, its
+//! connections and the encoding of its protocol. None decides about a request or depends on another
+//! frontend.
 
 pub mod http2;
 pub mod resp;
--- a/src/frontend/resp.rs
+++ b/src/frontend/resp.rs
@@ -1,8 +1,9 @@
 //! The frontend for the platform's protocol: RESP2 over TCP.
 //!
-//! This module accepts connections and keeps their number within the process's budget. `connection` has the state of
-//! one connection, `session` its life from the first byte to the close, `requests` what its requests ask for, and
-//! `answers` the order of pipelined answers. Nothing here decides about a request.
+//! This module accepts connections and keeps their number within the process's budget. `connection`
+//! is the state of one connection, `session` its loop from the first byte to the close, `requests`
+//! the interpretation of its requests, and `answers` the order of pipelined answers. Nothing here
+//! decides about a request.
 
 mod answers;
 mod connection;
@@ -21,16 +22,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// A client that has not read an answer for this long is cut off, ms.
+/// A client that has not read a pending answer for this long is disconnected, ms.
 const STALLED_READER_MS: f64 = 10_000.0;
-/// A request has this long from the connection's opening, or from its own first byte, to come completely, ms.
+/// Time for a complete request to arrive, ms: from the opening of the connection, or from the
+/// request's own first byte.
 const REQUEST_TIMEOUT_MS: f64 = 2500.0;
-/// A new connection is left open for at least this long, ms: its first request may be on the way.
+/// Time for which a new connection is never closed as idle, ms: its first request may be in
+/// transit.
 const FIRST_REQUEST_MS: f64 = 500.0;
-/// Connections are looked through this often.
+/// Interval between two checks of all connections for timeouts and drain.
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(200);
-/// The listener rests for this long after an error, and while the budget is used up by connections that are owed
-/// answers.
+/// Pause of the listener after an error, and between two checks while every connection of the
+/// budget has answers pending.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 /// Accepts RESP clients.
@@ -38,12 +41,12 @@
     dispatcher: Rc<Dispatcher>,
     connections: RefCell<HashMap<u64, Weak<Connection>>>,
     next_number: Cell<u64>,
-    /// Most connections.
+    /// Most open connections.
     budget: Cell<usize>,
 }
 
 impl RespFrontend {
-    /// A frontend that holds at most `budget` connections.
+    /// Creates a frontend with at most `budget` connections.
     pub fn new(dispatcher: Rc<Dispatcher>, budget: usize) -> Rc<RespFrontend> {
         Rc::new(RespFrontend {
             dispatcher,
@@ -53,7 +56,7 @@
         })
     }
 
-    /// Holds at most `budget` connections from now on; idle ones above that are closed.
+    /// Changes the budget. Idle connections above it are closed at once.
     pub fn set_budget(&self, budget: usize) {
         self.budget.set(budget);
         for _ in budget..self.connections() {
@@ -63,20 +66,20 @@
         }
     }
 
-    /// Connections held.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Accepts connections until its task is ended.
+    /// Accepts connections until its task is aborted.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
-            self.wait_for_free_place().await;
+            self.wait_for_free_slot().await;
             match listener.accept().await {
                 Ok((stream, _)) => self.open(stream),
-                // Out of descriptors, or the client has gone already.
+                // Out of descriptors, or the client has already disconnected.
                 Err(e) => {
-                    tracing::warn!(error = %e, "accept");
+                    tracing::warn!(error = %e, "RESP connection cannot be accepted; trying again");
                     self.close_idle();
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
@@ -84,12 +87,13 @@
         }
     }
 
-    /// Waits until the budget allows one more connection. While every connection is owed an answer, new ones wait in
-    /// the listener's queue.
-    async fn wait_for_free_place(&self) {
+    /// Waits until the budget allows one more connection. While every connection has answers
+    /// pending, new ones wait in the listener's queue.
+    async fn wait_for_free_slot(&self) {
         while self.connections() >= self.budget.get() {
             if self.close_idle() {
-                // Guards the descriptors of endpoints: the place is free only once that connection has ended.
+                // The closed connection frees its descriptor only when its task has run. Accepting
+                // earlier would take a descriptor from the endpoints.
                 tokio::task::yield_now().await;
             } else {
                 tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -119,8 +123,9 @@
         });
     }
 
-    /// Closes an idle connection; false: there is none. First those whose requests have ended, then those that have
-    /// never sent a request, and of equal ones that which has been idle for longest.
+    /// Closes one idle connection; returns false if there is none. Lingering connections are closed
+    /// first, then those that have never sent a request, and among equals the one that has been
+    /// idle for longest.
     fn close_idle(&self) -> bool {
         let (connections, now) = (self.connections.borrow(), self.dispatcher.now());
         let closable = connections
@@ -140,12 +145,13 @@
         let Some(connection) = first else {
             return false;
         };
-        connection.place_wanted.set(true);
+        connection.eviction_requested.set(true);
         connection.drain();
         true
     }
 
-    /// Ends every connection as soon as nothing is owed on it. A new one still has its time for a first request.
+    /// Closes every connection as soon as no answer is pending on it. A new connection keeps its
+    /// time for a first request.
     pub fn drain(&self) {
         let now = self.dispatcher.now();
         for connection in self.open_connections() {
@@ -160,8 +166,8 @@
         connections.values().filter_map(Weak::upgrade).collect()
     }
 
-    /// Ends connections that take a place and neither complete a request nor read an answer, and all of them while
-    /// the ingress drains; until its task is ended.
+    /// Disconnects clients that neither complete a request nor read an answer in time, and drains
+    /// all connections while the ingress drains. Runs until its task is aborted.
     pub async fn supervise(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SUPERVISE_INTERVAL).await;
--- a/src/frontend/resp/answers.rs
+++ b/src/frontend/resp/answers.rs
@@ -1,5 +1,5 @@
-//! Answers in the order of their requests: each has a slot in its connection's queue, and is written once all before
-//! it have been.
+//! Pipelined answers in the order of their requests. Each request has a slot in its connection's
+//! queue, and its answer is written once all earlier ones are.
 
 use super::connection::Connection;
 use super::session::MAX_PIPELINED;
@@ -11,33 +11,33 @@
 use std::io::ErrorKind;
 use std::rc::Rc;
 
-/// One request's place in the order of answers.
+/// One request's slot in the queue of answers.
 pub(super) enum AnswerSlot {
-    /// There is no answer yet. The request's number, where it has one.
+    /// The answer is pending. Holds the request's number once the dispatcher has assigned one.
     Pending(Option<RequestId>),
-    /// The bytes of the answer.
+    /// The encoded answer.
     Ready(Vec<u8>),
-    /// A large body, which is written while it comes.
+    /// A large body, which is written while it arrives.
     Streaming(Rc<BodyReceiver>),
 }
 
-/// What became of one attempt to write.
+/// The result of one attempt to write.
 enum Written {
-    /// Bytes were taken, or there was nothing to write.
+    /// Bytes were written, or there was nothing to write.
     Progress,
-    /// The client takes no more now, or the connection has failed.
+    /// The socket accepts no more bytes now, or the connection has failed.
     Stopped,
 }
 
 impl Connection {
-    /// Opens a slot behind all others; its ticket.
+    /// Adds a slot at the end of the queue and returns its ticket.
     pub(super) fn open_slot(&self) -> u64 {
         let mut answers = self.answers.borrow_mut();
         answers.push_back(AnswerSlot::Pending(None));
         self.first_ticket.get() + answers.len() as u64 - 1
     }
 
-    /// Notes which request is to fill a slot.
+    /// Records which request will fill a slot.
     pub(super) fn set_request(&self, ticket: u64, id: RequestId) {
         let position = (ticket - self.first_ticket.get()) as usize;
         if let Some(slot) = self.answers.borrow_mut().get_mut(position) {
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Fills a slot with an answer of the frontend's own.
+    /// Fills a slot with an answer of the frontend itself.
     pub(super) fn answer_with(&self, ticket: u64, bytes: &[u8]) {
         self.fill_slot(ticket, AnswerSlot::Ready(bytes.to_vec()));
     }
 
-    /// The requests that have no answer yet.
+    /// Returns the requests without an answer.
     pub(super) fn pending_requests(&self) -> Vec<RequestId> {
         let answers = self.answers.borrow();
         let pending = |slot: &AnswerSlot| match slot {
@@ -60,17 +60,18 @@
         answers.iter().filter_map(pending).collect()
     }
 
-    /// How many answers are still to be written, one that is being streamed included.
-    pub(super) fn owed_answers(&self) -> usize {
+    /// Returns the number of answers that are not written yet, including one that is being
+    /// streamed.
+    pub(super) fn pending_answer_count(&self) -> usize {
         self.answers.borrow().len() + usize::from(self.streaming.borrow().is_some())
     }
 
-    /// Whether answers are still to be written.
-    pub(super) fn owes_answers(&self) -> bool {
-        self.owed_answers() > 0
+    /// Returns whether any answer is not written yet.
+    pub(super) fn has_pending_answers(&self) -> bool {
+        self.pending_answer_count() > 0
     }
 
-    /// Whether there are bytes that the client has not taken.
+    /// Returns whether there are bytes that the client has not accepted.
     pub(super) fn has_unsent(&self) -> bool {
         if !self.output.borrow().is_empty() {
             return true;
@@ -87,13 +88,13 @@
         self.move_to_output();
         self.flush();
         let unwritten = !self.output.borrow().is_empty() || self.streaming.borrow().is_some();
-        // With a full queue the session did not read: it does now.
+        // The session stops reading while the queue is full; it can read again now.
         if was_full || self.failed.get() || self.draining.get() || unwritten {
             self.wake.notify_one();
         }
     }
 
-    /// Puts an answer into its slot; false: there is no such slot any more.
+    /// Puts an answer into its slot; returns false if the slot no longer exists.
     fn replace_slot(&self, ticket: u64, filled: AnswerSlot) -> bool {
         let mut answers = self.answers.borrow_mut();
         let Some(position) = ticket.checked_sub(self.first_ticket.get()) else {
@@ -107,14 +108,14 @@
             _ => true,
         };
         if !within_budget {
-            // Guards memory against clients that ask for much and read nothing: this one is cut off.
+            // All clients together leave too many bytes unread: this one is disconnected.
             self.failed.set(true);
         }
         *slot = filled;
         true
     }
 
-    /// Moves answers to the output in order, up to one that is not there yet or a body that is being streamed.
+    /// Moves answers to the output in order, up to the first pending answer or streamed body.
     fn move_to_output(&self) {
         let mut answers = self.answers.borrow_mut();
         while self.streaming.borrow().is_none() {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Writes as much as the client takes now.
+    /// Writes as many bytes as the socket accepts now.
     pub(super) fn flush(&self) {
         while !self.failed.get() {
             if let Written::Stopped = self.write_output() {
@@ -149,7 +150,8 @@
             if body.is_complete() {
                 self.end_body();
             } else if body.is_broken_off() {
-                // The client sees an incomplete body as what it is: its connection ends within it.
+                // Closing the connection within the body shows the client that the body is
+                // incomplete.
                 self.failed.set(true);
             } else if body.is_empty() {
                 return;
@@ -193,10 +195,10 @@
         }
     }
 
-    /// A streamed body is complete: the answers behind it are due.
+    /// Ends a streamed body that is complete, and moves the answers after it to the output.
     fn end_body(&self) {
         *self.streaming.borrow_mut() = None;
-        // There is room: the output has just been written.
+        // The output has just been written, so there is room.
         let _ = self.output.borrow_mut().push(b"\r\n");
         self.move_to_output();
     }
@@ -209,7 +211,7 @@
     }
 }
 
-/// An answer in the platform's words, or a body to be streamed.
+/// Encodes an answer in the platform's protocol, or returns a body to stream.
 fn encode(answer: FinalAnswer) -> AnswerSlot {
     AnswerSlot::Ready(match answer {
         FinalAnswer::Served(ResponseBody::Streaming(body)) => return AnswerSlot::Streaming(body),
--- a/src/frontend/resp/connection.rs
+++ b/src/frontend/resp/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one connection, which its session, the answers to its requests and the frontend's supervision share.
+//! The state of one connection, shared by its session, the answers to its requests and the
+//! frontend's supervision.
 
 use super::answers::AnswerSlot;
 use super::{FIRST_REQUEST_MS, REQUEST_TIMEOUT_MS, STALLED_READER_MS};
@@ -20,36 +21,39 @@
     pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) stream: OwnedWriteHalf,
     pub(super) peer: IpAddr,
-    /// Wakes the session: something below has changed.
+    /// Wakes the session after a change of the state below.
     pub(super) wake: Notify,
 
-    /// Bytes that wait to be written.
+    /// Encoded bytes that wait to be written.
     pub(super) output: RefCell<RingBuffer>,
     /// Answers that are not in `output` yet, in the order of their requests.
     pub(super) answers: RefCell<VecDeque<AnswerSlot>>,
-    /// Ticket of the first of them.
+    /// Ticket of the first slot of `answers`.
     pub(super) first_ticket: Cell<u64>,
-    /// The large body that is being written behind `output`.
+    /// The large body that is being written after `output`.
     pub(super) streaming: RefCell<Option<Rc<BodyReceiver>>>,
     pub(super) unsent: ByteBudget,
 
-    /// The connection is to be closed at once: writing failed, or the client is cut off.
+    /// Whether to close the connection at once: writing failed, or the client is disconnected for
+    /// cause.
     pub(super) failed: Cell<bool>,
-    /// The connection is to end as soon as nothing is owed on it.
+    /// Whether to close the connection as soon as no answer is pending on it.
     pub(super) draining: Cell<bool>,
-    /// Since when a first request is awaited, or one has come in part, ms; none: between complete requests.
+    /// Start of the wait for a first request or for the rest of an incomplete one, ms; `None`
+    /// between complete requests.
     pub(super) incomplete_since_ms: Cell<Option<f64>>,
-    /// Whether a complete request has come.
+    /// Whether a complete request has arrived.
     pub(super) has_sent_request: Cell<bool>,
-    /// Whether bytes have come that no request has been made of.
+    /// Whether the input holds bytes that are not parsed into a request yet.
     pub(super) has_unparsed_input: Cell<bool>,
-    /// Whether the time for a complete request is over.
+    /// Whether the time for a complete request has passed.
     pub(super) request_timed_out: Cell<bool>,
-    /// Whether its requests have ended, and what still comes is discarded.
+    /// Whether the connection takes no more requests and discards further input before its close.
     pub(super) lingering: Cell<bool>,
-    /// Whether another connection is to have its place.
-    pub(super) place_wanted: Cell<bool>,
-    /// When it was opened, or a request or an answer was last seen, ms.
+    /// Whether to end the lingering close early, because a new connection needs the slot in the
+    /// budget.
+    pub(super) eviction_requested: Cell<bool>,
+    /// When the connection was opened, or a request or an answer was last seen, ms.
     pub(super) last_active_ms: Cell<f64>,
 }
 
@@ -76,34 +80,35 @@
             has_unparsed_input: Cell::new(false),
             request_timed_out: Cell::new(false),
             lingering: Cell::new(false),
-            place_wanted: Cell::new(false),
+            eviction_requested: Cell::new(false),
             last_active_ms: Cell::new(now),
             dispatcher,
         }
     }
 
-    /// Whether nothing is owed on it and no request is on the way, as far as can be seen.
+    /// Returns whether no answer is pending and no part of a request has arrived.
     pub(super) fn is_idle(&self) -> bool {
-        let silent_so_far = !self.has_sent_request.get() && !self.has_unparsed_input.get();
-        let between_requests = self.incomplete_since_ms.get().is_none() || silent_so_far;
+        let no_input_yet = !self.has_sent_request.get() && !self.has_unparsed_input.get();
+        let between_requests = self.incomplete_since_ms.get().is_none() || no_input_yet;
         (between_requests || self.lingering.get())
-            && !self.owes_answers()
+            && !self.has_pending_answers()
             && self.output.borrow().is_empty()
     }
 
-    /// Whether it has just been opened, and its first request may be on the way.
+    /// Returns whether the connection has just been opened and its first request may be in transit.
     pub(super) fn awaits_first_request(&self, now: f64) -> bool {
         !self.has_sent_request.get() && now - self.last_active_ms.get() <= FIRST_REQUEST_MS
     }
 
-    /// Ends it as soon as nothing is owed on it.
+    /// Closes the connection as soon as no answer is pending on it.
     pub(super) fn drain(&self) {
         self.draining.set(true);
         self.wake.notify_one();
     }
 
-    /// Notes `count` further bytes at the end of the input.
-    pub(super) fn note_input(&self, input: &mut RingBuffer, count: usize) {
+    /// Commits `count` bytes that were read to the end of the input, and starts the request's
+    /// timeout.
+    pub(super) fn commit_input(&self, input: &mut RingBuffer, count: usize) {
         input.commit(count);
         self.has_unparsed_input.set(true);
         if self.incomplete_since_ms.get().is_none() {
@@ -111,17 +116,17 @@
         }
     }
 
-    /// Ends a connection whose client takes too long for a request, or does not read its answers. Guards the budget
-    /// of connections against clients that hold a place for nothing.
+    /// Closes the connection if its client takes too long to complete a request or to read its
+    /// answers. Otherwise such clients would use up the connection budget.
     pub(super) fn check_timeouts(&self, now: f64) {
-        let owes = self.owes_answers();
+        let answers_pending = self.has_pending_answers();
         let incomplete_since = self.incomplete_since_ms.get();
         let too_slow = incomplete_since.is_some_and(|since| now - since > REQUEST_TIMEOUT_MS);
         let inactive = now - self.last_active_ms.get() > STALLED_READER_MS;
-        // An answer that is still to come is the ingress's delay, not the client's; a body that is being written is
-        // the client's.
-        let only_unread = !owes || self.streaming.borrow().is_some();
-        if !owes && too_slow {
+        // A pending answer is a delay of the ingress, so its client is not disconnected. A body
+        // that is being written waits for the client.
+        let only_unread = !answers_pending || self.streaming.borrow().is_some();
+        if !answers_pending && too_slow {
             self.request_timed_out.set(true);
             self.wake.notify_one();
         } else if inactive && self.has_unsent() && only_unread {
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -1,5 +1,4 @@
-//! What a client's requests ask for: from the words of one request to an answer of the frontend's own, or to a request
-//! for the dispatcher.
+//! Interprets requests: each is answered by the frontend itself or passed to the dispatcher.
 
 use super::connection::Connection;
 use crate::protocol::resp::parse_request;
@@ -17,28 +16,28 @@
 const WRONG_ARGUMENTS: &[u8] = b"-ERR wrong number of arguments\r\n";
 const UNKNOWN: &[u8] = b"-ERR unknown command\r\n";
 
-/// What a client's words ask for.
+/// A request, classified by its verb.
 pub(super) enum Received {
-    /// Only for an answer of the frontend's own.
+    /// A request that the frontend answers itself.
     Answer(&'static [u8]),
     Request(Box<ClientRequest>),
-    /// To end the connection once all answers are written.
+    /// Closes the connection once all answers are written.
     Quit,
 }
 
-/// What happened to a request before any decision.
+/// Why a rule rejected a request.
 enum RuleRejection {
-    /// A rule rejects it, to be sent again after so long, ms.
+    /// A rule rejects the request. The client may retry after `retry_after_ms`.
     Rejected { retry_after_ms: f64 },
-    /// It is invalid to a rule.
+    /// The request is invalid for a rule.
     Invalid,
 }
 
-/// The platform's verbs, as bytes.
+/// The verbs of the platform's protocol, as bytes.
 const VERB_SAFE: &[u8] = wire_names::VERB_SAFE.as_bytes();
 const VERB_WITH_EFFECT: &[u8] = wire_names::VERB_WITH_EFFECT.as_bytes();
 
-/// Reads the words of one request.
+/// Interprets the words of one request.
 pub(super) fn interpret(dispatcher: &Dispatcher, words: &[&[u8]]) -> Received {
     let verb = words.first().map_or(Vec::new(), |w| w.to_ascii_uppercase());
     match (verb.as_slice(), words.len()) {
@@ -66,13 +65,13 @@
         self.answer_with(ticket, OK);
     }
 
-    /// Sends a request on to the dispatcher, unless a rule rejects it.
+    /// Passes a request to the dispatcher, unless a rule rejects it.
     pub(super) fn dispatch(self: &Rc<Self>, ticket: u64, mut request: Box<ClientRequest>) {
         let dispatcher = &self.dispatcher;
         let on_id = |id| self.set_request(ticket, id);
         match apply_rules(self, &mut request) {
-            Ok(limit_tickets) => {
-                dispatcher.arrive(*request, self.clone(), ticket, limit_tickets, on_id)
+            Ok(limit_permits) => {
+                dispatcher.arrive(*request, self.clone(), ticket, limit_permits, on_id)
             }
             Err(RuleRejection::Rejected { retry_after_ms }) => {
                 dispatcher.reject(retry_after_ms, self.clone(), ticket, on_id)
@@ -82,8 +81,9 @@
     }
 }
 
-/// Takes a request through the operator's rules, if there are any. They may choose its pool, note something on it, or
-/// reject it, and change nothing that the platform's protocol says of it. Its places under the operator's limits.
+/// Applies the operator's rules to a request, if there are any. The rules may set its pools, add
+/// notes or reject it; they change none of its fields on the wire. Returns the permits that the
+/// request holds under the operator's limits.
 fn apply_rules(
     connection: &Connection,
     request: &mut ClientRequest,
@@ -94,19 +94,24 @@
     }
     let platform = dispatcher.platform();
     let path = routing::request_path(platform, request);
-    let seen = routing::rule_request(platform, request, &path, &NoHeaders, connection.peer);
-    match dispatcher.route(&seen) {
+    let rule_request = routing::rule_request(platform, request, &path, &NoHeaders, connection.peer);
+    match dispatcher.route(&rule_request) {
         Verdict::Go(route) => {
             request.attributes.pools = route.pools;
             request.notes = route.notes;
             Ok(route.permits)
         }
         Verdict::Reject { retry_after_ms, by } => {
-            tracing::debug!(id = request.id, by, retry_after_ms, "refused by a rule");
+            tracing::debug!(
+                id = request.id,
+                by,
+                retry_after_ms,
+                "request rejected by a rule"
+            );
             Err(RuleRejection::Rejected { retry_after_ms })
         }
         Verdict::Bad { rule, why } => {
-            tracing::debug!(id = request.id, rule, why, "makes no sense to a rule");
+            tracing::debug!(id = request.id, rule, why, "request is invalid for a rule");
             Err(RuleRejection::Invalid)
         }
     }
--- a/src/frontend/resp/session.rs
+++ b/src/frontend/resp/session.rs
@@ -1,5 +1,5 @@
-//! The life of one connection: it reads requests, waits for their answers to be written, and closes the connection in
-//! a way that loses no answer.
+//! The session of one connection: reads requests, waits until their answers are written, and closes
+//! the connection without losing an answer.
 
 use super::connection::Connection;
 use super::requests::{interpret, Received};
@@ -16,23 +16,25 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::time::timeout;
 
-/// Most bytes of input: a request with its longest body and some room.
+/// Capacity of the input buffer, bytes: a request with the longest body, and a margin.
 const MAX_INPUT: usize = MAX_COMPLETE_BODY_BYTES + 16 * 1024;
-/// A request of which no more than so many bytes have come does not count against what all clients together may send
-/// in part.
+/// An incomplete request of at most this many bytes does not count against the input budget of all
+/// clients.
 const SHORT_INPUT: usize = 4 * 1024;
-/// A client with a longer one is not read for this long while all clients together have sent too much in part.
+/// Pause in reading from a client with a longer incomplete request while the input budget of all
+/// clients is exceeded.
 const INPUT_BUDGET_PAUSE: Duration = Duration::from_millis(20);
-/// While nothing is read from a client, its end is looked for this often: no attempt may be begun for one that has
-/// been gone for 100 ms.
+/// Interval of the checks for the client's close while nothing is read from it. No attempt may
+/// start for a client that disconnected 100 ms ago.
 const PEER_CLOSED_POLL: Duration = Duration::from_millis(25);
-/// What comes behind the last request is discarded for so long at most, before the connection is closed.
+/// Longest time for which input after the last request is discarded before the connection is
+/// closed.
 const LINGER: Duration = Duration::from_millis(1000);
-/// So many bytes at a time.
+/// Size of the buffer for discarded input, bytes.
 const LINGER_BUFFER: usize = 16 * 1024;
-/// Requests that are read from one connection before others have their turn.
+/// Most requests that are taken from one connection before other tasks run.
 const REQUESTS_PER_TURN: usize = 16;
-/// Most unanswered requests on one connection; more are left unread.
+/// Most unanswered requests on one connection. Further requests are not read.
 pub(super) const MAX_PIPELINED: usize = 128;
 
 const MALFORMED: &[u8] = b"-ERR malformed command\r\n";
@@ -56,22 +58,22 @@
     connection: &'a Rc<Connection>,
     read: OwnedReadHalf,
     input: RingBuffer,
-    /// This connection's part of what all clients together may have sent in part.
+    /// This connection's use of the input budget of all clients.
     input_budget: ByteBudget,
-    /// Whether further requests are taken. Once false, what comes is left unread.
+    /// Whether further requests are accepted. Once false, further input stays unread.
     accepts_requests: bool,
-    /// Bytes of input that the next request has at least. Guards against parsing a request from its start for each
-    /// few bytes of it.
+    /// Least length of the input at which the next request can be complete. Avoids parsing a long
+    /// request from its start for every few bytes that arrive.
     needed: usize,
 }
 
-/// What is to be done after requests have been taken from the input.
+/// The next step after requests have been taken from the input.
 enum AfterRequests {
-    /// Read at least so many bytes more: the next request is incomplete.
+    /// Read at least this many more bytes: the next request is incomplete.
     Read(usize),
-    /// Go on: there may be more requests in the input.
+    /// Continue: the input may hold more requests.
     Continue,
-    /// Take no more requests.
+    /// Accept no more requests.
     Finish,
 }
 
@@ -85,9 +87,9 @@
             if connection.request_timed_out.take() && self.accepts_requests {
                 self.finish_with(TIMED_OUT);
             }
-            let owed = connection.owed_answers();
-            if self.has_requests() && !self.input.is_empty() && owed < MAX_PIPELINED {
-                // Guards the others against a client that sends hundreds of requests at once.
+            let pending_answers = connection.pending_answer_count();
+            if self.has_requests() && !self.input.is_empty() && pending_answers < MAX_PIPELINED {
+                // Let other connections run: a client may send hundreds of requests at once.
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -95,21 +97,21 @@
                 return;
             }
             let unsent = connection.has_unsent();
-            if owed == 0 && !unsent && !self.accepts_requests {
+            if pending_answers == 0 && !unsent && !self.accepts_requests {
                 return linger(connection, &mut self.read).await;
             }
-            if self.wait(owed, unsent).await.is_break() {
+            if self.wait(pending_answers, unsent).await.is_break() {
                 return;
             }
         }
     }
 
-    /// Whether the input may hold a complete request.
+    /// Returns whether the input may hold a complete request.
     fn has_requests(&self) -> bool {
         self.accepts_requests && self.input.len() >= self.needed
     }
 
-    /// Takes no more requests, and ends the answers with this one.
+    /// Accepts no more requests, and queues `last_answer` after all other answers.
     fn finish_with(&mut self, last_answer: &[u8]) {
         self.accepts_requests = false;
         let ticket = self.connection.open_slot();
@@ -118,24 +120,25 @@
 
     async fn take_requests(&mut self) {
         let connection = self.connection;
-        // Guards against work for nobody: the client's close may be here already, behind what it wrote. The runtime
-        // reads from a new connection before it has asked the system for its state, so one turn is given to that.
+        // Do not start work for a client that has already closed its connection after writing. The
+        // runtime reads from a new connection before it polls the socket's state, so yield once to
+        // let it poll.
         if !connection.has_sent_request.get() {
             tokio::task::yield_now().await;
         }
         let client_gone = self.peer_has_closed().await;
-        match self.dispatch_requests(client_gone) {
+        match self.dispatch_complete_requests(client_gone) {
             AfterRequests::Read(more) => self.needed = self.input.len() + more,
             AfterRequests::Continue => self.needed = self.input.len().min(1),
             AfterRequests::Finish => self.accepts_requests = false,
         }
         connection.has_unparsed_input.set(false);
         if self.accepts_requests && !self.input.is_empty() {
-            connection.note_input(&mut self.input, 0);
+            connection.commit_input(&mut self.input, 0);
         }
     }
 
-    /// Whether the client has closed its connection, as far as is known without waiting.
+    /// Returns whether the client has closed its connection, as far as is known without waiting.
     async fn peer_has_closed(&self) -> bool {
         tokio::select! {
             biased;
@@ -144,9 +147,9 @@
         }
     }
 
-    /// Takes complete requests from the input and sends them on, some at a time. Those of a client that has gone are
-    /// not begun.
-    fn dispatch_requests(&mut self, client_gone: bool) -> AfterRequests {
+    /// Takes up to [`REQUESTS_PER_TURN`] complete requests from the input and dispatches them.
+    /// Requests of a disconnected client are not started.
+    fn dispatch_complete_requests(&mut self, client_gone: bool) -> AfterRequests {
         let connection = self.connection;
         for _ in 0..REQUESTS_PER_TURN {
             if connection.answers.borrow().len() >= MAX_PIPELINED {
@@ -166,7 +169,7 @@
                 }
             };
             self.input.consume(length);
-            self.note_request();
+            self.record_request();
             let ticket = connection.open_slot();
             match received {
                 Received::Answer(answer) => connection.answer_with(ticket, answer),
@@ -181,8 +184,8 @@
         AfterRequests::Continue
     }
 
-    /// Notes that a complete request has come.
-    fn note_request(&self) {
+    /// Records that a complete request has arrived.
+    fn record_request(&self) {
         let connection = self.connection;
         let now = connection.dispatcher.now();
         connection.last_active_ms.set(now);
@@ -193,89 +196,94 @@
         }
     }
 
-    /// Whether this connection is not to be read for a while. Guards memory against many clients that write long
-    /// requests and do not complete them: those with a long one wait for others to complete theirs, and time out if
-    /// nobody does.
-    fn over_input_budget(&self) -> bool {
+    /// Updates the input budget, and returns whether to pause reading. Bounds memory when many
+    /// clients send long requests without completing them. A paused client waits until others
+    /// complete their requests; if none does, its own request times out.
+    fn update_input_budget(&self) -> bool {
         let length = self.input.len();
         let counted = if length > SHORT_INPUT { length } else { 0 };
         !self.input_budget.set(counted) && counted > 0
     }
 
-    /// Waits for input, for the client to take output, or for a change of the connection's state. Break: the
-    /// connection is to be closed.
-    async fn wait(&mut self, owed: usize, unsent: bool) -> ControlFlow<()> {
+    /// Waits for input, for the client to read output, or for a change of the connection's state.
+    /// Returns `Break` if the connection is to be closed.
+    async fn wait(&mut self, pending_answers: usize, unsent: bool) -> ControlFlow<()> {
         let connection = self.connection;
-        let ends = connection.draining.get() && !connection.has_unparsed_input.get();
-        let pauses = self.over_input_budget();
-        let accepts = self.accepts_requests && owed < MAX_PIPELINED && !ends && !pauses;
+        let closing = connection.draining.get() && !connection.has_unparsed_input.get();
+        let paused = self.update_input_budget();
+        let reads_requests =
+            self.accepts_requests && pending_answers < MAX_PIPELINED && !closing && !paused;
         let streaming = connection.streaming.borrow().clone();
         let Session { read, input, .. } = self;
         let Ok(spare) = input.free_slice() else {
-            // The input is full, and holds no complete request.
+            // The input is full without a complete request.
             self.finish_with(TOO_LONG);
             return ControlFlow::Continue(());
         };
-        if ends && owed == 0 && !unsent {
-            // Guards a request that has just come: the connection is closed only if there is nothing to read.
+        if closing && pending_answers == 0 && !unsent {
+            // A request may have just arrived: close the connection only if there is nothing to
+            // read.
             return match read.try_read(spare) {
                 Ok(count) if count > 0 => {
-                    connection.note_input(input, count);
+                    connection.commit_input(input, count);
                     ControlFlow::Continue(())
                 }
                 _ => ControlFlow::Break(()),
             };
         }
         tokio::select! {
-            // What a client writes behind its last request is left unread: it sends that again elsewhere. Reading by
-            // the half spares a second read that would find nothing.
-            got = async { if accepts { read.read(spare).await } else { peer_closed(read).await } } => match got {
+            // A draining connection leaves further input unread: the client sends those requests
+            // again elsewhere. Reading from the owned half avoids a second read that would find
+            // nothing.
+            read_result = async { if reads_requests { read.read(spare).await } else { peer_closed(read).await } } => match read_result {
                 Ok(0) | Err(_) => return ControlFlow::Break(()),
-                Ok(count) => connection.note_input(input, count),
+                Ok(count) => connection.commit_input(input, count),
             },
             _ = connection.stream.writable(), if unsent => connection.flush(),
-            () = more_of(streaming.as_deref()), if !unsent && streaming.is_some() => connection.flush(),
+            () = wait_for_body_bytes(streaming.as_deref()), if !unsent && streaming.is_some() => connection.flush(),
             () = connection.wake.notified() => {}
-            () = tokio::time::sleep(INPUT_BUDGET_PAUSE), if pauses => {}
+            () = tokio::time::sleep(INPUT_BUDGET_PAUSE), if paused => {}
         }
         ControlFlow::Continue(())
     }
 }
 
-/// Lingering close: ends the sending, and discards what the client still writes. Guards the last answers: a close over
-/// unread bytes resets the connection, and what the system has not sent yet is lost with it.
+/// Lingering close: shuts down the write side and discards what the client still sends. Closing
+/// with unread input would reset the connection, and answers that the system has not sent yet would
+/// be lost.
 async fn linger(connection: &Connection, read: &mut OwnedReadHalf) {
     let mut discarded = vec![0; LINGER_BUFFER];
     if !matches!(read.try_read(&mut discarded), Ok(count) if count > 0) {
-        // Nothing is unread: the system sends the rest and then the end.
+        // Nothing is unread: the system sends the remaining output and then closes.
         return;
     }
     let _ = socket2::SockRef::from(connection.stream.as_ref()).shutdown(Shutdown::Write);
     connection.lingering.set(true);
     let client_closes = async { while read.read(&mut discarded).await.is_ok_and(|n| n > 0) {} };
-    let place_wanted = async {
-        while !connection.place_wanted.get() {
+    let eviction_requested = async {
+        while !connection.eviction_requested.get() {
             connection.wake.notified().await;
         }
     };
     tokio::select! {
         _ = timeout(LINGER, client_closes) => {}
-        () = place_wanted => {}
+        () = eviction_requested => {}
     }
 }
 
-/// Waits until the client has closed its connection, whatever is still unread on it. Guards against work for nobody:
-/// the close is seen while nothing is read, too. The result is that of a read at the end.
+/// Waits until the client has closed its connection, even if input is unread. The close is noticed
+/// this way while nothing is read, so no work starts for a disconnected client. Returns the result
+/// of a read at the end of the stream.
 async fn peer_closed(read: &OwnedReadHalf) -> std::io::Result<usize> {
-    // With bytes to read it is ready at once, each time: hence the pause.
+    // Unread input makes the socket ready at once each time, so pause between checks.
     while !read.ready(Interest::READABLE).await?.is_read_closed() {
         tokio::time::sleep(PEER_CLOSED_POLL).await;
     }
     Ok(0)
 }
 
-/// Waits for more of a body that is being streamed.
-async fn more_of(body: Option<&BodyReceiver>) {
+/// Waits until a streamed body has more bytes.
+async fn wait_for_body_bytes(body: Option<&BodyReceiver>) {
     if let Some(body) = body {
         body.wait_for_bytes().await;
     }
--- a/src/runtime/clock/tests.rs
+++ b/src/runtime/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_set_clock_stands_still_and_never_goes_back() {
+fn fixed_clock_never_goes_back() {
     let clock = Clock::fixed(1e12);
     clock.set(1e12 + 5.0);
     clock.set(1e12);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_systems_clock_shows_unix_time_and_runs_on() {
+fn system_clock_shows_unix_time_and_advances() {
     let clock = Clock::system();
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -21,6 +21,9 @@
         .as_secs_f64()
         * 1e3;
     let first = clock.now();
-    assert!((first - unix).abs() < 1000.0, "{first} beside {unix}");
+    assert!(
+        (first - unix).abs() < 1000.0,
+        "clock shows {first}, system time is {unix}"
+    );
     assert!(clock.now() >= first);
 }
--- a/src/runtime/dispatcher.rs
+++ b/src/runtime/dispatcher.rs
@@ -1,10 +1,11 @@
-//! What all parts of the ingress share: the clock, the settings, the request table, the endpoint registry, and who is
-//! owed which answer.
+//! The state that all tasks of the ingress share: clock, settings, request table, endpoint registry
+//! and pending answers.
 //!
-//! Actions go from the request table through the dispatcher (answers to their clients, all others to the
-//! [`ActionExecutor`]), and events of every part go through it into the request table. It knows no wire, socket or
-//! task, and decides about no request: the parts know the dispatcher, and it knows none of them. Nobody else runs
-//! while it borrows the request table.
+//! Events of the frontends, connections and timers pass through the dispatcher into the request
+//! table. The actions of the request table pass back through it: answers to the client of the
+//! request, all other actions to the [`ActionExecutor`]. The dispatcher does no I/O, spawns no task
+//! and decides about no request. It depends on none of the modules that call it. The request table
+//! is borrowed only within one call, never across an await.
 
 mod byte_budget;
 mod endpoints;
@@ -28,40 +29,44 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
 
-/// Bytes in a megabyte, as the platform counts its limits.
+/// Bytes per megabyte of the platform's limits (decimal).
 const BYTES_PER_MB: f64 = 1e6;
-/// Requests in flight may take this part of the memory; the rest is for connections, rules and the program itself.
+/// Requests in flight may use this fraction of the memory; the rest is for connections, rules and
+/// the program itself.
 const REQUEST_MEMORY_DIVISOR: f64 = 3.0;
-/// What all clients together leave unread takes this part of that at most, and so do streamed bodies: each is one of
-/// several things that grow under the same overload.
+/// Unread answers of all clients together may use this fraction of the request memory, and streamed
+/// bodies the same fraction: both grow under the same overload.
 const UNSENT_ANSWERS_DIVISOR: usize = 2;
 const BODY_STREAMS_DIVISOR: usize = 2;
 
-/// How long a new process waits for an answer of discovery before it counts as ready with the list it has, ms.
+/// Time that a new process waits for the first answer of discovery, ms. After it, the process is
+/// ready with the endpoint list that it has.
 const DISCOVERY_WAIT_MS: f64 = 300.0;
 
-/// Carries out what the request table wants done, answers to clients apart. It is called while the request table is
-/// not borrowed, so that it may report events at once.
+/// Executes the actions of the request table, except for answers to clients. The request table is
+/// not borrowed during a call, so an implementation may report events at once.
 pub trait ActionExecutor {
-    /// Carries out one action. Actions come in the order in which they were asked for.
+    /// Executes one action. Calls arrive in the order in which the request table emitted the
+    /// actions.
     fn carry_out(&self, action: Action);
 }
 
-/// Where a frontend wants answers. `ticket` is the frontend's own mark for one request.
+/// Receives the answers for a frontend. `ticket` is the frontend's own identifier of one request.
 pub trait ResponseSink {
-    /// Gives it the one final answer to a request.
+    /// Delivers the one final answer to a request.
     fn answer(&self, ticket: u64, answer: FinalAnswer);
 }
 
-/// An answer that a client is owed.
+/// An answer that is still due to a client.
 struct PendingAnswer {
     client: Rc<dyn ResponseSink>,
     ticket: u64,
-    /// The request's places under the operator's limits, free again when this is dropped.
-    _limit_tickets: Vec<LimitPermit>,
+    /// The permits that the request holds under the operator's limits; dropping them frees the
+    /// limits.
+    _limit_permits: Vec<LimitPermit>,
 }
 
-/// What all tasks of the ingress share.
+/// The state that all tasks of the ingress share.
 pub struct Dispatcher {
     clock: Clock,
     /// When the process started, ms.
@@ -69,40 +74,41 @@
     platform: Rc<Platform>,
     requests: RefCell<RequestTable>,
     registry: RefCell<EndpointRegistry>,
-    /// Set once during start-up; weak, since it holds the dispatcher.
+    /// Set once during start-up. Weak, because the executor owns the dispatcher.
     executor: OnceCell<Weak<dyn ActionExecutor>>,
-    /// Whether actions are being carried out further up the stack.
+    /// Whether `carry_out_actions` is already running further up the stack.
     carrying_out: Cell<bool>,
     pending: RefCell<HashMap<RequestId, PendingAnswer>>,
     plugin: Option<Plugin>,
-    /// The operator's rules.
+    /// The operator's rules, if any.
     router: RefCell<Option<Router>>,
-    /// The endpoints that are ready, as the request table knows them.
+    /// The endpoints that are ready in the request table.
     ready: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
-    /// None: nobody can exclude an endpoint.
+    /// `None` if neither an operator nor a group can exclude endpoints.
     excluded: Option<RefCell<ExcludedEndpoints>>,
-    /// Every endpoint as its list has it, without exclusions; empty where nobody can exclude one.
+    /// Every endpoint as the endpoint list has it, before exclusions; empty if `excluded` is
+    /// `None`.
     listed: RefCell<BTreeMap<EndpointId, EndpointEntry>>,
     drain: RefCell<DrainControl>,
     generated_ids: Cell<u64>,
-    /// Bytes of answers that all clients together have not read.
+    /// Bytes of answers that have not been read, over all clients.
     unsent_bytes: Rc<Cell<usize>>,
-    /// Most of them.
+    /// Upper bound of `unsent_bytes`.
     max_unsent_bytes: usize,
-    /// Bytes of requests of which all clients together have sent only a part.
+    /// Bytes of incomplete requests, over all clients.
     incoming_bytes: Rc<Cell<usize>>,
     body_streams: BodyStreams,
-    /// Whether discovery has answered, or there is none.
+    /// Whether discovery has answered, or is not configured.
     discovery_answered: Cell<bool>,
 }
 
 impl Dispatcher {
-    /// The shared state of an ingress with this configuration. `memory_mb` is the memory that requests may use: a
-    /// third for requests that are held, a sixth each for unread answers and for large bodies. In a group, others may
-    /// exclude endpoints.
+    /// Creates the shared state of an ingress. Of `memory_mb`, a third is for requests in flight,
+    /// and a sixth each for unread answers and for streamed bodies. With `in_group`, other
+    /// ingresses of the group may exclude endpoints.
     ///
     /// # Errors
-    /// The settings make no sense to the decision module.
+    /// The decision module rejects the settings.
     pub fn new(
         config: &Config,
         memory_mb: f64,
@@ -120,7 +126,7 @@
             executor: OnceCell::new(),
             carrying_out: Cell::new(false),
             pending: RefCell::default(),
-            // Without discovery, what is known is all there is.
+            // Without discovery the known endpoints are final.
             discovery_answered: Cell::new(config.discovery.is_none()),
             plugin,
             router: RefCell::default(),
@@ -138,22 +144,22 @@
         }))
     }
 
-    /// The time, ms since the Unix epoch.
+    /// Returns the current time, ms since the Unix epoch.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// The clock.
+    /// Returns the process clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The settings.
+    /// Returns the settings of the platform.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// The longest deadline of all classes, ms.
+    /// Returns the longest deadline of all classes, ms.
     pub fn longest_deadline_ms(&self) -> f64 {
         let classes = self.platform.decision.classes.iter();
         classes
@@ -161,54 +167,57 @@
             .fold(0.0, f64::max)
     }
 
-    /// The endpoint registry.
+    /// Borrows the endpoint registry.
     pub fn registry(&self) -> RefMut<'_, EndpointRegistry> {
         self.registry.borrow_mut()
     }
 
-    /// A new client's part of the answers that clients may leave unread.
+    /// Creates the budget of a new client for unread answers.
     pub fn unsent_budget(&self) -> ByteBudget {
         ByteBudget::new(self.unsent_bytes.clone(), self.max_unsent_bytes)
     }
 
-    /// A new client's part of the requests of which only a part has come.
+    /// Creates the budget of a new client for incomplete requests.
     pub fn incoming_budget(&self) -> ByteBudget {
-        // Ring buffers grow by doubling: they may take twice the bytes that they hold.
+        // A ring buffer grows by doubling, so it may allocate twice the bytes that it holds.
         ByteBudget::new(self.incoming_bytes.clone(), self.max_unsent_bytes / 2)
     }
 
-    /// The large bodies that are being streamed.
+    /// Returns the large bodies that are being streamed.
     pub fn body_streams(&self) -> &BodyStreams {
         &self.body_streams
     }
 
-    /// When [`RequestTable::tick`] must be called at the latest, ms; none: nothing is due.
+    /// Returns the latest time for the next call of [`RequestTable::tick`], ms; `None` if nothing
+    /// is due.
     pub fn next_due(&self) -> Option<f64> {
         self.requests.borrow_mut().next_due_ms()
     }
 
-    /// What has been counted since the start.
+    /// Returns the request counts since the start.
     pub fn request_counts(&self) -> RequestCounts {
         self.requests.borrow().counts()
     }
 
-    /// How many requests are owed an answer.
+    /// Returns the number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
         self.requests.borrow().unanswered()
     }
 
-    /// Discovery has answered: the list is as good as it gets.
+    /// Records that discovery has answered. From now on readiness no longer waits for a list.
     pub fn mark_discovery_answered(&self) {
         self.discovery_answered.set(true);
     }
 
-    /// Whether a health check at the clients' address passes: requests can be served, and no call has paused the ingress.
-    /// A shutdown does not end it: until the listeners close, clients that still come are served.
+    /// Returns whether health checks at the client address pass: requests can be served, and the
+    /// ingress is not paused. A shutdown does not change the result, because clients are served
+    /// until the listeners close.
     pub fn ready(&self) -> bool {
-        self.cannot_serve().is_none() && !self.drain.borrow().paused()
+        self.not_serving_reason().is_none() && !self.drain.borrow().paused()
     }
 
-    /// Why staff should send no clients here; none: they may. Unlike [`Dispatcher::ready`] it names a shutdown too.
+    /// Returns the reason why no clients should be routed here, or `None` if they may be. Unlike
+    /// [`Dispatcher::ready`], a shutdown is a reason too.
     pub fn unready_reason(&self) -> Option<&'static str> {
         let drain = self.drain.borrow();
         if drain.stopped() {
@@ -216,12 +225,12 @@
         } else if drain.paused() {
             Some("paused")
         } else {
-            self.cannot_serve()
+            self.not_serving_reason()
         }
     }
 
-    /// Why requests cannot be served, for people; none: they can.
-    fn cannot_serve(&self) -> Option<&'static str> {
+    /// Returns a readable reason why requests cannot be served, or `None` if they can.
+    fn not_serving_reason(&self) -> Option<&'static str> {
         let waited_ms = self.now() - self.started_ms;
         if !self.discovery_answered.get() && waited_ms <= DISCOVERY_WAIT_MS {
             Some("no list yet")
@@ -232,12 +241,12 @@
         }
     }
 
-    /// How far the ingress is drained, to be changed.
+    /// Borrows the drain control, to pause, resume or stop.
     pub fn drain(&self) -> RefMut<'_, DrainControl> {
         self.drain.borrow_mut()
     }
 
-    /// How far the ingress is drained now.
+    /// Returns the current drain stage.
     pub fn drain_state(&self) -> DrainState {
         self.drain.borrow().state(self.now())
     }
--- a/src/runtime/dispatcher/byte_budget.rs
+++ b/src/runtime/dispatcher/byte_budget.rs
@@ -1,24 +1,25 @@
-//! A bound on what all clients together make this process hold.
+//! A byte limit that is shared by all clients.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// One client's part of a number of bytes that all clients together may make this process hold: answers that they do
-/// not read, or requests of which a part has come.
+/// One client's use of a byte limit that all clients share: unread answers, or incomplete requests.
 ///
-/// Guards memory against many clients that each stay within a bound of their own: with thousands of connections no
-/// bound per connection is both useful and safe. Dropping it returns the client's part.
+/// Bounds memory when many clients each stay within a limit of their own: with thousands of
+/// connections no limit per connection is both useful and safe. Dropping the budget releases the
+/// bytes of its client.
 pub struct ByteBudget {
-    /// Bytes held for all clients.
+    /// Bytes held for all clients together.
     total: Rc<Cell<usize>>,
-    /// Most bytes for all clients.
+    /// Limit for all clients together, bytes.
     max: usize,
     /// Bytes held for this client.
     held: Cell<usize>,
 }
 
 impl ByteBudget {
-    /// Holds nothing yet. `total` is shared by all clients, `max` its bound, bytes.
+    /// Creates an empty budget. `total` is the counter that all clients share, `max` its limit in
+    /// bytes.
     pub fn new(total: Rc<Cell<usize>>, max: usize) -> ByteBudget {
         ByteBudget {
             total,
@@ -27,21 +28,21 @@
         }
     }
 
-    /// Adds bytes that are held for this client. False: all clients together hold too many. The bytes count all the
-    /// same, until they are released or the client is cut off.
+    /// Adds bytes to this client's use. Returns false if all clients together exceed the limit; the
+    /// bytes still count until they are released or the budget is dropped.
     pub fn add(&self, bytes: usize) -> bool {
         self.held.set(self.held.get() + bytes);
         self.total.set(self.total.get() + bytes);
         self.total.get() <= self.max
     }
 
-    /// Sets the bytes that are held for this client. False: all clients together hold too many.
+    /// Replaces this client's use. Returns false if all clients together exceed the limit.
     pub fn set(&self, bytes: usize) -> bool {
         self.release(usize::MAX);
         self.add(bytes)
     }
 
-    /// Takes off bytes that are held no more; at most what this client holds.
+    /// Releases bytes, at most as many as this client holds.
     pub fn release(&self, bytes: usize) {
         let bytes = bytes.min(self.held.get());
         self.held.set(self.held.get() - bytes);
--- a/src/runtime/dispatcher/byte_budget/tests.rs
+++ b/src/runtime/dispatcher/byte_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Many clients ask for much and read nothing. Each stays within its own bound, and together they would take all
-/// memory.
+/// Many clients request large answers and read none. Each stays within a limit of its own, but
+/// together they would exhaust the memory.
 #[test]
-fn what_clients_leave_unread_is_bounded_over_all_of_them() {
+fn limit_is_shared_by_all_clients() {
     let all = Rc::default();
     let (a, b) = (
         ByteBudget::new(Rc::clone(&all), 100),
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists and the operator's rules: which pools each ready endpoint is in.
+//! Endpoint updates, and the operator's rules that assign ready endpoints to pools and route
+//! requests.
 
 use super::Dispatcher;
 use crate::decision::driver::EndpointId;
@@ -9,8 +10,8 @@
 use std::collections::BTreeMap;
 
 impl Dispatcher {
-    /// Passes an update of the endpoint registry on to the request table: exclusions are applied, and ready endpoints
-    /// get their pools.
+    /// Passes an update of the endpoint registry on to the request table. Excluded endpoints are
+    /// marked as draining first, and ready endpoints get their pools.
     pub fn update_endpoints(&self, kind: ListKind, mut entries: Vec<EndpointEntry>) {
         self.apply_exclusions(kind, &mut entries);
         if let Some(router) = &mut *self.router.borrow_mut() {
@@ -48,12 +49,13 @@
         }
     }
 
-    /// Whether there are rules: without, what they would see of a request need not be put together.
+    /// Returns whether there are rules. Without rules, callers can skip building the request view
+    /// for them.
     pub fn has_rules(&self) -> bool {
         self.router.borrow().is_some()
     }
 
-    /// What the rules say of a request.
+    /// Evaluates the rules for a request.
     pub fn route(&self, request: &Request<'_>) -> Verdict {
         match &mut *self.router.borrow_mut() {
             Some(router) => router.route(request, self.clock.now()),
@@ -61,27 +63,27 @@
         }
     }
 
-    /// The rules in force.
+    /// Returns a copy of the rules in force.
     pub fn rules(&self) -> Option<Rules> {
         let router = self.router.borrow();
         router.as_ref().map(|router| router.rules().clone())
     }
 
-    /// Puts rules in force. What they replace takes long to drop, and is to be dropped by another thread. Requests
-    /// under way end under the rules that they began with.
+    /// Puts rules in force. Requests in flight complete under the rules that they began with. The
+    /// returned old rules are slow to drop; drop them on another thread.
     ///
     /// # Errors
-    /// Requests under way still need too many pools of the old rules, which stay in force.
+    /// Requests in flight still use too many pools of the old rules; the old rules stay in force.
     pub fn replace_rules(&self, rules: Rules) -> Result<Option<Replaced>, PoolBitsExhausted> {
         let longest_ms = self.longest_deadline_ms();
         let replaced = match &mut *self.router.borrow_mut() {
             Some(router) => Some(router.replace(rules, self.clock.now(), longest_ms)?),
-            none => {
-                *none = Some(Router::new(rules));
+            no_router => {
+                *no_router = Some(Router::new(rules));
                 None
             }
         };
-        // Without a new pool, every endpoint is in its pools already.
+        // If no pool is new, the pools of every endpoint are up to date.
         if replaced.as_ref().is_none_or(Replaced::has_new_pools) {
             let ready = self.ready.borrow().values().cloned().collect();
             self.update_endpoints(ListKind::Delta, ready);
@@ -89,7 +91,7 @@
         Ok(replaced)
     }
 
-    /// Statistics of the pools that rules define; none without rules.
+    /// Returns the statistics of the rules' pools, or `None` without rules.
     pub fn pool_statistics(&self) -> Option<PoolStatistics> {
         let router = self.router.borrow();
         let router = router.as_ref()?;
@@ -104,16 +106,16 @@
     }
 }
 
-/// Statistics of the pools that rules define.
+/// Statistics of the pools that the rules define.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolStatistics {
-    /// How many endpoints of each pool are ready, as `POOL=COUNT` separated by spaces.
+    /// The number of ready endpoints of each pool, as `POOL=COUNT` separated by spaces.
     pub ready: String,
-    /// How many evaluations of rules have failed since the start.
+    /// The number of rule evaluations that have failed since the start.
     pub failed_evaluations: u64,
 }
 
-/// Keeps the ready endpoints up to date with a list.
+/// Applies an endpoint list to the map of ready endpoints.
 fn update_ready(
     ready: &mut BTreeMap<EndpointId, EndpointEntry>,
     kind: ListKind,
--- a/src/runtime/dispatcher/exclusions.rs
+++ b/src/runtime/dispatcher/exclusions.rs
@@ -1,6 +1,7 @@
-//! Endpoints that staff or the group have excluded: the request table sees them as draining, whatever the lists say.
+//! Endpoint exclusions by operators or by the group. The request table sees an excluded endpoint as
+//! draining, whatever state the endpoint list gives it.
 //!
-//! The dispatcher keeps every endpoint as its list has it, so that an endpoint that is no longer excluded gets its
+//! The dispatcher keeps every endpoint in its listed state, so that a restored endpoint gets that
 //! state back without a new list.
 
 use super::Dispatcher;
@@ -11,35 +12,35 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// How many endpoints are excluded, by staff or by the group.
+    /// Returns how many endpoints are excluded, at this ingress or by the group.
     pub fn excluded_count(&self) -> usize {
         self.excluded
             .as_ref()
             .map_or(0, |excluded| excluded.borrow().iter().count())
     }
 
-    /// Whether an endpoint of this name is excluded, by staff or by the group.
+    /// Returns whether the endpoint is excluded, at this ingress or by the group.
     pub fn is_excluded(&self, name: &str) -> bool {
         self.excluded
             .as_ref()
             .is_some_and(|excluded| excluded.borrow().is_excluded(name))
     }
 
-    /// Whether a call to this ingress alone has excluded it.
+    /// Returns whether the endpoint is excluded at this ingress, whatever the group has excluded.
     pub fn is_excluded_here(&self, name: &str) -> bool {
         self.excluded
             .as_ref()
             .is_some_and(|excluded| excluded.borrow().is_excluded_here(name))
     }
 
-    /// Whether any list has named such an endpoint.
+    /// Returns whether any endpoint list has named this endpoint.
     pub fn was_listed(&self, name: &str) -> bool {
         self.excluded
             .as_ref()
             .is_some_and(|excluded| excluded.borrow().was_listed(name))
     }
 
-    /// Excludes an endpoint at this ingress, or ends that.
+    /// Excludes an endpoint at this ingress, or restores it.
     pub fn set_excluded(&self, name: &str, exclude: bool) -> ExclusionOutcome {
         let Some(excluded) = &self.excluded else {
             return ExclusionOutcome::NeverListed;
@@ -50,25 +51,25 @@
             excluded.borrow_mut().restore(name)
         };
         if outcome == ExclusionOutcome::Done {
-            self.update_again(&[name.to_string()]);
+            self.update_listed(&[name.to_string()]);
         }
         outcome
     }
 
-    /// Takes over the exclusions of another process of this ingress in place of those here; the names that have
-    /// changed.
+    /// Replaces the exclusions at this ingress by those of another process of the same ingress.
+    /// Returns the names whose exclusion has changed.
     pub fn take_over(&self, names: BTreeSet<String>) -> Vec<String> {
         let Some(excluded) = &self.excluded else {
             return Vec::new();
         };
         let changed = excluded.borrow_mut().take_over(names);
         if !changed.is_empty() {
-            self.update_again(&changed);
+            self.update_listed(&changed);
         }
         changed
     }
 
-    /// Puts the group's exclusions in force in place of its earlier ones.
+    /// Replaces the exclusions of the group.
     pub fn set_group_exclusions(&self, names: Arc<BTreeSet<String>>) {
         let Some(excluded) = &self.excluded else {
             return;
@@ -77,14 +78,15 @@
         if !changed.is_empty() {
             tracing::info!(
                 changed = changed.join(" "),
-                "taken out or put back by the group"
+                "exclusions of the group changed"
             );
-            self.update_again(&changed);
+            self.update_listed(&changed);
         }
     }
 
-    /// Updates these endpoints from what their list says, as far as they are listed.
-    fn update_again(&self, names: &[String]) {
+    /// Updates the named endpoints from their listed state; names that are not listed have no
+    /// effect.
+    fn update_listed(&self, names: &[String]) {
         let has_name = |id: EndpointId| {
             self.registry
                 .borrow()
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Keeps what a list says, and marks excluded endpoints in it as draining.
+    /// Records the listed state of the entries, then marks excluded endpoints among them as
+    /// draining.
     pub(super) fn apply_exclusions(&self, kind: ListKind, entries: &mut [EndpointEntry]) {
         let Some(excluded) = &self.excluded else {
             return;
--- a/src/runtime/dispatcher/requests.rs
+++ b/src/runtime/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Requests on their way in, and what the request table wants done on its way out.
+//! Request arrival, and execution of the request table's actions.
 
 use super::{ActionExecutor, Dispatcher, PendingAnswer, ResponseSink};
 use crate::decision::driver::{EndpointId, RequestId};
@@ -8,36 +8,38 @@
 use driftgap_routes::LimitPermit;
 use std::rc::{Rc, Weak};
 
-/// Retry-After for requests that a drained or ending ingress rejects, ms: by then the client's next connection goes
-/// to another ingress.
+/// Retry-after of requests that a drained or stopping ingress rejects, ms. After this time a new
+/// connection of the client reaches another ingress.
 const DRAINED_RETRY_AFTER_MS: f64 = 500.0;
 
 impl Dispatcher {
-    /// Names who carries actions out from now on; the first one named stays.
+    /// Sets the executor of actions. Only the first call has an effect.
     pub fn set_executor(&self, executor: &Rc<dyn ActionExecutor>) {
         let _ = self.executor.set(Rc::downgrade(executor));
     }
 
-    /// Lets the request table act, then carries out what it wants done. `act` gets the time, ms.
+    /// Calls `act` with the request table and the current time in ms, then executes the resulting
+    /// actions.
     pub fn with_requests(&self, act: impl FnOnce(&mut RequestTable, f64)) {
         act(&mut self.requests.borrow_mut(), self.clock.now());
         self.carry_out_actions();
     }
 
-    /// Whether an endpoint may be sent requests right now. To be asked again just before a request is written: the
-    /// endpoint may have begun to drain while its connection was opened.
+    /// Returns whether an endpoint accepts new requests now. Check it again just before writing a
+    /// request: the endpoint may have begun to drain while its connection was opened.
     pub fn accepts_requests(&self, endpoint: EndpointId) -> bool {
         self.requests.borrow().accepts_requests(endpoint)
     }
 
-    /// Takes a request in. `client` gets the answer under its mark `ticket`; `limit_tickets` are held until then.
-    /// `on_id` gets the request's number before any answer can come.
+    /// Admits a request, or rejects it if the ingress is drained. `client` gets the answer under
+    /// its own identifier `ticket`; the permits are held until then. `on_id` gets the request's
+    /// number before any answer is delivered.
     pub fn arrive(
         &self,
         request: ClientRequest,
         client: Rc<dyn ResponseSink>,
         ticket: u64,
-        limit_tickets: Vec<LimitPermit>,
+        limit_permits: Vec<LimitPermit>,
         on_id: impl FnOnce(RequestId),
     ) {
         let now = self.clock.now();
@@ -48,14 +50,14 @@
         let pending = PendingAnswer {
             client,
             ticket,
-            _limit_tickets: limit_tickets,
+            _limit_permits: limit_permits,
         };
         self.pending.borrow_mut().insert(id, pending);
         on_id(id);
         self.carry_out_actions();
     }
 
-    /// Asks the plug-in, if there is one, then the request table.
+    /// Consults the plug-in, if there is one, then the request table.
     fn decide(&self, now: f64, mut request: ClientRequest) -> RequestId {
         let plugin = self.plugin.as_ref();
         let verdict = plugin.map(|plugin| plugin.decide(now, &self.platform, &request));
@@ -64,7 +66,7 @@
                 return self.requests.borrow_mut().reject(retry_after_ms);
             }
             Some(PluginVerdict::Pass(notes)) if !notes.is_empty() => {
-                tracing::debug!(id = request.id, ?notes, "notes of the plug-in");
+                tracing::debug!(id = request.id, ?notes, "plug-in added notes to a request");
                 request.notes.extend(notes);
             }
             Some(PluginVerdict::Pass(_)) | None => {}
@@ -72,7 +74,7 @@
         self.requests.borrow_mut().request_arrived(now, request)
     }
 
-    /// Rejects a request before any decision: a rule says so, or the ingress is drained.
+    /// Rejects a request before any decision: by a rule, or because the ingress is drained.
     pub fn reject(
         &self,
         retry_after_ms: f64,
@@ -84,34 +86,34 @@
         let pending = PendingAnswer {
             client,
             ticket,
-            _limit_tickets: Vec::new(),
+            _limit_permits: Vec::new(),
         };
         self.pending.borrow_mut().insert(id, pending);
         on_id(id);
         self.carry_out_actions();
     }
 
-    /// An id for a request whose client names none, unique within this ingress.
+    /// Generates a request id, unique within this ingress, for a client that sent none.
     pub fn generate_request_id(&self) -> String {
         self.generated_ids.set(self.generated_ids.get() + 1);
         let (start, number) = (self.started_ms as u64, self.generated_ids.get());
         format!("r{start:x}-{number:x}")
     }
 
-    /// The client of this request has gone: its answer is not wanted any more.
+    /// Records that the client of a request has disconnected: its answer is dropped.
     pub fn client_gone(&self, id: RequestId) {
         self.pending.borrow_mut().remove(&id);
         self.with_requests(|requests, now| requests.client_gone(now, id));
     }
 
-    /// The process ends: everything that is unanswered gets its final answer now.
+    /// Gives every unanswered request its final answer now. Called at the end of a shutdown.
     pub fn answer_all_now(&self) {
         self.with_requests(|requests, now| requests.answer_all_now(now, DRAINED_RETRY_AFTER_MS));
     }
 
-    /// Carries out actions until there are none. What an action causes meanwhile (a client's next request, an
-    /// attempt that ends at once) only adds actions, for the loop that runs already: the request table is never
-    /// entered twice, and actions keep their order.
+    /// Executes actions until none is left. An action may cause further ones, such as the client's
+    /// next request or an attempt that ends at once; the loop that already runs executes them, so
+    /// the request table is never entered twice and actions keep their order.
     fn carry_out_actions(&self) {
         if self.carrying_out.replace(true) {
             return;
@@ -121,7 +123,7 @@
             match action {
                 Some(Action::Reply(id, answer)) => self.reply(id, answer),
                 Some(action) => {
-                    // Without an executor, as during start-up, there is nobody to act.
+                    // During start-up there is no executor yet: the action is dropped.
                     if let Some(executor) = self.executor.get().and_then(Weak::upgrade) {
                         executor.carry_out(action);
                     }
@@ -134,7 +136,7 @@
 
     fn reply(&self, id: RequestId, answer: FinalAnswer) {
         let pending = self.pending.borrow_mut().remove(&id);
-        // A client that has gone is not in the table any more.
+        // The entry of a client that has disconnected is already removed.
         if let Some(pending) = pending {
             pending.client.answer(pending.ticket, answer);
         }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! The process: its clock, the dispatcher between its parts, start, reload and shutdown.
+//! The process: clock, dispatcher, start-up, reload, shutdown and takeover by a newer process.
 
 pub mod clock;
 pub mod dispatcher;
--- a/src/runtime/process_takeover.rs
+++ b/src/runtime/process_takeover.rs
@@ -1,8 +1,9 @@
-//! What one process of this ingress leaves to the next, while two run beside each other and after the older has ended:
-//! the endpoints that staff have excluded. Each is an empty file in a folder that all processes of the ingress see.
+//! State that the processes of one ingress share while a newer process takes over from an older
+//! one: the endpoints that operators have excluded. Each excluded endpoint is an empty file in a
+//! folder that all processes of the ingress use.
 //!
-//! Making and removing a file are single steps, so two processes never undo each other's work. What cannot be written
-//! holds for this process at least.
+//! Creating and removing a file are atomic, so two processes never undo each other's changes. A
+//! change that cannot be written still holds in the process that received it.
 
 mod peer_process;
 
@@ -18,22 +19,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The folder is read this often: how long a call to one process takes until the other obeys it.
+/// Interval between two reads of the folder, and so the longest time until a call to one process
+/// takes effect in the other.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The folder that all processes of this ingress share.
+/// The shared folder of all processes of this ingress.
 pub struct ProcessTakeover {
     path: PathBuf,
-    /// Names whose file could not be made (true) or removed (false).
+    /// Changes whose file operation failed: names to exclude (true) or to restore (false).
     unwritten: RefCell<BTreeMap<String, bool>>,
     peer: PeerDetector,
 }
 
 impl ProcessTakeover {
-    /// The folder of the ingress of this name below `base`, made if it is not there.
+    /// Opens the folder of the named ingress below `base`, and creates it if it does not exist.
     ///
     /// # Errors
-    /// It cannot be made.
+    /// The folder or a lock file cannot be created.
     pub fn open(base: &Path, ingress: &str) -> Result<ProcessTakeover> {
         let path = base.join(format!("driftgap-{}-out", file_name(ingress)));
         std::fs::create_dir_all(&path)?;
@@ -45,12 +47,12 @@
         })
     }
 
-    /// Whether another process of this ingress runs now.
+    /// Returns whether another process of this ingress runs now.
     pub fn peer_runs(&self) -> bool {
         self.peer.peer_runs()
     }
 
-    /// The names of the excluded endpoints.
+    /// Returns the names of the excluded endpoints.
     ///
     /// # Errors
     /// The folder cannot be read.
@@ -69,8 +71,9 @@
         Ok(names)
     }
 
-    /// Takes over what other processes of this ingress write, and calls `on_peer_change` when one has started or
-    /// ended, until the program ends. `peer_runs` is what was seen last.
+    /// Applies the changes of other processes of this ingress, and calls `on_peer_change` when
+    /// another process has started or ended. Runs until the program ends. `peer_runs` is the state
+    /// that was seen last.
     pub async fn watch(
         self: Rc<Self>,
         dispatcher: Rc<Dispatcher>,
@@ -80,10 +83,13 @@
         let mut error_logged = false;
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
-            let now = self.peer_runs();
-            if now != peer_runs {
-                peer_runs = now;
-                tracing::info!(beside = peer_runs, "another process of this ingress");
+            let runs_now = self.peer_runs();
+            if runs_now != peer_runs {
+                peer_runs = runs_now;
+                tracing::info!(
+                    beside = peer_runs,
+                    "another process of this ingress started or ended"
+                );
                 on_peer_change(peer_runs);
             }
             match self.read() {
@@ -91,10 +97,10 @@
                     error_logged = false;
                     take_over(&dispatcher, names);
                 }
-                // What is in force stays.
+                // The exclusions in force stay.
                 Err(e) if !error_logged => {
                     error_logged = true;
-                    tracing::error!(folder = %self.path.display(), error = %e, "what is suspended cannot be read");
+                    tracing::error!(folder = %self.path.display(), error = %e, "shared exclusions cannot be read; those in force stay");
                 }
                 Err(_) => {}
             }
@@ -104,7 +110,7 @@
     fn write(&self, name: &str, excluded: bool) -> Result<()> {
         let file = self.path.join(file_name(name));
         if excluded {
-            // The folder may have been removed meanwhile.
+            // The folder may have been removed since the start.
             std::fs::create_dir_all(&self.path)?;
             return File::create(file).map(|_| ());
         }
@@ -116,7 +122,7 @@
 }
 
 impl ExclusionStore for ProcessTakeover {
-    fn keep(&self, name: &str, excluded: bool) -> Result<()> {
+    fn persist(&self, name: &str, excluded: bool) -> Result<()> {
         let written = self.write(name, excluded);
         let mut unwritten = self.unwritten.borrow_mut();
         if written.is_ok() {
@@ -131,16 +137,17 @@
 fn take_over(dispatcher: &Dispatcher, names: BTreeSet<String>) {
     for name in dispatcher.take_over(names) {
         let out = dispatcher.is_excluded(&name);
-        tracing::info!(name, out, "taken over");
+        tracing::info!(name, out, "exclusion taken over from another process");
     }
 }
 
-/// A name as the name of a file, in hexadecimal: any text can be one, and none leads out of the folder.
+/// Encodes a name as a file name, in hexadecimal: every text is valid, and none escapes from the
+/// folder.
 fn file_name(name: &str) -> String {
     name.bytes().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The endpoint that a file stands for; none: it is not one of ours.
+/// Decodes a file name to the name of an endpoint; `None` if the file is not an exclusion.
 fn endpoint_name(file: &str) -> Option<String> {
     let byte = |i: usize| {
         let hex = file.get(i..i + 2)?;
--- a/src/runtime/process_takeover/peer_process.rs
+++ b/src/runtime/process_takeover/peer_process.rs
@@ -1,22 +1,23 @@
-//! Whether another process of this ingress runs, by two locked files.
+//! Detects another running process of the same ingress, by two lock files.
 //!
-//! The older process holds the first lock, and whoever starts beside it the second. Each process tries the other's
-//! lock to see whether it is held. Guards against processes that are killed: the system releases a lock with its
-//! process, however that ends, while a file with a process number would stay and the number would come again.
+//! The oldest process holds the first lock, and the process that takes over holds the second. Each
+//! process tries the other lock to see whether it is held. The system releases the locks of a
+//! process however it ends. A file with a process id would outlive a killed process, and the system
+//! reuses process ids.
 
 use std::cell::Cell;
 use std::fs::{File, TryLockError};
 use std::io::Result;
 use std::path::{Path, PathBuf};
 
-/// Which locks this process holds.
+/// The locks that this process holds.
 #[derive(Clone, Copy, Default)]
 struct HeldLocks {
     first: bool,
     second: bool,
 }
 
-/// Sees another process of this ingress.
+/// Detects another process of this ingress.
 pub(super) struct PeerDetector {
     first: File,
     second: File,
@@ -24,7 +25,7 @@
 }
 
 impl PeerDetector {
-    /// With lock files beside this folder.
+    /// Opens the lock files, which lie next to `folder`.
     pub(super) fn open(folder: &Path) -> Result<PeerDetector> {
         Ok(PeerDetector {
             first: open_lock_file(folder, ".first")?,
@@ -33,13 +34,14 @@
         })
     }
 
-    /// Whether another process runs now. Takes the first lock as soon as it is free.
+    /// Returns whether another process runs now. Acquires the first lock as soon as it is free.
     pub(super) fn peer_runs(&self) -> bool {
         let mut held = self.held.get();
         held.first = held.first || try_lock(&self.first);
         let peer_runs = if held.first {
             if held.second {
-                // The older process has ended: this one takes its place, and the second lock is for the next.
+                // The older process has ended. This one is now the oldest: it leaves the second
+                // lock to its successor.
                 let _ = self.second.unlock();
                 held.second = false;
             }
@@ -63,12 +65,13 @@
         .open(PathBuf::from(name))
 }
 
-/// Takes a lock; false: another process holds it. Where files cannot be locked, no process is seen.
+/// Acquires a lock; returns false if another process holds it. Where the file system does not
+/// support locks, every lock counts as acquired and no other process is detected.
 fn try_lock(file: &File) -> bool {
     !matches!(file.try_lock(), Err(TryLockError::WouldBlock))
 }
 
-/// Whether another process holds a lock that this one does not hold.
+/// Returns whether another process holds a lock that this process does not hold.
 fn is_locked(file: &File) -> bool {
     let free = try_lock(file);
     if free {
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -1,8 +1,9 @@
-//! The ingress process: start-up, its timers, reloads on SIGHUP, and graceful shutdown.
+//! The ingress process: start-up, timers, reload on SIGHUP, and graceful shutdown.
 //!
-//! [`run`] shows the whole life of the process. Each phase has a module: `startup` binds and reads everything before
-//! the first request, `timers` runs what comes due, `reload` puts a new configuration in force, `shutdown` drains.
-//! No other part of the program knows this one, and nothing here decides about a request.
+//! [`run`] covers the whole life of the process. `startup` reads the files and binds the listeners
+//! before the first request, `timers` runs what is due, `reload` puts a new configuration in force,
+//! and `shutdown` drains. No other module depends on this one, and nothing here decides about a
+//! request.
 
 mod descriptors;
 mod ingress;
@@ -27,12 +28,12 @@
 use std::path::PathBuf;
 use tokio::task::spawn_local;
 
-/// Serves until SIGTERM or SIGINT, then drains. `config_path` is where the configuration came from, and is read again
-/// on SIGHUP. `client_socket` is the listening socket for RESP clients where the platform hands one to every process
-/// of this ingress; without it the process binds its own.
+/// Serves until SIGTERM or SIGINT, then drains. The configuration is read again from `config_path`
+/// on SIGHUP. `client_socket` is the inherited listening socket for RESP clients, if the platform
+/// passes one to every process of this ingress; otherwise the process binds its own.
 ///
 /// # Errors
-/// What keeps the process from starting. A SIGTERM during start-up is no error.
+/// The cause that keeps the process from starting. SIGTERM during start-up is not an error.
 pub async fn run(
     signals: Signals,
     config_path: PathBuf,
@@ -61,7 +62,8 @@
         _ = interrupt.recv() => {}
     }
     if let Some(group) = group {
-        // Runs beside the drain: answers that are due to clients must not wait for an election.
+        // Runs concurrently with the drain: pending answers to clients must not wait for an
+        // election.
         spawn_local(async move { group.leave().await });
     }
     shutdown::drain(&ingress, frontends).await;
--- a/src/runtime/server/descriptors.rs
+++ b/src/runtime/server/descriptors.rs
@@ -1,19 +1,20 @@
-//! How the file descriptors that the platform allows are divided between clients and endpoints.
+//! Division of the file descriptors that the platform allows between clients and endpoints.
 
 use crate::admin::server::MAX_CALLERS;
 use crate::config::settings::Config;
 use crate::counter::MAX_CONNECTIONS;
 
-/// Descriptors that are neither clients' nor endpoints': the log, the runtime's own, discovery, listeners, the
-/// group's links and files, and one for each connection to the counter.
-const RESERVED: usize = 24 + MAX_CONNECTIONS;
-/// Descriptors for the administration listener and its callers, where there is one.
-const ADMIN: usize = 1 + MAX_CALLERS;
-/// Fewest RESP connections, whatever the settings leave: with fewer the ingress could not serve at all.
-const MIN_CLIENTS: usize = 16;
+/// Descriptors for neither clients nor endpoints: log, runtime, discovery, listeners, the group's
+/// links and files, and one for each connection to the counter.
+const RESERVED_DESCRIPTORS: usize = 24 + MAX_CONNECTIONS;
+/// Descriptors for the administration listener and its callers, if it is configured.
+const ADMIN_DESCRIPTORS: usize = 1 + MAX_CALLERS;
+/// Lower bound of RESP connections, whatever the settings leave. With fewer, the ingress could not
+/// serve at all.
+const MIN_CLIENT_CONNECTIONS: usize = 16;
 
-/// Most connections of each side. Endpoints have two fifths and clients three: an endpoint's connection serves many
-/// clients one after the other.
+/// Most connections to endpoints and from clients. Endpoints get two fifths of the descriptors and
+/// clients three, since an endpoint connection serves many clients in turn.
 #[derive(Clone, Copy)]
 pub(super) struct DescriptorBudget {
     /// Most connections to endpoints.
@@ -23,18 +24,21 @@
 }
 
 impl DescriptorBudget {
-    /// The budget of a process with this configuration; what HTTP/2 clients may hold is taken from the clients' part.
+    /// Computes the budget for a configuration. The HTTP/2 connections are taken from the clients'
+    /// share.
     pub(super) fn new(config: &Config, http2_connections: usize) -> DescriptorBudget {
-        let admin = config.operator.map_or(0, |_| ADMIN);
-        let divided = config.sockets.saturating_sub(RESERVED + admin);
-        let clients = divided * 3 / 5;
+        let admin = config.operator.map_or(0, |_| ADMIN_DESCRIPTORS);
+        let available = config.sockets.saturating_sub(RESERVED_DESCRIPTORS + admin);
+        let clients = available * 3 / 5;
         DescriptorBudget {
-            endpoints: divided * 2 / 5,
-            clients: clients.saturating_sub(http2_connections).max(MIN_CLIENTS),
+            endpoints: available * 2 / 5,
+            clients: clients
+                .saturating_sub(http2_connections)
+                .max(MIN_CLIENT_CONNECTIONS),
         }
     }
 
-    /// Half of it: two processes of one ingress share the descriptors of one.
+    /// Returns half of the budget, for two processes of one ingress that share its descriptors.
     pub(super) fn halved(self) -> DescriptorBudget {
         DescriptorBudget {
             endpoints: self.endpoints / 2,
--- a/src/runtime/server/ingress.rs
+++ b/src/runtime/server/ingress.rs
@@ -1,4 +1,4 @@
-//! The parts of the running ingress that have to be started and stopped, around the dispatcher.
+//! The running ingress: the components around the dispatcher that are started and stopped with it.
 
 use crate::config::settings::Config;
 use crate::counter::Counter;
@@ -17,12 +17,12 @@
     task: AbortHandle,
 }
 
-/// The running ingress: its dispatcher, its connections to endpoints and counter, and its discovery task.
+/// The running ingress: dispatcher, connections to endpoints and counter, and discovery task.
 pub(super) struct Ingress {
     pub(super) dispatcher: Rc<Dispatcher>,
     pub(super) upstream: Rc<Upstream>,
     pub(super) counter: Counter,
-    /// Differs between ingresses: spreads over time what all of them would do at once.
+    /// Differs between ingresses, to spread over time what all of them would otherwise do at once.
     seed: u64,
     discovery: RefCell<Option<DiscoveryTask>>,
 }
@@ -35,15 +35,15 @@
             Action::Probe(endpoint) => self.upstream.start_health_check(endpoint),
             Action::ReleaseEndpoint(endpoint) => self.upstream.release(endpoint),
             Action::AddToCounter(add) => self.counter.add(&self.dispatcher, add),
-            // The dispatcher delivers answers itself.
+            // The dispatcher delivers answers to clients itself.
             Action::Reply(..) => {}
         }
     }
 }
 
 impl Ingress {
-    /// The parts of an ingress with this configuration; they carry out the dispatcher's actions from now on.
-    /// `max_endpoint_connections` is the most connections to endpoints.
+    /// Creates the components for a configuration and registers them as the dispatcher's executor.
+    /// `max_endpoint_connections` limits the connections to endpoints.
     pub(super) fn new(
         config: &Config,
         dispatcher: Rc<Dispatcher>,
@@ -63,8 +63,9 @@
         ingress
     }
 
-    /// Follows the endpoint registry at this agent from now on, from `version` on where that is known. The endpoints
-    /// in force stay until the agent sends a list.
+    /// Follows the endpoint registry at this agent, starting after list `version` if that is known.
+    /// The endpoints in force stay until the agent sends a list. Does nothing if the agent has not
+    /// changed.
     pub(super) fn follow_discovery(
         self: &Rc<Self>,
         agent: Option<SocketAddr>,
--- a/src/runtime/server/inventory.rs
+++ b/src/runtime/server/inventory.rs
@@ -1,5 +1,5 @@
-//! The operator's inventory of endpoints: read at the start and on SIGHUP, with the group's copy as fallback at the
-//! start alone.
+//! The operator's inventory of endpoints, read at the start and on SIGHUP. At the start, the
+//! group's copy is the fallback for an invalid file.
 
 use super::startup::StartError;
 use crate::decision::ListKind;
@@ -8,7 +8,7 @@
 use crate::runtime::dispatcher::Dispatcher;
 use driftgap_group::DocumentKind;
 
-/// Reads the inventory file and puts its endpoints in force; a wrong file changes nothing.
+/// Reads the inventory file and puts its endpoints in force. An invalid file changes nothing.
 pub(super) fn load(
     dispatcher: &Dispatcher,
     inventory: &mut Inventory,
@@ -16,18 +16,20 @@
     let loaded = inventory.load(&mut dispatcher.registry(), dispatcher.now());
     let (entries, warnings) = loaded?;
     for warning in driftgap_inventory::summary(&warnings) {
-        tracing::warn!(warning, "inventory");
+        tracing::warn!(warning, "warning in the inventory");
     }
     dispatcher.update_endpoints(ListKind::Delta, entries);
-    // Draining endpoints stay in the registry until the next reading finds them absent from the list before.
+    // A removed endpoint drains first. It leaves the registry at the first load whose previous list
+    // already lacked it.
     dispatcher.registry().remove(|id| inventory.is_dropped(id));
     Ok(())
 }
 
-/// Loads the inventory at the start; where the file is wrong, the one that the group accepted last.
+/// Loads the inventory at the start. If the file is invalid, uses the inventory that the group
+/// accepted last.
 ///
 /// # Errors
-/// The file's fault, where the group has no usable inventory either.
+/// The fault in the file, if the group has no usable inventory either.
 pub(super) async fn load_at_start(
     dispatcher: &Dispatcher,
     inventory: &mut Inventory,
--- a/src/runtime/server/listeners.rs
+++ b/src/runtime/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listening sockets of the process: bound here, or inherited from the platform.
+//! The listening sockets of the process, bound by it or inherited from the platform.
 
 use socket2::Socket;
 use std::io;
@@ -8,37 +8,37 @@
 /// Connections that may wait to be accepted on one listener.
 const BACKLOG: u32 = 1024;
 
-/// Why an address cannot be listened on.
+/// An address that the process cannot listen on, and the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// The address of the clients.
+    /// The address for clients cannot be bound.
     #[error("listen: {0}: {1}")]
     Clients(SocketAddr, io::Error),
-    /// The inherited socket cannot be accepted from.
+    /// The inherited socket cannot accept clients.
     #[error("EDGE_ACCEPT_FD: {0}")]
     Inherited(#[from] InheritedSocketError),
-    /// The address for administration.
+    /// The address for administration cannot be bound.
     #[error("operator: {0}: {1}")]
     Admin(SocketAddr, io::Error),
-    /// The inherited socket is right, but the system refuses to use it.
+    /// The inherited socket is valid, but the system rejects an operation on it.
     #[error("{0}")]
     System(#[from] io::Error),
 }
 
-/// What is wrong with a socket that the platform handed over.
+/// A defect of the socket that the process inherited from the platform.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// It cannot be asked what it is: it is no socket.
+    /// The system reports no state for the descriptor: it is not a socket.
     #[error("{0}")]
     Unusable(#[from] io::Error),
-    /// It does not listen, or not at the address of the configuration.
+    /// The socket does not listen, or not at the configured address.
     #[error("{} at {}, while listen is {expected}", state(.listens), address(.bound))]
     Elsewhere {
-        /// Whether it listens at all.
+        /// Whether the socket listens at all.
         listens: bool,
-        /// Where it is bound; none: it has no IP address.
+        /// The address of the socket; `None` if it is not an IP address.
         bound: Option<SocketAddr>,
-        /// What the configuration says.
+        /// The address in the configuration.
         expected: SocketAddr,
     },
 }
@@ -55,7 +55,8 @@
     bound.map_or("no address".to_string(), |at| at.to_string())
 }
 
-/// Listens at this address. With `share_port` another process may listen there too, with a queue of its own.
+/// Binds a listener at this address. With `share_port`, another process may listen at the same
+/// address with a queue of its own.
 pub(super) fn bind(addr: SocketAddr, share_port: bool) -> io::Result<TcpListener> {
     let socket = if addr.is_ipv4() {
         TcpSocket::new_v4()?
@@ -68,7 +69,8 @@
     socket.listen(BACKLOG)
 }
 
-/// The listener for RESP clients: the inherited socket if it is what the configuration says, else one of our own.
+/// Returns the listener for RESP clients: the inherited socket if there is one, otherwise a socket
+/// that this process binds.
 pub(super) fn client_listener(
     listen: SocketAddr,
     inherited: Option<Socket>,
@@ -81,7 +83,8 @@
     Ok(TcpListener::from_std(socket.into())?)
 }
 
-/// Guards against a wrong descriptor number: the process would serve nobody, or clients of another listener.
+/// Checks that the inherited socket listens at the configured address. With a wrong descriptor
+/// number the process would serve nobody, or the clients of another listener.
 fn check_inherited(socket: &Socket, expected: SocketAddr) -> Result<(), InheritedSocketError> {
     let listens = socket.is_listener()?;
     let bound = socket.local_addr()?.as_socket();
--- a/src/runtime/server/reload.rs
+++ b/src/runtime/server/reload.rs
@@ -1,15 +1,16 @@
-//! How a new configuration comes into force: on each SIGHUP, and without touching requests under way.
+//! Reload of the configuration on SIGHUP, without effect on requests in flight.
 //!
-//! 1. The configuration file is read again. Discovery and counter move to the new addresses; other changed fields are
-//!    logged, since they take effect at a restart only.
-//! 2. The rules are read and compiled by a thread of their own ([`RuleReload`]). When it has finished, the serving
-//!    thread exchanges them; SIGHUPs during a reading lead to one more reading.
+//! 1. The configuration file is read again. Discovery and counter move to the new addresses; other
+//!    changed fields are logged, since they take effect at a restart only.
+//! 2. The rules are read and compiled on a separate thread ([`RuleReload`]). The serving thread
+//!    replaces them when the reading has finished. Any number of SIGHUPs during a reading cause one
+//!    more reading.
 //! 3. The inventory is read again, and its changes go to the endpoint registry.
 //!
 //! The operator's file itself and the plug-in's script are read at the start only.
 //!
-//! Each file is judged by itself: a wrong one is logged, and what it would replace stays in force. Rules and
-//! inventory that are in force are handed to the group, where there is one.
+//! Each file is checked on its own. An invalid file is logged, and the version in force stays.
+//! Rules and inventory that come into force are submitted to the group, if there is one.
 
 use super::ingress::Ingress;
 use super::{inventory, rules};
@@ -25,19 +26,20 @@
 use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// Everything that a reload reads again or compares with.
+/// The files to read again at a reload, and the versions to compare them with.
 pub(super) struct Reload {
     ingress: Rc<Ingress>,
-    /// The configuration file as it was read last, without its endpoint list: the next one is compared with it.
+    /// The configuration that was read last, without its endpoint list. The next one is compared
+    /// with it.
     config: Config,
     inventory: Option<Inventory>,
-    /// Where rules come from, with the text that is in force at the start.
+    /// The source of the rules, and the text that is in force at the start.
     rules: Option<(RuleSource, String)>,
     documents: GroupDocuments,
 }
 
 impl Reload {
-    /// Reloads what this ingress was started with.
+    /// Creates the reload of the files that this ingress was started with.
     pub(super) fn new(
         ingress: Rc<Ingress>,
         config: Config,
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Hands what is in force to the group, then reloads at each SIGHUP until the process ends.
+    /// Submits the documents in force to the group, then reloads at each SIGHUP until the process
+    /// ends.
     pub(super) async fn run(mut self, mut hang_up: Signal, config_path: PathBuf) {
         if let Some(inventory) = &self.inventory {
             self.documents
@@ -81,7 +84,7 @@
         }
     }
 
-    /// Reads everything again, in the order of the module's comment.
+    /// Reads all files again, in the order of the module's documentation.
     fn reload_all(&mut self, config_path: &Path, rule_reload: Option<&mut RuleReload>) {
         self.reload_config(config_path);
         if let Some(rule_reload) = rule_reload {
@@ -94,30 +97,31 @@
         let mut config = match Config::read(path) {
             Ok(config) => config,
             Err(e) => {
-                tracing::error!(error = %e, "EDGE_CONFIG makes no sense; the old configuration stays");
+                tracing::error!(error = %e, "EDGE_CONFIG is invalid; the old configuration stays in force");
                 return;
             }
         };
         let ingress = &self.ingress;
         ingress.follow_discovery(config.discovery, None);
         ingress.counter.move_to(&ingress.dispatcher, config.counter);
-        let fixed = self.config.changes_needing_restart(&config);
-        if !fixed.is_empty() {
+        let restart_fields = self.config.changes_needing_restart(&config);
+        if !restart_fields.is_empty() {
             tracing::warn!(
-                fields = fixed.join(", "),
-                "configuration changed where it takes a restart"
+                fields = restart_fields.join(", "),
+                "changed fields take effect at the next restart only"
             );
         }
         tracing::info!(
             discovery = config.discovery.map(tracing::field::display),
             counter = config.counter.map(tracing::field::display),
-            "configuration read again"
+            "configuration reloaded"
         );
         config.last_known_endpoints = serde_json::Value::Null;
         self.config = config;
     }
 
-    /// Puts the rules in force that a reading has brought, then begins the reading that was asked for meanwhile.
+    /// Puts the result of a reading in force, then starts the reading that was requested meanwhile,
+    /// if any.
     fn replace_rules(
         &mut self,
         read: Result<Reading, ReloadError>,
@@ -140,7 +144,7 @@
         };
         match inventory::load(&self.ingress.dispatcher, inventory) {
             Ok(()) => {
-                tracing::info!("inventory read again");
+                tracing::info!("inventory reloaded");
                 let accepted = inventory.accepted_bytes();
                 self.documents
                     .submit(DocumentKind::Inventory, accepted, false);
@@ -148,15 +152,16 @@
             Err(error) => {
                 let path = inventory.path().display().to_string();
                 for fault in error.lines() {
-                    tracing::error!(path, fault, "inventory");
+                    tracing::error!(path, fault, "inventory is invalid");
                 }
-                tracing::error!(path, "the old list stays");
+                tracing::error!(path, "inventory not reloaded: the old list stays in force");
             }
         }
     }
 }
 
-/// Hands documents to the group: of each kind only the latest, which replaces one that is still being handed over.
+/// Submits documents to the group. A newer document replaces one of its kind whose submission is
+/// still running.
 struct GroupDocuments {
     group: Option<Group>,
     submissions: BTreeMap<DocumentKind, AbortHandle>,
@@ -174,7 +179,7 @@
     }
 }
 
-/// Waits for the reading of rules that is under way; forever without one.
+/// Waits for the result of the reading in progress; never completes without rules.
 async fn finished(rule_reload: Option<&mut RuleReload>) -> Result<Reading, ReloadError> {
     match rule_reload {
         Some(rule_reload) => rule_reload.finished().await,
--- a/src/runtime/server/rules.rs
+++ b/src/runtime/server/rules.rs
@@ -1,4 +1,4 @@
-//! The operator's rules: read and put in force at the start, and replaced by what a reload has read.
+//! The operator's rules: loaded at the start, and replaced after a reload.
 
 use super::startup::StartError;
 use crate::group::Group;
@@ -8,17 +8,17 @@
 use driftgap_group::DocumentKind;
 use driftgap_routes::{Catalog, Fault, Rules};
 
-/// Rules with the text that they were compiled from.
+/// Compiled rules and their text.
 struct RuleText {
     rules: Rules,
     text: String,
 }
 
-/// Reads the rules and puts them in force; where the file is wrong, those that the group accepted last. The text
-/// that is in force.
+/// Loads the rules and puts them in force. If the file is invalid, uses the rules that the group
+/// accepted last. Returns the text that is in force.
 ///
 /// # Errors
-/// The file's first fault, where the group has no usable rules either.
+/// The first fault in the file, if the group has no usable rules either.
 pub(super) async fn load_at_start(
     dispatcher: &Dispatcher,
     source: &RuleSource,
@@ -50,7 +50,7 @@
     Ok(RuleText { rules, text })
 }
 
-/// The rules that the group accepted last, if there are any and they compile here.
+/// Returns the rules that the group accepted last, if there are any and they compile here.
 async fn read_from_group(
     source: &RuleSource,
     catalog: &Catalog,
@@ -78,8 +78,8 @@
     StartError::Routes(format!("{first}{more}"))
 }
 
-/// Puts rules in force that were read again; after a failed reading the old ones stay. With `keep_text`, the text
-/// that is in force now.
+/// Puts newly read rules in force; after a failed reading the old rules stay. Returns the text in
+/// force if it changed and `keep_text` is set.
 pub(super) fn replace(
     dispatcher: &Dispatcher,
     read: Result<Reading, ReloadError>,
@@ -88,11 +88,11 @@
     let reading = match read {
         Ok(reading) => reading,
         Err(ReloadError::Faults(faults)) => {
-            tracing::error!(faults, "the old rules stay");
+            tracing::error!(faults, "rules are invalid: the old rules stay in force");
             return None;
         }
         Err(e) => {
-            tracing::error!(error = %e, "the old rules stay");
+            tracing::error!(error = %e, "rules cannot be read: the old rules stay in force");
             return None;
         }
     };
@@ -103,16 +103,16 @@
     } = reading;
     let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
     let (taken_over, bytes) = (rules.report().taken_over, rules.heap_bytes());
-    let begun_ms = dispatcher.now();
+    let started_ms = dispatcher.now();
     let replaced = match dispatcher.replace_rules(rules) {
         Ok(replaced) => replaced,
         Err(e) => {
-            tracing::error!(error = %e, "the old rules stay");
+            tracing::error!(error = %e, "rules cannot be replaced: the old rules stay in force");
             return None;
         }
     };
-    let held_ms = dispatcher.now() - begun_ms;
-    // Dropping rules takes long: it is left to the thread that read the new ones.
+    let held_ms = dispatcher.now() - started_ms;
+    // Dropping rules is slow: the thread that read the new ones does it.
     retired.leave(replaced);
     tracing::info!(
         rules = count,
--- a/src/runtime/server/shutdown.rs
+++ b/src/runtime/server/shutdown.rs
@@ -1,8 +1,10 @@
-//! Graceful shutdown: the process finishes what it has received, ends idle connections, and exits in bounded time.
+//! Graceful shutdown: the process finishes the requests that it has received, closes idle
+//! connections, and exits in bounded time.
 //!
-//! It accepts for [`ACCEPT_AFTER_STOP_MS`] more; an inherited RESP listener is released at once, since another process
-//! accepts from its queue, while HTTP/2 goes on for that time in any case. Then it waits for at most the longest deadline
-//! of a class, answers what is still unanswered, and exits.
+//! The process accepts connections for [`ACCEPT_AFTER_STOP_MS`] more. An inherited RESP listener is
+//! released at once, since another process accepts from its queue; HTTP/2 continues for that time
+//! in any case. Then the process waits for at most the longest deadline of a class, answers the
+//! remaining requests as rejected or failed, and exits.
 
 use super::ingress::Ingress;
 use super::timers::log_statistics;
@@ -14,18 +16,22 @@
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// New connections are accepted for this long after SIGTERM, ms: clients that have not heard of it still come.
+/// Time after SIGTERM during which new connections are accepted, ms: clients that do not know of
+/// the stop yet still connect.
 const ACCEPT_AFTER_STOP_MS: f64 = 500.0;
-/// The longest deadline counts as this at most, ms: the platform bounds the time of a stop by it.
+/// Upper bound of the longest deadline in the shutdown's time limit, ms. The platform's limit for a
+/// stop assumes it.
 const MAX_COUNTED_DEADLINE_MS: f64 = 3000.0;
-/// The process runs for so long at most beyond the longest deadline, ms: time to accept, and to write answers.
-const MARGIN_MS: f64 = 650.0;
-/// What is unanswered so long before the end is answered as rejected or failed, ms: answers have to be written.
-const LAST_ANSWERS_MS: f64 = 150.0;
-/// Open connections are counted this often while the process waits for their end.
+/// Longest run time of the process beyond the longest deadline, ms: the time to accept connections
+/// and to write answers.
+const ACCEPT_AND_WRITE_MARGIN_MS: f64 = 650.0;
+/// Requests that are unanswered this long before the end are answered as rejected or failed, ms.
+/// The time is for writing these answers.
+const FINAL_ANSWERS_MARGIN_MS: f64 = 150.0;
+/// Interval between two checks whether all connections have closed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The frontends that serve clients, with the tasks that accept for them.
+/// The frontends that serve clients, with their accept tasks.
 pub(super) struct Frontends {
     resp: Rc<RespFrontend>,
     resp_accept: JoinHandle<()>,
@@ -35,7 +41,7 @@
 }
 
 impl Frontends {
-    /// Begins to accept RESP clients.
+    /// Starts to accept RESP clients.
     pub(super) fn serve_resp(
         resp: Rc<RespFrontend>,
         listener: TcpListener,
@@ -51,7 +57,7 @@
         }
     }
 
-    /// Begins to accept HTTP/2 clients too.
+    /// Starts to accept HTTP/2 clients as well.
     pub(super) fn serve_http2(&mut self, (http2, listener): (Rc<Http2Frontend>, TcpListener)) {
         let accept = spawn_local(http2.clone().listen(listener));
         spawn_local(http2.clone().supervise());
@@ -66,10 +72,10 @@
         self.resp.connections() + http2
     }
 
-    /// Ends accepting, then asks every connection to end as soon as it is owed nothing.
+    /// Stops accepting, then asks every connection to close as soon as no answer is pending on it.
     async fn stop_accepting(&mut self, dispatcher: &Dispatcher, begun_ms: f64) {
         if self.inherited {
-            // New clients wait in the queue that the other process accepts from.
+            // New clients wait in the queue from which the other process accepts.
             self.resp_accept.abort();
             self.resp.drain();
         }
@@ -77,7 +83,7 @@
             let end = dispatcher.clock().instant(begun_ms + ACCEPT_AFTER_STOP_MS);
             tokio::time::sleep_until(end.into()).await;
         }
-        // Waiting for an aborted task makes sure that its listener is closed.
+        // Awaiting the aborted task makes sure that its listener is closed.
         if !self.inherited {
             close(&mut self.resp_accept).await;
         }
@@ -90,7 +96,7 @@
         }
     }
 
-    /// Waits until every connection has ended, at most until `end_ms`; whether they have.
+    /// Waits until every connection has closed, at most until `end_ms`. Returns whether all have.
     async fn all_closed_by(&self, dispatcher: &Dispatcher, end_ms: f64) -> bool {
         while self.connections() > 0 && dispatcher.now() < end_ms {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -104,8 +110,8 @@
     let _ = accept.await;
 }
 
-/// Drains the ingress: finishes what was received, ends idle connections, and returns in time for the process to
-/// exit.
+/// Drains the ingress: finishes the requests that were received, closes idle connections, and
+/// returns in time for the process to exit.
 pub(super) async fn drain(ingress: &Ingress, mut frontends: Frontends) {
     let dispatcher = &ingress.dispatcher;
     let begun_ms = dispatcher.now();
@@ -125,15 +131,15 @@
         + dispatcher
             .longest_deadline_ms()
             .min(MAX_COUNTED_DEADLINE_MS)
-        + MARGIN_MS;
-    let last_answers_at_ms = end_ms - LAST_ANSWERS_MS;
+        + ACCEPT_AND_WRITE_MARGIN_MS;
+    let last_answers_at_ms = end_ms - FINAL_ANSWERS_MARGIN_MS;
     if !frontends
         .all_closed_by(dispatcher, last_answers_at_ms)
         .await
     {
         tracing::info!(
             unanswered = dispatcher.unanswered(),
-            "giving up what is owed"
+            "time is up: answering the remaining requests as rejected or failed"
         );
         dispatcher.answer_all_now();
         frontends.all_closed_by(dispatcher, end_ms).await;
--- a/src/runtime/server/signals.rs
+++ b/src/runtime/server/signals.rs
@@ -1,9 +1,10 @@
-//! The signals that the process answers to.
+//! The signals that the process handles.
 
 use std::future::Future;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The signals that the process answers to: SIGTERM and SIGINT stop it, SIGHUP makes it reload.
+/// Receivers of the signals that the process handles: SIGTERM and SIGINT stop it, SIGHUP reloads
+/// the configuration.
 pub struct Signals {
     pub(super) terminate: Signal,
     pub(super) interrupt: Signal,
@@ -11,10 +12,11 @@
 }
 
 impl Signals {
-    /// Listens for them. To be called before anything else: a signal that nobody listens for ends the process.
+    /// Installs the handlers. Call this before anything else: a signal without a handler ends the
+    /// process.
     ///
     /// # Errors
-    /// The system refuses.
+    /// The system rejects a handler.
     pub fn listen() -> std::io::Result<Signals> {
         let [terminate, interrupt, hang_up] = [
             SignalKind::terminate(),
@@ -30,7 +32,8 @@
     }
 }
 
-/// The result of `work`; none if SIGTERM comes while it waits. Work that never waits is always finished.
+/// Returns the result of `work`, or `None` if SIGTERM arrives while it waits. Work that never waits
+/// always completes.
 pub(super) async fn unless_terminated<T>(
     terminate: &mut Signal,
     work: impl Future<Output = T>,
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up: reads everything that the ingress is told, then binds its listeners, then begins to accept. A fault is
+//! Start-up: reads all files, then binds the listeners, then accepts clients. A fault in a file is
 //! found before the first client can connect.
 
 use super::descriptors::DescriptorBudget;
@@ -27,49 +27,50 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Part of the memory that bounds are computed from where a second process may run beside this one: the memory of
-/// both counts as one.
-const SHARED_MEMORY_PART: f64 = 0.6;
+/// Fraction of the memory limit that one process may use where a second process may run at the same
+/// time: the limit holds for both together.
+const SHARED_MEMORY_FRACTION: f64 = 0.6;
 
-/// Why the process cannot start; one line that names the field.
+/// The cause that keeps the process from starting, as one line that names the field.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings make no sense to the decision module.
+    /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] crate::decision::SettingsError),
-    /// The list in `known` makes no sense.
+    /// The endpoint list in `known` is invalid.
     #[error("known: {0}")]
     Known(#[from] crate::discovery::registry::InvalidEndpointList),
     /// An address cannot be listened on.
     #[error("{0}")]
     Listen(#[from] ListenError),
-    /// The inventory makes no sense: its file, and the faults.
+    /// The inventory is invalid: the path of the file, and its faults.
     #[error("inventory {0}: {1}")]
     Inventory(String, InventoryError),
-    /// The plug-in does not load.
+    /// The plug-in cannot be loaded.
     #[error("plugin: {0}")]
     Plugin(#[from] PluginError),
     /// The group's folder or address cannot be used.
     #[error("{0}")]
     Group(#[from] GroupError),
-    /// The rules make no sense: the first fault.
+    /// The rules are invalid: the first fault.
     #[error("routes: {0}")]
     Routes(String),
 }
 
-/// What a start leaves running.
+/// The components that run after the start.
 pub(super) struct Started {
     pub(super) ingress: Rc<Ingress>,
     pub(super) frontends: Frontends,
-    /// To be run: it answers SIGHUP.
+    /// Handles SIGHUP once it is run.
     pub(super) reload: Reload,
     pub(super) group: Option<Group>,
 }
 
-/// Starts the ingress. `client_socket` is the inherited listening socket, where the platform hands one over.
+/// Starts the ingress. `client_socket` is the inherited listening socket, if the platform passes
+/// one.
 ///
 /// # Errors
-/// The first fault of what it reads, or an address that cannot be listened on.
+/// The first fault in a file, or an address that cannot be listened on.
 pub(super) async fn start(
     mut config: Config,
     operator: OperatorFile,
@@ -102,11 +103,11 @@
         share_descriptors(takeover, &ingress, &resp, budget);
     }
     let mut frontends = Frontends::serve_resp(resp, client_listener, inherited);
-    tracing::info!(name = config.name, address = %config.listen, "listens");
+    tracing::info!(name = config.name, address = %config.listen, "accepting RESP clients");
     if let Some(http2) = http2 {
         frontends.serve_http2(http2);
     }
-    // The list is in the registry by now, and may be large.
+    // The list is in the registry now; it may be large.
     config.last_known_endpoints = serde_json::Value::Null;
     Ok(Started {
         reload: Reload::new(ingress.clone(), config, inventory, rules, group.clone()),
@@ -116,9 +117,14 @@
     })
 }
 
-/// The memory that bounds are computed from, MB.
+/// Returns the memory from which limits are computed, MB.
 fn process_memory_mb(config: &Config, inherited: bool) -> f64 {
-    config.memory_mb * if inherited { SHARED_MEMORY_PART } else { 1.0 }
+    config.memory_mb
+        * if inherited {
+            SHARED_MEMORY_FRACTION
+        } else {
+            1.0
+        }
 }
 
 fn new_dispatcher(
@@ -142,24 +148,25 @@
     Ok(dispatcher)
 }
 
-/// What other processes of this ingress see, where there may be any. Without it exclusions are lost with the process,
-/// which is no reason not to serve.
+/// Opens the state that other processes of this ingress share, if there may be any. A failure is
+/// logged and does not prevent the start: exclusions are then lost with this process.
 fn open_takeover(config: &Config, inherited: bool) -> Option<Rc<ProcessTakeover>> {
     config.operator.filter(|_| inherited)?;
     let Some(base) = std::env::var_os("TMPDIR") else {
-        tracing::warn!("TMPDIR is not set: what is suspended will not outlive this process");
+        tracing::warn!("TMPDIR is not set: exclusions will be lost when this process ends");
         return None;
     };
     match ProcessTakeover::open(Path::new(&base), &config.name) {
         Ok(takeover) => Some(Rc::new(takeover)),
         Err(e) => {
-            tracing::error!(error = %e, "TMPDIR: what is suspended will not outlive this process");
+            tracing::error!(error = %e, "TMPDIR cannot be used: exclusions will be lost when this process ends");
             None
         }
     }
 }
 
-/// Puts the endpoint list of the configuration in force, as one that may be old. Its version, where it is a list.
+/// Puts the endpoint list of the configuration in force, as a list that may be out of date. Returns
+/// its version unless it is empty.
 fn load_known_list(dispatcher: &Dispatcher, config: &Config) -> Result<Option<u64>, StartError> {
     if config.last_known_endpoints.is_null() {
         return Ok(None);
@@ -185,7 +192,7 @@
     Ok(Some(group))
 }
 
-/// Puts the group's exclusions in force whenever this ingress learns of a change.
+/// Puts the group's exclusions in force, now and after each change.
 async fn apply_group_exclusions(dispatcher: Rc<Dispatcher>, mut view: watch::Receiver<View>) {
     loop {
         let excluded = view.borrow_and_update().excluded.clone();
@@ -197,7 +204,7 @@
     }
 }
 
-/// Where rules are read from, with the text that is in force; none without rules.
+/// Loads the rules. Returns their source and the text in force, or `None` without rules.
 async fn load_rules(
     dispatcher: &Dispatcher,
     source: Option<RuleSource>,
@@ -223,7 +230,7 @@
     Ok(Some(inventory))
 }
 
-/// Answers staff's calls from now on, where the configuration says at which address.
+/// Starts to answer operators' calls, if the configuration has an address for them.
 fn serve_admin(
     dispatcher: &Rc<Dispatcher>,
     config: &Config,
@@ -236,12 +243,12 @@
     let listener = bind(address, false).map_err(|e| ListenError::Admin(address, e))?;
     let admin = AdminServer::new(dispatcher.clone(), store, group);
     spawn_local(admin.listen(listener));
-    tracing::info!(%address, "operators call");
+    tracing::info!(%address, "accepting operators' calls");
     Ok(())
 }
 
-/// The HTTP/2 frontend with its listener; none where the operator's file has none. The platform hands over no socket
-/// for it: two processes beside each other share the port, each with a queue of its own.
+/// Opens the HTTP/2 frontend and its listener, if the operator's file has one. The platform passes
+/// no socket for it: two processes share the port, each with a queue of its own.
 fn open_http2(
     dispatcher: &Rc<Dispatcher>,
     operator: &OperatorFile,
@@ -256,7 +263,7 @@
     Ok(Some((frontend, listener)))
 }
 
-/// Keeps to half of the descriptors for as long as another process of this ingress runs.
+/// Limits this process to half of the descriptors while another process of this ingress runs.
 fn share_descriptors(
     takeover: Rc<ProcessTakeover>,
     ingress: &Ingress,
--- a/src/runtime/server/timers.rs
+++ b/src/runtime/server/timers.rs
@@ -1,16 +1,17 @@
-//! What comes due with time: the request table's deadlines, the counter's timeouts, idle connections, statistics.
+//! Periodic work: deadlines of the request table, time-outs of counter calls, idle connections,
+//! statistics.
 
 use super::ingress::Ingress;
 use std::rc::Rc;
 
-/// Longest between two rounds, ms: the decision module is to be called at least this often.
+/// Longest interval between two rounds, ms. The decision module must be called at least this often.
 const MAX_INTERVAL_MS: f64 = 50.0;
-/// Idle connections to endpoints are looked through this often, ms.
+/// Interval between two sweeps for idle endpoint connections, ms.
 const SWEEP_INTERVAL_MS: f64 = 1000.0;
-/// Statistics are logged this often, ms.
+/// Interval between two statistics log lines, ms.
 const STATISTICS_INTERVAL_MS: f64 = 10_000.0;
 
-/// Runs until the process ends; each round begins when the earliest deadline comes due.
+/// Runs until the process ends. Each round starts when the earliest deadline is due.
 pub(super) async fn run(ingress: Rc<Ingress>) {
     let dispatcher = &ingress.dispatcher;
     let mut last_sweep = dispatcher.now();
@@ -39,7 +40,7 @@
     tokio::time::sleep_until(dispatcher.clock().instant(due).into()).await;
 }
 
-/// Logs what has been counted since the start, and how many endpoints each pool has.
+/// Logs the request counts since the start, and the number of ready endpoints of each pool.
 pub(super) fn log_statistics(ingress: &Ingress) {
     let dispatcher = &ingress.dispatcher;
     let counts = dispatcher.request_counts();
