--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -1,81 +1,83 @@
-//! The grammar of staff's calls: one line is one call, and gets one line in answer.
+//! The grammar of operators' calls: one line is one call, and its answer is one line.
 //!
-//! A line counts once its end has come, never before. Guards against acting on half a line: a connection that breaks
-//! within `SUSPEND s-12` must not exclude `s-1`.
+//! A call is valid only once its line has ended. If a connection breaks within `SUSPEND s-12`, the
+//! call must not exclude `s-1`.
 
 use std::net::SocketAddr;
 
-/// Longest line, bytes, its end included.
+/// Longest line, bytes, including its end.
 pub const MAX_LINE: usize = 256;
 /// Longest name of an endpoint or member in a call, bytes.
 pub const MAX_ID: usize = 120;
 
-/// What staff ask for.
+/// A call from an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Ask whether this process is ready to serve.
     Status,
     /// Exclude an endpoint: it gets no requests until it is restored.
     Suspend(String),
-    /// End that.
+    /// End the exclusion of an endpoint.
     Restore(String),
     /// Drain the ingress.
     Pause,
     /// Serve clients again.
     Resume,
-    /// Exclude an endpoint at this ingress alone, where it is in a group.
+    /// Exclude an endpoint at this ingress alone, although it belongs to a group.
     SuspendHere(String),
-    /// End that.
+    /// End the exclusion of an endpoint at this ingress.
     RestoreHere(String),
     /// A call about the group of ingresses.
     Group(GroupCall),
 }
 
-/// What staff ask of the group of ingresses.
+/// A call about the group of ingresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupCall {
-    /// Who is in it, who leads, how old the copy here is.
+    /// Show members, leader, and the age of the local replica.
     Status,
-    /// The endpoints that the group has excluded, with every change that has been confirmed to anybody.
+    /// Show the endpoints that the group has excluded, including every change confirmed to any
+    /// caller.
     Out,
-    /// Expect a new member of this name, whose links come to this address.
+    /// Expect a new member of this name at this address.
     Add(String, SocketAddr),
     /// Remove a member.
     Remove(String),
-    /// Expect a new member in another's place: the old name, the new one, its address.
+    /// Expect a new member in place of another: the old name, the new name, the new address.
     Replace(String, String, SocketAddr),
 }
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadCall {
-    /// It is longer than [`MAX_LINE`].
+    /// The line is longer than [`MAX_LINE`].
     #[error("the line is too long")]
     Long,
-    /// No call has this name, or it is not text.
+    /// The call is unknown, or the line is not valid UTF-8.
     #[error("no such call: STATUS, SUSPEND ID, RESTORE ID, PAUSE, RESUME")]
     Name,
-    /// Words are missing or too many.
+    /// Words are missing, or there are too many.
     #[error("wrong number of words")]
     Words,
-    /// No endpoint or member can have this name.
+    /// The name of an endpoint or member is too long, or has characters that no name may have.
     #[error("no such id")]
     Id,
-    /// No address stands where one has to.
+    /// The address is invalid.
     #[error("no such address")]
     Address,
 }
 
 impl Call {
-    /// Whether the group of ingresses has to agree to it or answer it, where there is one.
+    /// Returns whether the group of ingresses, if there is one, has to agree to the call or to
+    /// answer it.
     pub fn is_for_group(&self) -> bool {
         matches!(self, Call::Suspend(_) | Call::Restore(_) | Call::Group(_))
     }
 
-    /// The call that these bytes begin with; none: its line has not ended.
+    /// Parses the call at the start of these bytes. Returns `None` if its line has not ended.
     ///
     /// # Errors
-    /// The line is no call, or will never be one.
+    /// The line is not a valid call, or is already too long.
     pub fn read(bytes: &[u8]) -> Result<Option<Call>, BadCall> {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
             return if bytes.len() >= MAX_LINE {
@@ -93,7 +95,7 @@
     }
 }
 
-/// The call of a complete line, by its words.
+/// Parses the words of a complete line.
 fn call(words: &[&str]) -> Result<Call, BadCall> {
     match words {
         ["STATUS"] => Ok(Call::Status),
@@ -109,7 +111,7 @@
     }
 }
 
-/// A name of an endpoint or member.
+/// Checks the name of an endpoint or member.
 fn id(text: &str) -> Result<String, BadCall> {
     let valid = text.len() <= MAX_ID && text.bytes().all(|b| b.is_ascii_graphic());
     valid.then(|| text.to_string()).ok_or(BadCall::Id)
@@ -119,7 +121,7 @@
     text.parse().map_err(|_| BadCall::Address)
 }
 
-/// The call of a line that begins with `GROUP`, by the words behind that.
+/// Parses the words after `GROUP`.
 fn group_call(words: &[&str]) -> Result<GroupCall, BadCall> {
     match words {
         ["STATUS"] => Ok(GroupCall::Status),
@@ -135,32 +137,33 @@
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Whether it was done, or is so: `ACK`; else `NAK`.
-    pub yes: bool,
-    /// Why, or what was done: for people.
+    /// Whether the call succeeded, or the answer to its question is positive: `ACK`; otherwise
+    /// `NAK`.
+    pub is_ack: bool,
+    /// What was done, or why not, as readable text.
     pub text: String,
 }
 
 impl Answer {
-    /// An `ACK` with this text.
-    pub fn yes(text: impl Into<String>) -> Answer {
+    /// Creates an `ACK` with this text.
+    pub fn ack(text: impl Into<String>) -> Answer {
         Answer {
-            yes: true,
+            is_ack: true,
             text: text.into(),
         }
     }
 
-    /// A `NAK` with this text.
-    pub fn no(text: impl Into<String>) -> Answer {
+    /// Creates a `NAK` with this text.
+    pub fn nak(text: impl Into<String>) -> Answer {
         Answer {
-            yes: false,
+            is_ack: false,
             text: text.into(),
         }
     }
 
-    /// The line that the caller gets, its end included.
+    /// Encodes the answer as the line that the caller gets, including its end.
     pub fn line(&self) -> String {
-        let word = if self.yes { "ACK" } else { "NAK" };
+        let word = if self.is_ack { "ACK" } else { "NAK" };
         format!("{word} {}\r\n", self.text.replace(['\r', '\n'], " "))
     }
 }
--- a/crates/admin/src/call/tests.rs
+++ b/crates/admin/src/call/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// A caller's connection breaks, or its bytes come one by one. Half of a name may be another endpoint's name: nothing
-/// may be done before the line has ended.
+/// A connection breaks in the middle of a line, or its bytes arrive one by one. Part of a name may
+/// be the name of another endpoint, so the call must not be parsed before the end of its line.
 #[test]
-fn a_call_counts_once_its_line_has_ended_and_not_before() {
+fn call_is_parsed_only_after_its_line_ends() {
     let all = b"SUSPEND s-12\r\n";
     for cut in 0..all.len() {
         assert_eq!(Call::read(&all[..cut]), Ok(None), "{cut}");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_named() {
+fn invalid_call_is_rejected_with_its_reason() {
     let long = [b"SUSPEND ".as_slice(), &[b'x'; MAX_LINE]].concat();
     let id = [b"SUSPEND ".as_slice(), &[b'x'; MAX_ID + 1], b"\n"].concat();
     assert_eq!(
@@ -43,8 +43,8 @@
         (b"PAUSE now\n", BadCall::Words),
         (b"SUSPEND s-\xc3\xa9\n", BadCall::Id),
     ];
-    for (bytes, want) in cases {
-        assert_eq!(Call::read(bytes), Err(want), "{bytes:?}");
+    for (bytes, expected) in cases {
+        assert_eq!(Call::read(bytes), Err(expected), "{bytes:?}");
     }
-    assert_eq!(Answer::no("a\r\nb").line(), "NAK a  b\r\n");
+    assert_eq!(Answer::nak("a\r\nb").line(), "NAK a  b\r\n");
 }
--- a/crates/admin/src/drain.rs
+++ b/crates/admin/src/drain.rs
@@ -1,30 +1,34 @@
-//! How far the ingress is drained: by `PAUSE`, until `RESUME`, or by the graceful shutdown of its process.
+//! The drain state of an ingress: drained by `PAUSE` until `RESUME`, or by the graceful shutdown of
+//! its process.
 //!
-//! A drain has stages, so that nobody is cut off: whoever sends clients here first hears that they should not come,
-//! then connections end as soon as nothing is unanswered on them, and at last what still comes is rejected. The
-//! frontends ask for the state and act on it; nothing here closes a connection or answers a client.
+//! A drain has stages, so that no client is disconnected within a request. First the ingress
+//! reports that it is not ready, then connections close as soon as no request is unanswered on
+//! them, and at last new requests are rejected. The frontends query the state and act on it;
+//! nothing here closes a connection or answers a client.
 
-/// How long after `PAUSE` clients are served as before, ms: whoever sends clients here asks every 100 ms whether they
-/// should come, and may send some for 200 ms after a no.
+/// Time after `PAUSE` during which clients are served as before, ms. Load balancers check readiness
+/// every 100 ms, and may route clients here for 200 ms after a negative answer.
 pub const NOTICE_MS: f64 = 400.0;
-/// How long after `PAUSE` requests that still come are rejected, ms. Nothing is then under way long before the 4 s
-/// that staff may count on.
+/// Time after `PAUSE` from which new requests are rejected, ms. All requests have then ended well
+/// within the 4 s that operators may rely on.
 pub const DRAINED_MS: f64 = 1500.0;
 
-/// What becomes of clients and their requests, from one stage of a drain to the next.
+/// The stages of a drain, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainState {
     /// Clients are served.
     Serving,
-    /// The ingress says that it is not ready, and serves: whoever sends clients here has not heard of it yet.
+    /// The ingress reports that it is not ready, but serves: load balancers may not have noticed
+    /// yet.
     Notice,
-    /// Connections end as soon as nothing is unanswered on them; requests that cross that are served.
+    /// Connections close as soon as no request is unanswered on them; requests that still arrive
+    /// are served.
     Draining,
-    /// As before, but requests are rejected before any attempt.
+    /// As `Draining`, but requests are rejected before any attempt.
     Drained,
 }
 
-/// When a process was told to stop, and for how long new clients may still come, ms.
+/// A shutdown: when it began, and for how long new clients may still connect, ms.
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     since_ms: f64,
@@ -32,7 +36,7 @@
 }
 
 impl Stop {
-    /// A stopping process never rejects: it serves what it has received.
+    /// A stopping process never rejects: it serves the requests that it has received.
     fn state(self, now: f64) -> DrainState {
         if now - self.since_ms < self.notice_ms {
             DrainState::Notice
@@ -42,28 +46,30 @@
     }
 }
 
-/// What the ingress has been told: to pause, or to stop. All times are ms of one clock.
+/// The pause and shutdown of an ingress. All times are ms of one clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DrainControl {
-    /// Since when it is paused, ms.
+    /// When the pause began, ms; `None` if the ingress is not paused.
     paused_since: Option<f64>,
     stop: Option<Stop>,
 }
 
 impl DrainControl {
-    /// Begins to drain. False: it was paused before, and the stages go on from then.
+    /// Pauses the ingress. Returns false if it was paused already; its stages then continue from
+    /// the first pause.
     pub fn pause(&mut self, now: f64) -> bool {
         let first = self.paused_since.is_none();
         self.paused_since.get_or_insert(now);
         first
     }
 
-    /// Ends a pause. False: it was not paused.
+    /// Ends a pause. Returns false if the ingress was not paused.
     pub fn resume(&mut self) -> bool {
         self.paused_since.take().is_some()
     }
 
-    /// The process stops, for good; new clients may come for another `notice_ms`. The first call counts.
+    /// Begins the shutdown, which cannot be undone. New clients may connect for another
+    /// `notice_ms`. Only the first call has an effect.
     pub fn stop(&mut self, now: f64, notice_ms: f64) {
         self.stop.get_or_insert(Stop {
             since_ms: now,
@@ -71,17 +77,18 @@
         });
     }
 
-    /// Whether it is paused.
+    /// Returns whether the ingress is paused.
     pub fn paused(&self) -> bool {
         self.paused_since.is_some()
     }
 
-    /// Whether the process is being stopped.
+    /// Returns whether the process is shutting down.
     pub fn stopped(&self) -> bool {
         self.stop.is_some()
     }
 
-    /// The stage now: the further one where it is paused and stops.
+    /// Returns the current stage: the later of the two if the ingress is both paused and shutting
+    /// down.
     pub fn state(&self, now: f64) -> DrainState {
         let stopped = self
             .stop
@@ -93,7 +100,7 @@
     }
 }
 
-/// The stage so long after `PAUSE`, ms.
+/// Returns the stage at `elapsed_ms` after `PAUSE`.
 fn pause_state(elapsed_ms: f64) -> DrainState {
     if elapsed_ms < NOTICE_MS {
         DrainState::Notice
--- a/crates/admin/src/drain/tests.rs
+++ b/crates/admin/src/drain/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_call_empties_it_by_stages_and_another_takes_clients_again() {
+fn pause_drains_by_stages_until_resume() {
     let mut drain = DrainControl::default();
     assert_eq!(drain.state(1e12), DrainState::Serving);
     assert!(
         drain.pause(1000.0) && !drain.pause(1300.0),
-        "a repeated call does not begin anew"
+        "a repeated call does not restart the stages"
     );
     let state = |ms: f64| drain.state(ms);
     assert_eq!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_stop_serves_what_still_comes_and_nothing_takes_it_back() {
+fn stop_never_rejects_and_cannot_be_undone() {
     let mut drain = DrainControl::default();
     drain.stop(1000.0, 500.0);
     drain.stop(9000.0, 0.0);
@@ -42,6 +42,6 @@
     assert_eq!(
         [1500.0, 3000.0].map(|ms| drain.state(ms)),
         [DrainState::Draining, DrainState::Drained],
-        "the further one counts"
+        "the later stage applies"
     );
 }
--- a/crates/admin/src/exclusions.rs
+++ b/crates/admin/src/exclusions.rs
@@ -1,44 +1,45 @@
-//! Administratively excluded endpoints: by a call to this ingress, or for the whole group.
+//! Endpoints that operators have excluded, at this ingress or for the whole group.
 //!
-//! Endpoints are excluded by name: one that leaves the lists and returns is still excluded, until the call that
-//! restores it. A call for a name that no list has ever had is a typing error, and is refused. All sets are bounded.
+//! Endpoints are excluded by name: an endpoint that leaves the lists and returns is still excluded
+//! until it is restored. A name that no list has ever contained is taken for a typing error and
+//! refused. All sets are bounded.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Most names that are excluded by calls to this ingress at a time. Bounds memory.
+/// Most names that are excluded at this ingress at the same time. Bounds memory.
 pub const MAX_EXCLUDED: usize = 1024;
-/// Most names that are remembered as listed; beyond, the one that was listed first is forgotten. Bounds memory where
-/// endpoints come and go for days.
+/// Most listed names that are remembered. Beyond that, the name that was listed first is forgotten.
+/// Bounds memory where endpoints come and go for days.
 const MAX_LISTED: usize = 8192;
 
-/// What a call to exclude or to restore an endpoint has led to.
+/// The outcome of a call to exclude or to restore an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExclusionOutcome {
-    /// It has been done.
+    /// The state of the endpoint has changed.
     Done,
-    /// It was so before: nothing has changed.
+    /// The endpoint was in this state already: nothing has changed.
     AlreadyDone,
-    /// No list has ever named such an endpoint.
+    /// No list is known to have contained the endpoint.
     NeverListed,
-    /// [`MAX_EXCLUDED`] endpoints are excluded.
+    /// [`MAX_EXCLUDED`] endpoints are excluded already.
     TooMany,
 }
 
-/// The names of excluded endpoints, and the names that lists have had.
+/// The names of excluded endpoints, and of the endpoints that lists have contained.
 #[derive(Clone, Debug, Default)]
 pub struct ExcludedEndpoints {
     /// Excluded by calls to this ingress.
-    here: BTreeSet<String>,
+    local: BTreeSet<String>,
     /// Excluded for the whole group of ingresses.
     group: Arc<BTreeSet<String>>,
     listed: BTreeSet<String>,
-    /// The same names, in the order in which they were listed first.
+    /// The names in `listed`, in the order in which they were first listed.
     listed_order: VecDeque<String>,
 }
 
 impl ExcludedEndpoints {
-    /// Notes that a list names this endpoint.
+    /// Records that an endpoint list contains this endpoint.
     pub fn mark_listed(&mut self, name: &str) {
         if self.listed.contains(name) {
             return;
@@ -53,27 +54,27 @@
         }
     }
 
-    /// Whether it is excluded, by a call to this ingress or for the whole group.
+    /// Returns whether the endpoint is excluded, at this ingress or for the whole group.
     pub fn is_excluded(&self, name: &str) -> bool {
-        self.here.contains(name) || self.group.contains(name)
+        self.local.contains(name) || self.group.contains(name)
     }
 
-    /// The names of all excluded endpoints, each once, in order.
+    /// Iterates over the names of all excluded endpoints, each once, in order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
-        self.here.union(&self.group).map(String::as_str)
+        self.local.union(&self.group).map(String::as_str)
     }
 
-    /// Whether a call to this ingress has excluded it.
+    /// Returns whether a call to this ingress has excluded the endpoint.
     pub fn is_excluded_here(&self, name: &str) -> bool {
-        self.here.contains(name)
+        self.local.contains(name)
     }
 
-    /// Whether a list has named it, as far as that is remembered.
+    /// Returns whether a list has contained the endpoint, as far as listed names are remembered.
     pub fn was_listed(&self, name: &str) -> bool {
         self.listed.contains(name)
     }
 
-    /// Replaces the group's exclusions; the names that have changed.
+    /// Replaces the group's exclusions. Returns the names that were added or removed.
     pub fn set_group_exclusions(&mut self, names: Arc<BTreeSet<String>>) -> Vec<String> {
         let changed = self.group.symmetric_difference(&names).cloned().collect();
         self.group = names;
@@ -82,22 +83,22 @@
 
     /// Excludes an endpoint at this ingress.
     pub fn exclude(&mut self, name: &str) -> ExclusionOutcome {
-        if self.here.contains(name) {
+        if self.local.contains(name) {
             return ExclusionOutcome::AlreadyDone;
         }
         if !self.listed.contains(name) {
             return ExclusionOutcome::NeverListed;
         }
-        if self.here.len() >= MAX_EXCLUDED {
+        if self.local.len() >= MAX_EXCLUDED {
             return ExclusionOutcome::TooMany;
         }
-        self.here.insert(name.to_string());
+        self.local.insert(name.to_string());
         ExclusionOutcome::Done
     }
 
-    /// Ends the exclusion of an endpoint at this ingress; the group's stays.
+    /// Ends the exclusion of an endpoint at this ingress; the group's exclusion stays.
     pub fn restore(&mut self, name: &str) -> ExclusionOutcome {
-        if self.here.remove(name) {
+        if self.local.remove(name) {
             ExclusionOutcome::Done
         } else if self.listed.contains(name) {
             ExclusionOutcome::AlreadyDone
@@ -106,11 +107,12 @@
         }
     }
 
-    /// Replaces the exclusions at this ingress by those of another process of it; the names that have changed.
+    /// Replaces the exclusions at this ingress by those of another process of the same ingress.
+    /// Returns the names that were added or removed.
     pub fn take_over(&mut self, names: BTreeSet<String>) -> Vec<String> {
         let names: BTreeSet<String> = names.into_iter().take(MAX_EXCLUDED).collect();
-        let changed = self.here.symmetric_difference(&names).cloned().collect();
-        self.here = names;
+        let changed = self.local.symmetric_difference(&names).cloned().collect();
+        self.local = names;
         changed
     }
 }
--- a/crates/admin/src/exclusions/tests.rs
+++ b/crates/admin/src/exclusions/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn calls_out_may_be_repeated_and_one_call_back_ends_it() {
+fn repeated_exclude_is_undone_by_one_restore() {
     let mut excluded = ExcludedEndpoints::default();
     excluded.mark_listed("s-1");
     assert_eq!(excluded.exclude("s-1"), ExclusionOutcome::Done);
@@ -16,10 +16,10 @@
     );
 }
 
-/// Endpoints come and go for days, and the names that are remembered are bounded. One that is excluded must not come
-/// back into service because its name has been forgotten.
+/// Endpoints come and go for days, and the number of remembered names is bounded. An excluded
+/// endpoint must not get requests again because its name has been forgotten.
 #[test]
-fn what_is_out_stays_out_however_many_names_come_by() {
+fn endpoint_stays_excluded_after_its_name_is_forgotten() {
     let mut excluded = ExcludedEndpoints::default();
     excluded.mark_listed("s-1");
     excluded.exclude("s-1");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn another_process_says_what_is_out() {
+fn takeover_replaces_the_local_exclusions() {
     let mut excluded = ExcludedEndpoints::default();
     ["s-1", "s-2", "s-3"]
         .iter()
@@ -54,19 +54,19 @@
 }
 
 #[test]
-fn what_the_group_holds_stands_beside_what_was_said_here() {
+fn group_and_local_exclusions_are_independent() {
     let mut excluded = ExcludedEndpoints::default();
     ["s-1", "s-2"]
         .iter()
         .for_each(|name| excluded.mark_listed(name));
     excluded.exclude("s-1");
-    let held = |names: &[&str]| Arc::new(names.iter().map(|n| n.to_string()).collect());
+    let name_set = |names: &[&str]| Arc::new(names.iter().map(|n| n.to_string()).collect());
     assert_eq!(
-        excluded.set_group_exclusions(held(&["s-1", "s-2"])),
+        excluded.set_group_exclusions(name_set(&["s-1", "s-2"])),
         ["s-1", "s-2"]
     );
     assert_eq!(excluded.iter().collect::<Vec<_>>(), ["s-1", "s-2"]);
-    assert_eq!(excluded.set_group_exclusions(held(&[])), ["s-1", "s-2"]);
+    assert_eq!(excluded.set_group_exclusions(name_set(&[])), ["s-1", "s-2"]);
     assert!(
         excluded.is_excluded("s-1")
             && excluded.is_excluded_here("s-1")
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Administration of a running ingress, as decisions without I/O or a clock: the grammar of staff's calls, the
-//! excluded endpoints, and how far the ingress is drained.
+//! Administration of a running ingress, without I/O or a clock: the grammar of operators' calls,
+//! the excluded endpoints, and the drain state.
 //!
-//! It opens no socket or file, does not ask for the time, and does not decide which endpoint gets a request.
+//! The crate opens no socket or file, does not read the time, and does not choose endpoints for
+//! requests.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,3 +1,3 @@
-//! Calls of the staff to a running ingress.
+//! Administration calls from operators to a running ingress.
 
 pub mod server;
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,7 +1,9 @@
-//! The listener for staff's calls: one connection is one call, one line in and one line out.
+//! The listener for operators' calls: a connection carries one call, which is one line, and one
+//! answer, which is one line.
 //!
-//! What a call means is `driftgap_admin`'s; this module reads it, has it done, and words the answer. Connections are
-//! bounded in number and time, so that a caller that says nothing does not keep others out.
+//! `driftgap_admin` parses the calls; this module reads them from the connection, executes them,
+//! and writes the answers. Connections are limited in number and time, so that a silent caller does
+//! not block others.
 
 use crate::group::{CallResult, Group, MembershipStatus};
 use crate::runtime::dispatcher::Dispatcher;
@@ -16,26 +18,27 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Most callers whose line has not come at a time; the one that has been silent for longest makes room for the next.
+/// Most callers that have not sent their line. A further one replaces the caller that has been
+/// silent for longest.
 pub const MAX_CALLERS: usize = 16;
-/// Most calls that wait for the group at a time.
+/// Most calls that wait for the group at the same time.
 const MAX_WAITING_FOR_GROUP: usize = 64;
-/// A caller has this long for its line, and as long to read the answer.
+/// Time limit of a caller for sending its line, and again for reading the answer.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The listener rests for this long after an error, such as one for want of descriptors.
+/// Pause of the listener after an accept error, for example when no descriptors are left.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(5);
 
-/// Keeps the exclusions of this ingress beyond the end of this process.
+/// Stores the exclusions of this ingress beyond the end of this process.
 pub trait ExclusionStore {
-    /// Notes that an endpoint is excluded, or no more.
+    /// Stores that an endpoint is excluded, or that it no longer is.
     ///
     /// # Errors
-    /// Why it cannot be kept.
+    /// The change cannot be stored; it is lost when this process ends.
     fn persist(&self, name: &str, excluded: bool) -> std::io::Result<()>;
 }
 
-/// The endpoint or member that a call names.
-fn subject(call: &Call) -> &str {
+/// Returns the name of the endpoint or member that a call is about; empty if it names none.
+fn target_name(call: &Call) -> &str {
     match call {
         Call::Suspend(name) | Call::Restore(name) => name,
         Call::Group(
@@ -45,9 +48,9 @@
     }
 }
 
-/// The answer to a call that the group has agreed on.
-fn agreed(dispatcher: &Dispatcher, call: &Call, outcome: Outcome) -> Answer {
-    let name = subject(call);
+/// Builds the answer to a call whose proposal the group has decided.
+fn committed_answer(dispatcher: &Dispatcher, call: &Call, outcome: Outcome) -> Answer {
+    let name = target_name(call);
     let (done, done_before) = match call {
         Call::Suspend(_) => ("suspended for the group", "was suspended"),
         Call::Restore(_) => ("restored for the group", "was not suspended by the group"),
@@ -57,21 +60,21 @@
     let text = match outcome {
         Outcome::Done => done,
         Outcome::Before => done_before,
-        Outcome::TooMany => return Answer::no("too many are suspended"),
-        Outcome::Unknown => return Answer::no(format!("not done: no such member for {name}")),
-        Outcome::Late => return Answer::no("not done: it came too late"),
-        _ => return Answer::no("not done: refused; at least 3 and at most 7 members vote"),
+        Outcome::TooMany => return Answer::nak("too many are suspended"),
+        Outcome::Unknown => return Answer::nak(format!("not done: no such member for {name}")),
+        Outcome::Late => return Answer::nak("not done: it came too late"),
+        _ => return Answer::nak("not done: refused; at least 3 and at most 7 members vote"),
     };
     if matches!(call, Call::Restore(_)) && dispatcher.is_excluded_here(name) {
-        return Answer::yes(format!(
+        return Answer::ack(format!(
             "{name} {text}, but is suspended here: RESTORE {name} HERE"
         ));
     }
-    Answer::yes(format!("{name} {text}"))
+    Answer::ack(format!("{name} {text}"))
 }
 
-/// How old a copy is, ms.
-fn age(ms: f64) -> String {
+/// Formats the age of a replica, ms.
+fn format_age(ms: f64) -> String {
     if ms.is_finite() {
         format!("{ms:.0}")
     } else {
@@ -79,26 +82,26 @@
     }
 }
 
-/// How the group stands, on one line.
+/// Builds the answer to GROUP STATUS: the state of the group as one line.
 fn membership_status(membership_status: MembershipStatus) -> Answer {
     let status = match membership_status {
         MembershipStatus::Joining => {
-            return Answer::no(
+            return Answer::nak(
                 "not in the group yet: the folder is empty, and nobody has let it in",
             )
         }
-        MembershipStatus::Failed(why) => return Answer::no(format!("votes no more: {why}")),
+        MembershipStatus::Failed(why) => return Answer::nak(format!("votes no more: {why}")),
         MembershipStatus::Follower {
             member,
             applied,
             age_ms,
             stored,
         } => {
-            let (yes, member) = (member.is_some(), member.unwrap_or_else(|| "none".into()));
-            let age = age(age_ms.unwrap_or(f64::INFINITY));
+            let (is_ack, member) = (member.is_some(), member.unwrap_or_else(|| "none".into()));
+            let age = format_age(age_ms.unwrap_or(f64::INFINITY));
             let stored = stored.map_or("none".into(), |stored| stored.to_string());
             return Answer {
-                yes,
+                is_ack,
                 text: format!(
                     "role=beside member={member} applied={applied} age_ms={age} stored={stored}"
                 ),
@@ -127,46 +130,46 @@
         status.term,
         status.applied,
         status.committed,
-        age(status.age_ms),
+        format_age(status.age_ms),
         if status.changing { "yes" } else { "no" },
         status.format_version,
         members.collect::<Vec<_>>().join(",")
     );
     Answer {
-        yes: status.leader.is_some(),
+        is_ack: status.leader.is_some(),
         text,
     }
 }
 
-/// Answers staff's calls.
+/// Answers operators' calls.
 pub struct AdminServer {
     dispatcher: Rc<Dispatcher>,
     store: Option<Rc<dyn ExclusionStore>>,
     group: Option<Group>,
-    /// Calls that wait for the group.
+    /// The number of calls that wait for the group.
     waiting_for_group: Cell<usize>,
-    /// Callers whose line has not come yet, the oldest first.
+    /// Callers that have not sent their line yet, the oldest first.
     silent_callers: RefCell<VecDeque<SilentCaller>>,
     next_number: Cell<u64>,
 }
 
-/// A caller whose line has not come yet.
+/// A caller that has not sent its line yet.
 struct SilentCaller {
     number: u64,
     task: AbortHandle,
 }
 
-/// What a caller's line was.
+/// The result of reading a caller's line.
 enum Line {
     Call(Call),
     Bad(BadCall),
-    /// The connection ended within it.
+    /// The connection ended before the end of the line.
     Unfinished,
 }
 
 impl AdminServer {
-    /// A server for this ingress. Exclusions are kept in `store`, where there is one; calls for the group are passed
-    /// to `group`.
+    /// Creates a server for this ingress. Exclusions are stored in `store`, if there is one, and
+    /// calls for the group go to `group`.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         store: Option<Rc<dyn ExclusionStore>>,
@@ -182,13 +185,13 @@
         })
     }
 
-    /// Accepts callers until its task is ended.
+    /// Accepts callers until its task is aborted.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.open(stream),
                 Err(e) => {
-                    tracing::warn!(error = %e, "accept, operators' calls");
+                    tracing::warn!(error = %e, "operator's connection cannot be accepted; trying again");
                     tokio::time::sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             }
@@ -200,9 +203,9 @@
         self.next_number.set(number + 1);
         let server = self.clone();
         let task = spawn_local(async move {
-            // A caller that has gone away, or does not read, needs no answer.
+            // The answer to a caller that has disconnected or does not read is dropped.
             let _ = server.serve(stream, number).await;
-            server.not_silent(number);
+            server.remove_silent_caller(number);
         });
         let mut silent_callers = self.silent_callers.borrow_mut();
         silent_callers.push_back(SilentCaller {
@@ -210,16 +213,16 @@
             task: task.abort_handle(),
         });
         if silent_callers.len() > MAX_CALLERS {
-            // Guards against callers that hold the line and say nothing: a call is carried out as soon as its line
-            // has come, so whoever is still here after so many others is silent.
+            // A caller leaves the list as soon as its line has arrived, so the oldest entry has
+            // been silent for longest.
             if let Some(oldest) = silent_callers.pop_front() {
                 oldest.task.abort();
             }
         }
     }
 
-    /// This caller's line has come, or its connection has ended.
-    fn not_silent(&self, number: u64) {
+    /// Removes a caller from the silent callers: its line has arrived, or its connection has ended.
+    fn remove_silent_caller(&self, number: u64) {
         self.silent_callers
             .borrow_mut()
             .retain(|caller| caller.number != number);
@@ -230,14 +233,15 @@
         let answer = match timeout(CALLER_TIMEOUT, read_line(&mut stream)).await {
             Ok(line) => match line? {
                 Line::Call(call) => {
-                    // A call that waits for the group may be done already: it is not cut off for another caller.
-                    self.not_silent(number);
+                    // From here on the caller is never aborted: a call that waits for the group may
+                    // already have taken effect.
+                    self.remove_silent_caller(number);
                     self.carry_out(call).await
                 }
-                Line::Bad(problem) => Answer::no(problem.to_string()),
+                Line::Bad(problem) => Answer::nak(problem.to_string()),
                 Line::Unfinished => return Ok(()),
             },
-            Err(_) => Answer::no("no whole line in time"),
+            Err(_) => Answer::nak("no whole line in time"),
         };
         let line = answer.line();
         let _ = timeout(CALLER_TIMEOUT, stream.write_all(line.as_bytes())).await;
@@ -249,12 +253,12 @@
             Some(group) if call.is_for_group() => self.carry_out_in_group(group, &call).await,
             _ => self.carry_out_here(&call),
         };
-        let only_asks = matches!(
+        let read_only = matches!(
             call,
             Call::Status | Call::Group(GroupCall::Status | GroupCall::Out)
         );
-        if !only_asks {
-            tracing::info!(call = ?call, yes = answer.yes, answer = answer.text, "operator");
+        if !read_only {
+            tracing::info!(call = ?call, yes = answer.is_ack, answer = answer.text, "operator's call answered");
         }
         answer
     }
@@ -266,30 +270,31 @@
             Call::Resume => self.resume(),
             Call::Suspend(name) => self.set_excluded(name, true),
             Call::Restore(name) => self.set_excluded(name, false),
-            // Without a group every call is for this ingress alone, and these do not exist.
+            // Without a group every call applies to this ingress alone, and the HERE variants do
+            // not exist.
             Call::SuspendHere(_) | Call::RestoreHere(_) if self.group.is_none() => {
-                Answer::no(BadCall::Words.to_string())
+                Answer::nak(BadCall::Words.to_string())
             }
             Call::SuspendHere(name) => self.set_excluded(name, true),
             Call::RestoreHere(name) => self.set_excluded(name, false),
-            Call::Group(_) => Answer::no(BadCall::Name.to_string()),
+            Call::Group(_) => Answer::nak(BadCall::Name.to_string()),
         }
     }
 
     fn status(&self) -> Answer {
         if let Some(why) = self.dispatcher.unready_reason() {
-            return Answer::no(why);
+            return Answer::nak(why);
         }
         match self.dispatcher.excluded_count() {
-            0 => Answer::yes("ready"),
-            excluded => Answer::yes(format!("ready, {excluded} suspended")),
+            0 => Answer::ack("ready"),
+            excluded => Answer::ack(format!("ready, {excluded} suspended")),
         }
     }
 
     fn pause(&self) -> Answer {
         let now = self.dispatcher.now();
         let first = self.dispatcher.drain().pause(now);
-        Answer::yes(if first {
+        Answer::ack(if first {
             "emptying"
         } else {
             "emptying since before"
@@ -298,14 +303,15 @@
 
     fn resume(&self) -> Answer {
         let was_paused = self.dispatcher.drain().resume();
-        Answer::yes(if was_paused {
+        Answer::ack(if was_paused {
             "taking clients"
         } else {
             "was taking clients"
         })
     }
 
-    /// Excludes an endpoint at this ingress, or ends that, and keeps it beyond the end of this process.
+    /// Excludes or restores an endpoint at this ingress, and stores the change beyond the end of
+    /// this process.
     fn set_excluded(&self, name: &str, exclude: bool) -> Answer {
         let (done, done_before) = if exclude {
             ("suspended", "was suspended")
@@ -315,38 +321,41 @@
         let text = match self.dispatcher.set_excluded(name, exclude) {
             ExclusionOutcome::Done => done,
             ExclusionOutcome::AlreadyDone => done_before,
-            ExclusionOutcome::NeverListed => return Answer::no(format!("{name} was never listed")),
-            ExclusionOutcome::TooMany => return Answer::no("too many are suspended"),
+            ExclusionOutcome::NeverListed => {
+                return Answer::nak(format!("{name} was never listed"))
+            }
+            ExclusionOutcome::TooMany => return Answer::nak("too many are suspended"),
         };
-        // Kept also where nothing changed here: another process of this ingress may not have heard of it.
+        // Stored also if nothing changed here: another process of this ingress may not have the
+        // change.
         let persisted = self
             .store
             .as_ref()
             .map(|store| store.persist(name, exclude));
         match persisted {
             Some(Err(e)) => {
-                tracing::error!(name, out = exclude, error = %e, "not kept over an upgrade");
-                Answer::yes(format!("{name} {text}, but not over an upgrade: {e}"))
+                tracing::error!(name, out = exclude, error = %e, "exclusion cannot be stored; it will be lost at the next upgrade");
+                Answer::ack(format!("{name} {text}, but not over an upgrade: {e}"))
             }
-            _ => Answer::yes(format!("{name} {text}")),
+            _ => Answer::ack(format!("{name} {text}")),
         }
     }
 
-    /// A call that the group has to agree to, or to answer.
+    /// Executes a call that the group has to agree to or to answer.
     async fn carry_out_in_group(&self, group: &Group, call: &Call) -> Answer {
         if self.waiting_for_group.get() >= MAX_WAITING_FOR_GROUP {
-            return Answer::no("not done: too many calls wait for the group");
+            return Answer::nak("not done: too many calls wait for the group");
         }
         self.waiting_for_group.set(self.waiting_for_group.get() + 1);
         let answer = match call {
             Call::Group(GroupCall::Status) => membership_status(group.membership_status().await),
             Call::Group(GroupCall::Out) => group_exclusions(group).await,
             Call::Suspend(name) | Call::Restore(name) if !self.dispatcher.was_listed(name) => {
-                Answer::no(format!("{name} was never listed"))
+                Answer::nak(format!("{name} was never listed"))
             }
             call => match proposal(call) {
                 Some(proposal) => self.propose(group, call, proposal).await,
-                None => Answer::no(BadCall::Name.to_string()),
+                None => Answer::nak(BadCall::Name.to_string()),
             },
         };
         self.waiting_for_group.set(self.waiting_for_group.get() - 1);
@@ -356,21 +365,22 @@
     async fn propose(&self, group: &Group, call: &Call, proposal: Proposal) -> Answer {
         match group.propose(proposal).await {
             CallResult::Done(outcome, _) => {
-                // The answer says that it holds here, so it is put in force before the answer goes out. The latest
-                // view is taken: the group may have agreed on something later, which must not be undone.
+                // The answer confirms that the change is in force here, so apply it first. Apply
+                // the latest view: the group may already have agreed on a later change, which must
+                // not be undone.
                 let latest = group.view().borrow().excluded.clone();
                 self.dispatcher.set_group_exclusions(latest);
-                agreed(&self.dispatcher, call, outcome)
+                committed_answer(&self.dispatcher, call, outcome)
             }
-            CallResult::Refused(why) => Answer::no(format!("not done: {why}")),
+            CallResult::Refused(why) => Answer::nak(format!("not done: {why}")),
             CallResult::Unknown => {
-                Answer::no("not known whether it will be done: ask GROUP OUT, or repeat the call")
+                Answer::nak("not known whether it will be done: ask GROUP OUT, or repeat the call")
             }
         }
     }
 }
 
-/// The call of a connection; what comes behind its line is left unread.
+/// Reads the one call of a connection. Bytes after its line are ignored.
 async fn read_line(stream: &mut TcpStream) -> std::io::Result<Line> {
     let mut line = Vec::with_capacity(MAX_LINE);
     loop {
@@ -386,7 +396,7 @@
     }
 }
 
-/// The change that a call asks the group for; none: it asks for no change.
+/// Returns the change that a call proposes to the group, or `None` if it changes nothing.
 fn proposal(call: &Call) -> Option<Proposal> {
     Some(match call {
         Call::Suspend(name) => Proposal::Suspend(name.clone()),
@@ -406,14 +416,15 @@
     })
 }
 
-/// The endpoints that the group has excluded, once this ingress knows all that has been confirmed to anybody.
+/// Builds the answer to GROUP OUT: the endpoints that the group has excluded, including every
+/// change confirmed to any caller.
 async fn group_exclusions(group: &Group) -> Answer {
     match group.read().await {
         CallResult::Done(_, view) => {
             let excluded: Vec<&str> = view.excluded.iter().map(String::as_str).collect();
-            Answer::yes(format!("at {}: {}", view.applied, excluded.join(" ")))
+            Answer::ack(format!("at {}: {}", view.applied, excluded.join(" ")))
         }
-        CallResult::Refused(why) => Answer::no(why),
-        CallResult::Unknown => Answer::no("no answer in time"),
+        CallResult::Refused(why) => Answer::nak(why),
+        CallResult::Unknown => Answer::nak("no answer in time"),
     }
 }
--- a/src/counter/call.rs
+++ b/src/counter/call.rs
@@ -1,4 +1,4 @@
-//! One call to the counter: its request, what its answer says, and how it ended.
+//! One call to the counter: its request, the parsing of its answer, and its outcome.
 
 use crate::decision::driver::CounterAdd;
 use crate::decision::Outcome;
@@ -6,33 +6,35 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Shortest life of a counter's entry that a call may ask for, ms: none would never be read.
-const MIN_LIFE_MS: f64 = 1.0;
-/// Longest life of a counter's entry, ms: the counter refuses a longer one.
-const MAX_LIFE_MS: f64 = 60_000.0;
+/// Shortest lifetime of a counter's entry that a call requests, ms: with 0 no later call could read
+/// the entry.
+const MIN_LIFETIME_MS: f64 = 1.0;
+/// Longest lifetime of a counter's entry, ms: the counter rejects a longer one.
+const MAX_LIFETIME_MS: f64 = 60_000.0;
 
 /// A call that waits to be written or to be answered.
 pub(super) struct Call {
     pub add: CounterAdd,
-    /// When it was made, ms.
+    /// When the call was made, ms.
     pub made_at_ms: f64,
-    /// Its end has been reported; a total that still comes is a late one.
+    /// Whether an outcome has been reported already, so that a total that still arrives is a late
+    /// one.
     pub reported: bool,
 }
 
-/// A call that came to its end without a total.
+/// A call that has ended without a total.
 pub(super) struct FailedCall {
     /// The name of the counter's entry.
     pub name: u64,
     pub outcome: Outcome,
 }
 
-/// Why an answer brings no total.
+/// Why an answer contains no total.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum AnswerError {
     #[error("the call was counted, but its total cannot be read")]
     UnreadableTotal,
-    #[error("the counter rejected the call or knows no such call")]
+    #[error("the counter rejected the call or does not support it")]
     Rejected,
     #[error("the counter answered with status {0}: the call may have been counted")]
     UnexpectedStatus(u16),
@@ -47,14 +49,15 @@
         }
     }
 
-    /// Whether what follows on the connection could be the rest of this answer.
-    pub(super) fn spoils_connection(self) -> bool {
+    /// Whether further bytes on the connection could be the rest of this answer, so that the
+    /// connection cannot be used any more.
+    pub(super) fn makes_connection_unusable(self) -> bool {
         self != AnswerError::Rejected
     }
 }
 
 impl Call {
-    /// A call made at `now`, ms.
+    /// Creates a call that is made at `now`, ms.
     pub(super) fn new(add: CounterAdd, now: f64) -> Call {
         Call {
             add,
@@ -70,16 +73,16 @@
         }
     }
 
-    /// Its HTTP/1.1 request.
+    /// Encodes the call as an HTTP/1.1 request.
     pub(super) fn request(&self, counter: SocketAddr) -> Vec<u8> {
         let CounterAdd {
             name,
             amount,
-            lifetime_ms: lives_ms,
+            lifetime_ms: requested_ms,
         } = self.add;
-        let keep_ms = lives_ms.clamp(MIN_LIFE_MS, MAX_LIFE_MS) as u64;
+        let keep_ms = requested_ms.clamp(MIN_LIFETIME_MS, MAX_LIFETIME_MS) as u64;
         let mut request = Vec::with_capacity(128);
-        // Writing to memory does not fail.
+        // Writing to memory cannot fail.
         let _ = write!(
             request,
             "POST /tally/{name:016x}?n={amount}&keep_ms={keep_ms} HTTP/1.1\r\nHost: {counter}\r\nContent-Length: 0\r\n\r\n"
@@ -88,10 +91,10 @@
     }
 }
 
-/// The total that an answer brings.
+/// Returns the total in an answer.
 ///
 /// # Errors
-/// It brings none; whether the call was counted is in the error.
+/// The answer contains no total; the error says whether the call was counted.
 pub(super) fn read_total(answer: &HttpAnswer) -> Result<f64, AnswerError> {
     match answer.status {
         200 => parse_total(&answer.body).ok_or(AnswerError::UnreadableTotal),
--- a/src/counter/connection.rs
+++ b/src/counter/connection.rs
@@ -1,5 +1,6 @@
-//! One connection to the counter and the calls on it, without I/O beyond a write that never waits. It owns which
-//! calls are written and which are not, and so how each of them ends when the connection does.
+//! The state of one connection to the counter and of its calls, without I/O except for writes that
+//! never wait. It tracks which calls have been written, and so decides the outcome of each when the
+//! connection ends.
 
 use super::call::{Call, FailedCall};
 use crate::buffer::ring_buffer::RingBuffer;
@@ -10,38 +11,40 @@
 use std::rc::Rc;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// A connection whose oldest call has waited this long is closed, ms: until then a late total may come.
+/// A connection whose oldest call has waited this long is closed, ms. Until then a late total may
+/// still arrive.
 const UNANSWERED_CLOSE_MS: f64 = 1500.0;
-/// Idle connections are closed after this long, ms, well before the counter does it.
+/// Idle connections are closed after this long, ms, well before the counter closes them.
 const IDLE_CLOSE_MS: f64 = 5000.0;
-/// Most bytes queued in a direction.
+/// Capacity of the input and the output buffer, bytes.
 pub(super) const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
-/// A connection, up or not, and its calls.
+/// A connection, open or not, and its calls.
 #[derive(Default)]
 pub(super) struct Connection {
-    /// Calls that were written, in the order of the answers to come.
+    /// Calls that have been written, in the order of the expected answers.
     written: VecDeque<Call>,
-    /// Calls that were not, for want of a connection or of room.
+    /// Calls that have not been written, because the connection is not open or its output is full.
     unwritten: VecDeque<Call>,
-    /// None: it is not up.
+    /// `None` if the connection is not open.
     stream: Option<Rc<OwnedWriteHalf>>,
     output: Option<RingBuffer>,
-    /// A task is opening it.
+    /// Whether a task is opening the connection.
     pub connecting: bool,
-    /// When it got its last call, ms.
+    /// When the connection got its last call, ms.
     pub last_call_ms: f64,
-    /// Bytes of an answer that is not complete have come.
+    /// Whether part of an incomplete answer has arrived.
     pub answer_begun: bool,
 }
 
 impl Connection {
-    pub fn is_up(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Whether it is up with this stream: a connection that was closed may have been opened anew since.
-    pub fn is_up_with(&self, stream: &Rc<OwnedWriteHalf>) -> bool {
+    /// Returns whether the connection is open with this stream. A closed connection may have been
+    /// opened again with another one.
+    pub fn is_open_with(&self, stream: &Rc<OwnedWriteHalf>) -> bool {
         self.stream.as_ref().is_some_and(|s| Rc::ptr_eq(s, stream))
     }
 
@@ -53,17 +56,17 @@
         !self.written.is_empty()
     }
 
-    /// Whether a call that was written may still be reported.
+    /// Returns whether any written call is not reported yet.
     pub fn has_unreported_calls(&self) -> bool {
         self.written.iter().any(|call| !call.reported)
     }
 
-    /// Calls that it holds.
+    /// Returns the number of calls on the connection, written or not.
     pub fn call_count(&self) -> usize {
         self.written.len() + self.unwritten.len()
     }
 
-    /// When the oldest call that is not reported was made, ms.
+    /// Returns when the oldest unreported call was made, ms.
     pub fn oldest_call_ms(&self) -> Option<f64> {
         let written = self.written.iter().find(|call| !call.reported);
         let unwritten = self.unwritten.front();
@@ -71,7 +74,7 @@
         made.map(|call| call.made_at_ms).min_by(f64::total_cmp)
     }
 
-    /// Keeps a call until there is a connection, or room on it.
+    /// Queues a call until the connection is open and its output has room.
     pub fn queue(&mut self, call: Call) {
         self.unwritten.push_back(call);
     }
@@ -80,12 +83,12 @@
         std::mem::take(&mut self.unwritten)
     }
 
-    /// The call that the next answer belongs to.
+    /// Removes and returns the call to which the next answer belongs.
     pub fn next_answered(&mut self) -> Option<Call> {
         self.written.pop_front()
     }
 
-    /// Goes up with this stream and writes the calls that waited for it.
+    /// Opens the connection with this stream and writes the queued calls.
     pub fn open(&mut self, stream: Rc<OwnedWriteHalf>, counter: SocketAddr) {
         self.stream = Some(stream);
         self.output = Some(RingBuffer::new(MAX_QUEUED_BYTES));
@@ -97,7 +100,8 @@
         }
     }
 
-    /// Writes a call behind those already written, or gives it back, unwritten, where there is no room.
+    /// Writes a call after those already written. Returns it as an error, unwritten, if the
+    /// connection is not open or the output is full.
     pub fn send(&mut self, call: Call, counter: SocketAddr) -> Result<(), Call> {
         let (Some(stream), Some(output)) = (&self.stream, &mut self.output) else {
             return Err(call);
@@ -115,7 +119,7 @@
         Ok(())
     }
 
-    /// Writes as much of the queued bytes as the socket takes.
+    /// Writes as many queued bytes as the socket accepts.
     pub fn flush(&mut self) -> std::io::Result<()> {
         let (Some(stream), Some(output)) = (&self.stream, &mut self.output) else {
             return Ok(());
@@ -131,13 +135,14 @@
         Ok(())
     }
 
-    /// Closes it without regard to its calls: none of them is owed a report.
+    /// Closes the connection without reporting its calls.
     pub fn close(&mut self) {
         self.stream = None;
     }
 
-    /// Closes it: what was written may have been counted, and was if an answer to it had begun. Calls of which a
-    /// part was queued were not written whole, but telling which would gain little: they "may have" as well.
+    /// Closes the connection and ends the written calls. Each may have been counted; the first was
+    /// counted if an answer to it had begun. Calls whose bytes are still partly queued are reported
+    /// as possibly counted as well: separating them would gain little.
     pub fn fail_written(&mut self) -> Vec<FailedCall> {
         (self.stream, self.output) = (None, None);
         let first = if std::mem::take(&mut self.answer_begun) {
@@ -153,7 +158,7 @@
             .collect()
     }
 
-    /// Ends the calls that were not written: none of them was counted.
+    /// Ends the calls that have not been written. None of them was counted.
     pub fn fail_unwritten(&mut self) -> Vec<FailedCall> {
         let unwritten = self.unwritten.drain(..);
         unwritten
@@ -161,9 +166,10 @@
             .collect()
     }
 
-    /// Ends the calls made until `latest_ms`; those that were written stay here for their late answers.
+    /// Ends the calls made at `latest_ms` or before. Written calls stay in the queue, because late
+    /// answers to them may arrive.
     pub fn time_out_calls(&mut self, latest_ms: f64, failed: &mut Vec<FailedCall>) {
-        // An answer that has begun is one to the oldest call: it was counted.
+        // A partial answer belongs to the oldest call, which was therefore counted.
         let mut outcome = if self.answer_begun {
             Outcome::Error
         } else {
@@ -180,7 +186,7 @@
             }
             outcome = Outcome::Timeout;
         }
-        // Never written, so nothing was counted; dropped, so nothing ever will be.
+        // An unwritten call was not counted, and it is dropped here, so it never will be.
         let overdue = |call: &Call| call.made_at_ms <= latest_ms;
         while self.unwritten.front().is_some_and(overdue) {
             let call = self.unwritten.pop_front();
@@ -188,13 +194,13 @@
         }
     }
 
-    /// Whether it is up and of no more use: idle for long, silent for long, or in the midst of an answer that nobody
-    /// waits for.
-    pub fn is_to_be_closed(&self, now: f64) -> bool {
+    /// Returns whether an open connection is of no more use: idle or unanswered for too long, or
+    /// with a partial answer to a call that has timed out.
+    pub fn should_close(&self, now: f64) -> bool {
         let oldest = self.written.front();
-        let spoilt = self.answer_begun && oldest.is_some_and(|call| call.reported);
-        let silent = oldest.is_some_and(|call| now - call.made_at_ms > UNANSWERED_CLOSE_MS);
+        let out_of_step = self.answer_begun && oldest.is_some_and(|call| call.reported);
+        let unanswered = oldest.is_some_and(|call| now - call.made_at_ms > UNANSWERED_CLOSE_MS);
         let idle = self.call_count() == 0 && now - self.last_call_ms > IDLE_CLOSE_MS;
-        self.is_up() && (spoilt || silent || idle)
+        self.is_open() && (out_of_step || unanswered || idle)
     }
 }
--- a/src/counter/connection_task.rs
+++ b/src/counter/connection_task.rs
@@ -1,6 +1,6 @@
-//! The task of one connection: it connects, writes what is queued, reads answers and reports them, until the
-//! connection ends. It must never take a late answer for another call's, or use a connection on which an answer made
-//! no sense.
+//! The task of one connection to the counter: connects, writes queued calls, reads answers and
+//! reports them, until the connection ends. It must never report a late answer as the total of
+//! another call, or keep using a connection after an invalid answer.
 
 use super::call::{read_total, AnswerError, Call};
 use super::connection::MAX_QUEUED_BYTES;
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Shortest wait for a connection, ms: a time-out of 0 in the settings would try none.
+/// Shortest connect time-out, ms: a time-out of 0 in the settings would never connect.
 const MIN_CONNECT_TIMEOUT_MS: f64 = 1.0;
 
 /// Why a connection has ended.
@@ -29,7 +29,7 @@
     ClosedHere,
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    #[error("an answer makes no sense, or belongs to no call")]
+    #[error("an answer is invalid, or belongs to no call")]
     InvalidAnswer,
     #[error("{0}")]
     UnusableAnswer(#[from] AnswerError),
@@ -37,14 +37,14 @@
     AnswerTooLong,
 }
 
-/// Whether the peer has ended its direction of the stream.
+/// Whether the counter has closed its side of the stream.
 #[derive(Clone, Copy, PartialEq)]
-enum Input {
+enum InputState {
     Open,
     Ended,
 }
 
-/// One connection, from its connect to its end.
+/// Runs one connection, from its connect to its end.
 pub(super) async fn run_connection(
     server: Rc<CounterServer>,
     dispatcher: Rc<Dispatcher>,
@@ -88,7 +88,8 @@
 }
 
 impl ConnectionTask<'_> {
-    /// Waits for bytes to read or room to write, and does what is possible then.
+    /// Waits until there are bytes to read or room to write, then reads, writes and reports what is
+    /// possible.
     async fn step(&mut self) -> Result<(), ConnectionEnd> {
         let input = self.wait().await?;
         if !self.is_current() {
@@ -99,12 +100,12 @@
             self.deliver(&answer)?;
         }
         match input {
-            Input::Open => Ok(()),
-            Input::Ended => Err(ConnectionEnd::Closed),
+            InputState::Open => Ok(()),
+            InputState::Ended => Err(ConnectionEnd::Closed),
         }
     }
 
-    async fn wait(&mut self) -> Result<Input, ConnectionEnd> {
+    async fn wait(&mut self) -> Result<InputState, ConnectionEnd> {
         let has_output = self.slot.connection.borrow().has_output();
         let spare = self
             .input
@@ -114,26 +115,27 @@
             read = self.read_half.read(spare) => {
                 let count = read?;
                 self.input.commit(count);
-                Ok(if count == 0 { Input::Ended } else { Input::Open })
+                Ok(if count == 0 { InputState::Ended } else { InputState::Open })
             }
-            _ = self.write_half.writable(), if has_output => Ok(Input::Open),
-            () = self.slot.wake.notified() => Ok(Input::Open),
+            _ = self.write_half.writable(), if has_output => Ok(InputState::Open),
+            () = self.slot.wake.notified() => Ok(InputState::Open),
         }
     }
 
-    /// Whether the slot still has this task's connection, and not none or a newer one.
+    /// Returns whether the slot still holds the connection of this task. It may have been closed,
+    /// or replaced by a newer one.
     fn is_current(&self) -> bool {
-        self.slot.connection.borrow().is_up_with(&self.write_half)
+        self.slot.connection.borrow().is_open_with(&self.write_half)
     }
 
-    /// The next complete answer; none: it has not come whole.
-    fn next_answer(&mut self, input: Input) -> Result<Option<HttpAnswer>, ConnectionEnd> {
+    /// Returns the next complete answer, or `None` if it has not arrived completely.
+    fn next_answer(&mut self, input: InputState) -> Result<Option<HttpAnswer>, ConnectionEnd> {
         if self.input.is_empty() {
             return Ok(None);
         }
         let parsed = match input {
-            Input::Open => http_answer(self.input.contiguous()),
-            Input::Ended => http_answer_at_end(self.input.contiguous()),
+            InputState::Open => http_answer(self.input.contiguous()),
+            InputState::Ended => http_answer_at_end(self.input.contiguous()),
         };
         let mut connection = self.slot.connection.borrow_mut();
         match parsed {
@@ -142,7 +144,7 @@
                 connection.answer_begun = false;
                 Ok(Some(answer))
             }
-            // Guards against a spoilt connection: nobody waits for this answer.
+            // Bytes that answer no call: the connection is out of step and cannot be used any more.
             Ok(Parsed::More(_)) if !connection.has_unanswered_calls() => {
                 Err(ConnectionEnd::InvalidAnswer)
             }
@@ -157,16 +159,16 @@
         }
     }
 
-    /// Reports an answer to the call that it belongs to.
+    /// Reports an answer to the call to which it belongs.
     fn deliver(&self, answer: &HttpAnswer) -> Result<(), ConnectionEnd> {
         let call = self.slot.connection.borrow_mut().next_answered();
         let call = call.ok_or(ConnectionEnd::InvalidAnswer)?;
         let total = read_total(answer);
         self.report(call, total);
-        // Guards against a connection on which an answer came spoilt: what follows on it may be the rest of that,
-        // and would be taken for the totals of other calls.
+        // After an unusable answer, further bytes may be its rest and would be parsed as the totals
+        // of other calls. The connection ends instead.
         match total {
-            Err(e) if e.spoils_connection() => Err(e.into()),
+            Err(e) if e.makes_connection_unusable() => Err(e.into()),
             _ if answer.close => Err(ConnectionEnd::Closed),
             _ => Ok(()),
         }
@@ -183,7 +185,8 @@
             });
     }
 
-    /// The connection has ended: so have the calls on it, unless the slot has been cleared or used anew.
+    /// Ends the written calls after the end of the connection, unless the slot has been closed or
+    /// reused.
     fn fail_calls(&self) {
         if self.is_current() {
             let failed = self.slot.connection.borrow_mut().fail_written();
--- a/src/counter/mod.rs
+++ b/src/counter/mod.rs
@@ -1,11 +1,15 @@
-//! Calls to the counter service. It owns a few connections, one call on each as long as there are enough, so
-//! that an answer that hangs or is spoilt costs no other call its own. When the service moves, calls already
-//! written are answered where they were made and all others go to the new address. It must never repeat a call
-//! that may have counted, take a late answer for another call's, use a connection on which an answer made no
-//! sense, or hold a call back beyond the time-out in the settings.
+//! Calls to the counter service.
 //!
-//! `call` is one call and its answer, `connection` the calls on one connection, `connection_task` its I/O,
-//! `server` the connections to one address; here is what all of them together are, and the move.
+//! The ingress holds a few connections and puts one call on each as long as there are enough, so
+//! that a delayed or invalid answer affects no other call. When the service moves, calls that were
+//! written are answered at the old address, and all others go to the new one. This module must
+//! never repeat a call that may have been counted, report a late answer as the total of another
+//! call, keep using a connection after an invalid answer, or hold a call longer than the time-out
+//! in the settings.
+//!
+//! `call` is one call and its answer, `connection` the calls on one connection, `connection_task`
+//! its I/O, and `server` the connections to one address. [`Counter`] combines them and handles the
+//! move to another address.
 
 mod call;
 mod connection;
@@ -23,16 +27,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The calls of this ingress.
+/// The client of the counter service.
 pub struct Counter {
     timeout_ms: f64,
     server: RefCell<Option<Rc<CounterServer>>>,
-    /// Where the service was, as long as calls are under way there.
+    /// Former addresses of the service that still have calls in flight.
     former_servers: RefCell<Vec<Rc<CounterServer>>>,
 }
 
 impl Counter {
-    /// A counter at an address, if there is one; a call without an answer after `timeout_ms` has timed out.
+    /// Creates a client for the service at `address`, if there is one. A call without an answer
+    /// after `timeout_ms` times out.
     pub fn new(address: Option<SocketAddr>, timeout_ms: f64) -> Counter {
         Counter {
             timeout_ms,
@@ -41,7 +46,7 @@
         }
     }
 
-    /// Makes a call; its end is reported to the dispatcher.
+    /// Makes a call. Its outcome is reported to the dispatcher.
     pub fn add(&self, dispatcher: &Rc<Dispatcher>, add: CounterAdd) {
         self.send(dispatcher, Call::new(add, dispatcher.now()));
     }
@@ -54,8 +59,8 @@
         }
     }
 
-    /// The service is elsewhere from now on. What was written to the old address may have counted there and is
-    /// not written again; what was not goes to the new one at once.
+    /// Moves to another address of the service. Calls that were written to the old address may have
+    /// been counted there and are not written again; all others go to the new address at once.
     pub fn move_to(&self, dispatcher: &Rc<Dispatcher>, address: Option<SocketAddr>) {
         let current = self.server.borrow().as_ref().map(|server| server.address);
         if current == address {
@@ -71,7 +76,7 @@
         }
     }
 
-    /// When [`Counter::expire`] has something to do, ms; none: no call is open.
+    /// Returns when [`Counter::expire`] has to run next, ms; `None` if no call is open.
     pub fn next_due(&self) -> Option<f64> {
         let (server, former) = (self.server.borrow(), self.former_servers.borrow());
         let servers = server.iter().chain(former.iter());
@@ -81,7 +86,8 @@
             .map(|made_at_ms| made_at_ms + self.timeout_ms)
     }
 
-    /// Ends the calls that have timed out at `now`, ms, and closes what is idle, silent or left behind.
+    /// Ends the calls that have timed out at `now`, ms, and closes connections that are idle,
+    /// unanswered, or at a former address without open calls.
     pub fn expire(&self, dispatcher: &Rc<Dispatcher>, now: f64) {
         let latest_ms = now - self.timeout_ms;
         let mut failed = Vec::new();
--- a/src/counter/server.rs
+++ b/src/counter/server.rs
@@ -1,5 +1,6 @@
-//! The counter at one address: a few connections, which of them a call goes to, and what is closed or given up with
-//! time. A counter that moves has a `CounterServer` for its old address for as long as calls are under way there.
+//! The counter at one address: a few connections, the choice of one for each call, time-outs and
+//! closing. After a move, the `CounterServer` of the old address exists as long as calls are in
+//! flight there.
 
 use super::call::{Call, FailedCall};
 use super::connection::Connection;
@@ -11,10 +12,11 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Most connections: enough for the calls that are usually out together and for some on which an answer hangs.
+/// Most connections: enough for the usual number of concurrent calls, and for some more whose
+/// answer is delayed.
 pub const MAX_CONNECTIONS: usize = 12;
 
-/// A connection and what wakes its task: bytes to write, or its end.
+/// A connection and the notification that wakes its task, to write bytes or to end.
 #[derive(Default)]
 pub(super) struct ConnectionSlot {
     pub connection: RefCell<Connection>,
@@ -25,7 +27,7 @@
 pub(super) struct CounterServer {
     pub address: SocketAddr,
     slots: [ConnectionSlot; MAX_CONNECTIONS],
-    /// The counter has moved: this address gets no further call.
+    /// Whether the counter has moved, so that this address gets no further calls.
     abandoned: Cell<bool>,
 }
 
@@ -46,7 +48,7 @@
         self.abandoned.get()
     }
 
-    /// Gives the address up; the calls that were not written, for the new one.
+    /// Stops using the address. Returns the calls that were not written, for the new address.
     pub fn abandon(&self) -> Vec<Call> {
         self.abandoned.set(true);
         let slots = self.slots.iter();
@@ -60,7 +62,7 @@
         slots.any(|slot| slot.connection.borrow().has_unreported_calls())
     }
 
-    /// When the oldest call that is not reported was made, ms.
+    /// Returns when the oldest unreported call was made, ms.
     pub fn oldest_call_ms(&self) -> Option<f64> {
         let slots = self.slots.iter();
         slots
@@ -68,12 +70,13 @@
             .min_by(f64::total_cmp)
     }
 
-    /// The connection for the next call: one that is up and free, else a new one, else that with the fewest calls.
+    /// Returns the slot for the next call: an open one without calls, else one to open, else the
+    /// one with the fewest calls.
     fn pick_slot(&self) -> usize {
         let load = |slot: &ConnectionSlot| {
             let connection = slot.connection.borrow();
             let calls = connection.call_count();
-            (calls, calls == 0 && !connection.is_up())
+            (calls, calls == 0 && !connection.is_open())
         };
         let slots = self.slots.iter().enumerate();
         slots
@@ -81,13 +84,13 @@
             .map_or(0, |(index, _)| index)
     }
 
-    /// Writes a call, or keeps it until a connection is up.
+    /// Writes a call, or queues it until a connection is open.
     pub fn send(self: &Rc<Self>, dispatcher: &Rc<Dispatcher>, timeout_ms: f64, call: Call) {
         let index = self.pick_slot();
         let slot = &self.slots[index];
         let mut connection = slot.connection.borrow_mut();
         connection.last_call_ms = dispatcher.now();
-        if connection.is_up() {
+        if connection.is_open() {
             if let Err(call) = connection.send(call, self.address) {
                 connection.queue(call);
             }
@@ -104,19 +107,20 @@
         }
     }
 
-    /// Ends the calls made until `latest_ms` and closes what is idle or silent.
+    /// Ends the calls made at `latest_ms` or before, and closes connections that are idle or
+    /// unanswered for too long.
     pub fn expire(&self, now: f64, latest_ms: f64, failed: &mut Vec<FailedCall>) {
         for slot in &self.slots {
             let mut connection = slot.connection.borrow_mut();
             connection.time_out_calls(latest_ms, failed);
-            if connection.is_to_be_closed(now) {
+            if connection.should_close(now) {
                 failed.extend(connection.fail_written());
                 slot.wake.notify_one();
             }
         }
     }
 
-    /// Closes all connections; no call on them is owed a report.
+    /// Closes all connections without reporting calls on them.
     pub fn close(&self) {
         for slot in &self.slots {
             slot.connection.borrow_mut().close();
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -1,14 +1,15 @@
-//! Daily operation: what staff tell a running ingress, and a second process beside the first, over every pair of
-//! wires. Scenarios in the stage's language.
+//! Daily operation: operators' calls to a running ingress, and takeover by a second process, over
+//! every pair of client and endpoint protocols. The scenarios are written in the language of
+//! `stage`.
 
 mod stage;
 
 use stage::{play, play_all, Wire};
 
-/// Callers write half a call and stay. Staff must still get through, and calls that make no sense get an
-/// error.
+/// Callers send half a call and keep their connections open. Operators must still get answers, and
+/// invalid calls must get an error.
 #[test]
-fn calls_are_answered_whoever_else_hangs_on_the_line() {
+fn calls_are_answered_despite_silent_callers() {
     let silent = "murmur SUSPEND a\n".repeat(40);
     play(
         Wire::Resp,
@@ -30,10 +31,10 @@
     );
 }
 
-/// Staff drain an ingress by PAUSE. Those who route clients notice after a while; until then requests are
-/// served, connections end when nothing is owed, and RESUME takes it back.
+/// Operators drain an ingress by PAUSE. Load balancers notice after a while; until then requests
+/// are served. Connections close when no answer is pending, and RESUME ends the drain.
 #[test]
-fn an_emptied_ingress_sends_clients_away_and_takes_them_again() {
+fn paused_ingress_drains_and_serves_again_after_resume() {
     play_all(
         "send c k1 book-rebroadcast city 7
          expect * k1
@@ -75,9 +76,10 @@
     );
 }
 
-/// Health checks at the address of the clients must see that the ingress drains, or clients keep coming.
+/// Health checks at the client address must report the drain; otherwise load balancers keep routing
+/// clients here.
 #[test]
-fn an_emptied_ingress_says_no_at_the_clients_address() {
+fn paused_ingress_fails_health_checks_at_client_address() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -104,11 +106,12 @@
     );
 }
 
-/// A new version is started beside the old one, which then gets SIGTERM. No request may be lost, whichever
-/// process accepts it.
+/// A new version is started next to the old one, which then gets SIGTERM. No request may be lost,
+/// whichever process accepts it.
 #[test]
 fn a_second_process_takes_over_without_a_lost_request() {
-    // On HTTP/2 the platform holds no socket: who comes while the old process ends may have to come again.
+    // On HTTP/2 no socket is inherited: a client that connects while the old process ends may have
+    // to connect again.
     for (front, wait) in [(Wire::Resp, 0), (Wire::Http2, 700)] {
         for behind in [Wire::Resp, Wire::Http2] {
             let scenario = format!(
@@ -138,10 +141,10 @@
     }
 }
 
-/// Staff exclude an endpoint, then lists name it as leaving, left and active again. It stays excluded until
-/// staff put it back.
+/// Operators exclude an endpoint, then lists name it as leaving, left and active again. It must
+/// stay excluded until operators restore it.
 #[test]
-fn what_staff_have_taken_out_gets_nothing_until_they_put_it_back() {
+fn excluded_endpoint_gets_no_requests_until_restored() {
     play_all(
         "state b leaving
          send c k1 book-rebroadcast city 7
@@ -176,10 +179,10 @@
     );
 }
 
-/// Endpoints are excluded before and during a process takeover. Both processes must know of each call, and
-/// the new one goes on with it.
+/// Operators exclude endpoints before and during a process takeover. Both processes must apply each
+/// call, and the new process must keep the exclusions.
 #[test]
-fn what_is_out_stays_out_over_an_upgrade_and_either_process_hears_of_calls() {
+fn exclusions_survive_takeover_and_reach_both_processes() {
     for behind in [Wire::Resp, Wire::Http2] {
         play(
             Wire::Resp,
@@ -211,10 +214,10 @@
     }
 }
 
-/// During a takeover two processes share the descriptors of one. If each took all for itself, one of them
-/// would fail.
+/// During a takeover two processes share the descriptor limit of one. If each used the whole limit,
+/// one of them would fail.
 #[test]
-fn two_processes_together_hold_the_descriptors_of_one() {
+fn two_processes_share_the_descriptor_limit_of_one() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -225,7 +228,7 @@
          wait 300
          crowd 110
          wait 300
-         # 91 seen; 148 where each takes all for itself.
+         # 91 measured; 148 if each process used the whole limit.
          descriptors 120
          stop
          expect exit
@@ -235,10 +238,10 @@
     );
 }
 
-/// The old process is killed in the middle of a takeover, and another takeover follows. What staff have
-/// excluded survives both.
+/// The old process is killed in the middle of a takeover, and another takeover follows. The
+/// exclusions must survive both.
 #[test]
-fn an_old_process_that_is_killed_and_two_upgrades_in_a_row_lose_nothing_that_staff_said() {
+fn exclusions_survive_killed_old_process_and_repeated_takeovers() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -273,10 +276,10 @@
     );
 }
 
-/// A second process cannot start, because its address is taken. The first goes on with all its descriptors
-/// and with what staff have excluded.
+/// A second process cannot start, because its address is in use. The first must continue with all
+/// its descriptors and with the exclusions.
 #[test]
-fn a_new_process_that_ends_before_its_yes_leaves_the_old_one_as_it_was() {
+fn failed_start_of_new_process_leaves_old_one_unchanged() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -293,10 +296,10 @@
     );
 }
 
-/// The old process is paused when a new one is started. The pause was meant for the old one; the new one
-/// takes clients.
+/// The old process is paused when a new one is started. The pause applies to the old process only;
+/// the new one must accept clients.
 #[test]
-fn a_process_that_is_started_during_a_pause_takes_clients() {
+fn process_started_during_pause_accepts_clients() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -315,9 +318,9 @@
     );
 }
 
-/// Clients hold every place that is theirs, and callers hang. Staff must still get through.
+/// Clients use all client connections, and callers hang. Operators must still get answers.
 #[test]
-fn calls_are_answered_beside_a_full_table_of_clients() {
+fn calls_are_answered_when_client_connections_are_full() {
     play(
         Wire::Resp,
         Wire::Resp,
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,5 +1,5 @@
-//! Rules that are read again while requests come: the real program, thousands of rules, and files that are changed,
-//! torn and wrong.
+//! Reload of rules under load: the real program with thousands of rules, and rule files that are
+//! edited, truncated or invalid.
 
 mod stage;
 
@@ -11,30 +11,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Rules of a file, beside those that tell the files apart.
-const RULES: usize = 2_000;
-/// The tenant whose requests no rule refuses, the one whose every other file does, and the one whose every file does.
-const FREE: u64 = 7;
-const EVERY_OTHER: u64 = 8;
-const ALWAYS: u64 = 9;
-/// What a refusal of a file's rules adds to the file's number, ms: further than the module ever sends a client away.
-const EVERY_OTHER_MS: u64 = 100_000;
-const ALWAYS_MS: u64 = 200_000;
-/// Further than the number of any good file.
-const NO_FILE: u64 = 50_000;
-/// Longest that a test of these waits for anything.
-const LONGEST: Duration = Duration::from_secs(120);
+/// Rules of a file that match no request of the test, in addition to the rules that identify the
+/// file.
+const UNMATCHED_RULES: usize = 2_000;
+/// Tenants whose requests are refused by no file, by every other file, and by every file.
+const REFUSED_BY_NONE: u64 = 7;
+const REFUSED_BY_EVEN: u64 = 8;
+const REFUSED_BY_ALL: u64 = 9;
+/// The retry-after of a refusal is this offset plus the number of the file, ms. The offsets exceed
+/// every retry-after of the decision module.
+const EVEN_REFUSAL_OFFSET_MS: u64 = 100_000;
+const REFUSAL_OFFSET_MS: u64 = 200_000;
+/// Added to the number of an invalid file. Exceeds the number of every valid file.
+const INVALID_FILE_OFFSET: u64 = 50_000;
+/// Time limit of one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A rule that matches nothing that is sent here: its name, and the file that changed it last.
+/// A rule that matches no request of the test: its name, and the number of the file that changed it
+/// last.
 #[derive(Clone, Copy)]
-struct Other {
+struct UnmatchedRule {
     name: usize,
     changed: u64,
 }
 
-impl Other {
+impl UnmatchedRule {
     fn text(self) -> String {
-        let Other { name, changed } = self;
+        let UnmatchedRule { name, changed } = self;
         format!(
             "[[rule]]\nname = 'r{name}'\nwhen = 'request.path.startsWith(\"/r{name}/{changed}/\")'\n\
              notes = {{ changed = '\"{changed}\"' }}\n"
@@ -42,112 +45,115 @@
     }
 }
 
-/// A file of rules by its number, which is told by the refusals of its rules.
-struct File {
+/// A rule file. Its number can be read from the refusals of its rules.
+struct RuleFile {
     number: u64,
-    others: Vec<Other>,
-    /// The name of the next new rule.
-    next: usize,
+    unmatched_rules: Vec<UnmatchedRule>,
+    /// The number in the name of the next new rule.
+    next_name: usize,
 }
 
-impl File {
-    fn new(rules: usize) -> File {
-        let others = (0..rules).map(|name| Other { name, changed: 0 }).collect();
-        File {
+impl RuleFile {
+    fn new(rules: usize) -> RuleFile {
+        let unmatched_rules = (0..rules)
+            .map(|name| UnmatchedRule { name, changed: 0 })
+            .collect();
+        RuleFile {
             number: 0,
-            others,
-            next: rules,
+            unmatched_rules,
+            next_name: rules,
         }
     }
 
-    /// The next file: some rules are changed, some replaced by new ones, some in other places.
+    /// Edits the file: changes some rules, replaces some by new ones, and moves others.
     fn edit(&mut self, random: &mut Rand64) {
         self.number += 1;
-        for _ in 0..1 + pick(random, 20) {
+        for _ in 0..1 + random_index(random, 20) {
             let (at, to) = (
-                pick(random, self.others.len()),
-                pick(random, self.others.len()),
+                random_index(random, self.unmatched_rules.len()),
+                random_index(random, self.unmatched_rules.len()),
             );
-            match pick(random, 3) {
-                0 => self.others[at].changed = self.number,
+            match random_index(random, 3) {
+                0 => self.unmatched_rules[at].changed = self.number,
                 1 => {
-                    self.others.remove(at);
-                    self.others.insert(
+                    self.unmatched_rules.remove(at);
+                    self.unmatched_rules.insert(
                         to,
-                        Other {
-                            name: self.next,
+                        UnmatchedRule {
+                            name: self.next_name,
                             changed: self.number,
                         },
                     );
-                    self.next += 1;
+                    self.next_name += 1;
                 }
-                _ => self.others.swap(at, to),
+                _ => self.unmatched_rules.swap(at, to),
             }
         }
     }
 
     fn text(&self) -> String {
-        let refuses = |name: &str, tenant: u64, retry_after_ms: u64| {
+        let refusal_rule = |name: &str, tenant: u64, retry_after_ms: u64| {
             format!(
                 "[[rule]]\nname = '{name}'\nwhen = 'request.partner.orValue(\"\") == \"{tenant:016x}\"'\n\
                  nack = 'duration(\"{retry_after_ms}ms\")'\n"
             )
         };
-        let mut text = refuses("always", ALWAYS, ALWAYS_MS + self.number);
-        if refuses_every_other(self.number) {
-            text.push_str(&refuses(
+        let mut text = refusal_rule("always", REFUSED_BY_ALL, REFUSAL_OFFSET_MS + self.number);
+        if is_even_file(self.number) {
+            text.push_str(&refusal_rule(
                 "every-other",
-                EVERY_OTHER,
-                EVERY_OTHER_MS + self.number,
+                REFUSED_BY_EVEN,
+                EVEN_REFUSAL_OFFSET_MS + self.number,
             ));
         }
-        self.others
+        self.unmatched_rules
             .iter()
-            .for_each(|other| text.push_str(&other.text()));
+            .for_each(|rule| text.push_str(&rule.text()));
         text
     }
 
-    /// The file as it is while something writes it that breaks off: within a text, so that it is never whole.
-    fn torn(&self, random: &mut Rand64) -> String {
+    /// Returns the file as a writer that breaks off leaves it: cut within a string, so that it is
+    /// always incomplete.
+    fn truncated(&self, random: &mut Rand64) -> String {
         let text = self.text();
         let quotes: Vec<usize> = text
             .match_indices("when = '")
             .map(|(at, quote)| at + quote.len())
             .collect();
-        text[..quotes[pick(random, quotes.len())]].to_string()
+        text[..quotes[random_index(random, quotes.len())]].to_string()
     }
 
-    /// The file with one rule that makes no sense, and a number that no good file has.
-    fn wrong(&self, random: &mut Rand64) -> String {
-        const WRONG: [&str; 3] = [
+    /// Returns the file with one invalid rule, and with a number that no valid file has.
+    fn invalid(&self, random: &mut Rand64) -> String {
+        const INVALID_RULES: [&str; 3] = [
             "name = 'wrong'\nwhen = 'request.nothing'",
             "when = 'true'",
             "name = 'wrong'\npool = '\"nowhere\"'",
         ];
-        let wrong = File {
-            number: self.number + NO_FILE,
-            others: self.others.clone(),
-            next: self.next,
+        let invalid = RuleFile {
+            number: self.number + INVALID_FILE_OFFSET,
+            unmatched_rules: self.unmatched_rules.clone(),
+            next_name: self.next_name,
         };
         format!(
             "{}[[rule]]\n{}\n",
-            wrong.text(),
-            WRONG[pick(random, WRONG.len())]
+            invalid.text(),
+            INVALID_RULES[random_index(random, INVALID_RULES.len())]
         )
     }
 }
 
-/// Whether the file of this number has the rule for every other file.
-fn refuses_every_other(number: u64) -> bool {
+/// Returns whether the file of this number refuses the tenant [`REFUSED_BY_EVEN`].
+fn is_even_file(number: u64) -> bool {
     number.is_multiple_of(2)
 }
 
-fn pick(random: &mut Rand64, below: usize) -> usize {
+fn random_index(random: &mut Rand64, below: usize) -> usize {
     random.rand_range(0..below.max(1) as u64) as usize
 }
 
-/// A generator whose seed is printed; `DRIFTGAP_SEED` sets it.
-fn random(test: &str) -> Rand64 {
+/// Creates a random generator and prints its seed, which `DRIFTGAP_SEED` sets.
+fn seeded_random(test: &str) -> Rand64 {
     let given = std::env::var("DRIFTGAP_SEED")
         .ok()
         .and_then(|seed| seed.parse().ok());
@@ -156,62 +162,67 @@
     Rand64::new(seed)
 }
 
-/// The number of the file whose rule has refused this.
+/// Returns the number of the file whose rule refused this request.
 fn refused_by(sent: &Sent) -> Option<u64> {
     match sent.notified {
-        Notified::Refused(ms) if sent.tenant == ALWAYS => ms.checked_sub(ALWAYS_MS),
-        Notified::Refused(ms) if sent.tenant == EVERY_OTHER => ms.checked_sub(EVERY_OTHER_MS),
+        Notified::Refused(ms) if sent.tenant == REFUSED_BY_ALL => ms.checked_sub(REFUSAL_OFFSET_MS),
+        Notified::Refused(ms) if sent.tenant == REFUSED_BY_EVEN => {
+            ms.checked_sub(EVEN_REFUSAL_OFFSET_MS)
+        }
         _ => None,
     }
 }
 
-/// Clients of every tenant on both wires.
-fn clients(steady: &Rc<Steady>) {
+/// Starts clients of every tenant on both protocols.
+fn start_clients(steady: &Rc<Steady>) {
     for front in [Wire::Resp, Wire::Http2] {
-        steady.client(front, FREE, Class::Fetch);
-        steady.client(front, FREE, Class::Booking);
-        steady.client(front, EVERY_OTHER, Class::Fetch);
-        steady.client(front, ALWAYS, Class::Fetch);
+        steady.client(front, REFUSED_BY_NONE, Class::Fetch);
+        steady.client(front, REFUSED_BY_NONE, Class::Booking);
+        steady.client(front, REFUSED_BY_EVEN, Class::Fetch);
+        steady.client(front, REFUSED_BY_ALL, Class::Fetch);
     }
 }
 
-/// Runs a test that ends in time.
-fn play(test: impl Future<Output = ()>) {
+/// Runs a test within its time limit.
+fn run_with_timeout(test: impl Future<Output = ()>) {
     run(async {
-        tokio::time::timeout(LONGEST, test)
+        tokio::time::timeout(TEST_TIMEOUT, test)
             .await
-            .expect("the test does not come to its end")
+            .expect("the test exceeded its time limit")
     });
 }
 
-/// Each request has the answer that some good file gives it, one at most of those with an effect has run, and no
-/// file comes into force behind a later one.
-fn judge(sent: &[Sent], runs: &HashMap<String, usize>, good: &BTreeSet<u64>) {
+/// Checks that each request got the answer of some valid file, that no request with an effect ran
+/// twice, and that no file came into force after a later one.
+fn check_answers(sent: &[Sent], runs: &HashMap<String, usize>, valid_files: &BTreeSet<u64>) {
     let mut latest: HashMap<(bool, u64), u64> = HashMap::new();
     for request in sent {
-        let ran = runs.get(&request.id).copied().unwrap_or(0);
+        let run_count = runs.get(&request.id).copied().unwrap_or(0);
         assert!(
-            ran <= 1 || request.class == Class::Fetch,
-            "ran {ran} times: {request:?}"
+            run_count <= 1 || request.class == Class::Fetch,
+            "ran {run_count} times: {request:?}"
         );
         match &request.notified {
             Notified::Served(value) => {
-                assert_eq!(*value, request.id, "another's answer");
-                assert!(ran >= 1 && request.tenant != ALWAYS, "{request:?}");
+                assert_eq!(*value, request.id, "answer of another request");
+                assert!(
+                    run_count >= 1 && request.tenant != REFUSED_BY_ALL,
+                    "{request:?}"
+                );
             }
             Notified::Refused(_) => {
-                let file = refused_by(request).filter(|file| good.contains(file));
+                let file = refused_by(request).filter(|file| valid_files.contains(file));
                 let file = file
-                    .unwrap_or_else(|| panic!("refused by no rule of a good file: {request:?}"));
+                    .unwrap_or_else(|| panic!("refused by no rule of a valid file: {request:?}"));
                 assert!(
-                    request.tenant == ALWAYS || refuses_every_other(file),
+                    request.tenant == REFUSED_BY_ALL || is_even_file(file),
                     "{request:?}"
                 );
-                assert_eq!(ran, 0, "{request:?}");
+                assert_eq!(run_count, 0, "{request:?}");
                 let latest = latest
                     .entry((request.front == Wire::Resp, request.tenant))
                     .or_default();
-                assert!(*latest <= file, "file {file} behind {latest}: {request:?}");
+                assert!(*latest <= file, "file {file} after {latest}: {request:?}");
                 *latest = file;
             }
             Notified::Nothing => assert!(request.killed, "lost: {request:?}"),
@@ -220,63 +231,64 @@
     }
 }
 
-/// SIGHUPs come faster than files are read, some files are torn or wrong, and the process is killed in
-/// between. No request is lost, none with an effect runs twice, and the last good file is in force in the
-/// end.
+/// SIGHUPs arrive faster than files are read, some files are truncated or invalid, and the process
+/// is killed in between. No request may be lost, none with an effect may run twice, and the last
+/// valid file must be in force in the end.
 #[test]
-fn a_storm_of_reloads_loses_no_request_and_ends_with_the_last_good_file() {
+fn repeated_reloads_lose_no_request_and_keep_last_valid_file() {
     const ROUNDS: usize = 300;
     const KILL_EVERY: usize = 100;
-    const LAST_AT_ONCE: usize = 5;
-    play(async {
-        let mut random = random("storm");
+    const FINAL_RELOADS: usize = 5;
+    run_with_timeout(async {
+        let mut random = seeded_random("storm");
         let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
-        let mut file = File::new(RULES);
+        let mut file = RuleFile::new(UNMATCHED_RULES);
         file.edit(&mut random);
-        let mut good = BTreeSet::from([file.number]);
+        let mut valid_files = BTreeSet::from([file.number]);
         stage.put_rules(&file.text());
         stage.read_again().await;
         let steady = Steady::new(&stage);
-        clients(&steady);
+        start_clients(&steady);
         for round in 1..=ROUNDS {
-            match pick(&mut random, 10) {
-                0 | 1 => stage.put_rules(&file.torn(&mut random)),
-                2 | 3 => stage.put_rules(&file.wrong(&mut random)),
+            match random_index(&mut random, 10) {
+                0 | 1 => stage.put_rules(&file.truncated(&mut random)),
+                2 | 3 => stage.put_rules(&file.invalid(&mut random)),
                 _ => {
                     file.edit(&mut random);
-                    good.insert(file.number);
+                    valid_files.insert(file.number);
                     stage.put_rules(&file.text());
                 }
             }
             let before = stage.readings();
             stage.signal("-HUP");
-            match pick(&mut random, 4) {
+            match random_index(&mut random, 4) {
                 0 => drop(stage.readings_after(before).await),
-                1 => steady.further(pick(&mut random, 20)).await,
+                1 => steady.further(random_index(&mut random, 20)).await,
                 _ => {}
             }
             if round % KILL_EVERY == 0 {
-                // In the midst of a reading, as like as not.
+                // This SIGHUP probably starts a reading that the kill interrupts.
                 stage.put_rules(&file.text());
                 stage.signal("-HUP");
                 steady.restart(&mut stage).await;
             }
         }
-        // The last of them come during a reading of the first.
-        for _ in 0..LAST_AT_ONCE {
+        // The later of these SIGHUPs arrive during the reading of the first.
+        for _ in 0..FINAL_RELOADS {
             file.edit(&mut random);
-            good.insert(file.number);
+            valid_files.insert(file.number);
             stage.put_rules(&file.text());
             stage.signal("-HUP");
         }
         let last = file.number;
         steady
-            .until(|sent| sent.tenant == ALWAYS && refused_by(sent) == Some(last))
+            .until(|sent| sent.tenant == REFUSED_BY_ALL && refused_by(sent) == Some(last))
             .await;
-        // The last good file it is, not the last one. A reading of the good one may still be under way.
+        // The last valid file must be in force, not the truncated one after it. The reading of the
+        // valid file may still be in progress.
         let kept = stage.readings().kept;
-        stage.put_rules(&file.torn(&mut random));
+        stage.put_rules(&file.truncated(&mut random));
         stage.signal("-HUP");
         let mut now = stage.readings();
         while now.kept == kept {
@@ -287,47 +299,47 @@
         for sent in steady
             .since(settled)
             .iter()
-            .filter(|sent| sent.tenant != FREE)
+            .filter(|sent| sent.tenant != REFUSED_BY_NONE)
         {
-            let refused = sent.tenant == ALWAYS || refuses_every_other(file.number);
+            let refused = sent.tenant == REFUSED_BY_ALL || is_even_file(file.number);
             assert_eq!(refused_by(sent), refused.then_some(last), "{sent:?}");
         }
         let sent = steady.stop().await;
-        judge(&sent, &stage.runs(), &good);
+        check_answers(&sent, &stage.runs(), &valid_files);
         let readings = stage.readings();
         println!(
-            "storm: {} commands, {} good files, {readings:?}",
+            "storm: {} commands, {} valid files, {readings:?}",
             sent.len(),
-            good.len()
+            valid_files.len()
         );
     });
 }
 
-/// Rules are read again hundreds of times. If old ones were kept, a process would grow until it is killed for
-/// memory.
+/// Rules are reloaded hundreds of times. If old rules were kept, memory would grow until the
+/// process is killed.
 #[test]
-fn hundreds_of_reloads_leave_memory_as_it_is_after_the_first() {
-    const FIRST: usize = 20;
+fn memory_does_not_grow_over_hundreds_of_reloads() {
+    const WARM_UP_RELOADS: usize = 20;
     const RELOADS: usize = 200;
-    /// What is left of it is noise of the allocator: a file of this size takes several MB.
+    /// Allowance for allocator noise. One file of this size takes several MB.
     const GROWTH_MB: f64 = 4.0;
-    play(async {
-        let mut random = random("memory");
+    run_with_timeout(async {
+        let mut random = seeded_random("memory");
         let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
-        let mut file = File::new(RULES);
+        let mut file = RuleFile::new(UNMATCHED_RULES);
         let mut first_mb = 0.0;
         for reload in 1..=RELOADS {
             file.edit(&mut random);
             stage.put_rules(&file.text());
             stage.read_again().await;
-            if reload == FIRST {
+            if reload == WARM_UP_RELOADS {
                 first_mb = stage.resident();
             }
         }
         let (last_mb, max_mb) = (stage.resident(), stage.max_resident());
         println!(
-            "memory: {first_mb:.1} MB after {FIRST}, {last_mb:.1} after {RELOADS}, {max_mb:.1} at most"
+            "memory: {first_mb:.1} MB after {WARM_UP_RELOADS}, {last_mb:.1} after {RELOADS}, {max_mb:.1} at most"
         );
         assert_eq!(stage.readings().replaced, RELOADS);
         assert!(
@@ -337,36 +349,41 @@
     });
 }
 
-/// A large file takes long to read. Were it read on the serving thread, every client would wait for it.
+/// Reading a large file takes long. If the serving thread read it, every client would wait.
 #[test]
 fn requests_are_answered_while_a_large_file_is_read() {
-    const LARGE: usize = 8_000;
-    /// With the reading on the serving thread each client would have an answer or two, behind it.
+    const LARGE_FILE_RULES: usize = 8_000;
+    /// If the serving thread read the file, each client would get one or two answers, after the
+    /// reading.
     const MIN_ANSWERS: usize = 20;
-    /// And the longest round trip would last as long as the reading, or as its part on that thread.
-    const LONGEST_PART: u32 = 4;
-    play(async {
+    /// The longest round trip must be shorter than the reading by this factor. If the serving
+    /// thread did the reading or a large part of it, a round trip would take about as long.
+    const MIN_READING_RATIO: u32 = 4;
+    run_with_timeout(async {
         let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
         let threads = stage.threads();
-        assert_eq!(threads, 1, "a thread without a reading");
+        assert_eq!(
+            threads, 1,
+            "there is a reading thread before the first reload"
+        );
         let steady = Steady::new(&stage);
-        steady.client(Wire::Resp, FREE, Class::Fetch);
-        steady.client(Wire::Http2, FREE, Class::Fetch);
+        steady.client(Wire::Resp, REFUSED_BY_NONE, Class::Fetch);
+        steady.client(Wire::Http2, REFUSED_BY_NONE, Class::Fetch);
         steady.further(500).await;
         let calm = round_trips(&steady.since(0));
         for turn in 1..=2 {
-            // Every rule is another one: none can be taken over.
-            let mut file = File::new(LARGE);
-            file.others
+            // Every rule differs from the previous file, so that none is taken over.
+            let mut file = RuleFile::new(LARGE_FILE_RULES);
+            file.unmatched_rules
                 .iter_mut()
-                .for_each(|other| other.changed = turn);
+                .for_each(|rule| rule.changed = turn);
             stage.put_rules(&file.text());
             let (begun, before) = (std::time::Instant::now(), steady.count());
             stage.read_again().await;
             let (took, during) = (begun.elapsed(), steady.since(before));
             println!(
-                "reading {LARGE} rules: {took:?}, {} commands, {}",
+                "reading {LARGE_FILE_RULES} rules: {took:?}, {} commands, {}",
                 during.len(),
                 round_trips(&during)
             );
@@ -381,11 +398,11 @@
                 .max()
                 .unwrap_or_default();
             assert!(
-                longest * LONGEST_PART < took,
+                longest * MIN_READING_RATIO < took,
                 "an answer after {longest:?} in {took:?}"
             );
         }
-        println!("without a reading: {calm}");
+        println!("before the reload: {calm}");
         stage.calm().await;
         let sent = steady.stop().await;
         assert!(sent
@@ -394,30 +411,30 @@
     });
 }
 
-/// Median, 99th percentile and longest.
+/// Formats the median, the 99th percentile and the maximum of the round-trip times.
 fn round_trips(sent: &[Sent]) -> String {
     let mut took: Vec<Duration> = sent.iter().map(|sent| sent.took).collect();
     took.sort();
-    let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
+    let percentile = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
     format!(
         "round trips {:?}, p99 {:?}, longest {:?}",
-        at(0.5),
-        at(0.99),
-        at(1.0)
+        percentile(0.5),
+        percentile(0.99),
+        percentile(1.0)
     )
 }
 
-/// SIGHUP comes during a shutdown with requests in flight. Rules are read, and the shutdown still ends in
-/// time.
+/// SIGHUP arrives during a shutdown with requests in flight. The rules must be reloaded, and the
+/// shutdown must still end in time.
 #[test]
-fn rules_are_read_again_during_a_stop() {
-    play(async {
+fn rules_are_reloaded_during_a_shutdown() {
+    run_with_timeout(async {
         let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
         for line in ["send c k1 book-rebroadcast city 7", "expect * k1", "stop"] {
             stage.step(line).await;
         }
         let before = stage.readings();
-        stage.put_rules(&File::new(1).text());
+        stage.put_rules(&RuleFile::new(1).text());
         stage.signal("-HUP");
         let after = stage.readings_after(before).await;
         assert_eq!(
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -1,4 +1,5 @@
-//! What keeps the program from starting: exit status 2 and one line that names the field.
+//! Configuration faults that keep the program from starting: exit status 2 and one line that names
+//! the field.
 
 use std::os::fd::AsRawFd;
 use std::path::PathBuf;
@@ -6,13 +7,14 @@
 
 const SETTINGS: &str = include_str!("stage/settings.json");
 
-/// Starts the program with these texts; what it says.
-fn refused(name: &str, config: &str, operator: &str) -> String {
-    refused_with(name, config, operator, None)
+/// Starts the program with these texts, checks that it refuses to start, and returns its error
+/// line.
+fn start_error(name: &str, config: &str, operator: &str) -> String {
+    start_error_with(name, config, operator, None)
 }
 
-/// The same with a variable of the environment.
-fn refused_with(
+/// As [`start_error`], with an additional environment variable.
+fn start_error_with(
     name: &str,
     config: &str,
     operator: &str,
@@ -32,22 +34,22 @@
         .envs(variable)
         .output()
         .unwrap();
-    let said = String::from_utf8(out.stderr).unwrap();
+    let printed = String::from_utf8(out.stderr).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(
-        (out.status.code(), said.lines().count()),
+        (out.status.code(), printed.lines().count()),
         (Some(2), 1),
-        "{said}"
+        "{printed}"
     );
-    said
+    printed
 }
 
 #[test]
-fn a_wrong_configuration_is_named_by_its_field() {
-    let with = |from: &str, to: &str| {
-        let whole = format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#);
-        assert!(whole.contains(from), "{from}");
-        whole.replacen(from, to, 1)
+fn invalid_configuration_field_is_named() {
+    let config_with = |from: &str, to: &str| {
+        let valid = format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#);
+        assert!(valid.contains(from), "{from}");
+        valid.replacen(from, to, 1)
     };
     let cases = [
         ("{".to_string(), "not JSON"),
@@ -56,51 +58,63 @@
             r#"{"listen":"127.0.0.1:0"}"#.to_string(),
             "settings is missing",
         ),
-        (with("127.0.0.1:0", "localhost"), "listen"),
-        (with(r#""listen""#, r#""counter":"x","listen""#), "counter"),
-        (with(r#""listen""#, r#""seed":"xyz","listen""#), "seed"),
+        (config_with("127.0.0.1:0", "localhost"), "listen"),
         (
-            with(r#""listen""#, r#""limits":{"sockets":3},"listen""#),
+            config_with(r#""listen""#, r#""counter":"x","listen""#),
+            "counter",
+        ),
+        (
+            config_with(r#""listen""#, r#""seed":"xyz","listen""#),
+            "seed",
+        ),
+        (
+            config_with(r#""listen""#, r#""limits":{"sockets":3},"listen""#),
             "limits.sockets",
         ),
         (
-            with(r#""listen""#, r#""known":{"version":1},"listen""#),
+            config_with(r#""listen""#, r#""known":{"version":1},"listen""#),
             "known: servers",
         ),
         (
-            with(r#""effect": "pure""#, r#""effect": "magic""#),
+            config_with(r#""effect": "pure""#, r#""effect": "magic""#),
             "request_classes[0].effect",
         ),
         (
-            with(r#""units_per_s": 0.97"#, r#""units_per_s": -1"#),
+            config_with(r#""units_per_s": 0.97"#, r#""units_per_s": -1"#),
             "plans[0].rate",
         ),
-        (with(r#""balancers": 1"#, r#""balancers": 0"#), "gateways"),
         (
-            with(r#""conn_idle": 15.0"#, r#""conn_idle": 0"#),
+            config_with(r#""balancers": 1"#, r#""balancers": 0"#),
+            "gateways",
+        ),
+        (
+            config_with(r#""conn_idle": 15.0"#, r#""conn_idle": 0"#),
             "limits.conn_idle",
         ),
         (
-            with(r#""dial_timeout": 0.25"#, r#""dial_timeout": 1e300"#),
+            config_with(r#""dial_timeout": 0.25"#, r#""dial_timeout": 1e300"#),
             "limits.dial_timeout",
         ),
         (
-            with(r#""count_wait": 0.08"#, r#""count_wait": -1"#),
+            config_with(r#""count_wait": 0.08"#, r#""count_wait": -1"#),
             "family_info.count_wait",
         ),
         (
-            with(r#""listen""#, r#""limits":{"memory_mb":-5},"listen""#),
+            config_with(r#""listen""#, r#""limits":{"memory_mb":-5},"listen""#),
             "limits.memory_mb",
         ),
     ];
-    for (i, (config, want)) in cases.iter().enumerate() {
-        let said = refused(&format!("config{i}"), config, "");
-        assert!(said.contains(want), "{said} should name {want}");
+    for (i, (config, expected)) in cases.iter().enumerate() {
+        let printed = start_error(&format!("config{i}"), config, "");
+        assert!(
+            printed.contains(expected),
+            "{printed} should name {expected}"
+        );
     }
 }
 
 #[test]
-fn a_wrong_operators_file_is_named_by_its_field() {
+fn invalid_operator_file_field_is_named() {
     let config = format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#);
     let cases = [
         ("[http2]\nlisten = 7\n", "http2.listen"),
@@ -109,21 +123,25 @@
         ("[plugin]\nscript = \"bad.rhai\"\n", "bad.rhai, line 2"),
         ("[inventory]\nfile = \"bad.csv\"\n", "row 2: address"),
     ];
-    for (i, (operator, want)) in cases.iter().enumerate() {
-        let said = refused(&format!("operator{i}"), &config, operator);
-        assert!(said.contains(want), "{said} should name {want}");
+    for (i, (operator, expected)) in cases.iter().enumerate() {
+        let printed = start_error(&format!("operator{i}"), &config, operator);
+        assert!(
+            printed.contains(expected),
+            "{printed} should name {expected}"
+        );
     }
 }
 
 #[test]
-fn what_the_platform_hands_over_is_named_where_it_makes_no_sense() {
+fn invalid_environment_variable_is_named() {
     let config = format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#);
     let file = std::fs::File::open("/dev/null").unwrap();
-    let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    // Tests' descriptors are not inherited: these numbers are free in the program, or no sockets.
-    let (null, port) = (
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    // The program does not inherit the test's descriptors: there these numbers are unused, or not
+    // sockets.
+    let (not_a_socket, used_address) = (
         file.as_raw_fd().to_string(),
-        other.local_addr().unwrap().to_string(),
+        listener.local_addr().unwrap().to_string(),
     );
     let cases = [
         ("EDGE_OPERATOR", "here"),
@@ -132,27 +150,32 @@
         ("EDGE_ACCEPT_FD", "1"),
         ("EDGE_ACCEPT_FD", "-1"),
         ("EDGE_ACCEPT_FD", "999"),
-        ("EDGE_ACCEPT_FD", null.as_str()),
+        ("EDGE_ACCEPT_FD", not_a_socket.as_str()),
     ];
     for (i, (name, value)) in cases.iter().enumerate() {
-        let said = refused_with(&format!("handed{i}"), &config, "", Some((name, value)));
-        assert!(said.contains(name), "{said} should name {name}");
+        let printed = start_error_with(&format!("handed{i}"), &config, "", Some((name, value)));
+        assert!(printed.contains(name), "{printed} should name {name}");
     }
-    // Where staff are to call, somebody else listens.
-    let said = refused_with("taken", &config, "", Some(("EDGE_OPERATOR", port.as_str())));
-    assert!(said.contains("operator: 127.0.0.1"), "{said}");
+    // Another process listens at the administration address.
+    let printed = start_error_with(
+        "taken",
+        &config,
+        "",
+        Some(("EDGE_OPERATOR", used_address.as_str())),
+    );
+    assert!(printed.contains("operator: 127.0.0.1"), "{printed}");
 }
 
 #[test]
-fn a_wrong_address_for_calls_is_named() {
+fn invalid_administration_address_is_named() {
     let config =
         format!(r#"{{"listen":"127.0.0.1:0","operator":"nowhere","settings":{SETTINGS}}}"#);
-    let said = refused("operator", &config, "");
-    assert!(said.contains("operator"), "{said}");
+    let printed = start_error("operator", &config, "");
+    assert!(printed.contains("operator"), "{printed}");
 }
 
 #[test]
-fn check_names_every_fault_and_passes_what_serves() {
+fn check_lists_all_faults_and_accepts_valid_files() {
     let folder = std::env::temp_dir().join(format!("driftgap-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let check = |config: &str, operator: &str| {
@@ -187,24 +210,24 @@
             "request_classes[0].effect",
         ),
     ] {
-        let (code, said) = check(&config.replace(good, bad), "");
-        assert_eq!((code, said.lines().count()), (Some(2), 1), "{said}");
-        assert!(said.contains(field), "{said} should name {field}");
+        let (code, printed) = check(&config.replace(good, bad), "");
+        assert_eq!((code, printed.lines().count()), (Some(2), 1), "{printed}");
+        assert!(printed.contains(field), "{printed} should name {field}");
     }
     let operator = "[plugin]\nscript = \"none.rhai\"\n[inventory]\nfile = \"bad.csv\"\n";
-    let (code, said) = check(&config, operator);
-    assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
+    let (code, printed) = check(&config, operator);
+    assert_eq!((code, printed.lines().count()), (Some(2), 2), "{printed}");
     assert!(
-        said.contains("none.rhai") && said.contains("row 2: address"),
-        "{said}"
+        printed.contains("none.rhai") && printed.contains("row 2: address"),
+        "{printed}"
     );
-    let (code, said) = check("{", "[http3]\n");
-    assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
+    let (code, printed) = check("{", "[http3]\n");
+    assert_eq!((code, printed.lines().count()), (Some(2), 2), "{printed}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn rules_are_checked_explained_and_measured() {
+fn rules_commands_check_explain_and_bench() {
     let folder = std::env::temp_dir().join(format!("driftgap-rules-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let config = format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#);
@@ -232,27 +255,30 @@
             String::from_utf8(out.stdout).unwrap() + &String::from_utf8(out.stderr).unwrap(),
         )
     };
-    let (code, said) = run(&["check"], example.join("rules.toml"));
+    let (code, printed) = run(&["check"], example.join("rules.toml"));
     assert!(
-        code == Some(0) && said.starts_with("ok: 3 rules, 1 of them"),
-        "{said}"
+        code == Some(0) && printed.starts_with("ok: 3 rules, 1 of them"),
+        "{printed}"
     );
-    let (code, said) = run(&["explain", "request.json"], example.join("rules.toml"));
-    for want in [
+    let (code, printed) = run(&["explain", "request.json"], example.join("rules.toml"));
+    for expected in [
         "per-partner: matches",
         "audio: matches",
         "booking: behind",
         "command fetch-episode",
         "\"7\"",
     ] {
-        assert!(code == Some(0) && said.contains(want), "{want} in {said}");
+        assert!(
+            code == Some(0) && printed.contains(expected),
+            "{expected} in {printed}"
+        );
     }
-    let (code, said) = run(&["bench", "request.json"], example.join("rules.toml"));
-    assert!(code == Some(0) && said.lines().count() == 3, "{said}");
-    let (code, said) = run(&["check"], folder.join("bad.toml"));
+    let (code, printed) = run(&["bench", "request.json"], example.join("rules.toml"));
+    assert!(code == Some(0) && printed.lines().count() == 3, "{printed}");
+    let (code, printed) = run(&["check"], folder.join("bad.toml"));
     assert!(
-        code == Some(2) && said.contains("safe to repeat") && said.contains("^^^"),
-        "{said}"
+        code == Some(2) && printed.contains("safe to repeat") && printed.contains("^^^"),
+        "{printed}"
     );
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,8 +1,10 @@
-//! What an older version left on a disk is read by this one: a member's folder, a follower's cached replica, and what
-//! one process leaves to the next. And every example and deployed file is read without a complaint.
+//! Compatibility of stored data: this version must read what an older version left on disk, which
+//! is a member's folder, a follower's cached replica, and the state of a process takeover. Every
+//! example and deployed file must be read without a warning.
 //!
-//! The story: staff replace the program while endpoints are excluded. If the new version read its folder as empty or
-//! spoilt, a member would have to be admitted anew, and excluded endpoints would get requests again.
+//! The tests guard against an upgrade that loses the exclusions. If the new version took its folder
+//! for empty or damaged, the member would have to be admitted again, and excluded endpoints would
+//! get requests again.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
@@ -14,14 +16,14 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_driftgap");
 const SETTINGS: &str = include_str!("stage/settings.json");
-/// The longest wait for a process to answer, on a busy machine.
-const LONGEST_START: Duration = Duration::from_secs(30);
+/// Time limit for a process to answer on a busy machine.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// A folder of the test's own, removed at its end.
+/// A folder for one test, removed when it is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -33,8 +35,8 @@
         Folder(path)
     }
 
-    /// Copies a folder of the fixture to a folder of this name.
-    fn take_fixture(&self, fixture: &str, name: &str) {
+    /// Copies a folder of the fixtures to a folder of this name.
+    fn copy_fixture(&self, fixture: &str, name: &str) {
         let from = root().join("tests/fixtures/stored_data").join(fixture);
         let to = self.0.join(name);
         fs::create_dir_all(&to).unwrap();
@@ -57,10 +59,10 @@
     }
 }
 
-/// A process that is killed with the test.
+/// A process that is killed when it is dropped.
 struct Ingress {
     child: Child,
-    staff: String,
+    admin_address: String,
 }
 
 impl Drop for Ingress {
@@ -71,11 +73,11 @@
 }
 
 impl Ingress {
-    /// The answer to a call of the staff, once the process answers.
+    /// Sends a call and returns its answer; retries until the process answers.
     fn call(&self, call: &str) -> String {
         let begun = Instant::now();
         loop {
-            if let Ok(mut stream) = TcpStream::connect(&self.staff) {
+            if let Ok(mut stream) = TcpStream::connect(&self.admin_address) {
                 stream.write_all(format!("{call}\n").as_bytes()).unwrap();
                 let mut line = String::new();
                 BufReader::new(stream).read_line(&mut line).unwrap();
@@ -84,16 +86,16 @@
                 }
             }
             assert!(
-                begun.elapsed() < LONGEST_START,
+                begun.elapsed() < START_TIMEOUT,
                 "{} does not answer",
-                self.staff
+                self.admin_address
             );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 }
 
-/// A port that nobody listens on at the moment.
+/// Returns a port on which nobody listens at the moment.
 fn free_port() -> u16 {
     TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -102,8 +104,8 @@
         .port()
 }
 
-/// The platform's configuration of one ingress, with endpoints `a` to `d`.
-fn config(name: &str, clients: u16, staff: u16) -> String {
+/// Builds the platform's configuration of one ingress with the endpoints `a` to `d`.
+fn config(name: &str, clients: u16, admin_port: u16) -> String {
     let server = |id: &str| {
         format!(
             r#"{{"id":"{id}","addr":"127.0.0.1:1","zone":"building-1","cell":0,"state":"active","weight":1.0}}"#
@@ -111,13 +113,13 @@
     };
     let servers: Vec<String> = ["a", "b", "c", "d"].map(server).into();
     format!(
-        r#"{{"name":"{name}","listen":"127.0.0.1:{clients}","operator":"127.0.0.1:{staff}","settings":{SETTINGS},
+        r#"{{"name":"{name}","listen":"127.0.0.1:{clients}","operator":"127.0.0.1:{admin_port}","settings":{SETTINGS},
             "known":{{"version":1,"full":true,"servers":[{}]}}}}"#,
         servers.join(",")
     )
 }
 
-fn start(command: &mut Command, staff: u16) -> Ingress {
+fn start(command: &mut Command, admin_port: u16) -> Ingress {
     let child = command
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -125,11 +127,11 @@
         .unwrap();
     Ingress {
         child,
-        staff: format!("127.0.0.1:{staff}"),
+        admin_address: format!("127.0.0.1:{admin_port}"),
     }
 }
 
-/// An operator's file with three members, of which none listens, and a folder.
+/// Builds an operator's file with a folder and three members, none of which listens at its address.
 fn group_file(listen: Option<u16>) -> String {
     let listen = listen.map_or(String::new(), |port| {
         format!("listen = \"127.0.0.1:{port}\"\n")
@@ -141,9 +143,9 @@
 }
 
 #[test]
-fn a_members_folder_of_the_older_version_is_sound_and_says_the_same() {
+fn older_member_folder_passes_the_check_unchanged() {
     let folder = Folder::new("member");
-    folder.take_fixture("member", "group");
+    folder.copy_fixture("member", "group");
     let expected = fs::read_to_string(folder.0.join("group/check.txt")).unwrap();
     fs::remove_file(folder.0.join("group/check.txt")).unwrap();
     let config = folder.write("config.json", &config("m0", free_port(), free_port()));
@@ -160,25 +162,26 @@
         "{text} {}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let (_, said) = text.split_once("/group: ").unwrap();
-    assert_eq!(said, expected);
+    let (_, printed) = text.split_once("/group: ").unwrap();
+    assert_eq!(printed, expected);
 }
 
 #[test]
-fn a_member_goes_on_from_the_folder_of_the_older_version() {
+fn member_resumes_from_older_folder() {
     let folder = Folder::new("resumed");
-    folder.take_fixture("member", "group");
+    folder.copy_fixture("member", "group");
     fs::remove_file(folder.0.join("group/check.txt")).unwrap();
-    let staff = free_port();
-    let config = folder.write("config.json", &config("m0", free_port(), staff));
+    let admin_port = free_port();
+    let config = folder.write("config.json", &config("m0", free_port(), admin_port));
     let operator = folder.write("operator.toml", &group_file(Some(free_port())));
     let ingress = start(
         Command::new(PROGRAM)
             .env("EDGE_CONFIG", config)
             .env("DRIFTGAP_OPERATOR", operator),
-        staff,
+        admin_port,
     );
-    // Without a majority nothing is agreed on anew, but what the folder holds of the group is known again.
+    // Without a majority the group agrees on nothing new, but the state from the folder is known
+    // again.
     let status = ingress.call("GROUP STATUS");
     assert!(
         status.contains("form=2 members=m0:1:votes") && status.contains("m2:3:votes"),
@@ -187,17 +190,17 @@
 }
 
 #[test]
-fn a_cached_replica_of_the_older_version_keeps_its_endpoints_excluded() {
+fn older_cached_replica_keeps_endpoints_excluded() {
     let folder = Folder::new("follower");
-    folder.take_fixture("follower", "group");
-    let staff = free_port();
-    let config = folder.write("config.json", &config("m3", free_port(), staff));
+    folder.copy_fixture("follower", "group");
+    let admin_port = free_port();
+    let config = folder.write("config.json", &config("m3", free_port(), admin_port));
     let operator = folder.write("operator.toml", &group_file(None));
     let ingress = start(
         Command::new(PROGRAM)
             .env("EDGE_CONFIG", config)
             .env("DRIFTGAP_OPERATOR", operator),
-        staff,
+        admin_port,
     );
     assert_eq!(ingress.call("STATUS"), "ACK ready, 2 suspended");
     let status = ingress.call("GROUP STATUS");
@@ -208,13 +211,13 @@
 }
 
 #[test]
-fn what_a_process_of_the_older_version_left_is_taken_over() {
+fn older_takeover_state_is_applied() {
     let folder = Folder::new("takeover");
-    folder.take_fixture("takeover/driftgap-6d39-out", "driftgap-6d39-out");
+    folder.copy_fixture("takeover/driftgap-6d39-out", "driftgap-6d39-out");
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let staff = free_port();
+    let admin_port = free_port();
     let clients = listener.local_addr().unwrap().port();
-    let config = folder.write("config.json", &config("m9", clients, staff));
+    let config = folder.write("config.json", &config("m9", clients, admin_port));
     let inherited = socket2::SockRef::from(&listener);
     inherited.set_cloexec(false).unwrap();
     let ingress = start(
@@ -223,7 +226,7 @@
             .env_remove("DRIFTGAP_OPERATOR")
             .env("TMPDIR", &folder.0)
             .env("EDGE_ACCEPT_FD", listener.as_raw_fd().to_string()),
-        staff,
+        admin_port,
     );
     assert_eq!(ingress.call("STATUS"), "ACK ready, 2 suspended");
     assert_eq!(ingress.call("RESTORE b"), "ACK b restored");
