--- a/src/discovery/apply.rs
+++ b/src/discovery/apply.rs
@@ -1,5 +1,5 @@
-//! What an answer of discovery's changes: the endpoint registry first, then what the dispatcher shows to the decision.
-//! It must never change anything for an answer that makes no sense.
+//! Applies an answer of the discovery agent: updates the endpoint registry first, then the endpoint
+//! list of the decision module. An invalid answer changes nothing.
 
 use super::registry::InvalidEndpointList;
 use crate::decision::{EndpointState, ListKind};
@@ -9,27 +9,28 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The status of an answer that brings a list.
+/// The status of an answer that carries a list.
 const STATUS_OK: u16 = 200;
 
-/// An answer that brings no list; the last list stays.
+/// An answer without a usable list; the last endpoint list stays in force.
 #[derive(Debug, thiserror::Error)]
 pub enum AnswerError {
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(u16),
     /// The body is not JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The body is no list.
+    /// The body is JSON, but not an endpoint list.
     #[error("{0}")]
     List(#[from] InvalidEndpointList),
 }
 
-/// Applies an answer of discovery's to the endpoint registry and the decision; the version that it brings.
+/// Applies an answer of the discovery agent to the endpoint registry and the decision module.
+/// Returns the version of the list in the answer.
 ///
 /// # Errors
-/// The status is not 200, or the body is no list; the last list stays.
+/// The status is not 200, or the body is not an endpoint list. The last list stays in force.
 pub fn apply_answer(dispatcher: &Rc<Dispatcher>, answer: &HttpAnswer) -> Result<u64, AnswerError> {
     if answer.status != STATUS_OK {
         return Err(AnswerError::Status(answer.status));
@@ -40,7 +41,8 @@
     if update.kind == ListKind::Delta && update.entries.is_empty() {
         return Ok(update.version);
     }
-    // One answer may say several things of an endpoint: the last one counts, as for the decision.
+    // An answer may list an endpoint more than once: the last entry counts, as in the decision
+    // module.
     let is_gone: HashMap<_, _> = update
         .entries
         .iter()
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! Lists of endpoints in discovery's form, as it answers polls and as the platform's file gives the last known one.
-//! This is the one place that knows the names of its fields. It must never judge more than form.
+//! Parses endpoint lists in discovery's format. Answers to polls and the last known list in the
+//! platform's file have this format. Only this module knows the names of its fields; it checks the
+//! format, not the meaning of the values.
 
 use crate::decision::{EndpointState, ListKind};
 use crate::discovery::registry::EndpointProtocol;
@@ -7,17 +8,17 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A list that makes no sense.
+/// A list that cannot be parsed; the text names the missing field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct InvalidEndpointList(pub String);
 
-/// The field of an entry that is missing or makes no sense.
+/// The field of an entry that is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} is missing or makes no sense")]
+#[error("{0} is missing or invalid")]
 pub(super) struct InvalidField(pub &'static str);
 
-/// A list; its entries are read one by one.
+/// A parsed list header; entries are parsed one by one with [`ListedEndpoint::read`].
 pub(super) struct EndpointList<'a> {
     pub kind: ListKind,
     pub version: u64,
@@ -25,8 +26,10 @@
 }
 
 impl EndpointList<'_> {
+    /// Parses the header of a list.
+    ///
     /// # Errors
-    /// The version or the entries are missing.
+    /// The version or the list of entries is missing.
     pub fn read(value: &Value) -> Result<EndpointList<'_>, InvalidEndpointList> {
         let missing = |field: &str| InvalidEndpointList(format!("{field} is missing"));
         let version = value.get("version").and_then(Value::as_u64);
@@ -51,7 +54,7 @@
 pub(super) struct ListedEndpoint<'a> {
     pub name: &'a str,
     pub state: EndpointState,
-    /// None: it names none that makes sense; one that drains or is gone needs none.
+    /// None if the address is missing or invalid. Endpoints that drain or are gone need no address.
     pub addr: Option<SocketAddr>,
     pub protocol: EndpointProtocol,
     pub zone: Option<&'a str>,
@@ -63,8 +66,10 @@
 }
 
 impl ListedEndpoint<'_> {
+    /// Parses one entry.
+    ///
     /// # Errors
-    /// Its state or its name is missing or makes no sense.
+    /// The state or the name is missing or invalid.
     pub fn read(server: &Value) -> Result<ListedEndpoint<'_>, InvalidField> {
         let number =
             |key: &str, absent: f64| server.get(key).and_then(Value::as_f64).unwrap_or(absent);
@@ -107,7 +112,7 @@
     }
 }
 
-/// Names and texts, [`MAX_LABELS`] at most.
+/// Label names with their text values; at most [`MAX_LABELS`].
 fn read_labels(server: &Value) -> Vec<(String, String)> {
     let labels = server.get("labels").and_then(Value::as_object);
     let texts = labels
--- a/src/discovery/follow_registry.rs
+++ b/src/discovery/follow_registry.rs
@@ -1,6 +1,8 @@
-//! The loop that follows discovery: what to poll next, and when, by how the last poll ended. It owns the version held
-//! and the failures in a row. It must never leave more than 200 ms between an answer and the next poll, or give up
-//! the last list for an answer that makes no sense.
+//! The loop that polls discovery. The result of each poll determines the next request and its time.
+//! The loop holds the version of the current list and the number of failures in a row.
+//!
+//! The next poll follows an answer within 200 ms, and an invalid answer never discards the last
+//! list.
 
 use super::apply::{apply_answer, AnswerError};
 use super::poll_schedule::{Failures, PollSchedule};
@@ -9,7 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A poll that brought no list.
+/// A failed poll.
 #[derive(Debug, thiserror::Error)]
 enum FollowError {
     #[error("{0}")]
@@ -18,10 +20,11 @@
     Answer(#[from] AnswerError),
 }
 
-/// Follows the agent for as long as the program runs.
+/// Polls the discovery agent until the program ends.
 ///
-/// `version` is that of the list held, if there is one: only what came after it is asked for. The whole list, by
-/// all ingresses of a fleet at their start, is what an overloaded discovery can bear least.
+/// `version` is the version of the list that this process already holds, if any; only later changes
+/// are then requested. If all ingresses of a fleet requested the full list at their start, they
+/// would overload discovery.
 pub async fn follow_registry(
     dispatcher: Rc<Dispatcher>,
     agent: SocketAddr,
@@ -55,20 +58,20 @@
     dispatcher: &'a Rc<Dispatcher>,
     schedule: PollSchedule,
     poller: Poller,
-    /// Spreads the polls of ingresses that would else make them together.
+    /// Randomizes poll times, so that ingresses do not poll at the same moment.
     random: oorandom::Rand32,
-    /// Of the list held.
+    /// Version of the current list.
     version: Option<u64>,
     failures: Failures,
-    /// The first failure in a row is in the log; the others would say the same.
+    /// Whether the first failure in a row is in the log; later ones are not logged.
     failure_logged: bool,
 }
 
-/// One poll, as it was made.
+/// The state of one poll.
 struct Poll {
     request: PollRequest,
     began_ms: f64,
-    /// The time slot in which it is given up, if its fleet polls in slots, ms.
+    /// The time slot at which the poll is abandoned, if the fleet polls in time slots, ms.
     slot_ms: Option<f64>,
 }
 
@@ -80,12 +83,12 @@
             .await;
     }
 
-    /// Makes one poll, applies what it brings, and waits until the next one is due.
+    /// Makes one poll, applies its answer, and waits until the next poll is due.
     async fn poll(&mut self) {
         let poll = self.next_poll();
         match self.poll_and_apply(&poll).await {
-            Ok(version) => self.succeeded(version),
-            Err(error) => self.failed(&poll, &error).await,
+            Ok(version) => self.record_success(version),
+            Err(error) => self.handle_failure(&poll, &error).await,
         }
     }
 
@@ -101,8 +104,9 @@
         }
     }
 
-    /// Guards against an old list behind an agent that says nothing: as long as it has not answered, every poll is to
-    /// be answered at once, so that its silence is not taken for a want of changes.
+    /// After a failure, requests immediate answers until the agent has answered once. An
+    /// unresponsive agent would otherwise look like one without changes, and an outdated list would
+    /// stay in force unnoticed.
     fn next_request(&self) -> PollRequest {
         match self.version {
             None => PollRequest::FullList,
@@ -122,17 +126,17 @@
         Ok(apply_answer(self.dispatcher, &answer)?)
     }
 
-    fn succeeded(&mut self, version: u64) {
+    fn record_success(&mut self, version: u64) {
         self.version = Some(version);
         self.failures = Failures::default();
         self.failure_logged = false;
     }
 
-    /// Notes the failure and waits until the poll is made anew.
-    async fn failed(&mut self, poll: &Poll, error: &FollowError) {
+    /// Counts the failure and waits until the retry is due.
+    async fn handle_failure(&mut self, poll: &Poll, error: &FollowError) {
         if !self.failure_logged {
             let (agent, problem) = (self.poller.agent(), error.to_string());
-            tracing::warn!(%agent, problem, "discovery; the last list stays");
+            tracing::warn!(%agent, problem, "discovery poll failed; the last list stays in force");
         }
         self.failure_logged = true;
         self.poller.disconnect();
@@ -140,11 +144,12 @@
         let rejected = !poll.request.is_watch()
             && matches!(error, FollowError::Answer(AnswerError::Status(_)));
         self.failures.add(rejected.then_some(now - poll.began_ms));
-        // A watch that fell silent needs no pause: each ingress sees so at the end of its own, so they come one by one.
-        let watch_fell_silent =
+        // A timed-out watch needs no pause: each ingress times out at the end of its own watch, so
+        // retries are already spread.
+        let watch_timed_out =
             poll.request.is_watch() && matches!(error, FollowError::Poll(PollError::AnswerTimeout));
-        let slot_has_come = !rejected && poll.slot_ms.is_some_and(|slot_ms| now >= slot_ms);
-        if watch_fell_silent || slot_has_come {
+        let slot_reached = !rejected && poll.slot_ms.is_some_and(|slot_ms| now >= slot_ms);
+        if watch_timed_out || slot_reached {
             return;
         }
         let random = self.random();
@@ -152,12 +157,12 @@
         self.sleep_until(retry_at).await;
     }
 
-    /// From 0 to 1.
+    /// A random number from 0 to 1.
     fn random(&mut self) -> f64 {
         f64::from(self.random.rand_float())
     }
 
-    /// Sleeps until the clock shows this, ms.
+    /// Sleeps until the clock shows `ms`.
     async fn sleep_until(&self, ms: f64) {
         let instant = self.dispatcher.clock().instant(ms);
         tokio::time::sleep_until(instant.into()).await;
--- a/src/discovery/inventory/confirmation.rs
+++ b/src/discovery/inventory/confirmation.rs
@@ -1,13 +1,13 @@
-//! Confirmation of suspicious lists.
+//! Confirmation of suspicious inventory lists.
 //!
-//! Guards the service against a list that is right in form and wrong in substance, which shows as many endpoints that
-//! drain at once: one that takes out much is applied only when it is read again, unchanged, some time later. A list
-//! that a tool has half-written is another one by then.
+//! Guards against a list that is well-formed but incomplete, which would drain many endpoints at
+//! once. A list that removes a large share of the hosts is applied only when it is read again,
+//! unchanged, some time later. A file that a tool had only half written has changed by then.
 
 use super::InventorySettings;
 use driftgap_inventory::{suspicious, Host, Shares};
 
-/// The list that waits to be confirmed, if there is one.
+/// The list that awaits confirmation, if any.
 #[derive(Debug, Default)]
 pub(super) struct Confirmation {
     waiting: Option<WaitingList>,
@@ -16,15 +16,15 @@
 #[derive(Debug)]
 struct WaitingList {
     hosts: Vec<Host>,
-    /// When it was read first, ms.
+    /// When it was first read, ms.
     first_read_ms: f64,
 }
 
 impl Confirmation {
-    /// Whether a list that is read at `now`, ms, may take the place of the list in force.
+    /// Checks whether a list that is read at `now`, ms, may replace the list in force.
     ///
     /// # Errors
-    /// Why it must be read again first.
+    /// The reason why the list must be read again first.
     pub fn confirm(
         &mut self,
         in_force: &[Host],
--- a/src/discovery/inventory/error.rs
+++ b/src/discovery/inventory/error.rs
@@ -1,30 +1,30 @@
-//! Why an inventory cannot be used.
+//! Errors of reading an inventory.
 
 use super::files::{MAX_FILES, MAX_FOLDER_DEPTH};
 use driftgap_inventory::{summary, Fault, Weight};
 
-/// An inventory that cannot be used.
+/// An inventory that cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum InventoryError {
-    /// It cannot be read.
+    /// A file or folder cannot be read.
     #[error("{0}")]
     Read(#[from] std::io::Error),
-    /// It was written to while it was read.
-    #[error("it changed while it was read: it may be half-written")]
+    /// A file was written to while it was read.
+    #[error("the file changed while it was read and may be half-written")]
     Changing,
-    /// A folder with too much in it.
-    #[error("the folder holds more than {MAX_FILES} files, or folders more than {MAX_FOLDER_DEPTH} deep")]
+    /// The folder has too many files or is nested too deeply.
+    #[error("the folder holds more than {MAX_FILES} files, or is nested more than {MAX_FOLDER_DEPTH} deep")]
     Folder,
-    /// It is wrong; all that is, in the order in which it was found.
-    #[error("{}", first_and_count(.0))]
+    /// The content is invalid; all faults, in the order in which they were found.
+    #[error("{}", first_error_and_count(.0))]
     Faults(Vec<Fault>),
-    /// It must be confirmed.
-    #[error("{0}: held back until it is read again unchanged")]
-    Held(String),
+    /// The list is suspicious and must be confirmed; the reason.
+    #[error("{0}: not applied until it is read again unchanged")]
+    Unconfirmed(String),
 }
 
 impl InventoryError {
-    /// Each fault as a line, those that repeat as one.
+    /// One line per fault; repeated faults are combined.
     pub fn lines(&self) -> Vec<String> {
         match self {
             InventoryError::Faults(faults) => summary(faults),
@@ -33,14 +33,14 @@
     }
 }
 
-/// The first error in a line, and how many there are besides.
-fn first_and_count(faults: &[Fault]) -> String {
+/// The first error as one line, with the number of further errors.
+fn first_error_and_count(faults: &[Fault]) -> String {
     let errors: Vec<&Fault> = faults
         .iter()
         .filter(|fault| fault.weight == Weight::Error)
         .collect();
     match errors.as_slice() {
-        [] => "no fault".into(),
+        [] => "no error".into(),
         [one] => one.to_string(),
         [first, more @ ..] => format!("{first} (and {} more)", more.len()),
     }
--- a/src/discovery/inventory/files.rs
+++ b/src/discovery/inventory/files.rs
@@ -1,20 +1,24 @@
-//! Reading the files of an inventory: one, or those of a folder, without what editors and tools leave beside them. It
-//! must never take a file that was written to while it was read, or hold one that is too long.
+//! Reads the files of an inventory: one file, or those of a folder without editors' backup and
+//! temporary files. It rejects files that change while they are read, and does not load files that
+//! are too long.
 
 use super::error::InventoryError;
 use driftgap_inventory::{Fault, File, Place, Weight, MAX_FILE};
 use std::path::Path;
 use std::time::SystemTime;
 
-/// Most files of a folder: far more than tools keep of one inventory, and read within a reload.
+/// Most files in a folder: far more than tools create for one inventory, and few enough to read
+/// during a reload.
 pub(super) const MAX_FILES: usize = 1000;
-/// Deepest nesting of folders: `group_vars/GROUP/FILE` and one more. Bounds a link to a folder above.
+/// Deepest nesting of folders: `group_vars/GROUP/FILE` and one more. Bounds the recursion through a
+/// link to a parent folder.
 pub(super) const MAX_FOLDER_DEPTH: usize = 4;
 
-/// What editors and tools add to the names of files that are no part of an inventory.
+/// Suffixes of backup and temporary files of editors and tools; such files are not part of an
+/// inventory.
 const IGNORED_SUFFIXES: [&str; 4] = ["~", "#", ".swp", ".tmp"];
 
-/// The files of an inventory: the file itself, or those of the folder.
+/// Reads the inventory file itself, or all files of the folder.
 pub(super) fn read_files(path: &Path) -> Result<Vec<File>, InventoryError> {
     let mut files = Vec::new();
     if path.is_dir() {
@@ -58,11 +62,11 @@
     name.starts_with('.') || IGNORED_SUFFIXES.iter().any(|suffix| name.ends_with(suffix))
 }
 
-/// Guards against a file that a tool is writing, which shows as a list that lacks its end: its length and its time are
-/// the same before and after it is read.
+/// Reads one file. Its length and modification time must be the same before and after; otherwise a
+/// tool may be writing it, and its end may be missing.
 fn read_file(path: &Path, name: String) -> Result<File, InventoryError> {
     let before = FileState::of(path)?;
-    // Guards memory: what is too long is refused by its length alone.
+    // Bounds memory: a file that is too long is rejected by its length before it is read.
     if before.length > MAX_FILE as u64 {
         return Err(too_long(&name, before.length));
     }
@@ -73,7 +77,7 @@
     Ok(File { path: name, bytes })
 }
 
-/// What tells whether a file was written to.
+/// The metadata that shows whether a file was written to.
 #[derive(PartialEq)]
 struct FileState {
     length: u64,
@@ -99,7 +103,7 @@
         },
         field: String::new(),
         value: String::new(),
-        problem: format!("has {length} bytes, {MAX_FILE} are the most"),
+        problem: format!("has {length} bytes; the limit is {MAX_FILE}"),
         help: String::new(),
     }])
 }
--- a/src/discovery/inventory/mod.rs
+++ b/src/discovery/inventory/mod.rs
@@ -1,6 +1,8 @@
-//! The operator's inventory in the ingress: what its files change in the endpoint registry. What a file means and
-//! whether it is whole is judged by `driftgap_inventory`. It must never change the list for a file that is wrong
-//! anywhere or has to be confirmed first, nor drop a host that is no longer named without letting it drain.
+//! The operator's inventory: applies the hosts of its files to the endpoint registry.
+//! `driftgap_inventory` parses and validates the files.
+//!
+//! A file with an error, or a list that still needs confirmation, changes nothing. A host that is
+//! no longer named is drained before it is removed.
 
 mod confirmation;
 mod error;
@@ -18,18 +20,19 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The inventory and the list of it that is in force.
+/// The inventory's settings and the list in force.
 #[derive(Debug)]
 pub struct Inventory {
     settings: InventorySettings,
     path: PathBuf,
-    /// The list in force.
+    /// The hosts of the list in force.
     hosts: Vec<Host>,
-    /// The endpoints that it names.
+    /// The endpoints that the list in force names.
     named: BTreeSet<EndpointId>,
-    /// Those that the list before it named and it does not.
+    /// Endpoints of the previous list that the list in force does not name.
     draining: BTreeSet<EndpointId>,
-    /// Those that were draining when it was applied, and that it does not name either.
+    /// Endpoints that were already draining when the list in force was applied, and that it does
+    /// not name either.
     dropped: BTreeSet<EndpointId>,
     confirmation: Confirmation,
     /// The files that the list in force was read from.
@@ -37,7 +40,7 @@
 }
 
 impl Inventory {
-    /// An inventory by its settings; a relative path counts from `folder`. Nothing is read yet.
+    /// Creates an inventory without reading it. A relative path is resolved against `folder`.
     pub fn new(settings: InventorySettings, folder: &Path) -> Inventory {
         Inventory {
             path: folder.join(&settings.file),
@@ -51,21 +54,21 @@
         }
     }
 
-    /// The file or the folder.
+    /// The path of the file or folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Whether an endpoint was named by the reading before the last and by none since.
+    /// Whether an endpoint has been missing from the last two lists and may be removed.
     pub fn is_dropped(&self, id: EndpointId) -> bool {
         self.dropped.contains(&id)
     }
 
-    /// Reads the inventory into the registry at `now`, ms: what changes by it, and warnings. Hosts that are no longer
-    /// named drain.
+    /// Reads the inventory and applies it to the registry at `now`, ms. Returns the changed entries
+    /// and the warnings. Hosts that are no longer named drain.
     ///
     /// # Errors
-    /// It is wrong, or must be confirmed; the registry is as it was.
+    /// The inventory is invalid or must be confirmed; the registry is unchanged.
     pub fn load(
         &mut self,
         registry: &mut EndpointRegistry,
@@ -74,7 +77,7 @@
         self.apply(files::read_files(&self.path)?, registry, now)
     }
 
-    /// The files that the list in force was read from, as one text that [`Inventory::load_copy`] reads.
+    /// The files of the list in force, serialized for [`Inventory::load_copy`].
     pub fn accepted_bytes(&self) -> Vec<u8> {
         let files: Vec<(&str, &[u8])> = self
             .accepted
@@ -84,10 +87,10 @@
         postcard::to_stdvec(&files).unwrap_or_default()
     }
 
-    /// The same as [`Inventory::load`] with what another ingress has accepted.
+    /// Applies an inventory that another ingress has accepted; otherwise as [`Inventory::load`].
     ///
     /// # Errors
-    /// It is wrong here, or no such text.
+    /// The bytes cannot be decoded, or the inventory is invalid for this ingress.
     pub fn load_copy(
         &mut self,
         accepted: &[u8],
@@ -119,7 +122,7 @@
         }
         self.confirmation
             .confirm(&self.hosts, &reading.hosts, &self.settings, now)
-            .map_err(InventoryError::Held)?;
+            .map_err(InventoryError::Unconfirmed)?;
         let hosts = reading.hosts.iter();
         let mut entries: Vec<EndpointEntry> =
             hosts.map(|host| apply_host(host, registry)).collect();
@@ -131,7 +134,7 @@
         Ok((entries, reading.faults))
     }
 
-    /// Endpoints that are no longer named drain, and are dropped by the list after.
+    /// Endpoints that are no longer named drain now and are dropped by the next list.
     fn replace_named(&mut self, named: BTreeSet<EndpointId>) {
         self.dropped = self.draining.difference(&named).copied().collect();
         self.draining = self.named.difference(&named).copied().collect();
@@ -139,7 +142,7 @@
     }
 }
 
-/// Keeps where a host is; its entry.
+/// Stores a host's address in the registry and returns its entry.
 fn apply_host(host: &Host, registry: &mut EndpointRegistry) -> EndpointEntry {
     let id = registry.id_for(&host.name);
     let labels = host.labels.iter();
--- a/src/discovery/inventory/tests.rs
+++ b/src/discovery/inventory/tests.rs
@@ -23,10 +23,11 @@
     format!("name,address,state\n{}", rows.collect::<String>())
 }
 
-/// A configuration tool writes half of its list, well-formed. Half of the endpoints would drain at once; the list
-/// must wait until it has been read again, unchanged, some time later, and another list between starts the wait anew.
+/// A configuration tool writes only half of its list, in valid form; half of the endpoints would
+/// drain at once. The list must be applied only after it has been read again, unchanged, some time
+/// later. A different list in between restarts the wait.
 #[test]
-fn a_suspicious_list_holds_only_when_it_is_read_again_unchanged_after_a_time() {
+fn suspicious_list_is_applied_only_when_read_again_unchanged_later() {
     let (mut inventory, path) = inventory("suspicious");
     let mut registry = EndpointRegistry::new(vec![]);
     let mut load = |text: &str, now: f64| {
@@ -37,23 +38,32 @@
     };
     assert_eq!(load(&list(0..20, "active"), 0.0).unwrap(), 20);
     let half = list(0..10, "active");
-    assert!(matches!(load(&half, 1000.0), Err(InventoryError::Held(_))));
-    assert!(matches!(load(&half, 5000.0), Err(InventoryError::Held(_))));
-    // Another list in between: the time begins anew.
+    assert!(matches!(
+        load(&half, 1000.0),
+        Err(InventoryError::Unconfirmed(_))
+    ));
+    assert!(matches!(
+        load(&half, 5000.0),
+        Err(InventoryError::Unconfirmed(_))
+    ));
+    // A different list in between restarts the wait.
     assert_eq!(load(&list(0..19, "active"), 5500.0).unwrap(), 20);
-    assert!(matches!(load(&half, 6500.0), Err(InventoryError::Held(_))));
+    assert!(matches!(
+        load(&half, 6500.0),
+        Err(InventoryError::Unconfirmed(_))
+    ));
     assert_eq!(
         load(&half, 11_500.0).unwrap(),
         19,
-        "ten of them and nine that drain"
+        "ten hosts of the list and nine that drain"
     );
     std::fs::remove_file(&path).unwrap();
 }
 
-/// An operator saves a list with a typing error in two addresses: the reload names the first of them and how many
-/// more there are, and nothing of the list that serves is changed.
+/// An operator saves a list with an invalid address in two rows. The error must name the first and
+/// the number of further errors, and the endpoints in service must not change.
 #[test]
-fn states_reach_the_registry_and_a_wrong_file_changes_nothing() {
+fn host_states_reach_the_registry_and_an_invalid_file_changes_nothing() {
     let (mut inventory, path) = inventory("states");
     let mut registry = EndpointRegistry::new(vec!["z".into()]);
     std::fs::write(
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,6 +1,9 @@
-//! Which endpoints there are: what discovery and the operator's inventory say of them. `follow` is the loop of long
-//! polls, `poller` one poll, `poll_schedule` its times, `apply` what an answer changes; `endpoint_list` reads
-//! discovery's form, `registry` holds what is known, and `inventory` reads the operator's list.
+//! The set of known endpoints, from the platform's discovery service and from the operator's
+//! inventory.
+//!
+//! `follow_registry` is the loop of long polls, `poller` makes one poll, and `poll_schedule`
+//! computes intervals and time-outs. `apply` applies an answer, `endpoint_list` parses discovery's
+//! list format, `registry` holds the known endpoints, and `inventory` reads the operator's list.
 
 mod apply;
 mod endpoint_list;
--- a/src/discovery/poll_schedule.rs
+++ b/src/discovery/poll_schedule.rs
@@ -1,121 +1,132 @@
-//! How often an ingress polls discovery and for how long it waits: every interval that bounds the age of its endpoint
-//! list. It owns the backoff of small fleets and the time slots of large ones. It must never let the polls of a fleet
-//! that has no list exceed what discovery can serve, or depend on anything but settings, time and a random number.
+//! Poll intervals, time-outs and retry times of one ingress. Together they bound the age of its
+//! endpoint list.
 //!
-//! Where lists are pushed, the agent is on this machine, answers at once and costs nothing, so polls are short and
-//! often. Where they come on request, discovery is one service for the whole fleet, serves its calls one after the
-//! other, and also works on those that have been given up: calls that come faster than it works keep it overloaded
-//! for good. A fleet of more than [`MAX_FLEET_WITH_BACKOFF`] therefore polls in time slots: each ingress has one, by
-//! its rank, in every round of the clock that all share, so that calls reach discovery one by one.
+//! The schedule depends only on settings, time and a random number. It keeps the polls of a fleet
+//! that has no list within what discovery can serve.
+//!
+//! With pushed lists, the agent runs on this machine and answers at once at no cost, so polls are
+//! short and frequent. With lists on request, discovery is one service for the whole fleet. It
+//! serves calls one after the other and also works on abandoned calls, so calls that arrive faster
+//! than it works keep it overloaded permanently. A fleet of more than [`MAX_FLEET_WITH_BACKOFF`]
+//! ingresses therefore polls in time slots on their shared clock: each ingress has one slot per
+//! round, ordered by rank, so that calls reach discovery one by one.
 
-/// How long a watch waits for a change where lists are pushed, ms. A longer one would cost nothing, but a connection
-/// that died unnoticed is found only at its end.
+/// Wait of a watch with pushed lists, ms. A longer wait costs nothing, but a connection that has
+/// died unnoticed is detected only at its end.
 const PUSHED_WATCH_MS: f64 = 2000.0;
-/// How long after its wait the answer to a watch may come, and how long an immediate answer may take, where lists are
-/// pushed, ms. The agent is on this machine; with more, one that comes back may be reached only after a change counts
-/// as notified.
+/// With pushed lists: time for the answer to a watch after its wait, and for an immediate answer,
+/// ms. With a longer time-out, an agent that has recovered may be reached only after a change
+/// already counts as notified.
 const PUSHED_ANSWER_TIMEOUT_MS: f64 = 500.0;
-/// How long a connect may take where lists are pushed, ms.
+/// Time limit of a connect with pushed lists, ms.
 const PUSHED_CONNECT_TIMEOUT_MS: f64 = 300.0;
-/// First and longest backoff where lists are pushed, ms: polls cost the agent nothing, so the list is soon current.
+/// First and longest backoff with pushed lists, ms. Polls cost the agent nothing, so short backoffs
+/// keep the list current.
 const PUSHED_FIRST_BACKOFF_MS: f64 = 20.0;
 const PUSHED_LONGEST_BACKOFF_MS: f64 = 100.0;
 
-/// How long after its wait the answer to a watch may come, on request, ms: some calls may be ahead of it. More leaves
-/// an ingress with a dead connection uninformed for longer.
+/// With lists on request: time for the answer to a watch after its wait, ms, since some calls may
+/// be queued ahead of it. A longer time leaves an ingress with a dead connection without updates
+/// for longer.
 const WATCH_GRACE_MS: f64 = 1000.0;
-/// How long an immediate answer may take, on request, ms: ten calls at [`ASSUMED_CALL_MS`]. Less gives up calls that
-/// discovery works on all the same.
+/// With lists on request: time limit of an immediate answer, ms: ten calls of [`ASSUMED_CALL_MS`].
+/// A shorter one abandons calls that discovery still works on.
 const ANSWER_TIMEOUT_MS: f64 = 2000.0;
-/// How long a connect may take, on request, ms.
+/// Time limit of a connect with lists on request, ms.
 const CONNECT_TIMEOUT_MS: f64 = 500.0;
-/// The largest fleet whose ingresses poll at any time; larger ones take time slots. More would, after an outage,
-/// overload discovery by chance.
+/// Largest fleet whose ingresses poll with random backoff; larger fleets use time slots. Random
+/// polls of a larger fleet can overload discovery after an outage.
 const MAX_FLEET_WITH_BACKOFF: u32 = 10;
-/// The first backoff for each ingress of the fleet, ms.
+/// The first backoff per ingress of the fleet, ms.
 const FIRST_BACKOFF_PER_INGRESS_MS: f64 = 10.0;
-/// The longest backoff is so many times the first one, and [`MIN_LONGEST_BACKOFF_MS`] at least.
+/// Ratio of the longest backoff to the first one; the longest is at least
+/// [`MIN_LONGEST_BACKOFF_MS`].
 const LONGEST_BACKOFF_FACTOR: f64 = 5.0;
-/// The longest backoff of the smallest fleet, ms.
+/// Lower bound of the longest backoff, ms.
 const MIN_LONGEST_BACKOFF_MS: f64 = 500.0;
-/// So many doublings at most, of a backoff or of the parts that take turns: far beyond the longest pause, and no
-/// overflow.
+/// Most doublings of a backoff or of the number of ingress groups: far beyond the longest pause,
+/// and small enough not to overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// The time that a call is taken to cost discovery, ms: a round has one for each ingress. Where it costs more,
-/// discovery is overloaded until late rejections spread the calls.
+/// Assumed duration of one call at discovery, ms: a round has this much time for each ingress. If
+/// calls take longer, discovery is overloaded until late rejections spread the calls.
 pub(super) const ASSUMED_CALL_MS: f64 = 200.0;
-/// The share of discovery's time that watches opened anew may take. The rest is for ingresses that have no list.
+/// Share of discovery's time for reopened watches. The rest is for ingresses that have no list.
 const WATCH_SHARE: f64 = 0.6;
-/// The shortest and the longest wait of a watch, on request, ms: a longer one hides a dead connection for as long.
+/// The shortest and the longest wait of a watch with lists on request, ms. A longer wait delays the
+/// detection of a dead connection.
 const MIN_WATCH_MS: f64 = 2000.0;
 const MAX_WATCH_MS: f64 = 20_000.0;
-/// A change counts as notified this long after discovery had it and could be reached, ms: from then on the ingress
-/// has to act on it. The platform's figure.
+/// A change counts as notified this long after discovery had it and was reachable, ms; the ingress
+/// must apply it from then on. The platform defines this value.
 pub(super) const NOTIFIED_AFTER_MS: f64 = 6000.0;
-/// The shortest round, ms: a call in its slot has the usual time for a connection and an answer before the next one.
+/// The shortest round, ms: a call in its slot has the full time to connect and to be answered
+/// before the next round.
 const MIN_ROUND_MS: f64 = CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS;
-/// The longest round with which every call reaches discovery before a change counts as notified, ms: behind a
-/// connection that did not come up, with another one ahead of the call.
+/// The longest round with which every call reaches discovery before a change counts as notified,
+/// ms: one failed connect, then a connect with one other call ahead in the queue.
 const MAX_PROMPT_ROUND_MS: f64 = NOTIFIED_AFTER_MS - 2.0 * CONNECT_TIMEOUT_MS;
-/// A call that is rejected after this or later has stood in the queue of an overloaded discovery, ms.
+/// A call that is rejected after at least this long has waited in the queue of an overloaded
+/// discovery, ms.
 const LATE_REJECTION_MS: f64 = 1000.0;
-/// The longest round of all, and the longest pause for an overloaded discovery, ms. Longer ones would spare a larger
-/// fleet's discovery, at the price of older lists.
+/// Upper bound of a round, and of the pause for an overloaded discovery, ms. A higher bound
+/// relieves discovery of a larger fleet, but makes lists older.
 const MAX_ROUND_MS: f64 = 15_000.0;
-/// Fleets too large for a prompt round make their first polls within this, ms: what is new counts as notified
-/// [`NOTIFIED_AFTER_MS`] after the start.
+/// Fleets too large for a prompt round spread their first polls over this time, ms: changes count
+/// as notified [`NOTIFIED_AFTER_MS`] after the start.
 const FIRST_POLL_SPREAD_MS: f64 = 4500.0;
 
-/// The intervals of one ingress, ms.
+/// The poll intervals of one ingress, ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PollSchedule {
     /// How long a watch waits for a change.
     pub watch_ms: f64,
-    /// An answer to a watch that is later than its wait by this will not come.
+    /// A watch without an answer this long after its wait has failed.
     pub watch_grace_ms: f64,
-    /// Nor one to a call that is answered at once, by then. In time slots such a call lasts until the first slot of
-    /// this ingress that is at least this far off.
+    /// Time limit of a call that is answered at once. With time slots, such a call is abandoned at
+    /// the first slot of this ingress that is at least this far ahead.
     pub answer_timeout_ms: f64,
-    /// A connection that is not up by then will not come up.
+    /// A connect that takes longer than this has failed.
     pub connect_timeout_ms: f64,
-    /// When a failed poll is made anew.
+    /// When a failed poll is retried.
     pub retry: RetrySchedule,
-    /// When a process that holds a list makes its first poll.
+    /// When a process that already holds a list makes its first poll.
     pub first_poll: FirstPoll,
 }
 
-/// When a failed poll is made anew.
+/// When a failed poll is retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RetrySchedule {
-    /// After a time that doubles with each failure in a row, from the first to the longest, spread by half of it.
+    /// After a backoff that doubles with each failure in a row, from the first to the longest,
+    /// randomized from 0.5 to 1.5 times its value.
     Backoff { first_ms: f64, longest_ms: f64 },
     /// In this ingress's next time slot.
     TimeSlots(TimeSlots),
 }
 
-/// When a process that holds a list makes its first poll.
+/// When a process that already holds a list makes its first poll.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum FirstPoll {
-    /// At a random time within this, ms.
+    /// At a random time within this duration, ms.
     Within(f64),
     /// In this ingress's next time slot.
     InTimeSlot,
 }
 
-/// Time slots by rank on the clock that all ingresses share: one of each ingress in every round, evenly spaced.
+/// Time slots by rank on the clock that all ingresses share: each ingress has one slot in every
+/// round, evenly spaced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct TimeSlots {
-    /// From one slot of an ingress to its next, ms.
+    /// Time from one slot of an ingress to its next, ms.
     pub round_ms: f64,
-    /// This ingress's number in its fleet.
+    /// This ingress's rank in its fleet.
     rank: u32,
-    /// Its slot's place in the round, ms.
+    /// Offset of its slot within the round, ms.
     offset_ms: f64,
 }
 
 impl TimeSlots {
     fn new(round_ms: f64, position: u32, ingresses: u32) -> TimeSlots {
-        // A position beyond the fleet, as during a change of its size, shares another one's slot.
+        // A position beyond the fleet size, as during a resize, shares the slot of another ingress.
         let rank = position % ingresses;
         TimeSlots {
             round_ms,
@@ -124,58 +135,62 @@
         }
     }
 
-    /// The number of the round whose slot is the first after this time.
+    /// The first round whose slot is after `now`.
     fn next_round(&self, now: f64) -> f64 {
         ((now - self.offset_ms) / self.round_ms).floor() + 1.0
     }
 
-    /// When this round's slot is, ms of Unix time.
+    /// Time of the slot of a round, ms of Unix time.
     fn slot_at(&self, round: f64) -> f64 {
         self.offset_ms + round * self.round_ms
     }
 
-    /// The first slot after this time, both in ms of Unix time.
+    /// The first slot after `now`, both in ms of Unix time.
     pub fn next_slot_at(&self, now: f64) -> f64 {
         self.slot_at(self.next_round(now))
     }
 
-    /// The slot after a call that failed at `now`.
+    /// The slot for the retry of a call that failed at `now`.
     ///
-    /// Guards against a discovery that stays overloaded, which shows as rejections that come late: it is left a
-    /// round, if that is not too long, and then gets the calls of a part of the fleet in each round, half as many
-    /// with each late rejection in a row. Its queue thus empties, however long its calls take.
+    /// Guards against permanent overload of discovery, which shows as late rejections: the ingress
+    /// skips a round, unless the pause would exceed [`MAX_ROUND_MS`]. The fleet is then divided
+    /// into groups that poll in alternate rounds; each late rejection in a row doubles the number
+    /// of groups. The queue of discovery thus drains, however long its calls take.
     fn slot_after_failure(&self, now: f64, late_rejections: u32) -> f64 {
         let next = self.next_round(now);
         if late_rejections == 0 {
             return self.slot_at(next);
         }
-        let parts = f64::from(1u32 << late_rejections.min(MAX_DOUBLINGS))
+        let groups = f64::from(1u32 << late_rejections.min(MAX_DOUBLINGS))
             .min((MAX_ROUND_MS / self.round_ms).floor());
-        // Ingresses next to each other in rank are of different parts.
-        let of_own_part = |round: f64| round + (-(round + f64::from(self.rank))).rem_euclid(parts);
-        let behind_a_round = self.slot_at(of_own_part(next + 1.0));
-        if behind_a_round - now <= MAX_ROUND_MS {
-            behind_a_round
+        // Ingresses with adjacent ranks are in different groups.
+        let round_of_own_group =
+            |round: f64| round + (-(round + f64::from(self.rank))).rem_euclid(groups);
+        let after_skipped_round = self.slot_at(round_of_own_group(next + 1.0));
+        if after_skipped_round - now <= MAX_ROUND_MS {
+            after_skipped_round
         } else {
-            self.slot_at(of_own_part(next))
+            self.slot_at(round_of_own_group(next))
         }
     }
 }
 
-/// The polls that failed in a row.
+/// Polls that failed in a row.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Failures {
-    /// How many.
+    /// Number of failures.
     pub count: u32,
-    /// Of them the last ones that an overloaded discovery rejected.
+    /// How many of the most recent failures were late rejections, which show that discovery is
+    /// overloaded.
     pub late_rejections: u32,
 }
 
 impl Failures {
-    /// One more, which discovery rejected with a status after so long, ms, or did not answer.
+    /// Counts one failure: a rejection that took `rejected_after_ms`, or no answer (`None`).
     pub fn add(&mut self, rejected_after_ms: Option<f64>) {
         self.count = self.count.saturating_add(1);
-        // Rejected at once: it is away. Late: the call has stood in its queue.
+        // An immediate rejection means that discovery is unavailable; a late one, that the call has
+        // waited in its queue.
         let overloaded = rejected_after_ms.is_some_and(|ms| ms >= LATE_REJECTION_MS);
         self.late_rejections = if overloaded {
             self.late_rejections.saturating_add(1)
@@ -186,7 +201,8 @@
 }
 
 impl PollSchedule {
-    /// The schedule of the ingress at `position` of a fleet, by whether lists come on request or are pushed.
+    /// The schedule of the ingress at `position` in a fleet of `ingresses`. Lists come on request,
+    /// or are pushed.
     pub fn new(on_request: bool, ingresses: u32, position: u32) -> PollSchedule {
         let ingresses = ingresses.max(1);
         if !on_request {
@@ -230,7 +246,8 @@
 
     fn with_time_slots(ingresses: u32, position: u32) -> PollSchedule {
         let work_ms = work_ms(ingresses);
-        // One call of each fits into the time after which a change counts as notified, or cannot, in any order.
+        // Prompt: one call of each ingress fits into the time after which a change counts as
+        // notified.
         let is_prompt = work_ms <= NOTIFIED_AFTER_MS;
         let max_round_ms = if is_prompt {
             MAX_PROMPT_ROUND_MS
@@ -262,8 +279,8 @@
         }
     }
 
-    /// When the last of these polls, which failed at `now`, is made anew; `random` from 0 to 1 spreads ingresses
-    /// that back off.
+    /// When the poll that failed last, at `now`, is retried; `random`, from 0 to 1, randomizes the
+    /// backoff.
     pub fn retry_at(&self, now: f64, failures: Failures, random: f64) -> f64 {
         match self.retry {
             RetrySchedule::Backoff {
@@ -280,7 +297,8 @@
         }
     }
 
-    /// When a process that holds a list and starts at `now` makes its first poll; `random` is from 0 to 1.
+    /// Time of the first poll of a process that starts at `now` and already holds a list; `random`
+    /// is from 0 to 1.
     pub fn first_poll_at(&self, now: f64, random: f64) -> f64 {
         match (self.first_poll, self.time_slots()) {
             (FirstPoll::InTimeSlot, Some(slots)) => slots.next_slot_at(now),
@@ -290,12 +308,12 @@
     }
 }
 
-/// What one call of each ingress costs discovery, ms.
+/// Time that discovery needs for one call of each ingress, ms.
 fn work_ms(ingresses: u32) -> f64 {
     ASSUMED_CALL_MS * f64::from(ingresses)
 }
 
-/// How long the watches of such a fleet wait, on request, ms.
+/// Wait of a watch for a fleet of this size, with lists on request, ms.
 fn watch_ms(ingresses: u32) -> f64 {
     (work_ms(ingresses) / WATCH_SHARE).clamp(MIN_WATCH_MS, MAX_WATCH_MS)
 }
--- a/src/discovery/poll_schedule/tests.rs
+++ b/src/discovery/poll_schedule/tests.rs
@@ -1,18 +1,20 @@
 mod fleet;
 
 use super::{Failures, FirstPoll, PollSchedule, RetrySchedule, ASSUMED_CALL_MS, NOTIFIED_AFTER_MS};
-use fleet::{after_given_up, given_up, Configured, Fleet, Outage, Recovery};
+use fleet::{abandoned_at, retry_of_abandoned_at, Fleet, IngressSettings, Outage, Recovery};
 
-/// What an ingress of such a fleet goes by; a place in the round changes none of its bounds.
+/// The schedule of an ingress in the middle of such a fleet; its position affects none of the
+/// bounds.
 fn schedule_of(on_request: bool, ingresses: u32) -> PollSchedule {
     PollSchedule::new(on_request, ingresses, ingresses / 2)
 }
 
-/// Ingresses that all start at once, and a discovery that takes so long for a call, ms, one after the other. A
-/// call that is given up is worked on all the same. The time by which nine in ten have their list, s.
-fn time_until_fleet_has_list(ingresses: u32, each_ms: f64) -> f64 {
-    let mut dice = oorandom::Rand32::new(7);
-    let mut random = || f64::from(dice.rand_float());
+/// Simulates ingresses that all start at once, and a discovery that serves one call at a time, for
+/// `call_ms` each, and also works on abandoned calls. Returns the time by which nine in ten
+/// ingresses have their list, s.
+fn time_until_fleet_has_list(ingresses: u32, call_ms: f64) -> f64 {
+    let mut generator = oorandom::Rand32::new(7);
+    let mut random = || f64::from(generator.rand_float());
     let schedules: Vec<PollSchedule> = (0..ingresses)
         .map(|position| PollSchedule::new(true, ingresses, position))
         .collect();
@@ -20,7 +22,7 @@
         .iter()
         .map(|schedule| (schedule.first_poll_at(0.0, random()), Failures::default()))
         .collect();
-    let (mut free, mut informed) = (0.0_f64, 0);
+    let (mut free_at, mut answered) = (0.0_f64, 0);
     loop {
         let (i, now) = due
             .iter()
@@ -31,27 +33,27 @@
         if now > 60_000.0 {
             return f64::INFINITY;
         }
-        free = free.max(now) + each_ms;
-        let given_up = given_up(&schedules[i], now);
-        if free <= given_up {
+        free_at = free_at.max(now) + call_ms;
+        let abandoned_at = abandoned_at(&schedules[i], now);
+        if free_at <= abandoned_at {
             due[i].0 = f64::INFINITY;
-            informed += 1;
-            if informed * 10 >= ingresses * 9 {
-                return free / 1e3;
+            answered += 1;
+            if answered * 10 >= ingresses * 9 {
+                return free_at / 1e3;
             }
         } else {
             due[i].1.add(None);
-            due[i].0 = after_given_up(&schedules[i], given_up, due[i].1, random());
+            due[i].0 = retry_of_abandoned_at(&schedules[i], abandoned_at, due[i].1, random());
         }
     }
 }
 
-/// All ingresses of a fleet start at once, and discovery serves one call after the other, also those that were given
-/// up. If they poll again too fast, it works on nothing but calls that nobody waits for. Nine in ten must have their
-/// list soon after the work for it would be done.
+/// All ingresses of a fleet start at once, and discovery serves one call after the other, including
+/// abandoned ones. If they retry too fast, discovery works only on abandoned calls. Nine in ten
+/// ingresses must have their list soon after the minimum time for that work.
 #[test]
-fn a_fleet_of_any_size_does_not_keep_discovery_overloaded() {
-    for (ingresses, each_ms) in [
+fn starting_fleet_of_any_size_does_not_keep_discovery_overloaded() {
+    for (ingresses, call_ms) in [
         (2, 20.0),
         (10, 100.0),
         (30, 200.0),
@@ -59,11 +61,11 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let by = time_until_fleet_has_list(ingresses, each_ms);
-        let min = 0.9 * f64::from(ingresses) * each_ms / 1e3;
+        let latest = time_until_fleet_has_list(ingresses, call_ms);
+        let min = 0.9 * f64::from(ingresses) * call_ms / 1e3;
         assert!(
-            by < 3.0 * min + 2.0,
-            "{ingresses} ingresses have their list after {by} s, not {min}"
+            latest < 3.0 * min + 2.0,
+            "{ingresses} ingresses have their list after {latest} s; the minimum is {min} s"
         );
     }
     let backoff = schedule_of(true, 2).retry_at(
@@ -76,17 +78,17 @@
     );
     assert!(
         schedule_of(true, 10).first_poll == FirstPoll::Within(0.0) && backoff < 50.0,
-        "a small fleet asks at once"
+        "a small fleet polls at once"
     );
     assert!(longest_pause(&schedule_of(true, 1_000_000)) <= 15_000.0);
 }
 
-/// The longest from a watch's fall into silence to the call that is made in its place.
-fn silent(schedule: &PollSchedule) -> f64 {
+/// The longest time from the moment a watch's connection dies until the call that replaces it.
+fn longest_watch_outage(schedule: &PollSchedule) -> f64 {
     schedule.watch_ms + schedule.watch_grace_ms + schedule.connect_timeout_ms
 }
 
-/// The longest from a failure to the call that is made anew.
+/// The longest time from a failure to the retry.
 fn longest_pause(schedule: &PollSchedule) -> f64 {
     match schedule.retry {
         RetrySchedule::Backoff { .. } => schedule.retry_at(
@@ -101,16 +103,16 @@
     }
 }
 
-/// The longest from the moment in which discovery can be reached again to the call that reaches it: a try just before
-/// that moment has to end, then comes the longest pause, then a connection.
-fn reached(schedule: &PollSchedule) -> f64 {
+/// The longest time from the moment discovery is reachable again until a call reaches it: an
+/// attempt begun just before has to fail, then come the longest pause and a connect.
+fn longest_until_reached(schedule: &PollSchedule) -> f64 {
     schedule.answer_timeout_ms.max(schedule.connect_timeout_ms)
         + longest_pause(schedule)
         + schedule.connect_timeout_ms
 }
 
-/// The longest from the start of a process that holds a list to its first call.
-fn first_call(schedule: &PollSchedule) -> f64 {
+/// The longest time from the start of a process that holds a list to its first call.
+fn longest_until_first_call(schedule: &PollSchedule) -> f64 {
     match schedule.first_poll {
         FirstPoll::Within(span) => span,
         FirstPoll::InTimeSlot => longest_pause(schedule),
@@ -119,95 +121,95 @@
 
 const FLEETS: [u32; 5] = [1, 10, 30, 100, 300];
 
-/// The agent on this machine dies and comes back. Its watch falls silent; the ingress must have polled anew before a
-/// change counts as notified.
+/// The agent on this machine dies and comes back while a watch is open. The ingress must have
+/// polled again before a change counts as notified.
 #[test]
-fn a_pushed_list_is_in_force_long_before_it_counts_as_notified() {
+fn pushed_list_is_applied_long_before_it_counts_as_notified() {
     for ingresses in FLEETS {
         let schedule = schedule_of(false, ingresses);
-        // Notified 6 s after the fall; at once where discovery comes back, and then there is the least grace, 1 s.
+        // A change counts as notified 6 s after the agent died, or when it is back; the grace then
+        // is at least 1 s.
         assert!(
-            silent(&schedule) + schedule.answer_timeout_ms <= 6000.0,
+            longest_watch_outage(&schedule) + schedule.answer_timeout_ms <= 6000.0,
             "{ingresses}: {} ms",
-            silent(&schedule)
+            longest_watch_outage(&schedule)
         );
         assert!(
-            reached(&schedule) <= 1000.0,
+            longest_until_reached(&schedule) <= 1000.0,
             "{ingresses}: {} ms",
-            reached(&schedule)
+            longest_until_reached(&schedule)
         );
-        assert!(first_call(&schedule) <= 0.0);
+        assert!(longest_until_first_call(&schedule) <= 0.0);
     }
 }
 
-/// A connection to discovery dies without a sign, under a watch. The watch must be opened anew before what it would
-/// have brought counts as notified.
+/// The connection to discovery dies unnoticed during a watch. The watch must be reopened before the
+/// changes it missed count as notified.
 #[test]
-fn on_request_a_silent_watch_is_opened_anew_before_it_counts_as_notified() {
+fn on_request_dead_watch_is_reopened_before_changes_count_as_notified() {
     for ingresses in FLEETS {
         let schedule = schedule_of(true, ingresses);
         let notified = f64::max(6000.0, schedule.watch_ms + 2000.0);
         assert!(
-            silent(&schedule) <= notified,
+            longest_watch_outage(&schedule) <= notified,
             "{ingresses}: {} ms, notified after {notified}",
-            silent(&schedule)
+            longest_watch_outage(&schedule)
         );
-        assert!(first_call(&schedule) + schedule.connect_timeout_ms <= 6000.0);
+        assert!(longest_until_first_call(&schedule) + schedule.connect_timeout_ms <= 6000.0);
     }
 }
 
-/// Discovery is away and comes back. Each ingress of a small fleet must call it within the 6 s in which a change counts
-/// as notified.
+/// Discovery becomes reachable again after an outage. Each ingress of a small fleet must call it
+/// within the 6 s after which a change counts as notified.
 #[test]
-fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_small_fleet() {
+fn on_request_small_fleet_reaches_recovered_discovery_within_6_s() {
     for ingresses in 1..=10 {
-        let by = reached(&schedule_of(true, ingresses));
-        assert!(by <= 6000.0, "{ingresses}: {by} ms");
+        let latest = longest_until_reached(&schedule_of(true, ingresses));
+        assert!(latest <= 6000.0, "{ingresses}: {latest} ms");
     }
 }
 
-/// One call of each ingress of such a fleet takes a discovery of the assumed capacity this long, ms.
-fn work(ingresses: u32) -> f64 {
+/// Time that a discovery of the assumed capacity needs for one call of each ingress, ms.
+fn work_ms(ingresses: u32) -> f64 {
     f64::from(ingresses) * ASSUMED_CALL_MS
 }
 
-/// The same for fleets that poll in time slots, as long as one call of each fits into 6 s.
+/// The same for fleets that poll in time slots, if one call of each ingress fits into 6 s.
 #[test]
-fn on_request_discovery_is_called_within_6_s_of_when_it_can_be_reached_by_a_fleet_whose_calls_fit_into_them(
-) {
+fn on_request_fleet_with_prompt_time_slots_reaches_recovered_discovery_within_6_s() {
     for ingresses in 11..=30 {
-        assert!(work(ingresses) <= NOTIFIED_AFTER_MS);
-        let by = reached(&schedule_of(true, ingresses));
-        assert!(by <= 6000.0, "{ingresses}: {by} ms");
+        assert!(work_ms(ingresses) <= NOTIFIED_AFTER_MS);
+        let latest = longest_until_reached(&schedule_of(true, ingresses));
+        assert!(latest <= 6000.0, "{ingresses}: {latest} ms");
     }
 }
 
-/// The same for larger fleets: their calls cannot all be served within 6 s, so a round takes as long as the calls do,
-/// and 15 s at most.
+/// The same for larger fleets: discovery cannot serve all of their calls within 6 s, so a round
+/// lasts as long as the calls take, and 15 s at most.
 #[test]
-fn on_request_the_round_of_a_larger_fleet_is_its_ingresses_times_the_price_of_a_call() {
+fn on_request_round_of_a_larger_fleet_lasts_as_long_as_its_calls() {
     for ingresses in [31, 48, 75, 100, 300, 1_000_000] {
         let schedule = schedule_of(true, ingresses);
         let slots = schedule.time_slots().expect("time slots");
-        // In no order can each have an answer within 6 s.
-        assert!(work(ingresses) > NOTIFIED_AFTER_MS, "{ingresses}");
+        // In any order, discovery cannot answer every ingress within 6 s.
+        assert!(work_ms(ingresses) > NOTIFIED_AFTER_MS, "{ingresses}");
         assert!(
-            (slots.round_ms - work(ingresses).min(15_000.0)).abs() < 1e-6,
+            (slots.round_ms - work_ms(ingresses).min(15_000.0)).abs() < 1e-6,
             "{ingresses}: {}",
             slots.round_ms
         );
-        // With back-off by chance it was 17.5 s for 30 and more.
-        let by = reached(&schedule);
+        // With random backoff it was 17.5 s for 30 ingresses and more.
+        let latest = longest_until_reached(&schedule);
         assert!(
-            by <= (work(ingresses) + 2500.0).min(17_500.0),
-            "{ingresses}: {by} ms"
+            latest <= (work_ms(ingresses) + 2500.0).min(17_500.0),
+            "{ingresses}: {latest} ms"
         );
     }
 }
 
 const SEEDS: std::ops::Range<u64> = 0..40;
 
-/// Discovery's return to this fleet, with every seed and kind of outage.
+/// Simulated recoveries of this fleet, with every seed and kind of outage.
 fn recoveries(fleet: &Fleet) -> impl Iterator<Item = (String, Recovery)> + '_ {
     SEEDS.flat_map(move |seed| {
         [Outage::Refused, Outage::Silent].map(|outage| {
@@ -228,7 +230,7 @@
     })
 }
 
-/// The round of such a fleet, or one call of each where that takes longer, ms.
+/// The round of such a fleet, or the time for one call of each ingress if that is longer, ms.
 fn one_call_of_each(ingresses: u32, call_ms: f64) -> f64 {
     let round = schedule_of(true, ingresses)
         .time_slots()
@@ -237,10 +239,10 @@
     round.max(f64::from(ingresses) * call_ms)
 }
 
-/// Discovery was away, refusing or silent, and comes back. Each ingress must have its answer by its first call, in its
-/// slot: a second one would take discovery's time from another.
+/// Discovery recovers after it refused or ignored calls. Each ingress must be answered on its first
+/// call, in its slot: a second call would take discovery's time from another ingress.
 #[test]
-fn time_slots_bring_each_ingress_its_answer_by_one_call() {
+fn time_slots_answer_each_ingress_with_one_call() {
     for (ingresses, call_ms) in [
         (11, 200.0),
         (12, 200.0),
@@ -248,87 +250,96 @@
         (30, 20.0),
         (30, 200.0),
     ] {
-        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
-            assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
+        for (case, recovery) in recoveries(&Fleet::with_correct_settings(
+            ingresses,
+            call_ms,
+            Outage::Refused,
+        )) {
+            assert!(recovery.last_reached() <= 6000.0, "{case}: {recovery:?}");
             let bound = one_call_of_each(ingresses, call_ms) + call_ms;
-            assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
-            assert_eq!(recovery.calls, ingresses as usize, "{which}: {recovery:?}");
+            assert!(recovery.last_answered() <= bound, "{case}: {recovery:?}");
+            assert_eq!(recovery.calls, ingresses as usize, "{case}: {recovery:?}");
         }
     }
 }
 
-/// The same for fleets that cannot all be served within 6 s.
+/// The same for fleets that discovery cannot serve within 6 s.
 #[test]
-fn time_slots_of_a_larger_fleet_bring_each_ingress_its_answer_by_one_call_within_a_round() {
+fn time_slots_answer_each_ingress_of_a_larger_fleet_within_a_round() {
     for (ingresses, call_ms) in [(48, 200.0), (75, 200.0), (100, 100.0), (300, 40.0)] {
-        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
+        for (case, recovery) in recoveries(&Fleet::with_correct_settings(
+            ingresses,
+            call_ms,
+            Outage::Refused,
+        )) {
             let bound = one_call_of_each(ingresses, call_ms) + call_ms;
-            assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
-            assert_eq!(recovery.calls, ingresses as usize, "{which}: {recovery:?}");
+            assert!(recovery.last_answered() <= bound, "{case}: {recovery:?}");
+            assert_eq!(recovery.calls, ingresses as usize, "{case}: {recovery:?}");
         }
     }
 }
 
-/// The clocks of the ingresses differ, so that their slots overlap when discovery comes back.
+/// The clocks of the ingresses differ, so that their slots overlap when discovery recovers.
 #[test]
-fn time_slots_bear_clocks_that_are_off() {
+fn time_slots_tolerate_clock_errors() {
     for clock_error_ms in [50.0, 100.0, 300.0] {
         let fleet = Fleet {
             clock_error_ms,
-            ..Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused)
+            ..Fleet::with_correct_settings(30, ASSUMED_CALL_MS, Outage::Refused)
         };
-        for (which, recovery) in recoveries(&fleet) {
+        for (case, recovery) in recoveries(&fleet) {
             assert!(
                 recovery.last_reached() <= 6000.0,
-                "{which}, {clock_error_ms}: {recovery:?}"
+                "{case}, {clock_error_ms}: {recovery:?}"
             );
             let bound =
                 one_call_of_each(30, ASSUMED_CALL_MS) + ASSUMED_CALL_MS + 2.0 * clock_error_ms;
             assert!(
                 recovery.last_answered() <= bound,
-                "{which}, {clock_error_ms}: {recovery:?}"
+                "{case}, {clock_error_ms}: {recovery:?}"
             );
         }
     }
 }
 
-/// Some ingresses of the fleet are down when discovery comes back: their slots stay empty.
+/// Some ingresses of the fleet are down when discovery recovers; their slots stay unused.
 #[test]
-fn time_slots_bear_ingresses_that_are_down() {
-    let mut fleet = Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused);
+fn time_slots_tolerate_ingresses_that_are_down() {
+    let mut fleet = Fleet::with_correct_settings(30, ASSUMED_CALL_MS, Outage::Refused);
     fleet
         .ingresses
         .retain(|ingress| ingress.position % 3 == 0 || ingress.position > 20);
-    for (which, recovery) in recoveries(&fleet) {
-        assert!(recovery.last_reached() <= 6000.0, "{which}: {recovery:?}");
+    for (case, recovery) in recoveries(&fleet) {
+        assert!(recovery.last_reached() <= 6000.0, "{case}: {recovery:?}");
         let bound = one_call_of_each(30, ASSUMED_CALL_MS) + ASSUMED_CALL_MS;
-        assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
+        assert!(recovery.last_answered() <= bound, "{case}: {recovery:?}");
         assert_eq!(
             recovery.calls,
             fleet.ingresses.len(),
-            "{which}: {recovery:?}"
+            "{case}: {recovery:?}"
         );
     }
 }
 
-/// As for a fleet that starts: its list takes less than three times what the work takes, and 2 s.
-fn is_not_overloaded(which: &str, work: f64, recovery: &Recovery) {
+/// Asserts the bound of a starting fleet: all ingresses have their list in less than three times
+/// the work, plus 2 s.
+fn is_not_overloaded(case: &str, work_ms: f64, recovery: &Recovery) {
     assert!(
-        recovery.last_answered() < 3.0 * work + 2000.0,
-        "{which}: {recovery:?}"
+        recovery.last_answered() < 3.0 * work_ms + 2000.0,
+        "{case}: {recovery:?}"
     );
 }
 
-/// The fleet's size or the positions in it are wrong in the settings, so that slots collide when discovery comes back.
-/// It must not stay overloaded.
+/// The fleet size or the positions in the settings are wrong, so that slots collide when discovery
+/// recovers. Discovery must not stay overloaded.
 #[test]
-fn time_slots_bear_wrong_settings() {
-    let all = |configured: fn(u32) -> Configured| (0..30).map(configured).collect::<Vec<_>>();
-    let wrong: [(&str, f64, Vec<Configured>); 5] = [
+fn time_slots_tolerate_wrong_settings() {
+    let all = |configured: fn(u32) -> IngressSettings| (0..30).map(configured).collect::<Vec<_>>();
+    let wrong: [(&str, f64, Vec<IngressSettings>); 5] = [
         (
             "too few",
             6000.0,
-            all(|position| Configured {
+            all(|position| IngressSettings {
                 ingresses: 20,
                 position,
             }),
@@ -336,23 +347,23 @@
         (
             "too many",
             17_500.0,
-            all(|position| Configured {
+            all(|position| IngressSettings {
                 ingresses: 45,
                 position,
             }),
         ),
         (
-            "one place for all",
+            "one position for all",
             6000.0,
-            all(|_| Configured {
+            all(|_| IngressSettings {
                 ingresses: 30,
                 position: 0,
             }),
         ),
         (
-            "places beyond the fleet",
+            "positions beyond the fleet",
             6000.0,
-            all(|i| Configured {
+            all(|i| IngressSettings {
                 ingresses: 30,
                 position: 1000 + 7 * i,
             }),
@@ -360,7 +371,7 @@
         (
             "changed for half",
             6000.0,
-            all(|i| Configured {
+            all(|i| IngressSettings {
                 ingresses: if i % 2 == 0 { 30 } else { 24 },
                 position: i,
             }),
@@ -369,21 +380,22 @@
     for (kind, reached, ingresses) in wrong {
         let fleet = Fleet {
             ingresses,
-            ..Fleet::sound(30, ASSUMED_CALL_MS, Outage::Refused)
+            ..Fleet::with_correct_settings(30, ASSUMED_CALL_MS, Outage::Refused)
         };
-        for (which, recovery) in recoveries(&fleet) {
+        for (case, recovery) in recoveries(&fleet) {
             assert!(
                 recovery.last_reached() <= reached,
-                "{kind}, {which}: {recovery:?}"
+                "{kind}, {case}: {recovery:?}"
             );
-            is_not_overloaded(&format!("{kind}, {which}"), work(30), &recovery);
+            is_not_overloaded(&format!("{kind}, {case}"), work_ms(30), &recovery);
         }
     }
 }
 
-/// Discovery comes back slower than assumed, so that calls queue there from slot to slot. It must not stay overloaded.
+/// Discovery recovers but is slower than assumed, so that calls of consecutive slots queue. It must
+/// not stay overloaded.
 #[test]
-fn time_slots_bear_calls_that_take_twice_as_long() {
+fn time_slots_tolerate_calls_that_take_twice_as_long() {
     for (ingresses, call_ms) in [
         (11, 400.0),
         (30, 300.0),
@@ -392,21 +404,25 @@
         (100, 200.0),
     ] {
         let reached = if ingresses <= 30 { 6000.0 } else { 17_500.0 };
-        for (which, recovery) in recoveries(&Fleet::sound(ingresses, call_ms, Outage::Refused)) {
-            assert!(recovery.last_reached() <= reached, "{which}: {recovery:?}");
-            is_not_overloaded(&which, f64::from(ingresses) * call_ms, &recovery);
+        for (case, recovery) in recoveries(&Fleet::with_correct_settings(
+            ingresses,
+            call_ms,
+            Outage::Refused,
+        )) {
+            assert!(recovery.last_reached() <= reached, "{case}: {recovery:?}");
+            is_not_overloaded(&case, f64::from(ingresses) * call_ms, &recovery);
         }
     }
 }
 
-/// Discovery comes back and rejects calls that have stood in its queue for 2 s, after it has worked on them. With calls
-/// slower than assumed it must still not stay overloaded.
+/// Discovery recovers and rejects calls that have waited in its queue for 2 s, after it has worked
+/// on them. Even with calls slower than assumed it must not stay overloaded.
 #[test]
-fn time_slots_bear_a_discovery_that_rejects_what_has_waited_for_2_s() {
-    // At the assumed price none waits so long.
+fn time_slots_tolerate_a_discovery_that_rejects_after_2_s() {
+    // With calls of the assumed duration, no call waits that long.
     let fleet = |ingresses, call_ms| Fleet {
         rejects_after_ms: 2000.0,
-        ..Fleet::sound(ingresses, call_ms, Outage::Refused)
+        ..Fleet::with_correct_settings(ingresses, call_ms, Outage::Refused)
     };
     for (ingresses, call_ms) in [
         (11, 200.0),
@@ -416,31 +432,31 @@
         (75, 200.0),
         (300, 40.0),
     ] {
-        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+        for (case, recovery) in recoveries(&fleet(ingresses, call_ms)) {
             let bound = one_call_of_each(ingresses, call_ms) + call_ms;
-            assert!(recovery.last_answered() <= bound, "{which}: {recovery:?}");
+            assert!(recovery.last_answered() <= bound, "{case}: {recovery:?}");
         }
     }
     for (ingresses, call_ms) in [(11, 300.0), (20, 300.0), (30, 250.0), (30, 300.0)] {
-        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
-            is_not_overloaded(&which, f64::from(ingresses) * call_ms, &recovery);
+        for (case, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+            is_not_overloaded(&case, f64::from(ingresses) * call_ms, &recovery);
         }
     }
     for (ingresses, call_ms) in [(11, 400.0), (30, 400.0), (48, 300.0)] {
-        for (which, recovery) in recoveries(&fleet(ingresses, call_ms)) {
-            let work = f64::from(ingresses) * call_ms;
+        for (case, recovery) in recoveries(&fleet(ingresses, call_ms)) {
+            let work_ms = f64::from(ingresses) * call_ms;
             assert!(
-                recovery.last_answered() < 4.0 * work + 2000.0,
-                "{which}: {recovery:?}"
+                recovery.last_answered() < 4.0 * work_ms + 2000.0,
+                "{case}: {recovery:?}"
             );
         }
     }
 }
 
-/// Discovery rejects call after call late. It must be left a round in which its queue empties, and the ingress must not
-/// be without a list for longer than 15 s a pause.
+/// Discovery rejects call after call late. Each ingress must skip a round in which the queue
+/// drains, and no pause may exceed 15 s without a list.
 #[test]
-fn an_overloaded_discovery_is_left_a_round_first_and_never_more_than_15_s() {
+fn overloaded_discovery_gets_a_free_round_and_pauses_stay_within_15_s() {
     for ingresses in [11, 30, 48, 100, 300] {
         for position in [0, ingresses / 3, ingresses - 1] {
             let schedule = PollSchedule::new(true, ingresses, position);
@@ -451,7 +467,7 @@
                 for now in (0..150).map(|i| 1e12 + 777.0 * f64::from(i)) {
                     let pause = schedule.retry_at(now, failures, 0.5) - now;
                     assert!(pause <= 15_000.0, "{ingresses}, {failures:?}: {pause} ms");
-                    // A round, and the two in which half of the fleet has its turns each.
+                    // One skipped round, and two rounds in each of which half of the fleet polls.
                     if failures.late_rejections == 1 && 3.0 * slots.round_ms <= 15_000.0 {
                         assert!(
                             pause >= slots.round_ms,
@@ -463,34 +479,35 @@
         }
     }
     let schedule = schedule_of(true, 30);
-    for refused_after in [None, Some(5.0)] {
+    for rejected_after in [None, Some(5.0)] {
         let mut failures = Failures::default();
         failures.add(Some(2000.0));
-        failures.add(refused_after);
+        failures.add(rejected_after);
         let pause = schedule.retry_at(1e12, failures, 0.5) - 1e12;
         assert!(
             pause <= longest_pause(&schedule),
-            "what is away at once is called in the next turn: {pause} ms"
+            "after an immediate failure, the retry is in the next slot: {pause} ms"
         );
     }
 }
 
-/// Discovery comes back, and each answer is followed by a watch that costs it as much as a call.
+/// Discovery recovers, and each answer is followed by a watch that costs discovery as much as a
+/// call.
 #[test]
-fn time_slots_bear_watches_that_cost_a_call_behind_each_answer() {
+fn time_slots_tolerate_watches_that_cost_as_much_as_calls() {
     for ingresses in [11, 30, 48] {
         let fleet = Fleet {
             watches_cost: true,
-            ..Fleet::sound(ingresses, ASSUMED_CALL_MS, Outage::Refused)
+            ..Fleet::with_correct_settings(ingresses, ASSUMED_CALL_MS, Outage::Refused)
         };
-        for (which, recovery) in recoveries(&fleet) {
-            is_not_overloaded(&which, 2.0 * work(ingresses), &recovery);
+        for (case, recovery) in recoveries(&fleet) {
+            is_not_overloaded(&case, 2.0 * work_ms(ingresses), &recovery);
         }
     }
 }
 
 #[test]
-fn time_slots_are_a_round_apart_and_have_their_places_in_it() {
+fn time_slots_are_a_round_apart_and_evenly_spaced() {
     let next = |position, now| {
         PollSchedule::new(true, 30, position)
             .time_slots()
@@ -501,20 +518,20 @@
     assert_eq!(
         next(0, round),
         2.0 * round,
-        "a turn is over once it has come"
+        "the slot at the current time is not the next one"
     );
     for position in 0..30 {
         let first = next(position, round - 0.5);
-        let place = f64::from(position) * round / 30.0;
-        assert!((first - round - place).abs() < 1e-6, "{position}: {first}");
+        let offset = f64::from(position) * round / 30.0;
+        assert!((first - round - offset).abs() < 1e-6, "{position}: {first}");
     }
 }
 
-/// Watches end without a change and are opened anew by all ingresses: discovery must have time left for those that have
-/// no list.
+/// Watches of all ingresses end without a change and are reopened. Discovery must have time left
+/// for ingresses that have no list.
 #[test]
-fn watches_opened_anew_leave_discovery_time_for_others() {
-    for (ingresses, each_ms) in [
+fn reopened_watches_leave_discovery_time_for_other_ingresses() {
+    for (ingresses, call_ms) in [
         (2, 20.0),
         (10, 100.0),
         (30, 200.0),
@@ -522,10 +539,10 @@
         (100, 100.0),
         (300, 40.0),
     ] {
-        let part = f64::from(ingresses) * each_ms / schedule_of(true, ingresses).watch_ms;
+        let share = f64::from(ingresses) * call_ms / schedule_of(true, ingresses).watch_ms;
         assert!(
-            part <= 0.65,
-            "{ingresses} ingresses take {part} of its time"
+            share <= 0.65,
+            "{ingresses} ingresses take {share} of its time"
         );
     }
 }
--- a/src/discovery/poll_schedule/tests/fleet.rs
+++ b/src/discovery/poll_schedule/tests/fleet.rs
@@ -1,54 +1,56 @@
-//! A fleet of ingresses that have lost a discovery of fixed capacity, simulated with seeded random numbers.
+//! Simulation of a fleet that has lost a discovery of fixed capacity, with seeded random numbers.
 
 use crate::discovery::poll_schedule::{Failures, PollSchedule, RetrySchedule};
 
 /// Unix time at which a simulation begins, ms.
 const START_MS: f64 = 1.7e12;
-/// Discovery is away for this and up to as long again, ms.
+/// Shortest outage of discovery, ms; the longest is twice this.
 const OUTAGE_MS: f64 = 20_000.0;
-/// An ingress that has no answer by then is taken never to get one, ms after discovery's return.
+/// End of a simulation, ms after discovery's recovery; an ingress without an answer by then never
+/// gets one.
 const END_MS: f64 = 300_000.0;
 
-/// What becomes of a call while discovery is away.
+/// The result of a call during the outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outage {
-    /// It fails at once.
+    /// The call fails at once.
     Refused,
-    /// It is not answered.
+    /// The call is not answered.
     Silent,
 }
 
-/// What one ingress is configured with.
+/// Fleet size and position in the settings of one ingress.
 #[derive(Clone, Copy, Debug)]
-pub struct Configured {
+pub struct IngressSettings {
     pub ingresses: u32,
     pub position: u32,
 }
 
-/// A fleet, and the discovery that comes back to it.
+/// A fleet, and the discovery that recovers.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// One for each ingress that runs.
-    pub ingresses: Vec<Configured>,
-    /// Discovery takes so long for a call, one after the other, also for those that have been given up, ms.
+    /// One element for each running ingress.
+    pub ingresses: Vec<IngressSettings>,
+    /// Time that discovery needs for a call, ms; it serves one call at a time, including abandoned
+    /// ones.
     pub call_ms: f64,
     pub outage: Outage,
-    /// Clocks are off by up to this, ms.
+    /// Largest clock error of an ingress, ms.
     pub clock_error_ms: f64,
-    /// The watch that an ingress opens behind its answer costs discovery another call.
+    /// Whether the watch that an ingress opens after its answer costs discovery another call.
     pub watches_cost: bool,
-    /// Discovery rejects calls that have waited so long, ms, and works on them all the same.
+    /// Discovery rejects calls that have waited this long, ms, and still works on them.
     pub rejects_after_ms: f64,
 }
 
-/// What came of it, for each ingress, ms after discovery could be reached.
+/// Results of a simulation; times are in ms after discovery's recovery, one for each ingress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovery {
-    /// Its first call that reached discovery.
+    /// The first call that reached discovery.
     pub reached: Vec<f64>,
-    /// Its first answer.
+    /// The first answer.
     pub answered: Vec<f64>,
-    /// Calls that reached discovery.
+    /// Number of calls that reached discovery.
     pub calls: usize,
 }
 
@@ -62,58 +64,63 @@
     }
 }
 
-/// An ingress of the simulation.
+/// A simulated ingress.
 struct Ingress {
     schedule: PollSchedule,
-    /// Its clock is ahead by this, ms.
+    /// How far its clock is ahead, ms.
     clock_error: f64,
     failures: Failures,
-    /// Its next call, in true time; none behind its answer.
+    /// Time of its next call by the true clock; none after its answer.
     due: Option<f64>,
 }
 
 /// How a call failed, and when.
-enum End {
-    /// No connection came up.
+enum CallFailure {
+    /// The connect failed.
     Refused(f64),
-    /// Discovery answered with a status.
+    /// Discovery answered with an error status.
     Rejected(f64),
-    GivenUp(f64),
+    Abandoned(f64),
 }
 
 impl Ingress {
-    /// Sets the time of the call behind one that was made at `began` and failed.
-    fn call_again(&mut self, began: f64, end: End, random: f64) {
-        let again = match end {
-            End::Refused(at) => {
+    /// Schedules the retry of a call that was made at `began` and failed.
+    fn schedule_retry(&mut self, began: f64, failure: CallFailure, random: f64) {
+        let next_call_at = match failure {
+            CallFailure::Refused(at) => {
                 self.failures.add(None);
                 self.schedule
                     .retry_at(at + self.clock_error, self.failures, random)
             }
-            End::Rejected(at) => {
+            CallFailure::Rejected(at) => {
                 self.failures.add(Some(at - began));
                 self.schedule
                     .retry_at(at + self.clock_error, self.failures, random)
             }
-            End::GivenUp(at) => {
+            CallFailure::Abandoned(at) => {
                 self.failures.add(None);
-                after_given_up(&self.schedule, at + self.clock_error, self.failures, random)
+                retry_of_abandoned_at(&self.schedule, at + self.clock_error, self.failures, random)
             }
         };
-        self.due = Some(again - self.clock_error);
+        self.due = Some(next_call_at - self.clock_error);
     }
 }
 
-/// When a call made at `now` is given up, by the caller's clock.
-pub fn given_up(schedule: &PollSchedule, now: f64) -> f64 {
+/// When a call made at `now` is abandoned, by the caller's clock.
+pub fn abandoned_at(schedule: &PollSchedule, now: f64) -> f64 {
     match schedule.time_slots() {
         Some(slots) => slots.next_slot_at(now + schedule.answer_timeout_ms),
         None => now + schedule.answer_timeout_ms,
     }
 }
 
-/// When the call behind one that was given up is made, by the caller's clock.
-pub fn after_given_up(schedule: &PollSchedule, now: f64, failures: Failures, random: f64) -> f64 {
+/// When the call after an abandoned one is made, by the caller's clock.
+pub fn retry_of_abandoned_at(
+    schedule: &PollSchedule,
+    now: f64,
+    failures: Failures,
+    random: f64,
+) -> f64 {
     match schedule.retry {
         RetrySchedule::TimeSlots(_) => now,
         RetrySchedule::Backoff { .. } => schedule.retry_at(now, failures, random),
@@ -121,10 +128,10 @@
 }
 
 impl Fleet {
-    /// A fleet that is configured as it is, with good clocks.
-    pub fn sound(ingresses: u32, call_ms: f64, outage: Outage) -> Fleet {
+    /// A fleet with correct settings and exact clocks.
+    pub fn with_correct_settings(ingresses: u32, call_ms: f64, outage: Outage) -> Fleet {
         let ingresses = (0..ingresses)
-            .map(|position| Configured {
+            .map(|position| IngressSettings {
                 ingresses,
                 position,
             })
@@ -139,20 +146,20 @@
         }
     }
 
-    /// Discovery's return, at a random time.
+    /// Simulates a recovery of discovery at a random time.
     pub fn recover(&self, seed: u64) -> Recovery {
         let mut random = oorandom::Rand64::new(u128::from(seed));
-        let back = START_MS + OUTAGE_MS * (1.0 + random.rand_float());
+        let recovered_at = START_MS + OUTAGE_MS * (1.0 + random.rand_float());
         let count = self.ingresses.len();
         let mut ingresses: Vec<Ingress> = Vec::new();
         for configured in &self.ingresses {
             let schedule = PollSchedule::new(true, configured.ingresses, configured.position);
             let clock_error = self.clock_error_ms * (2.0 * random.rand_float() - 1.0);
-            let lost = START_MS + OUTAGE_MS / 4.0 * random.rand_float();
+            let failed_at = START_MS + OUTAGE_MS / 4.0 * random.rand_float();
             let mut failures = Failures::default();
             failures.add(None);
-            let due =
-                schedule.retry_at(lost + clock_error, failures, random.rand_float()) - clock_error;
+            let due = schedule.retry_at(failed_at + clock_error, failures, random.rand_float())
+                - clock_error;
             ingresses.push(Ingress {
                 schedule,
                 clock_error,
@@ -162,7 +169,7 @@
         }
         let mut reached = vec![f64::INFINITY; count];
         let mut answered = vec![f64::INFINITY; count];
-        let (mut free, mut calls) = (back, 0);
+        let (mut free_at, mut calls) = (recovered_at, 0);
         loop {
             let due = ingresses
                 .iter()
@@ -171,33 +178,33 @@
             let Some((i, now)) = due.min_by(|a, b| a.1.total_cmp(&b.1)) else {
                 break;
             };
-            if now > back + END_MS {
+            if now > recovered_at + END_MS {
                 break;
             }
             let ingress = &mut ingresses[i];
-            let given_up =
-                given_up(&ingress.schedule, now + ingress.clock_error) - ingress.clock_error;
+            let abandoned_at =
+                abandoned_at(&ingress.schedule, now + ingress.clock_error) - ingress.clock_error;
             let rejected = now + self.rejects_after_ms;
-            let away = now < back;
-            if !away {
+            let unavailable = now < recovered_at;
+            if !unavailable {
                 calls += 1;
-                free = free.max(now) + self.call_ms;
-                reached[i] = reached[i].min(now - back);
-                if free <= given_up.min(rejected) {
-                    answered[i] = free - back;
+                free_at = free_at.max(now) + self.call_ms;
+                reached[i] = reached[i].min(now - recovered_at);
+                if free_at <= abandoned_at.min(rejected) {
+                    answered[i] = free_at - recovered_at;
                     ingress.due = None;
                     if self.watches_cost {
-                        free += self.call_ms;
+                        free_at += self.call_ms;
                     }
                     continue;
                 }
             }
-            let end = match self.outage {
-                Outage::Refused if away => End::Refused(now),
-                _ if !away && rejected < given_up => End::Rejected(rejected),
-                _ => End::GivenUp(given_up),
+            let failure = match self.outage {
+                Outage::Refused if unavailable => CallFailure::Refused(now),
+                _ if !unavailable && rejected < abandoned_at => CallFailure::Rejected(rejected),
+                _ => CallFailure::Abandoned(abandoned_at),
             };
-            ingress.call_again(now, end, random.rand_float());
+            ingress.schedule_retry(now, failure, random.rand_float());
         }
         Recovery {
             reached,
--- a/src/discovery/poller.rs
+++ b/src/discovery/poller.rs
@@ -1,5 +1,6 @@
-//! Polls of the discovery agent: one HTTP call after the other on a connection that is kept. It owns the connection,
-//! the form of the requests and their time-outs. It must never use a connection again on which a call has failed.
+//! Polls the discovery agent: one HTTP call at a time on a persistent connection. It owns the
+//! connection, the request format and the time-outs, and never reuses a connection after a failed
+//! call.
 
 use super::poll_schedule::PollSchedule;
 use crate::buffer::ring_buffer::{RingBuffer, RingBufferFull};
@@ -11,17 +12,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
-/// Longest answer, bytes. Bounds what an agent that has gone wrong can make this process hold.
+/// Longest answer, bytes. Bounds the memory that a faulty agent can make this process use.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// The wait that a poll asks for which is to be answered at once, ms.
+/// Wait parameter of a poll that is to be answered at once, ms.
 const IMMEDIATE_WAIT_MS: f64 = 1.0;
 
-/// A poll that brought no answer.
+/// A poll without an answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("no connection")]
+    #[error("no connection within the time limit")]
     ConnectTimeout,
-    #[error("no answer")]
+    #[error("no answer within the time limit")]
     AnswerTimeout,
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -31,14 +32,14 @@
     AnswerTooLong(#[from] RingBufferFull),
 }
 
-/// What a poll asks for.
+/// What a poll requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum PollRequest {
-    /// The whole list, at once.
+    /// The full list, answered at once.
     FullList,
-    /// What came after this version, at once.
+    /// The changes after this version, answered at once.
     Changes { version: u64 },
-    /// What came after this version, as soon as there is something.
+    /// The changes after this version, answered as soon as there are any.
     Watch { version: u64 },
 }
 
@@ -47,7 +48,7 @@
         matches!(self, PollRequest::Watch { .. })
     }
 
-    /// How long the agent may wait before it answers, ms.
+    /// How long the agent may hold the call before it answers, ms.
     fn wait_ms(self, schedule: &PollSchedule) -> f64 {
         match self {
             PollRequest::FullList => 0.0,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// How long the answer may take once there is a connection.
+    /// Time limit of the answer on an established connection.
     fn answer_timeout(self, schedule: &PollSchedule) -> Duration {
         let beyond_wait_ms = if self.is_watch() {
             schedule.watch_grace_ms
@@ -102,10 +103,10 @@
         self.connection = None;
     }
 
-    /// One poll, with the time-outs of the schedule.
+    /// Makes one poll, with the time-outs of the schedule.
     ///
     /// # Errors
-    /// No connection, no answer in time, or one that is none.
+    /// The connect failed, no answer came in time, or the answer is malformed.
     pub async fn poll(&mut self, request: PollRequest) -> Result<HttpAnswer, PollError> {
         let answer_timeout = request.answer_timeout(&self.schedule);
         self.connect().await?;
@@ -114,7 +115,7 @@
             .unwrap_or(Err(PollError::AnswerTimeout))
     }
 
-    /// One poll that is given up when the clock shows `deadline`, ms, and no earlier.
+    /// Makes one poll that is abandoned when the clock shows `deadline`, ms, and not earlier.
     ///
     /// # Errors
     /// As for [`Poller::poll`].
@@ -149,7 +150,8 @@
         Ok(())
     }
 
-    /// Sends a request and reads its answer; the connection is kept only behind an answer that leaves it open.
+    /// Sends a request and reads its answer. The connection is kept only if the answer leaves it
+    /// open.
     async fn exchange(&mut self, request: PollRequest) -> Result<HttpAnswer, PollError> {
         let mut connection = self.connection.take().ok_or(PollError::ConnectTimeout)?;
         let path = request.path(&self.schedule);
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// The next answer, read to its end.
+    /// Reads the next complete answer.
     async fn read_answer(&mut self) -> Result<HttpAnswer, PollError> {
         loop {
             if let Parsed::Complete(answer, length) = http_answer(self.input.contiguous())? {
@@ -199,7 +201,8 @@
         }
     }
 
-    /// An answer without a length ends with the connection; a reset is no such end.
+    /// Reads an answer without a length, which ends when the agent closes the connection; a reset
+    /// does not end it.
     fn answer_at_end(&mut self) -> Result<HttpAnswer, PollError> {
         match http_answer_at_end(self.input.contiguous()) {
             Ok(Parsed::Complete(answer, _)) => Ok(answer),
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -1,6 +1,6 @@
-//! The endpoint registry: which endpoints there are and where they listen. It owns their ids, and applies lists in
-//! discovery's form, which `endpoint_list` reads. It must never drop the last list for one that makes no sense, do
-//! any I/O, or decide who gets a request.
+//! The endpoint registry: known endpoints and their addresses. It assigns endpoint ids and applies
+//! lists that `endpoint_list` has parsed. It keeps the last list when a new one is invalid, does no
+//! I/O, and does not select endpoints for requests.
 
 use crate::decision::driver::EndpointId;
 use crate::decision::{EndpointEntry, EndpointState, ListKind, ALL_ENDPOINTS};
@@ -11,7 +11,7 @@
 
 pub use crate::discovery::endpoint_list::InvalidEndpointList;
 
-/// The protocol that an endpoint speaks.
+/// The protocol of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointProtocol {
     /// The platform's RESP2.
@@ -22,7 +22,7 @@
 }
 
 impl EndpointProtocol {
-    /// Its name, as lists of endpoints write it.
+    /// The protocol's name in endpoint lists.
     pub fn name(self) -> &'static str {
         match self {
             EndpointProtocol::Resp => "resp",
@@ -31,27 +31,27 @@
     }
 }
 
-/// Where an endpoint is.
+/// Address, protocol and labels of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, for the log.
+    /// The endpoint's name, for the log.
     pub name: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// Its protocol.
+    /// The protocol that it accepts.
     pub protocol: EndpointProtocol,
-    /// What else is kept of it, for pools.
+    /// Label names and values, matched by the pools of rules.
     pub labels: Vec<(String, String)>,
 }
 
-/// What an applied list changes.
+/// The result of applying a list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryUpdate {
-    /// A full list or what changed.
+    /// Whether the list is full or a delta.
     pub kind: ListKind,
     /// The list's version.
     pub version: u64,
-    /// Its entries, and those of the inventory where a full list does not name them.
+    /// The list's entries; for a full list, also the inventory entries that it does not name.
     pub entries: Vec<EndpointEntry>,
 }
 
@@ -60,15 +60,15 @@
 pub struct EndpointRegistry {
     zones: Vec<String>,
     ids: HashMap<String, EndpointId>,
-    /// The id given last.
+    /// The id that was assigned last.
     last_id: EndpointId,
     endpoints: HashMap<EndpointId, Endpoint>,
-    /// What the operator's inventory names, which discovery knows nothing of.
+    /// The entries of the operator's inventory; discovery does not list them.
     inventory: Vec<EndpointEntry>,
 }
 
 impl EndpointRegistry {
-    /// An empty registry; zones are numbered as the settings list them.
+    /// An empty registry; zones are numbered in the order of the settings.
     pub fn new(zones: Vec<String>) -> EndpointRegistry {
         EndpointRegistry {
             zones,
@@ -76,12 +76,13 @@
         }
     }
 
-    /// Where an endpoint is, if that is known.
+    /// An endpoint's address and protocol, if known.
     pub fn endpoint(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// The id of the endpoint of this name: the same until it is removed. No id is given twice.
+    /// The id of the endpoint with this name; assigns one on first use. The id stays the same until
+    /// the endpoint is removed, and ids are never reused.
     pub fn id_for(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -91,42 +92,42 @@
         self.last_id
     }
 
-    /// Drops what is known of endpoints that are gone, unless the inventory names them. Guards memory: through a long
-    /// day new ones come under new names without end.
+    /// Removes endpoints that are gone, unless the inventory names them. Bounds memory: endpoints
+    /// come under new names all day.
     pub fn remove(&mut self, is_gone: impl Fn(EndpointId) -> bool) {
-        let mut gone: HashSet<EndpointId> = self
+        let mut removed_ids: HashSet<EndpointId> = self
             .ids
             .values()
             .copied()
             .filter(|id| is_gone(*id))
             .collect();
-        if gone.is_empty() {
+        if removed_ids.is_empty() {
             return;
         }
-        // One pass over the inventory for all of them: a search for each would take the square of their number.
+        // One pass over the inventory for all endpoints: a search for each would be quadratic.
         for entry in &self.inventory {
-            gone.remove(&entry.id);
+            removed_ids.remove(&entry.id);
         }
-        self.ids.retain(|_, id| !gone.contains(id));
-        self.endpoints.retain(|id, _| !gone.contains(id));
+        self.ids.retain(|_, id| !removed_ids.contains(id));
+        self.endpoints.retain(|id, _| !removed_ids.contains(id));
     }
 
-    /// How many endpoints are known by name.
+    /// Number of endpoints known by name.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether none is known.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
 
-    /// Sets where an endpoint is.
+    /// Sets an endpoint's address and protocol.
     pub fn set_endpoint(&mut self, id: EndpointId, endpoint: Endpoint) {
         self.endpoints.insert(id, endpoint);
     }
 
-    /// A zone's number by its name; one beyond the last for a name that the settings lack.
+    /// The number of a zone by its name; one past the last for a name that is not in the settings.
     pub fn zone(&self, name: &str) -> u32 {
         self.zones
             .iter()
@@ -139,15 +140,16 @@
         &self.zones
     }
 
-    /// Sets what the inventory names.
+    /// Replaces the entries of the inventory.
     pub fn set_inventory(&mut self, entries: &[EndpointEntry]) {
         self.inventory = entries.to_vec();
     }
 
-    /// Applies a list in discovery's form. One bad entry is left out and named in the log; the others count.
+    /// Applies a list in discovery's format. An invalid entry is skipped and logged; the others are
+    /// applied.
     ///
     /// # Errors
-    /// It is no list at all; nothing was applied.
+    /// The value is not an endpoint list; nothing was applied.
     pub fn apply_list(&mut self, value: &Value) -> Result<RegistryUpdate, InvalidEndpointList> {
         let list = EndpointList::read(value)?;
         let mut entries = Vec::with_capacity(list.servers.len());
@@ -157,7 +159,7 @@
                 Err(InvalidField(field)) => tracing::warn!(
                     entry = i,
                     field,
-                    "discovery: makes no sense, entry left out"
+                    "discovery list: a field is missing or invalid; entry skipped"
                 ),
             }
         }
@@ -171,7 +173,8 @@
         })
     }
 
-    /// Guards what the operator's inventory names: discovery knows nothing of it, and a full list would end it.
+    /// Adds the inventory entries that a full list does not name; without them the full list would
+    /// remove those endpoints.
     fn add_unnamed_inventory(&self, entries: &mut Vec<EndpointEntry>) {
         let named: HashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         let inventory = self.inventory.iter();
@@ -179,7 +182,8 @@
         entries.extend(unnamed.cloned());
     }
 
-    /// Keeps where a listed endpoint is; none: it is gone and was never known.
+    /// Stores the address of a listed endpoint. Returns `None` for an unknown endpoint that is
+    /// already gone.
     fn apply_entry(
         &mut self,
         listed: ListedEndpoint,
@@ -198,7 +202,7 @@
                 };
                 self.set_endpoint(id, endpoint);
             }
-            // Its id stays its own for when an address comes.
+            // The id stays assigned: a later list may supply the address.
             None if listed.state == EndpointState::Ready => return Err(InvalidField("addr")),
             None => {}
         }
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Discovery sends a list with entries that make no sense, or something that is no list. What can be used must be used,
-/// and nothing of what is no list.
+/// Discovery sends a list with invalid entries, or a value that is not a list. Valid entries must
+/// be applied; a value that is not a list must be rejected.
 #[test]
-fn one_bad_entry_is_left_out_and_a_bad_list_takes_nothing() {
+fn invalid_entry_is_skipped_and_invalid_list_is_rejected() {
     let mut registry = EndpointRegistry::new(vec!["a".into(), "b".into()]);
     let list = serde_json::json!({"version": 41, "full": true, "servers": [
         {"id": "s-1", "addr": "127.0.0.1:1", "zone": "b", "cell": 3, "state": "active", "weight": 1.5,
@@ -13,7 +13,7 @@
         {"addr": "127.0.0.1:4", "state": "active"}
     ]});
     let update = registry.apply_list(&list).unwrap();
-    let want = EndpointEntry {
+    let expected = EndpointEntry {
         id: 1,
         zone: 1,
         cell: 3,
@@ -24,7 +24,7 @@
     };
     assert_eq!(
         (update.kind, update.version, update.entries),
-        (ListKind::Full, 41, vec![want])
+        (ListKind::Full, 41, vec![expected])
     );
     for bad in [
         serde_json::json!([]),
@@ -35,12 +35,12 @@
     }
 }
 
-/// Through a long day endpoints come under new names and leave. What is known of those that left must not add up, and
-/// a late answer of one must not be taken for another's.
+/// Endpoints come and go under new names all day. The registry must not grow, and ids must not be
+/// reused: a late answer of a removed endpoint would be taken for another's.
 #[test]
-fn what_has_left_is_forgotten_and_its_id_is_not_given_again() {
+fn removed_endpoints_are_dropped_and_ids_never_reused() {
     let mut registry = EndpointRegistry::new(vec![]);
-    let mut numbers = HashSet::new();
+    let mut assigned_ids = HashSet::new();
     for i in 0..1000 {
         let server = |id: String, state: &str| serde_json::json!({"id": id, "addr": "127.0.0.1:1", "state": state});
         let servers = [
@@ -56,19 +56,19 @@
             .filter(|e| e.state == EndpointState::Gone)
             .map(|e| e.id)
             .collect();
-        assert!(numbers.insert(update.entries[0].id) && gone.len() == usize::from(i > 0));
+        assert!(assigned_ids.insert(update.entries[0].id) && gone.len() == usize::from(i > 0));
         registry.remove(|id| gone.contains(&id));
     }
     assert_eq!((registry.len(), registry.endpoints.len()), (1, 1));
 }
 
-/// Discovery sends a full list, which names nothing of the operator's inventory. What the inventory names must go on
-/// serving.
+/// A full list of discovery does not name the endpoints of the operator's inventory. They must stay
+/// in service.
 #[test]
-fn a_full_list_of_discoverys_does_not_end_what_the_inventory_names() {
+fn full_discovery_list_keeps_inventory_endpoints() {
     let mut registry = EndpointRegistry::new(vec![]);
     let id = registry.id_for("mine");
-    let mine = EndpointEntry {
+    let inventory_entry = EndpointEntry {
         id,
         zone: 0,
         cell: 0,
@@ -77,14 +77,17 @@
         started_at: 0.0,
         pools: ALL_ENDPOINTS,
     };
-    registry.set_inventory(std::slice::from_ref(&mine));
+    registry.set_inventory(std::slice::from_ref(&inventory_entry));
     let empty = serde_json::json!({"version": 1, "full": true, "servers": []});
-    assert_eq!(registry.apply_list(&empty).unwrap().entries, vec![mine]);
+    assert_eq!(
+        registry.apply_list(&empty).unwrap().entries,
+        vec![inventory_entry]
+    );
 }
 
-/// Discovery says that an endpoint has left which the inventory names. Its address and its id must stay.
+/// Discovery reports that an endpoint of the inventory has left. Its address and its id must stay.
 #[test]
-fn what_the_inventory_names_is_kept_whoever_says_that_it_has_left() {
+fn inventory_endpoint_is_kept_when_discovery_reports_it_gone() {
     let mut registry = EndpointRegistry::new(vec![]);
     let endpoint = |name: &str| Endpoint {
         name: name.into(),
@@ -97,7 +100,7 @@
         registry.set_endpoint(id, endpoint(name));
         id
     });
-    let mine = EndpointEntry {
+    let inventory_entry = EndpointEntry {
         id: ids[0],
         zone: 0,
         cell: 0,
@@ -106,7 +109,7 @@
         started_at: 0.0,
         pools: ALL_ENDPOINTS,
     };
-    registry.set_inventory(&[mine]);
+    registry.set_inventory(&[inventory_entry]);
     registry.remove(|id| id != ids[1]);
     assert_eq!(
         ids.map(|id| registry.endpoint(id).is_some()),
@@ -122,6 +125,6 @@
     );
     assert!(
         !ids.contains(&registry.id_for("gone")),
-        "its number is not given again"
+        "an id is not assigned again"
     );
 }
