--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The two files that configure an ingress: `settings` reads the platform's, `operator_file` the operator's;
-//! `settings_description` says in words what the platform's settings mean.
+//! Configuration of an ingress: `settings` parses the platform's file, `operator_file` the
+//! operator's, and `settings_description` explains the platform's settings in words.
 
 pub mod operator_file;
 pub mod settings;
--- a/src/config/operator_file/error.rs
+++ b/src/config/operator_file/error.rs
@@ -1,35 +1,35 @@
-//! Why an operator's file cannot be used.
+//! Errors of reading the operator's file.
 
-/// A file that cannot be used; the text is one line that names the field.
+/// An operator's file that cannot be used; the text is one line that names the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperatorFileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Read(String),
-    /// It is not TOML.
+    /// The file is not valid TOML.
     #[error("line {line}: {problem}")]
     Syntax {
-        /// From 1; 0: the file as a whole.
+        /// Line number from 1; 0 if the error concerns the whole file.
         line: usize,
-        /// What the parser says.
+        /// The parser's message.
         problem: String,
     },
-    /// A field of another type, an unknown one, or one that is missing.
+    /// A field has the wrong type, is unknown, or is missing.
     #[error("{path}: line {line}: {problem}")]
     Field {
-        /// Its path, or that of the table that it is missing in.
+        /// The field's path, or the path of the table that lacks it.
         path: String,
-        /// From 1; 0: the file as a whole.
+        /// Line number from 1; 0 if the error concerns the whole file.
         line: usize,
-        /// What the parser says.
+        /// The parser's message.
         problem: String,
     },
-    /// A value that the field may not have.
+    /// A value outside of the field's range.
     #[error("{field}: {problem}")]
     Value {
-        /// Its path.
+        /// The field's path.
         field: String,
-        /// What it may have.
+        /// The values that the field accepts.
         problem: String,
     },
 }
--- a/src/config/operator_file/http2.rs
+++ b/src/config/operator_file/http2.rs
@@ -1,18 +1,18 @@
-//! The settings of the HTTP/2 frontend.
+//! The `http2` section of the operator's file.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Open streams on one connection, where the file does not say. Each may hold a request half read.
+/// Default limit of open streams on one connection. Each may hold a partly read request.
 const DEFAULT_MAX_STREAMS: u32 = 128;
-/// Connections, where the file does not say. Each takes a descriptor and its windows' memory.
+/// Default limit of connections. Each takes a file descriptor and the memory of its windows.
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// The HTTP/2 frontend.
+/// Settings of the HTTP/2 frontend.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Http2 {
-    /// Where it listens.
+    /// The address it listens on.
     pub listen: SocketAddr,
     /// Most open streams on one connection, 1 to 10,000; 128 by default.
     #[serde(default = "default_max_streams")]
@@ -30,7 +30,7 @@
     DEFAULT_MAX_CONNECTIONS
 }
 
-/// Bounds of the HTTP/2 frontend.
+/// Limits of the HTTP/2 frontend.
 #[derive(Clone, Copy, Debug)]
 pub struct Http2Limits {
     /// Most open streams on one connection.
@@ -40,7 +40,7 @@
 }
 
 impl Http2 {
-    /// The frontend's bounds.
+    /// The limits of streams and connections.
     pub fn limits(&self) -> Http2Limits {
         Http2Limits {
             streams: self.streams,
--- a/src/config/operator_file/mod.rs
+++ b/src/config/operator_file/mod.rs
@@ -1,6 +1,7 @@
-//! The operator's file: what an operator sets up beyond what the platform tells an ingress. It owns the names
-//! of its fields and the one-line message on a wrong one. It must never be needed on the platform, and
-//! never repeat a setting of the platform's.
+//! The operator's file (TOML): settings in addition to the platform's. Each error is one line that
+//! names the field.
+//!
+//! The file is optional, and does not repeat settings of the platform's file.
 
 mod error;
 mod http2;
@@ -15,52 +16,53 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// Streams on a connection, and connections, that a file may allow.
-const HTTP2_BOUND: RangeInclusive<usize> = 1..=10_000;
-/// Shares of a list, as a part of 1.
-const SHARE: RangeInclusive<f64> = 0.0..=1.0;
-/// How long a suspicious list may have to wait, ms: an hour.
-const CONFIRM_AFTER_MS: RangeInclusive<f64> = 0.0..=3.6e6;
-/// Longest text that a script may hold, bytes: 1 MiB.
-const SCRIPT_SIZE: RangeInclusive<usize> = 1..=1 << 20;
+/// Accepted limits of streams on a connection and of connections.
+const HTTP2_RANGE: RangeInclusive<usize> = 1..=10_000;
+/// Accepted shares of a list.
+const SHARE_RANGE: RangeInclusive<f64> = 0.0..=1.0;
+/// Accepted waits for the confirmation of a suspicious list, ms: up to an hour.
+const CONFIRM_AFTER_RANGE_MS: RangeInclusive<f64> = 0.0..=3.6e6;
+/// Accepted sizes of the longest string in a script, bytes: up to 1 MiB.
+const SCRIPT_SIZE_RANGE: RangeInclusive<usize> = 1..=1 << 20;
 
-/// The file.
+/// The content of the operator's file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorFile {
-    /// The HTTP/2 frontend; off where it is absent.
+    /// The HTTP/2 frontend; disabled if absent.
     pub http2: Option<Http2>,
-    /// Endpoints beside those that discovery names.
+    /// Endpoints in addition to those of discovery.
     pub inventory: Option<InventorySettings>,
-    /// The hook before the decision.
+    /// The script that runs before the decision.
     pub plugin: Option<PluginSettings>,
-    /// Rules: in a file of their own, or here.
+    /// Routing rules: in a separate file, or inline.
     pub routes: Option<Routes>,
-    /// The group of ingresses; off where it is absent.
+    /// The group of ingresses; disabled if absent.
     pub group: Option<GroupSettings>,
-    /// The file itself.
+    /// The path of this file.
     #[serde(skip)]
     pub path: PathBuf,
-    /// Where relative paths count from.
+    /// The folder against which relative paths are resolved.
     #[serde(skip)]
     pub folder: PathBuf,
 }
 
-/// Where the rules are. Their form is judged where they are read, with the place of every fault.
+/// The location of the routing rules. The rules are parsed where they are loaded, which reports the
+/// position of each fault.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Routes {
-    /// A file of their own.
+    /// The path of a separate file.
     pub file: Option<PathBuf>,
-    /// What stands here besides.
+    /// Rules in this file.
     #[serde(flatten)]
-    pub here: toml::Table,
+    pub inline: toml::Table,
 }
 
 impl OperatorFile {
-    /// The file's content from its text.
+    /// Parses the file's text.
     ///
     /// # Errors
-    /// The first field that makes no sense.
+    /// The first field that is invalid.
     pub fn parse(text: &str) -> Result<OperatorFile, OperatorFileError> {
         let value =
             toml::Deserializer::parse(text).map_err(|e| OperatorFileError::syntax(&e, text))?;
@@ -77,10 +79,10 @@
         Ok(operator)
     }
 
-    /// Reads the file.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// It cannot be read, or a field makes no sense.
+    /// The file cannot be read, or a field is invalid.
     pub fn read(path: &Path) -> Result<OperatorFile, OperatorFileError> {
         let text =
             std::fs::read_to_string(path).map_err(|e| OperatorFileError::Read(e.to_string()))?;
@@ -96,10 +98,10 @@
 
 fn check_http2(http2: &Http2) -> Result<(), OperatorFileError> {
     let problem = "must be from 1 to 10000";
-    if !HTTP2_BOUND.contains(&(http2.streams as usize)) {
+    if !HTTP2_RANGE.contains(&(http2.streams as usize)) {
         return Err(OperatorFileError::value("http2.streams", problem));
     }
-    if !HTTP2_BOUND.contains(&http2.connections) {
+    if !HTTP2_RANGE.contains(&http2.connections) {
         return Err(OperatorFileError::value("http2.connections", problem));
     }
     Ok(())
@@ -111,11 +113,11 @@
         ("inventory.taken_out", inventory.taken_out),
     ];
     for (field, share) in shares {
-        if !SHARE.contains(&share) {
+        if !SHARE_RANGE.contains(&share) {
             return Err(OperatorFileError::value(field, "must be from 0 to 1"));
         }
     }
-    if !CONFIRM_AFTER_MS.contains(&inventory.confirm_after_ms) {
+    if !CONFIRM_AFTER_RANGE_MS.contains(&inventory.confirm_after_ms) {
         return Err(OperatorFileError::value(
             "inventory.confirm_after_ms",
             "must be from 0 to 3600000",
@@ -125,10 +127,10 @@
 }
 
 fn check_routes(routes: &Routes) -> Result<(), OperatorFileError> {
-    if routes.file.is_some() && !routes.here.is_empty() {
+    if routes.file.is_some() && !routes.inline.is_empty() {
         return Err(OperatorFileError::value(
             "routes.file",
-            "stands beside rules: they are in a file of their own or here",
+            "cannot be combined with inline rules: use either a separate file or inline rules",
         ));
     }
     Ok(())
@@ -147,7 +149,7 @@
             "must be above 0",
         ));
     }
-    if !SCRIPT_SIZE.contains(&plugin.size) {
+    if !SCRIPT_SIZE_RANGE.contains(&plugin.size) {
         return Err(OperatorFileError::value(
             "plugin.size",
             "must be from 1 to 1048576",
--- a/src/config/operator_file/tests.rs
+++ b/src/config/operator_file/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// An operator's file has a field that is misspelt, of the wrong type or beyond its range: the program says in one
-/// line which, and does not start.
+/// A field of the operator's file is misspelt, of the wrong type or out of range. The error must be
+/// one line that names the field, and the program must not start.
 #[test]
-fn what_is_wrong_is_one_line_that_names_the_field() {
+fn invalid_field_is_reported_in_one_line_that_names_it() {
     let cases = [
         ("[http2]\nlisten = 5\n", "http2.listen"),
         ("[http2]\nlisten = \"here\"\n", "http2.listen"),
@@ -43,9 +43,12 @@
         ("[htpp2]\n", "htpp2"),
         ("[http2\n", "line 1"),
     ];
-    for (text, want) in cases {
-        let said = OperatorFile::parse(text).unwrap_err().to_string();
-        assert!(said.contains(want) && said.lines().count() == 1, "{said}");
+    for (text, expected_name) in cases {
+        let error = OperatorFile::parse(text).unwrap_err().to_string();
+        assert!(
+            error.contains(expected_name) && error.lines().count() == 1,
+            "{error}"
+        );
     }
     assert!(
         OperatorFile::parse(include_str!("../../../deploy/http2.toml"))
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -1,4 +1,4 @@
-//! The platform's file (`EDGE_CONFIG`): what the platform gives an ingress at its start and at a reload.
+//! The platform's file (`EDGE_CONFIG`), which is read at the start and at a reload.
 
 use super::json_field::JsonField;
 use super::{ConfigError, Platform};
@@ -7,56 +7,58 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Name of an ingress whose file gives none.
+/// Name of an ingress if the file gives none.
 const DEFAULT_NAME: &str = "ingress";
-/// Seed of random numbers where the file gives none.
+/// Seed of random numbers if the file gives none.
 const DEFAULT_SEED: u64 = 1;
-/// Descriptors where the file says nothing: what the platform gives at most.
+/// Default limit of file descriptors: the most that the platform grants.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Fewer descriptors leave hardly any for clients and endpoints beside the program's own.
-const SOCKETS: RangeInclusive<f64> = 64.0..=1e6;
-/// Memory where the file says nothing, MB: what the platform gives at most.
+/// Accepted limits of file descriptors. Fewer than 64 leave hardly any for clients and endpoints
+/// beside the program's own.
+const SOCKETS_RANGE: RangeInclusive<f64> = 64.0..=1e6;
+/// Default memory, MB: the most that the platform grants.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-const MEMORY_MB: RangeInclusive<f64> = 1.0..=1e9;
+/// Accepted memory limits, MB.
+const MEMORY_MB_RANGE: RangeInclusive<f64> = 1.0..=1e9;
 
-/// Everything that the platform gives an ingress at its start (`EDGE_CONFIG`).
+/// The content of the platform's file (`EDGE_CONFIG`).
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The ingress's name, stable across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// The discovery agent, if there is one.
+    /// The address of the discovery agent, if there is one.
     pub discovery: Option<SocketAddr>,
-    /// The counter, if there is one.
+    /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// Where staff call, if they may.
+    /// The address for calls of staff, if enabled.
     pub operator: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// Most descriptors open at once.
+    /// Limit of open file descriptors.
     pub sockets: usize,
-    /// Memory, MB.
+    /// Memory limit, MB.
     pub memory_mb: f64,
-    /// The last known list of endpoints, in discovery's form; null: there is none.
+    /// The last known endpoint list, in discovery's format; null if there is none.
     pub last_known_endpoints: Value,
-    /// The settings.
+    /// The parsed settings object.
     pub platform: Platform,
 }
 
 impl Config {
-    /// The configuration from its file.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// It cannot be read, or a field is missing or makes no sense.
+    /// The file cannot be read, or a field is missing or invalid.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         Config::parse(&Config::text(path)?)
     }
 
-    /// The text of its file.
+    /// Reads the file's text.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// The file cannot be read.
     pub fn text(path: &Path) -> Result<String, ConfigError> {
         std::fs::read_to_string(path).map_err(|e| ConfigError::Read {
             path: path.display().to_string(),
@@ -64,7 +66,7 @@
         })
     }
 
-    /// The keys in which `new` differs although a running program cannot follow them.
+    /// The keys whose values differ in `new` and can change only with a restart.
     pub fn changes_needing_restart(&self, new: &Config) -> Vec<&'static str> {
         let limits = (self.sockets, self.memory_mb);
         let changed = [
@@ -80,19 +82,19 @@
             .collect()
     }
 
-    /// The configuration from its JSON text.
+    /// Parses the JSON text of the file.
     ///
     /// # Errors
-    /// The field that is missing or makes no sense.
+    /// The field that is missing or invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let value: Value =
             serde_json::from_str(text).map_err(|e| ConfigError::NotJson(e.to_string()))?;
         let root = JsonField::root(&value);
         let seed = seed(&root)?;
         let sockets = limit(&root, "sockets", DEFAULT_SOCKETS)?;
-        in_range("limits.sockets", sockets, SOCKETS, "64 to 1000000")?;
+        in_range("limits.sockets", sockets, SOCKETS_RANGE, "64 to 1000000")?;
         let memory_mb = limit(&root, "memory_mb", DEFAULT_MEMORY_MB)?;
-        in_range("limits.memory_mb", memory_mb, MEMORY_MB, "1 to 1e9")?;
+        in_range("limits.memory_mb", memory_mb, MEMORY_MB_RANGE, "1 to 1e9")?;
         let settings = root.require("settings")?;
         Ok(Config {
             name: root.text_or("name", DEFAULT_NAME)?.to_string(),
@@ -118,9 +120,9 @@
     })
 }
 
-fn limit(root: &JsonField, key: &str, absent: f64) -> Result<f64, ConfigError> {
+fn limit(root: &JsonField, key: &str, default: f64) -> Result<f64, ConfigError> {
     root.get("limits")
-        .map_or(Ok(absent), |limits| limits.number_or(key, absent))
+        .map_or(Ok(default), |limits| limits.number_or(key, default))
 }
 
 fn in_range(
@@ -147,10 +149,10 @@
     address_of(field.path(), field.text()?)
 }
 
-/// An address and port, from a field or a variable of this name.
+/// Parses an address and port; `name` is the field or variable, for the error.
 ///
 /// # Errors
-/// It is none.
+/// The text is not an address and port.
 pub fn address_of(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress {
         field: name.to_string(),
--- a/src/config/settings/decision_settings.rs
+++ b/src/config/settings/decision_settings.rs
@@ -1,42 +1,42 @@
-//! The decision module's part of the settings object: classes, plans, and what holds for all of them. Here the
-//! platform's names are mapped to the terms of `decision::Settings`.
+//! The decision module's part of the settings object: classes, plans and common settings. Maps the
+//! platform's names to the fields of `decision::Settings`.
 
 use super::json_field::JsonField;
 use super::ConfigError;
 use crate::decision::{Class, DeduplicationScope, Idempotency, LoadReportField, Plan, Settings};
 use serde_json::Value;
 
-/// The parts of the settings object that may be absent.
-struct OptionalParts<'a> {
+/// The sections of the settings object that may be absent.
+struct OptionalSections<'a> {
     limits: JsonField<'a>,
     rules: JsonField<'a>,
     family_info: JsonField<'a>,
     report: JsonField<'a>,
 }
 
-impl<'a> OptionalParts<'a> {
-    fn of(root: &JsonField<'a>, empty: &'a Value) -> OptionalParts<'a> {
-        let part = |key: &str| {
+impl<'a> OptionalSections<'a> {
+    fn of(root: &JsonField<'a>, empty: &'a Value) -> OptionalSections<'a> {
+        let section = |key: &str| {
             root.get(key)
-                .unwrap_or_else(|| JsonField::standing_in(empty, key))
+                .unwrap_or_else(|| JsonField::placeholder(empty, key))
         };
-        OptionalParts {
-            limits: part("limits"),
-            rules: part("rules"),
-            family_info: part("family_info"),
-            report: part("report"),
+        OptionalSections {
+            limits: section("limits"),
+            rules: section("rules"),
+            family_info: section("family_info"),
+            report: section("report"),
         }
     }
 }
 
 pub(super) fn decision_settings(root: &JsonField) -> Result<Settings, ConfigError> {
     let empty = Value::Object(serde_json::Map::new());
-    let OptionalParts {
+    let OptionalSections {
         limits,
         rules,
         family_info,
         report,
-    } = OptionalParts::of(root, &empty);
+    } = OptionalSections::of(root, &empty);
     let columns = report
         .get("columns")
         .map_or(Ok(Vec::new()), |columns| columns.items())?;
@@ -44,8 +44,8 @@
         ingresses: root.require("balancers")?.count()?,
         ingress_index: root.count_or("position", 0)?,
         zone: root.count_or("my_zone", 0)?,
-        classes: each(&root.require("request_classes")?, class)?,
-        plans: each(&root.require("plans")?, plan)?,
+        classes: parse_items(&root.require("request_classes")?, class)?,
+        plans: parse_items(&root.require("plans")?, plan)?,
         load_report_fields: columns
             .iter()
             .map(load_report_field)
@@ -69,7 +69,7 @@
     })
 }
 
-fn each<T>(
+fn parse_items<T>(
     list: &JsonField,
     read: impl Fn(&JsonField) -> Result<T, ConfigError>,
 ) -> Result<Vec<T>, ConfigError> {
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used: each error names the field.
+//! Errors of the settings; each names the field.
 
 /// Settings that cannot be used; the text is one line that names the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -6,63 +6,63 @@
     /// The file cannot be read.
     #[error("{path}: {problem}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The system's message.
         problem: String,
     },
     /// The file is not JSON.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The settings object alone is not JSON.
+    /// The settings object on its own is not JSON.
     #[error("settings: not JSON: {0}")]
     SettingsNotJson(String),
-    /// A field that is required.
+    /// A required field is missing.
     #[error("settings: {field} is missing")]
     Missing {
-        /// Its path.
+        /// The field's path.
         field: String,
     },
-    /// A field of another type, or beyond its range.
+    /// A field of the wrong type or out of range.
     #[error("settings: {field} is not {expected}")]
     Unexpected {
-        /// Its path.
+        /// The field's path.
         field: String,
-        /// Its type or its range.
+        /// The expected type or range.
         expected: &'static str,
     },
-    /// A name that is none of those that the field may have.
+    /// A name that the field does not accept.
     #[error("settings: {field}: unknown {kind} {value}")]
     UnknownName {
-        /// Its path.
+        /// The field's path.
         field: String,
-        /// What it names.
+        /// What the field names, for example an effect.
         kind: &'static str,
-        /// What stands there.
+        /// The unknown name.
         value: String,
     },
-    /// A field of the file's own that is beyond its range.
+    /// A field outside of the settings object is out of range.
     #[error("{field}: {value} is not from {range}")]
     OutOfRange {
-        /// Its path.
+        /// The field's path.
         field: &'static str,
-        /// What stands there.
+        /// The value.
         value: String,
-        /// The range.
+        /// The accepted range.
         range: &'static str,
     },
-    /// A text that is no hexadecimal number.
+    /// The text is not a hexadecimal number.
     #[error("{field}: not a hexadecimal number")]
     NotHexadecimal {
-        /// Its path.
+        /// The field's path.
         field: String,
     },
-    /// A text that is no address and port.
+    /// The text is not an address and port.
     #[error("{field}: {value:?} is not an address and port")]
     NotAnAddress {
         /// The field or variable.
         field: String,
-        /// What stands there.
+        /// The text.
         value: String,
     },
 }
--- a/src/config/settings/json_field.rs
+++ b/src/config/settings/json_field.rs
@@ -1,19 +1,19 @@
-//! A value of a JSON object with its path, so that each error names its field.
+//! A JSON value with its path, so that each error names its field.
 
 use super::ConfigError;
 use serde_json::Value;
 
-/// Most of anything that is counted: more is a mistake in the settings.
+/// Upper bound of counts; a larger one is a mistake in the settings.
 const MAX_COUNT: f64 = 1e6;
 
-/// A value and its path from the root, such as `plans[2].rate`.
+/// A value and its path from the root, for example `plans[2].rate`.
 pub(super) struct JsonField<'a> {
     value: &'a Value,
     path: String,
 }
 
 impl<'a> JsonField<'a> {
-    /// An object that paths begin at.
+    /// The object that paths start at.
     pub fn root(value: &'a Value) -> JsonField<'a> {
         JsonField {
             value,
@@ -21,8 +21,8 @@
         }
     }
 
-    /// A field that stands in for one that is absent.
-    pub fn standing_in(value: &'a Value, key: &str) -> JsonField<'a> {
+    /// A placeholder for an absent field.
+    pub fn placeholder(value: &'a Value, key: &str) -> JsonField<'a> {
         JsonField {
             value,
             path: key.to_string(),
@@ -37,7 +37,7 @@
         &self.path
     }
 
-    /// A field of this object, unless it is absent or null.
+    /// A field of this object; `None` if it is absent or null.
     pub fn get(&self, key: &str) -> Option<JsonField<'a>> {
         let value = self.value.get(key).filter(|value| !value.is_null())?;
         Some(JsonField {
@@ -66,7 +66,7 @@
             .ok_or_else(|| self.unexpected("a number"))
     }
 
-    /// A whole number, 0 or more: -1 or 2.5 of something countable is a mistake, not a 0 or a 2.
+    /// A whole number of at least 0. A count of -1 or 2.5 is a mistake and is not rounded.
     pub fn count(&self) -> Result<u32, ConfigError> {
         let number = self.number()?;
         if !(0.0..=MAX_COUNT).contains(&number) || number.fract() != 0.0 {
@@ -76,7 +76,9 @@
     }
 
     pub fn text(&self) -> Result<&'a str, ConfigError> {
-        self.value.as_str().ok_or_else(|| self.unexpected("a text"))
+        self.value
+            .as_str()
+            .ok_or_else(|| self.unexpected("a string"))
     }
 
     pub fn flag(&self) -> Result<bool, ConfigError> {
@@ -97,8 +99,8 @@
         Ok(items.collect())
     }
 
-    /// The texts of a list.
-    pub fn texts(&self) -> Result<Vec<String>, ConfigError> {
+    /// The strings of a list.
+    pub fn strings(&self) -> Result<Vec<String>, ConfigError> {
         let items = self.items()?;
         items
             .iter()
@@ -106,20 +108,20 @@
             .collect()
     }
 
-    pub fn number_or(&self, key: &str, absent: f64) -> Result<f64, ConfigError> {
-        self.get(key).map_or(Ok(absent), |field| field.number())
+    pub fn number_or(&self, key: &str, default: f64) -> Result<f64, ConfigError> {
+        self.get(key).map_or(Ok(default), |field| field.number())
     }
 
-    pub fn count_or(&self, key: &str, absent: u32) -> Result<u32, ConfigError> {
-        self.get(key).map_or(Ok(absent), |field| field.count())
+    pub fn count_or(&self, key: &str, default: u32) -> Result<u32, ConfigError> {
+        self.get(key).map_or(Ok(default), |field| field.count())
     }
 
-    pub fn flag_or(&self, key: &str, absent: bool) -> Result<bool, ConfigError> {
-        self.get(key).map_or(Ok(absent), |field| field.flag())
+    pub fn flag_or(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
+        self.get(key).map_or(Ok(default), |field| field.flag())
     }
 
-    pub fn text_or(&self, key: &str, absent: &'a str) -> Result<&'a str, ConfigError> {
-        self.get(key).map_or(Ok(absent), |field| field.text())
+    pub fn text_or(&self, key: &str, default: &'a str) -> Result<&'a str, ConfigError> {
+        self.get(key).map_or(Ok(default), |field| field.text())
     }
 
     pub fn unexpected(&self, expected: &'static str) -> ConfigError {
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,6 +1,7 @@
-//! The one parser of the settings object: the simulator's first message and the platform's `EDGE_CONFIG`
-//! carry the same one. It owns the names and units of that object and the messages on what is wrong with
-//! it. It must never decide anything, fill in what is required, or read anything but the file it is given.
+//! Parser of the settings object, which the simulator's first message and the platform's file
+//! (`EDGE_CONFIG`) both contain. It defines the names and units of the fields and the errors.
+//!
+//! Required fields have no defaults, and the parser reads only the given file.
 
 mod config_file;
 mod decision_settings;
@@ -16,10 +17,11 @@
 use json_field::JsonField;
 use serde_json::Value;
 
-/// The decision module's settings from the JSON text of the settings object, as the simulator sends it.
+/// Parses the decision module's settings from the JSON text of the settings object, as the
+/// simulator sends it.
 ///
 /// # Errors
-/// The field that is missing or makes no sense.
+/// The field that is missing or invalid.
 pub fn settings(text: &str) -> Result<Settings, ConfigError> {
     let value: Value =
         serde_json::from_str(text).map_err(|e| ConfigError::SettingsNotJson(e.to_string()))?;
--- a/src/config/settings/platform.rs
+++ b/src/config/settings/platform.rs
@@ -1,27 +1,27 @@
-//! What an ingress on sockets needs of the settings object beside the decision module's part.
+//! The settings of an ingress that runs on sockets, beside those of the decision module.
 
 use super::decision_settings::decision_settings;
 use super::json_field::JsonField;
 use super::ConfigError;
 use crate::decision::Settings;
 
-/// An endpoint closes a connection that was idle this long, where the settings do not say, s.
+/// Default idle time after which an endpoint closes a connection, s.
 const DEFAULT_IDLE_CLOSE_S: f64 = 10.0;
-/// A connection that is not up by then has failed, where the settings do not say, s.
+/// Default time limit of a connect, s.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
-/// A counter call without an answer by then has timed out, where the settings do not say, s.
+/// Default time limit of a counter call, s.
 const DEFAULT_COUNTER_TIMEOUT_S: f64 = 0.08;
-/// Longest time-out of a counter call, s: a request waits for it.
+/// Upper bound of the time limit of a counter call, s, since requests wait for it.
 const MAX_COUNTER_TIMEOUT_S: f64 = 60.0;
-/// Most requests in flight, where the settings do not say.
+/// Default limit of requests in flight.
 const DEFAULT_MAX_IN_FLIGHT_REQUESTS: f64 = 20_000.0;
-/// Highest value of a limit: more is a mistake in the settings.
+/// Upper bound of limits; a larger one is a mistake in the settings.
 const MAX_LIMIT: f64 = 1e6;
 
-/// What an ingress on sockets needs of the settings beside the decision module's part. Times in milliseconds.
+/// The settings of an ingress that runs on sockets. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
-    /// The decision module's part.
+    /// The settings of the decision module.
     pub decision: Settings,
     /// Class names, by index.
     pub classes: Vec<String>,
@@ -29,29 +29,29 @@
     pub plans: Vec<String>,
     /// Zone names, by index.
     pub zones: Vec<String>,
-    /// Names in a load report, by column.
+    /// Column names of a load report.
     pub columns: Vec<String>,
-    /// An endpoint closes a connection that was idle this long, ms; 10,000 by default.
+    /// Idle time after which an endpoint closes a connection, ms; 10,000 by default.
     pub endpoint_idle_close_ms: f64,
-    /// A connection that is not up by then has failed, ms; 250 by default.
+    /// Time limit of a connect, ms; 250 by default.
     pub connect_timeout_ms: f64,
-    /// A counter call without an answer by then has timed out, ms; 80 by default.
+    /// Time limit of a counter call, ms; 80 by default.
     pub counter_timeout_ms: f64,
-    /// Most requests in flight at once; 20,000 by default.
+    /// Limit of requests in flight; 20,000 by default.
     pub max_in_flight_requests: usize,
 }
 
 impl Platform {
-    /// The settings object.
+    /// Parses the settings object.
     pub(super) fn read(root: &JsonField) -> Result<Platform, ConfigError> {
         let counter_timeout_s = counter_timeout_s(root)?;
-        let limit = |key: &str, absent: f64| limit(root, key, absent);
+        let limit = |key: &str, default: f64| limit(root, key, default);
         Ok(Platform {
             decision: decision_settings(root)?,
             classes: names(&root.require("request_classes")?)?,
             plans: names(&root.require("plans")?)?,
-            zones: texts(root.get("zones"))?,
-            columns: texts(root.get("report").and_then(|report| report.get("columns")))?,
+            zones: strings(root.get("zones"))?,
+            columns: strings(root.get("report").and_then(|report| report.get("columns")))?,
             endpoint_idle_close_ms: 1e3 * limit("conn_idle", DEFAULT_IDLE_CLOSE_S)?,
             connect_timeout_ms: 1e3 * limit("dial_timeout", DEFAULT_CONNECT_TIMEOUT_S)?,
             counter_timeout_ms: 1e3 * counter_timeout_s,
@@ -75,12 +75,12 @@
     Ok(timeout_s)
 }
 
-/// One of the limits: above 0.
-fn limit(root: &JsonField, key: &str, absent: f64) -> Result<f64, ConfigError> {
+/// A value of the `limits` object, which must be above 0.
+fn limit(root: &JsonField, key: &str, default: f64) -> Result<f64, ConfigError> {
     let Some(limits) = root.get("limits") else {
-        return Ok(absent);
+        return Ok(default);
     };
-    let limit = limits.number_or(key, absent)?;
+    let limit = limits.number_or(key, default)?;
     if !(limit > 0.0 && limit <= MAX_LIMIT) {
         return Err(ConfigError::Unexpected {
             field: format!("limits.{key}"),
@@ -90,7 +90,7 @@
     Ok(limit)
 }
 
-/// The names of a list's items.
+/// The `name` of each item of a list.
 fn names(list: &JsonField) -> Result<Vec<String>, ConfigError> {
     let items = list.items()?;
     items
@@ -99,6 +99,6 @@
         .collect()
 }
 
-fn texts(list: Option<JsonField>) -> Result<Vec<String>, ConfigError> {
-    list.map_or(Ok(Vec::new()), |list| list.texts())
+fn strings(list: Option<JsonField>) -> Result<Vec<String>, ConfigError> {
+    list.map_or(Ok(Vec::new()), |list| list.strings())
 }
--- a/src/config/settings_description/mod.rs
+++ b/src/config/settings_description/mod.rs
@@ -1,6 +1,7 @@
-//! What the settings mean, in words, for operators who bring up a deployment: every key that the platform names, who
-//! reads it or why nobody does, and what follows from the values. It owns that table and the sentences. It must never
-//! judge a value, which is the parser's, nor be needed to serve.
+//! Describes the platform's settings to operators: the use of every key, or why a key is not used,
+//! and the effect of the values.
+//!
+//! It does not validate values, which the parser does, and serving does not depend on it.
 
 mod sentences;
 mod table;
@@ -10,14 +11,14 @@
 
 use serde_json::Value;
 
-/// The paths of the settings that no one here knows: misspelt, or newer than this program.
+/// The paths of settings that this program does not know: misspelt, or newer than this version.
 pub fn unknown(settings: &Value) -> Vec<String> {
-    let mut found = Vec::new();
-    collect_unknown(settings, "", &mut found);
-    found
+    let mut unknown_paths = Vec::new();
+    collect_unknown(settings, "", &mut unknown_paths);
+    unknown_paths
 }
 
-fn collect_unknown(value: &Value, path: &str, found: &mut Vec<String>) {
+fn collect_unknown(value: &Value, path: &str, unknown_paths: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
@@ -27,16 +28,16 @@
                     format!("{path}.{key}")
                 };
                 if has_known_fields(&path) {
-                    collect_unknown(value, &path, found);
-                } else if !is_known(&path) && !found.contains(&path) {
-                    found.push(path);
+                    collect_unknown(value, &path, unknown_paths);
+                } else if !is_known(&path) && !unknown_paths.contains(&path) {
+                    unknown_paths.push(path);
                 }
             }
         }
         Value::Array(items) => {
             let path = format!("{path}[]");
             for item in items {
-                collect_unknown(item, &path, found);
+                collect_unknown(item, &path, unknown_paths);
             }
         }
         _ => {}
@@ -47,7 +48,7 @@
     SETTINGS.iter().any(|setting| setting.key == path)
 }
 
-/// Whether there are settings below this path.
+/// Whether the table has settings below this path.
 fn has_known_fields(path: &str) -> bool {
     SETTINGS.iter().any(|setting| {
         let rest = setting.key.strip_prefix(path);
--- a/src/config/settings_description/sentences.rs
+++ b/src/config/settings_description/sentences.rs
@@ -1,9 +1,9 @@
-//! What follows from the values of the settings, a sentence a line.
+//! Describes the effect of the settings' values, one sentence per line.
 
 use crate::config::settings::Platform;
 use crate::decision::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// What follows from the settings, a sentence a line.
+/// Describes the effect of the settings, one sentence per line.
 pub fn describe(platform: &Platform) -> Vec<String> {
     let settings = &platform.decision;
     let classes = platform.classes.iter().zip(&settings.classes);
@@ -19,61 +19,65 @@
 fn describe_class(name: &str, class: &Class) -> String {
     let scope = match class.deduplication_scope {
         DeduplicationScope::All => "all endpoints",
-        DeduplicationScope::Zone => "those of its zone",
-        DeduplicationScope::Cell => "those of its cell",
+        DeduplicationScope::Zone => "endpoints of the same zone",
+        DeduplicationScope::Cell => "endpoints of the same cell",
     };
-    let repeat = match class.idempotency {
+    let retry_rule = match class.idempotency {
         Idempotency::Safe => "safe to repeat".to_string(),
         Idempotency::Keyed => format!(
-            "repeated by its key to {scope} within {} s, needs k",
+            "retried by its key at {scope} within {} s, requires the term k",
             class.idempotency_window
         ),
-        Idempotency::Unsafe => "never sent again once it may have run".to_string(),
+        Idempotency::Unsafe => "not retried once it may have run".to_string(),
     };
     format!(
-        "class {name}: wanted within {} s, given up after {} s, {repeat}",
+        "class {name}: latency objective {} s, deadline {} s, {retry_rule}",
         class.latency_objective, class.deadline
     )
 }
 
 fn describe_plan(name: &str, plan: &Plan) -> String {
-    let mut parts = Vec::new();
+    let mut limits = Vec::new();
     if plan.rate > 0.0 {
         let (rate, burst) = (plan.rate, plan.burst);
-        parts.push(format!("{rate} units a second, {burst} saved up"));
+        limits.push(format!("{rate} units per second with a burst of {burst}"));
     }
     if plan.max_in_flight > 0 {
-        parts.push(format!("{} attempts at once", plan.max_in_flight));
+        limits.push(format!("{} attempts in flight", plan.max_in_flight));
     }
     if plan.ceiling_rate > 0.0 {
         let (rate, burst) = (plan.ceiling_rate, plan.ceiling_burst);
-        parts.push(format!("never over {rate} a second and {burst}"));
+        limits.push(format!(
+            "ceiling of {rate} units per second with a burst of {burst}"
+        ));
     }
-    let quota = if parts.is_empty() {
+    let quota = if limits.is_empty() {
         "no quota".to_string()
     } else {
-        parts.join(", ")
+        limits.join(", ")
     };
     format!("plan {name}: {quota}")
 }
 
 fn describe_quotas(settings: &Settings, counter_timeout_ms: f64) -> String {
     if !settings.counter {
-        return "quotas: no counter, each ingress has its even share".to_string();
+        return "quotas: no counter, each ingress enforces an even share".to_string();
     }
     let units = if settings.settles_units_later {
-        "guesses, settled by answers"
+        "estimates, settled by answers"
     } else {
-        "what requests say"
+        "those that requests name"
     };
-    format!("quotas: by the counter, given up after {counter_timeout_ms} ms; units are {units}")
+    format!(
+        "quotas: enforced through the counter, time-out {counter_timeout_ms} ms; units are {units}"
+    )
 }
 
 fn describe_attempts(settings: &Settings) -> String {
     let hedging = if settings.hedging {
-        "a hedged request may be out"
+        "a hedged attempt may run in parallel"
     } else {
-        "never two at once"
+        "one at a time"
     };
     let probes = if settings.health_checks_allowed {
         "allowed"
--- a/src/config/settings_description/table.rs
+++ b/src/config/settings_description/table.rs
@@ -1,11 +1,11 @@
-//! Every key of the settings that the platform names, with who reads it, or why nobody does.
+//! The table of all settings keys of the platform: what reads each key, or why it is not used.
 
-/// A setting and what becomes of it.
+/// A settings key and its use.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingDescription {
-    /// Its path, `[]` for each item of a list.
+    /// The key's path, with `[]` for the items of a list.
     pub key: &'static str,
-    /// Who reads it and for what, or why nobody does.
+    /// What reads the key and for which purpose, or why nothing does.
     pub reader: &'static str,
 }
 
@@ -13,7 +13,7 @@
     SettingDescription { key, reader }
 }
 
-/// All settings, by key; `docs/deployments.md` has the same table.
+/// All settings in the order of their keys; `docs/deployments.md` contains the same table.
 pub const SETTINGS: &[SettingDescription] = &[
     setting(
         "balancers",
