--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls to a running ingress, as staff make them.
+//! Client for calls of staff to a running ingress.
 
 use super::environment::{admin_address, EnvironmentError};
 use crate::config::settings::Config;
@@ -6,43 +6,44 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A running ingress accepts a call within this.
+/// Time limit of the connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A call that waits for the group is answered within this, one way or the other.
+/// Time limit of the answer; calls that wait for the group are answered, with success or failure,
+/// within it.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The environment names no usable address.
+    /// The environment contains no usable address.
     #[error("{0}")]
     Environment(#[from] EnvironmentError),
-    /// Nobody is said to answer calls.
+    /// No address for calls is configured.
     #[error("EDGE_CONFIG: operator: not set; a running ingress is called there")]
     NoAddress,
-    /// The ingress at this address does not answer.
+    /// The ingress at this address did not answer.
     #[error("{0}: {1}")]
     Connection(SocketAddr, io::Error),
 }
 
-/// The answer to a call: a line that begins with `ACK` or `NAK`.
+/// The answer to a call: one line that starts with `ACK` or `NAK`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallAnswer {
-    /// The line, without its end.
+    /// The line, without its line break.
     pub line: String,
 }
 
 impl CallAnswer {
-    /// Whether it is a yes.
+    /// Whether the call succeeded.
     pub fn is_ack(&self) -> bool {
         self.line.starts_with("ACK")
     }
 }
 
-/// Makes one call to the running ingress of this configuration.
+/// Sends one call to the running ingress of this configuration.
 ///
 /// # Errors
-/// Why there is no answer.
+/// The call could not be sent or was not answered.
 pub fn call(config: &Config, text: &str) -> Result<CallAnswer, CallError> {
     let address = admin_address(config)?.ok_or(CallError::NoAddress)?;
     let line = exchange(address, text).map_err(|e| CallError::Connection(address, e))?;
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,23 +1,23 @@
-//! The arguments of the program. The doc comments here are the text of `--help`.
+//! The arguments of the program. The doc comments in this module are the text of `--help`.
 
 use super::logging::LogFormat;
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An ingress for a service sold by plan: admission, quota, routing and retries.
+/// An ingress for radio catch-up services: admission, quotas, routing and retries.
 ///
-/// Without a sub-command it serves.
+/// Without a sub-command, the program serves requests.
 #[derive(Debug, Parser)]
 #[command(name = "driftgap", version)]
 pub struct Arguments {
-    /// The platform's configuration (JSON).
+    /// Path of the platform's configuration (JSON).
     #[arg(long, env = "EDGE_CONFIG", global = true, hide_env_values = true)]
     pub config: Option<PathBuf>,
-    /// The operator's file (TOML).
+    /// Path of the operator's file (TOML).
     #[arg(long, env = "DRIFTGAP_OPERATOR", global = true, hide_env_values = true)]
     pub operator: Option<PathBuf>,
-    /// How log lines look.
+    /// Format of log lines.
     #[arg(
         long,
         env = "DRIFTGAP_LOG_FORMAT",
@@ -26,7 +26,7 @@
         hide_env_values = true
     )]
     pub log_format: LogFormat,
-    /// What to do; none: serve.
+    /// The sub-command; `serve` if absent.
     #[command(subcommand)]
     pub task: Option<Task>,
 }
@@ -34,84 +34,90 @@
 /// The sub-commands.
 #[derive(Debug, Subcommand)]
 pub enum Task {
-    /// Serves until SIGTERM or SIGINT; as without a sub-command.
+    /// Serves requests until SIGTERM or SIGINT; the default.
     Serve,
-    /// Reads all that `serve` would read; one line a fault, and status 2 if there is one. Else it warns of unknown
-    /// settings and says what they mean.
+    /// Validates every file that `serve` reads. Prints one line per fault and exits with status 2
+    /// if there are any; otherwise warns of unknown settings and describes the settings.
     Check,
-    /// The group of ingresses: begins one, asks a running ingress about it, looks at a folder.
+    /// Manages the group of ingresses: initializes or recovers a group, queries or changes a
+    /// running one, checks a folder.
     Group {
-        /// What to do.
+        /// The sub-command.
         #[command(subcommand)]
         task: GroupTask,
     },
-    /// Checks, explains and measures a file of rules, judged by the platform's configuration.
+    /// Checks, explains or measures a file of routing rules against the platform's configuration.
     Rules {
-        /// What to do.
+        /// The sub-command.
         #[command(subcommand)]
         task: RulesTask,
     },
 }
 
-/// The sub-commands of `group`.
+/// Sub-commands of `group`.
 #[derive(Debug, Subcommand)]
 pub enum GroupTask {
-    /// Begins a group on this machine, once; the other members' folders stay empty, and they are let in as they come.
+    /// Initializes a group with this machine as its first member. Run it on one member only: the
+    /// folders of the others stay empty, and they join when they start.
     Init,
-    /// Looks at this member's folder, while it does not run: every record, and what they say.
+    /// Checks this member's folder while the member is stopped: verifies every record and prints a
+    /// summary.
     Check,
-    /// Begins a new group from one old folder, after a majority is lost for good; says what may be lost.
+    /// Initializes a new group from one old folder after a majority was lost permanently. Prints
+    /// what may be lost.
     Recover {
-        /// The old folder; the configured one has to be empty.
+        /// The old folder; the configured folder must be empty.
         #[arg(long)]
         from: PathBuf,
     },
-    /// Asks the running ingress how the group stands; status 1 where it says no.
+    /// Prints the state of the group as the running ingress reports it; exits with status 1 if the
+    /// ingress rejects the call.
     Status,
-    /// Awaits a further member; its own file has to name it too.
+    /// Adds a member to the group. The new member's own file must name it too.
     Add {
-        /// Its name.
+        /// Name of the new member.
         name: String,
-        /// Where its link listens.
+        /// Address at which the new member's group link listens.
         address: SocketAddr,
     },
-    /// Lets a member go for good; never fewer than three stay.
+    /// Removes a member permanently; at least three members must remain.
     Remove {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// Awaits a member that takes another's place: until it has all that was promised, the old one votes.
+    /// Replaces a member with a new one. The old member keeps its vote until the new one has every
+    /// committed change.
     Replace {
-        /// Who goes.
+        /// Name of the member to remove.
         old: String,
-        /// Who comes.
+        /// Name of the new member.
         new: String,
-        /// Where the new one's link listens.
+        /// Address at which the new member's group link listens.
         address: SocketAddr,
     },
 }
 
-/// The sub-commands of `rules`.
+/// Sub-commands of `rules`.
 #[derive(Debug, Subcommand)]
 pub enum RulesTask {
-    /// Names every fault with the line that it is in, and status 2 if there is one.
+    /// Prints every fault with its line; exits with status 2 if there are any.
     Check {
-        /// The file of rules.
+        /// Path of the file of rules.
         file: PathBuf,
     },
-    /// Tells, rule by rule, why a request matches or does not.
+    /// Prints for each rule why a request matches it or not.
     Explain {
-        /// The file of rules.
+        /// Path of the file of rules.
         file: PathBuf,
-        /// The request, in JSON.
+        /// Path of the sample request (JSON).
         #[arg(long)]
         request: PathBuf,
     },
-    /// Measures how long a request takes against the first 1, 10, 100, ... rules.
+    /// Measures the time per request with the first 1, 10, 100, ... rules.
     Bench {
-        /// The file of rules.
+        /// Path of the file of rules.
         file: PathBuf,
-        /// The request, in JSON.
+        /// Path of the sample request (JSON).
         #[arg(long)]
         request: PathBuf,
     },
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,6 +1,7 @@
-//! `driftgap check`: reads all that `serve` would read, and names every fault.
+//! `driftgap check`: validates every file that `serve` reads, and reports every fault.
 //!
-//! Each part judges its own file; this module reads them in order. It opens no socket and changes nothing.
+//! The parser of each file validates it; this module calls them in order. It opens no socket and
+//! changes nothing.
 
 use crate::config::operator_file::OperatorFile;
 use crate::config::settings::{Config, ConfigError};
@@ -13,19 +14,19 @@
 use std::fmt::Display;
 use std::path::Path;
 
-/// What there is to say of the files that `serve` would read, a line each.
+/// The result of the check, as lines of text.
 #[derive(Default)]
 pub struct Findings {
-    /// Every fault; empty: it would start, if its addresses are free.
+    /// All faults. If empty, the program can start, provided that its addresses are free.
     pub faults: Vec<String>,
-    /// Keys of the settings that are not known, and not read.
+    /// Unknown keys of the settings, which are ignored.
     pub unknown: Vec<String>,
-    /// What the settings mean.
+    /// Description of the settings.
     pub description: Vec<String>,
 }
 
-/// Reads all that `serve` would read: the configuration at `config`, the operator's file at `operator` and what it
-/// names.
+/// Reads and validates the platform's configuration at `config`, the operator's file at `operator`,
+/// and the files that it names.
 pub fn read_all(config: Option<&Path>, operator: Option<&Path>) -> Findings {
     let mut findings = Findings::default();
     let mut faults = Faults::default();
@@ -52,7 +53,7 @@
     findings
 }
 
-/// Faults, one line each.
+/// Faults, one line for each.
 #[derive(Default)]
 struct Faults(Vec<String>);
 
@@ -101,7 +102,8 @@
             faults.add("plugin", e);
         }
     }
-    // The rest is judged by the configuration: without its zones and classes, every one would seem wrong.
+    // The rest depends on the zones and classes of the configuration; without them, all of it would
+    // be reported as faulty.
     let Some(config) = config else {
         return;
     };
--- a/src/cli/environment.rs
+++ b/src/cli/environment.rs
@@ -1,24 +1,24 @@
-//! What the environment says beside the arguments.
+//! Environment variables that are not arguments of the command line.
 
 use crate::config::settings::{address_of, Config, ConfigError};
 use std::env::VarError;
 use std::net::SocketAddr;
 
-/// A variable that cannot be used; the text names it.
+/// An environment variable that cannot be used; the text names it.
 #[derive(Debug, thiserror::Error)]
 pub enum EnvironmentError {
-    /// Its value is no text.
-    #[error("{0}: not text")]
+    /// The value is not valid Unicode.
+    #[error("{0}: not valid Unicode text")]
     NotText(&'static str),
-    /// Its value is no address.
+    /// The value is not an address.
     #[error("{0}")]
     Address(#[from] ConfigError),
 }
 
-/// A variable of the environment; none: it is not set, or empty.
+/// The value of an environment variable; `None` if it is unset or empty.
 ///
 /// # Errors
-/// Its value is no text.
+/// The value is not valid Unicode.
 pub fn variable(name: &'static str) -> Result<Option<String>, EnvironmentError> {
     match std::env::var(name) {
         Ok(value) => Ok(Some(value).filter(|value| !value.is_empty())),
@@ -27,11 +27,12 @@
     }
 }
 
-/// Where the ingress of this configuration answers staff's calls. `EDGE_OPERATOR` counts more than the configuration:
-/// the second of two processes with one configuration needs an address of its own.
+/// The address at which the ingress of this configuration answers calls of staff. `EDGE_OPERATOR`
+/// overrides the configuration: if two processes share one configuration, the second needs an
+/// address of its own.
 ///
 /// # Errors
-/// `EDGE_OPERATOR` is no address.
+/// `EDGE_OPERATOR` is not an address.
 pub fn admin_address(config: &Config) -> Result<Option<SocketAddr>, EnvironmentError> {
     const NAME: &str = "EDGE_OPERATOR";
     match variable(NAME)? {
--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -1,4 +1,4 @@
-//! `driftgap group`: works on the folder of a member that does not run, or calls one that does.
+//! `driftgap group`: works on the folder of a stopped member, or sends calls to a running one.
 
 use super::admin_client::{call, CallError};
 use super::arguments::GroupTask;
@@ -7,51 +7,51 @@
 use crate::group::{self, GroupError, GroupSettings};
 use std::path::{Path, PathBuf};
 
-/// Why a sub-command of `group` has no answer.
+/// Why a sub-command of `group` failed.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupTaskError {
-    /// No configuration is named.
+    /// No configuration path is set.
     #[error("EDGE_CONFIG: not set")]
     NoConfig,
     /// The configuration cannot be used.
     #[error("EDGE_CONFIG: {0}")]
     Config(#[from] ConfigError),
-    /// No operator's file is named.
+    /// No path of an operator's file is set.
     #[error("DRIFTGAP_OPERATOR: not set")]
     NoOperatorFile,
     /// The operator's file cannot be used.
     #[error("{0}: {1}")]
     OperatorFile(String, OperatorFileError),
-    /// The operator's file sets up no group.
+    /// The operator's file has no `group` section.
     #[error("{0}: has no [group]")]
     NoGroup(String),
     /// The group's folder cannot be used.
     #[error("{0}")]
     Group(#[from] GroupError),
-    /// The running ingress does not answer.
+    /// The running ingress did not answer.
     #[error("{0}")]
     Call(#[from] CallError),
 }
 
-/// What a sub-command of `group` prints.
+/// The output of a sub-command of `group`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupTaskOutput {
-    /// Whether it is a yes; a running ingress may say no.
-    pub yes: bool,
-    /// The text.
+    /// Whether the command succeeded; a running ingress may reject a call.
+    pub succeeded: bool,
+    /// The text to print.
     pub text: String,
 }
 
-/// The group's settings, and the folder that its paths count from.
+/// The group's settings, and the folder against which their paths are resolved.
 struct GroupFile {
     settings: GroupSettings,
     folder: PathBuf,
 }
 
-/// Carries out a sub-command of `group`.
+/// Runs a sub-command of `group`.
 ///
 /// # Errors
-/// Why it could not be done, or not be asked.
+/// The files cannot be used, or the running ingress did not answer.
 pub fn run(
     config: Option<&Path>,
     operator: Option<&Path>,
@@ -63,7 +63,7 @@
         GroupTask::Init => {
             let GroupFile { settings, folder } = read_group_file(operator)?;
             let group = group::init(&settings, &folder, name)?;
-            format!("group {group:x} begins with {name}")
+            format!("group {group:x} initialized with member {name}")
         }
         GroupTask::Check => {
             let GroupFile { settings, folder } = read_group_file(operator)?;
@@ -73,16 +73,19 @@
             let GroupFile { settings, folder } = read_group_file(operator)?;
             group::recover(&settings, &folder, name, from)?
         }
-        GroupTask::Status => return ask(&config, "GROUP STATUS"),
+        GroupTask::Status => return send(&config, "GROUP STATUS"),
         GroupTask::Add { name, address } => {
-            return ask(&config, &format!("GROUP ADD {name} {address}"));
+            return send(&config, &format!("GROUP ADD {name} {address}"));
         }
-        GroupTask::Remove { name } => return ask(&config, &format!("GROUP REMOVE {name}")),
+        GroupTask::Remove { name } => return send(&config, &format!("GROUP REMOVE {name}")),
         GroupTask::Replace { old, new, address } => {
-            return ask(&config, &format!("GROUP REPLACE {old} {new} {address}"));
+            return send(&config, &format!("GROUP REPLACE {old} {new} {address}"));
         }
     };
-    Ok(GroupTaskOutput { yes: true, text })
+    Ok(GroupTaskOutput {
+        succeeded: true,
+        text,
+    })
 }
 
 fn read_group_file(operator: Option<&Path>) -> Result<GroupFile, GroupTaskError> {
@@ -95,10 +98,10 @@
     })
 }
 
-fn ask(config: &Config, text: &str) -> Result<GroupTaskOutput, GroupTaskError> {
+fn send(config: &Config, text: &str) -> Result<GroupTaskOutput, GroupTaskError> {
     let answer = call(config, text)?;
     Ok(GroupTaskOutput {
-        yes: answer.is_ack(),
+        succeeded: answer.is_ack(),
         text: answer.line,
     })
 }
--- a/src/cli/logging.rs
+++ b/src/cli/logging.rs
@@ -1,23 +1,23 @@
-//! The log: structured lines on standard error. It is not needed to serve: an ingress whose log cannot be set up says
-//! so and goes on without.
+//! The log: structured lines on standard error. Serving does not depend on it: if the log cannot be
+//! set up, the program reports that and serves without a log.
 
 use clap::ValueEnum;
 use tracing_subscriber::EnvFilter;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// A line of text an event, fields as `name=value`.
+    /// One line of text per event, with fields as `name=value`.
     #[default]
     Text,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Sets up the log; `RUST_LOG` sets the level, `info` where it is unset or makes no sense.
+/// Sets up the log. `RUST_LOG` sets the level; `info` if it is unset or invalid.
 ///
 /// # Errors
-/// There is a log already.
+/// A log is already set up.
 pub fn start(format: LogFormat) -> Result<(), tracing_subscriber::util::TryInitError> {
     use tracing_subscriber::util::SubscriberInitExt;
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, and what its sub-commands do beside serving.
+//! The command line: arguments, and the sub-commands other than serving.
 
 pub mod admin_client;
 pub mod arguments;
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -1,6 +1,7 @@
-//! `driftgap rules`: checks a file of rules, explains what it does with a request, and measures it.
+//! `driftgap rules`: checks a file of routing rules, explains its effect on a request, and measures
+//! it.
 //!
-//! The ingress reads the same rules by the same code; nothing is judged here.
+//! Parsing and evaluation are the code that serves requests; this module only prints the results.
 
 use crate::config::settings::{Config, Platform};
 use crate::routing::{catalog, RuleSource};
@@ -12,11 +13,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long each size of a set of rules is measured.
+/// Duration of the measurement of each number of rules.
 const MEASURING_TIME: Duration = Duration::from_millis(200);
 
-/// The clock is read after so many rounds of a measurement: it takes longer than a request against few rules.
-const ROUNDS_PER_LOOK: u32 = 1000;
+/// Requests between two readings of the clock, since reading it takes longer than routing a request
+/// with few rules.
+const REQUESTS_PER_CLOCK_READING: u32 = 1000;
 
 /// Why a sample request cannot be used; the text names the file.
 #[derive(Debug, thiserror::Error)]
@@ -24,16 +26,16 @@
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// A field is missing or makes no sense.
+    /// A field is missing or invalid.
     #[error("{0}: {1}")]
     Parse(String, serde_json::Error),
 }
 
-/// A request as a JSON file gives it.
+/// A sample request from a JSON file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sample {
-    /// `http2` or `resp`.
+    /// The wire protocol, `http2` or `resp`.
     #[serde(default = "default_protocol")]
     protocol: String,
     #[serde(default = "default_method")]
@@ -79,16 +81,16 @@
 }
 
 impl Sample {
-    /// The request of a file.
+    /// Reads a sample request from a file.
     ///
     /// # Errors
-    /// It cannot be read, or a field makes no sense.
+    /// The file cannot be read, or a field is missing or invalid.
     pub fn read(path: &Path) -> Result<Sample, SampleError> {
         let place = || path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| SampleError::Read(place(), e))?;
         let sample = serde_json::from_str(&text);
         let mut sample: Sample = sample.map_err(|e| SampleError::Parse(place(), e))?;
-        // As in a request of HTTP/2, names of headers are in lower case.
+        // Header names are in lower case, as in an HTTP/2 request.
         let headers = std::mem::take(&mut sample.headers);
         sample.headers = headers
             .into_iter()
@@ -121,44 +123,44 @@
 fn read(file: &Path, config: &Config) -> Result<Rules, Vec<String>> {
     RuleSource::file(file.to_path_buf(), config.memory_mb)
         .read(&config.platform)
-        .map_err(shown)
+        .map_err(rendered_faults)
 }
 
-/// Reads a file with what an explanation needs.
+/// Reads a file of rules together with the source texts that an explanation prints.
 fn read_to_explain(file: &Path, config: &Config) -> Result<Explainer, Vec<String>> {
     let text = RuleSource::file(file.to_path_buf(), config.memory_mb)
         .text()
-        .map_err(shown)?;
+        .map_err(rendered_faults)?;
     Explainer::read(
         &text,
         &file.display().to_string(),
         None,
         &catalog(&config.platform),
     )
-    .map_err(shown)
+    .map_err(rendered_faults)
 }
 
-fn shown(faults: Vec<Fault>) -> Vec<String> {
+fn rendered_faults(faults: Vec<Fault>) -> Vec<String> {
     faults.into_iter().map(|fault| fault.shown).collect()
 }
 
-/// What a file of rules holds, as one line.
+/// Validates a file of rules and returns its size and cost as one line.
 ///
 /// # Errors
-/// Every fault, with the line that it is in.
+/// All faults, each with its line.
 pub fn check(file: &Path, config: &Config) -> Result<String, Vec<String>> {
     let rules = read(file, config)?;
     let (count, cost, unindexed) = (rules.len(), rules.cost(), rules.unindexed());
     let bytes = rules.heap_bytes();
     Ok(format!(
-        "ok: {count} rules, {unindexed} of them looked at for every request, {cost} units at most, {bytes} bytes\n"
+        "ok: {count} rules, {unindexed} of them evaluated for every request, cost at most {cost} units, {bytes} bytes\n"
     ))
 }
 
-/// What each rule of a file does with a request, as if every pool had a ready endpoint.
+/// Describes what each rule of a file does with a request, as if every pool had a ready endpoint.
 ///
 /// # Errors
-/// What is wrong with the file or the request.
+/// The faults of the file or of the request.
 pub fn explain(file: &Path, config: &Config, sample: &Sample) -> Result<String, Vec<String>> {
     let explainer = read_to_explain(file, config)?;
     let mut router = Router::new(explainer.rules().clone());
@@ -173,7 +175,7 @@
     Ok(text)
 }
 
-/// What becomes of a request, as one line.
+/// Describes the verdict on a request, as one line.
 fn describe(verdict: Verdict, platform: &Platform) -> String {
     match verdict {
         Verdict::Go(route) => {
@@ -182,21 +184,21 @@
                     let class = &platform.classes[mapped.class];
                     format!("command {class}: {mapped:?}")
                 }
-                None => "no command of a rule's".to_string(),
+                None => "no command set by a rule".to_string(),
             };
             let (pools, notes) = (route.pools, route.notes);
-            format!("=> goes on: {mapped}; pools {pools:#x}; notes {notes:?}\n")
+            format!("=> forwarded: {mapped}; pools {pools:#x}; notes {notes:?}\n")
         }
         Verdict::Reject { retry_after_ms, by } => {
-            format!("=> refused by {by}, to come back in {retry_after_ms} ms\n")
+            format!("=> rejected by {by}, retry after {retry_after_ms} ms\n")
         }
-        Verdict::Bad { rule, why } => format!("=> makes no sense to {rule}: {why}\n"),
+        Verdict::Bad { rule, why } => format!("=> invalid request for rule {rule}: {why}\n"),
     }
 }
 
 fn write_rule(text: &mut String, rule: &Explained) -> std::fmt::Result {
     let outcome = match (rule.behind, rule.ruled_out, rule.matched) {
-        (true, ..) => "behind a rule that ended the way",
+        (true, ..) => "behind a rule that already decided the request",
         (_, true, _) => "ruled out by the index",
         (_, _, true) => "matches",
         _ => "does not match",
@@ -217,35 +219,36 @@
     Ok(())
 }
 
-/// Nanoseconds for a request against the first 1, 10, 100, ... rules of a file.
+/// Measures the time per request, in nanoseconds, with the first 1, 10, 100, ... rules of a file.
 ///
 /// # Errors
-/// What is wrong with the file.
+/// The faults of the file.
 pub fn bench(file: &Path, config: &Config, sample: &Sample) -> Result<String, Vec<String>> {
     let rules = read(file, config)?;
-    let whole = rules.len();
-    let sizes =
-        std::iter::successors(Some(1), |size| Some(size * 10)).take_while(|size| *size < whole);
+    let rule_count = rules.len();
+    let sizes = std::iter::successors(Some(1), |size| Some(size * 10))
+        .take_while(|size| *size < rule_count);
     let mut text = String::from("   rules   ns/request\n");
-    for size in sizes.chain([whole]) {
-        let each = measure(rules.first(size), sample);
-        let _ = writeln!(text, "{size:>8} {each:>12.0}");
+    for size in sizes.chain([rule_count]) {
+        let nanoseconds = measure(rules.first(size), sample);
+        let _ = writeln!(text, "{size:>8} {nanoseconds:>12.0}");
     }
     Ok(text)
 }
 
-/// Nanoseconds for a request against these rules.
+/// Measures the time per request with these rules, in nanoseconds.
 fn measure(rules: Rules, sample: &Sample) -> f64 {
     let mut router = Router::new(rules);
     router.count_ready([u64::MAX].into_iter());
-    let (begun, mut rounds) = (Instant::now(), 0u32);
-    while begun.elapsed() < MEASURING_TIME {
-        for _ in 0..ROUNDS_PER_LOOK {
-            // Time goes on so that limits let requests through as in service.
-            let verdict = router.route(std::hint::black_box(&sample.request()), f64::from(rounds));
+    let (started, mut requests) = (Instant::now(), 0u32);
+    while started.elapsed() < MEASURING_TIME {
+        for _ in 0..REQUESTS_PER_CLOCK_READING {
+            // The time advances with each request, so that limits admit requests as in service.
+            let verdict =
+                router.route(std::hint::black_box(&sample.request()), f64::from(requests));
             std::hint::black_box(&verdict);
-            rounds += 1;
+            requests += 1;
         }
     }
-    begun.elapsed().as_nanos() as f64 / f64::from(rounds)
+    started.elapsed().as_nanos() as f64 / f64::from(requests)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,11 @@
-//! An ingress for a service sold by plan: it admits or rejects each request by its tenant's quota and by the load,
-//! forwards it to one of the endpoints, retries where that is harmless, and gives exactly one final answer.
+//! An ingress for radio catch-up services. It admits or rejects each request by its tenant's quota
+//! and the load, forwards it to an endpoint, retries where that is safe, and gives exactly one
+//! final answer.
 //!
-//! [`decision`] holds every decision and does no I/O; [`request`] holds each request from its arrival to its answer;
-//! [`frontend`], [`upstream`], [`counter`] and [`discovery`] are thin tasks around sockets; [`runtime`] starts them,
-//! carries actions and answers between them, and stops them. `ARCHITECTURE.md` shows who owns which state.
+//! [`decision`] makes every decision and does no I/O. [`request`] holds each request from its
+//! arrival to its answer. [`frontend`], [`upstream`], [`counter`] and [`discovery`] are tasks
+//! around sockets without decisions of their own. [`runtime`] starts them, passes actions and
+//! answers between them, and stops them. `ARCHITECTURE.md` shows which module owns which state.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The program: reads its arguments, serves until it is stopped, or does what a sub-command says. What concerns the
-//! process alone (environment, inherited descriptor, exit status) stands here.
+//! The program: parses its arguments, then serves until it is stopped or runs a sub-command. This
+//! module handles what belongs to the process: environment, inherited descriptor and exit status.
 
 #![deny(unsafe_code)]
 
@@ -17,9 +17,10 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The exit status where something that the program was told makes no sense, or cannot be done.
-const FAULT: u8 = 2;
-/// Lowest descriptor that can be an inherited socket: the first three are the standard streams.
+/// The exit status of an error, such as invalid input.
+const EXIT_ERROR: u8 = 2;
+/// Lowest file descriptor that can be an inherited socket; the first three are the standard
+/// streams.
 const FIRST_INHERITED: RawFd = 3;
 
 fn main() -> ExitCode {
@@ -32,12 +33,12 @@
     }
 }
 
-fn fault(problem: impl std::fmt::Display) -> ExitCode {
+fn exit_with_error(problem: impl std::fmt::Display) -> ExitCode {
     eprintln!("driftgap: {problem}");
-    ExitCode::from(FAULT)
+    ExitCode::from(EXIT_ERROR)
 }
 
-/// Why the ingress does not serve; one line that names the variable or the field.
+/// Why the ingress cannot serve; the text is one line that names the variable or the field.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[error("{0}")]
@@ -56,10 +57,10 @@
     Start(#[from] StartError),
 }
 
-/// Why an inherited descriptor cannot be used.
+/// Why an inherited file descriptor cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum InheritedError {
-    #[error("not the number of an inherited descriptor")]
+    #[error("not the number of an inherited file descriptor")]
     Number,
     #[error("descriptor {0}: {1}")]
     Descriptor(RawFd, std::io::Error),
@@ -67,27 +68,28 @@
 
 fn serve(arguments: Arguments) -> ExitCode {
     if let Err(e) = logging::start(arguments.log_format) {
-        eprintln!("driftgap: no log: {e}");
+        eprintln!("driftgap: cannot set up the log: {e}");
     }
-    // A local runtime, not a LocalSet: the latter writes to its own wake-up descriptor for each task it wakes.
+    // A local runtime instead of a LocalSet, which writes to its own wake-up descriptor for each
+    // task that it wakes.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(Default::default());
-    let served = runtime
+    let result = runtime
         .map_err(ServeError::from)
         .and_then(|runtime| runtime.block_on(read_and_serve(arguments.config, arguments.operator)));
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => fault(problem),
+        Err(problem) => exit_with_error(problem),
     }
 }
 
-/// Reads what the process is told, then serves until it is stopped.
+/// Reads the configuration files, then serves until the process is stopped.
 async fn read_and_serve(
     config: Option<PathBuf>,
     operator: Option<PathBuf>,
 ) -> Result<(), ServeError> {
-    // First of all: a SIGHUP that comes while the files are read must not end the process.
+    // Signals come first: a SIGHUP that arrives while the files are read must not end the process.
     let signals = Signals::listen()?;
     let config_path = config.ok_or(ServeError::NoConfig)?;
     let mut config = Config::read(&config_path)?;
@@ -105,14 +107,15 @@
     Ok(())
 }
 
-/// A descriptor of our own for the listening socket that the platform holds and hands to every process.
+/// Duplicates the descriptor of the listening socket that the platform holds and passes to every
+/// process.
 fn inherited_socket(number: &str) -> Result<Socket, InheritedError> {
     let number = number.parse::<RawFd>().ok();
     let number = number
         .filter(|number| *number >= FIRST_INHERITED)
         .ok_or(InheritedError::Number)?;
-    // SAFETY: the platform opened this descriptor before this program began, and nothing here ever closes it; it is
-    // only looked at to get a second one of our own, which fails if there is none.
+    // SAFETY: the platform opened this descriptor before the program started, and the program never
+    // closes it. It is borrowed only to be duplicated, which fails if it is not open.
     #[allow(unsafe_code)]
     let inherited = unsafe { BorrowedFd::borrow_raw(number) };
     let owned = inherited
@@ -130,7 +133,7 @@
     } = findings;
     faults.iter().for_each(|fault| eprintln!("{fault}"));
     if !faults.is_empty() {
-        return ExitCode::from(FAULT);
+        return ExitCode::from(EXIT_ERROR);
     }
     for key in unknown {
         eprintln!("warning: settings.{key}: unknown, and not read");
@@ -145,13 +148,13 @@
     match group::run(config, operator, task) {
         Ok(output) => {
             println!("{}", output.text);
-            if output.yes {
+            if output.succeeded {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
             }
         }
-        Err(problem) => fault(problem),
+        Err(problem) => exit_with_error(problem),
     }
 }
 
@@ -163,15 +166,15 @@
         }
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            ExitCode::from(FAULT)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
 
-/// The text that a sub-command of `rules` prints; or a line for each fault.
+/// Runs a sub-command of `rules`. Returns the text to print, or one line for each fault.
 fn run_rules(config: Option<&Path>, task: &RulesTask) -> Result<String, Vec<String>> {
     let path = config
-        .ok_or_else(|| vec!["EDGE_CONFIG: not set; rules are judged by its classes".to_string()])?;
+        .ok_or_else(|| vec!["EDGE_CONFIG: not set; rules refer to its classes".to_string()])?;
     let config = Config::read(path).map_err(|e| vec![format!("EDGE_CONFIG: {e}")])?;
     let sample = |request: &Path| Sample::read(request).map_err(|e| vec![e.to_string()]);
     match task {
--- a/src/plugin/mod.rs
+++ b/src/plugin/mod.rs
@@ -1,8 +1,10 @@
-//! The operator's hook: a script that sees each request before the decision, and may pass, reject or annotate it.
+//! The operator's hook: a script that inspects each request before the decision, and may pass,
+//! reject or annotate it.
 //!
-//! The script runs in an embedded engine with bounds on operations, depth and memory. It sees a copy of the request and
-//! no socket, file or clock, and cannot change quotas, a class's idempotency or an answer. Where it fails, that is
-//! logged, and the operator's setting says whether the request passes.
+//! An embedded engine runs the script with limits on operations, call depth and memory. The script
+//! gets a copy of the request, and has no access to sockets, files, the clock, quotas, the
+//! idempotency of a class, or answers. A failure of the script is logged, and the operator's
+//! setting decides whether the request passes.
 
 use crate::config::settings::Platform;
 use crate::request::ClientRequest;
@@ -11,52 +13,53 @@
 use std::cell::Cell;
 use std::path::{Path, PathBuf};
 
-/// The function that a script must have.
+/// Name of the function that a script must define.
 const HOOK: &str = "decide";
-/// Most notes on a request. They are sent to endpoints with every attempt.
+/// Most notes on a request; they are sent to endpoints with every attempt.
 const MAX_NOTES: usize = 8;
 /// Longest name of a note, bytes.
 const MAX_NOTE_NAME: usize = 32;
 /// Longest value of a note, bytes.
 const MAX_NOTE_VALUE: usize = 128;
-/// Longest Retry-After that a script may give, ms.
+/// Longest Retry-After that a script may set, ms.
 const MAX_RETRY_AFTER_MS: i64 = 60_000;
-/// Retry-After where a script fails and the setting rejects, ms.
+/// Retry-After of a request that is rejected because the script failed, ms.
 const FAILURE_RETRY_AFTER_MS: f64 = 1000.0;
-/// Failures are logged at most this often, ms: a script may fail on each request.
+/// Shortest interval between two log lines about failures, ms, since a script may fail on every
+/// request.
 const LOG_INTERVAL_MS: f64 = 5000.0;
-/// Deepest nesting of calls in a script. Guards the stack of the serving thread.
+/// Deepest nesting of calls in a script. Protects the stack of the serving thread.
 const MAX_CALL_DEPTH: usize = 16;
-/// Deepest nesting of an expression, for the same reason.
+/// Deepest nesting of an expression. Protects the stack of the serving thread.
 const MAX_EXPRESSION_DEPTH: usize = 32;
-/// Most variables at a time, and most functions.
+/// Most variables in scope, and most functions.
 const MAX_DEFINITIONS: usize = 64;
 
-/// What happens to a request when the script fails on it.
+/// The effect of a script failure on the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnError {
-    /// It goes on as if there were no script.
+    /// The request continues as if there were no script.
     #[default]
     Pass,
-    /// It is rejected.
+    /// The request is rejected.
     #[serde(rename = "nack")]
     Reject,
 }
 
-/// The operator's settings of the hook.
+/// The `plugin` section of the operator's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PluginSettings {
-    /// The script.
+    /// Path of the script.
     pub script: PathBuf,
-    /// What a failing script does to a request.
+    /// The effect of a script failure on the request.
     #[serde(default)]
     pub on_error: OnError,
-    /// Most operations for one request.
+    /// Limit of operations for one request.
     #[serde(default = "default_operations")]
     pub operations: u64,
-    /// Most bytes in one text, and entries in one list or map.
+    /// Longest string, bytes, and largest list or map, entries.
     #[serde(default = "default_size")]
     pub size: usize,
 }
@@ -75,20 +78,20 @@
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is no script: file, line and fault.
+    /// The script does not compile: file, line and fault.
     #[error("{0}, line {1}: {2}")]
     Parse(String, usize, String),
-    /// It lacks the hook.
+    /// The script does not define the hook.
     #[error("{0}, line 1: there is no function {HOOK}(command)")]
     NoHook(String),
 }
 
-/// What the script says of a request.
+/// The script's verdict on a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PluginVerdict {
-    /// Go on, with these notes.
+    /// The request continues, with these notes.
     Pass(Vec<(String, String)>),
-    /// Reject, with this Retry-After, ms.
+    /// The request is rejected, with this Retry-After, ms.
     Reject(f64),
 }
 
@@ -103,10 +106,10 @@
 }
 
 impl Plugin {
-    /// Loads the script of these settings; a relative path counts from `folder`.
+    /// Loads the script of these settings. A relative path is resolved against `folder`.
     ///
     /// # Errors
-    /// It cannot be read or makes no sense, with file and line.
+    /// The script cannot be read or does not compile; the text names file and line.
     pub fn load(settings: &PluginSettings, folder: &Path) -> Result<Plugin, PluginError> {
         let path = folder.join(&settings.script);
         let name = path.display().to_string();
@@ -138,14 +141,15 @@
         })
     }
 
-    /// What the script says of a request; where it fails, what the operator's setting says.
+    /// The script's verdict on a request; if the script fails, the verdict of the operator's
+    /// setting.
     pub fn decide(&self, now: f64, platform: &Platform, request: &ClientRequest) -> PluginVerdict {
         let problem = match self.call_hook(platform, request).map(verdict) {
             Ok(Ok(verdict)) => return verdict,
             Ok(Err(problem)) => problem.to_string(),
             Err(e) => e.to_string().replace('\n', " "),
         };
-        self.note_failure(now, &problem);
+        self.record_failure(now, &problem);
         match self.on_error {
             OnError::Pass => PluginVerdict::Pass(Vec::new()),
             OnError::Reject => PluginVerdict::Reject(FAILURE_RETRY_AFTER_MS),
@@ -164,7 +168,7 @@
             .call_fn_with_options(options, &mut scope, &self.script, HOOK, arguments)
     }
 
-    fn note_failure(&self, now: f64, problem: &str) {
+    fn record_failure(&self, now: f64, problem: &str) {
         self.failures.set(self.failures.get() + 1);
         if now - self.last_logged_ms.get() < LOG_INTERVAL_MS {
             return;
@@ -174,13 +178,13 @@
             script = self.name,
             failures = self.failures.get(),
             problem,
-            "plugin failed"
+            "plugin script failed; the on_error setting decides"
         );
     }
 }
 
-/// An engine within the bounds of these settings. Guards the serving thread: a script that runs away, or fills memory,
-/// is stopped by the engine.
+/// Creates an engine with the limits of these settings. The engine stops a script that does not end
+/// or fills memory, so that the serving thread cannot hang.
 fn bounded_engine(settings: &PluginSettings) -> Engine {
     let mut engine = Engine::new();
     engine
@@ -198,23 +202,29 @@
     engine
 }
 
-/// What a script may know of a request: a copy, so that nothing it does to it comes back.
+/// The script's view of a request: a copy, so that changes to it have no effect on the request.
 fn script_request(platform: &Platform, request: &ClientRequest) -> Map {
-    let ask = &request.attributes;
+    let attributes = &request.attributes;
     let body_bytes = request.body.as_ref().map_or(0, Vec::len) as i64;
     Map::from([
-        ("class".into(), platform.classes[ask.class].clone().into()),
-        ("plan".into(), platform.plans[ask.plan].clone().into()),
+        (
+            "class".into(),
+            platform.classes[attributes.class].clone().into(),
+        ),
+        (
+            "plan".into(),
+            platform.plans[attributes.plan].clone().into(),
+        ),
         ("partner".into(), request.tenant.clone().into()),
         ("id".into(), request.id.clone().into()),
-        ("units".into(), ask.units.into()),
-        ("retry".into(), ask.is_retry.into()),
+        ("units".into(), attributes.units.into()),
+        ("retry".into(), attributes.is_retry.into()),
         ("patience_ms".into(), request.client_timeout_ms.into()),
         ("body_bytes".into(), body_bytes.into()),
     ])
 }
 
-/// Why a hook's result is none.
+/// Why a hook's result is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum InvalidResult {
     #[error("the hook returned neither () nor a map")]
@@ -227,7 +237,7 @@
     Notes,
     #[error("more than 8 notes")]
     TooManyNotes,
-    #[error("a note's name or value cannot be carried")]
+    #[error("a note's name or value cannot be sent as a header")]
     Note,
 }
 
@@ -263,13 +273,13 @@
     Ok(read)
 }
 
-/// Whether a name can be part of a header's name.
+/// Whether a note's name can be part of a header name.
 fn is_note_name(name: &str) -> bool {
     let valid = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !name.is_empty() && name.len() <= MAX_NOTE_NAME && name.bytes().all(valid)
 }
 
-/// Whether a value can be a header's value.
+/// Whether a note's value can be a header value.
 fn is_note_value(value: &str) -> bool {
     value.len() <= MAX_NOTE_VALUE && value.bytes().all(|b| (b' '..=b'~').contains(&b))
 }
--- a/src/plugin/tests.rs
+++ b/src/plugin/tests.rs
@@ -22,8 +22,10 @@
     plugin.decide(0.0, &platform, &request)
 }
 
+/// Each result of a hook must have its effect, and changes to the script's copy must not reach the
+/// request.
 #[test]
-fn it_passes_rejects_and_annotates() {
+fn hook_passes_rejects_and_annotates() {
     let script = r#"fn decide(command) {
         if command.plan == "city" && command.units > 1.0 { return #{ nack: 250 }; }
     }"#;
@@ -42,10 +44,10 @@
     );
 }
 
-/// A script loops, fills memory or fails. It must not hold or end the ingress: the engine stops it, and the operator's
-/// setting says what becomes of the request.
+/// A script loops, fills memory or fails. The engine must stop it, so that it cannot block or end
+/// the ingress, and the operator's setting must decide about the request.
 #[test]
-fn what_runs_away_or_fails_is_stopped_and_the_setting_decides() {
+fn runaway_or_failing_script_is_stopped_and_setting_decides() {
     for script in [
         "fn decide(c) { loop {} }",
         "fn decide(c) { let s = \"x\"; loop { s += s; } }",
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn a_script_that_does_not_load_is_named_with_its_line() {
+fn load_error_names_the_script_and_the_line() {
     let load = |text| {
         Plugin::new(&settings(OnError::Pass), "hook.rhai".into(), text)
             .err()
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,9 @@
-//! Between the operator's rules (`driftgap_routes`) and the ingress: what rules see of a request, and what becomes of
-//! a request that a rule maps.
+//! Connects the operator's rules (`driftgap_routes`) with the ingress: the rules' view of a
+//! request, and the request that results when a rule maps one.
 //!
-//! The rules decide where a request belongs, and the decision module whom to serve; nothing here does. No rule can
-//! change what the platform's protocol says of a request.
+//! Rules select the endpoints that a request may use; the decision module selects the requests to
+//! serve. This module does neither. No rule can override the terms that the platform's protocol
+//! defines.
 
 pub mod reload;
 mod source;
@@ -16,7 +17,8 @@
 use http::HeaderMap;
 use std::net::IpAddr;
 
-/// What rules may name: the classes with their idempotency, the plans, and the most units of a request.
+/// The names that rules may use: classes with their idempotency, and plans; also the upper bound of
+/// a request's units.
 pub fn catalog(platform: &Platform) -> Catalog {
     let effect = |effect| match effect {
         Idempotency::Safe => RuleEffect::Pure,
@@ -35,7 +37,8 @@
     }
 }
 
-/// A request of the platform's protocol as rules see it; `path` is [`request_path`]'s.
+/// The rules' view of a request of the platform's protocol; `path` is the result of
+/// [`request_path`].
 pub fn rule_request<'a>(
     platform: &'a Platform,
     request: &'a ClientRequest,
@@ -43,8 +46,8 @@
     headers: &'a dyn Headers,
     client: IpAddr,
 ) -> Request<'a> {
-    let ask = &request.attributes;
-    let safe = platform.decision.classes[ask.class].idempotency == Idempotency::Safe;
+    let attributes = &request.attributes;
+    let safe = platform.decision.classes[attributes.class].idempotency == Idempotency::Safe;
     Request {
         protocol: "resp",
         method: if safe { "GET" } else { "POST" },
@@ -52,19 +55,19 @@
         query: None,
         host: None,
         headers,
-        class: Some(&platform.classes[ask.class]),
-        plan: Some(&platform.plans[ask.plan]),
+        class: Some(&platform.classes[attributes.class]),
+        plan: Some(&platform.plans[attributes.plan]),
         partner: Some(&request.tenant),
         id: Some(&request.id),
-        units: Some(ask.units),
+        units: Some(attributes.units),
         deadline_ms: Some(request.client_timeout_ms as i64),
-        retry: ask.is_retry,
+        retry: attributes.is_retry,
         length: request.body.as_ref().map(|body| body.len() as i64),
         client,
     }
 }
 
-/// The path that a request has over HTTP/2, and that rules see whatever protocol it came by.
+/// The path of a request over HTTP/2. Rules see this path whichever protocol the request came by.
 pub fn request_path(platform: &Platform, request: &ClientRequest) -> String {
     format!(
         "{}{}",
@@ -73,7 +76,7 @@
     )
 }
 
-/// The headers of an HTTP/2 request, as rules see them.
+/// The rules' view of the headers of an HTTP/2 request.
 pub struct HeaderView<'a>(pub &'a HeaderMap);
 
 impl Headers for HeaderView<'_> {
@@ -86,34 +89,35 @@
     }
 }
 
-/// The request that a rule has made of `seen`. What neither the rule nor the client names is taken so that it holds at
-/// every ingress: the tenant's quota may be spent at all of them, and the client waits for the class's deadline.
+/// Builds the client request to which a rule maps `rule_view`. Values that neither the rule nor the
+/// client sets have defaults that are valid at every ingress: the tenant's quota may be spent at
+/// all ingresses, and the client waits for the deadline of the class.
 ///
 /// # Errors
-/// The value that is missing or makes no sense.
+/// A value that is missing or invalid.
 pub fn mapped_request(
     platform: &Platform,
     mapped: Mapped,
-    seen: &Request<'_>,
+    rule_view: &Request<'_>,
     generate_request_id: impl FnOnce() -> String,
 ) -> Result<ClientRequest, InvalidRequest> {
-    let plan = required(mapped.plan, seen.plan, "plan")?;
-    let tenant = required(mapped.partner, seen.partner, "customer")?;
+    let plan = required(mapped.plan, rule_view.plan, "plan")?;
+    let tenant = required(mapped.partner, rule_view.partner, "customer")?;
     let units = mapped
         .units
-        .or(seen.units)
+        .or(rule_view.units)
         .ok_or(InvalidRequest::Term("units"))?;
     let id = mapped
         .id
-        .or_else(|| seen.id.map(str::to_string))
+        .or_else(|| rule_view.id.map(str::to_string))
         .unwrap_or_else(generate_request_id);
     let decision = &platform.decision;
     let class_deadline_ms = (1e3 * decision.classes[mapped.class].deadline) as i64;
     let deadline_ms = mapped
         .deadline_ms
-        .or(seen.deadline_ms)
+        .or(rule_view.deadline_ms)
         .unwrap_or(class_deadline_ms);
-    // Guards the platform's protocol: behind a comma would be a further term.
+    // A comma would start another term of the platform's protocol.
     if plan.contains(',') {
         return Err(InvalidRequest::Term("plan"));
     }
@@ -122,7 +126,7 @@
     let first = mapped.first.unwrap_or(0);
     let mut terms =
         format!("c={class},t={plan},d={deadline_ms},units={units},spread={spread},first={first}");
-    if seen.retry {
+    if rule_view.retry {
         terms.push_str(",r=1");
     }
     for (name, value) in &mapped.terms {
@@ -131,14 +135,14 @@
     ClientRequest::new(platform, &tenant, &id, terms, None)
 }
 
-/// A text that the rule sets, or else the client names.
+/// The value that the rule sets, or else the client's.
 fn required(
-    mapped: Option<String>,
-    named: Option<&str>,
+    rule_value: Option<String>,
+    client_value: Option<&str>,
     name: &'static str,
 ) -> Result<String, InvalidRequest> {
-    mapped
-        .or_else(|| named.map(str::to_string))
+    rule_value
+        .or_else(|| client_value.map(str::to_string))
         .ok_or(InvalidRequest::Term(name))
 }
 
--- a/src/routing/reload.rs
+++ b/src/routing/reload.rs
@@ -1,9 +1,9 @@
-//! Reading the operator's rules again while the ingress serves.
+//! Reloads the operator's rules while the ingress serves.
 //!
-//! A thread reads and compiles the file, so that the serving thread only exchanges the rules in force for the new
-//! ones; the same thread drops the old ones. Guards against a large file: requests would wait while the serving thread
-//! compiles or drops it. There is one reading at a time; whatever is asked for during it leads to one more. Putting
-//! rules in force is the caller's.
+//! A separate thread reads and compiles the file and later drops the old rules, so that the serving
+//! thread only swaps the rules in force. If the serving thread compiled or dropped a large file,
+//! requests would wait. One reload runs at a time; all requests for a reload during it lead to one
+//! more. The caller puts the new rules in force.
 
 use crate::routing::RuleSource;
 use driftgap_routes::{Catalog, Fault, Rules};
@@ -13,62 +13,62 @@
 use std::thread::{self, JoinHandle};
 use tokio::sync::oneshot;
 
-/// The name of the thread that reads, as the system shows it.
+/// Name of the reload thread.
 pub const THREAD_NAME: &str = "rule-reload";
 
-/// Why a reading has brought no rules.
+/// Why a reload produced no rules.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The file has so many faults; each has been logged.
+    /// The file has this many faults; each has been logged.
     #[error("the file of rules has {0} faults")]
     Faults(usize),
-    /// No thread can be started.
-    #[error("the thread that reads rules cannot be started: {0}")]
+    /// The thread cannot be started.
+    #[error("the rule reload thread cannot be started: {0}")]
     Thread(#[from] std::io::Error),
-    /// The thread has ended without a result, as by a panic.
-    #[error("the thread that reads rules has ended without a result")]
+    /// The thread ended without a result, for example by a panic.
+    #[error("the rule reload thread ended without a result")]
     Ended,
 }
 
-/// Rules that were read, with the text that they come from.
+/// Rules that were read, with their source text.
 #[derive(Debug)]
 pub struct Reading {
     /// The rules.
     pub rules: Rules,
     /// The file's text.
     pub text: String,
-    /// Where to leave the rules that these replace.
-    pub retired: Retired,
+    /// Queue for the rules that these replace.
+    pub retired: DropQueue,
 }
 
-/// Takes what is no longer in force, to be dropped by the thread that has read its replacement.
+/// Queue of values that are no longer in use; the thread that read their replacement drops them.
 #[derive(Debug)]
-pub struct Retired(mpsc::Sender<Box<dyn Any + Send>>);
+pub struct DropQueue(mpsc::Sender<Box<dyn Any + Send>>);
 
-impl Retired {
-    /// Has `old` dropped by that thread.
+impl DropQueue {
+    /// Sends `old` to the reload thread, which drops it.
     pub fn leave(&self, old: impl Any + Send) {
-        // The thread waits for as long as this end is there.
+        // The thread receives until this sender is dropped.
         let _ = self.0.send(Box::new(old));
     }
 }
 
-/// Reads one file of rules whenever it is asked to.
+/// Reloads one file of rules on request.
 #[derive(Debug)]
 pub struct RuleReload {
     source: RuleSource,
     catalog: Catalog,
-    /// Brings the result of the reading under way.
+    /// Receives the result of the reload in progress.
     reading: Option<oneshot::Receiver<Result<Reading, ReloadError>>>,
-    /// Another one was asked for since it began.
+    /// Whether another reload was requested since this one began.
     requested_again: bool,
-    /// The thread of the last reading, which may still be dropping old rules.
+    /// The thread of the last reload, which may still be dropping old rules.
     last_thread: Option<JoinHandle<()>>,
 }
 
 impl RuleReload {
-    /// For the rules of this source, which may name what is in `catalog`. Nothing is read and no thread is started
-    /// before [`Self::request`].
+    /// Creates a reloader of the rules of `source`, which may use the names in `catalog`. It reads
+    /// nothing and starts no thread before [`Self::request`].
     pub fn new(source: RuleSource, catalog: Catalog) -> RuleReload {
         RuleReload {
             source,
@@ -79,8 +79,9 @@
         }
     }
 
-    /// Has the file read as it is now; rules in force that it still has are taken over. During a reading, which may
-    /// have seen an earlier content, this leads to one more after it, however often it is called.
+    /// Starts a reload of the file's current content; unchanged rules of `in_force` are reused. A
+    /// reload in progress may have read earlier content: requests during it lead to one more reload
+    /// after it.
     pub fn request(&mut self, in_force: Option<Rules>) {
         if self.reading.is_some() {
             self.requested_again = true;
@@ -100,10 +101,10 @@
         });
     }
 
-    /// Waits for the reading under way; forever where there is none. Cancel safe.
+    /// Waits for the reload in progress; never returns if there is none. Cancel safe.
     ///
     /// # Errors
-    /// The reading has brought no rules.
+    /// The reload produced no rules.
     pub async fn finished(&mut self) -> Result<Reading, ReloadError> {
         let Some(reading) = &mut self.reading else {
             return pending().await;
@@ -113,8 +114,8 @@
         result
     }
 
-    /// Begins the reading that was asked for during the last one, if any was. To be called once what the last one
-    /// brought has been dealt with, with the rules that are in force then.
+    /// Starts the reload that was requested during the last one, if any. Call it after the result
+    /// of the last one has been handled, with the rules that are then in force.
     pub fn resume(&mut self, in_force: Option<Rules>) {
         if std::mem::take(&mut self.requested_again) {
             self.request(in_force);
@@ -122,14 +123,14 @@
     }
 }
 
-/// A reading that has ended already, with this error.
+/// The receiver of a reload that has already failed with this error.
 fn failed_reading(error: ReloadError) -> oneshot::Receiver<Result<Reading, ReloadError>> {
     let (sender, reading) = oneshot::channel();
     let _ = sender.send(Err(error));
     reading
 }
 
-/// The thread: reads the file, sends the result, and drops what that replaces.
+/// The reload thread: reads the file, sends the result, and drops the rules that it replaces.
 fn read(
     source: &RuleSource,
     catalog: &Catalog,
@@ -137,26 +138,28 @@
     last_thread: Option<JoinHandle<()>>,
     sender: oneshot::Sender<Result<Reading, ReloadError>>,
 ) {
-    // Guards memory: what the last reading replaced is dropped before more rules are compiled.
+    // Bounds memory: the rules that the last reload replaced are dropped before more rules are
+    // compiled.
     if let Some(thread) = last_thread {
         let _ = thread.join();
     }
     let (retire, retired) = mpsc::channel();
     let compiled = compile(source, catalog, in_force.as_ref());
-    // Rules are shared, and freed by whoever drops them last: that is this thread, as it holds them until the end.
-    let held = compiled.as_ref().ok().map(|(rules, _)| rules.clone());
+    // Rules are reference-counted and freed by their last owner. This thread keeps a reference
+    // until the end, so that it frees them.
+    let kept_rules = compiled.as_ref().ok().map(|(rules, _)| rules.clone());
     let result = compiled
         .map(|(rules, text)| Reading {
             rules,
             text,
-            retired: Retired(retire),
+            retired: DropQueue(retire),
         })
         .map_err(|faults| log(&faults));
-    // Nobody receives where the process has ended.
+    // There is no receiver if the process is ending.
     let _ = sender.send(result);
-    // Ends once the serving thread has dropped its end.
+    // The loop ends when the serving thread has dropped its sender.
     retired.iter().for_each(drop);
-    drop((in_force, held));
+    drop((in_force, kept_rules));
 }
 
 fn compile(
@@ -169,7 +172,7 @@
     Ok((rules, text))
 }
 
-/// Logs each fault, on this thread: thousands of lines would hold the serving thread.
+/// Logs each fault on this thread: thousands of lines would block the serving thread.
 fn log(faults: &[Fault]) -> ReloadError {
     for fault in faults {
         tracing::error!(fault = fault.line, "rules");
--- a/src/routing/source.rs
+++ b/src/routing/source.rs
@@ -1,4 +1,4 @@
-//! Where the operator's rules are read from, and how much memory they may take.
+//! The file that the operator's rules are read from, and the memory limit of the rules.
 
 use super::catalog;
 use crate::config::operator_file::OperatorFile;
@@ -6,45 +6,47 @@
 use driftgap_routes::{Catalog, Fault, ReadOptions, Rules};
 use std::path::PathBuf;
 
-/// The part of the memory that rules may take where there are any: the file's text, the rules in force and those that
-/// a reload compiles, all together. Requests share what is left.
+/// Share of the memory that is reserved for rules, if there are any: for the file's text, the rules
+/// in force, and the rules that a reload compiles. Requests share the rest.
 pub const RULE_MEMORY_SHARE: f64 = 0.25;
 
-/// Where rules are read from: a file of their own, or a table of the operator's file.
+/// The source of the rules: a separate file, or a table of the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleSource {
     path: PathBuf,
-    /// The table of the file that holds them; none: the file holds nothing else.
-    part: Option<&'static str>,
-    /// Bytes that the file's text, the rules in force and those that are compiled anew may take together.
+    /// The table of the file that contains the rules; `None` if the whole file does.
+    table: Option<&'static str>,
+    /// Memory limit for the file's text, the rules in force and the rules that a reload compiles,
+    /// bytes.
     max_bytes: usize,
 }
 
 impl RuleSource {
-    /// The rules that the operator's file has or names, for an ingress with `memory_mb`; none: it has no rules.
+    /// The source of the rules that the operator's file contains or names, for an ingress with
+    /// `memory_mb`; `None` if there are none.
     pub fn of(operator: &OperatorFile, memory_mb: f64) -> Option<RuleSource> {
         let routes = operator.routes.as_ref()?;
-        let (path, part) = match &routes.file {
+        let (path, table) = match &routes.file {
             Some(file) => (operator.folder.join(file), None),
             None => (operator.path.clone(), Some("routes")),
         };
         Some(RuleSource {
             path,
-            part,
+            table,
             max_bytes: max_bytes(memory_mb),
         })
     }
 
-    /// A file of rules by itself, for an ingress with `memory_mb`.
+    /// A separate file of rules, for an ingress with `memory_mb`.
     pub fn file(path: PathBuf, memory_mb: f64) -> RuleSource {
         RuleSource {
             path,
-            part: None,
+            table: None,
             max_bytes: max_bytes(memory_mb),
         }
     }
 
-    /// Bytes that rules may take while they are read again: [`RULE_MEMORY_SHARE`] of the memory.
+    /// Memory limit of the rules during a reload, bytes: [`RULE_MEMORY_SHARE`] of the memory.
     pub fn max_bytes(&self) -> usize {
         self.max_bytes
     }
@@ -52,15 +54,15 @@
     /// Reads and compiles the rules.
     ///
     /// # Errors
-    /// The file cannot be read, or every fault of its rules.
+    /// The file cannot be read, or its rules have faults; all of them.
     pub fn read(&self, platform: &Platform) -> Result<Rules, Vec<Fault>> {
         self.judge(&self.text()?, &catalog(platform), None)
     }
 
-    /// The file's text.
+    /// Reads the file's text.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// The file cannot be read.
     pub fn text(&self) -> Result<String, Vec<Fault>> {
         std::fs::read_to_string(&self.path).map_err(|e| {
             let line = format!("{}: {e}", self.path.display());
@@ -71,10 +73,10 @@
         })
     }
 
-    /// Compiles rules from their text; rules of `previous` that have not changed are taken over as they are.
+    /// Compiles rules from their text. Rules of `previous` that have not changed are reused.
     ///
     /// # Errors
-    /// Every fault of the rules.
+    /// All faults of the rules.
     pub fn judge(
         &self,
         text: &str,
@@ -86,11 +88,11 @@
             previous,
             max_bytes: self.max_bytes,
         };
-        Rules::read_part(text, &file, self.part, catalog, &options)
+        Rules::read_part(text, &file, self.table, catalog, &options)
     }
 }
 
-/// Bytes that rules may take, out of the memory of the ingress.
+/// Memory limit of the rules, bytes, for an ingress with this memory.
 fn max_bytes(memory_mb: f64) -> usize {
     (memory_mb * 1e6 * RULE_MEMORY_SHARE) as usize
 }
