--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -265,7 +265,7 @@
         let source = RuleSource::file(RULES_FILE.into(), MEMORY_MB);
         let in_force = self.dispatcher.rules();
         let rules = source
-            .judge(
+            .compile(
                 text,
                 &catalog(self.dispatcher.platform()),
                 in_force.as_ref(),
--- a/src/routing/reload.rs
+++ b/src/routing/reload.rs
@@ -47,7 +47,7 @@
 
 impl DropQueue {
     /// Sends `old` to the reload thread, which drops it.
-    pub fn leave(&self, old: impl Any + Send) {
+    pub fn push(&self, old: impl Any + Send) {
         // The thread receives until this sender is dropped.
         let _ = self.0.send(Box::new(old));
     }
@@ -168,7 +168,7 @@
     in_force: Option<&Rules>,
 ) -> Result<(Rules, String), Vec<Fault>> {
     let text = source.text()?;
-    let rules = source.judge(&text, catalog, in_force)?;
+    let rules = source.compile(&text, catalog, in_force)?;
     Ok((rules, text))
 }
 
--- a/src/routing/source.rs
+++ b/src/routing/source.rs
@@ -56,7 +56,7 @@
     /// # Errors
     /// The file cannot be read, or its rules have faults; all of them.
     pub fn read(&self, platform: &Platform) -> Result<Rules, Vec<Fault>> {
-        self.judge(&self.text()?, &catalog(platform), None)
+        self.compile(&self.text()?, &catalog(platform), None)
     }
 
     /// Reads the file's text.
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// All faults of the rules.
-    pub fn judge(
+    pub fn compile(
         &self,
         text: &str,
         catalog: &Catalog,
--- a/src/runtime/server/rules.rs
+++ b/src/runtime/server/rules.rs
@@ -46,7 +46,7 @@
 
 fn read_file(source: &RuleSource, catalog: &Catalog) -> Result<RuleText, Vec<Fault>> {
     let text = source.text()?;
-    let rules = source.judge(&text, catalog, None)?;
+    let rules = source.compile(&text, catalog, None)?;
     Ok(RuleText { rules, text })
 }
 
@@ -59,7 +59,7 @@
 ) -> Option<RuleText> {
     let document = group?.document(DocumentKind::Rules).await?;
     let text = String::from_utf8_lossy(&document.bytes).to_string();
-    let rules = source.judge(&text, catalog, None).ok()?;
+    let rules = source.compile(&text, catalog, None).ok()?;
     let fault = faults.first().map(|fault| &fault.line);
     tracing::error!(
         fault,
@@ -113,7 +113,7 @@
     };
     let held_ms = dispatcher.now() - begun_ms;
     // Dropping rules takes long: it is left to the thread that read the new ones.
-    retired.leave(replaced);
+    retired.push(replaced);
     tracing::info!(
         rules = count,
         taken_over,
@@ -126,6 +126,6 @@
     if keep_text {
         return Some(text);
     }
-    retired.leave(text);
+    retired.push(text);
     None
 }
