--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -94,7 +94,12 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn judge(&self, spoken: FormatRange, group: u64, name: &str) -> Result<u16, HelloError> {
+    pub fn negotiate_format(
+        &self,
+        spoken: FormatRange,
+        group: u64,
+        name: &str,
+    ) -> Result<u16, HelloError> {
         if self.magic != MAGIC {
             return Err(HelloError::Foreign);
         }
--- a/src/group/link/identity.rs
+++ b/src/group/link/identity.rs
@@ -33,7 +33,7 @@
             oldest: self.format.get(),
             newest: self.newest_format,
         };
-        hello.judge(spoken, self.group.get(), &self.name)
+        hello.negotiate_format(spoken, self.group.get(), &self.name)
     }
 
     /// The answer to a greeting that was taken.
