--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -50,7 +50,7 @@
     failed_attempts: u32,
     connect_at_ms: f64,
     connected: bool,
-    copy: Replica,
+    replica: Replica,
     /// The group of the member that it is connected to.
     connected_group: u64,
     /// None: nothing was heard in this process incarnation.
@@ -74,7 +74,7 @@
         name: &str,
         origin: u64,
         members: impl IntoIterator<Item = &'a str>,
-        copy: Replica,
+        replica: Replica,
         now_ms: f64,
     ) -> Follower {
         let mut members: Vec<String> = members.into_iter().map(String::from).collect();
@@ -86,7 +86,7 @@
             failed_attempts: 0,
             connect_at_ms: now_ms,
             connected: false,
-            copy,
+            replica,
             connected_group: 0,
             freshness: None,
             copy_received: false,
@@ -121,10 +121,10 @@
 
     /// Numbers of another group's documents mean nothing to this one.
     fn known_documents(&self, group: u64) -> Vec<(DocumentKind, u64)> {
-        if group != self.copy.group {
+        if group != self.replica.group {
             return Vec::new();
         }
-        let documents = self.copy.documents.iter();
+        let documents = self.replica.documents.iter();
         documents
             .map(|(kind, document)| (*kind, document.number))
             .collect()
@@ -195,7 +195,7 @@
                 self.copy_received = true;
                 self.adopt_group();
                 // A member that lags behind the last one takes nothing back.
-                if applied < self.copy.applied {
+                if applied < self.replica.applied {
                     return;
                 }
                 self.failed_attempts = 0;
@@ -203,7 +203,7 @@
                     heard_ms: now_ms,
                     age_ms,
                 });
-                self.copy.applied = applied;
+                self.replica.applied = applied;
                 self.update_copy(out, documents);
             }
             Frame::Answer { op, answer } => self.calls.answer(op, answer),
@@ -213,10 +213,10 @@
 
     /// A new group may have been begun in place of a lost one: what that held is as the new one says from now on.
     fn adopt_group(&mut self) {
-        if self.connected_group == self.copy.group {
+        if self.connected_group == self.replica.group {
             return;
         }
-        self.copy = Replica {
+        self.replica = Replica {
             group: self.connected_group,
             ..Replica::default()
         };
@@ -226,15 +226,15 @@
     fn update_copy(&mut self, out: Option<Vec<String>>, documents: Vec<(DocumentKind, Document)>) {
         self.changed |= out.is_some() || !documents.is_empty();
         if let Some(out) = out {
-            self.copy.excluded = out.into_iter().collect();
+            self.replica.excluded = out.into_iter().collect();
         }
-        self.copy.documents.extend(documents);
+        self.replica.documents.extend(documents);
     }
 
     /// Proposes something, or asks for a read where there is no proposal; the number by which its end is reported. None:
     /// too many calls are pending.
     pub fn call(&mut self, now_ms: f64, proposal: Option<Proposal>) -> Option<u64> {
-        let number = self.calls.begin(now_ms, self.copy.applied, proposal)?;
+        let number = self.calls.begin(now_ms, self.replica.applied, proposal)?;
         if self.connected {
             self.frames.extend(self.calls.send(number));
         }
@@ -266,8 +266,8 @@
     }
 
     /// The replica.
-    pub fn copy(&self) -> &Replica {
-        &self.copy
+    pub fn replica(&self) -> &Replica {
+        &self.replica
     }
 
     /// How old the replica is, ms; none: nothing was heard of it in this process incarnation.
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -138,7 +138,7 @@
     fn all_hold(&self, name: &str) -> bool {
         self.beside
             .iter()
-            .all(|b| b.follower.copy().excluded.contains(name))
+            .all(|b| b.follower.replica().excluded.contains(name))
     }
 
     fn by_member(&self) -> Vec<usize> {
@@ -197,7 +197,7 @@
             fleet.opened.len()
         );
         let holds = |c: &Replica| c.excluded.len() == 2;
-        assert!(fleet.beside.iter().all(|b| holds(b.follower.copy())));
+        assert!(fleet.beside.iter().all(|b| holds(b.follower.replica())));
         let ages = fleet
             .beside
             .iter()
@@ -246,7 +246,7 @@
         }
         fleet.run(100.0 + 100.0 * pick(8) as f64);
         for (beside, furthest) in fleet.beside.iter().zip(&mut furthest) {
-            let applied = beside.follower.copy().applied;
+            let applied = beside.follower.replica().applied;
             assert!(applied >= *furthest, "seed {seed}: a copy went back");
             *furthest = applied;
         }
@@ -272,7 +272,7 @@
     let has = |b: &FollowerAt| {
         promised
             .iter()
-            .all(|name| b.follower.copy().excluded.contains(name))
+            .all(|name| b.follower.replica().excluded.contains(name))
     };
     let ms = fleet.until(40_000.0, |f| f.beside.iter().all(has));
     println!(
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -74,7 +74,7 @@
 
     /// What the rest of the ingress sees of the copy, made anew at each change as the group's thread does.
     fn update_view(&mut self) {
-        let copy = self.follower.copy();
+        let copy = self.follower.replica();
         self.view = View {
             excluded: Arc::new(copy.excluded.clone()),
             documents: Arc::new(copy.documents.clone()),
@@ -94,6 +94,6 @@
 
     /// What it knows of the group.
     pub(super) fn copy(&self) -> &Replica {
-        self.follower.copy()
+        self.follower.replica()
     }
 }
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -135,7 +135,7 @@
         let member = self.follower.is_up().then(|| self.follower.next_member().0);
         tracing::info!(
             member,
-            applied = self.follower.copy().applied,
+            applied = self.follower.replica().applied,
             age_ms = self.follower.age_ms(now_ms).map(f64::round),
             "beside the group"
         );
@@ -187,7 +187,7 @@
         if !self.follower.changed() {
             return;
         }
-        let copy = self.follower.copy();
+        let copy = self.follower.replica();
         // Before it is shown: what is shown and not stored yet must not count as stored.
         if let Some(writer) = &mut self.writer {
             writer.store(copy.clone());
@@ -201,7 +201,7 @@
                 continue;
             };
             let mut view = self.view.borrow().clone();
-            view.applied = self.follower.copy().applied;
+            view.applied = self.follower.replica().applied;
             let _ = answer.send(match answered {
                 MemberAnswer::Done(outcome) => CallResult::Done(outcome, view),
                 MemberAnswer::Read => CallResult::Done(Outcome::Done, view),
@@ -232,7 +232,7 @@
         let member = self.follower.is_up().then(|| self.follower.next_member().0);
         MembershipStatus::Follower {
             member: member.map(String::from),
-            applied: self.follower.copy().applied,
+            applied: self.follower.replica().applied,
             age_ms: self.follower.age_ms(self.clock.now_ms()),
             stored: self.stored(),
         }
@@ -240,7 +240,7 @@
 
     /// Up to which index of the log the copy on the disk holds everything; none: nothing is on a disk.
     fn stored(&self) -> Option<u64> {
-        let applied = self.follower.copy().applied;
+        let applied = self.follower.replica().applied;
         self.writer.as_ref()?.stored(applied)
     }
 }
