--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -213,7 +213,7 @@
     }
 
     /// A follower's connection has ended.
-    pub fn follower_gone(&mut self, from: u64) {
+    pub fn follower_disconnected(&mut self, from: u64) {
         self.subscribers.gone(from);
     }
 
--- a/crates/group/tests/followers.rs
+++ b/crates/group/tests/followers.rs
@@ -80,12 +80,12 @@
                     let leaves = follower.leaves_stale_member(now);
                     if leaves {
                         if let Some(peer) = &mut node.peer {
-                            peer.follower_gone(number);
+                            peer.follower_disconnected(number);
                         }
                         beside.link = None;
                     } else if !node.up || follower.is_silent(now) {
                         if let Some(peer) = &mut node.peer {
-                            peer.follower_gone(number);
+                            peer.follower_disconnected(number);
                         }
                         beside.link = None;
                         follower.disconnected(now);
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -550,7 +550,7 @@
         };
         self.members[connection.member]
             .peer
-            .follower_gone(connection.down.number());
+            .follower_disconnected(connection.down.number());
         self.links.close(connection.up);
         self.links.close(connection.down);
     }
--- a/src/group/member_task/links.rs
+++ b/src/group/member_task/links.rs
@@ -89,7 +89,7 @@
             }
             LinkEvent::FollowerGone { connection } => {
                 self.followers.remove(&connection);
-                peer.follower_gone(connection);
+                peer.follower_disconnected(connection);
             }
         }
     }
