--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -9,7 +9,7 @@
 
 impl Member {
     /// A member's program has greeted this one: the newest format version that it speaks.
-    pub fn greeted(&mut self, name: &str, newest: u16) {
+    pub fn note_newest_format(&mut self, name: &str, newest: u16) {
         self.newest_formats.insert(name.into(), newest);
     }
 
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -137,13 +137,13 @@
     }
 
     /// Another one has opened a link to this one: the newest format version that it speaks.
-    pub fn greeted(&mut self, from: &str, newest: u16) {
+    pub fn note_newest_format(&mut self, from: &str, newest: u16) {
         // Followers, and whoever else greets, are no concern of the log.
         if !self.others().contains_key(from) {
             return;
         }
         match &mut self.stage {
-            Stage::Member(member) => member.greeted(from, newest),
+            Stage::Member(member) => member.note_newest_format(from, newest),
             Stage::Joining(joining) => {
                 joining.newest_formats.insert(from.into(), newest);
             }
@@ -195,7 +195,7 @@
                 let loaded = StoredMember::admitted(admission.group, admission.id);
                 let mut member = Member::new(self.settings.clone(), loaded, now_ms)?;
                 for (name, newest) in &joining.newest_formats {
-                    member.greeted(name, *newest);
+                    member.note_newest_format(name, *newest);
                 }
                 self.stage = Stage::Member(Box::new(member));
             }
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -206,7 +206,9 @@
             for to in (0..names.len()).filter(|to| *to != from) {
                 let link = self.open(Node::Member(from), Node::Member(to));
                 self.member_links.insert((from, to), link);
-                self.members[to].peer.greeted(&names[from], NEWEST_FORMAT);
+                self.members[to]
+                    .peer
+                    .note_newest_format(&names[from], NEWEST_FORMAT);
             }
         }
     }
--- a/src/group/member_task/links.rs
+++ b/src/group/member_task/links.rs
@@ -68,7 +68,7 @@
             LinkEvent::Greeted {
                 name,
                 newest_format,
-            } => peer.greeted(&name, newest_format),
+            } => peer.note_newest_format(&name, newest_format),
             LinkEvent::Frame {
                 from,
                 incarnation,
