--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -11,9 +11,9 @@
     /// It follows a leader.
     Follower,
     /// A candidate: it seeks votes.
-    Seeking,
+    Candidate,
     /// A learner: it copies and does not vote.
-    Copying,
+    Learner,
 }
 
 /// How another member stands, as the leader sees it.
@@ -97,9 +97,9 @@
         let raft = &self.node.raft;
         match raft.state {
             StateRole::Leader => Role::Leader,
-            _ if !self.conf.voters.contains(&raft.id) => Role::Copying,
+            _ if !self.conf.voters.contains(&raft.id) => Role::Learner,
             StateRole::Follower => Role::Follower,
-            _ => Role::Seeking,
+            _ => Role::Candidate,
         }
     }
 
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -408,7 +408,7 @@
             && self.nodes.iter().all(|n| {
                 n.member().is_some_and(|m| {
                     let status = m.status(self.now_ms);
-                    let votes = status.role != Role::Copying && !status.changing;
+                    let votes = status.role != Role::Learner && !status.changing;
                     m.voters() == wanted && m.leader().is_some() && votes
                 })
             })
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -263,7 +263,7 @@
             let status = member.status(self.now_ms());
             member.voters() == wanted
                 && status.leader.is_some()
-                && status.role != Role::Copying
+                && status.role != Role::Learner
                 && !status.changing
         };
         self.leader().is_ok() && self.members.iter().all(|m| m.member().is_some_and(votes))
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -109,8 +109,8 @@
     let role = match status.role {
         Role::Leader => "leader",
         Role::Follower => "follower",
-        Role::Seeking => "seeking",
-        Role::Copying => "copying",
+        Role::Candidate => "seeking",
+        Role::Learner => "copying",
     };
     let members = status.members.iter().map(|m| {
         let lag = m.lag.map_or(String::new(), |lag| format!(":lag={lag}"));
