--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The format version to be spoken.
-    pub form: u16,
+    pub format_version: u16,
     /// The group of whom it reached.
     pub group: u64,
     /// Its incarnation.
--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -31,7 +31,7 @@
             return;
         }
         let common = self.common_format(now_ms);
-        if common > self.state.form() {
+        if common > self.state.format_version() {
             self.format_proposed_ms = Some(now_ms);
             let _ = self.propose_membership(now_ms, Proposal::Raise(common));
         }
--- a/crates/group/src/member/membership.rs
+++ b/crates/group/src/member/membership.rs
@@ -55,7 +55,7 @@
             return Some(id);
         }
         // An older program could not carry out what the log may hold by now.
-        if self.newest_format_of(name) < self.state.form() {
+        if self.newest_format_of(name) < self.state.format_version() {
             return None;
         }
         let invited = self.state.invited.get(name).map(|i| &i.address);
--- a/crates/group/src/member/mod.rs
+++ b/crates/group/src/member/mod.rs
@@ -171,8 +171,8 @@
         0 => State::default(),
         _ => State::decode(&loaded.snapshot.data).ok_or(MemberFailure::State)?,
     };
-    if state.form() > settings.newest_format {
-        return Err(MemberFailure::Form(state.form()));
+    if state.format_version() > settings.newest_format {
+        return Err(MemberFailure::Form(state.format_version()));
     }
     Ok(state)
 }
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -66,7 +66,7 @@
         let state = State::decode(&snapshot.data);
         self.node.mut_store().restore(&snapshot);
         batch.restored = Some((&snapshot).into());
-        batch.form = state.as_ref().map(State::form);
+        batch.format_version = state.as_ref().map(State::format_version);
         Some(ReceivedSnapshot { snapshot, state })
     }
 
@@ -80,10 +80,10 @@
     }
 
     fn apply_committed(&mut self, ready: &mut Ready, batch: &mut Batch) {
-        let form = self.state.form();
+        let format_version = self.state.format_version();
         let reconfigured = self.apply(ready.take_committed_entries());
-        if self.state.form() != form {
-            batch.form = Some(self.state.form());
+        if self.state.format_version() != format_version {
+            batch.format_version = Some(self.state.format_version());
         }
         if reconfigured {
             // Who votes follows from the commit index, and is needed again at the next start: a member that forgot
@@ -151,8 +151,8 @@
 
     fn install_snapshot(&mut self, received: ReceivedSnapshot) {
         match received.state {
-            Some(state) if state.form() > self.settings.newest_format => {
-                self.lost = Some(MemberFailure::Form(state.form()));
+            Some(state) if state.format_version() > self.settings.newest_format => {
+                self.lost = Some(MemberFailure::Form(state.format_version()));
             }
             Some(state) => self.state = state,
             None => self.lost = Some(MemberFailure::State),
--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -89,7 +89,7 @@
             age_ms: self.age_ms(now_ms),
             members: self.health(),
             changing: !self.conf.voters_outgoing.is_empty(),
-            format_version: self.state.form(),
+            format_version: self.state.format_version(),
         }
     }
 
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -106,7 +106,7 @@
     /// Entries up to here may go.
     pub compacted: Option<LogPosition>,
     /// The format version of the log, where it has changed: an older program must not use the folder from then on.
-    pub form: Option<u16>,
+    pub format_version: Option<u16>,
 }
 
 impl Batch {
@@ -120,7 +120,7 @@
         self.restored.is_some()
             || !self.entries.is_empty()
             || self.hard.is_some()
-            || self.form.is_some()
+            || self.format_version.is_some()
     }
 }
 
--- a/crates/group/src/state/apply.rs
+++ b/crates/group/src/state/apply.rs
@@ -65,7 +65,7 @@
                 instead_of,
             } => self.invite(name, address, instead_of.as_deref()),
             Proposal::Remove(name) => self.remove(name),
-            Proposal::Raise(form) => self.raise_format(*form),
+            Proposal::Raise(format_version) => self.raise_format(*format_version),
         }
     }
 
@@ -175,11 +175,11 @@
         Outcome::Done
     }
 
-    fn raise_format(&mut self, form: u16) -> Outcome {
-        if form <= self.form() {
+    fn raise_format(&mut self, format_version: u16) -> Outcome {
+        if format_version <= self.format_version() {
             return Outcome::Before;
         }
-        self.form = form;
+        self.format_version = format_version;
         Outcome::Done
     }
 
--- a/crates/group/src/state/mod.rs
+++ b/crates/group/src/state/mod.rs
@@ -90,7 +90,7 @@
     /// The format version of what the log may hold. Encoded behind all that version 1 knew, and only from version 2 on:
     /// a program of version 1 reads a state of that version, and is never given another.
     #[serde(skip)]
-    form: u16,
+    format_version: u16,
 }
 
 impl State {
@@ -106,15 +106,15 @@
     }
 
     /// The format version of the log: what its entries and snapshots may hold.
-    pub fn form(&self) -> u16 {
-        self.form.max(OLDEST_FORMAT)
+    pub fn format_version(&self) -> u16 {
+        self.format_version.max(OLDEST_FORMAT)
     }
 
     /// The state for the disk and the link.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
-        if self.form() > OLDEST_FORMAT {
-            bytes.extend(postcard::to_stdvec(&self.form).unwrap_or_default());
+        if self.format_version() > OLDEST_FORMAT {
+            bytes.extend(postcard::to_stdvec(&self.format_version).unwrap_or_default());
         }
         bytes
     }
@@ -123,11 +123,11 @@
     pub fn decode(bytes: &[u8]) -> Option<State> {
         let (mut state, rest) = postcard::take_from_bytes::<State>(bytes).ok()?;
         if !rest.is_empty() {
-            let (form, rest) = postcard::take_from_bytes::<u16>(rest).ok()?;
-            if form > NEWEST_FORMAT || !rest.is_empty() {
+            let (format_version, rest) = postcard::take_from_bytes::<u16>(rest).ok()?;
+            if format_version > NEWEST_FORMAT || !rest.is_empty() {
                 return None;
             }
-            state.form = form;
+            state.format_version = format_version;
         }
         Some(state)
     }
--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -156,7 +156,7 @@
     let hello = Hello::new(2, 77, 1, "m0", "m1");
     assert_eq!(hello.bytes(), fixture.take("hello"));
     let welcome = Welcome {
-        form: 2,
+        format_version: 2,
         group: 77,
         id: 2,
     };
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -521,7 +521,7 @@
             .bytes()
             .len();
         let welcome = Welcome {
-            form: NEWEST_FORMAT,
+            format_version: NEWEST_FORMAT,
             group: GROUP,
             id: member as u64 + 1,
         }
--- a/src/group/link/identity.rs
+++ b/src/group/link/identity.rs
@@ -39,7 +39,7 @@
     /// The answer to a greeting that was taken.
     pub(super) fn welcome(&self, form: u16) -> Welcome {
         Welcome {
-            form,
+            format_version: form,
             group: self.group.get(),
             id: self.incarnation.get(),
         }
@@ -53,7 +53,7 @@
         if group != 0 && welcome.group != 0 && welcome.group != group {
             return Err(HelloError::OtherGroup);
         }
-        if welcome.form < self.format.get() {
+        if welcome.format_version < self.format.get() {
             return Err(HelloError::OlderForm);
         }
         Ok(())
--- a/src/group/member_task/mod.rs
+++ b/src/group/member_task/mod.rs
@@ -108,7 +108,7 @@
         if let Some(member) = self.member() {
             self.identity.group.set(member.group());
             self.identity.incarnation.set(member.id());
-            self.identity.format.set(member.state().form());
+            self.identity.format.set(member.state().format_version());
         }
     }
 
--- a/src/group/member_task/progress.rs
+++ b/src/group/member_task/progress.rs
@@ -82,7 +82,7 @@
     /// Shows the rest of the ingress what the group holds now.
     fn publish_state(&self) {
         let Some(member) = self.member() else { return };
-        let form = member.state().form();
+        let form = member.state().format_version();
         if self.identity.format.get() < form {
             self.identity.format.set(form);
             tracing::info!(form, "the group has raised its form");
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -135,7 +135,7 @@
             return Err(StoreError::Taken(self.path.clone()));
         }
         let state = State::decode(&loaded.snapshot.data);
-        let format = state.map_or(OLDEST_FORMAT, |state| state.form());
+        let format = state.map_or(OLDEST_FORMAT, |state| state.format_version());
         self.commit(Durability::Immediate, |head, _| {
             put(head, FORMAT_KEY, &u32::from(format))?;
             put(head, IDENTITY_KEY, identity)?;
@@ -279,7 +279,7 @@
     log: &mut LogTable<'_>,
     batch: &Batch,
 ) -> Result<(), StorageError> {
-    if let Some(format) = batch.form {
+    if let Some(format) = batch.format_version {
         put(head, FORMAT_KEY, &u32::from(format))?;
     }
     if let Some(hard) = &batch.hard {
--- a/src/group/store/tests.rs
+++ b/src/group/store/tests.rs
@@ -234,7 +234,7 @@
     assert_eq!(store.format().unwrap(), Some(1));
     store
         .write(&Batch {
-            form: Some(2),
+            format_version: Some(2),
             ..Batch::default()
         })
         .unwrap();
