--- a/crates/group/src/state/apply.rs
+++ b/crates/group/src/state/apply.rs
@@ -71,7 +71,7 @@
 
     fn suspend(&mut self, index: u64, endpoint: &str) -> Outcome {
         if self.excluded.contains_key(endpoint) {
-            return Outcome::Before;
+            return Outcome::Unchanged;
         }
         if endpoint.is_empty() || endpoint.len() > MAX_ENDPOINT_NAME {
             return Outcome::Refused;
@@ -86,7 +86,7 @@
     fn restore(&mut self, endpoint: &str) -> Outcome {
         match self.excluded.remove(endpoint) {
             Some(_) => Outcome::Done,
-            None => Outcome::Before,
+            None => Outcome::Unchanged,
         }
     }
 
@@ -97,7 +97,7 @@
         }
         let present = self.documents.get(&kind);
         if present.is_some_and(|document| document.bytes == bytes) {
-            return Outcome::Before;
+            return Outcome::Unchanged;
         }
         let present_number = present.map_or(0, |document| document.number);
         if present_number != made_from {
@@ -144,7 +144,7 @@
     fn invite(&mut self, name: &str, address: &str, instead_of: Option<&str>) -> Outcome {
         let is_member = |name: &str| self.incarnation(name).is_some();
         if is_member(name) {
-            return Outcome::Before;
+            return Outcome::Unchanged;
         }
         if instead_of.is_some_and(|old| !is_member(old)) {
             return Outcome::Unknown;
@@ -177,7 +177,7 @@
 
     fn raise_format(&mut self, format_version: u16) -> Outcome {
         if format_version <= self.format_version() {
-            return Outcome::Before;
+            return Outcome::Unchanged;
         }
         self.format_version = format_version;
         Outcome::Done
--- a/crates/group/src/state/proposal.rs
+++ b/crates/group/src/state/proposal.rs
@@ -71,7 +71,7 @@
     /// It is so now.
     Done,
     /// It was so before.
-    Before,
+    Unchanged,
     /// Too many endpoints are excluded.
     TooMany,
     /// It came too late to know whether it had come before.
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -308,7 +308,7 @@
     fn note(&mut self, i: usize, event: Event) {
         let (number, done, changed) = match event {
             Event::Done(number, outcome) => {
-                let done = matches!(outcome, Outcome::Done | Outcome::Before);
+                let done = matches!(outcome, Outcome::Done | Outcome::Unchanged);
                 (number, done, outcome == Outcome::Done)
             }
             Event::Read(number) => (number, true, false),
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -56,7 +56,7 @@
     };
     let text = match outcome {
         Outcome::Done => done,
-        Outcome::Before => done_before,
+        Outcome::Unchanged => done_before,
         Outcome::TooMany => return Answer::no("too many are suspended"),
         Outcome::Unknown => return Answer::no(format!("not done: no such member for {name}")),
         Outcome::Late => return Answer::no("not done: it came too late"),
