--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The format version to be spoken.
-    pub form: u16,
+    pub format_version: u16,
     /// The group of whom it reached.
     pub group: u64,
     /// Its incarnation.
@@ -94,7 +94,12 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn judge(&self, spoken: FormatRange, group: u64, name: &str) -> Result<u16, HelloError> {
+    pub fn negotiate_format(
+        &self,
+        spoken: FormatRange,
+        group: u64,
+        name: &str,
+    ) -> Result<u16, HelloError> {
         if self.magic != MAGIC {
             return Err(HelloError::Foreign);
         }
--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -9,7 +9,7 @@
 
 impl Member {
     /// A member's program has greeted this one: the newest format version that it speaks.
-    pub fn greeted(&mut self, name: &str, newest: u16) {
+    pub fn note_newest_format(&mut self, name: &str, newest: u16) {
         self.newest_formats.insert(name.into(), newest);
     }
 
@@ -31,7 +31,7 @@
             return;
         }
         let common = self.common_format(now_ms);
-        if common > self.state.form() {
+        if common > self.state.format_version() {
             self.format_proposed_ms = Some(now_ms);
             let _ = self.propose_membership(now_ms, Proposal::Raise(common));
         }
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -308,7 +308,7 @@
     fn note(&mut self, i: usize, event: Event) {
         let (number, done, changed) = match event {
             Event::Done(number, outcome) => {
-                let done = matches!(outcome, Outcome::Done | Outcome::Before);
+                let done = matches!(outcome, Outcome::Done | Outcome::Unchanged);
                 (number, done, outcome == Outcome::Done)
             }
             Event::Read(number) => (number, true, false),
@@ -408,7 +408,7 @@
             && self.nodes.iter().all(|n| {
                 n.member().is_some_and(|m| {
                     let status = m.status(self.now_ms);
-                    let votes = status.role != Role::Copying && !status.changing;
+                    let votes = status.role != Role::Learner && !status.changing;
                     m.voters() == wanted && m.leader().is_some() && votes
                 })
             })
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -206,7 +206,9 @@
             for to in (0..names.len()).filter(|to| *to != from) {
                 let link = self.open(Node::Member(from), Node::Member(to));
                 self.member_links.insert((from, to), link);
-                self.members[to].peer.greeted(&names[from], NEWEST_FORMAT);
+                self.members[to]
+                    .peer
+                    .note_newest_format(&names[from], NEWEST_FORMAT);
             }
         }
     }
@@ -261,7 +263,7 @@
             let status = member.status(self.now_ms());
             member.voters() == wanted
                 && status.leader.is_some()
-                && status.role != Role::Copying
+                && status.role != Role::Learner
                 && !status.changing
         };
         self.leader().is_ok() && self.members.iter().all(|m| m.member().is_some_and(votes))
@@ -519,7 +521,7 @@
             .bytes()
             .len();
         let welcome = Welcome {
-            form: NEWEST_FORMAT,
+            format_version: NEWEST_FORMAT,
             group: GROUP,
             id: member as u64 + 1,
         }
@@ -550,7 +552,7 @@
         };
         self.members[connection.member]
             .peer
-            .follower_gone(connection.down.number());
+            .follower_disconnected(connection.down.number());
         self.links.close(connection.up);
         self.links.close(connection.down);
     }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -59,7 +59,7 @@
     };
     let text = match outcome {
         Outcome::Done => done,
-        Outcome::Before => done_before,
+        Outcome::Unchanged => done_before,
         Outcome::TooMany => return Answer::nak("too many are suspended"),
         Outcome::Unknown => return Answer::nak(format!("not done: no such member for {name}")),
         Outcome::Late => return Answer::nak("not done: it came too late"),
@@ -112,8 +112,8 @@
     let role = match status.role {
         Role::Leader => "leader",
         Role::Follower => "follower",
-        Role::Seeking => "seeking",
-        Role::Copying => "copying",
+        Role::Candidate => "seeking",
+        Role::Learner => "copying",
     };
     let members = status.members.iter().map(|m| {
         let lag = m.lag.map_or(String::new(), |lag| format!(":lag={lag}"));
--- a/src/group/link/identity.rs
+++ b/src/group/link/identity.rs
@@ -33,13 +33,13 @@
             oldest: self.format.get(),
             newest: self.newest_format,
         };
-        hello.judge(spoken, self.group.get(), &self.name)
+        hello.negotiate_format(spoken, self.group.get(), &self.name)
     }
 
     /// The answer to a greeting that was taken.
     pub(super) fn welcome(&self, form: u16) -> Welcome {
         Welcome {
-            form,
+            format_version: form,
             group: self.group.get(),
             id: self.incarnation.get(),
         }
@@ -53,7 +53,7 @@
         if group != 0 && welcome.group != 0 && welcome.group != group {
             return Err(HelloError::OtherGroup);
         }
-        if welcome.form < self.format.get() {
+        if welcome.format_version < self.format.get() {
             return Err(HelloError::OlderForm);
         }
         Ok(())
