--- a/src/protocol/attempt_outcome.rs
+++ b/src/protocol/attempt_outcome.rs
@@ -1,17 +1,21 @@
-//! What an endpoint's answer, or the end of its connection, proves of an attempt. Only proof that nothing ran
-//! allows a request with an effect to be sent again, so each case stands here with its reason.
+//! Maps an endpoint's answer, or the end of its connection, to the outcome of an attempt. A request
+//! with an effect may be sent again only if the outcome proves that the request did not run, so
+//! each case is listed with its reason.
 //!
-//! | what came | outcome | has it run? |
+//! | what happened | outcome | has the request run? |
 //! | --- | --- | --- |
-//! | no connection, or the request was not written whole | `ConnectFailed` | no: the endpoint has no complete request |
-//! | RESP `-BUSY` | `Rejected` | no: the protocol says that it was rejected unseen |
-//! | RESP `-ERR` | `Error` | perhaps |
-//! | another RESP error, a malformed reply, a lost connection | `Reset` | perhaps |
+//! | no connection, or the request was not written completely | `ConnectFailed` | no: the endpoint
+//! has no complete request |
+//! | RESP `-BUSY` | `Rejected` | no: by the protocol, the endpoint rejected it without processing
+//! it |
+//! | RESP `-ERR` | `Error` | possibly |
+//! | another RESP error, a malformed reply, a lost connection | `Reset` | possibly |
 //! | HTTP/2 429 or 503 with `srv-declined` | `Rejected` | no: only the endpoint sets this header |
-//! | HTTP/2 429 or 503 without it, any other status but 200 | `Error` | perhaps: any machine on the way may answer so |
+//! | HTTP/2 429 or 503 without it, any other status but 200 | `Error` | possibly: an intermediary
+//! may answer so |
 //! | the endpoint's RST_STREAM with REFUSED_STREAM | `Rejected` | no: RFC 9113, 8.7 |
 //! | the endpoint's GOAWAY, on a stream above its last id | `ConnectFailed` | no: RFC 9113, 6.8 |
-//! | any other end of a stream | `Reset` | perhaps |
+//! | any other end of a stream | `Reset` | possibly |
 
 use crate::decision::Outcome;
 use crate::protocol::http2::REJECTED;
@@ -19,8 +23,8 @@
 use h2::Reason;
 use http::{HeaderMap, StatusCode};
 
-/// The outcome by the first word of a RESP error; none: the word is noise, and says nothing of the endpoint's
-/// class or queue.
+/// Returns the outcome for the first word of a RESP error reply; none if the word is unknown, so
+/// that the reply counts as malformed.
 pub fn of_resp_error(first_word: &[u8]) -> Option<Outcome> {
     match first_word {
         wire_names::REJECTED => Some(Outcome::Rejected),
@@ -29,7 +33,8 @@
     }
 }
 
-/// The outcome by the head of an HTTP/2 answer; [`Outcome::Ok`] counts once the body is complete.
+/// Returns the outcome for the head of an HTTP/2 answer. [`Outcome::Ok`] is valid only if the
+/// complete body follows.
 pub fn of_http2_head(status: StatusCode, headers: &HeaderMap) -> Outcome {
     match status {
         StatusCode::OK => Outcome::Ok,
@@ -42,8 +47,9 @@
     }
 }
 
-/// The outcome of a stream that ended with an error. h2 gives the peer's GOAWAY as the error of streams above
-/// its last id alone; streams at or below that id end with an error of the connection, and may have run.
+/// Returns the outcome of a stream that ended with an error. h2 reports the peer's GOAWAY only on
+/// streams above its last id. Streams at or below that id end with a connection error, and their
+/// requests may have run.
 pub fn of_http2_error(error: &h2::Error) -> Outcome {
     if !error.is_remote() {
         return Outcome::Reset;
--- a/src/protocol/attempt_outcome/tests.rs
+++ b/src/protocol/attempt_outcome/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
 
-/// An endpoint answers with each of the words that there are, or with noise. Only `BUSY` proves that nothing ran.
+/// An endpoint answers with each known error word, or with an unknown one. Only `BUSY` proves that
+/// the request did not run.
 #[test]
 fn only_busy_is_a_rejection_over_resp() {
     let outcomes =
         [b"BUSY".as_slice(), b"ERR", b"busy", b"BUSYX", b"MOVED", b""].map(of_resp_error);
-    let want = [
+    let expected = [
         Some(Outcome::Rejected),
         Some(Outcome::Error),
         None,
@@ -13,13 +14,14 @@
         None,
         None,
     ];
-    assert_eq!(outcomes, want);
+    assert_eq!(outcomes, expected);
 }
 
-/// A machine between the ingress and an endpoint answers 503 by itself, after the endpoint has run the
-/// request. Only the endpoint's own header proves that nothing ran, and only beside a status that rejects.
+/// An intermediary between the ingress and an endpoint answers 503 after the endpoint has run the
+/// request. Only the endpoint's own header proves that the request did not run, and only with a
+/// status that rejects.
 #[test]
-fn a_status_is_a_rejection_with_the_endpoints_header_only() {
+fn status_is_rejection_only_with_endpoint_header() {
     let bare = HeaderMap::new();
     let mut declined = HeaderMap::new();
     declined.insert(REJECTED, http::HeaderValue::from_static("1"));
--- a/src/protocol/endpoint_report.rs
+++ b/src/protocol/endpoint_report.rs
@@ -1,11 +1,13 @@
-//! What comes along with an endpoint's answer on any wire: its load report (`rif=3,q=0,...`) and the request's usage
-//! (`used=37,cost=4`). Both are lists of names and values; what cannot be read counts as not sent.
+//! Reports in an endpoint's answer, in any protocol: its load report (`rif=3,q=0,...`) and the
+//! request's usage (`used=37,cost=4`). Both are lists of names and values. Values that cannot be
+//! parsed are treated as absent.
 
 use crate::config::settings::Platform;
 use crate::protocol::wire_names;
 use crate::request::{parse_decimal, term_pairs};
 
-/// The values of a load report in the order of the settings' columns; empty where one is missing or no number.
+/// Returns the values of a load report in the order of the settings' columns; empty if one is
+/// missing or not a number.
 pub fn load_report(platform: &Platform, report: &[u8]) -> Vec<f64> {
     let text = std::str::from_utf8(report).unwrap_or("");
     platform
@@ -23,8 +25,9 @@
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-/// The true units of a request from its usage, where the settings have units settled by answers. Guards quotas: more
-/// units than the settings give one request, or two values, are noise.
+/// Returns the actual units of a request from its usage, if the settings settle units from answers.
+/// To protect quotas, usage is ignored if it gives two values or more units than the settings allow
+/// for one request.
 pub fn settled_units(platform: &Platform, usage: &[u8]) -> Option<f64> {
     let settings = &platform.decision;
     if !settings.settles_units_later {
--- a/src/protocol/http1.rs
+++ b/src/protocol/http1.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 answers, as the counter and discovery give them: a parser over whatever bytes have come so far. It bounds
-//! heads and bodies, touches no socket and no clock, and panics on no input.
+//! An incremental parser for HTTP/1.1 answers, as the counter and discovery send them. It bounds
+//! heads and bodies, does no I/O, and panics on no input.
 
 use crate::protocol::parse::{line, malformed, parse, Input, Malformed, Parsed};
 use winnow::ascii::crlf;
@@ -8,53 +8,53 @@
 use winnow::prelude::*;
 use winnow::token::{literal, take, take_while};
 
-/// Longest body, in bytes: a long list of endpoints.
+/// Longest body, in bytes: enough for a long list of endpoints.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Most lines behind the status line, the empty one at their end among them.
+/// Most lines after the status line, the empty line that ends the headers included.
 const MAX_HEADER_LINES: usize = 64;
-/// The one status whose body is wanted.
+/// The only status whose body may extend to the end of the connection.
 const STATUS_OK: u16 = 200;
 
 /// An HTTP/1.1 answer.
 #[derive(Debug, PartialEq)]
 pub struct HttpAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// The peer closes the connection after it.
+    /// Whether the peer closes the connection after this answer.
     pub close: bool,
 }
 
-/// The next HTTP/1.1 answer.
+/// Parses the next HTTP/1.1 answer.
 ///
 /// # Errors
-/// Bytes that can never become one.
+/// The bytes cannot become an answer, whatever follows.
 pub fn http_answer(bytes: &[u8]) -> Result<Parsed<HttpAnswer>, Malformed> {
     parse(bytes, |input: &mut Input<'_>| {
         final_answer(input, ConnectionEnd::NotYet)
     })
 }
 
-/// The same on a connection that its peer has ended in order: an answer without a length ends there. A reset is no
-/// such end.
+/// Parses the next HTTP/1.1 answer on a connection that the peer has closed in order, which ends an
+/// answer without a length. A reset does not.
 ///
 /// # Errors
-/// Bytes that can never become one.
+/// The bytes cannot become an answer, whatever follows.
 pub fn http_answer_at_end(bytes: &[u8]) -> Result<Parsed<HttpAnswer>, Malformed> {
     parse(bytes, |input: &mut Input<'_>| {
         final_answer(input, ConnectionEnd::Reached)
     })
 }
 
-/// Whether anything can follow the bytes so far.
+/// Whether more bytes can follow the bytes so far.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionEnd {
     NotYet,
     Reached,
 }
 
-/// The headers that say where an answer ends.
+/// The headers that determine the end of an answer.
 #[derive(Default)]
 struct Framing {
     length: Option<usize>,
@@ -62,7 +62,7 @@
     close: bool,
 }
 
-/// An answer behind any number of 1xx answers, which say nothing.
+/// Parses an answer, skipping any 1xx answers before it.
 fn final_answer(input: &mut Input<'_>, end: ConnectionEnd) -> ModalResult<HttpAnswer> {
     loop {
         let answer = answer(input, end)?;
@@ -79,7 +79,8 @@
     let body = match (framing.chunked, framing.length) {
         (true, _) => chunked_body(input)?,
         (false, Some(length)) => take(length).parse_next(input)?.to_vec(),
-        // A good answer without a length ends with its connection; others have no body.
+        // A 200 answer without a length ends with its connection; other answers without one have no
+        // body.
         (false, None) if status != STATUS_OK => Vec::new(),
         (false, None) if end == ConnectionEnd::NotYet => {
             return Err(ErrMode::Incomplete(Needed::new(1)))
@@ -102,7 +103,7 @@
         .fold(0, |status, digit| status * 10 + u16::from(digit - b'0')))
 }
 
-/// All headers and the empty line behind them.
+/// Parses all headers and the empty line after them.
 fn headers(input: &mut Input<'_>) -> ModalResult<Framing> {
     let mut framing = Framing::default();
     for _ in 0..MAX_HEADER_LINES {
--- a/src/protocol/http2.rs
+++ b/src/protocol/http2.rs
@@ -1,6 +1,6 @@
-//! Requests and answers as HTTP/2 carries them, from clients and to endpoints: the names of the headers (`headers`,
-//! documented in the README), requests (`request`), answers (`answer`) and bodies (`body`). Nothing here opens a
-//! connection or decides about a request.
+//! Requests and answers in HTTP/2, from clients and to endpoints: header names (`headers`,
+//! documented in the README), requests (`request`), answers (`answer`) and bodies (`body`). This
+//! module opens no connections and makes no decisions about requests.
 
 mod answer;
 mod body;
--- a/src/protocol/http2/answer.rs
+++ b/src/protocol/http2/answer.rs
@@ -1,4 +1,4 @@
-//! Final answers as a status, headers and a body.
+//! Converts final answers to a status, headers and a body.
 
 use crate::buffer::body_stream::BodyReceiver;
 use crate::protocol::http2::headers::RETRY_AFTER_MS;
@@ -12,22 +12,22 @@
 /// Milliseconds in a second.
 const MS_PER_S: u64 = 1000;
 
-/// The body of an answer.
+/// The body of an HTTP/2 answer.
 pub enum Body {
-    /// All of it; empty: there is none.
+    /// The complete body; empty if there is none.
     Complete(Bytes),
-    /// It is sent while it comes.
+    /// A body that is sent while it arrives.
     Streaming(Rc<BodyReceiver>),
 }
 
-/// An answer with a status alone.
+/// Returns an answer that has a status only.
 pub fn status_response(status: StatusCode) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     response
 }
 
-/// The status and headers of a final answer, and its body.
+/// Returns the status and headers of a final answer, and its body.
 pub fn answer_response(answer: FinalAnswer) -> (Response<()>, Body) {
     match answer {
         FinalAnswer::Served(ResponseBody::Complete(value)) => (
@@ -55,7 +55,7 @@
     (response, Body::Complete(Bytes::new()))
 }
 
-/// A 429; its `retry-after` counts whole seconds, one at the least, and is never earlier than was meant.
+/// Returns a 429. Its `retry-after` is in whole seconds, rounded up, and at least one.
 fn rejection(retry_after_ms: f64) -> Response<()> {
     let mut response = status_response(StatusCode::TOO_MANY_REQUESTS);
     let whole_ms = retry_after_whole_ms(retry_after_ms).unwrap_or(0);
--- a/src/protocol/http2/body.rs
+++ b/src/protocol/http2/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on an HTTP/2 stream: read whole, written whole, and forwarded while they come.
+//! Bodies on an HTTP/2 stream: read completely, written completely, or forwarded while they arrive.
 
 use crate::buffer::body_stream::BodyReceiver;
 use crate::protocol::resp::MAX_COMPLETE_BODY_BYTES;
@@ -8,23 +8,23 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Reads a complete body; none: the stream ended before, gave nothing more for `stall_timeout`, or the body is longer
-/// than [`MAX_COMPLETE_BODY_BYTES`].
+/// Reads a complete body. Returns none if the stream ended early or stalled for `stall_timeout`, or
+/// if the body is longer than [`MAX_COMPLETE_BODY_BYTES`].
 pub async fn collect(stream: &mut RecvStream, stall_timeout: Duration) -> Option<Vec<u8>> {
     let mut body = Vec::new();
-    while let Some(part) = timeout(stall_timeout, stream.data()).await.ok()? {
-        let part = part.ok()?;
-        if body.len() + part.len() > MAX_COMPLETE_BODY_BYTES {
+    while let Some(chunk) = timeout(stall_timeout, stream.data()).await.ok()? {
+        let chunk = chunk.ok()?;
+        if body.len() + chunk.len() > MAX_COMPLETE_BODY_BYTES {
             return None;
         }
-        body.extend_from_slice(&part);
-        stream.flow_control().release_capacity(part.len()).ok()?;
+        body.extend_from_slice(&chunk);
+        stream.flow_control().release_capacity(chunk.len()).ok()?;
     }
     Some(body)
 }
 
-/// Sends a body while it comes, as the stream's window opens; false: the sender or the stream has ended, or
-/// the client took nothing for `client_timeout`.
+/// Sends a body while it arrives, as the stream's flow-control window allows. Returns false if the
+/// sender or the stream has ended, or if the client read nothing for `client_timeout`.
 pub async fn send_streaming_body(
     stream: &mut SendStream<Bytes>,
     body: &BodyReceiver,
@@ -38,9 +38,9 @@
             body.wait_for_bytes().await;
             continue;
         }
-        let part = Bytes::copy_from_slice(body.buffer().first_slice());
-        let sent_bytes = part.len();
-        let sent = timeout(client_timeout, send_body(stream, part, false)).await;
+        let chunk = Bytes::copy_from_slice(body.buffer().first_slice());
+        let sent_bytes = chunk.len();
+        let sent = timeout(client_timeout, send_body(stream, chunk, false)).await;
         if !sent.unwrap_or(false) {
             return false;
         }
@@ -49,16 +49,16 @@
     stream.send_data(Bytes::new(), true).is_ok()
 }
 
-/// Sends a body, or a part of one that is not the last, in pieces as the stream's window opens; false: the stream has
-/// ended.
+/// Sends a body, or a part of one, in pieces as the stream's flow-control window allows. `last` ends
+/// the stream after these bytes; an empty body sends nothing. Returns false if the stream has ended.
 pub async fn send_body(stream: &mut SendStream<Bytes>, mut body: Bytes, last: bool) -> bool {
     while !body.is_empty() {
         stream.reserve_capacity(body.len());
         let Some(Ok(capacity)) = poll_fn(|cx| stream.poll_capacity(cx)).await else {
             return false;
         };
-        let part = body.split_to(capacity.min(body.len()));
-        if !part.is_empty() && stream.send_data(part, last && body.is_empty()).is_err() {
+        let chunk = body.split_to(capacity.min(body.len()));
+        if !chunk.is_empty() && stream.send_data(chunk, last && body.is_empty()).is_err() {
             return false;
         }
     }
--- a/src/protocol/http2/request.rs
+++ b/src/protocol/http2/request.rs
@@ -1,4 +1,5 @@
-//! Requests as headers: from a client's headers to the terms of the platform's wire, and back for an endpoint.
+//! Converts a client's headers to the terms of the platform's protocol, and terms to headers for an
+//! endpoint.
 
 use crate::config::settings::Platform;
 use crate::decision::Idempotency;
@@ -10,7 +11,7 @@
 use crate::request::{term_pairs, ClientRequest, MAX_CLIENT_TIMEOUT_MS};
 use http::{HeaderMap, Method, Request};
 
-/// Terms of the platform's wire that have a header of their own.
+/// Terms that have a header of their own.
 const TERMS_WITH_HEADER: [&str; 5] = [
     wire_names::CLASS,
     wire_names::PLAN,
@@ -19,33 +20,33 @@
     wire_names::IDEMPOTENCY_KEY,
 ];
 
-/// A missing or invalid header, by its name. The client gets the text.
+/// A missing or invalid header, by its name. The client receives the error text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidHeader {
-    /// It must be there.
+    /// A required header is missing.
     #[error("{0} is missing")]
     Missing(&'static str),
-    /// It is not visible ASCII.
+    /// The value is not visible ASCII.
     #[error("{0} is not text")]
     NotText(&'static str),
-    /// It must be a number.
+    /// The value is not a number.
     #[error("{0} is not a number")]
     NotANumber(&'static str),
     /// The number is negative or too large.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
-    /// A value with a comma would become a further term on the platform's wire.
+    /// The value contains a comma, which would start a further term in the platform's protocol.
     #[error("{0} holds a comma")]
     Comma(&'static str),
 }
 
-/// What the error for the class, the plan and the timeout names: they are judged together.
+/// Name in the error for a comma in the class, the plan or the timeout, which are checked together.
 const ANY_VALUE: &str = "a value";
 
-/// The text of a header that must be there.
+/// Returns the text of a required header.
 ///
 /// # Errors
-/// It is missing, or is no text.
+/// The header is missing or not text.
 pub fn required_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
@@ -54,10 +55,10 @@
     value.to_str().map_err(|_| InvalidHeader::NotText(name))
 }
 
-/// The terms of a request from its headers, and the client's timeout, ms.
+/// Builds the terms of a request from its headers. Also returns the client's timeout, ms.
 ///
 /// # Errors
-/// The first invalid header.
+/// Returns the first invalid header.
 pub fn request_terms(headers: &HeaderMap, class: &str) -> Result<(String, f64), InvalidHeader> {
     let deadline = required_header(headers, CLIENT_TIMEOUT_MS)?;
     let plan = required_header(headers, PLAN)?;
@@ -69,11 +70,12 @@
     push_term(&mut request_terms, wire_names::CLASS, class);
     push_term(&mut request_terms, wire_names::PLAN, plan);
     push_term(&mut request_terms, wire_names::CLIENT_TIMEOUT_MS, deadline);
-    // A key may stand among the terms too; one in both places is one too many, and judged as that.
-    let taken =
+    // The key may also be given among the terms. A key in both places is kept twice, so that
+    // validation rejects it.
+    let is_copied =
         |name: &str| name == wire_names::IDEMPOTENCY_KEY || !TERMS_WITH_HEADER.contains(&name);
     for (name, value) in
-        term_pairs(required_header(headers, TERMS)?).filter(|(name, _)| taken(name))
+        term_pairs(required_header(headers, TERMS)?).filter(|(name, _)| is_copied(name))
     {
         push_term(&mut request_terms, name, value);
     }
@@ -93,10 +95,10 @@
     Ok((request_terms, client_timeout_ms))
 }
 
-/// A request as a request to an endpoint, with how long this ingress waits, ms.
+/// Builds the request to an endpoint; `wait_ms` is how long this ingress will wait for the answer.
 ///
 /// # Errors
-/// A value that no header can hold.
+/// A value is not valid in a header.
 pub fn upstream_request(
     platform: &Platform,
     request: &ClientRequest,
--- a/src/protocol/parse.rs
+++ b/src/protocol/parse.rs
@@ -1,4 +1,4 @@
-//! What all grammars of the platform's wires share: winnow parsers over whatever bytes have come so far.
+//! Helpers for the parsers of all protocols: winnow parsers over the bytes received so far.
 
 use winnow::combinator::terminated;
 use winnow::error::{ContextError, ErrMode, Needed};
@@ -6,28 +6,29 @@
 use winnow::stream::Partial;
 use winnow::token::take_while;
 
-/// Longest line, in bytes: the head of an HTTP answer, a line of a RESP reply. Guards memory against a peer
-/// that sends no end of line.
+/// Longest line, in bytes, of an HTTP head or a RESP reply. Bounds memory if a peer sends no end of
+/// line.
 const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// The bytes that have come so far.
+/// The bytes received so far.
 pub(super) type Input<'a> = Partial<&'a [u8]>;
 
-/// What the bytes so far amount to.
+/// The result of parsing the bytes received so far.
 #[derive(Debug, PartialEq)]
 pub enum Parsed<T> {
-    /// A complete message and its length in bytes.
+    /// A complete message, and its length in bytes.
     Complete(T, usize),
-    /// More bytes are wanted, this many at the least: parsing again before they are there is for nothing.
+    /// At least this many more bytes are needed; parsing again before they arrive yields the same
+    /// result.
     More(usize),
 }
 
-/// Bytes that are no message of this wire, whatever follows.
+/// The bytes cannot become a message of this protocol, whatever follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed message")]
 pub struct Malformed;
 
-/// Runs a parser over the bytes so far.
+/// Runs a parser over the bytes received so far.
 pub(super) fn parse<'a, T>(
     bytes: &'a [u8],
     mut parser: impl Parser<Input<'a>, T, ErrMode<ContextError>>,
@@ -41,12 +42,12 @@
     }
 }
 
-/// The failure of a parser that no further bytes can mend.
+/// Fails a parser with an error that further bytes cannot resolve.
 pub(super) fn malformed<T>() -> ModalResult<T> {
     Err(ErrMode::Cut(ContextError::new()))
 }
 
-/// The bytes up to the next CRLF.
+/// Parses the bytes up to the next CRLF.
 pub(super) fn line<'a>(input: &mut Input<'a>) -> ModalResult<&'a [u8]> {
     if input.len() > MAX_LINE_BYTES && !input[..MAX_LINE_BYTES].contains(&b'\r') {
         return malformed();
--- a/src/protocol/resp.rs
+++ b/src/protocol/resp.rs
@@ -1,7 +1,7 @@
-//! RESP, the platform's wire: its grammar (`grammar`) and requests on it (`request`). Neither touches a socket or a
-//! clock, nor panics on any input.
+//! RESP, the platform's protocol: its grammar (`grammar`) and its requests (`request`). This module
+//! does no I/O, and its parsers panic on no input.
 //!
-//! The HTTP/1 answers of [`crate::protocol::http1`] can be had from here too.
+//! Also re-exports the HTTP/1 answers of [`crate::protocol::http1`].
 
 mod grammar;
 mod request;
--- a/src/protocol/resp/grammar.rs
+++ b/src/protocol/resp/grammar.rs
@@ -1,5 +1,6 @@
-//! The grammar of RESP2: words of requests, replies of endpoints. It bounds every length, count and depth, so that no
-//! peer can make a connection hold more than its ring buffer's cap.
+//! The grammar of RESP2: requests as lists of words, and replies of endpoints. All lengths, counts
+//! and depths are bounded, so that no peer can make a connection hold more than its ring buffer's
+//! cap.
 
 use crate::protocol::parse::{line, malformed, parse, Input, Malformed, Parsed};
 use std::io::Write;
@@ -9,59 +10,59 @@
 use winnow::prelude::*;
 use winnow::token::{literal, take, take_while};
 
-/// Longest value that is held in memory whole, in bytes; a longer one is streamed.
+/// Longest value that is buffered completely, in bytes; a longer one is streamed.
 pub const MAX_COMPLETE_BODY_BYTES: usize = 64 * 1024;
-/// Longest value of all, in bytes.
+/// Longest value that is accepted, in bytes.
 pub const MAX_STREAMED_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Most words in a request, most items in an array.
+/// Most words in a request, and most items in an array.
 const MAX_ITEMS: usize = 16;
-/// Deepest array in a reply. Guards the stack against arrays in arrays.
+/// Deepest nesting of arrays in a reply. Bounds the parser's recursion.
 const MAX_DEPTH: usize = 4;
-/// Most digits of a length or a count.
+/// Most digits in a length or a count.
 const MAX_DIGITS: usize = 7;
 
-/// A reply of an endpoint.
+/// A reply of an endpoint, or an item of one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<'a> {
-    /// `+...` or `:...`
+    /// A simple string or an integer: `+...` or `:...`
     Simple(&'a [u8]),
-    /// `-...`
+    /// An error: `-...`
     Error(&'a [u8]),
-    /// A bulk string, or null.
+    /// A bulk string; none for null.
     Bulk(Option<&'a [u8]>),
-    /// An array; a null one is empty.
+    /// An array; empty for null.
     Array(Vec<Reply<'a>>),
 }
 
-/// The head of a reply whose value is too long to be held whole: the array's items, the value's size, and how many
-/// bytes come before the value.
+/// The head of a reply whose value is too long to be buffered completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamedReply {
-    /// Items of the array, the value among them.
+    /// Number of items in the array, the value included.
     pub items: usize,
-    /// Bytes of the value.
+    /// Size of the value, in bytes.
     pub value_bytes: usize,
-    /// Bytes before the value.
+    /// Number of bytes before the value.
     pub head_bytes: usize,
 }
 
-/// The next request of a client, as words.
+/// Parses the next request of a client into words.
 ///
 /// # Errors
-/// Bytes that can never become a request.
+/// The bytes cannot become a request, whatever follows.
 pub fn request_words(bytes: &[u8]) -> Result<Parsed<Vec<&[u8]>>, Malformed> {
     parse(bytes, words)
 }
 
-/// The next reply of an endpoint.
+/// Parses the next reply of an endpoint.
 ///
 /// # Errors
-/// Bytes that can never become a reply.
+/// The bytes cannot become a reply, whatever follows.
 pub fn endpoint_reply(bytes: &[u8]) -> Result<Parsed<Reply<'_>>, Malformed> {
     parse(bytes, outermost_reply)
 }
 
-/// Whether these bytes begin a reply with a value too long to be held whole.
+/// Parses the head of a reply whose value is too long to be buffered completely; none if the bytes
+/// begin no such reply.
 pub fn streamed_reply(bytes: &[u8]) -> Option<StreamedReply> {
     let Ok(Parsed::Complete((items, value_bytes), head_bytes)) = parse(bytes, streamed_head) else {
         return None;
@@ -75,10 +76,11 @@
     })
 }
 
-/// What comes behind the value of such a reply: its other items.
+/// Parses the items after a streamed value; `items` is the number of items in the array, the value
+/// included.
 ///
 /// # Errors
-/// Bytes that can never become that.
+/// The bytes cannot become these items, whatever follows.
 pub fn streamed_reply_rest(
     bytes: &[u8],
     items: usize,
@@ -98,7 +100,7 @@
 
 fn push_count(out: &mut Vec<u8>, kind: u8, count: usize) {
     out.push(kind);
-    // Writing to memory does not fail.
+    // Writing to a `Vec` cannot fail.
     let _ = write!(out, "{count}\r\n");
 }
 
@@ -108,7 +110,7 @@
     Ok(digits.iter().fold(0, |n, d| n * 10 + usize::from(d - b'0')))
 }
 
-/// A number, or none for `-1`, which is RESP's null.
+/// Parses a number; none for `-1`, which is null in RESP.
 fn number_or_null(input: &mut Input<'_>) -> ModalResult<Option<usize>> {
     alt((literal(b"-1\r\n").value(None), number.map(Some))).parse_next(input)
 }
--- a/src/protocol/resp/request.rs
+++ b/src/protocol/resp/request.rs
@@ -1,4 +1,4 @@
-//! Requests on the platform's wire: `VERB tenant id terms [body]`, from clients and to endpoints.
+//! Requests in RESP: `VERB tenant id terms [body]`, from clients and to endpoints.
 
 use crate::config::settings::Platform;
 use crate::decision::Idempotency;
@@ -6,20 +6,21 @@
 use crate::protocol::wire_names;
 use crate::request::{ClientRequest, InvalidRequest};
 
-/// Words behind the verb of a request without a body.
+/// Number of words after the verb in a request without a body.
 const WORDS_WITHOUT_BODY: usize = 3;
 
-/// A request from its words; `words` begins behind the verb, `safe` says which verb it was.
+/// Builds a request from the words after its verb; `safe` is whether the verb was that of safe
+/// requests.
 ///
 /// # Errors
-/// The first invalid value.
+/// Returns the first invalid value.
 pub fn parse_request(
     platform: &Platform,
     safe: bool,
     words: &[&[u8]],
 ) -> Result<ClientRequest, InvalidRequest> {
-    // Guards the endpoints' grammar, which closes the connection otherwise: a safe request is never written
-    // with a body, any other one never without.
+    // An endpoint closes its connection on a malformed request: a safe request must not have a
+    // body, and any other request must have one.
     if words.len() != WORDS_WITHOUT_BODY + usize::from(!safe) {
         return Err(InvalidRequest::Term(wire_names::BODY));
     }
@@ -31,15 +32,15 @@
     let tenant = text(0, wire_names::TENANT)?;
     let id = text(1, wire_names::REQUEST_ID)?;
     let request = ClientRequest::new(platform, tenant, id, terms, body)?;
-    // Guards against duplicate execution: a peer repeats what has the verb of safe requests, so no other class may
-    // have it.
+    // A peer repeats requests with the verb of safe requests, so another class with this verb could
+    // run twice.
     if is_safe(platform, &request) != safe {
         return Err(InvalidRequest::Class);
     }
     Ok(request)
 }
 
-/// Appends the request as an endpoint gets it, with how long this ingress waits, ms.
+/// Appends a request to an endpoint; `wait_ms` is how long this ingress will wait for the answer.
 pub fn push_request(out: &mut Vec<u8>, platform: &Platform, request: &ClientRequest, wait_ms: f64) {
     let verb = if is_safe(platform, request) {
         wire_names::VERB_SAFE
@@ -62,7 +63,7 @@
     platform.decision.classes[request.attributes.class].idempotency == Idempotency::Safe
 }
 
-/// The client's terms in their order, with this ingress's wait in place of the client's timeout.
+/// The client's terms in their order, with the ingress's wait in place of the client's timeout.
 fn terms_with_wait(client_terms: &str, wait_ms: f64) -> String {
     let wait = (wait_ms.max(1.0) as u64).to_string();
     let mut terms = String::with_capacity(client_terms.len() + wait.len());
--- a/src/protocol/resp/tests.rs
+++ b/src/protocol/resp/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-/// A request arrives in parts of any length, since TCP keeps no message bounds: it must be read once its last
-/// byte is here, and the parser must not ask for more bytes than there will be, or the request would wait for
-/// good. Bytes that can never become a request must be found out at once, so that the connection is closed in
-/// time.
+/// A request arrives in parts of any length, since TCP keeps no message boundaries. It must be
+/// parsed once its last byte arrives, and the parser must not ask for more bytes than will follow,
+/// or the request would wait forever. Bytes that cannot become a request must be detected at once,
+/// so that the connection is closed in time.
 #[test]
-fn requests_come_whole_in_parts_or_not_at_all() {
+fn request_is_parsed_only_when_complete() {
     let all = b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n";
     for cut in 0..all.len() {
         assert!(
@@ -30,17 +30,17 @@
     }
 }
 
-/// An endpoint, or what has taken its place, sends garbage or arrays in arrays. That must be an error and no
-/// panic, and no recursion without end.
+/// An endpoint, or another server at its address, sends garbage or deeply nested arrays. The parser
+/// must return an error, without a panic and without unbounded recursion.
 #[test]
-fn replies_and_garbage() {
-    let whole = endpoint_reply(b"*3\r\n$2\r\nhi\r\n$-1\r\n*-1\r\n");
+fn malformed_and_deeply_nested_replies_are_errors() {
+    let parsed = endpoint_reply(b"*3\r\n$2\r\nhi\r\n$-1\r\n*-1\r\n");
     let items = vec![
         Reply::Bulk(Some(b"hi")),
         Reply::Bulk(None),
         Reply::Array(vec![]),
     ];
-    assert_eq!(whole, Ok(Parsed::Complete(Reply::Array(items), 22)));
+    assert_eq!(parsed, Ok(Parsed::Complete(Reply::Array(items), 22)));
     assert_eq!(
         endpoint_reply(b"-BUSY\r\n"),
         Ok(Parsed::Complete(Reply::Error(b"BUSY"), 7))
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -1,5 +1,5 @@
-//! One RESP connection to an endpoint: its socket, its ring buffers, and how a reply is read from it. It carries one
-//! request at a time.
+//! One RESP connection to an endpoint: its socket, its ring buffers, and the reading of replies. A
+//! connection carries one request at a time.
 
 use crate::buffer::ring_buffer::{RingBuffer, RingBufferFull};
 use crate::protocol::resp::{endpoint_reply, streamed_reply, Parsed, Reply, StreamedReply};
@@ -12,36 +12,38 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// Most bytes of one direction that wait in memory: a reply with its value, its usage and its load report.
+/// Maximum buffered bytes of one direction: enough for a reply with its value, usage and load
+/// report.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
-/// This much of a streamed value must have come before it is streamed to the client. Guards against a wrong length:
-/// until then the attempt can be made elsewhere.
+/// Bytes of a streamed value that must arrive before streaming to the client starts. Detects a
+/// wrong length: until then the attempt can be repeated at another endpoint.
 const MIN_STREAMED_START_BYTES: usize = 4 * 1024;
 
-/// A RESP connection.
+/// A RESP connection to an endpoint.
 pub(super) struct Connection {
     stream: TcpStream,
     addr: SocketAddr,
     input: RefCell<RingBuffer>,
     output: RefCell<RingBuffer>,
-    /// How long it had been idle when it was last taken.
+    /// Idle time before the connection was last taken from the pool.
     idle_class: Cell<IdleClass>,
     _slot: ConnectionSlot,
 }
 
-/// What a connection brought.
+/// The result of reading a reply.
 pub(super) enum Incoming<T> {
     /// A complete reply.
     Reply(T),
-    /// The head of a reply whose value is to be streamed, and the first bytes of the value; all unread.
+    /// The head of a reply whose value is to be streamed, and the first bytes of the value, none of
+    /// them consumed.
     Streamed(StreamedReply),
 }
 
-/// The connection has ended, or brought more than its ring buffer holds.
+/// The connection has ended, or its ring buffer is full.
 pub(super) struct ConnectionEnded;
 
 impl Connection {
-    /// A new connection.
+    /// Wraps the socket of a newly established connection.
     pub(super) fn new(stream: TcpStream, addr: SocketAddr, slot: ConnectionSlot) -> Connection {
         Connection {
             stream,
@@ -53,45 +55,46 @@
         }
     }
 
-    /// Its socket.
+    /// The socket.
     pub(super) fn stream(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// The address that it goes to.
+    /// The address of the endpoint.
     pub(super) fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// How long it had been idle when it was last taken.
+    /// Idle time before the connection was last taken from the pool.
     pub(super) fn idle_class(&self) -> IdleClass {
         self.idle_class.get()
     }
 
-    /// Notes how long it had been idle as it is taken.
+    /// Records the idle time when the connection is taken from the pool.
     pub(super) fn set_idle_class(&self, class: IdleClass) {
         self.idle_class.set(class);
     }
 
-    /// Whether bytes have come that nobody has read.
+    /// Whether received bytes have not been consumed.
     pub(super) fn has_unread_bytes(&self) -> bool {
         !self.input.borrow().is_empty()
     }
 
-    /// The bytes that have come.
+    /// The received bytes that have not been consumed.
     pub(super) fn input(&self) -> RefMut<'_, RingBuffer> {
         self.input.borrow_mut()
     }
 
-    /// Queues bytes to be written.
+    /// Queues bytes for writing.
     ///
     /// # Errors
-    /// They are more than the ring buffer holds.
+    /// The bytes exceed the free space of the ring buffer.
     pub(super) fn queue(&self, bytes: &[u8]) -> Result<(), RingBufferFull> {
         self.output.borrow_mut().push(bytes)
     }
 
-    /// Writes what is queued; false: the connection ended before the last byte was written.
+    /// Writes the queued bytes. Returns false if the connection ended before the last byte was
+    /// written.
     pub(super) async fn write_queued(&self) -> bool {
         loop {
             let written = {
@@ -117,14 +120,14 @@
         }
     }
 
-    /// Reads what has come into the ring buffer; false: nothing has.
+    /// Reads available bytes into the ring buffer. Returns false if no bytes were available.
     ///
     /// # Errors
     /// The connection has ended, or the ring buffer is full.
     pub(super) fn read_available(&self) -> Result<bool, ConnectionEnded> {
         let mut input = self.input.borrow_mut();
-        let spare = input.free_slice().map_err(|_| ConnectionEnded)?;
-        match self.stream.try_read(spare) {
+        let free = input.free_slice().map_err(|_| ConnectionEnded)?;
+        match self.stream.try_read(free) {
             Ok(0) => Err(ConnectionEnded),
             Ok(n) => {
                 input.commit(n);
@@ -135,22 +138,22 @@
         }
     }
 
-    /// Reads one reply and interprets it; none: the connection ended or brought what cannot be interpreted,
-    /// or a reply began and nothing more came for `stall_timeout`.
+    /// Reads one reply and interprets it. Returns none if the connection ended, if the reply cannot
+    /// be interpreted, or if no more bytes of a reply arrived for `stall_timeout`.
     pub(super) async fn read_reply<T>(
         &self,
         stall_timeout: Duration,
         interpret: impl Fn(Reply) -> Option<T>,
     ) -> Option<Incoming<T>> {
         let mut min_bytes = 1;
-        // The stall timeout runs from the first bytes of the reply on.
-        let mut stalled_at: Option<Instant> = None;
+        // The stall timeout starts with the first bytes of the reply.
+        let mut stall_deadline: Option<Instant> = None;
         loop {
             if !self.read_available().ok()? {
-                self.readable_until(stalled_at).await?;
+                self.readable_until(stall_deadline).await?;
                 continue;
             }
-            stalled_at = stalled_at.map(|_| Instant::now() + stall_timeout);
+            stall_deadline = stall_deadline.map(|_| Instant::now() + stall_timeout);
             let mut input = self.input.borrow_mut();
             if input.len() < min_bytes {
                 continue;
@@ -162,7 +165,7 @@
                     return Some(Incoming::Reply(value));
                 }
                 Ok(Parsed::More(missing)) => min_bytes = input.len() + missing,
-                // Too long to be held whole, or malformed.
+                // Too long to be buffered completely, or malformed.
                 Err(_) => {
                     let streamed = streamed_reply(input.contiguous())?;
                     min_bytes = streamed.head_bytes + MIN_STREAMED_START_BYTES;
@@ -171,11 +174,11 @@
                     }
                 }
             }
-            stalled_at.get_or_insert_with(|| Instant::now() + stall_timeout);
+            stall_deadline.get_or_insert_with(|| Instant::now() + stall_timeout);
         }
     }
 
-    /// Waits until there is something to read; none: the connection ended, or it was not so in time.
+    /// Waits until the socket is readable. Returns none if the connection ended or `until` passed.
     async fn readable_until(&self, until: Option<Instant>) -> Option<()> {
         match until {
             Some(until) => timeout_at(until, self.stream.readable()).await.ok()?.ok(),
--- a/src/upstream/connection_limit.rs
+++ b/src/upstream/connection_limit.rs
@@ -1,33 +1,35 @@
-//! The most connections that an endpoint has been seen to accept. Guards attempts against an endpoint that
-//! refuses connections beyond a limit of its own: each attempt beyond it would fail for want of a connection.
-//! A limit is learnt from a failed connect while others were open, and lifted by one a second, so that it is
-//! tested again.
+//! The connection limit of an endpoint, inferred from failed connects. An endpoint may refuse
+//! connections beyond a limit of its own, and each attempt beyond that limit would fail to connect.
+//! A limit is set when a connect fails while other connections are open, and is raised by one each
+//! second, so that the endpoint is tested again.
 
-/// Connections under which a failed connect says nothing of a limit: the endpoint is more likely down.
+/// Fewest open connections at which a failed connect sets a limit: with fewer, the endpoint is more
+/// likely down.
 const MIN_LIMIT: usize = 8;
-/// A learnt limit is lifted by one after each such time, ms.
-const LIFT_INTERVAL_MS: f64 = 1000.0;
+/// Interval at which an inferred limit is raised by one, ms.
+const RAISE_INTERVAL_MS: f64 = 1000.0;
 
-/// A learnt limit.
+/// The connection limit inferred for one endpoint.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionLimit {
     connections: usize,
-    learnt_ms: f64,
+    inferred_ms: f64,
 }
 
 impl ConnectionLimit {
-    /// What a failed connect teaches while this many others are open; none: nothing.
-    pub(super) fn learn(now_ms: f64, others: usize) -> Option<ConnectionLimit> {
+    /// Infers a limit from a connect that failed while `others` connections were open; none if they
+    /// were too few.
+    pub(super) fn infer(now_ms: f64, others: usize) -> Option<ConnectionLimit> {
         (others >= MIN_LIMIT).then_some(ConnectionLimit {
             connections: others,
-            learnt_ms: now_ms,
+            inferred_ms: now_ms,
         })
     }
 
-    /// Whether one more connection is worth a try with this many open.
+    /// Whether one more connection may be opened when `open` are open.
     pub(super) fn allows(self, now_ms: f64, open: usize) -> bool {
-        let lifted = ((now_ms - self.learnt_ms) / LIFT_INTERVAL_MS) as usize;
-        open < self.connections + lifted
+        let raised = ((now_ms - self.inferred_ms) / RAISE_INTERVAL_MS) as usize;
+        open < self.connections + raised
     }
 }
 
--- a/src/upstream/connection_limit/tests.rs
+++ b/src/upstream/connection_limit/tests.rs
@@ -1,17 +1,19 @@
 use super::*;
 
-/// An endpoint accepts ten connections and refuses the eleventh. Further attempts must not ask for an
-/// eleventh at once, but the limit is tested again bit by bit, since it may have been a passing one.
+/// An endpoint accepts ten connections and refuses the eleventh. Further attempts must not open an
+/// eleventh at once, but the limit must be tested again step by step, since it may have been
+/// temporary.
 #[test]
-fn a_limit_is_learnt_from_a_refusal_and_lifted_by_one_a_second() {
-    let limit = ConnectionLimit::learn(0.0, 10).expect("a limit");
+fn limit_is_inferred_from_refusal_and_raised_each_second() {
+    let limit = ConnectionLimit::infer(0.0, 10).expect("a limit");
     assert!(limit.allows(0.0, 9) && !limit.allows(0.0, 10));
     assert!(!limit.allows(999.0, 10) && limit.allows(1000.0, 10) && !limit.allows(1000.0, 11));
 }
 
-/// An endpoint is down, and connects fail while a few old connections are still open. That says nothing of a limit.
+/// An endpoint is down, and connects fail while a few old connections are still open. No limit must
+/// be inferred.
 #[test]
-fn a_refusal_beside_few_connections_teaches_nothing() {
-    assert!(ConnectionLimit::learn(0.0, MIN_LIMIT - 1).is_none());
-    assert!(ConnectionLimit::learn(0.0, MIN_LIMIT).is_some());
+fn no_limit_is_inferred_with_few_open_connections() {
+    assert!(ConnectionLimit::infer(0.0, MIN_LIMIT - 1).is_none());
+    assert!(ConnectionLimit::infer(0.0, MIN_LIMIT).is_some());
 }
--- a/src/upstream/dial.rs
+++ b/src/upstream/dial.rs
@@ -1,9 +1,9 @@
-//! A connection for an attempt or a health check: one from the pools, or a new one.
+//! Obtains a connection for an attempt or a health check, from the pools or by connecting.
 
 use crate::decision::driver::EndpointId;
 use crate::units::MS_PER_S;
 use crate::upstream::connection::Connection;
-use crate::upstream::pools::{ConnectionSlot, SharedConnection, REST_MS};
+use crate::upstream::pools::{ConnectionSlot, SharedConnection, REUSE_DELAY_MS};
 use crate::upstream::Upstream;
 use bytes::Bytes;
 use h2::client::{Builder, Connection as Http2Driver, SendRequest};
@@ -15,11 +15,11 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Bytes that all streams of a shared connection together may have unread: those of clients that read slowly must not
-/// hold up the others.
+/// Maximum unread bytes of all streams of a shared connection. Large enough that streams of clients
+/// that read slowly do not block the others.
 const SHARED_WINDOW_BYTES: u32 = 4 * 1024 * 1024;
 
-/// A RESP connection that carries nothing else; none: there is none to be had.
+/// Returns a RESP connection for exclusive use; none if no connection could be obtained.
 pub(super) async fn exclusive(
     upstream: &Upstream,
     endpoint: EndpointId,
@@ -37,8 +37,8 @@
         .pools
         .take_slot(upstream.dispatcher.now(), endpoint)
     else {
-        // There may be one that has only to rest.
-        tokio::time::sleep(Duration::from_secs_f64(REST_MS / MS_PER_S)).await;
+        // An idle connection may become available when its reuse delay is over.
+        tokio::time::sleep(Duration::from_secs_f64(REUSE_DELAY_MS / MS_PER_S)).await;
         return take_idle();
     };
     match timeout(upstream.connect_timeout, TcpStream::connect(addr)).await {
@@ -55,7 +55,8 @@
     }
 }
 
-/// The connection that an endpoint's HTTP/2 attempts share; none: there is none to be had.
+/// Returns the HTTP/2 connection that the endpoint's attempts share; none if no connection could be
+/// obtained.
 pub(super) async fn shared(
     upstream: &Upstream,
     endpoint: EndpointId,
@@ -78,11 +79,11 @@
     let shared = SharedConnection {
         send,
         addr,
-        last_heard_ms: Rc::new(Cell::new(now_ms)),
+        last_received_ms: Rc::new(Cell::new(now_ms)),
         last_used_ms: Rc::new(Cell::new(now_ms)),
         alive: Rc::new(Cell::new(true)),
     };
-    spawn_local(drive(driver, shared.alive.clone(), slot));
+    spawn_local(run_connection(driver, shared.alive.clone(), slot));
     upstream.pools.share(endpoint, &shared);
     Some(shared)
 }
@@ -99,14 +100,14 @@
     builder.handshake::<_, Bytes>(stream).await.ok()
 }
 
-/// Carries a shared connection's bytes until it ends.
-async fn drive(
+/// Runs the I/O of a shared connection until it ends.
+async fn run_connection(
     driver: Http2Driver<TcpStream, Bytes>,
     alive: Rc<Cell<bool>>,
     _slot: ConnectionSlot,
 ) {
     if let Err(e) = driver.await {
-        tracing::debug!(error = %e, "http2 endpoint");
+        tracing::debug!(error = %e, "HTTP/2 connection to an endpoint failed");
     }
     alive.set(false);
 }
--- a/src/upstream/health_check.rs
+++ b/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! One health check: an endpoint is asked for its load report.
+//! One health check: requests the load report of an endpoint.
 
 use crate::decision::driver::EndpointId;
 use crate::decision::Outcome;
@@ -10,13 +10,13 @@
 use http::{Request, StatusCode};
 use std::net::SocketAddr;
 
-/// Where an HTTP/2 endpoint gives its load report.
+/// URI at which an HTTP/2 endpoint serves its load report.
 const LOAD_REPORT_URI: &str = "http://instance/-/load";
 
-/// How a health check ended, and the load report that it brought; empty: none.
+/// The outcome of a health check and the load report, which is empty if there was none.
 type HealthCheckResult = (Outcome, Vec<f64>);
 
-/// Makes a health check.
+/// Runs a health check over the endpoint's protocol.
 pub(super) async fn check(upstream: &Upstream, endpoint: EndpointId) -> HealthCheckResult {
     match upstream.address(endpoint) {
         Some((addr, EndpointProtocol::Resp)) => check_resp(upstream, endpoint, addr).await,
@@ -56,7 +56,7 @@
         .await;
     match incoming {
         Some(Incoming::Reply(result)) => {
-            upstream.keep(endpoint, connection);
+            upstream.return_to_pool(endpoint, connection);
             result
         }
         _ => without_report(Outcome::Reset),
@@ -86,7 +86,7 @@
     let (head, mut stream) = response.into_parts();
     match http2::collect(&mut stream, upstream.stall_timeout()).await {
         Some(report) if head.status == StatusCode::OK => {
-            shared.last_heard_ms.set(upstream.dispatcher.now());
+            shared.last_received_ms.set(upstream.dispatcher.now());
             let load = endpoint_report::load_report(upstream.dispatcher.platform(), &report);
             (Outcome::Ok, load)
         }
--- a/src/upstream/http2_exchange.rs
+++ b/src/upstream/http2_exchange.rs
@@ -1,5 +1,5 @@
-//! One attempt over HTTP/2: the request is sent on a stream of the shared connection, the answer interpreted, a long
-//! body streamed to the client.
+//! One attempt over HTTP/2: sends the request on a stream of the shared connection, interprets the
+//! answer, and streams a long body to the client.
 
 use crate::buffer::body_stream::BodySender;
 use crate::config::settings::Platform;
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Makes an attempt.
+/// Runs one attempt to its end.
 pub(super) async fn exchange(
     upstream: &Upstream,
     attempt: &AttemptStart,
@@ -38,12 +38,13 @@
     let now_ms = upstream.dispatcher.now();
     shared.last_used_ms.set(now_ms);
     if result.outcome != Outcome::Reset {
-        shared.last_heard_ms.set(now_ms);
+        shared.last_received_ms.set(now_ms);
     }
     result
 }
 
-/// Sends the request; none: no stream was opened for it, so no endpoint can have run it.
+/// Sends the request. Returns none if no stream was opened for the request, so that no endpoint can
+/// have run it.
 async fn send(
     upstream: &Upstream,
     attempt: &AttemptStart,
@@ -52,12 +53,12 @@
 ) -> Option<ResponseFuture> {
     let dispatcher = &upstream.dispatcher;
     let Ok(mut send) = shared.send.clone().ready().await else {
-        // The connection takes no new streams: the next attempt opens another.
+        // The connection accepts no new streams, so the next attempt opens another connection.
         shared.alive.set(false);
         return None;
     };
     let now_ms = dispatcher.now();
-    // Guards the drain of an endpoint: it may have left while its connection came up.
+    // The endpoint may have started to drain while its connection was being established.
     if !dispatcher.accepts_requests(attempt.endpoint) {
         return None;
     }
@@ -70,7 +71,7 @@
         return None;
     };
     if let Some(body) = body {
-        // A failure here shows in the response.
+        // A failure to send the body shows in the response.
         let _ = stream.send_data(Bytes::copy_from_slice(body), true);
     }
     handle.set(Abandon::Reset(stream));
@@ -102,7 +103,7 @@
             settled_units: settled_units(platform, &head.headers),
             ..result
         },
-        // It has begun to answer, so it ran, whatever ended the stream or keeps it from its end.
+        // The endpoint has begun to answer, so it has run the request, whatever ended the stream.
         None => AttemptResult::with_outcome(Outcome::Reset),
     }
 }
@@ -120,7 +121,8 @@
     endpoint_report::settled_units(platform, usage.as_bytes())
 }
 
-/// The length of a body that is too long to be held whole; none: it is short, or its length is not given.
+/// The length of a body that is too long to be buffered completely; none if it is short or its
+/// length is not given.
 fn streamed_length(headers: &HeaderMap) -> Option<usize> {
     let length: usize = headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()?;
     (MAX_COMPLETE_BODY_BYTES + 1..=MAX_STREAMED_BODY_BYTES)
@@ -128,8 +130,8 @@
         .then_some(length)
 }
 
-/// Waits for the first part of a body, and streams it from there on; none: nothing came in time. Until the first part
-/// is here, the attempt can still be made elsewhere.
+/// Waits for the first chunk of a body and streams the body from there on. Returns none if no chunk
+/// arrived in time: until then, the attempt can be repeated at another endpoint.
 async fn start_streaming(
     upstream: &Upstream,
     mut stream: RecvStream,
@@ -142,29 +144,29 @@
     Some(ResponseBody::Streaming(Rc::new(receiver)))
 }
 
-/// Streams a body as fast as its client takes it: what the client has not taken stays in the stream's window.
-/// Ends the stream where the client has gone or the endpoint gives nothing more.
+/// Streams a body at the rate at which its client reads; unread data stays in the stream's
+/// flow-control window. Ends the stream when the client disconnects or the endpoint stalls.
 async fn stream_body(mut stream: RecvStream, first: Bytes, sender: BodySender) {
-    let mut part = first;
+    let mut chunk = first;
     loop {
-        if !forward(&mut stream, part, &sender).await || sender.unsent_bytes() == 0 {
+        if !forward(&mut stream, chunk, &sender).await || sender.unsent_bytes() == 0 {
             return;
         }
         match timeout(STREAM_STALL_TIMEOUT, stream.data()).await {
-            Ok(Some(Ok(next))) => part = next,
+            Ok(Some(Ok(next))) => chunk = next,
             _ => return,
         }
     }
 }
 
-/// Forwards one part; false: nobody wants more, or the stream has ended.
-async fn forward(stream: &mut RecvStream, mut part: Bytes, sender: &BodySender) -> bool {
-    while !part.is_empty() {
+/// Forwards one chunk. Returns false if the client needs no more data or the stream has ended.
+async fn forward(stream: &mut RecvStream, mut chunk: Bytes, sender: &BodySender) -> bool {
+    while !chunk.is_empty() {
         if sender.is_receiver_dropped() || sender.unsent_bytes() == 0 {
             return false;
         }
-        let taken = sender.write(&part);
-        let _ = part.split_to(taken);
+        let taken = sender.write(&chunk);
+        let _ = chunk.split_to(taken);
         if stream.flow_control().release_capacity(taken).is_err() {
             return false;
         }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,18 +1,19 @@
-//! The side of the endpoints: attempts and health checks over pooled connections.
+//! Connections to endpoints: attempts and health checks over pooled connections.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `pools` | idle and shared connections by endpoint, the budget of connections |
-//! | `connection_limit` | the most connections that an endpoint has been seen to accept |
-//! | `dead_connections` | how long a connection may be idle and still be trusted |
+//! | `pools` | idle and shared connections by endpoint, and the limit on open connections |
+//! | `connection_limit` | the connection limit of an endpoint, inferred from failed connects |
+//! | `dead_connections` | idle times after which connections are likely to be dead |
 //! | `connection` | one RESP connection: reading and writing |
-//! | `dial` | a connection for an attempt: pooled, or opened |
-//! | `resp_exchange`, `http2_exchange` | one attempt over each wire |
-//! | `health_check` | one health check over each wire |
-//! | `running_attempt` | how an attempt under way is abandoned at once |
+//! | `dial` | obtains a connection for an attempt: pooled or new |
+//! | `resp_exchange`, `http2_exchange` | one attempt over each protocol |
+//! | `health_check` | one health check over each protocol |
+//! | `running_attempt` | immediate abandoning of a running attempt |
 //!
-//! It never sends an attempt again by itself, leaves an abandoned attempt's connection open, or reuses one whose peer
-//! has closed it. What each end of an attempt proves stands in [`crate::protocol::attempt_outcome`].
+//! This module never repeats an attempt by itself, never leaves the connection or stream of an
+//! abandoned attempt open, and never reuses a connection that the endpoint has closed.
+//! [`crate::protocol::attempt_outcome`] defines what the end of an attempt proves.
 
 mod connection;
 mod connection_limit;
@@ -40,14 +41,14 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A reply that has begun and of which nothing more comes for this many connect timeouts is malformed. Guards against
-/// a reply whose length is wrong, which would hold its attempt until the deadline.
+/// A reply is malformed if it has begun and no more bytes arrive for this many connect timeouts.
+/// Without this limit, a reply with a wrong length would hold its attempt until the deadline.
 const STALL_CONNECT_TIMEOUTS: u32 = 2;
-/// A streamed body of which nothing more comes for this long is given up. Longer than the stall of a reply, since the
-/// attempt cannot be made elsewhere any more.
+/// A streamed body is given up if no more bytes arrive for this long. Longer than the stall timeout
+/// of a reply, since the attempt can no longer be repeated at another endpoint.
 const STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// All connections to endpoints, and the attempts under way.
+/// All connections to endpoints, and the running attempts.
 pub struct Upstream {
     dispatcher: Rc<Dispatcher>,
     pools: ConnectionPools,
@@ -56,7 +57,7 @@
 }
 
 impl Upstream {
-    /// No connections yet; `budget` is the most that may be open together.
+    /// Creates a set without connections; `budget` is the maximum number of open connections.
     pub fn new(dispatcher: Rc<Dispatcher>, budget: usize) -> Rc<Upstream> {
         let platform = dispatcher.platform();
         Rc::new(Upstream {
@@ -67,17 +68,17 @@
         })
     }
 
-    /// Connections open or coming up.
+    /// Number of connections that are open or being established.
     pub fn open_connections(&self) -> usize {
         self.pools.open()
     }
 
-    /// Keeps to this many connections from now on, and closes idle ones above that.
+    /// Changes the maximum number of connections, and closes idle connections above it.
     pub fn set_budget(&self, budget: usize) {
         self.pools.set_budget(budget);
     }
 
-    /// Starts an attempt; the dispatcher is notified of its end.
+    /// Starts an attempt. The dispatcher is notified when the attempt ends.
     pub fn start_attempt(self: &Rc<Self>, attempt: AttemptStart) {
         let key = (attempt.request_id, attempt.attempt);
         let endpoint = attempt.endpoint;
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Abandons an attempt. Its connection or stream is ended here and now, not when its task is next polled: a later
-    /// attempt of the same request must never overlap with it.
+    /// Abandons an attempt. Ends its connection or stream immediately, without waiting for the
+    /// attempt's task to be polled: a later attempt of the same request must not overlap with it.
     pub fn abandon_attempt(&self, id: RequestId, number: u32) {
         let Some(running) = self.running.borrow_mut().remove(&(id, number)) else {
             return;
@@ -133,7 +134,7 @@
         running.task.abort();
     }
 
-    /// Sends an endpoint a health check; the dispatcher is notified of its end.
+    /// Sends a health check to an endpoint. The dispatcher is notified when the check ends.
     pub fn start_health_check(self: &Rc<Self>, endpoint: EndpointId) {
         let upstream = self.clone();
         spawn_local(async move {
@@ -147,12 +148,14 @@
         });
     }
 
-    /// Closes the idle connections to an endpoint that gets no more requests, and forgets what was learnt of it.
+    /// Closes the idle connections to an endpoint that gets no more requests, and removes its
+    /// inferred limit.
     pub fn release(&self, endpoint: EndpointId) {
         self.pools.release(endpoint);
     }
 
-    /// Closes connections that have been idle for long; called once a second with the time, ms.
+    /// Closes connections that have been idle for too long. Called once a second with the current
+    /// time, ms.
     pub fn close_idle(&self, now: f64) {
         self.pools.sweep(now);
     }
@@ -164,17 +167,18 @@
             .map(|endpoint| (endpoint.addr, endpoint.protocol))
     }
 
-    /// How long a reply that has begun may bring nothing more.
+    /// How long a reply may pause after its first bytes.
     fn stall_timeout(&self) -> Duration {
         STALL_CONNECT_TIMEOUTS * self.connect_timeout
     }
 
-    /// Keeps a connection for the next request, unless its endpoint gets none or unread bytes are left.
-    /// Guards against an answer that goes to the wrong request: bytes behind a reply belong to nobody.
-    fn keep(&self, endpoint: EndpointId, connection: Rc<connection::Connection>) {
+    /// Returns a connection to the pool, unless its endpoint accepts no more requests or unread
+    /// bytes are left: bytes after a reply would be taken for the answer to the next request.
+    fn return_to_pool(&self, endpoint: EndpointId, connection: Rc<connection::Connection>) {
         if connection.has_unread_bytes() || !self.dispatcher.accepts_requests(endpoint) {
             return;
         }
-        self.pools.keep(self.dispatcher.now(), endpoint, connection);
+        self.pools
+            .add_idle(self.dispatcher.now(), endpoint, connection);
     }
 }
--- a/src/upstream/pools.rs
+++ b/src/upstream/pools.rs
@@ -1,5 +1,5 @@
-//! Open connections by endpoint: idle RESP connections, newest first, one shared HTTP/2 connection, and the budget of
-//! connections that all endpoints share.
+//! Open connections by endpoint: idle RESP connections, newest first, and one shared HTTP/2
+//! connection. All endpoints share one limit on open connections, the budget.
 
 use crate::decision::driver::EndpointId;
 use crate::upstream::connection::Connection;
@@ -14,33 +14,35 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of the idle time in the settings after which a connection is closed: well before the endpoint closes
-/// it, since a request that meets that close may have run.
+/// Share of the settings' idle time after which a connection is closed. The ingress closes it well
+/// before the endpoint does, since a request that is sent while the endpoint closes the connection
+/// may have run.
 const MAX_IDLE_SHARE: f64 = 0.6;
-/// A connection rests this long behind an answer, ms: a second answer to the same request may come some ms late.
-pub(super) const REST_MS: f64 = 10.0;
+/// Delay before a connection is reused after an answer, ms: a second answer to the same request may
+/// arrive some ms late.
+pub(super) const REUSE_DELAY_MS: f64 = 10.0;
 
-/// A place among the open connections, given back when dropped.
+/// A slot for one open connection, released when dropped.
 pub(super) struct ConnectionSlot {
-    open_in_all: Rc<Cell<usize>>,
-    open_here: Rc<Cell<usize>>,
+    open_total: Rc<Cell<usize>>,
+    open_to_endpoint: Rc<Cell<usize>>,
 }
 
 impl ConnectionSlot {
-    fn take(open_in_all: &Rc<Cell<usize>>, open_here: &Rc<Cell<usize>>) -> ConnectionSlot {
-        open_in_all.set(open_in_all.get() + 1);
-        open_here.set(open_here.get() + 1);
+    fn take(open_total: &Rc<Cell<usize>>, open_to_endpoint: &Rc<Cell<usize>>) -> ConnectionSlot {
+        open_total.set(open_total.get() + 1);
+        open_to_endpoint.set(open_to_endpoint.get() + 1);
         ConnectionSlot {
-            open_in_all: open_in_all.clone(),
-            open_here: open_here.clone(),
+            open_total: open_total.clone(),
+            open_to_endpoint: open_to_endpoint.clone(),
         }
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.open_in_all.set(self.open_in_all.get() - 1);
-        self.open_here.set(self.open_here.get() - 1);
+        self.open_total.set(self.open_total.get() - 1);
+        self.open_to_endpoint.set(self.open_to_endpoint.get() - 1);
     }
 }
 
@@ -49,16 +51,16 @@
     since_ms: f64,
 }
 
-/// An HTTP/2 connection, which carries many attempts.
+/// An HTTP/2 connection, which carries many attempts at the same time.
 #[derive(Clone)]
 pub(super) struct SharedConnection {
     pub(super) send: SendRequest<Bytes>,
     pub(super) addr: SocketAddr,
-    /// When the endpoint last answered on it, ms.
-    pub(super) last_heard_ms: Rc<Cell<f64>>,
-    /// When an attempt last used it, ms.
+    /// Time of the endpoint's last answer on this connection, ms.
+    pub(super) last_received_ms: Rc<Cell<f64>>,
+    /// Time when an attempt last used this connection, ms.
     pub(super) last_used_ms: Rc<Cell<f64>>,
-    /// Whether it takes further streams.
+    /// Whether the connection accepts further streams.
     pub(super) alive: Rc<Cell<bool>>,
 }
 
@@ -70,14 +72,14 @@
 
 #[derive(Default)]
 struct EndpointPool {
-    /// Oldest first.
+    /// Idle connections, oldest first.
     idle: Vec<IdleConnection>,
     shared: Option<SharedConnection>,
     open: Rc<Cell<usize>>,
     limit: Option<ConnectionLimit>,
 }
 
-/// The pools of all endpoints.
+/// The connection pools of all endpoints.
 pub(super) struct ConnectionPools {
     by_endpoint: RefCell<HashMap<EndpointId, EndpointPool>>,
     open: Rc<Cell<usize>>,
@@ -87,8 +89,8 @@
 }
 
 impl ConnectionPools {
-    /// No connections yet; `budget` is the most that may be open together, `idle_ms` the time after which endpoints
-    /// close an idle connection.
+    /// Creates pools without connections. `budget` is the maximum number of open connections,
+    /// `idle_ms` the time after which endpoints close an idle connection.
     pub(super) fn new(budget: usize, idle_ms: f64) -> ConnectionPools {
         ConnectionPools {
             by_endpoint: RefCell::default(),
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Connections open or coming up.
+    /// Number of connections that are open or being established.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
@@ -111,7 +113,7 @@
         while self.open.get() > budget && close_longest_idle(&mut pools) {}
     }
 
-    /// Closes the idle connections to an endpoint and forgets its limit.
+    /// Closes the idle connections to an endpoint and removes its inferred limit.
     pub(super) fn release(&self, endpoint: EndpointId) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             pool.idle.clear();
@@ -120,9 +122,9 @@
         }
     }
 
-    /// Closes connections that have been idle for long, and drops empty pools.
+    /// Closes connections that have been idle for too long, and removes empty pools.
     pub(super) fn sweep(&self, now_ms: f64) {
-        self.dead_connections.borrow_mut().fade();
+        self.dead_connections.borrow_mut().decay();
         let mut pools = self.by_endpoint.borrow_mut();
         for pool in pools.values_mut() {
             pool.idle
@@ -134,8 +136,9 @@
         pools.retain(|_, pool| pool.open.get() > 0 || pool.limit.is_some());
     }
 
-    /// The newest idle connection that has rested and that its peer has not closed. Where the newest is too
-    /// old or too often dead at its age, so are the older ones, which are closed.
+    /// Takes the newest idle connection that is past its reuse delay and that the endpoint has not
+    /// closed. If that connection has been idle for too long or its idle class is suspect, the
+    /// older ones are closed too.
     pub(super) fn take_idle(
         &self,
         now_ms: f64,
@@ -144,20 +147,20 @@
     ) -> Option<Rc<Connection>> {
         let mut pools = self.by_endpoint.borrow_mut();
         let pool = pools.get_mut(&endpoint)?;
-        // Guards against a late second answer: it must not be taken for the answer to the next request.
-        while let Some(rested) = pool
+        // A late second answer must not be taken for the answer to the next request.
+        while let Some(reusable) = pool
             .idle
             .iter()
-            .rposition(|idle| now_ms - idle.since_ms >= REST_MS)
+            .rposition(|idle| now_ms - idle.since_ms >= REUSE_DELAY_MS)
         {
-            let idle = pool.idle.remove(rested);
+            let idle = pool.idle.remove(reusable);
             let idle_ms = now_ms - idle.since_ms;
             let class = idle_class(idle_ms);
             if idle_ms >= self.max_idle_ms || self.dead_connections.borrow().is_suspect(class) {
-                pool.idle.drain(..rested);
+                pool.idle.drain(..reusable);
                 return None;
             }
-            if idle.connection.addr() == addr && is_quiet(&idle.connection) {
+            if idle.connection.addr() == addr && is_open_without_data(&idle.connection) {
                 idle.connection.set_idle_class(class);
                 return Some(idle.connection);
             }
@@ -165,8 +168,8 @@
         None
     }
 
-    /// Keeps an idle connection for the next request.
-    pub(super) fn keep(&self, now_ms: f64, endpoint: EndpointId, connection: Rc<Connection>) {
+    /// Adds an idle connection to the pool.
+    pub(super) fn add_idle(&self, now_ms: f64, endpoint: EndpointId, connection: Rc<Connection>) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             pool.idle.push(IdleConnection {
                 connection,
@@ -175,13 +178,13 @@
         }
     }
 
-    /// Notes whether a connection that had been idle for this long was dead when it was used.
-    pub(super) fn note_use(&self, class: IdleClass, dead: bool) {
-        self.dead_connections.borrow_mut().note(class, dead);
+    /// Records whether a connection of this idle class was dead when it was used.
+    pub(super) fn record_use(&self, class: IdleClass, dead: bool) {
+        self.dead_connections.borrow_mut().record(class, dead);
     }
 
-    /// A place for one more connection; none: the budget or the endpoint's limit is reached, and nothing idle can be
-    /// closed for it.
+    /// Takes a slot for one more connection. Returns none if the budget is used up and no idle
+    /// connection can be closed, or if the endpoint's limit is reached.
     pub(super) fn take_slot(&self, now_ms: f64, endpoint: EndpointId) -> Option<ConnectionSlot> {
         let mut pools = self.by_endpoint.borrow_mut();
         if self.open.get() >= self.budget.get() && !close_longest_idle(&mut pools) {
@@ -194,17 +197,17 @@
         allowed.then(|| ConnectionSlot::take(&self.open, &pool.open))
     }
 
-    /// A connect has failed; its slot is still taken.
+    /// Handles a failed connect whose slot is still taken.
     pub(super) fn connect_failed(&self, now_ms: f64, endpoint: EndpointId) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             let others = pool.open.get().saturating_sub(1);
-            if let Some(limit) = ConnectionLimit::learn(now_ms, others) {
+            if let Some(limit) = ConnectionLimit::infer(now_ms, others) {
                 pool.limit = Some(limit);
             }
         }
     }
 
-    /// The endpoint's shared connection, if it can be used.
+    /// Returns the endpoint's shared connection, if it is usable.
     pub(super) fn shared(
         &self,
         endpoint: EndpointId,
@@ -217,7 +220,8 @@
             .filter(|shared| shared.is_usable(addr))
     }
 
-    /// Shares a new connection, unless another one has come up meanwhile.
+    /// Makes a new connection the shared one, unless another usable one was established in the
+    /// meantime.
     pub(super) fn share(&self, endpoint: EndpointId, connection: &SharedConnection) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             pool.shared
@@ -226,26 +230,27 @@
         }
     }
 
-    /// Drops the shared connection if the endpoint has said nothing on it since then. Guards against a
-    /// machine that is cut off: its connection stays open and swallows one attempt after another.
+    /// Drops the shared connection if the endpoint has not answered on it since `since_ms`. The
+    /// connection to a machine that is cut off from the network stays open, and every attempt on it
+    /// would time out.
     pub(super) fn drop_silent_shared(&self, endpoint: EndpointId, since_ms: f64) {
         if let Some(pool) = self.by_endpoint.borrow_mut().get_mut(&endpoint) {
             pool.shared
-                .take_if(|shared| shared.last_heard_ms.get() < since_ms);
+                .take_if(|shared| shared.last_received_ms.get() < since_ms);
         }
     }
 }
 
-/// Whether the connection is open and has brought nothing. Guards against a request that may have run for
-/// nothing, and against an answer to another request: an end, a reset or bytes that are already here are seen
-/// before the request is written. The system itself is asked, since the runtime would answer from what it
-/// last heard.
-fn is_quiet(connection: &Connection) -> bool {
+/// Whether the connection is open and has no data to read. Checked before a request is written: a
+/// closed connection would fail the request, which would then count as one that may have run, and
+/// data that is already here belongs to another request. Peeks at the socket itself, because the
+/// readiness cached by the runtime may be out of date.
+fn is_open_without_data(connection: &Connection) -> bool {
     let peeked = socket2::SockRef::from(connection.stream()).peek(&mut [MaybeUninit::uninit(); 1]);
     peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
 }
 
-/// Closes the connection that has been idle for longest; false: none is idle.
+/// Closes the connection that has been idle for longest. Returns false if no connection is idle.
 fn close_longest_idle(pools: &mut HashMap<EndpointId, EndpointPool>) -> bool {
     let longest = pools
         .values_mut()
--- a/src/upstream/resp_exchange.rs
+++ b/src/upstream/resp_exchange.rs
@@ -1,5 +1,5 @@
-//! One attempt over RESP: the request is written, the reply read and interpreted, a long value streamed to
-//! the client.
+//! One attempt over RESP: writes the request, reads and interprets the reply, and streams a long
+//! value to the client.
 
 use crate::buffer::body_stream::BodySender;
 use crate::config::settings::Platform;
@@ -17,13 +17,13 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// What a request takes on the wire at the least, in bytes.
+/// Initial capacity for an encoded request, in bytes.
 const REQUEST_CAPACITY_BYTES: usize = 256;
-/// Items behind the value of a reply: the usage, then the load report.
+/// Positions of the items after the value of a reply.
 const USAGE_ITEM: usize = 0;
 const LOAD_REPORT_ITEM: usize = 1;
 
-/// Makes an attempt.
+/// Runs one attempt to its end.
 pub(super) async fn exchange(
     upstream: &Rc<Upstream>,
     attempt: &AttemptStart,
@@ -45,10 +45,10 @@
         .await;
     handle.take();
     let dead = incoming.is_none() && !connection.has_unread_bytes();
-    upstream.pools.note_use(connection.idle_class(), dead);
+    upstream.pools.record_use(connection.idle_class(), dead);
     match incoming {
         Some(Incoming::Reply(result)) => {
-            upstream.keep(attempt.endpoint, connection);
+            upstream.return_to_pool(attempt.endpoint, connection);
             result
         }
         Some(Incoming::Streamed(reply)) => {
@@ -58,8 +58,9 @@
     }
 }
 
-/// Writes the request; false: it was not written whole, so no endpoint can have run it. Guards the drain of
-/// an endpoint: it may have left while its connection came up.
+/// Writes the request. Returns false if it was not written completely, so that no endpoint can have
+/// run it. Writes nothing if the endpoint started to drain while its connection was being
+/// established.
 async fn send(upstream: &Upstream, attempt: &AttemptStart, connection: &Connection) -> bool {
     let dispatcher = &upstream.dispatcher;
     let wait_ms = attempt.deadline_ms - dispatcher.now();
@@ -70,7 +71,7 @@
         && connection.write_queued().await
 }
 
-/// What a reply means, by the table of the protocol page; none: it is malformed.
+/// Interprets a reply; none if it is malformed.
 fn attempt_result(platform: &Platform, reply: Reply) -> Option<AttemptResult> {
     match reply {
         Reply::Array(items) => match items.as_slice() {
@@ -92,7 +93,8 @@
     }
 }
 
-/// An error: its first word says which, its last one may be a load report. Units are settled by good answers alone.
+/// Interprets an error reply: its first word gives the outcome, its last word may be a load report.
+/// Only successful answers settle units.
 fn error_result(platform: &Platform, text: &[u8]) -> Option<AttemptResult> {
     let mut words = text.split(|byte| *byte == b' ');
     let outcome = attempt_outcome::of_resp_error(words.next()?)?;
@@ -106,14 +108,14 @@
     })
 }
 
-/// The load report among what comes behind a value; empty: there is none.
+/// The load report among the items after a value; empty if there is none.
 fn load_report(platform: &Platform, rest: &[Reply]) -> Vec<f64> {
     text_at(rest, LOAD_REPORT_ITEM).map_or(Vec::new(), |report| {
         endpoint_report::load_report(platform, report)
     })
 }
 
-/// An item behind a value; none: it is missing, null, or no text.
+/// The text of an item after a value; none if the item is missing, null, or not a bulk string.
 fn text_at<'a>(rest: &[Reply<'a>], item: usize) -> Option<&'a [u8]> {
     match rest.get(item) {
         Some(Reply::Bulk(text)) => *text,
@@ -121,7 +123,7 @@
     }
 }
 
-/// Ends the attempt as served with a value that is streamed from now on.
+/// Ends the attempt as served, with a value that is streamed from now on.
 fn start_streaming(
     upstream: &Rc<Upstream>,
     endpoint: EndpointId,
@@ -149,8 +151,8 @@
     }
 }
 
-/// Streams the rest of a value, as fast as its client takes it, then reads what comes behind it and keeps the
-/// connection if all ended well.
+/// Streams the rest of a value at the rate at which its client reads. Then reads the items after
+/// the value, and returns the connection to the pool if there was no error.
 async fn stream_reply(
     upstream: Rc<Upstream>,
     endpoint: EndpointId,
@@ -161,7 +163,7 @@
     if !stream_value(&connection, &sender).await {
         return;
     }
-    // The client sees the end of its answer now, whatever becomes of the rest.
+    // Ends the client's answer now, independent of the remaining items.
     drop(sender);
     let rest = read_rest(upstream.dispatcher.platform(), &connection, reply.items);
     let Ok(Some(load)) = timeout(upstream.stall_timeout(), rest).await else {
@@ -172,19 +174,19 @@
             requests.health_check_ended(now_ms, endpoint, Outcome::Ok, load)
         });
     }
-    upstream.keep(endpoint, connection);
+    upstream.return_to_pool(endpoint, connection);
 }
 
-/// Streams a value; false: its client has gone, or the endpoint gives nothing more, and the connection is to
-/// be closed.
+/// Streams a value. Returns false if the client disconnected or the endpoint stalled or ended the
+/// connection, which is then to be closed.
 async fn stream_value(connection: &Connection, sender: &BodySender) -> bool {
     let stream = connection.stream();
     while sender.unsent_bytes() > 0 {
         if sender.is_receiver_dropped() {
             return false;
         }
-        match sender.write_with(|room| stream.try_read(room)) {
-            // The client has to take bytes first.
+        match sender.write_with(|free| stream.try_read(free)) {
+            // The buffer is full until the client reads.
             None => sender.wait_for_space().await,
             Some(Ok(0)) => return false,
             Some(Ok(_)) => {}
@@ -208,8 +210,8 @@
     true
 }
 
-/// Reads the items behind a streamed value, and returns the load report among them; none: they are malformed, or the
-/// connection ended.
+/// Reads the items after a streamed value and returns the load report among them; none if they are
+/// malformed or the connection ended.
 async fn read_rest(platform: &Platform, connection: &Connection, items: usize) -> Option<Vec<f64>> {
     loop {
         {
--- a/src/upstream/running_attempt.rs
+++ b/src/upstream/running_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt under way, and how it is abandoned at once, without waiting for its task.
+//! Running attempts, which can be abandoned immediately, without waiting for their tasks.
 
 use crate::decision::driver::EndpointId;
 use crate::upstream::connection::Connection;
@@ -8,35 +8,36 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// What ends an attempt at the endpoint.
+/// The way in which an attempt is ended at the endpoint.
 pub(super) enum Abandon {
-    /// Its connection is shut down.
+    /// Shut down the attempt's connection.
     Close(Rc<Connection>),
-    /// Its stream is reset; the connection carries others.
+    /// Reset the attempt's stream; the connection carries other attempts.
     Reset(SendStream<Bytes>),
 }
 
-/// How an attempt is to be abandoned; empty before it is sent and once it has been answered.
+/// How an attempt is to be abandoned; empty before the attempt is sent and after it is answered.
 #[derive(Clone, Default)]
 pub(super) struct AbandonHandle(Rc<RefCell<Option<Abandon>>>);
 
 impl AbandonHandle {
-    /// The attempt is about to be sent.
+    /// Sets how to abandon the attempt. Called before the attempt is sent.
     pub(super) fn set(&self, abandon: Abandon) {
         *self.0.borrow_mut() = Some(abandon);
     }
 
-    /// Empties it: the attempt is over, or is being abandoned.
+    /// Empties the handle and returns its content. Called when the attempt has ended or is being
+    /// abandoned.
     pub(super) fn take(&self) -> Option<Abandon> {
         self.0.borrow_mut().take()
     }
 }
 
-/// An attempt under way.
+/// An attempt whose task is running.
 pub(super) struct RunningAttempt {
     pub(super) task: AbortHandle,
     pub(super) handle: AbandonHandle,
     pub(super) endpoint: EndpointId,
-    /// When it was started, ms.
+    /// Start time, ms.
     pub(super) started_ms: f64,
 }
