--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,15 +1,17 @@
-//! Clients that have gone: nothing is begun for them any more, whatever they waited for.
+//! Clients that have disconnected: no further attempt starts for them, whatever their requests
+//! waited for.
 
 mod stage;
 
 use stage::{play, play_all, play_resp, Wire};
 
-/// A client pipelines more requests than are taken at once and leaves. Those that were not taken must not be
-/// begun when places come free.
+/// A client pipelines more requests than the ingress accepts at once, and disconnects. Requests
+/// that were not accepted must not start when others end.
 #[test]
-fn behind_the_most_pipelined_requests_nothing_more_is_begun() {
-    // 128 are taken; the others are in the ring, and nothing is read meanwhile. All wait for the counter until its calls
-    // are given up: with its answers, attempts would begin between them, and the ladder would refuse the rest.
+fn no_attempt_starts_for_requests_beyond_the_pipeline_limit() {
+    // 128 requests are accepted; the others stay in the ring buffer, and nothing is read meanwhile.
+    // All requests wait for the counter until its calls time out: if it answered, attempts would
+    // start in between, and load shedding would reject the rest.
     play_resp(
         "state b left
          wait 100
@@ -26,10 +28,10 @@
     );
 }
 
-/// The same with so many requests that part of them is unread: the end of the connection stands behind bytes
-/// that nobody reads.
+/// As above, with so many requests that some of them are not read: the end of the connection
+/// follows bytes that the ingress does not read.
 #[test]
-fn with_unread_bytes_behind_a_full_ring_nothing_more_is_begun() {
+fn no_attempt_starts_for_requests_behind_a_full_buffer() {
     play_resp(
         "state b left
          wait 100
@@ -46,9 +48,10 @@
     );
 }
 
-/// A client leaves while its attempts are out, and these fail. No retry may begin for a client that has gone.
+/// A client disconnects while its attempts are running, and these fail. No retry must start for the
+/// client.
 #[test]
-fn behind_one_that_waits_nothing_more_is_begun() {
+fn no_retry_starts_after_client_disconnect() {
     play_resp(
         "state b left
          wait 100
@@ -65,11 +68,11 @@
     );
 }
 
-/// The same during a shutdown, when nothing more is read from the connection, so that its end is easily
-/// missed.
+/// As above during a shutdown, when the ingress reads no more from the connection and could miss
+/// its end.
 #[test]
-fn on_a_connection_that_is_to_end_nothing_more_is_begun() {
-    // A fetch that an endpoint could not serve is forwarded once more, unless its client has gone.
+fn no_retry_starts_after_client_disconnect_during_shutdown() {
+    // A fetch that fails at an endpoint is retried, unless its client has disconnected.
     play_all(
         "send c k1 fetch-episode national 7
          expect * k1
@@ -85,9 +88,9 @@
     );
 }
 
-/// The same behind bytes that make no sense, after which nothing more is read from the connection.
+/// As above after malformed bytes, after which the ingress reads no more from the connection.
 #[test]
-fn behind_words_that_make_no_sense_nothing_more_is_begun() {
+fn no_retry_starts_after_malformed_bytes_and_disconnect() {
     play_resp(
         "send c k1 fetch-episode national 7
          expect * k1
@@ -101,10 +104,10 @@
     );
 }
 
-/// A client leaves while its request waits for a token lease. The answer of the counter must not begin an
-/// attempt.
+/// A client disconnects while its request waits for a token lease. The counter's answer must not
+/// start an attempt.
 #[test]
-fn what_waits_for_the_counter_is_not_begun() {
+fn request_waiting_for_counter_is_dropped_on_disconnect() {
     play_all(
         "counter late
          send c k1 fetch-episode city 7
@@ -115,9 +118,10 @@
     );
 }
 
-/// A client leaves while a connection to an endpoint is being made. Nothing may be written when it comes up.
+/// A client disconnects while a connection to an endpoint is being established. No request must be
+/// written on it.
 #[test]
-fn what_waits_for_a_connection_is_not_begun() {
+fn request_waiting_for_connection_is_dropped_on_disconnect() {
     play_all(
         "clog hung
          state a left
@@ -132,11 +136,12 @@
     );
 }
 
-/// A client shuts down its sending side only. To the platform it has closed, so nothing further is begun for
-/// it.
+/// A client shuts down only its sending side. The platform treats this as a disconnect, so no retry
+/// must start.
 #[test]
-fn a_client_that_has_ended_its_sending_has_gone() {
-    // The platform knows no half of a connection: one that its client has closed is gone.
+fn half_closed_client_counts_as_disconnected() {
+    // The platform has no half-closed connections: a connection that its client has shut down
+    // counts as closed.
     play_resp(
         "send c k1 fetch-episode national 7
          expect * k1
@@ -149,10 +154,10 @@
     );
 }
 
-/// Hundreds of clients connect and say nothing. They would hold every place; those idle for longest make room
-/// for others.
+/// Hundreds of clients connect and send nothing, and would occupy all connections. Those idle for
+/// longest must be closed to admit others.
 #[test]
-fn clients_that_say_nothing_do_not_keep_others_out() {
+fn silent_clients_do_not_block_others() {
     for front in [Wire::Resp, Wire::Http2] {
         play(
             front,
@@ -166,12 +171,12 @@
     }
 }
 
-/// The ingress is held up while a client writes requests and leaves. It reads both at once and must see the
-/// end before it begins anything.
+/// The ingress is paused while a client writes requests and disconnects. It then reads both at
+/// once, and must detect the end of the connection before it starts an attempt.
 #[test]
-fn what_a_client_wrote_before_it_went_is_not_begun_by_an_ingress_that_comes_to_it_late() {
-    // It cannot run for 300 ms, as on a machine that others share.
-    // Without a quota nothing waits for the counter.
+fn requests_read_together_with_disconnect_do_not_start() {
+    // The ingress is stopped for 300 ms, as on a machine with other load. Without a quota, no
+    // request waits for the counter.
     play_all(
         "with plans.3.units_per_s=0.0
          always value news
@@ -188,7 +193,8 @@
          runs k2 0
          runs k3 0",
     );
-    // Connections to the endpoints are up, so that what is begun is written at once.
+    // Connections to the endpoints are established first, so that a started attempt is written at
+    // once.
     play_resp(
         "with plans.3.units_per_s=0.0
          burst w 60
@@ -211,18 +217,19 @@
     );
 }
 
-/// Clients that ask for values and read none, and are gone at once: the connections, and the requests on each.
-fn hundreds_gone(front: Wire, behind: Wire) {
+/// Runs clients that request values, read none, and disconnect at once: the number of connections,
+/// and of requests on each.
+fn disconnect_hundreds_of_clients(front: Wire, behind: Wire) {
     let (connections, requests) = if front == Wire::Resp {
         (300, 1)
     } else {
         (15, 20)
     };
-    let ask = |kind: &str, tenant: usize| -> String {
+    let request_steps = |kind: &str, tenant: usize| -> String {
         (0..connections * requests)
             .map(|i| {
                 let (connection, tenant) = (i % connections, tenant + i);
-                // Some at a time, as endpoints take them.
+                // Pause after every ten requests, so that endpoints can accept them.
                 let pause = if i % 10 == 9 { "wait 30\n" } else { "" };
                 format!(
                     "send c{connection} {kind}{i} book-rebroadcast national {tenant:x}\n{pause}"
@@ -231,10 +238,10 @@
             .collect()
     };
     let close: String = (0..connections).map(|c| format!("close c{c}\n")).collect();
-    // Values that are passed on hold connections to endpoints (or streams, of which a shared connection has room for
-    // fewer). Whole ones wait in the front, 18 MB of them in each round.
-    let passed_on = ask("p", 100);
-    let (first, second) = (ask("f", 1000), ask("s", 2000));
+    // Streamed values occupy connections to endpoints (or streams, of which a shared connection has
+    // fewer). Completely buffered values wait in the frontend, 18 MB of them in each round.
+    let streamed = request_steps("p", 100);
+    let (first, second) = (request_steps("f", 1000), request_steps("s", 2000));
     play(
         front,
         behind,
@@ -242,7 +249,7 @@
             "roomy
              tight
              always large 300000
-             {passed_on}
+             {streamed}
              wait 500
              begun 120
              {close}
@@ -267,13 +274,13 @@
     );
 }
 
-/// Hundreds of clients leave at once with their answers unread. Connections, attempts and memory must all be
-/// given back.
+/// Hundreds of clients disconnect at once with their answers unread. Connections, attempts and
+/// memory must all be released.
 #[test]
-fn hundreds_of_clients_that_go_at_once_with_answers_unread_leave_nothing_behind() {
+fn hundreds_of_disconnects_with_unread_answers_release_resources() {
     for front in [Wire::Resp, Wire::Http2] {
         for behind in [Wire::Resp, Wire::Http2] {
-            hundreds_gone(front, behind);
+            disconnect_hundreds_of_clients(front, behind);
         }
     }
 }
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -1,4 +1,4 @@
-//! The stop, in the instants in which something is still owed.
+//! Shutdown and closing of connections while requests or answers are still pending.
 
 mod stage;
 
@@ -6,10 +6,10 @@
 
 const REQUEST: &str = r"*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n$2\r\nk1\r\n$54\r\nc=fetch-episode,t=city,d=1000,units=2,spread=1,first=0\r\n";
 
-/// SIGTERM comes when half a request has been read. The rest arrives: the request was accepted, so it is
-/// answered before the connection ends.
+/// SIGTERM arrives when half a request has been read. The other half arrives later. The request was
+/// accepted, so it must be answered before the connection ends.
 #[test]
-fn a_request_of_which_half_had_come_at_the_stop_is_answered() {
+fn request_half_read_at_shutdown_is_answered() {
     for cut in [1, 20, 60, REQUEST.len() - 6] {
         let cut = REQUEST[..cut]
             .rfind('\\')
@@ -30,12 +30,12 @@
     }
 }
 
-/// A request crosses the end of its connection. If it is read and then the connection is closed, it is lost;
-/// it is answered, or the close came before it was read.
+/// A request arrives while its connection is being closed. The request must be answered, or the
+/// connection must have been closed before the request was read; a request that was read must not
+/// be lost.
 #[test]
-fn a_request_that_comes_in_the_instant_of_the_stop_is_answered_or_its_connection_was_closed_before()
-{
-    // On a connection that rests, and on new ones: at 0 to 40 ms around the signal.
+fn request_arriving_at_shutdown_is_answered_or_never_read() {
+    // On an idle connection and on new ones, 0 to 40 ms around the signal.
     for ms in [0, 5, 20, 40] {
         play_resp(&format!(
             "always value news
@@ -52,10 +52,10 @@
     }
 }
 
-/// SIGTERM comes again during a shutdown. If the second one ended the process, requests in flight would be
-/// lost.
+/// SIGTERM arrives again during a shutdown. If the second signal ended the process, requests in
+/// flight would be lost.
 #[test]
-fn a_second_term_changes_nothing() {
+fn second_sigterm_has_no_effect() {
     play_all(
         "send c k1 book-rebroadcast city 7
          expect * k1
@@ -70,11 +70,12 @@
     );
 }
 
-/// Endpoints hang through the whole shutdown. Before the process ends every request gets a final answer: a
-/// failure where it may have run, a rejection where that does no harm.
+/// Endpoints hang during the whole shutdown. Every request must get a final answer before the
+/// process ends: a failure if it may have run, and a rejection if a retry is safe.
 #[test]
-fn an_endpoint_that_hangs_until_the_end_costs_no_request_its_answer() {
-    // The one may have run and has failed, the other is harmless; both in time for the program to end.
+fn hanging_endpoints_do_not_prevent_answers_at_shutdown() {
+    // The booking may have run, so it fails; the fetch is safe to retry. Both are answered in time
+    // for the exit.
     play_all(
         "send c k1 book-rebroadcast city 7 d=3000
          send c k2 fetch-episode national 8 d=3000
@@ -88,9 +89,9 @@
     );
 }
 
-/// Clients rest on their connections and never close them. The shutdown must not wait for them.
+/// Clients keep idle connections open. The shutdown must not wait for them.
 #[test]
-fn a_client_that_rests_until_it_is_ended_is_ended_and_one_that_says_nothing_too() {
+fn shutdown_closes_idle_and_silent_clients() {
     play_resp(
         "always value news
          send c k1 fetch-episode city 7
@@ -103,10 +104,10 @@
     );
 }
 
-/// A connection is closed while bytes of the client are unread. The system then resets it, and answers that
-/// are not delivered yet would go with the reset.
+/// A connection is closed while bytes from its client are unread. The operating system then resets
+/// the connection, which would discard answers that have not been delivered yet.
 #[test]
-fn a_connection_that_is_closed_over_unread_bytes_has_brought_its_answers() {
+fn answers_precede_a_close_with_unread_bytes() {
     play_resp(
         "send c k1 fetch-episode city 7
          send c k2 book-rebroadcast city 7
@@ -124,10 +125,10 @@
     );
 }
 
-/// The same with a client that reads slowly, so that most of its answers are still to be sent when its bytes
-/// turn out to make no sense.
+/// As above, with a client that reads slowly, so that most of its answers are still to be sent when
+/// its bytes turn out to be malformed.
 #[test]
-fn a_client_that_reads_slowly_has_its_answers_before_a_close_over_unread_bytes() {
+fn slow_reader_gets_answers_before_close_with_unread_bytes() {
     let send: String = (0..10)
         .map(|i| format!("send c k{i} fetch-episode national 7\n"))
         .collect();
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of many endpoints: what it takes to put rules in force while they are listed.
+//! Pools of many endpoints: the cost of replacing the rules while many endpoints are listed.
 
 use driftgap::config::settings::Config;
 use driftgap::decision::ListKind;
@@ -12,7 +12,7 @@
 const SETTINGS: &str = include_str!("stage/settings.json");
 const ENDPOINTS: usize = 20_000;
 
-/// A hub to which discovery has told so many endpoints, each with one of eight labels.
+/// A dispatcher with `ENDPOINTS` endpoints in its registry, each with one of eight labels.
 fn dispatcher(config: &Config) -> Rc<Dispatcher> {
     let dispatcher =
         Dispatcher::new(config, config.memory_mb, None, Clock::system(), false).unwrap();
@@ -36,7 +36,7 @@
     dispatcher
 }
 
-/// Rules with so many pools by label.
+/// Rules with this number of pools, selected by label.
 fn rules(config: &Config, pools: usize) -> Rules {
     let pool = |number: usize| {
         format!(
@@ -47,11 +47,11 @@
     Rules::read(&text, "rules.toml", &catalog(&config.platform)).unwrap()
 }
 
-/// Rules are replaced without a new pool. If every endpoint were notified of its pools all the same, a large
-/// fleet would hold the serving thread up.
+/// The rules are replaced without a new pool. If every endpoint were notified of its pools anyway,
+/// a large fleet would block the serving thread.
 #[test]
-fn rules_without_a_new_pool_cost_the_same_however_many_endpoints_there_are() {
-    const PUTS: usize = 21;
+fn replacing_rules_without_new_pools_is_independent_of_endpoint_count() {
+    const REPLACEMENTS: usize = 21;
     const MAX: Duration = Duration::from_millis(1);
     let config = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     let config = Config::parse(&config).unwrap();
@@ -65,17 +65,17 @@
             .collect::<Vec<_>>()
             .join(" ")
     );
-    let mut took: Vec<Duration> = (0..PUTS)
+    let mut durations: Vec<Duration> = (0..REPLACEMENTS)
         .map(|_| {
             let rules = rules(&config, 8);
             let begun = Instant::now();
             let replaced = dispatcher.replace_rules(rules).unwrap().unwrap();
-            let took = begun.elapsed();
+            let duration = begun.elapsed();
             assert!(!replaced.has_new_pools());
-            took
+            duration
         })
         .collect();
-    took.sort();
+    durations.sort();
     assert_eq!(dispatcher.pool_statistics().unwrap().ready, all);
     let more = rules(&config, 9);
     let begun = Instant::now();
@@ -86,9 +86,9 @@
         .has_new_pools());
     println!(
         "{ENDPOINTS} endpoints: median {:?}, with a new pool {:?}",
-        took[PUTS / 2],
+        durations[REPLACEMENTS / 2],
         begun.elapsed()
     );
-    // Not the longest: the machine may run others meanwhile. Half of the puts had no more than this.
-    assert!(took[PUTS / 2] < MAX, "{took:?}");
+    // The median is checked because other processes on the machine may delay single replacements.
+    assert!(durations[REPLACEMENTS / 2] < MAX, "{durations:?}");
 }
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The request table alone, with a clock of the test's: no socket, no wire.
+//! Tests of the request table on its own, with simulated time and without sockets or protocols.
 
 use driftgap::config::settings::Config;
 use driftgap::decision::driver::{DecisionDriver, RequestId};
@@ -11,7 +11,7 @@
 const SETTINGS: &str = include_str!("stage/settings.json");
 const NOW: f64 = 1.0e12;
 
-/// The stage's settings with these texts replaced, each of which must be there.
+/// The test settings with each text of `changes` replaced; each must occur in them.
 fn platform(changes: &[(&str, &str)]) -> Rc<driftgap::config::settings::Platform> {
     let mut text = format!(r#"{{"listen":"127.0.0.1:1","settings":{SETTINGS}}}"#);
     for (old, new) in changes {
@@ -52,7 +52,7 @@
         std::iter::from_fn(|| self.requests.next_action()).collect()
     }
 
-    /// The one attempt that was started.
+    /// Returns the attempt that was started, of which there must be exactly one.
     fn started(&mut self) -> AttemptStart {
         let actions = self.actions();
         let starts: Vec<_> = actions
@@ -92,10 +92,10 @@
     }
 }
 
-/// An attempt ends twice, its client goes, and its deadline passes, all after the answer. A second answer
-/// would be taken for the answer to the client's next request.
+/// After a request is answered, its attempt ends a second time, its client disconnects, and its
+/// deadline passes. A second answer would be taken for the answer to the client's next request.
 #[test]
-fn an_answer_comes_once_whatever_follows() {
+fn request_is_answered_only_once() {
     let mut ingress = Ingress::new(1 << 20);
     let id = ingress.arrive("fetch-episode", 0);
     let start = ingress.started();
@@ -126,12 +126,12 @@
     );
 }
 
-/// An endpoint that may have run a booking fails, or its connection is lost. A second run would book twice;
-/// only a rejection and a failed connect prove that there was no first one.
+/// An endpoint that may have run a booking fails, or its connection is lost. A second run would
+/// book twice. Only a rejection and a failed connect prove that the booking did not run.
 #[test]
-fn work_with_an_effect_is_sent_again_only_if_it_never_ran() {
+fn unsafe_request_is_retried_only_if_it_never_ran() {
     use Outcome::*;
-    for (outcome, again) in [
+    for (outcome, retried) in [
         (Rejected, true),
         (ConnectFailed, true),
         (Error, false),
@@ -143,14 +143,19 @@
         let actions = ingress.end(5.0, &start, outcome);
         let failed = actions.contains(&Action::Reply(id, FinalAnswer::Failed { late: false }));
         let sent = actions.iter().any(|a| matches!(a, Action::StartAttempt(_)));
-        assert_eq!((sent, failed), (again, !again), "{outcome:?}: {actions:?}");
+        assert_eq!(
+            (sent, failed),
+            (retried, !retried),
+            "{outcome:?}: {actions:?}"
+        );
     }
 }
 
-/// Endpoints know each other's keys within a zone only, and the decision module is told otherwise. A retry in
-/// another zone would run the request a second time; in the same zone the second run is discarded.
+/// Endpoints share keys within a zone only, but the decision module is configured with a wider
+/// scope. An attempt in another zone would run the request a second time; in the same zone the
+/// second run is discarded.
 #[test]
-fn keyed_work_stays_in_its_zone_and_window_and_copies_go_out_where_they_may() {
+fn keyed_request_is_hedged_only_within_its_zone() {
     let platform = platform(&[
         (r#""counter": true"#, r#""counter": false"#),
         (
@@ -160,9 +165,10 @@
         (r#""parallel_tries": false"#, r#""parallel_tries": true"#),
     ]);
     let mut set = platform.decision.clone();
-    // A decision module that would send it anywhere: the request table must refuse by itself.
+    // The decision module may send the request to any zone, so the request table itself must
+    // refuse.
     set.classes[1].deduplication_scope = driftgap::decision::DeduplicationScope::All;
-    for (zones, again) in [([0, 0], true), ([0, 1], false)] {
+    for (zones, hedged) in [([0, 0], true), ([0, 1], false)] {
         let driver = DecisionDriver::new(set.clone(), 7).unwrap();
         let mut requests = RequestTable::new(platform.clone(), driver, 1 << 20);
         let endpoints = (0..2).map(|h| EndpointEntry {
@@ -186,7 +192,7 @@
         .unwrap();
         let id = ingress.requests.request_arrived(NOW, request);
         let start = ingress.started();
-        // Late, but not over: a hedged request, or none.
+        // The first attempt is slow but running: expect one hedged request, or none.
         let mut starts = 0;
         for turn in 1..40 {
             ingress.requests.tick(NOW + 25.0 * f64::from(turn));
@@ -196,7 +202,7 @@
                 .filter(|a| matches!(a, Action::StartAttempt(_)))
                 .count();
         }
-        assert_eq!(starts, usize::from(again), "zones {zones:?}");
+        assert_eq!(starts, usize::from(hedged), "zones {zones:?}");
         let actions = ingress.end(1000.0, &start, Outcome::Reset);
         assert!(
             !actions
@@ -216,16 +222,17 @@
             .count();
         assert_eq!(
             (answers, ingress.requests.unanswered()),
-            (usize::from(again), 0)
+            (usize::from(hedged), 0)
         );
     }
 }
 
-/// A client sends a keyed request without a key, or with two. Endpoints could not know a repeat of it again.
+/// A client sends a keyed request without a key or with two keys. Endpoints could not recognize a
+/// repeat of it.
 #[test]
-fn a_keyed_request_has_one_key() {
+fn keyed_request_requires_exactly_one_key() {
     let platform = platform(&[(r#""effect": "side_effect""#, r#""effect": "token""#)]);
-    for (key, good) in [
+    for (key, is_valid) in [
         ("", false),
         (",k=", false),
         (",k=5c0f", true),
@@ -234,13 +241,14 @@
     ] {
         let terms = format!("c=book-rebroadcast,t=national,d=900,units=2,spread=1,first=0{key}");
         let request = ClientRequest::new(&platform, "0000000000000007", "k", terms, Some(vec![1]));
-        assert_eq!(request.is_ok(), good, "{key}");
+        assert_eq!(request.is_ok(), is_valid, "{key}");
     }
 }
 
-/// An endpoint does not answer. The client must hear so when its timeout ends, once, and the attempt must not go on.
+/// An endpoint does not answer. The client must get one failure when its timeout ends, and the
+/// attempt must be abandoned.
 #[test]
-fn at_the_deadline_the_attempt_is_abandoned_and_the_client_notified_once() {
+fn deadline_abandons_the_attempt_and_fails_the_request_once() {
     let mut ingress = Ingress::new(1 << 20);
     let id = ingress.arrive("book-rebroadcast", 0);
     let start = ingress.started();
@@ -252,17 +260,18 @@
         ingress.requests.tick(due);
         actions.extend(ingress.actions());
     }
-    let want = [
+    let expected = [
         Action::Reply(id, FinalAnswer::Failed { late: true }),
         Action::AbandonAttempt(id, 0),
     ];
-    assert_eq!(actions, want);
+    assert_eq!(actions, expected);
 }
 
-/// Requests are served in milliseconds, with timeouts of seconds. If each left a timer and a deadline behind
-/// until its timeout, the process would wake up for nothing as often as it serves.
+/// Requests are served in milliseconds, with timeouts of seconds. If each left a timer and a
+/// deadline behind until its timeout, the process would wake up needlessly for every request
+/// served.
 #[test]
-fn a_served_request_leaves_no_timer_behind_but_the_modules_tick() {
+fn served_request_leaves_only_the_periodic_timer() {
     let mut ingress = Ingress::new(1 << 20);
     ingress.arrive("fetch-episode", 0);
     let start = ingress.started();
@@ -274,7 +283,7 @@
         .requests
         .attempt_ended(NOW + 5.0, start.request_id, 0, end);
     let mut now = NOW + 5.0;
-    let mut wakes = 0;
+    let mut wake_ups = 0;
     while let Some(due) = ingress
         .requests
         .next_due_ms()
@@ -282,15 +291,15 @@
     {
         now = due.max(now);
         ingress.requests.tick(now);
-        wakes += 1;
+        wake_ups += 1;
     }
-    assert!(wakes <= 24, "{wakes} wake-ups in 1.1 s");
+    assert!(wake_ups <= 24, "{wake_ups} wake-ups in 1.1 s");
 }
 
-/// A client names a timeout of an hour. Timers live until the deadline, so a few such clients could fill the
-/// memory with them.
+/// A client requests a timeout of an hour. Timers live until the deadline, so a few such clients
+/// could fill the memory.
 #[test]
-fn no_client_names_a_wait_beyond_its_class() {
+fn client_timeout_is_capped_by_the_class_deadline() {
     let mut ingress = Ingress::new(1 << 20);
     let terms = "c=fetch-episode,t=national,d=3600000,units=2,spread=1,first=0".to_string();
     let request =
@@ -299,10 +308,10 @@
     assert_eq!(ingress.started().deadline_ms, NOW + 1200.0);
 }
 
-/// A client closes its connection while its request is being served. Nobody wants the answer any more, so the
-/// attempt must not keep an endpoint busy.
+/// A client closes its connection while its request is being served. The answer is no longer
+/// needed, so the attempt must not occupy an endpoint.
 #[test]
-fn a_client_that_goes_ends_its_attempt() {
+fn client_disconnect_abandons_its_attempt() {
     let mut ingress = Ingress::new(1 << 20);
     let id = ingress.arrive("fetch-episode", 0);
     ingress.started();
@@ -313,17 +322,18 @@
     );
 }
 
-/// One endpoint drains, another is removed. What is sent to them afterwards is lost when they stop.
+/// One endpoint drains, another is removed. Requests sent to them afterwards would be lost when
+/// they stop.
 #[test]
-fn nothing_is_sent_to_an_endpoint_that_the_table_has_as_leaving() {
+fn no_request_goes_to_draining_or_removed_endpoints() {
     let mut ingress = Ingress::new(1 << 20);
-    let left = [
+    let not_ready = [
         entry(0, EndpointState::Draining),
         entry(1, EndpointState::Gone),
     ];
     ingress
         .requests
-        .update_endpoints(NOW, ListKind::Delta, left.to_vec());
+        .update_endpoints(NOW, ListKind::Delta, not_ready.to_vec());
     assert_eq!(
         ingress.actions(),
         vec![Action::ReleaseEndpoint(0), Action::ReleaseEndpoint(1)]
@@ -335,10 +345,10 @@
     assert!(!ingress.requests.accepts_requests(0) && ingress.requests.accepts_requests(2));
 }
 
-/// Clients send large bodies faster than endpoints take them. The request that would pass the bound is
-/// rejected, since an ingress that runs out of memory loses all requests.
+/// Clients send large bodies faster than endpoints accept them. The request that would exceed the
+/// memory limit must be rejected, since an ingress that runs out of memory loses all requests.
 #[test]
-fn memory_for_held_requests_is_bounded() {
+fn memory_for_requests_in_flight_is_bounded() {
     let mut ingress = Ingress::new(100_000);
     ingress.arrive("book-rebroadcast", 60_000);
     ingress.started();
@@ -348,18 +358,21 @@
     );
 }
 
-/// A client sends what no endpoint can read, or a million units in another tenant's name. Endpoints close
-/// their connection on what they cannot read, whatever else waits there, and the units would use up the
-/// tenant's quota.
+/// A client sends values that no endpoint can parse, or a million units in another tenant's name.
+/// Endpoints close their connection on a malformed request, whatever other requests wait on it, and
+/// the units would exhaust the tenant's quota.
 #[test]
-fn what_no_endpoint_could_read_or_use_is_no_request() {
+fn invalid_values_are_rejected() {
     let ingress = Ingress::new(1 << 20);
-    let good = "c=fetch-episode,t=national,d=1000,units=2,spread=1,first=0";
+    let valid_terms = "c=fetch-episode,t=national,d=1000,units=2,spread=1,first=0";
     let (tenant, id) = ("0000000000000007", "k");
     let new = |tenant: &str, id: &str, terms: &str, body: Option<Vec<u8>>| {
         ClientRequest::new(&ingress.platform, tenant, id, terms.into(), body).is_ok()
     };
-    assert!(new(tenant, id, good, None) && new(tenant, id, &good.replace("d=1000", "d=0.5"), None));
+    assert!(
+        new(tenant, id, valid_terms, None)
+            && new(tenant, id, &valid_terms.replace("d=1000", "d=0.5"), None)
+    );
     for (from, to) in [
         ("units=2", "units=4,units=2"),
         ("units=2", "units=-2"),
@@ -385,10 +398,10 @@
         ("d=1000,", ""),
         ("fetch-episode", "fetch"),
         ("national", "galactic"),
-        (good, ""),
+        (valid_terms, ""),
     ] {
         assert!(
-            !new(tenant, id, &good.replace(from, to), None),
+            !new(tenant, id, &valid_terms.replace(from, to), None),
             "{to} for {from}"
         );
     }
@@ -400,8 +413,11 @@
         "0000000200000000",
         "+000000000000007",
     ] {
-        assert!(!new(tenant, id, good, None), "{tenant}");
+        assert!(!new(tenant, id, valid_terms, None), "{tenant}");
     }
-    assert!(!new(tenant, "", good, None) && !new(tenant, "a b", good, None));
-    assert!(!new(tenant, id, good, Some(vec![1])), "a query with a body");
+    assert!(!new(tenant, "", valid_terms, None) && !new(tenant, "a b", valid_terms, None));
+    assert!(
+        !new(tenant, id, valid_terms, Some(vec![1])),
+        "a query with a body"
+    );
 }
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -1,13 +1,13 @@
-//! Large and slow values over every pair of wires. Scenarios in the stage's language.
+//! Large and slow response bodies over every pair of protocols, as scenarios for the real program.
 
 mod stage;
 
 use stage::{play, play_all, Wire};
 
-/// A response too large to be held in memory is forwarded while it comes. Every byte arrives, and the
-/// connection serves the next request.
+/// A response too large to be buffered completely is streamed to the client. Every byte must
+/// arrive, and the connection must serve the next request.
 #[test]
-fn large_values_are_passed_on_as_they_are() {
+fn large_values_are_streamed_unchanged() {
     play_all(
         "send c k1 fetch-episode city 7
          answer * k1 large 65537
@@ -26,10 +26,10 @@
     );
 }
 
-/// A large response has begun when its deadline passes. The client has the answer already; cutting it would
-/// spoil it.
+/// The deadline passes while a large response is being streamed. The client has received the
+/// beginning of the answer, so cutting the stream would only make that answer incomplete.
 #[test]
-fn a_value_that_comes_slowly_outlives_its_deadline_and_is_not_cut() {
+fn slow_value_continues_after_its_deadline() {
     play_all(
         "send c k1 fetch-episode city 7 d=600
          answer * k1 pieces 300000
@@ -42,10 +42,10 @@
     );
 }
 
-/// The endpoint breaks off in the middle of a large response. The client has part of it, so it must see a
-/// broken connection, not a complete answer and no second one.
+/// The endpoint ends its connection in the middle of a large response. The client has received part
+/// of it, so it must see a closed connection: neither a complete answer nor a second one.
 #[test]
-fn a_value_that_breaks_off_ends_as_one_that_is_not_whole_and_is_not_made_again() {
+fn truncated_value_closes_the_connection_without_retry() {
     play_all(
         "send c k1 book-rebroadcast city 7
          answer * k1 torn 500000
@@ -57,10 +57,10 @@
     );
 }
 
-/// An endpoint promises more bytes than it sends, or more than any response may have. The attempt is given
-/// up, and a request that is safe to repeat is retried.
+/// An endpoint announces more bytes than it sends, or more than any response may have. The attempt
+/// must be given up, and a request that is safe to repeat must be retried.
 #[test]
-fn a_length_that_is_wrong_is_asked_again_elsewhere() {
+fn wrong_length_is_retried_at_another_endpoint() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -76,10 +76,10 @@
     );
 }
 
-/// Many clients read large responses slowly. If the ingress held what they do not read, its memory would grow
-/// with their number.
+/// Many clients read large responses slowly. If the ingress buffered everything that they have not
+/// read, its memory would grow with the number of clients. Pipelined answers must keep their order.
 #[test]
-fn many_that_read_slowly_do_not_fill_the_memory_and_answers_keep_their_order() {
+fn slow_readers_keep_memory_bounded_and_answers_in_order() {
     let mut scenario = String::from("memory\n");
     for i in 0..24 {
         scenario += &format!(
@@ -97,27 +97,28 @@
     play(Wire::Resp, Wire::Http2, &scenario);
 }
 
-/// Many clients write long requests and stop before the end. What they have written is bounded over all of
-/// them, and others are served.
+/// Many clients write long requests and stop before the end. The memory for these bytes must be
+/// bounded over all connections, and other clients must be served.
 #[test]
-fn many_that_write_long_requests_and_do_not_finish_do_not_fill_the_memory() {
-    // 80 halves of 60 KB are 4.8 MB; a sixth of 10 MB, halved for rings that double, is 0.8 MB.
+fn memory_is_bounded_when_clients_write_incomplete_requests() {
+    // 80 incomplete requests of 60 KB are 4.8 MB. The bound is a sixth of 10 MB, halved because
+    // ring buffers double: 0.8 MB.
     let mut scenario = String::from("small\nmemory\n");
     for i in 0..80 {
         scenario += &format!("part c{i} 60000\n");
     }
     scenario += "wait 300\nmemory 3\n";
     scenario += "send d k1 fetch-episode city 7\nanswer * k1 value news\nexpect d k1 served news\n";
-    // They had their time; a long one is served again.
+    // The incomplete requests have timed out by now, so a long request is served again.
     scenario += "wait 3000\nsend e k2 book-rebroadcast city 7 body=60000\n";
     scenario += "answer * k2 value booked\nexpect e k2 served booked\n";
     play(Wire::Resp, Wire::Resp, &scenario);
 }
 
-/// A client leaves in the middle of a large response. The endpoint must not stay blocked by bytes that nobody
-/// reads, and the process still ends.
+/// A client disconnects in the middle of a large response. The endpoint's connection must not stay
+/// blocked by bytes that nobody reads, and the process must still be able to exit.
 #[test]
-fn a_client_that_goes_away_frees_its_endpoint() {
+fn client_disconnect_during_stream_releases_the_endpoint() {
     play_all(
         "send c k1 fetch-episode city 7
          answer * k1 pieces 4000000
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: its records against bytes worked out by hand from the wire page's layout, and its exit
-//! status.
+//! The simulator's adapter: decodes and encodes records against bytes derived by hand from the
+//! protocol's layout, and checks the exit status.
 
 #[path = "../src/bin/driftgap-simulator-adapter/wire/mod.rs"]
 mod wire;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn query() {
+fn query_record_decodes_to_request_arrived() {
     let e = event(
         "03 0003 5d3a91c4 40214df3b645a1cb 40400000 00 0000 3f800000 0000000000000009 40000000 02",
     );
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn targets() {
+fn targets_record_decodes_to_endpoint_list() {
     let e = event(
         "02 0003 02 00000029 00000002
          03124a07 00 0000 0005 00 3f800000 0000000000000000
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn response_and_echo() {
+fn response_and_echo_records_decode() {
     let e = event("05 0003 00000007 0001 00000008 1e 3fb0000000000000 01 0056 0003 01 40000000");
-    let want = Event::AttemptEnded(AttemptEnd {
+    let expected = Event::AttemptEnded(AttemptEnd {
         id: 7,
         attempt: 1,
         outcome: Outcome::Rejected,
@@ -89,7 +89,7 @@
         settled_units: Some(3.0),
         report: vec![2.0],
     });
-    assert_eq!(e, want);
+    assert_eq!(e, expected);
     let e = event("08 0003 00000008 32 3fb0000000000000 00");
     assert_eq!(
         e,
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn the_other_events() {
+fn other_event_records_decode() {
     assert_eq!(
         event("06 0003 0e6f2b19"),
         Event::ClientGone { id: 0x0e6f_2b19 }
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn actions() {
+fn action_records_encode() {
     let cases = [
         (
             Action::Send {
@@ -195,7 +195,7 @@
     child.wait_with_output().unwrap()
 }
 
-/// A frame at clock 0 with these records.
+/// Builds a frame at time 0 with these records.
 fn frame(records: &str) -> Vec<u8> {
     let body = bytes(records);
     let mut out = (body.len() as u32).to_be_bytes().to_vec();
@@ -205,17 +205,17 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_status_0() {
+fn empty_batch_gets_empty_reply_and_exit_status_0() {
     let out = run_adapter(&bytes("00000000 4020d3126e978d50"));
     assert_eq!((out.status.code(), out.stdout), (Some(0), vec![0, 0, 0, 0]));
 }
 
-/// The simulator breaks off, sends bytes that are no record, or starts an ingress with settings that cannot
-/// be read. The adapter must end at once with status 2 and say in one line what is wrong and where; a reply
-/// made up from half a frame would spoil the run unnoticed.
+/// The input ends early, contains bytes that are not a record, or starts an ingress with invalid
+/// settings. The adapter must exit at once with status 2 and one line that gives the error and its
+/// place; a reply to half a frame would corrupt the simulation unnoticed.
 #[test]
-fn malformed_input_is_one_plain_line_and_no_reply() {
-    let born = |json: &str| {
+fn malformed_input_gives_one_error_line_and_no_reply() {
+    let start_frame = |json: &str| {
         let mut hex = format!("01 0000 0000000000000001 {:08x}", json.len());
         json.bytes().for_each(|b| hex.push_str(&format!("{b:02x}")));
         frame(&hex)
@@ -230,22 +230,25 @@
             "unknown outcome 99",
         ),
         (frame("06 0003 0e6f2b19"), "never born"),
-        (born("{"), "not JSON"),
-        (born("{}"), "balancers is missing"),
+        (start_frame("{"), "not JSON"),
+        (start_frame("{}"), "balancers is missing"),
         (
-            born(r#"{"balancers":0,"request_classes":[],"plans":[]}"#),
+            start_frame(r#"{"balancers":0,"request_classes":[],"plans":[]}"#),
             "gateways",
         ),
         (
-            born(r#"{"balancers":1,"request_classes":[{"aim":"x"}],"plans":[]}"#),
+            start_frame(r#"{"balancers":1,"request_classes":[{"aim":"x"}],"plans":[]}"#),
             "request_classes[0].effect",
         ),
     ];
-    for (input, want) in cases {
+    for (input, expected) in cases {
         let out = run_adapter(&input);
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert_eq!(out.status.code(), Some(2), "{want}");
-        assert!(out.stdout.is_empty() && said.lines().count() == 1, "{said}");
-        assert!(said.contains(want), "{said} should name {want}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert_eq!(out.status.code(), Some(2), "{expected}");
+        assert!(
+            out.stdout.is_empty() && stderr.lines().count() == 1,
+            "{stderr}"
+        );
+        assert!(stderr.contains(expected), "{stderr} should name {expected}");
     }
 }
