--- a/src/protocol/attempt_outcome.rs
+++ b/src/protocol/attempt_outcome.rs
@@ -4,15 +4,12 @@
 //!
 //! | what happened | outcome | has the request run? |
 //! | --- | --- | --- |
-//! | no connection, or the request was not written completely | `ConnectFailed` | no: the endpoint
-//! has no complete request |
-//! | RESP `-BUSY` | `Rejected` | no: by the protocol, the endpoint rejected it without processing
-//! it |
+//! | no connection, or the request was not written completely | `ConnectFailed` | no: the endpoint has no complete request |
+//! | RESP `-BUSY` | `Rejected` | no: by the protocol, the endpoint rejected it without processing it |
 //! | RESP `-ERR` | `Error` | possibly |
 //! | another RESP error, a malformed reply, a lost connection | `Reset` | possibly |
 //! | HTTP/2 429 or 503 with `srv-declined` | `Rejected` | no: only the endpoint sets this header |
-//! | HTTP/2 429 or 503 without it, any other status but 200 | `Error` | possibly: an intermediary
-//! may answer so |
+//! | HTTP/2 429 or 503 without it, any other status but 200 | `Error` | possibly: an intermediary may answer so |
 //! | the endpoint's RST_STREAM with REFUSED_STREAM | `Rejected` | no: RFC 9113, 8.7 |
 //! | the endpoint's GOAWAY, on a stream above its last id | `ConnectFailed` | no: RFC 9113, 6.8 |
 //! | any other end of a stream | `Reset` | possibly |
--- a/src/request/in_flight.rs
+++ b/src/request/in_flight.rs
@@ -163,15 +163,15 @@
         true
     }
 
-    /// Whether the client may be asked to retry without a risk of running the request twice. The
-    /// client's next request may arrive at another ingress, which has no record of the attempts
+    /// Whether the client may be asked to retry without a risk that the request takes effect twice.
+    /// The client's next request may arrive at another ingress, which has no record of the attempts
     /// made here, so neither a key nor the location of the attempts' endpoints makes a retry safe.
     pub(super) fn client_may_retry(&self, class: &Class) -> bool {
         class.idempotency == Idempotency::Safe || self.attempts_that_may_have_run().next().is_none()
     }
 
-    /// Whether the request may be sent again without a risk of running it twice; see the table
-    /// above.
+    /// Whether the request may be sent again without a risk that it takes effect twice; see the
+    /// table above.
     pub(super) fn may_be_sent_again(&self, class: &Class, next: &NextAttempt) -> bool {
         match class.idempotency {
             Idempotency::Safe => true,
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -15,10 +15,8 @@
 //! | --- | --- |
 //! | `client_request`, `terms` | a client's request, its bounds, and its validation |
 //! | `request_table` | the state machine; its `verdicts` and `attempts` carry out decisions |
-//! | `in_flight` | one request and its attempts: whether it may be sent again or its client may
-//! retry |
-//! | `attempt`, `answer`, `action` | attempts, final answers, and the actions that the table asks
-//! for |
+//! | `in_flight` | one request and its attempts: whether it may be sent again or its client may retry |
+//! | `attempt`, `answer`, `action` | attempts, final answers, and the actions that the table asks for |
 //! | `attempt_deadlines`, `ready_endpoints`, `request_counts` | other state of the table |
 //!
 //! Times are in ms on the ingress's clock (Unix time at start, monotonic from there) unless a name
--- a/src/request/ready_endpoints.rs
+++ b/src/request/ready_endpoints.rs
@@ -30,9 +30,9 @@
         self.endpoints.len()
     }
 
-    /// Applies an update of the endpoint registry, and returns the endpoints that it made not
-    /// ready. A list of a kind other than [`ListKind::Delta`] is complete: endpoints that it does
-    /// not name are removed.
+    /// Applies an update of the endpoint registry. Returns the endpoints that the update removes or
+    /// lists as not ready. A list of a kind other than [`ListKind::Delta`] is complete: endpoints
+    /// that it does not name are removed.
     pub(super) fn update(&mut self, kind: ListKind, entries: &[EndpointEntry]) -> Vec<EndpointId> {
         if kind != ListKind::Delta {
             for listed in self.endpoints.values_mut() {
--- a/src/request/request_table/attempts.rs
+++ b/src/request/request_table/attempts.rs
@@ -7,8 +7,7 @@
 use crate::request::{Action, AttemptResult, AttemptStart, FinalAnswer};
 
 impl RequestTable {
-    /// Sends an attempt that lasts at most `timeout_ms`; 0 means until the request's
-    /// deadline.
+    /// Sends an attempt that lasts at most `timeout_ms`; 0 means until the request's deadline.
     pub(super) fn send(
         &mut self,
         now_ms: f64,
--- a/src/request/request_table/verdicts.rs
+++ b/src/request/request_table/verdicts.rs
@@ -7,8 +7,8 @@
 use crate::decision::Outcome;
 use crate::request::{Action, FinalAnswer};
 
-/// A failure that is this close to the request's deadline counts as a timeout, ms: the decision module
-/// gives up some milliseconds before the deadline, so that the answer still arrives in time.
+/// A failure that is this close to the request's deadline counts as a timeout, ms: the decision
+/// module gives up some milliseconds before the deadline, so that the answer still arrives in time.
 const LATE_MARGIN_MS: f64 = 10.0;
 
 impl RequestTable {
--- a/src/upstream/connection.rs
+++ b/src/upstream/connection.rs
@@ -15,8 +15,8 @@
 /// Maximum buffered bytes of one direction: enough for a reply with its value, usage and load
 /// report.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
-/// Bytes of a streamed value that must arrive before streaming to the client starts. Detects a
-/// wrong length: until then the attempt can be repeated at another endpoint.
+/// Bytes of a streamed value that must arrive before streaming to the client starts. Guards against
+/// a wrong length: until then the attempt can be repeated at another endpoint.
 const MIN_STREAMED_START_BYTES: usize = 4 * 1024;
 
 /// A RESP connection to an endpoint.
--- a/src/upstream/connection_limit/tests.rs
+++ b/src/upstream/connection_limit/tests.rs
@@ -5,7 +5,7 @@
 /// temporary.
 #[test]
 fn limit_is_inferred_from_refusal_and_raised_each_second() {
-    let limit = ConnectionLimit::infer(0.0, 10).expect("a limit");
+    let limit = ConnectionLimit::infer(0.0, 10).expect("no limit was inferred");
     assert!(limit.allows(0.0, 9) && !limit.allows(0.0, 10));
     assert!(!limit.allows(999.0, 10) && limit.allows(1000.0, 10) && !limit.allows(1000.0, 11));
 }
--- a/src/upstream/dead_connections.rs
+++ b/src/upstream/dead_connections.rs
@@ -1,7 +1,7 @@
-//! Rates of dead connections by idle time. Endpoints, or machines between them and the ingress, may
-//! drop idle connections without closing them. This shows only when the next request fails, and
-//! that request may have run. Connections are therefore not reused after idle times at which they
-//! are dead more often than new ones. The counts decay, so that these idle times are tried again.
+//! Rates of dead connections by idle time. Endpoints, or intermediaries, may drop idle connections
+//! without closing them. This shows only when the next request fails, and that request may have
+//! run. Connections are therefore not reused after idle times at which they are dead more often than
+//! new ones. The counts decay, so that these idle times are tried again.
 
 /// Maximum excess of an idle class's share of dead connections over that of new connections.
 const MAX_EXCESS_SHARE: f64 = 0.03;
--- a/src/upstream/dead_connections/tests.rs
+++ b/src/upstream/dead_connections/tests.rs
@@ -21,5 +21,5 @@
         [false, true, true]
     );
     (0..100).for_each(|_| counts.decay());
-    assert!(!counts.is_suspect(middle), "tried again");
+    assert!(!counts.is_suspect(middle), "still suspect after decay");
 }
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -217,8 +217,8 @@
     );
 }
 
-/// Runs clients that request values, read none, and disconnect at once: the number of connections,
-/// and of requests on each.
+/// Runs clients that request values, read none of them, and disconnect at once, over the given
+/// protocols of clients and endpoints.
 fn disconnect_hundreds_of_clients(front: Wire, behind: Wire) {
     let (connections, requests) = if front == Wire::Resp {
         (300, 1)
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -255,8 +255,8 @@
     assert_eq!(start.deadline_ms, NOW + 1000.0);
     let mut actions = Vec::new();
     while ingress.requests.unanswered() > 0 || actions.len() < 2 {
-        let due = ingress.requests.next_due_ms().expect("a timer");
-        assert!(due <= NOW + 1001.0, "nothing by the deadline");
+        let due = ingress.requests.next_due_ms().expect("no timer is pending");
+        assert!(due <= NOW + 1001.0, "no timer is due by the deadline");
         ingress.requests.tick(due);
         actions.extend(ingress.actions());
     }
@@ -418,6 +418,6 @@
     assert!(!new(tenant, "", valid_terms, None) && !new(tenant, "a b", valid_terms, None));
     assert!(
         !new(tenant, id, valid_terms, Some(vec![1])),
-        "a query with a body"
+        "a safe request with a body"
     );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -21,7 +21,7 @@
     let body = bytes(hex);
     let mut reader = RecordReader::new(&body);
     let Some(Record::Event { ingress: 3, event }) = reader.next_record().unwrap() else {
-        panic!("not an event for 3")
+        panic!("not an event for ingress 3")
     };
     assert_eq!(reader.next_record(), Ok(None));
     event
@@ -249,6 +249,9 @@
             out.stdout.is_empty() && stderr.lines().count() == 1,
             "{stderr}"
         );
-        assert!(stderr.contains(expected), "{stderr} should name {expected}");
+        assert!(
+            stderr.contains(expected),
+            "{stderr} should contain {expected}"
+        );
     }
 }
