--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -78,7 +78,7 @@
     let body_timeout = Duration::from_secs_f64(body_timeout_ms / 1e3);
     let body = read_body(&mut stream, body_timeout).await?;
     request
-        .take_body(dispatcher.platform(), body)
+        .set_body(dispatcher.platform(), body)
         .map_err(invalid)?;
     request.attributes.pools = route.pools;
     request.notes = route.notes;
--- a/src/request/client_request.rs
+++ b/src/request/client_request.rs
@@ -98,7 +98,7 @@
             body: None,
             notes: Vec::new(),
         };
-        request.take_body(platform, body)?;
+        request.set_body(platform, body)?;
         Ok(request)
     }
 
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// The class of the request does not permit this body.
-    pub fn take_body(
+    pub fn set_body(
         &mut self,
         platform: &Platform,
         body: Option<Vec<u8>>,
