--- a/src/buffer/body_stream.rs
+++ b/src/buffer/body_stream.rs
@@ -198,7 +198,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "BodyReceiver({} bytes, {} to come)",
+            "BodyReceiver({} bytes, {} not yet written)",
             self.0.size,
             self.0.unsent.get()
         )
--- a/tests/pools.rs
+++ b/tests/pools.rs
@@ -68,9 +68,9 @@
     let mut durations: Vec<Duration> = (0..REPLACEMENTS)
         .map(|_| {
             let rules = rules(&config, 8);
-            let begun = Instant::now();
+            let started = Instant::now();
             let replaced = dispatcher.replace_rules(rules).unwrap().unwrap();
-            let duration = begun.elapsed();
+            let duration = started.elapsed();
             assert!(!replaced.has_new_pools());
             duration
         })
@@ -78,7 +78,7 @@
     durations.sort();
     assert_eq!(dispatcher.pool_statistics().unwrap().ready, all);
     let more = rules(&config, 9);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert!(dispatcher
         .replace_rules(more)
         .unwrap()
@@ -87,7 +87,7 @@
     println!(
         "{ENDPOINTS} endpoints: median {:?}, with a new pool {:?}",
         durations[REPLACEMENTS / 2],
-        begun.elapsed()
+        started.elapsed()
     );
     // The median is checked because other processes on the machine may delay single replacements.
     assert!(durations[REPLACEMENTS / 2] < MAX, "{durations:?}");
--- a/tests/request_lifecycle.rs
+++ b/tests/request_lifecycle.rs
@@ -164,12 +164,12 @@
         ),
         (r#""parallel_tries": false"#, r#""parallel_tries": true"#),
     ]);
-    let mut set = platform.decision.clone();
+    let mut decision_settings = platform.decision.clone();
     // The decision module may send the request to any zone, so the request table itself must
     // refuse.
-    set.classes[1].deduplication_scope = driftgap::decision::DeduplicationScope::All;
+    decision_settings.classes[1].deduplication_scope = driftgap::decision::DeduplicationScope::All;
     for (zones, hedged) in [([0, 0], true), ([0, 1], false)] {
-        let driver = DecisionDriver::new(set.clone(), 7).unwrap();
+        let driver = DecisionDriver::new(decision_settings.clone(), 7).unwrap();
         let mut requests = RequestTable::new(platform.clone(), driver, 1 << 20);
         let endpoints = (0..2).map(|h| EndpointEntry {
             zone: zones[h as usize],
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -29,11 +29,11 @@
 
 #[test]
 fn query_record_decodes_to_request_arrived() {
-    let e = event(
+    let decoded = event(
         "03 0003 5d3a91c4 40214df3b645a1cb 40400000 00 0000 3f800000 0000000000000009 40000000 02",
     );
-    let Event::RequestArrived(r) = e else {
-        panic!("{e:?}")
+    let Event::RequestArrived(r) = decoded else {
+        panic!("{decoded:?}")
     };
     assert_eq!(
         (r.id, r.ingress_count, r.first_ingress, r.class, r.plan),
@@ -45,7 +45,7 @@
 
 #[test]
 fn targets_record_decodes_to_endpoint_list() {
-    let e = event(
+    let decoded = event(
         "02 0003 02 00000029 00000002
          03124a07 00 0000 0005 00 3f800000 0000000000000000
          2c9011f2 01 0000 0006 02 3fc00000 4018000000000000",
@@ -53,9 +53,9 @@
     let Event::EndpointList {
         kind: ListKind::Cached,
         entries,
-    } = e
+    } = decoded
     else {
-        panic!("{e:?}")
+        panic!("{decoded:?}")
     };
     let first = EndpointEntry {
         id: 0x0312_4a07,
@@ -80,7 +80,8 @@
 
 #[test]
 fn response_and_echo_records_decode() {
-    let e = event("05 0003 00000007 0001 00000008 1e 3fb0000000000000 01 0056 0003 01 40000000");
+    let decoded =
+        event("05 0003 00000007 0001 00000008 1e 3fb0000000000000 01 0056 0003 01 40000000");
     let expected = Event::AttemptEnded(AttemptEnd {
         id: 7,
         attempt: 1,
@@ -89,10 +90,10 @@
         settled_units: Some(3.0),
         report: vec![2.0],
     });
-    assert_eq!(e, expected);
-    let e = event("08 0003 00000008 32 3fb0000000000000 00");
+    assert_eq!(decoded, expected);
+    let decoded = event("08 0003 00000008 32 3fb0000000000000 00");
     assert_eq!(
-        e,
+        decoded,
         Event::ProbeEnded {
             endpoint: 8,
             outcome: Outcome::ConnectFailed,
