--- a/crates/admin/src/call.rs
+++ b/crates/admin/src/call.rs
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// The line is not a valid call, or is already too long.
-    pub fn read(bytes: &[u8]) -> Result<Option<Call>, BadCall> {
+    pub fn parse(bytes: &[u8]) -> Result<Option<Call>, BadCall> {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
             return if bytes.len() >= MAX_LINE {
                 Err(BadCall::Long)
@@ -91,44 +91,48 @@
         }
         let line = std::str::from_utf8(&bytes[..end]).map_err(|_| BadCall::Name)?;
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        call(&words).map(Some)
+        parse_words(&words).map(Some)
     }
 }
 
 /// Parses the words of a complete line.
-fn call(words: &[&str]) -> Result<Call, BadCall> {
+fn parse_words(words: &[&str]) -> Result<Call, BadCall> {
     match words {
         ["STATUS"] => Ok(Call::Status),
         ["PAUSE"] => Ok(Call::Pause),
         ["RESUME"] => Ok(Call::Resume),
-        ["SUSPEND", name] => Ok(Call::Suspend(id(name)?)),
-        ["RESTORE", name] => Ok(Call::Restore(id(name)?)),
-        ["SUSPEND", name, "HERE"] => Ok(Call::SuspendHere(id(name)?)),
-        ["RESTORE", name, "HERE"] => Ok(Call::RestoreHere(id(name)?)),
-        ["GROUP", words @ ..] => Ok(Call::Group(group_call(words)?)),
+        ["SUSPEND", name] => Ok(Call::Suspend(parse_name(name)?)),
+        ["RESTORE", name] => Ok(Call::Restore(parse_name(name)?)),
+        ["SUSPEND", name, "HERE"] => Ok(Call::SuspendHere(parse_name(name)?)),
+        ["RESTORE", name, "HERE"] => Ok(Call::RestoreHere(parse_name(name)?)),
+        ["GROUP", words @ ..] => Ok(Call::Group(parse_group_words(words)?)),
         ["STATUS" | "PAUSE" | "RESUME" | "SUSPEND" | "RESTORE", ..] => Err(BadCall::Words),
         _ => Err(BadCall::Name),
     }
 }
 
 /// Checks the name of an endpoint or member.
-fn id(text: &str) -> Result<String, BadCall> {
+fn parse_name(text: &str) -> Result<String, BadCall> {
     let valid = text.len() <= MAX_ID && text.bytes().all(|b| b.is_ascii_graphic());
     valid.then(|| text.to_string()).ok_or(BadCall::Id)
 }
 
-fn address(text: &str) -> Result<SocketAddr, BadCall> {
+fn parse_address(text: &str) -> Result<SocketAddr, BadCall> {
     text.parse().map_err(|_| BadCall::Address)
 }
 
 /// Parses the words after `GROUP`.
-fn group_call(words: &[&str]) -> Result<GroupCall, BadCall> {
+fn parse_group_words(words: &[&str]) -> Result<GroupCall, BadCall> {
     match words {
         ["STATUS"] => Ok(GroupCall::Status),
         ["OUT"] => Ok(GroupCall::Out),
-        ["ADD", name, at] => Ok(GroupCall::Add(id(name)?, address(at)?)),
-        ["REMOVE", name] => Ok(GroupCall::Remove(id(name)?)),
-        ["REPLACE", old, new, at] => Ok(GroupCall::Replace(id(old)?, id(new)?, address(at)?)),
+        ["ADD", name, address] => Ok(GroupCall::Add(parse_name(name)?, parse_address(address)?)),
+        ["REMOVE", name] => Ok(GroupCall::Remove(parse_name(name)?)),
+        ["REPLACE", old, new, address] => Ok(GroupCall::Replace(
+            parse_name(old)?,
+            parse_name(new)?,
+            parse_address(address)?,
+        )),
         ["STATUS" | "OUT" | "ADD" | "REMOVE" | "REPLACE", ..] => Err(BadCall::Words),
         _ => Err(BadCall::Name),
     }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -83,7 +83,7 @@
 }
 
 /// Builds the answer to GROUP STATUS: the state of the group as one line.
-fn membership_status(membership_status: MembershipStatus) -> Answer {
+fn membership_answer(membership_status: MembershipStatus) -> Answer {
     let status = match membership_status {
         MembershipStatus::Joining => {
             return Answer::nak(
@@ -348,8 +348,8 @@
         }
         self.waiting_for_group.set(self.waiting_for_group.get() + 1);
         let answer = match call {
-            Call::Group(GroupCall::Status) => membership_status(group.membership_status().await),
-            Call::Group(GroupCall::Out) => group_exclusions(group).await,
+            Call::Group(GroupCall::Status) => membership_answer(group.membership_status().await),
+            Call::Group(GroupCall::Out) => exclusions_answer(group).await,
             Call::Suspend(name) | Call::Restore(name) if !self.dispatcher.was_listed(name) => {
                 Answer::nak(format!("{name} was never listed"))
             }
@@ -384,7 +384,7 @@
 async fn read_line(stream: &mut TcpStream) -> std::io::Result<Line> {
     let mut line = Vec::with_capacity(MAX_LINE);
     loop {
-        match Call::read(&line) {
+        match Call::parse(&line) {
             Ok(Some(call)) => return Ok(Line::Call(call)),
             Ok(None) => {}
             Err(problem) => return Ok(Line::Bad(problem)),
@@ -418,7 +418,7 @@
 
 /// Builds the answer to GROUP OUT: the endpoints that the group has excluded, including every
 /// change confirmed to any caller.
-async fn group_exclusions(group: &Group) -> Answer {
+async fn exclusions_answer(group: &Group) -> Answer {
     match group.read().await {
         CallResult::Done(_, view) => {
             let excluded: Vec<&str> = view.excluded.iter().map(String::as_str).collect();
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -173,10 +173,10 @@
     /// client gets the error when the request itself is built.
     fn for_rules<'a>(&'a self, headers: &'a dyn Headers) -> RuleRequest<'a> {
         let head = self.head;
-        let named = |name| required_header(&head.headers, name).ok();
+        let header = |name| required_header(&head.headers, name).ok();
         let units =
-            named(TERMS).and_then(|list| term_pairs(list).find(|(name, _)| *name == "units"));
-        let deadline_ms = named(CLIENT_TIMEOUT_MS).and_then(|ms| ms.parse::<f64>().ok());
+            header(TERMS).and_then(|list| term_pairs(list).find(|(name, _)| *name == "units"));
+        let deadline_ms = header(CLIENT_TIMEOUT_MS).and_then(|ms| ms.parse::<f64>().ok());
         RuleRequest {
             protocol: "http2",
             method: head.method.as_str(),
@@ -185,9 +185,9 @@
             host: head.uri.authority().map(|authority| authority.as_str()),
             headers,
             class: self.class(),
-            plan: named(PLAN),
-            partner: named(TENANT),
-            id: named(REQUEST_ID),
+            plan: header(PLAN),
+            partner: header(TENANT),
+            id: header(REQUEST_ID),
             units: units
                 .and_then(|(_, units)| units.parse().ok())
                 .filter(|units: &f64| units.is_finite()),
@@ -195,34 +195,34 @@
                 .filter(|ms| (0.0..=MAX_CLIENT_TIMEOUT_MS).contains(ms))
                 .map(|ms| ms as i64),
             retry: head.headers.get(RETRY).is_some_and(|r| r == "1"),
-            length: named("content-length").and_then(|length| length.parse().ok()),
+            length: header("content-length").and_then(|length| length.parse().ok()),
             client: self.peer,
         }
     }
 }
 
-/// Reads a body that arrives completely within `wait`; returns `None` if the stream has no body.
-/// The window is opened again only once the body is complete. A connection with many incomplete
-/// bodies therefore never holds more memory than one connection window.
+/// Reads a body that arrives completely within `time_limit`; returns `None` if the stream has no
+/// body. The window is opened again only once the body is complete. A connection with many
+/// incomplete bodies therefore never holds more memory than one connection window.
 async fn read_body(
     stream: &mut RecvStream,
-    wait: Duration,
+    time_limit: Duration,
 ) -> Result<Option<Vec<u8>>, RequestError> {
     if stream.is_end_stream() {
         return Ok(None);
     }
     let mut body = Vec::new();
-    let read = timeout(wait, read_parts(stream, &mut body)).await;
+    let read = timeout(time_limit, read_chunks(stream, &mut body)).await;
     let read = read.unwrap_or(Err(RequestError::Reset(Reason::CANCEL)));
     // On a stream that has ended there is no window to open, so the error is ignored.
     let _ = stream.flow_control().release_capacity(body.len());
     read.map(|()| Some(body))
 }
 
-async fn read_parts(stream: &mut RecvStream, body: &mut Vec<u8>) -> Result<(), RequestError> {
-    while let Some(part) = stream.data().await {
-        let part = part.map_err(|_| RequestError::Reset(Reason::CANCEL))?;
-        body.extend_from_slice(&part);
+async fn read_chunks(stream: &mut RecvStream, body: &mut Vec<u8>) -> Result<(), RequestError> {
+    while let Some(chunk) = stream.data().await {
+        let chunk = chunk.map_err(|_| RequestError::Reset(Reason::CANCEL))?;
+        body.extend_from_slice(&chunk);
         if body.len() > MAX_COMPLETE_BODY_BYTES {
             let why = "the body is too long".to_string();
             return Err(RequestError::Status(StatusCode::PAYLOAD_TOO_LARGE, why));
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -112,8 +112,8 @@
 fn a_second_process_takes_over_without_a_lost_request() {
     // On HTTP/2 no socket is inherited: a client that connects while the old process ends may have
     // to connect again.
-    for (front, wait) in [(Wire::Resp, 0), (Wire::Http2, 700)] {
-        for behind in [Wire::Resp, Wire::Http2] {
+    for (client_wire, wait) in [(Wire::Resp, 0), (Wire::Http2, 700)] {
+        for endpoint_wire in [Wire::Resp, Wire::Http2] {
             let scenario = format!(
                 "held
          send c k1 book-rebroadcast city 7
@@ -136,7 +136,7 @@
          answer * k4 value booked
          expect f k4 served booked"
             );
-            play(front, behind, &scenario);
+            play(client_wire, endpoint_wire, &scenario);
         }
     }
 }
@@ -183,10 +183,10 @@
 /// call, and the new process must keep the exclusions.
 #[test]
 fn exclusions_survive_takeover_and_reach_both_processes() {
-    for behind in [Wire::Resp, Wire::Http2] {
+    for endpoint_wire in [Wire::Resp, Wire::Http2] {
         play(
             Wire::Resp,
-            behind,
+            endpoint_wire,
             "held
              call ACK SUSPEND a
              send c k1 book-rebroadcast city 7
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -20,8 +20,8 @@
 const REFUSED_BY_ALL: u64 = 9;
 /// The retry-after of a refusal is this offset plus the number of the file, ms. The offsets exceed
 /// every retry-after of the decision module.
-const EVEN_REFUSAL_OFFSET_MS: u64 = 100_000;
-const REFUSAL_OFFSET_MS: u64 = 200_000;
+const EVEN_OFFSET_MS: u64 = 100_000;
+const ALL_OFFSET_MS: u64 = 200_000;
 /// Added to the number of an invalid file. Exceeds the number of every valid file.
 const INVALID_FILE_OFFSET: u64 = 50_000;
 /// Time limit of one test.
@@ -98,12 +98,12 @@
                  nack = 'duration(\"{retry_after_ms}ms\")'\n"
             )
         };
-        let mut text = refusal_rule("always", REFUSED_BY_ALL, REFUSAL_OFFSET_MS + self.number);
+        let mut text = refusal_rule("always", REFUSED_BY_ALL, ALL_OFFSET_MS + self.number);
         if is_even_file(self.number) {
             text.push_str(&refusal_rule(
                 "every-other",
                 REFUSED_BY_EVEN,
-                EVEN_REFUSAL_OFFSET_MS + self.number,
+                EVEN_OFFSET_MS + self.number,
             ));
         }
         self.unmatched_rules
@@ -165,10 +165,8 @@
 /// Returns the number of the file whose rule refused this request.
 fn refused_by(sent: &Sent) -> Option<u64> {
     match sent.notified {
-        Notified::Refused(ms) if sent.tenant == REFUSED_BY_ALL => ms.checked_sub(REFUSAL_OFFSET_MS),
-        Notified::Refused(ms) if sent.tenant == REFUSED_BY_EVEN => {
-            ms.checked_sub(EVEN_REFUSAL_OFFSET_MS)
-        }
+        Notified::Refused(ms) if sent.tenant == REFUSED_BY_ALL => ms.checked_sub(ALL_OFFSET_MS),
+        Notified::Refused(ms) if sent.tenant == REFUSED_BY_EVEN => ms.checked_sub(EVEN_OFFSET_MS),
         _ => None,
     }
 }
