--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -45,7 +45,7 @@
 
 /// Maps a validation error to a status. As on every wire, a request with an unknown class or plan,
 /// or with invalid units, has failed; any other error means that it is malformed.
-fn invalid(problem: InvalidRequest) -> RequestError {
+fn validation_error(problem: InvalidRequest) -> RequestError {
     match problem {
         InvalidRequest::Class | InvalidRequest::Plan | InvalidRequest::Term("units") => {
             RequestError::Status(StatusCode::BAD_GATEWAY, problem.to_string())
@@ -64,15 +64,15 @@
     if let Some((status, text)) = health_check(dispatcher, head.uri.path()) {
         return Ok(Received::Answer(status, text));
     }
-    let headers = RequestHead { peer, head: &head };
-    let route = match apply_rules(dispatcher, &headers)? {
+    let request_head = RequestHead { peer, head: &head };
+    let route = match apply_rules(dispatcher, &request_head)? {
         RuleVerdict::Route(route) => *route,
         RuleVerdict::Reject { retry_after_ms } => {
             return Ok(Received::Rejected { retry_after_ms });
         }
     };
-    let (mut request, body_timeout_ms) = match (route.command, headers.class()) {
-        (Some(mapped), _) => mapped_request(dispatcher, mapped, &headers)?,
+    let (mut request, body_timeout_ms) = match (route.command, request_head.class()) {
+        (Some(mapped), _) => mapped_request(dispatcher, mapped, &request_head)?,
         (None, Some(class)) => named_request(dispatcher, class, &head)?,
         (None, None) => return Ok(Received::Answer(StatusCode::NOT_FOUND, "no such path")),
     };
@@ -80,7 +80,7 @@
     let body = read_body(&mut stream, body_timeout).await?;
     request
         .take_body(dispatcher.platform(), body)
-        .map_err(invalid)?;
+        .map_err(validation_error)?;
     request.attributes.pools = route.pools;
     request.notes = route.notes;
     Ok(Received::Request(Box::new(request), route.permits))
@@ -105,13 +105,13 @@
 /// Applies the operator's rules to a request. Without rules the request passes unchanged.
 fn apply_rules(
     dispatcher: &Dispatcher,
-    headers: &RequestHead<'_>,
+    request_head: &RequestHead<'_>,
 ) -> Result<RuleVerdict, RequestError> {
     if !dispatcher.has_rules() {
         return Ok(RuleVerdict::Route(Box::default()));
     }
-    let view = HeaderView(&headers.head.headers);
-    match dispatcher.route(&headers.for_rules(&view)) {
+    let view = HeaderView(&request_head.head.headers);
+    match dispatcher.route(&request_head.for_rules(&view)) {
         Verdict::Go(route) => Ok(RuleVerdict::Route(route)),
         Verdict::Reject { retry_after_ms, by } => {
             tracing::debug!(by, retry_after_ms, "request rejected by a rule");
@@ -128,14 +128,14 @@
 fn mapped_request(
     dispatcher: &Dispatcher,
     mapped: Mapped,
-    headers: &RequestHead<'_>,
+    request_head: &RequestHead<'_>,
 ) -> Result<(ClientRequest, f64), RequestError> {
-    let view = HeaderView(&headers.head.headers);
-    let rule_request = headers.for_rules(&view);
+    let view = HeaderView(&request_head.head.headers);
+    let rule_request = request_head.for_rules(&view);
     let generate_id = || dispatcher.generate_request_id();
     let request =
         routing::mapped_request(dispatcher.platform(), mapped, &rule_request, generate_id);
-    let request = request.map_err(invalid)?;
+    let request = request.map_err(validation_error)?;
     let timeout_ms = request.client_timeout_ms;
     Ok((request, timeout_ms))
 }
@@ -154,7 +154,7 @@
     let tenant = required_header(&head.headers, TENANT).map_err(bad_request)?;
     let id = required_header(&head.headers, REQUEST_ID).map_err(bad_request)?;
     let request = ClientRequest::new(dispatcher.platform(), tenant, id, terms, None);
-    Ok((request.map_err(invalid)?, timeout_ms))
+    Ok((request.map_err(validation_error)?, timeout_ms))
 }
 
 /// The head of a request, and the address of its client.
