--- a/src/bin/driftgap-simulator-adapter/frame.rs
+++ b/src/bin/driftgap-simulator-adapter/frame.rs
@@ -1,35 +1,36 @@
-//! Frames on standard input and output: a header of the records' length and the time, the records, and a reply of its
-//! length and its records. Lengths are four bytes, big-endian.
+//! Frames on standard input and output. An input frame has a header with the length of its records
+//! and the time, followed by the records. A reply is a length followed by its records. Lengths are
+//! four bytes, big-endian.
 
 use std::io::{self, Read, Write};
 
-/// Largest frame that is read, in bytes; a longer one is a broken length.
+/// Largest accepted frame, bytes; a longer one means that the length is corrupt.
 const MAX_FRAME_BYTES: usize = 1 << 30;
-/// Bytes of the length.
+/// Size of the length field, bytes.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the time.
+/// Size of the time field, bytes.
 const TIME_BYTES: usize = 8;
 
-/// Why no frame can be read.
+/// Why a frame cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The input ends within a frame's header, or cannot be read.
+    /// The input ends within a frame header, or cannot be read.
     #[error("frame {frame}, header: {source}")]
     Header {
         /// The frame's number, from 0.
         frame: u64,
-        /// What happened.
+        /// The cause.
         source: ReadError,
     },
-    /// A length that is broken.
-    #[error("frame {frame}: a length of {bytes} bytes")]
+    /// The length exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame {frame}: length of {bytes} bytes exceeds the limit")]
     TooLong {
         /// The frame's number, from 0.
         frame: u64,
         /// The length.
         bytes: usize,
     },
-    /// The input ends behind a frame's header.
+    /// The input ends after a frame header.
     #[error("frame {frame}: input ends before its {bytes} bytes")]
     NoRecords {
         /// The frame's number, from 0.
@@ -42,32 +43,32 @@
     Records(ReadError),
 }
 
-/// Why bytes are missing.
+/// Why fewer bytes than expected were read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The input has ended.
-    #[error("input ends after {read} of {wanted} bytes")]
+    #[error("input ends after {read} of {expected} bytes")]
     Ended {
-        /// Bytes that came.
+        /// Bytes that were read.
         read: usize,
-        /// Bytes that were wanted.
-        wanted: usize,
+        /// Bytes that were expected.
+        expected: usize,
     },
     /// The input cannot be read.
     #[error("cannot read: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Reads frames, one after the other.
+/// Reads the frames of an input in order.
 pub struct FrameReader<R> {
     input: R,
     records: Vec<u8>,
-    /// Frames read so far.
+    /// Number of frames read so far.
     frames: u64,
 }
 
 impl<R: Read> FrameReader<R> {
-    /// Reads `input` from its start.
+    /// Creates a reader at the start of `input`.
     pub fn new(input: R) -> FrameReader<R> {
         FrameReader {
             input,
@@ -86,10 +87,10 @@
         &self.records
     }
 
-    /// Reads the next frame and returns its time, s; none: the input has ended in order.
+    /// Reads the next frame and returns its time, s; `None` if the input ends between two frames.
     ///
     /// # Errors
-    /// The input ends within the frame, cannot be read, or the frame's length is broken.
+    /// The input ends within the frame or cannot be read, or the frame's length is invalid.
     pub fn next_frame(&mut self) -> Result<Option<f64>, FrameError> {
         let frame = self.frames;
         let mut header = [0; LENGTH_BYTES + TIME_BYTES];
@@ -118,7 +119,7 @@
     }
 }
 
-/// Fills the buffer; false: the input had ended before the first byte.
+/// Fills the buffer. Returns false if the input ends before the first byte.
 fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, ReadError> {
     let mut read = 0;
     while read < buffer.len() {
@@ -127,7 +128,7 @@
             Ok(0) => {
                 return Err(ReadError::Ended {
                     read,
-                    wanted: buffer.len(),
+                    expected: buffer.len(),
                 })
             }
             Ok(n) => read += n,
@@ -138,7 +139,7 @@
     Ok(true)
 }
 
-/// Writes a reply at once.
+/// Writes a reply and flushes the output.
 ///
 /// # Errors
 /// The output cannot be written.
--- a/src/bin/driftgap-simulator-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -1,5 +1,6 @@
-//! The simulator's adapter: it runs the decision modules of many ingresses on the simulator's wire over
-//! standard input and output. It maps records to events and actions to records, and decides nothing.
+//! The simulator's adapter: runs the decision modules of many ingresses for the simulator, with its
+//! wire format on standard input and output. It converts records to events and actions to records,
+//! and makes no decisions.
 
 mod frame;
 mod wire;
@@ -12,12 +13,12 @@
 use std::process::ExitCode;
 use wire::{encode_action, Record, RecordReader, WireError};
 
-/// Bytes that are read or written at a time.
+/// Size of the input and output buffers, bytes.
 const BUFFER_BYTES: usize = 1 << 16;
-/// The exit status of a run that ended with an error.
+/// The exit status after an error.
 const EXIT_ERROR: u8 = 2;
 
-/// Why the adapter ends early.
+/// Why the adapter stops before the end of the input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error(transparent)]
@@ -28,7 +29,7 @@
     Write(io::Error),
 }
 
-/// Why a record cannot be carried out.
+/// Why a record cannot be processed.
 #[derive(Debug, thiserror::Error)]
 enum RecordError {
     #[error(transparent)]
@@ -37,7 +38,7 @@
     Settings { ingress: u16, source: ConfigError },
     #[error("Born of ingress {ingress}: settings: {source}")]
     InvalidSettings { ingress: u16, source: SettingsError },
-    #[error("an event for ingress {ingress}, which was never born")]
+    #[error("an event for ingress {ingress}, for which there was no Born record")]
     UnknownIngress { ingress: u16 },
 }
 
@@ -46,8 +47,8 @@
 struct Ingresses(BTreeMap<u16, DecisionEngine>);
 
 impl Ingresses {
-    /// Carries out the records of one frame and returns the reply's records.
-    fn carry_out(&mut self, now_s: f64, records: &[u8]) -> Result<Vec<u8>, RecordError> {
+    /// Processes the records of one frame and returns the records of the reply.
+    fn process_records(&mut self, now_s: f64, records: &[u8]) -> Result<Vec<u8>, RecordError> {
         let mut reader = RecordReader::new(records);
         let mut reply = Vec::new();
         let mut actions = Vec::new();
@@ -93,7 +94,7 @@
     let mut ingresses = Ingresses::default();
     while let Some(now_s) = frames.next_frame()? {
         let reply = ingresses
-            .carry_out(now_s, frames.records())
+            .process_records(now_s, frames.records())
             .map_err(|source| AdapterError::Record {
                 frame: frames.frame_number(),
                 source,
--- a/src/bin/driftgap-simulator-adapter/wire/action_encoder.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/action_encoder.rs
@@ -1,4 +1,4 @@
-//! Actions as bytes of a reply.
+//! Encodes actions as records of a reply.
 
 use driftgap::decision::Action;
 
@@ -14,7 +14,7 @@
     pub(super) const ADD_TO_COUNTER: u8 = 13;
 }
 
-/// Whether the endpoint list is to be followed from now on.
+/// Value of the record's flag: the endpoint list is to be followed.
 const FOLLOW: u8 = 1;
 
 /// Appends one action of an ingress to a reply.
--- a/src/bin/driftgap-simulator-adapter/wire/byte_reader.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/byte_reader.rs
@@ -1,20 +1,20 @@
-//! Values of fixed size, big-endian, one behind the other.
+//! Reads consecutive big-endian values of fixed size.
 
 use crate::wire::WireError;
 
-/// What errors name as long as a record's kind is not known.
+/// Name of the record in errors while its kind is not yet known.
 const UNKNOWN_RECORD: &str = "record";
 
-/// A reader over the bytes of one frame.
+/// A reader of the bytes of one frame.
 pub(super) struct ByteReader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// The record being read, for errors.
+    /// Name of the current record, for errors.
     record: &'static str,
 }
 
 impl<'a> ByteReader<'a> {
-    /// Reads `bytes` from their start.
+    /// Creates a reader at the start of `bytes`.
     pub(super) fn new(bytes: &'a [u8]) -> Self {
         ByteReader {
             bytes,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// How many bytes have been read.
+    /// Number of bytes read so far.
     pub(super) fn position(&self) -> usize {
         self.position
     }
@@ -33,17 +33,17 @@
         self.position == self.bytes.len()
     }
 
-    /// A record of unknown kind begins.
+    /// Marks the start of a record whose kind is not yet known.
     pub(super) fn begin_record(&mut self) {
         self.record = UNKNOWN_RECORD;
     }
 
-    /// The record's kind is known.
+    /// Sets the name of the current record, for errors.
     pub(super) fn name_record(&mut self, name: &'static str) {
         self.record = name;
     }
 
-    /// An error at the code that was read last.
+    /// An error for an unknown code, which was the last byte read.
     pub(super) fn unknown_value(&self, value: &'static str, code: u8) -> WireError {
         WireError::UnknownValue {
             record: self.record,
@@ -53,19 +53,19 @@
         }
     }
 
-    /// The next bytes.
-    pub(super) fn take(&mut self, wanted: usize) -> Result<&'a [u8], WireError> {
+    /// Reads the next `expected` bytes.
+    pub(super) fn take(&mut self, expected: usize) -> Result<&'a [u8], WireError> {
         let left = self.bytes.len() - self.position;
-        if wanted > left {
+        if expected > left {
             return Err(WireError::Truncated {
                 record: self.record,
                 position: self.position,
-                wanted,
+                expected,
                 left,
             });
         }
         let start = self.position;
-        self.position += wanted;
+        self.position += expected;
         Ok(&self.bytes[start..self.position])
     }
 
@@ -75,32 +75,32 @@
         Ok(out)
     }
 
-    /// An unsigned byte.
+    /// Reads an unsigned 8-bit integer.
     pub(super) fn u8(&mut self) -> Result<u8, WireError> {
         Ok(u8::from_be_bytes(self.array()?))
     }
 
-    /// An unsigned number of two bytes.
+    /// Reads an unsigned 16-bit integer.
     pub(super) fn u16(&mut self) -> Result<u16, WireError> {
         Ok(u16::from_be_bytes(self.array()?))
     }
 
-    /// An unsigned number of four bytes.
+    /// Reads an unsigned 32-bit integer.
     pub(super) fn u32(&mut self) -> Result<u32, WireError> {
         Ok(u32::from_be_bytes(self.array()?))
     }
 
-    /// An unsigned number of eight bytes.
+    /// Reads an unsigned 64-bit integer.
     pub(super) fn u64(&mut self) -> Result<u64, WireError> {
         Ok(u64::from_be_bytes(self.array()?))
     }
 
-    /// A number of four bytes.
+    /// Reads a 32-bit floating-point number.
     pub(super) fn f32(&mut self) -> Result<f64, WireError> {
         Ok(f64::from(f32::from_be_bytes(self.array()?)))
     }
 
-    /// A number of eight bytes; times, in seconds, are written so.
+    /// Reads a 64-bit floating-point number; times, in seconds, have this format.
     pub(super) fn f64(&mut self) -> Result<f64, WireError> {
         Ok(f64::from_be_bytes(self.array()?))
     }
--- a/src/bin/driftgap-simulator-adapter/wire/mod.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/mod.rs
@@ -1,6 +1,6 @@
-//! Records of the simulator's wire: events are decoded, actions encoded. Nothing here decides.
+//! The simulator's wire format: decodes records to events, and encodes actions to records.
 //!
-//! The wire's names and the terms of the code:
+//! Names on the wire and in the code:
 //!
 //! | on the wire | in the code |
 //! | --- | --- |
@@ -13,7 +13,7 @@
 //! | `Bell` | `Event::Timer` |
 //! | `Echo` | `Event::ProbeEnded` |
 //! | `CounterReply` | `Event::CounterAnswered` |
-//! | `Inbox` | [`Record::Ignored`]: ingresses do not talk to each other |
+//! | `Inbox` | [`Record::Ignored`]: ingresses exchange no messages |
 
 mod action_encoder;
 mod byte_reader;
--- a/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
@@ -1,4 +1,4 @@
-//! Events from the bytes of a frame.
+//! Decodes the records of a frame to events.
 
 use crate::wire::byte_reader::ByteReader;
 use crate::wire::WireError;
@@ -6,31 +6,31 @@
     AttemptEnd, EndpointEntry, EndpointState, Event, ListKind, Outcome, Request, ALL_ENDPOINTS,
 };
 
-/// Most ingresses that a request can name: the wire numbers them with two bytes.
+/// Largest number of ingresses in a request: the wire numbers them with two bytes.
 const MAX_INGRESSES: f64 = 65_535.0;
-/// The bit of a request's flags that marks a client's retry.
+/// The bit of a request's flags that marks a retry by the client.
 const RETRY_FLAG: u8 = 2;
 
-/// A record, addressed to one of the ingresses that the adapter runs.
+/// A record for one of the ingresses that the adapter runs.
 #[derive(Debug, PartialEq)]
 pub enum Record {
-    /// A new ingress with its seed and its settings (JSON text).
+    /// A new ingress starts.
     Start {
         /// The ingress.
         ingress: u16,
-        /// The seed of its randomness.
+        /// The seed of its random numbers.
         seed: u64,
-        /// Its settings.
+        /// Its settings (JSON text).
         settings: String,
     },
-    /// An ingress was killed.
+    /// An ingress is killed.
     Stop {
         /// The ingress.
         ingress: u16,
     },
-    /// A record that the decision module has no use for.
+    /// A record that the decision module does not use.
     Ignored,
-    /// An event for an ingress's decision module.
+    /// An event for the decision module of an ingress.
     Event {
         /// The ingress.
         ingress: u16,
@@ -39,7 +39,7 @@
     },
 }
 
-/// The kinds of records.
+/// The kinds of records, under their names on the wire.
 #[derive(Clone, Copy)]
 enum RecordKind {
     Born,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Its name on the wire.
+    /// The kind's name on the wire.
     fn name(self) -> &'static str {
         match self {
             RecordKind::Born => "Born",
@@ -91,23 +91,23 @@
     }
 }
 
-/// Reads the records of one frame.
+/// Decodes the records of one frame.
 pub struct RecordReader<'a> {
     bytes: ByteReader<'a>,
 }
 
 impl<'a> RecordReader<'a> {
-    /// Reads `bytes`, the records of a frame.
+    /// Creates a reader of `bytes`, the records of a frame.
     pub fn new(bytes: &'a [u8]) -> Self {
         RecordReader {
             bytes: ByteReader::new(bytes),
         }
     }
 
-    /// The next record; none: the frame is at its end.
+    /// Decodes the next record; `None` at the end of the frame.
     ///
     /// # Errors
-    /// Bytes that are no record, with the record's name and the position.
+    /// The bytes are not a valid record; the text gives the record's name and the position.
     pub fn next_record(&mut self) -> Result<Option<Record>, WireError> {
         if self.bytes.is_at_end() {
             return Ok(None);
--- a/src/bin/driftgap-simulator-adapter/wire/wire_error.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/wire_error.rs
@@ -1,44 +1,45 @@
-//! What is wrong with a frame.
+//! Errors of decoding a frame.
 
-/// Bytes that are no record. Positions count bytes from the start of the frame's records.
+/// Bytes that are not a valid record. Positions are byte offsets from the start of the frame's
+/// records.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
     /// The frame ends within a record.
-    #[error("{record} at byte {position}: {wanted} more bytes wanted, {left} left")]
+    #[error("{record} at byte {position}: {expected} more bytes expected, {left} left")]
     Truncated {
         /// The record's name on the wire.
         record: &'static str,
-        /// Where the missing value begins.
+        /// Offset of the incomplete value.
         position: usize,
-        /// Bytes of the value.
-        wanted: usize,
-        /// Bytes that are there.
+        /// Size of the value, bytes.
+        expected: usize,
+        /// Bytes left in the frame.
         left: usize,
     },
-    /// A code that is no event's.
+    /// An unknown code of a record kind.
     #[error("record at byte {position}: unknown event code {code}")]
     UnknownEvent {
-        /// Where the record begins.
+        /// Offset of the record.
         position: usize,
         /// The code.
         code: u8,
     },
-    /// A code that is none of a value's.
+    /// An unknown code of a value.
     #[error("{record} at byte {position}: unknown {value} {code}")]
     UnknownValue {
         /// The record's name on the wire.
         record: &'static str,
-        /// Where the code is.
+        /// Offset of the code.
         position: usize,
-        /// What the code stands for.
+        /// Name of the value.
         value: &'static str,
         /// The code.
         code: u8,
     },
     /// Settings that are not UTF-8.
-    #[error("Born at byte {position}: setup is not text")]
+    #[error("Born at byte {position}: setup is not UTF-8 text")]
     SettingsNotText {
-        /// Where the record begins.
+        /// Offset of the record.
         position: usize,
     },
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,12 +1,16 @@
-//! What one deployment has and another has not, on the shared stage: true units, keys, long deadlines.
+//! Deployment settings that differ from the default: settled units, idempotency keys and long
+//! deadlines. The scenarios run on the shared stage.
 
 mod stage;
 
 use stage::play_all;
 
+/// Quotas must count the units that answers report, not the estimates of the requests: else a
+/// tenant could use more than its quota with low estimates.
 #[test]
-fn quotas_count_the_units_that_answers_name() {
-    // A store of 14 at 3.2 a second: six guesses of one fit, five true threes do not.
+fn quotas_count_the_units_that_answers_report() {
+    // A token bucket of 14 that refills at 3.2 per second: six estimates of 1 fit, five settled
+    // costs of 3 do not.
     play_all(
         r#"with family_info.cost_after=true
         always cost 3 news
@@ -28,8 +32,10 @@
     );
 }
 
+/// The settings do not settle units, or an answer reports an invalid number of units. The estimates
+/// of the requests must count.
 #[test]
-fn where_units_are_not_settled_and_where_they_make_no_sense_guesses_count() {
+fn estimates_count_if_units_are_not_settled_or_invalid() {
     for first in [
         "with family_info.cost_after=false",
         "with family_info.cost_after=true",
@@ -46,8 +52,10 @@
 
 const KEYED: &str = r#"with request_classes.1.effect="token" request_classes.1.group="zone" request_classes.1.window=8.0"#;
 
+/// A keyed request may have run when its attempt fails. It must be retried only at an endpoint
+/// where its key is known.
 #[test]
-fn keyed_work_that_may_have_run_is_repeated_where_its_key_is_known() {
+fn keyed_request_that_may_have_run_is_retried_where_its_key_is_known() {
     play_all(&format!(
         "{KEYED}
         send c 1 book-rebroadcast national 7 k=5c0f6e1a
@@ -58,8 +66,10 @@
     ));
 }
 
+/// A keyed request without its key could run twice. It must be rejected before it reaches an
+/// endpoint.
 #[test]
-fn keyed_work_without_its_key_goes_no_further() {
+fn keyed_request_without_its_key_is_not_forwarded() {
     play_all(&format!(
         "{KEYED}
         send c 1 book-rebroadcast national 7 k=
@@ -71,9 +81,11 @@
     ));
 }
 
+/// The program is stopped while clients would wait longer than the platform allows it to run. Each
+/// must get its final answer before the platform kills the process.
 #[test]
-fn at_a_stop_what_clients_would_wait_longer_for_gets_its_answer_in_time() {
-    // Deadlines of 8 s, and the platform kills 3.7 s after it asked the program to end.
+fn requests_with_long_deadlines_are_answered_before_a_stop_ends() {
+    // The deadlines are 8 s; the platform kills the program 3.7 s after it asks it to stop.
     play_all(
         r#"with request_classes.0.deadline=8.0 request_classes.1.deadline=8.0
         send c 1 fetch-episode national 7 d=8000
--- a/tests/poll_schedule.rs
+++ b/tests/poll_schedule.rs
@@ -1,5 +1,6 @@
-//! A dozen real processes of one fleet, whose lists come on request, and a discovery of fixed capacity that comes
-//! back to them: each calls it once, in its turn, and has what it missed.
+//! Polls of real processes: a dozen ingresses of one fleet with lists on request, and a discovery
+//! of fixed capacity that recovers from an outage. Each ingress must call it once, in its time
+//! slot, and get the changes that it missed.
 
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -14,37 +15,37 @@
 
 const SETTINGS: &str = include_str!("stage/settings.json");
 const INGRESSES: usize = 12;
-/// Discovery takes so long for a call, one after the other.
+/// Time that discovery needs for a call; it serves one call at a time.
 const CALL: Duration = Duration::from_millis(200);
-/// One call of each takes 2.4 s, and a round is no shorter than 2.5 s.
+/// One call of each ingress takes 2.4 s, and a round takes at least 2.5 s.
 const ROUND: Duration = Duration::from_millis(2500);
-/// For twelve processes and their stand-in on a machine that others share.
+/// Extra time for twelve processes and the test's discovery on a shared machine.
 const SLACK: Duration = Duration::from_millis(1000);
 
-/// A call of an ingress that reached discovery while it was there.
+/// A call of an ingress that reached discovery while it was available.
 #[derive(Clone, Copy, Debug)]
 struct Call {
     ingress: usize,
     at: Instant,
-    /// The version that the ingress holds.
+    /// The version that the ingress has.
     index: u64,
-    /// It may wait for a change.
+    /// Whether the call may wait for a change.
     waits: bool,
 }
 
-/// What the ingresses share.
+/// The discovery that all ingresses poll.
 struct Discovery {
-    here: Cell<bool>,
-    /// The newest version.
+    available: Cell<bool>,
+    /// The latest version.
     version: watch::Sender<u64>,
-    /// One call at a time; those that wait are served in their order.
+    /// Serializes calls; waiting ones are served in order.
     worker: Mutex<()>,
     calls: RefCell<Vec<Call>>,
-    /// Each ingress's open connection.
+    /// The tasks that serve the open connections.
     connections: RefCell<Vec<tokio::task::AbortHandle>>,
 }
 
-/// The number behind this name in a request's line.
+/// The number after this name in a request line.
 fn number(head: &str, name: &str) -> Option<u64> {
     let value = head.split(name).nth(1)?;
     value.split(['&', ' ']).next()?.parse().ok()
@@ -55,13 +56,13 @@
 }
 
 impl Discovery {
-    /// Listens for one ingress; its port.
+    /// Listens for one ingress and returns the port.
     async fn listen(self: Rc<Self>, ingress: usize) -> u16 {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let port = listener.local_addr().unwrap().port();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if self.here.get() {
+                if self.available.get() {
                     let serving = spawn_local(self.clone().serve(ingress, stream)).abort_handle();
                     self.connections.borrow_mut().push(serving);
                 } else {
@@ -82,8 +83,8 @@
             }
             let head = String::from_utf8_lossy(&buffer).to_string();
             buffer.clear();
-            let index = number(&head, "index=").expect("each holds a list");
-            let wait = number(&head, "wait=").expect("a call after a version");
+            let index = number(&head, "index=").expect("each ingress has a list");
+            let wait = number(&head, "wait=").expect("the call names a version");
             let waits = wait > 1;
             self.calls.borrow_mut().push(Call {
                 ingress,
@@ -95,7 +96,7 @@
                 self.wait_for_update(index, Duration::from_millis(wait))
                     .await;
             } else {
-                // Also worked on if the caller gives it up: this task goes on.
+                // Discovery works on an abandoned call too: this task continues.
                 let _working = self.worker.lock().await;
                 sleep(CALL).await;
             }
@@ -117,50 +118,51 @@
         let _ = timeout_at(Instant::now() + wait, update).await;
     }
 
-    /// Resets what is open and takes nothing new.
-    fn go_away(&self) {
-        self.here.set(false);
+    /// Resets the open connections, and every new one from now on.
+    fn stop(&self) {
+        self.available.set(false);
         self.connections
             .borrow_mut()
             .drain(..)
             .for_each(|connection| connection.abort());
     }
 
-    fn come_back(&self) -> Instant {
+    fn recover(&self) -> Instant {
         self.calls.borrow_mut().clear();
-        self.here.set(true);
+        self.available.set(true);
         Instant::now()
     }
 
-    /// The first call of each ingress that this holds for.
-    fn first(&self, wanted: impl Fn(&Call) -> bool) -> Vec<Option<Instant>> {
+    /// The time of each ingress's first call that matches.
+    fn first(&self, matches: impl Fn(&Call) -> bool) -> Vec<Option<Instant>> {
         let calls = self.calls.borrow();
-        let of = |i| {
+        let first_call = |i| {
             calls
                 .iter()
-                .find(|call| call.ingress == i && wanted(call))
+                .find(|call| call.ingress == i && matches(call))
                 .map(|call| call.at)
         };
-        (0..INGRESSES).map(of).collect()
+        (0..INGRESSES).map(first_call).collect()
     }
 
-    /// Waits until each ingress opened a watch with this version in hand.
-    async fn each_watches(&self, version: u64, longest: Duration) -> Vec<Instant> {
-        let all = timeout(longest, async {
+    /// Waits until each ingress has opened a watch with this version.
+    async fn wait_until_each_watches(&self, version: u64, longest: Duration) -> Vec<Instant> {
+        let all_watches = timeout(longest, async {
             loop {
                 let watches = self.first(|call| call.waits && call.index == version);
-                if let Some(all) = watches.into_iter().collect::<Option<Vec<_>>>() {
-                    return all;
+                if let Some(all_watches) = watches.into_iter().collect::<Option<Vec<_>>>() {
+                    return all_watches;
                 }
                 sleep(Duration::from_millis(10)).await;
             }
         });
-        all.await
-            .unwrap_or_else(|_| panic!("not all watch: {:?}", self.calls.borrow()))
+        all_watches
+            .await
+            .unwrap_or_else(|_| panic!("not every ingress watches: {:?}", self.calls.borrow()))
     }
 }
 
-/// The processes, which end with the test.
+/// The ingress processes, which are killed at the end of the test.
 struct Processes {
     programs: Vec<Child>,
     folder: PathBuf,
@@ -179,7 +181,7 @@
             settings["position"] = ingress.into();
             settings["discovery"] = "subscribe".into();
             let port = discovery.clone().listen(ingress).await;
-            // Nobody sends it anything.
+            // No request is sent to this endpoint.
             let server = serde_json::json!({
                 "id": "a", "addr": "127.0.0.1:9", "zone": "building-1", "kind": "small-2c", "cell": 0,
                 "state": "active", "weight": 1.0, "started_ms": 0,
@@ -221,59 +223,62 @@
     }
 }
 
-/// Discovery goes away for more than 6 s, has a change meanwhile, and comes back to a dozen ingresses, each of which has
-/// lost its watch. If they all called at once, the last would wait for 2.4 s, longer than a call is given. Each must
-/// call once, in its slot, and watch for what comes after the change within a round and a call.
+/// Discovery is unavailable for more than 6 s, has a change meanwhile, and recovers; each of a
+/// dozen ingresses has lost its watch. If all of them called at once, the last would wait for 2.4
+/// s, longer than the time-out of a call. Each must call once, in its slot, and watch for later
+/// changes within a round and a call.
 #[test]
-fn a_discovery_that_comes_back_to_a_dozen_processes_is_called_by_each_once_in_its_turn() {
+fn recovered_discovery_is_called_once_by_each_process_in_its_slot() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let discovery = Rc::new(Discovery {
-            here: Cell::new(true),
+            available: Cell::new(true),
             version: watch::Sender::new(1),
             worker: Mutex::new(()),
             calls: RefCell::default(),
             connections: RefCell::default(),
         });
         let _processes = Processes::start(&discovery).await;
-        discovery.each_watches(1, Duration::from_secs(10)).await;
-        discovery.go_away();
+        discovery
+            .wait_until_each_watches(1, Duration::from_secs(10))
+            .await;
+        discovery.stop();
         sleep(Duration::from_millis(6300)).await;
         discovery.version.send_replace(2);
-        let back = discovery.come_back();
+        let recovered_at = discovery.recover();
 
-        // The first watch behind the change shows that the ingress holds it.
-        let informed = discovery.each_watches(2, 2 * ROUND).await;
+        // The first watch with the new version shows that the ingress has the change.
+        let updated = discovery.wait_until_each_watches(2, 2 * ROUND).await;
         let reached: Vec<Instant> = discovery.first(|_| true).into_iter().flatten().collect();
-        let by = |times: &[Instant]| times.iter().max().unwrap().duration_since(back);
+        let latest = |times: &[Instant]| times.iter().max().unwrap().duration_since(recovered_at);
         println!(
-            "called after {:?} at the latest, informed after {:?}",
-            by(&reached),
-            by(&informed)
+            "last call after {:?}, last update after {:?}",
+            latest(&reached),
+            latest(&updated)
         );
         assert!(
-            by(&reached) <= ROUND + SLACK,
+            latest(&reached) <= ROUND + SLACK,
             "{:?}",
             discovery.calls.borrow()
         );
         assert!(
-            by(&informed) <= ROUND + CALL + SLACK,
+            latest(&updated) <= ROUND + CALL + SLACK,
             "{:?}",
             discovery.calls.borrow()
         );
-        let at_once = discovery
+        let immediate_calls = discovery
             .calls
             .borrow()
             .iter()
             .filter(|call| !call.waits)
             .count();
         assert_eq!(
-            at_once,
+            immediate_calls,
             INGRESSES,
-            "one call of each: {:?}",
+            "one call of each ingress: {:?}",
             discovery.calls.borrow()
         );
         let order: Vec<usize> = discovery
@@ -284,11 +289,15 @@
             .map(|c| c.ingress)
             .collect();
         let next = order.iter().map(|i| (i + 1) % INGRESSES);
-        let in_turn = order[1..]
+        let in_rank_order = order[1..]
             .iter()
             .zip(next)
             .filter(|(i, next)| **i == *next)
             .count();
-        assert_eq!(in_turn, INGRESSES - 1, "by rank: {order:?}");
+        assert_eq!(
+            in_rank_order,
+            INGRESSES - 1,
+            "calls in order of rank: {order:?}"
+        );
     });
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,19 +1,20 @@
-//! The operator's rules over sockets, on every pair of wires: pools, limits and their times, what becomes a
-//! request, replacement under load, hostile files and keys.
+//! The operator's rules over sockets, on every pair of wires: pools, limits and their Retry-After,
+//! mapped requests, reloads under load, and hostile files and keys.
 
 mod stage;
 
 use stage::{play, play_all, Wire};
 
-/// Two pools by label; tenant 7 goes to the first, 8 to the second, which falls back on the first.
+/// Two pools by label. Tenant 7 is routed to `x`; tenant 8 to `y`, which falls back to `x`.
 const POOLS: &str = "[[pool]]\\nname = 'x'\\nwhen = 'instance.labels[\"pool\"].orValue(\"\") == \"x\"'\\nafter = '300ms'\\n\
     [[pool]]\\nname = 'y'\\nwhen = 'instance.labels[\"pool\"].orValue(\"\") == \"y\"'\\nfallback = 'x'\\n\
     [[rule]]\\nname = 'to-x'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\npool = '\"x\"'\\n\
     [[rule]]\\nname = 'to-y'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000008\"'\\npool = '\"y\"'\\n";
 
-/// Rules choose a pool of endpoints. A request that left its pool could reach data that it must not see.
+/// Rules select a pool of endpoints. A request outside of its pool could reach data that it must
+/// not see.
 #[test]
-fn a_pools_requests_go_to_its_endpoints_alone() {
+fn requests_of_a_pool_reach_only_its_endpoints() {
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -33,10 +34,10 @@
     ));
 }
 
-/// No endpoint of a pool is ready. The request falls back or is rejected as the file says, and goes nowhere
-/// else.
+/// No endpoint of a pool is ready. The request must fall back or be rejected as the rules say, and
+/// reach no other endpoint.
 #[test]
-fn a_pool_without_a_ready_endpoint_falls_back_or_refuses_and_never_spills() {
+fn pool_without_ready_endpoint_falls_back_or_rejects() {
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -57,10 +58,11 @@
     ));
 }
 
-/// An attempt in a pool fails. The retry must stay within the pool.
+/// An attempt in a pool fails. The retry must stay in the pool.
 #[test]
-fn a_further_attempt_stays_within_the_pool() {
-    // Both endpoints are in: the second attempt goes to the other. One is in: nothing else is tried.
+fn retry_stays_within_the_pool() {
+    // With both endpoints in the pool, the retry goes to the other one. With one in the pool, there
+    // is no retry.
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -78,11 +80,12 @@
     ));
 }
 
-/// Rules are replaced while a request is in flight. Its retry and its limits follow the rules that it began
-/// with.
+/// Rules are replaced while a request is in flight. Its retry and its limits must follow the rules
+/// with which it was admitted.
 #[test]
-fn a_request_ends_under_the_rules_that_it_began_with() {
-    // While a booking is out the pools change names and order; its retry, were there one, would have its old pool.
+fn request_in_flight_keeps_the_rules_it_was_admitted_with() {
+    // The pools change names and order while the request is in flight; a retry would use its old
+    // pool.
     play_all(&format!(
         "rules {POOLS}
          pooled a x
@@ -99,9 +102,10 @@
     ));
 }
 
-/// One key is over its limit. Its requests are rejected at once, and other keys do not notice.
+/// One key exceeds its limit. Its requests must be rejected at once, and other keys must not be
+/// affected.
 #[test]
-fn a_limit_refuses_at_once_and_another_key_passes() {
+fn limit_rejects_at_once_and_other_keys_pass() {
     let limit =
         "[[rule]]\\nname = 'l'\\nlimit = { key = 'request.partner.orValue(\"\")', rate = 0.5, burst = 2 }\\n";
     play_all(&format!(
@@ -123,10 +127,10 @@
     ));
 }
 
-/// A limit on requests in flight. Whatever ends a request (an answer, a failure, a reset) must give its place
-/// back, or the limit leaks away.
+/// A limit of requests in flight. However a request ends (answer, failure, reset), it must release
+/// its slot; otherwise the limit would block requests permanently.
 #[test]
-fn at_once_counts_to_the_final_answer_however_it_comes() {
+fn in_flight_limit_is_released_however_a_request_ends() {
     let limit = "[[rule]]\\nname = 'l'\\nlimit = { key = '\"all\"', at_once = 1 }\\n";
     play_all(&format!(
         "rules {limit}
@@ -149,10 +153,10 @@
     ));
 }
 
-/// A limit rejects with the time at which there is room again. A time too early would bring the client back
-/// for another rejection.
+/// A limit rejects with the time until the next request fits. If Retry-After were too short, the
+/// client would be rejected again.
 #[test]
-fn the_time_to_come_back_is_notified_exactly() {
+fn retry_after_of_a_rule_is_sent_exactly() {
     let rules = "[[rule]]\\nname = 'n'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000009\"'\\nnack = 'duration(\"1234ms\")'\\n";
     play_all(&format!(
         "rules {rules}
@@ -172,13 +176,14 @@
     class = '\"book-rebroadcast\"'\\nplan = '\"city\"'\\npartner = '\"0000000000000007\"'\\nunits = 'request.units.orValue(1.0)'\\n\
     id = '\"b\" + request.path.split(\"/\")[2].orValue(\"\")'\\n";
 
-/// A rule makes a request of a plain GET. Its units count in the quota like those of any other.
+/// A rule maps a plain GET to a request of a class. Its units must count in the quota like those of
+/// any other request.
 #[test]
-fn a_plain_get_becomes_a_request_and_counts_its_units() {
-    for behind in [Wire::Resp, Wire::Http2] {
+fn plain_get_is_mapped_and_counts_its_units() {
+    for endpoint_wire in [Wire::Resp, Wire::Http2] {
         play(
             Wire::Http2,
-            behind,
+            endpoint_wire,
             &format!(
                 "get c k0 /episodes/123/audio
                  expect c k0 404
@@ -198,15 +203,15 @@
     }
 }
 
-/// A rule makes a request with an effect of a plain one, and its attempt breaks halfway. No rule may make it
-/// safe to repeat.
+/// A rule maps a plain POST to a request with an effect, and its attempt breaks off. No rule may
+/// make it safe to retry.
 #[test]
-fn a_mapped_booking_that_may_have_run_is_not_made_again() {
-    for behind in [Wire::Resp, Wire::Http2] {
+fn mapped_request_with_effect_is_not_retried_if_it_may_have_run() {
+    for endpoint_wire in [Wire::Resp, Wire::Http2] {
         for fault in ["half", "reset", "error", "hang"] {
             play(
                 Wire::Http2,
-                behind,
+                endpoint_wire,
                 &format!(
                     "rules {AUDIO}
                      post c b7 /bookings/7
@@ -220,21 +225,21 @@
     }
 }
 
-/// A file of rules that would take too much memory or time is read again. The old rules stay, and requests
-/// are served meanwhile.
+/// A reload reads a file of rules that would take too much memory or time. The old rules must stay
+/// in force, and requests must be served meanwhile.
 #[test]
-fn a_hostile_file_keeps_the_old_rules() {
-    let deny = "[[rule]]\\nname = 'deny'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\nnack = 'duration(\"1s\")'\\n";
+fn hostile_file_keeps_the_old_rules() {
+    let reject_rule = "[[rule]]\\nname = 'deny'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000007\"'\\nnack = 'duration(\"1s\")'\\n";
     let deep = "(".repeat(5000);
-    for bad in [
+    for invalid_rules in [
         "[[rule".to_string(),
         "[[rule]]\\nname = 'a'\\nwhen = 'request.nothing'\\n".into(),
         format!("[[rule]]\\nname = 'a'\\nwhen = '{deep}'\\n"),
         "[[rule]]\\nname = 'a'\\nwhen = 'request.path.startsWith(\"/b/\")'\\nclass = '\"fetch-episode\"'\\nplan='\"city\"'\\npartner='\"0000000000000007\"'\\nunits='1.0'\\n".into(),
     ] {
         play_all(&format!(
-            "rules {deny}
-             rules {bad}
+            "rules {reject_rule}
+             rules {invalid_rules}
              send c k1 fetch-episode city 7
              expect c k1 busy
              send c k2 fetch-episode city 8
@@ -244,13 +249,14 @@
     }
 }
 
-/// Rules are replaced again and again while requests come. Each request gets exactly one answer.
+/// Rules are replaced repeatedly under load. Each request must get exactly one answer.
 #[test]
-fn rules_are_replaced_under_load_with_every_request_answered_once() {
+fn every_request_is_answered_once_while_rules_are_replaced() {
     let file = |i: usize| {
         format!("{POOLS}[[rule]]\\nname = 'r{i}'\\ngo_on = true\\nnotes = {{ n = '\"{i}\"' }}\\n")
     };
-    // Few together: more than a few attempts an endpoint are load to the module, which refuses some then.
+    // Only a few requests at a time: the decision module sheds load when an endpoint has more
+    // attempts than a few.
     let mut lines = vec![
         format!("rules {}", file(0)),
         "pooled a x".into(),
@@ -275,22 +281,23 @@
     play_all(&lines.join("\n"));
 }
 
-/// A limit by key meets keys without end. What is remembered of them is bounded.
+/// Requests come with ever new keys of a limit. The memory for keys must be bounded.
 #[test]
-fn a_hundred_thousand_keys_leave_memory_flat() {
-    // The tenant is one, so that the keys alone differ; most are refused by its quota, which is as well.
+fn memory_is_flat_with_a_hundred_thousand_keys() {
+    // All requests have one tenant, so that only the keys differ. Its quota rejects most of them,
+    // which does not matter here.
     let limit =
         "[[rule]]\\nname = 'l'\\nlimit = { key = 'request.id.orValue(\"\")', rate = 1, burst = 1 }\\n";
-    for (front, n) in [(Wire::Resp, 100_000), (Wire::Http2, 100_000)] {
+    for (client_wire, key_count) in [(Wire::Resp, 100_000), (Wire::Http2, 100_000)] {
         play(
-            front,
+            client_wire,
             Wire::Resp,
             &format!(
                 "rules {limit}
                  always value ok
                  flood c 5000
                  memory
-                 flood c {n}
+                 flood c {key_count}
                  memory 1"
             ),
         );
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -229,7 +229,7 @@
             frame("05 0003 00000007 0001 00000008 63"),
             "unknown outcome 99",
         ),
-        (frame("06 0003 0e6f2b19"), "never born"),
+        (frame("06 0003 0e6f2b19"), "there was no Born record"),
         (born("{"), "not JSON"),
         (born("{}"), "balancers is missing"),
         (
