--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! Client for calls of staff to a running ingress.
+//! Client for administrative calls to a running ingress.
 
 use super::environment::{admin_address, EnvironmentError};
 use crate::config::settings::Config;
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// An ingress for radio catch-up services: admission, quotas, routing and retries.
+/// An ingress for radio catch-up services with usage plans: admission, quotas, routing and retries.
 ///
 /// Without a sub-command, the program serves requests.
 #[derive(Debug, Parser)]
--- a/src/cli/environment.rs
+++ b/src/cli/environment.rs
@@ -27,9 +27,9 @@
     }
 }
 
-/// The address at which the ingress of this configuration answers calls of staff. `EDGE_OPERATOR`
-/// overrides the configuration: if two processes share one configuration, the second needs an
-/// address of its own.
+/// The address at which the ingress of this configuration answers administrative calls.
+/// `EDGE_OPERATOR` overrides the configuration: if two processes share one configuration, the
+/// second needs an address of its own.
 ///
 /// # Errors
 /// `EDGE_OPERATOR` is not an address.
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -32,7 +32,7 @@
     pub discovery: Option<SocketAddr>,
     /// The address of the counter, if there is one.
     pub counter: Option<SocketAddr>,
-    /// The address for calls of staff, if enabled.
+    /// The address for administrative calls, if enabled.
     pub operator: Option<SocketAddr>,
     /// Seed of random numbers.
     pub seed: u64,
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Parses endpoint lists in discovery's format. Answers to polls and the last known list in the
-//! platform's file have this format. Only this module knows the names of its fields; it checks the
+//! platform's file have this format. This is the only module that names its fields; it checks the
 //! format, not the meaning of the values.
 
 use crate::decision::{EndpointState, ListKind};
--- a/src/discovery/poll_schedule.rs
+++ b/src/discovery/poll_schedule.rs
@@ -63,7 +63,7 @@
 /// before the next round.
 const MIN_ROUND_MS: f64 = CONNECT_TIMEOUT_MS + ANSWER_TIMEOUT_MS;
 /// The longest round with which every call reaches discovery before a change counts as notified,
-/// ms: one failed connect, then a connect with one other call ahead in the queue.
+/// ms: a failed connect may precede the round, and another connect follows it.
 const MAX_PROMPT_ROUND_MS: f64 = NOTIFIED_AFTER_MS - 2.0 * CONNECT_TIMEOUT_MS;
 /// A call that is rejected after at least this long has waited in the queue of an overloaded
 /// discovery, ms.
--- a/src/discovery/poll_schedule/tests.rs
+++ b/src/discovery/poll_schedule/tests.rs
@@ -127,8 +127,8 @@
 fn pushed_list_is_applied_long_before_it_counts_as_notified() {
     for ingresses in FLEETS {
         let schedule = schedule_of(false, ingresses);
-        // A change counts as notified 6 s after the agent died, or when it is back; the grace then
-        // is at least 1 s.
+        // A change counts as notified 6 s after the agent died, or as soon as it is back; the grace
+        // then is at least 1 s.
         assert!(
             longest_watch_outage(&schedule) + schedule.answer_timeout_ms <= 6000.0,
             "{ingresses}: {} ms",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! An ingress for radio catch-up services. It admits or rejects each request by its tenant's quota
-//! and the load, forwards it to an endpoint, retries where that is safe, and gives exactly one
-//! final answer.
+//! An ingress for radio catch-up services with usage plans. It admits or rejects each request by
+//! its tenant's quota and the load, forwards it to an endpoint, retries where that is safe, and
+//! gives exactly one final answer.
 //!
 //! [`decision`] makes every decision and does no I/O. [`request`] holds each request from its
 //! arrival to its answer. [`frontend`], [`upstream`], [`counter`] and [`discovery`] are tasks
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -52,8 +52,8 @@
 
 const KEYED: &str = r#"with request_classes.1.effect="token" request_classes.1.group="zone" request_classes.1.window=8.0"#;
 
-/// A keyed request may have run when its attempt fails. It must be retried only at an endpoint
-/// where its key is known.
+/// A keyed request may have run when its attempt fails. It must be retried at an endpoint of the
+/// same zone, where its key is known.
 #[test]
 fn keyed_request_that_may_have_run_is_retried_where_its_key_is_known() {
     play_all(&format!(
@@ -66,8 +66,7 @@
     ));
 }
 
-/// A keyed request without its key could run twice. It must be rejected before it reaches an
-/// endpoint.
+/// A keyed request without its key could run twice. It must not reach an endpoint.
 #[test]
 fn keyed_request_without_its_key_is_not_forwarded() {
     play_all(&format!(
