--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -230,7 +230,7 @@
             frame("05 0003 00000007 0001 00000008 63"),
             "unknown outcome 99",
         ),
-        (frame("06 0003 0e6f2b19"), "never born"),
+        (frame("06 0003 0e6f2b19"), "there was no Born record"),
         (start_frame("{"), "not JSON"),
         (start_frame("{}"), "balancers is missing"),
         (
