--- a/crates/group/src/follower/calls.rs
+++ b/crates/group/src/follower/calls.rs
@@ -1,24 +1,24 @@
-//! A follower's calls without an answer so far.
+//! Pending calls of a follower.
 
 use crate::frame::{Frame, MemberAnswer};
 use crate::state::{OpId, Proposal};
 use std::collections::BTreeMap;
 
-/// A call without an answer ends after this, ms.
+/// A call without an answer ends after this time, ms.
 const CALL_TIMEOUT_MS: f64 = 2000.0;
-/// Most calls that are pending.
+/// Most pending calls.
 const MAX_PENDING: usize = 256;
 
 struct PendingCall {
-    /// None: a read.
+    /// `None`: a read.
     proposal: Option<Proposal>,
     made_at: u64,
     deadline_ms: f64,
-    /// A member was asked: it may take effect.
+    /// Whether the call was sent to a member, so that it may take effect.
     sent: bool,
 }
 
-/// Calls by number, each of which ends once.
+/// Pending calls by number. Each call ends exactly once.
 pub(super) struct PendingCalls {
     /// The process incarnation.
     origin: u64,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A new call's number; none: too many are pending.
+    /// Adds a call and returns its number; `None`: too many calls are pending.
     pub(super) fn begin(
         &mut self,
         now_ms: f64,
@@ -58,7 +58,7 @@
         Some(self.last_number)
     }
 
-    /// The frame of a pending call, which counts as sent from now on.
+    /// Returns the frame of a pending call and marks the call as sent.
     pub(super) fn send(&mut self, number: u64) -> Option<Frame> {
         let call = self.pending.get_mut(&number)?;
         call.sent = true;
@@ -73,21 +73,21 @@
         })
     }
 
-    /// The frames of all pending calls.
+    /// Returns the frames of all pending calls and marks the calls as sent.
     pub(super) fn resend_all(&mut self) -> Vec<Frame> {
         let numbers: Vec<u64> = self.pending.keys().copied().collect();
         let frames = numbers.into_iter().filter_map(|number| self.send(number));
         frames.collect()
     }
 
-    /// A member has answered.
+    /// Ends the call that a member has answered.
     pub(super) fn answer(&mut self, op: OpId, answer: MemberAnswer) {
         if op.origin == self.origin && self.pending.remove(&op.number).is_some() {
             self.ended.push((op.number, answer));
         }
     }
 
-    /// Ends the calls whose time is up.
+    /// Ends the calls that have timed out.
     pub(super) fn expire(&mut self, now_ms: f64) {
         let expired = |call: &PendingCall| now_ms >= call.deadline_ms;
         let numbers: Vec<u64> = self
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes the calls that have ended.
+    /// Returns and clears the calls that have ended.
     pub(super) fn take_ended(&mut self) -> Vec<(u64, MemberAnswer)> {
         std::mem::take(&mut self.ended)
     }
--- a/crates/group/src/forwarding_routes.rs
+++ b/crates/group/src/forwarding_routes.rs
@@ -1,39 +1,40 @@
-//! Forwarding routes between members where not every link carries. Each member reports whom it hears, and a message
-//! goes by one other member where the direct link does not carry it. The consensus library is stuck where the only
-//! member that reaches a majority lags behind; with routes of two steps every such topology is whole for it. A wrong
-//! route costs time, never safety: the library repeats what is lost.
+//! Forwarding routes between members, for links that deliver nothing. Each member reports from
+//! which members it receives frames, and a message goes through one other member where the direct
+//! link fails. Without such routes the consensus library makes no progress if the only member that
+//! reaches a majority lags behind; with routes of two hops every such topology is fully connected.
+//! A wrong route costs time but never safety, because the library repeats lost messages.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member that was not heard for so long is not heard any more, ms: shorter than any election timeout, so that a
-/// route is found before a vote is called.
+/// A member counts as reachable for this long after its last direct frame, ms. Shorter than any
+/// election timeout, so that a route is found before an election starts.
 const HEARD_WITHIN_MS: f64 = 400.0;
-/// What a member reported is used for routes for so long, ms: a report or two may be lost.
+/// A member's report is used for routes for this long, ms: one or two reports may be lost.
 const REPORT_LIFETIME_MS: f64 = 2.0 * HEARD_WITHIN_MS;
 
 /// The route of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Route {
     Direct,
-    /// Forwarded by this member.
+    /// Through this member, which forwards the message.
     Via(String),
 }
 
-/// Whom a member says it hears.
+/// The members from which one member receives frames.
 #[derive(Debug)]
 struct Report {
     at_ms: f64,
     hears: BTreeSet<String>,
 }
 
-/// What is known of links, by name.
+/// Reachability between members, by name.
 #[derive(Debug, Default)]
 pub(crate) struct ForwardingRoutes {
     own_name: String,
-    /// When a frame last came directly from each member.
+    /// When the last direct frame of each member arrived.
     last_heard_ms: BTreeMap<String, f64>,
     reports: BTreeMap<String, Report>,
 }
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A frame came directly from this member.
+    /// Records a frame that came directly from this member.
     pub(crate) fn note_heard(&mut self, now_ms: f64, from: &str) {
         match self.last_heard_ms.get_mut(from) {
             Some(at_ms) => *at_ms = now_ms,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A member reports whom it hears.
+    /// Records the members from which another member receives frames.
     pub(crate) fn note_report(&mut self, now_ms: f64, of: &str, hears: Vec<String>) {
         let report = Report {
             at_ms: now_ms,
@@ -65,14 +66,14 @@
         self.reports.insert(of.into(), report);
     }
 
-    /// Whom this member hears.
+    /// Returns the members from which this one receives frames.
     pub(crate) fn hears(&self, now_ms: f64) -> Vec<String> {
         let is_heard = |at_ms: f64| now_ms - at_ms < HEARD_WITHIN_MS;
         let heard = self.last_heard_ms.iter().filter(|(_, at)| is_heard(**at));
         heard.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Members that report not to hear this one.
+    /// Returns the members whose reports do not include this one.
     pub(crate) fn unheard_by(&self, now_ms: f64) -> Vec<String> {
         let is_recent = |report: &Report| now_ms - report.at_ms < HEARD_WITHIN_MS;
         let unheard = self
@@ -82,7 +83,8 @@
         unheard.map(|(name, _)| name.clone()).collect()
     }
 
-    /// How to reach a member. The direct link is as good as any where nothing is known of it, or nobody else carries.
+    /// Returns the route to a member. The direct link is used if its state is unknown, or if no
+    /// other member can forward.
     pub(crate) fn route_to(&self, now_ms: f64, to: &str) -> Route {
         let Some(report) = self.valid_report(now_ms, to) else {
             return Route::Direct;
--- a/crates/group/src/forwarding_routes/tests.rs
+++ b/crates/group/src/forwarding_routes/tests.rs
@@ -1,14 +1,14 @@
-//! Forwarding routes.
+//! Tests of the forwarding routes.
 
 use super::*;
 
-/// A link between two members carries nothing in one direction, while both hear a third one. The message must go by the
-/// third, and directly again as soon as the reports say that nothing better is known.
+/// A link fails in one direction, while a third member is connected to both ends. The message must
+/// go through the third member, and directly again once no report offers another route.
 #[test]
-fn a_message_goes_round_where_the_direct_way_does_not_carry_it() {
+fn message_is_forwarded_when_the_direct_link_fails() {
     let mut routes = ForwardingRoutes::new("a");
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-    assert_eq!(routes.route_to(0.0, "c"), Route::Direct, "nothing is known");
+    assert_eq!(routes.route_to(0.0, "c"), Route::Direct, "no reports yet");
     routes.note_report(0.0, "b", names(&["a", "c"]));
     routes.note_report(0.0, "c", names(&["a", "b"]));
     assert_eq!(routes.route_to(10.0, "c"), Route::Direct);
@@ -18,13 +18,13 @@
     assert_eq!(
         routes.route_to(50.0, "c"),
         Route::Direct,
-        "nobody hears this member: nothing is better"
+        "no member can forward"
     );
     routes.note_report(60.0, "b", names(&["a", "c"]));
     assert_eq!(
         routes.route_to(2000.0, "c"),
         Route::Direct,
-        "what was known is old"
+        "the reports have expired"
     );
     routes.note_heard(0.0, "b");
     routes.note_heard(300.0, "c");
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -1,111 +1,115 @@
-//! The frames of a link: a length, a checksum, a body that is encoded by position (the order of fields and variants must
-//! not change). A body that is longer than its bound is not taken, nor one whose checksum differs.
+//! Frames of a link: a length, a checksum and a body that is encoded by position (the order of
+//! fields and variants must not change). A frame whose body exceeds the size limit or does not
+//! match the checksum is rejected.
 
 use crate::record::MessageRecord;
 use crate::state::{Document, DocumentKind, OpId, Outcome, Proposal};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// Largest frame, bytes: a snapshot with all its documents, and more.
+/// Largest frame, bytes: more than a snapshot with all its documents.
 pub const MAX_FRAME: usize = 6 << 20;
 /// Length and checksum, 4 bytes each.
 const HEADER_BYTES: usize = 8;
 
-/// Bytes that are no frame.
+/// Why bytes cannot be decoded as a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Longer than may be.
-    #[error("a frame of {0} bytes")]
-    Long(usize),
-    /// The checksum differs.
-    #[error("torn or spoilt bytes")]
-    Spoilt,
-    /// It holds nothing that is known.
-    #[error("no such frame")]
-    Unknown,
+    /// The body is longer than the limit.
+    #[error("frame of {0} bytes exceeds the size limit")]
+    TooLong(usize),
+    /// The checksum does not match the body.
+    #[error("frame checksum mismatch")]
+    ChecksumMismatch,
+    /// The body is not a known frame.
+    #[error("frame body cannot be decoded")]
+    Undecodable,
 }
 
-/// What has become of a follower's proposal or read.
+/// The result of a follower's proposal or read, as reported by the member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberAnswer {
-    /// Committed, and in the follower's replica by now.
+    /// The proposal is committed, and the follower's replica includes it by now.
     Done(Outcome),
-    /// The follower's replica is at least what any caller was promised when the read was asked for.
+    /// The follower's replica is at least as new as anything that any caller was promised when the
+    /// read was requested.
     Read,
-    /// Not done, and why.
+    /// The call was refused, with the reason.
     Refused(String),
-    /// Nobody knows whether it will be done.
+    /// The result is unknown: the proposal may still take effect.
     Unknown,
 }
 
-/// What goes over a link.
+/// A message on a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Nothing: the link is there.
+    /// Empty frame, which shows that the link is alive.
     Idle,
     /// A message of the consensus library.
     Raft(MessageRecord),
-    /// An ingress with an empty folder asks to be admitted.
+    /// Request of an ingress with an empty folder to be admitted.
     Join {
-        /// Tells its folder from every other.
+        /// Identifies the folder, unique among all folders.
         nonce: u64,
     },
-    /// It has been.
+    /// Confirms that the ingress has been admitted.
     Admitted {
-        /// The group.
+        /// The group id.
         group: u64,
-        /// Its incarnation.
+        /// The incarnation assigned to the ingress.
         id: u64,
-        /// The folder that was let in.
+        /// The nonce of the folder that was admitted.
         nonce: u64,
     },
-    /// Whom a member hears, by name: reported by itself, and forwarded once.
+    /// The members from which one member receives frames, by name. That member sends the report,
+    /// and its receivers forward it once.
     Reachability {
-        /// Who reports.
+        /// The member that reports.
         of: String,
-        /// Whom it hears.
+        /// The members from which it receives frames.
         hears: Vec<String>,
     },
-    /// A message of the consensus library, to be forwarded: the direct link does not carry.
+    /// A message of the consensus library that the receiver is to forward, because the direct link
+    /// delivers nothing.
     Forward(MessageRecord),
-    /// One that was forwarded.
+    /// A message of the consensus library that another member has forwarded.
     Forwarded(MessageRecord),
-    /// A follower subscribes to this member; what it is sent comes on the same connection.
+    /// Subscribes a follower to this member, which sends updates on the same connection.
     Follow {
-        /// The documents that it has.
+        /// The documents that the follower has, with their version numbers.
         have: Vec<(DocumentKind, u64)>,
     },
-    /// A follower's proposal, or a read where there is none.
+    /// A follower's proposal, or a read if there is no proposal.
     Call {
-        /// Which; the same if it is asked again.
+        /// The operation id, which stays the same when the call is repeated.
         op: OpId,
-        /// The last index in the follower's replica.
+        /// The last log index applied to the follower's replica when it made the call.
         made_at: u64,
-        /// What.
+        /// The proposal; `None`: a read.
         proposal: Option<Proposal>,
     },
-    /// What has become of it.
+    /// The result of a follower's call.
     Answer {
-        /// Which.
+        /// The operation id of the call.
         op: OpId,
-        /// What.
+        /// The result.
         answer: MemberAnswer,
     },
-    /// What a follower lacks.
+    /// The changes that a follower's replica lacks.
     ReplicaUpdate {
-        /// The last index of the log that is carried out.
+        /// The last log index that the member has applied.
         applied: u64,
-        /// How old that is by itself, ms.
+        /// The age of the member's state, ms.
         age_ms: f64,
-        /// All excluded endpoints; none: as before.
+        /// All excluded endpoints; `None`: unchanged.
         out: Option<Vec<String>>,
-        /// New versions.
+        /// New versions of documents.
         documents: Vec<(DocumentKind, Document)>,
     },
 }
 
 impl Frame {
-    /// Whether a link may carry this whose sender has greeted as this incarnation; 0: as none, which is a follower, or
-    /// an ingress that has not been admitted.
+    /// Whether a link may carry this frame when its sender has identified itself as `incarnation`.
+    /// 0 stands for no incarnation: a follower, or an ingress that has not been admitted.
     pub fn is_allowed_from(&self, incarnation: u64) -> bool {
         let is_member = incarnation != 0;
         match self {
@@ -119,13 +123,13 @@
         }
     }
 
-    /// The bytes to be sent.
+    /// Encodes the frame.
     pub fn bytes(&self) -> Vec<u8> {
         encode_frame(self)
     }
 }
 
-/// Any body as a frame: length, checksum, body.
+/// Encodes a body as a frame: length, checksum, body.
 pub(crate) fn encode_frame<T: Serialize>(body: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(body).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -135,10 +139,11 @@
     bytes
 }
 
-/// The body that the bytes begin with, and how many of them it took; none: it is not whole yet.
+/// Decodes the frame at the beginning of `bytes`. Returns the body and the length of the frame in
+/// bytes; `None`: the frame is incomplete.
 ///
 /// # Errors
-/// It is none, or longer than `max_bytes`.
+/// The body is longer than `max_bytes`, does not match the checksum, or cannot be decoded.
 pub fn read_frame<T: DeserializeOwned>(
     bytes: &[u8],
     max_bytes: usize,
@@ -151,22 +156,22 @@
     };
     let length = length as usize;
     if length > max_bytes {
-        return Err(FrameError::Long(length));
+        return Err(FrameError::TooLong(length));
     }
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
     if crc32fast::hash(body) != checksum {
-        return Err(FrameError::Spoilt);
+        return Err(FrameError::ChecksumMismatch);
     }
-    let (value, left) = postcard::take_from_bytes(body).map_err(|_| FrameError::Unknown)?;
+    let (value, left) = postcard::take_from_bytes(body).map_err(|_| FrameError::Undecodable)?;
     if !left.is_empty() {
-        return Err(FrameError::Unknown);
+        return Err(FrameError::Undecodable);
     }
     Ok(Some((value, HEADER_BYTES + length)))
 }
 
-/// The number that the bytes begin with, and the rest.
+/// Splits a little-endian number off the beginning of `bytes`.
 fn split_u32(bytes: &[u8]) -> Option<(u32, &[u8])> {
     let (number, rest) = bytes.split_first_chunk::<4>()?;
     Some((u32::from_le_bytes(*number), rest))
--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -1,78 +1,79 @@
-//! The first frame each way on a connection: who connects, in which group, and which format versions both sides speak.
-//! Encoded by position: the order of fields must not change.
+//! Greetings, the first frame in each direction of a connection: they identify the ingress that
+//! connects and its group, and negotiate the format version. Encoded by position: the order of
+//! fields must not change.
 
 use crate::frame::encode_frame;
 use serde::{Deserialize, Serialize};
 
-/// The oldest format version of the link and of the log that this program speaks.
+/// Oldest format version of links and of the log that this program supports.
 pub const OLDEST_FORMAT: u16 = 1;
-/// The newest one. What it adds is used only once the group has raised its own format version, which it does when all
-/// members speak it.
+/// Newest format version that this program supports. Its additions are used only after the group
+/// has raised its own format version, which it does when all members support the new one.
 pub const NEWEST_FORMAT: u16 = 2;
 /// Largest greeting, bytes.
 pub const MAX_HELLO: usize = 512;
-/// What tells a greeting of this program from other bytes.
+/// Distinguishes greetings of this protocol from other bytes.
 const MAGIC: [u8; 4] = *b"DGL1";
 
-/// Why a greeting, or the answer to it, is not taken.
+/// Why a greeting, or the answer to it, is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HelloError {
-    /// Something else speaks at this address.
-    #[error("no link of this program")]
+    /// The peer uses another protocol.
+    #[error("peer does not use this link protocol")]
     Foreign,
-    /// It means to reach a member of another name.
-    #[error("meant for another member")]
+    /// The greeting is addressed to a member of another name.
+    #[error("greeting is addressed to another member")]
     OtherMember,
-    /// It is of another group.
-    #[error("of another group")]
+    /// The peer belongs to another group.
+    #[error("peer belongs to another group")]
     OtherGroup,
-    /// There is no format version that both speak.
-    #[error("speaks no form that is known here")]
+    /// Both sides support no common format version.
+    #[error("no common format version")]
     UnknownForm,
-    /// It cannot take part in what the group has agreed on.
-    #[error("an older program, or one kept to an older form, than the group has")]
+    /// The peer does not support the format version of the group's log.
+    #[error("peer does not support the format version of the group")]
     OlderForm,
 }
 
-/// A range of format versions.
+/// An inclusive range of format versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRange {
-    /// The oldest.
+    /// The oldest version.
     pub oldest: u16,
-    /// The newest.
+    /// The newest version.
     pub newest: u16,
 }
 
-/// The first frame of whoever connects.
+/// The greeting of the side that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// That this is a link at all.
+    /// Identifies the protocol.
     pub magic: [u8; 4],
-    /// The format versions that it speaks.
+    /// The format versions that the sender supports.
     pub formats: FormatRange,
-    /// Its group; 0: it is in none yet.
+    /// The sender's group; 0: none yet.
     pub group: u64,
-    /// Its incarnation; 0: none yet.
+    /// The sender's incarnation; 0: none yet.
     pub id: u64,
-    /// Its name.
+    /// The sender's name.
     pub name: String,
-    /// Whom it means to reach.
+    /// The name of the member that the sender intends to reach.
     pub to: String,
 }
 
-/// The answer to it, and the only frame that way.
+/// The answer to a [`Hello`]. Between members it is the only frame in that direction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// The format version to be spoken.
+    /// The format version to use on the connection.
     pub format_version: u16,
-    /// The group of whom it reached.
+    /// The group of the answering member.
     pub group: u64,
-    /// Its incarnation.
+    /// The incarnation of the answering member.
     pub id: u64,
 }
 
 impl Hello {
-    /// A greeting of one that speaks no newer format version than `newest`.
+    /// Creates a greeting that offers format versions up to `newest`.
     pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
         let formats = FormatRange {
             oldest: OLDEST_FORMAT,
@@ -88,15 +89,16 @@
         }
     }
 
-    /// The format version to be spoken with the side that sent this, where this end is `name` in `group` (0: in none yet).
-    /// `spoken`: the group's own format version, and the newest that this end speaks. Followers see no log: any version
-    /// that both know is enough for them.
+    /// Returns the format version to use with the sender of this greeting, where the local ingress
+    /// is `name` in `group` (0: in none yet). `supported` ranges from the group's format version to
+    /// the newest one that the local ingress supports. Followers do not read the log, so any common
+    /// version is enough for them.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The greeting is rejected.
     pub fn negotiate_format(
         &self,
-        spoken: FormatRange,
+        supported: FormatRange,
         group: u64,
         name: &str,
     ) -> Result<u16, HelloError> {
@@ -109,23 +111,23 @@
         if self.group != 0 && group != 0 && self.group != group {
             return Err(HelloError::OtherGroup);
         }
-        if self.formats.newest < OLDEST_FORMAT || self.formats.oldest > spoken.newest {
+        if self.formats.newest < OLDEST_FORMAT || self.formats.oldest > supported.newest {
             return Err(HelloError::UnknownForm);
         }
-        if self.id != 0 && self.formats.newest < spoken.oldest {
+        if self.id != 0 && self.formats.newest < supported.oldest {
             return Err(HelloError::OlderForm);
         }
-        Ok(self.formats.newest.min(spoken.newest))
+        Ok(self.formats.newest.min(supported.newest))
     }
 
-    /// The bytes to be sent.
+    /// Encodes the greeting as a frame.
     pub fn bytes(&self) -> Vec<u8> {
         encode_frame(self)
     }
 }
 
 impl Welcome {
-    /// The bytes to be sent.
+    /// Encodes the answer as a frame.
     pub fn bytes(&self) -> Vec<u8> {
         encode_frame(self)
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,11 +1,14 @@
-//! A group of ingresses that hold things for each other: a replicated log, the state machine on it, and the frames of
-//! the links between members. It owns what is agreed, in which order, and when a promise may be given. It must never
-//! open a socket or a file, ask for the time, or know a client's request: time, frames and the end of each write to the
-//! disk are passed in, so that the same code runs in a process and, by the thousand, in virtual time.
+//! Consensus within a group of ingresses: a replicated log, the state machine on it, and the frames
+//! of the links between members. The crate decides what the group has agreed on, in which order,
+//! and when a proposal may be acknowledged. It opens no sockets or files, reads no clock and
+//! handles no client requests: the caller passes in the time, received frames and the completion of
+//! each disk write, so that the same code runs in a process and, with thousands of instances, in
+//! virtual time.
 //!
-//! Consensus is the library `raft`'s; around it are incarnations (a member that lost its disk is another voter), the
-//! wait for the disk, proposals that take effect once though they are sent again, and a member's status. Times are
-//! monotonic milliseconds since a moment of the caller's choice.
+//! The `raft` crate implements the consensus. This crate adds incarnations (a member that lost its
+//! disk returns as another voter), the ordering of messages after disk writes, proposals that take
+//! effect once although they are retried, and the status of a member. Times are monotonic
+//! milliseconds since a moment that the caller chooses.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -39,14 +42,15 @@
     MAX_DOCUMENT, MAX_EXCLUDED,
 };
 
-/// How many members vote at most.
+/// Largest number of voting members.
 pub const MAX_MEMBERS: usize = 7;
-/// Fewer voters than this promise nothing: what they agree on is not copied far enough.
+/// Smallest number of voters with which proposals are accepted: with fewer, a committed entry has
+/// too few copies.
 pub const MIN_MEMBERS: usize = 3;
 /// Longest name of a member, bytes.
 pub const MAX_NAME: usize = 64;
 
-/// Whether this can be a member's name: it stands in files, frames and lines of the log.
+/// Whether `name` is a valid member name. Member names appear in files, frames and log lines.
 pub fn is_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
--- a/crates/group/src/log_replica.rs
+++ b/crates/group/src/log_replica.rs
@@ -1,5 +1,6 @@
-//! The log on the disk, once more in memory, as the library reads it: what is behind the last compaction. It never holds
-//! what has not been handed out to be written, and it writes nothing itself.
+//! In-memory copy of the log on the disk, as the consensus library reads it, from the last
+//! compaction on. It never contains entries that have not been handed out to be written, and writes
+//! nothing itself.
 
 use crate::record::LogPosition;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -7,17 +8,17 @@
 use std::cell::Cell;
 use std::collections::VecDeque;
 
-/// The log.
+/// The in-memory copy of the log.
 #[derive(Debug, Default)]
 pub(crate) struct LogReplica {
     pub(crate) hard: HardState,
     pub(crate) conf: ConfState,
-    /// The last position that was compacted away.
+    /// The last position that was compacted.
     compacted: LogPosition,
     entries: VecDeque<Entry>,
     snapshot: Option<Snapshot>,
-    /// The library has asked for a newer snapshot than the one at hand.
-    wants_snapshot: Cell<bool>,
+    /// Whether the library has requested a newer snapshot than the stored one.
+    snapshot_requested: Cell<bool>,
 }
 
 impl LogReplica {
@@ -33,7 +34,7 @@
             compacted,
             entries: entries.into(),
             snapshot: None,
-            wants_snapshot: Cell::new(false),
+            snapshot_requested: Cell::new(false),
         }
     }
 
@@ -45,7 +46,7 @@
         self.compacted.index + self.entries.len() as u64
     }
 
-    /// The term of an index that is in the log, or the last one before it.
+    /// Returns the term of an index in the log, or of the last compacted one.
     pub(crate) fn term_of(&self, index: u64) -> Option<u64> {
         if index == self.compacted.index {
             return Some(self.compacted.term);
@@ -54,7 +55,8 @@
         self.entries.get(at as usize).map(|e| e.term)
     }
 
-    /// Appends entries in place of those from the index of the first one on. False: there would be a gap.
+    /// Appends entries and replaces those from the index of the first new one on. Returns false if
+    /// there would be a gap.
     pub(crate) fn append(&mut self, entries: &[Entry]) -> bool {
         let Some(first) = entries.first().map(|e| e.index) else {
             return true;
@@ -67,7 +69,7 @@
         true
     }
 
-    /// Begins anew behind a snapshot that came from another member.
+    /// Replaces the log with a snapshot from another member.
     pub(crate) fn restore(&mut self, snapshot: &Snapshot) {
         let metadata = snapshot.get_metadata();
         self.compacted = LogPosition {
@@ -79,26 +81,27 @@
         self.snapshot = Some(snapshot.clone());
     }
 
-    /// Lets entries up to this index go; none: it is not in the log.
+    /// Drops the entries up to this index and returns its position; `None`: the index is not in the
+    /// log.
     pub(crate) fn compact(&mut self, index: u64) -> Option<LogPosition> {
         let term = self.term_of(index)?;
-        let gone = (index - self.compacted.index) as usize;
-        self.entries.drain(..gone);
+        let dropped = (index - self.compacted.index) as usize;
+        self.entries.drain(..dropped);
         self.compacted = LogPosition { index, term };
         Some(self.compacted)
     }
 
-    pub(crate) fn wants_snapshot(&self) -> bool {
-        self.wants_snapshot.get()
+    pub(crate) fn snapshot_requested(&self) -> bool {
+        self.snapshot_requested.get()
     }
 
     pub(crate) fn offer_snapshot(&mut self, snapshot: Snapshot) {
-        self.wants_snapshot.set(false);
+        self.snapshot_requested.set(false);
         self.snapshot = Some(snapshot);
     }
 }
 
-/// Whether the snapshot's configuration has this member.
+/// Whether the snapshot's configuration includes this member.
 fn has_member(snapshot: &Snapshot, id: u64) -> bool {
     let conf = snapshot.get_metadata().get_conf_state();
     conf.voters.contains(&id) || conf.learners.contains(&id)
@@ -150,14 +153,14 @@
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<Snapshot> {
         let min_index = request_index.max(self.compacted.index);
         match &self.snapshot {
-            // A member that is not in its configuration would refuse it.
+            // A member that is not in the configuration of the snapshot would reject it.
             Some(snapshot)
                 if snapshot.get_metadata().index >= min_index && has_member(snapshot, to) =>
             {
                 Ok(snapshot.clone())
             }
             _ => {
-                self.wants_snapshot.set(true);
+                self.snapshot_requested.set(true);
                 Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable))
             }
         }
--- a/crates/group/src/member/apply.rs
+++ b/crates/group/src/member/apply.rs
@@ -1,4 +1,5 @@
-//! Carries out committed entries: proposals on the state, and changes of who votes.
+//! Application of committed entries: proposals to the state, and configuration changes to the
+//! voters.
 
 use super::{Event, Member, MemberFailure};
 use crate::log_replica::LogReplica;
@@ -7,17 +8,17 @@
 use raft::RawNode;
 
 impl Member {
-    /// Carries out committed entries; true: they have changed who votes.
+    /// Applies committed entries. Returns whether the configuration has changed.
     pub(super) fn apply(&mut self, entries: Vec<Entry>) -> bool {
         let mut reconfigured = false;
         for entry in entries {
             self.applied = entry.index;
             match entry.get_entry_type() {
-                // A new leader's first entry.
+                // A new leader begins its term with an empty entry.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => {
-                    if let Err(lost) = self.apply_proposal(&entry) {
-                        self.lost = Some(lost);
+                    if let Err(failure) = self.apply_proposal(&entry) {
+                        self.failure = Some(failure);
                         break;
                     }
                 }
@@ -36,18 +37,19 @@
         reconfigured
     }
 
-    /// An entry that cannot be read ends the member's vote: to pass it over would be to hold another state than those
-    /// who can read it.
+    /// Applies a proposal to the state. An entry that cannot be decoded stops the member, because
+    /// skipping it would make this member's state differ from that of members that can decode it.
     fn apply_proposal(&mut self, entry: &Entry) -> Result<(), MemberFailure> {
         let proposed: Proposed =
-            postcard::from_bytes(&entry.data).map_err(|_| MemberFailure::Unknown)?;
+            postcard::from_bytes(&entry.data).map_err(|_| MemberFailure::UndecodableEntry)?;
         let outcome = self.state.apply(entry.index, &proposed);
         self.events.push(Event::Changed);
         self.report_outcome(proposed.op, outcome);
         Ok(())
     }
 
-    /// Ends the calls that waited for this operation: one of this member's own, and one on a follower's behalf.
+    /// Ends the calls that wait for this operation: one of this member, and one on behalf of a
+    /// follower.
     fn report_outcome(&mut self, op: OpId, outcome: Outcome) {
         let ours = op.origin == self.settings.origin;
         if ours && self.calls.remove(&op.number).is_some() {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Carries out a change of who votes; true: it could be read.
+    /// Applies a configuration change. Returns false if it cannot be decoded.
     fn reconfigure<C: protobuf::Message>(
         &mut self,
         data: &[u8],
@@ -71,7 +73,8 @@
         if change.merge_from_bytes(data).is_err() {
             return false;
         }
-        // The library judged it when it was proposed: one that it refuses now changes nothing on any member.
+        // The library validated the change when it was proposed. A change that it rejects now has
+        // no effect on any member.
         if let Ok(conf) = apply(&mut self.node, &change) {
             self.set_configuration(conf);
         }
@@ -86,7 +89,7 @@
             &conf.learners_next,
         ];
         let in_use: Vec<u64> = in_use.into_iter().flatten().copied().collect();
-        self.state.forget(&in_use);
+        self.state.drop_unused_members(&in_use);
         self.conf = conf.clone();
         self.node.mut_store().conf = conf;
         self.events.push(Event::Changed);
--- a/crates/group/src/member/calls.rs
+++ b/crates/group/src/member/calls.rs
@@ -1,66 +1,68 @@
-//! Proposals and reads of this member: when each is sent, sent again, and given up. None is called done before it came
-//! back committed.
+//! Proposals and reads of this member: when each is sent, retried and given up. A proposal is
+//! reported as done only after it was committed.
 
 use super::{Event, Member, ProposalRejected};
 use crate::state::{OpId, Proposal, Proposed};
 use crate::MIN_MEMBERS;
 use raft::ReadState;
 
-/// Most calls of one member that are pending.
+/// Most pending calls of one member.
 const MAX_PENDING: usize = 256;
-/// A call without a result is sent again after this, ms.
+/// A call without a result is sent again after this interval, ms.
 const RETRY_INTERVAL_MS: f64 = 300.0;
-/// Without a leader for so long there is no majority, rather than an election on its way, ms.
+/// Without a leader for longer than this, the group is assumed to have no majority rather than an
+/// election in progress, ms.
 const NO_MAJORITY_MS: f64 = 2500.0;
 
-/// What a call asks of the group.
+/// The request of a call.
 #[derive(Clone)]
 enum Request {
     Read,
-    /// A proposal as it goes into the log.
+    /// A proposal, encoded as a log entry.
     Propose(Vec<u8>),
 }
 
-/// A call without a result so far.
+/// A call without a result.
 pub(super) struct PendingCall {
     request: Request,
-    /// Whose proposal it is, if it is another ingress's.
+    /// The operation id of the other ingress, if the call is on its behalf.
     pub(super) on_behalf_of: Option<OpId>,
     deadline_ms: f64,
     next_attempt_ms: f64,
-    /// It may be in the log: its end is unknown if it expires.
+    /// Whether the proposal may be in the log: its result is unknown if the call expires.
     sent: bool,
-    /// A read is answered once the log is carried out up to here; none: not known yet.
+    /// A read is answered once the log is applied up to this index; `None`: the index is not known
+    /// yet.
     read_index: Option<u64>,
 }
 
-/// What the next look at a pending call leads to.
-enum Due {
+/// The action that a pending call requires now.
+enum CallAction {
     Nothing,
     Send,
     End(Event),
 }
 
 impl PendingCall {
-    fn due(&self, now_ms: f64, number: u64, applied: u64, has_leader: bool) -> Due {
+    fn next_action(&self, now_ms: f64, number: u64, applied: u64, has_leader: bool) -> CallAction {
         if self.read_index.is_some_and(|index| index <= applied) {
-            return Due::End(Event::Read(number));
+            return CallAction::End(Event::Read(number));
         }
         if now_ms >= self.deadline_ms {
-            return Due::End(match self.on_behalf_of {
+            return CallAction::End(match self.on_behalf_of {
                 Some(op) => Event::ExpiredFor(op, self.sent),
                 None => Event::Expired(number, self.sent),
             });
         }
         if has_leader && now_ms >= self.next_attempt_ms && self.read_index.is_none() {
-            return Due::Send;
+            return CallAction::Send;
         }
-        Due::Nothing
+        CallAction::Nothing
     }
 }
 
 impl Member {
-    /// Proposes something; the number by which its end is reported.
+    /// Proposes a change of the state. Returns the number by which the result is reported.
     ///
     /// # Errors
     /// Too few members vote, there is no leader, or too many calls are pending.
@@ -69,7 +71,8 @@
         self.propose_membership(now_ms, proposal)
     }
 
-    /// Proposes a change of who is in the group, which is possible while too few vote.
+    /// Proposes a change of the group's members or format version, which is allowed while too few
+    /// members vote.
     ///
     /// # Errors
     /// There is no leader, or too many calls are pending.
@@ -89,7 +92,7 @@
         self.begin(now_ms, Request::Propose(encode(&proposed)), None)
     }
 
-    /// Asks for a linearizable read; the number by which its time is reported.
+    /// Requests a linearizable read. Returns the number by which its completion is reported.
     ///
     /// # Errors
     /// There is no leader, or too many calls are pending.
@@ -97,8 +100,8 @@
         self.begin(now_ms, Request::Read, None)
     }
 
-    /// Proposes something on behalf of another ingress: the same operation may come by several members, and takes
-    /// effect once.
+    /// Proposes a change on behalf of another ingress. The same operation may arrive through
+    /// several members, and takes effect once.
     ///
     /// # Errors
     /// Too few members vote, there is no leader, or too many calls are pending.
@@ -121,7 +124,7 @@
 
     fn require_voters(&self) -> Result<(), ProposalRejected> {
         match self.conf.voters.len() {
-            voters if voters < MIN_MEMBERS => Err(ProposalRejected::Few(voters)),
+            voters if voters < MIN_MEMBERS => Err(ProposalRejected::TooFewVoters(voters)),
             _ => Ok(()),
         }
     }
@@ -137,7 +140,7 @@
             return Err(ProposalRejected::NoMajority(leaderless_ms));
         }
         if self.calls.len() >= MAX_PENDING {
-            return Err(ProposalRejected::Full);
+            return Err(ProposalRejected::TooManyCalls);
         }
         self.last_call += 1;
         let number = self.last_call;
@@ -154,16 +157,16 @@
         Ok(number)
     }
 
-    /// Sends what has no result, and ends what has one or has expired.
+    /// Sends the calls that are due, and ends those that have a result or have expired.
     pub(super) fn retry_calls(&mut self, now_ms: f64) {
         let (applied, has_leader) = (self.applied, self.leader().is_some());
         let mut ended = Vec::new();
         let mut to_send = Vec::new();
         for (number, call) in &mut self.calls {
-            match call.due(now_ms, *number, applied, has_leader) {
-                Due::Nothing => {}
-                Due::End(event) => ended.push((*number, event)),
-                Due::Send => {
+            match call.next_action(now_ms, *number, applied, has_leader) {
+                CallAction::Nothing => {}
+                CallAction::End(event) => ended.push((*number, event)),
+                CallAction::Send => {
                     call.next_attempt_ms = now_ms + RETRY_INTERVAL_MS;
                     to_send.push((*number, call.request.clone()));
                 }
@@ -189,7 +192,8 @@
                 }
             }
             Request::Read => {
-                // The time makes each attempt a context of its own: the library drops a second one of the same.
+                // The time makes the context of each attempt unique: the library drops a repeated
+                // context.
                 let context = [
                     self.settings.origin.to_le_bytes(),
                     number.to_le_bytes(),
@@ -200,13 +204,14 @@
         }
     }
 
-    /// The group has confirmed a read: it is answered once the log is carried out up to its index.
+    /// Records that the group has confirmed a read, which is answered once the log is applied up to
+    /// its index.
     pub(super) fn note_read_index(&mut self, read: &ReadState) {
         let word = |at: usize| {
             let bytes = read.request_ctx.get(at..at + 8)?;
             Some(u64::from_le_bytes(bytes.try_into().ok()?))
         };
-        // An answer to an earlier process incarnation says nothing about this one's calls.
+        // An answer to an earlier process incarnation does not belong to any call of this one.
         if word(0) != Some(self.settings.origin) {
             return;
         }
--- a/crates/group/src/member/error.rs
+++ b/crates/group/src/member/error.rs
@@ -1,39 +1,39 @@
-//! Why a member stops taking part, and why it refuses a call.
+//! Errors of a member: why it stops, and why it rejects a call.
 
-/// Why a member can neither vote nor promise any more.
+/// Why a member can neither vote nor acknowledge proposals any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MemberFailure {
-    /// The snapshot of the folder, or one from another member, cannot be read.
+    /// The snapshot in the folder, or one from another member, cannot be decoded.
     #[error("the state cannot be read")]
-    State,
-    /// The log has a hole, or ends before what was committed.
+    InvalidSnapshot,
+    /// The log has a gap, or ends before the commit index.
     #[error("the log has a hole")]
-    Gap,
-    /// The others know of entries that this member has acknowledged and does not have.
+    LogGap,
+    /// Other members refer to entries that this member has acknowledged and does not have.
     #[error("what was written is there no more")]
-    Behind,
-    /// The consensus library refuses it.
+    LostEntries,
+    /// The consensus library rejects the stored log.
     #[error("the log cannot be used")]
-    Library,
-    /// A newer program has written what this one cannot carry out, or the group has a newer format version than the
+    Raft,
+    /// The log has a format version that is newer than this program supports, or newer than the
     /// settings allow.
     #[error("the log is of form {0}, which this program does not know or is not to speak")]
-    Form(u16),
-    /// An entry that this program cannot read.
+    UnsupportedFormat(u16),
+    /// The log contains an entry that this program cannot decode.
     #[error("the log holds what this program does not know")]
-    Unknown,
+    UndecodableEntry,
 }
 
-/// Why a proposal or read is refused before it is sent.
+/// Why a proposal or read is rejected before it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum ProposalRejected {
-    /// No leader for so long, ms.
+    /// The group has had no leader for this long, ms.
     #[error("no majority for {0:.0} ms")]
     NoMajority(f64),
-    /// So few members vote.
+    /// Only this many members vote.
     #[error("{0} of at least 3 members vote")]
-    Few(usize),
+    TooFewVoters(usize),
     /// Too many calls of this member are pending.
     #[error("too many calls are under way")]
-    Full,
+    TooManyCalls,
 }
--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -1,19 +1,21 @@
-//! The group's format version: it goes up once every member's program is known to speak a newer one.
+//! The group's format version, which the leader raises once every member's program is known to
+//! support a newer one.
 
 use super::{Member, SILENT_MS};
 use crate::state::Proposal;
 use crate::{MIN_MEMBERS, OLDEST_FORMAT};
 
-/// Between two proposals of a newer format version, ms.
+/// Interval between two proposals of a newer format version, ms.
 const PROPOSAL_INTERVAL_MS: f64 = 2000.0;
 
 impl Member {
-    /// A member's program has greeted this one: the newest format version that it speaks.
+    /// Records the newest format version that a member's program supports, as announced in its
+    /// greeting.
     pub fn note_newest_format(&mut self, name: &str, newest: u16) {
         self.newest_formats.insert(name.into(), newest);
     }
 
-    /// The newest format version that a member's program is known to speak.
+    /// Returns the newest format version that a member's program is known to support.
     pub(super) fn newest_format_of(&self, name: &str) -> u16 {
         if name == self.settings.name {
             return self.settings.newest_format;
@@ -22,8 +24,8 @@
         newest.copied().unwrap_or(OLDEST_FORMAT)
     }
 
-    /// Raises the group's format version once every member is known to speak a newer one: until then the log holds only
-    /// what the oldest program among them can carry out.
+    /// Raises the group's format version once every member is known to support a newer one. Until
+    /// then the log contains only what the oldest program among them can apply.
     pub(super) fn raise_format(&mut self, now_ms: f64) {
         let proposed_ms = self.format_proposed_ms;
         let due = proposed_ms.is_none_or(|at_ms| now_ms - at_ms > PROPOSAL_INTERVAL_MS);
@@ -37,13 +39,14 @@
         }
     }
 
-    /// The newest format version that all members speak. One that is down may come back as an older program.
+    /// Returns the newest format version that all members support. A member that is down counts
+    /// with the oldest version, because it may return as an older program.
     fn common_format(&self, now_ms: f64) -> u16 {
         let is_up = |id: &u64| {
             let heard_ms = self.last_heard_ms.get(id);
             *id == self.id() || heard_ms.is_some_and(|at_ms| now_ms - at_ms < SILENT_MS)
         };
-        let members = self.state.members.iter().filter(|(_, m)| !m.gone);
+        let members = self.state.members.iter().filter(|(_, m)| !m.removed);
         let formats = members.map(|(id, member)| match is_up(id) {
             true => self.newest_format_of(&member.name),
             false => OLDEST_FORMAT,
--- a/crates/group/src/member/loaded.rs
+++ b/crates/group/src/member/loaded.rs
@@ -1,15 +1,15 @@
-//! What a member's folder holds: of a new group, of a member that was just admitted, and of a group that is begun anew
-//! from what is left of a lost one.
+//! The content of a member's folder: for a new group, for a member that was just admitted, and for
+//! a group that is recovered from a remaining folder of a lost one.
 
 use super::MemberFailure;
 use crate::record::{ConfRecord, EntryRecord, HardRecord, LogPosition, SnapshotRecord};
 use crate::state::{Proposed, State};
 use raft::eraftpb::EntryType;
 
-/// What a folder holds.
+/// The content of a member's folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredMember {
-    /// The group.
+    /// The group id.
     pub group: u64,
     /// The member's incarnation.
     pub id: u64,
@@ -17,25 +17,27 @@
     pub hard: HardRecord,
     /// The last snapshot.
     pub snapshot: SnapshotRecord,
-    /// The last position that was compacted away.
+    /// The last position that was compacted.
     pub compacted: LogPosition,
-    /// The log behind it.
+    /// The log after the compacted position.
     pub entries: Vec<EntryRecord>,
 }
 
-/// A group that was begun anew from one folder, and how much of that folder's log was known as committed.
+/// A group that was recovered from one folder, and how much of the folder's log was known to be
+/// committed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
-    /// The new group's first folder.
+    /// The content of the first folder of the new group.
     pub loaded: StoredMember,
-    /// The last index that was known as committed in the old group.
+    /// The last index that was known to be committed in the old group.
     pub committed: u64,
-    /// The last index of the old log: those between the two were carried out though nobody knows if the old group did.
+    /// The last index of the old log. Entries after `committed` were applied although it is unknown
+    /// whether the old group had committed them.
     pub last: u64,
 }
 
 impl StoredMember {
-    /// The folder of a new group's first member.
+    /// Returns the folder of a new group's first member.
     pub fn first(group: u64, name: &str, address: &str, nonce: u64) -> StoredMember {
         const FIRST_ID: u64 = 1;
         let start = LogPosition { index: 1, term: 1 };
@@ -43,7 +45,7 @@
         StoredMember::at_snapshot(group, FIRST_ID, start, start.term, &state)
     }
 
-    /// The folder of a member that has just been admitted.
+    /// Returns the folder of a member that has just been admitted.
     pub fn admitted(group: u64, id: u64) -> StoredMember {
         StoredMember {
             group,
@@ -52,10 +54,11 @@
         }
     }
 
-    /// A new group from what one folder holds, committed or not: nobody else is left who could know.
+    /// Recovers a new group from this folder, including entries that are not known to be committed:
+    /// no other member is left that could confirm them.
     ///
     /// # Errors
-    /// The folder's snapshot cannot be read.
+    /// The snapshot of the folder cannot be decoded.
     pub fn recover(
         self,
         group: u64,
@@ -63,10 +66,10 @@
         address: &str,
         nonce: u64,
     ) -> Result<Recovered, MemberFailure> {
-        let mut state = State::decode(&self.snapshot.data).ok_or(MemberFailure::State)?;
+        let mut state = State::decode(&self.snapshot.data).ok_or(MemberFailure::InvalidSnapshot)?;
         let mut last = self.snapshot.position();
-        let behind = |entry: &&EntryRecord| entry.index > self.snapshot.index;
-        for entry in self.entries.iter().filter(behind) {
+        let after_snapshot = |entry: &&EntryRecord| entry.index > self.snapshot.index;
+        for entry in self.entries.iter().filter(after_snapshot) {
             last = LogPosition {
                 index: entry.index,
                 term: entry.term,
@@ -79,8 +82,8 @@
             }
         }
         let committed = self.hard.commit.max(self.snapshot.index);
-        let (state, id) = state.alone(group, name, address, nonce);
-        // Beyond every term of the old group.
+        let (state, id) = state.into_single_member(group, name, address, nonce);
+        // Higher than every term of the old group.
         let term = self.hard.term.max(last.term) + 1;
         Ok(Recovered {
             loaded: StoredMember::at_snapshot(group, id, last, term, &state),
@@ -89,7 +92,7 @@
         })
     }
 
-    /// A folder with a snapshot and no log, whose only voter is this member.
+    /// Returns a folder with a snapshot and no log, whose only voter is this member.
     fn at_snapshot(group: u64, id: u64, at: LogPosition, term: u64, state: &State) -> StoredMember {
         let conf = ConfRecord {
             voters: vec![id],
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Whether the log has no hole and reaches what was committed.
+    /// Whether the log has no gap and reaches the commit index.
     pub(super) fn is_contiguous(&self) -> bool {
         let first = self.compacted.index + 1;
         let last = self.compacted.index + self.entries.len() as u64;
--- a/crates/group/src/member/membership.rs
+++ b/crates/group/src/member/membership.rs
@@ -1,20 +1,21 @@
-//! Who is admitted, and who votes: the leader brings the voters in line with the members that the group agreed on, one
-//! step at a time.
+//! Admission and voting: the leader adapts the voters to the members that the group has agreed on,
+//! one configuration change at a time.
 
 use super::{Member, SILENT_MS};
 use crate::state::Proposal;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 use raft::ProgressState;
 
-/// A learner becomes a voter once it lacks at most so many entries.
+/// A learner becomes a voter once it lacks at most this many entries.
 const MAX_LEARNER_LAG: u64 = 64;
-/// Between two proposals to admit the same member, ms.
+/// Interval between two proposals to admit the same member, ms.
 const ADMIT_INTERVAL_MS: f64 = 1000.0;
 
 /// The next change of the configuration.
 enum Step {
     AddLearner(u64),
-    /// In one step with the voters that it replaces: there are never fewer votes in between.
+    /// Makes the learner a voter and removes the voters that it replaces in one change, so that the
+    /// number of voters does not drop in between.
     Promote {
         learner: u64,
         replaced: Vec<u64>,
@@ -49,12 +50,13 @@
 }
 
 impl Member {
-    /// A member says that its folder is empty. Its incarnation, if it has been admitted.
+    /// Handles the request of a member with an empty folder to join. Returns its incarnation, if it
+    /// has been admitted.
     pub fn join(&mut self, now_ms: f64, name: &str, nonce: u64) -> Option<u64> {
         if let Some(id) = self.state.admitted(name, nonce) {
             return Some(id);
         }
-        // An older program could not carry out what the log may hold by now.
+        // An older program could not apply entries that the log may contain by now.
         if self.newest_format_of(name) < self.state.format_version() {
             return None;
         }
@@ -75,18 +77,19 @@
         None
     }
 
-    /// Two processes may be started under one name, one of them with an empty folder. The one that still speaks must
-    /// not lose its vote to it: it is replaced only when this leader has heard nothing of it for a while.
+    /// Whether a member with an empty folder may be admitted. Two processes may run under one name,
+    /// one of them with an empty folder. The one that is still active must not lose its vote to the
+    /// other: it is replaced only if this leader has received nothing from it for a while.
     fn may_admit(&self, now_ms: f64, name: &str) -> bool {
         let Some((id, _)) = self.state.incarnation(name) else {
             return true;
         };
-        let is_past = |since_ms: f64| now_ms - since_ms > SILENT_MS;
+        let is_long_ago = |since_ms: f64| now_ms - since_ms > SILENT_MS;
         let heard_ms = self.last_heard_ms.get(&id);
-        self.leading_since_ms.is_some_and(is_past) && heard_ms.is_none_or(|at| is_past(*at))
+        self.leading_since_ms.is_some_and(is_long_ago) && heard_ms.is_none_or(|at| is_long_ago(*at))
     }
 
-    /// Gives leadership away, if it has it, to the voter that lacks least.
+    /// Transfers leadership, if this member leads, to the voter that lacks the fewest entries.
     pub fn step_down(&mut self) {
         if !self.leads() {
             return;
@@ -98,7 +101,8 @@
         }
     }
 
-    /// The leader proposes the next step towards the voters that the state asks for, if no other one is on its way.
+    /// Proposes the next change towards the voters that the state requires, if this member leads
+    /// and no other change is in progress.
     pub(super) fn reconcile_members(&mut self) {
         let in_change = self.node.raft.has_pending_conf() || !self.conf.voters_outgoing.is_empty();
         if !self.leads() || in_change {
@@ -115,36 +119,36 @@
 
     fn next_step(&self) -> Option<Step> {
         let (voters, learners) = (&self.conf.voters, &self.conf.learners);
-        let wanted = self.state.wanted();
+        let target_voters = self.state.target_voters();
         let is_new = |id: &&u64| !voters.contains(id) && !learners.contains(id);
-        if let Some(id) = wanted.iter().find(is_new) {
+        if let Some(id) = target_voters.iter().find(is_new) {
             return Some(Step::AddLearner(*id));
         }
         let is_ready = |id: &&u64| learners.contains(id) && self.has_caught_up(**id);
-        if let Some(learner) = wanted.iter().find(is_ready) {
+        if let Some(learner) = target_voters.iter().find(is_ready) {
             let replaced = voters.iter().filter(|old| self.replaces(*learner, **old));
             return Some(Step::Promote {
                 learner: *learner,
                 replaced: replaced.copied().collect(),
             });
         }
-        // One whose replacement still catches up votes until then.
+        // A voter whose replacement is still catching up keeps its vote until then.
         let awaits_replacement = |old: u64| {
-            let mut new = wanted.iter().filter(|id| learners.contains(id));
+            let mut new = target_voters.iter().filter(|id| learners.contains(id));
             new.any(|id| self.replaces(*id, old))
         };
         let mut present = voters.iter().chain(learners);
         present
-            .find(|id| !wanted.contains(id) && !awaits_replacement(**id))
+            .find(|id| !target_voters.contains(id) && !awaits_replacement(**id))
             .map(|id| Step::Remove(*id))
     }
 
     fn replaces(&self, id: u64, old: u64) -> bool {
         let member = self.state.members.get(&id);
-        member.is_some_and(|member| member.place_of.contains(&old))
+        member.is_some_and(|member| member.replaced_ids.contains(&old))
     }
 
-    /// Whether a learner lacks so little that the group is not held up by its vote.
+    /// Whether a learner lacks so few entries that its vote does not delay the group.
     fn has_caught_up(&self, id: u64) -> bool {
         let raft = &self.node.raft;
         let Some(progress) = raft.prs().get(id) else {
--- a/crates/group/src/member/mod.rs
+++ b/crates/group/src/member/mod.rs
@@ -1,7 +1,8 @@
-//! One member: the library's consensus with the state machine on it, and what a process has to do for it. It owns when
-//! a proposal is sent again, when it is given up, who is to vote, and when old entries go. It must never send what
-//! follows from a write that is not on the disk (the caller writes each [`Batch`](crate::Batch) before it asks for
-//! messages), nor call a proposal done before it came back committed.
+//! One member: the consensus library with the state machine on it, and the work that a process has
+//! to do for it. The module decides when a proposal is retried or given up, which members vote, and
+//! when old entries are compacted. It sends nothing that follows from a write before that write is
+//! on the disk (the caller writes each [`Batch`](crate::Batch) before it asks for messages), and it
+//! reports a proposal as done only after it was committed.
 
 mod apply;
 mod calls;
@@ -28,69 +29,71 @@
 use raft::{Config, RawNode};
 use std::collections::BTreeMap;
 
-/// A member that has said nothing for so long may be down: it may be admitted anew with an empty folder, and its program
-/// may come back as an older one, ms.
+/// A member that has sent nothing for this long may be down: it may be admitted again with an empty
+/// folder, and its program may be replaced by an older one, ms.
 const SILENT_MS: f64 = 3000.0;
-/// Entries that one message holds at most, bytes.
+/// Most bytes of entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 256 << 10;
-/// Messages with entries that a member has not acknowledged, at most.
+/// Most messages with entries that a member has not acknowledged.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 
-/// What has happened.
+/// An event that a member reports to its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A call of this number is committed, and in the state of this member.
+    /// The call of this number is committed and applied to this member's state.
     Done(u64, Outcome),
-    /// A call of this number has no result in time. True: it was sent, and may still take effect.
+    /// The call of this number has expired. True: it was sent, and may still take effect.
     Expired(u64, bool),
-    /// Another ingress's proposal is committed, and in the state of this member.
+    /// The proposal of another ingress is committed and applied to this member's state.
     DoneFor(OpId, Outcome),
-    /// Another ingress's proposal has no result in time. True: it was sent, and may still take effect.
+    /// The proposal of another ingress has expired. True: it was sent, and may still take effect.
     ExpiredFor(OpId, bool),
-    /// The state is now at least what it was, anywhere, when this read was asked for.
+    /// The state is at least as new as it was on any member when the read of this number was
+    /// requested.
     Read(u64),
     /// The state has changed.
     Changed,
 }
 
-/// A member.
+/// A member of the group.
 pub struct Member {
     settings: Settings,
     node: RawNode<LogReplica>,
     group: u64,
     state: State,
     conf: ConfState,
-    /// The last index that is carried out.
+    /// The last log index that is applied.
     applied: u64,
     last_tick_ms: f64,
-    /// When a leader was last heard of; before that, when this process incarnation began.
+    /// When the member last heard from a leader; before that, when this process incarnation
+    /// started.
     leader_heard_ms: f64,
-    /// Whether a leader has been heard of in this process incarnation.
+    /// Whether the member has heard from a leader in this process incarnation.
     leader_known: bool,
     leading_since_ms: Option<f64>,
-    /// By incarnation.
+    /// When each member was last heard from, by incarnation.
     last_heard_ms: BTreeMap<u64, f64>,
-    /// By number.
+    /// Pending calls by number.
     calls: BTreeMap<u64, PendingCall>,
     last_call: u64,
-    /// By name.
+    /// When the admission of each member was last proposed, by name.
     admit_proposed_ms: BTreeMap<String, f64>,
-    /// Snapshots that were sent and may not have been taken, by incarnation.
+    /// When each snapshot was sent that may not have been received, by incarnation.
     snapshots_sent_ms: BTreeMap<u64, f64>,
-    /// The newest format version that each name's program has said to speak.
+    /// The newest format version that each member's program has announced, by name.
     newest_formats: BTreeMap<String, u16>,
     format_proposed_ms: Option<f64>,
     pending_write: Option<PendingWrite>,
     messages: Vec<MessageRecord>,
     events: Vec<Event>,
-    lost: Option<MemberFailure>,
+    failure: Option<MemberFailure>,
 }
 
 impl Member {
-    /// A member with what its folder holds.
+    /// Creates a member from the content of its folder.
     ///
     /// # Errors
-    /// The folder's content makes no sense, or is of a newer format version than the settings allow.
+    /// The folder's content is inconsistent, or of a newer format version than the settings allow.
     pub fn new(
         settings: Settings,
         loaded: StoredMember,
@@ -98,7 +101,7 @@
     ) -> Result<Member, MemberFailure> {
         let state = initial_state(&settings, &loaded)?;
         if !loaded.is_contiguous() {
-            return Err(MemberFailure::Gap);
+            return Err(MemberFailure::LogGap);
         }
         let (group, applied) = (loaded.group, loaded.snapshot.index);
         let conf = loaded.snapshot.conf.clone().conf();
@@ -124,43 +127,43 @@
             pending_write: None,
             messages: Vec::new(),
             events: vec![Event::Changed],
-            lost: None,
+            failure: None,
         };
         member.after_step(now_ms);
         Ok(member)
     }
 
-    /// Its group.
+    /// Returns the group id.
     pub fn group(&self) -> u64 {
         self.group
     }
 
-    /// Its incarnation.
+    /// Returns the member's incarnation.
     pub fn id(&self) -> u64 {
         self.node.raft.id
     }
 
-    /// What is agreed, as far as it is known here.
+    /// Returns the group's state, as far as this member has applied the log.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The last index of the log that is carried out here.
+    /// Returns the last log index that this member has applied.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// Why it must not go on; none: it may.
+    /// Returns why the member must stop; `None`: it may continue.
     pub fn failure(&self) -> Option<MemberFailure> {
-        self.lost
+        self.failure
     }
 
-    /// Takes the messages that are to be sent.
+    /// Returns and clears the messages to send.
     pub fn messages(&mut self) -> Vec<MessageRecord> {
         std::mem::take(&mut self.messages)
     }
 
-    /// Takes what has happened.
+    /// Returns and clears the events since the last call.
     pub fn events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
@@ -169,10 +172,10 @@
 fn initial_state(settings: &Settings, loaded: &StoredMember) -> Result<State, MemberFailure> {
     let state = match loaded.snapshot.index {
         0 => State::default(),
-        _ => State::decode(&loaded.snapshot.data).ok_or(MemberFailure::State)?,
+        _ => State::decode(&loaded.snapshot.data).ok_or(MemberFailure::InvalidSnapshot)?,
     };
     if state.format_version() > settings.newest_format {
-        return Err(MemberFailure::Form(state.format_version()));
+        return Err(MemberFailure::UnsupportedFormat(state.format_version()));
     }
     Ok(state)
 }
@@ -189,7 +192,7 @@
         loaded.compacted,
         hard.hard(),
         loaded.snapshot.conf.conf(),
-        entries.ok_or(MemberFailure::Gap)?,
+        entries.ok_or(MemberFailure::LogGap)?,
     );
     let config = Config {
         id: loaded.id,
@@ -203,5 +206,5 @@
         ..Config::default()
     };
     let no_logger = slog::Logger::root(slog::Discard, slog::o!());
-    RawNode::new(&config, log, &no_logger).map_err(|_| MemberFailure::Library)
+    RawNode::new(&config, log, &no_logger).map_err(|_| MemberFailure::Raft)
 }
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -1,5 +1,6 @@
-//! What has to be on the disk, and what waits for it. Nothing that follows from a write is sent before the write is
-//! done: a member that acknowledged an entry and lost it would break the promise that rests on it.
+//! Writes to the disk, and messages that wait for them. Nothing that follows from a write is sent
+//! before the write is done: a member that acknowledged an entry and then lost it would break the
+//! promise that depends on that entry.
 
 use super::{Event, Member, MemberFailure};
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
@@ -7,14 +8,14 @@
 use raft::eraftpb::{Message, Snapshot};
 use raft::Ready;
 
-/// A snapshot that came from another member.
+/// A snapshot from another member.
 struct ReceivedSnapshot {
     snapshot: Snapshot,
-    /// None: it cannot be read.
+    /// `None`: the snapshot cannot be decoded.
     state: Option<State>,
 }
 
-/// A batch on its way to the disk, and what waits for it.
+/// A batch that is being written, and the messages that wait for it.
 pub(super) struct PendingWrite {
     /// The library's number of the batch.
     number: u64,
@@ -23,21 +24,22 @@
 }
 
 impl Member {
-    /// What has to be on the disk next; none: nothing, or an earlier batch is not there yet. Every batch is to be
-    /// followed by [`Member::written`]; meanwhile the member takes messages, and sends what follows from no write.
+    /// Returns the next batch to write; `None`: there is nothing to write, or an earlier batch is
+    /// not on the disk yet. Each batch must be followed by [`Member::written`]. Meanwhile the
+    /// member handles messages and sends those that follow from no write.
     pub fn batch(&mut self, now_ms: f64) -> Option<Batch> {
-        if self.pending_write.is_some() || self.lost.is_some() || !self.node.has_ready() {
+        if self.pending_write.is_some() || self.failure.is_some() || !self.node.has_ready() {
             return None;
         }
         let mut ready = self.node.ready();
         let mut batch = Batch::default();
-        let received = self.take_snapshot(&ready, &mut batch);
+        let received = self.restore_snapshot(&ready, &mut batch);
         if !self.node.mut_store().append(ready.entries()) {
-            self.lost = Some(MemberFailure::Gap);
+            self.failure = Some(MemberFailure::LogGap);
             return None;
         }
         batch.entries = ready.entries().iter().map(EntryRecord::from).collect();
-        self.take_hard_state(&ready, &mut batch);
+        self.update_hard_state(&ready, &mut batch);
         self.send(now_ms, ready.take_messages());
         for read in ready.take_read_states() {
             self.note_read_index(&read);
@@ -57,8 +59,8 @@
         Some(batch)
     }
 
-    /// A snapshot from the leader takes the place of the log.
-    fn take_snapshot(&mut self, ready: &Ready, batch: &mut Batch) -> Option<ReceivedSnapshot> {
+    /// Replaces the log with a snapshot from the leader.
+    fn restore_snapshot(&mut self, ready: &Ready, batch: &mut Batch) -> Option<ReceivedSnapshot> {
         if ready.snapshot().is_empty() {
             return None;
         }
@@ -70,10 +72,11 @@
         Some(ReceivedSnapshot { snapshot, state })
     }
 
-    fn take_hard_state(&mut self, ready: &Ready, batch: &mut Batch) {
+    fn update_hard_state(&mut self, ready: &Ready, batch: &mut Batch) {
         let Some(hard) = ready.hs() else { return };
         self.node.mut_store().hard = hard.clone();
-        // A commit index alone is learnt again after a start: it is written along with the next batch that must be.
+        // The commit index alone is learned again after a restart, so it is written with the next
+        // batch that must be synced.
         if ready.must_sync() || batch.restored.is_some() {
             batch.hard = Some(hard.into());
         }
@@ -86,15 +89,16 @@
             batch.format_version = Some(self.state.format_version());
         }
         if reconfigured {
-            // Who votes follows from the commit index, and is needed again at the next start: a member that forgot
-            // that it may vote would wait for ever for voters that are gone.
+            // The set of voters follows from the commit index and is needed at the next start: a
+            // member that does not know that it may vote would wait forever for voters that have
+            // been removed.
             let hard = self.node.raft.hard_state();
             self.node.mut_store().hard = hard.clone();
             batch.hard = Some((&hard).into());
         }
     }
 
-    /// Puts a snapshot in place of old entries, once there are many.
+    /// Replaces old entries with a snapshot, once there are many.
     fn compact(&mut self, batch: &mut Batch) {
         let retained = self.settings.retained_entries;
         let (first, applied) = (self.node.store().first(), self.applied);
@@ -116,9 +120,9 @@
         batch.compacted = Some(compacted);
     }
 
-    /// Gives the library a snapshot, if it has asked for one to send.
+    /// Passes a snapshot to the library, if it has requested one to send.
     fn offer_snapshot(&mut self) {
-        if !self.node.store().wants_snapshot() {
+        if !self.node.store().snapshot_requested() {
             return;
         }
         if let Some(snapshot) = self.snapshot() {
@@ -136,7 +140,7 @@
         })
     }
 
-    /// The batch is on the disk.
+    /// Reports that the batch is on the disk.
     pub fn written(&mut self, now_ms: f64) {
         let Some(write) = self.pending_write.take() else {
             return;
@@ -152,10 +156,10 @@
     fn install_snapshot(&mut self, received: ReceivedSnapshot) {
         match received.state {
             Some(state) if state.format_version() > self.settings.newest_format => {
-                self.lost = Some(MemberFailure::Form(state.format_version()));
+                self.failure = Some(MemberFailure::UnsupportedFormat(state.format_version()));
             }
             Some(state) => self.state = state,
-            None => self.lost = Some(MemberFailure::State),
+            None => self.failure = Some(MemberFailure::InvalidSnapshot),
         }
         let metadata = received.snapshot.get_metadata();
         self.conf = metadata.get_conf_state().clone();
--- a/crates/group/src/member/raft_step.rs
+++ b/crates/group/src/member/raft_step.rs
@@ -1,4 +1,4 @@
-//! Time and messages for the consensus library: its ticks, what other members send, and its election timeouts.
+//! Input of the consensus library: ticks, messages from other members, and election timeouts.
 
 use super::{Member, MemberFailure};
 use crate::record::MessageRecord;
@@ -6,13 +6,14 @@
 use raft::eraftpb::{Message, MessageType};
 use raft::{ProgressState, SnapshotStatus, StateRole};
 
-/// A member that was stalled makes up for at most so many ticks: it listens before it seeks votes.
+/// Most ticks that a member makes up for after a stall: it processes messages before it starts an
+/// election.
 const MAX_TICKS_AT_ONCE: u32 = 2;
-/// A snapshot that was sent and not taken after this is sent again, ms.
+/// A snapshot that was not received within this time is sent again, ms.
 const SNAPSHOT_TIMEOUT_MS: f64 = 3000.0;
 
 impl Member {
-    /// Time goes by. To be called at least once a tick.
+    /// Advances the time. Must be called at least once per tick.
     pub fn tick(&mut self, now_ms: f64) {
         let mut ticks = 0;
         while now_ms - self.last_tick_ms >= self.settings.tick_ms {
@@ -34,8 +35,8 @@
         self.retry_calls(now_ms);
     }
 
-    /// A snapshot may be lost on its way, and the library waits for its end: without a report the member it was for
-    /// would never be sent another.
+    /// Reports lost snapshots to the library. It waits for the end of each transfer: without a
+    /// report the receiver would never be sent another snapshot.
     fn expire_snapshots(&mut self, now_ms: f64) {
         let expired: Vec<u64> = self
             .snapshots_sent_ms
@@ -52,7 +53,7 @@
         }
     }
 
-    /// A message has come.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now_ms: f64, message: MessageRecord) {
         let from = message.from;
         let Some(message) = message.message().filter(|m| m.to == self.id()) else {
@@ -60,7 +61,7 @@
         };
         self.last_heard_ms.insert(from, now_ms);
         if self.shows_lost_entries(&message) {
-            self.lost = Some(MemberFailure::Behind);
+            self.failure = Some(MemberFailure::LostEntries);
             return;
         }
         if is_unreadable_proposal(&message) {
@@ -75,8 +76,10 @@
         self.after_step(now_ms);
     }
 
-    /// A heartbeat names as committed only what this member has acknowledged. If the log is shorter, the disk has lost
-    /// what it had confirmed, and the library would abort on it: the member must not vote on.
+    /// Whether a message shows that the disk has lost entries. The commit index of a heartbeat
+    /// covers only entries that this member has acknowledged. If the log is shorter, acknowledged
+    /// entries are missing, the library would abort on the message, and the member must not vote
+    /// any more.
     fn shows_lost_entries(&self, message: &Message) -> bool {
         let raft = &self.node.raft;
         message.get_msg_type() == MessageType::MsgHeartbeat
@@ -84,12 +87,13 @@
             && message.commit > raft.raft_log.last_index()
     }
 
-    /// A message could not be sent.
+    /// Reports that a message to this member could not be sent.
     pub fn unreachable(&mut self, id: u64) {
         self.node.report_unreachable(id);
     }
 
-    /// To be called after each step of the library: draws the election timeout anew, and notes who leads.
+    /// Sets a new election timeout and records who leads. Must be called after each step of the
+    /// library.
     pub(super) fn after_step(&mut self, now_ms: f64) {
         let election_timeout = self.election_timeout_ticks();
         let raft = &mut self.node.raft;
@@ -104,22 +108,25 @@
         }
     }
 
-    /// The library draws election timeouts from the thread's generator. Here they follow from seed, incarnation, term
-    /// and role, so that a run can be repeated, and come from a part of the range that is this voter's own in that
-    /// term: two candidates at once would split the votes.
+    /// Returns the next election timeout. The library draws it from a thread-local random
+    /// generator. Here it follows from the seed, incarnation, term and role, so that a run can be
+    /// repeated, and lies in a part of the range that belongs to this voter alone in that term: two
+    /// candidates at the same time would split the votes.
     fn election_timeout_ticks(&self) -> usize {
         let raft = &self.node.raft;
         let min_ticks = self.settings.election_ticks as u64;
         let voters = (self.conf.voters.len() as u64).clamp(1, min_ticks);
         let rank = self.conf.voters.iter().filter(|id| **id < raft.id).count() as u64;
-        let part = min_ticks / voters;
-        let own_part = (rank + raft.term) % voters;
-        let drawn = mix([self.settings.seed, raft.id, raft.term, raft.state as u64]) % part;
-        (min_ticks + own_part * part + drawn) as usize
+        let slot_ticks = min_ticks / voters;
+        let slot = (rank + raft.term) % voters;
+        let offset =
+            hash_words([self.settings.seed, raft.id, raft.term, raft.state as u64]) % slot_ticks;
+        (min_ticks + slot * slot_ticks + offset) as usize
     }
 }
 
-/// A proposal that nobody could carry out would stop every member that reads it in the log.
+/// Whether a message proposes an entry that cannot be decoded: in the log, it would stop every
+/// member that applies it.
 fn is_unreadable_proposal(message: &Message) -> bool {
     let mut entries = message.entries.iter();
     message.get_msg_type() == MessageType::MsgPropose
@@ -133,8 +140,8 @@
     )
 }
 
-/// A hash whose low bits vary with every word.
-fn mix(words: [u64; 4]) -> u64 {
+/// Hashes the words so that the low bits depend on every word.
+fn hash_words(words: [u64; 4]) -> u64 {
     words.iter().fold(0x9e37_79b9_7f4a_7c15, |hash, word| {
         let mixed = (hash ^ word).wrapping_mul(0xff51_afd7_ed55_8ccd);
         (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53)
--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -1,74 +1,77 @@
-//! What a member says of itself: its role, who leads, how old its replica is.
+//! The status of a member: its role, the leader, and the age of its state.
 
 use super::Member;
 use raft::StateRole;
 
-/// What a member is to the consensus library.
+/// The role of a member in the consensus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It leads.
+    /// The leader.
     Leader,
-    /// It follows a leader.
+    /// A voter that follows a leader.
     Follower,
-    /// A candidate: it seeks votes.
+    /// A candidate, which requests votes.
     Candidate,
-    /// A learner: it copies and does not vote.
+    /// A learner, which replicates the log and does not vote.
     Learner,
 }
 
-/// How another member stands, as the leader sees it.
+/// The replication status of one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Health {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub id: u64,
-    /// Whether it votes.
+    /// Whether the member votes.
     pub votes: bool,
-    /// Entries that it lacks; none: only the leader knows.
+    /// Number of entries that the member lacks; `None`: not known, because only the leader tracks
+    /// it.
     pub lag: Option<u64>,
 }
 
-/// What a member says of itself.
+/// The status that a member reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
-    /// What it is.
+    /// The member's role.
     pub role: Role,
     /// The leader's name; none: there is no leader.
     pub leader: Option<String>,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The last index that is carried out here.
+    /// The last log index that this member has applied.
     pub applied: u64,
-    /// The last index that is known as committed.
+    /// The last log index that is known to be committed.
     pub committed: u64,
-    /// So long ago it last heard of the group's leader, ms; infinite: not since it was started.
+    /// Time since the member last heard from the group's leader, ms; infinite: not since its start.
     pub age_ms: f64,
-    /// All members.
+    /// All members of the group.
     pub members: Vec<Health>,
-    /// The configuration is joint: until that ends a majority of the earlier voters is needed as well.
+    /// Whether the configuration is joint, so that a majority of the earlier voters is required as
+    /// well.
     pub changing: bool,
     /// The format version of the log.
     pub format_version: u16,
 }
 
 impl Member {
-    /// The leader's incarnation; none: nobody that is known.
+    /// Returns the leader's incarnation; `None`: no leader is known.
     pub fn leader(&self) -> Option<u64> {
         Some(self.node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// Whether it leads.
+    /// Whether this member is the leader.
     pub fn leads(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// How many vote.
+    /// Returns the number of voters.
     pub fn voters(&self) -> usize {
         self.conf.voters.len()
     }
 
-    /// So long ago it last heard of the group's leader, ms; infinite: not since it was started.
+    /// Returns the time since the member last heard from the group's leader, ms; infinite: not
+    /// since its start.
     pub fn age_ms(&self, now_ms: f64) -> f64 {
         if self.leader_known {
             now_ms - self.leader_heard_ms
@@ -77,7 +80,7 @@
         }
     }
 
-    /// How it stands.
+    /// Returns the member's status.
     pub fn status(&self, now_ms: f64) -> MemberStatus {
         let leader = self.leader().and_then(|id| self.state.members.get(&id));
         MemberStatus {
@@ -119,7 +122,8 @@
         health.collect()
     }
 
-    /// When this leader last knew that a majority was there. A leader that was stalled does not know it any more.
+    /// Returns when this leader last knew that a majority was reachable. After a stall of the
+    /// leader that time lies in the past.
     pub(super) fn majority_heard_ms(&self, now_ms: f64) -> f64 {
         let others = self.conf.voters.iter().filter(|id| **id != self.id());
         let mut times: Vec<f64> = others
--- a/crates/group/src/peer/frames.rs
+++ b/crates/group/src/peer/frames.rs
@@ -1,4 +1,5 @@
-//! The frames between this ingress and the others: what comes in, and what is to be sent by which route.
+//! Frames between this ingress and the others: handling of received frames, and routing of those to
+//! send.
 
 use super::{Admission, Joining, Peer, Stage};
 use crate::forwarding_routes::Route;
@@ -6,25 +7,26 @@
 use crate::member::Member;
 use crate::record::MessageRecord;
 
-/// An ingress with an empty folder asks this often to be admitted, ms.
+/// Interval at which an ingress with an empty folder asks to be admitted, ms.
 const JOIN_INTERVAL_MS: f64 = 500.0;
-/// Every member reports whom it hears this often, ms.
+/// Interval at which a member reports the members from which it receives frames, ms.
 const REPORT_INTERVAL_MS: f64 = 150.0;
 
 impl Peer {
-    /// A frame has come over a link that this one opened, from the incarnation (0: none) that greeted by it.
+    /// Handles a frame from the link that `from` has opened. `id` is the incarnation in the
+    /// greeting of that link (0: none).
     pub fn receive(&mut self, now_ms: f64, from: &str, id: u64, frame: Frame) {
         self.note_name(from, id);
         self.routes.note_heard(now_ms, from);
         match frame {
-            Frame::Raft(message) | Frame::Forwarded(message) => self.take_message(now_ms, message),
+            Frame::Raft(message) | Frame::Forwarded(message) => self.step_message(now_ms, message),
             Frame::Forward(message) => self.forward_message(now_ms, message),
-            Frame::Reachability { of, hears } => self.take_report(now_ms, from, of, hears),
-            Frame::Join { nonce } => self.answer_join(now_ms, from, nonce),
+            Frame::Reachability { of, hears } => self.handle_report(now_ms, from, of, hears),
+            Frame::Join { nonce } => self.handle_join(now_ms, from, nonce),
             Frame::Admitted { group, id, nonce } => {
-                self.take_admission(nonce, Admission { group, id });
+                self.handle_admission(nonce, Admission { group, id });
             }
-            // Between followers and members only, on the follower's connection.
+            // Exchanged between followers and members only, on the follower's connection.
             Frame::Follow { .. }
             | Frame::Call { .. }
             | Frame::Answer { .. }
@@ -41,7 +43,7 @@
         self.names.insert(id, name.into());
     }
 
-    fn take_message(&mut self, now_ms: f64, message: MessageRecord) {
+    fn step_message(&mut self, now_ms: f64, message: MessageRecord) {
         if let Some(member) = self.member_mut() {
             member.receive(now_ms, message);
         }
@@ -50,12 +52,13 @@
     fn forward_message(&mut self, now_ms: f64, message: MessageRecord) {
         match self.name_of(message.to) {
             Some(to) if to != self.settings.name => self.forward(to, Frame::Forwarded(message)),
-            _ => self.take_message(now_ms, message),
+            _ => self.step_message(now_ms, message),
         }
     }
 
-    /// A report that came from its own member is forwarded to all others; one that was forwarded is not.
-    fn take_report(&mut self, now_ms: f64, from: &str, of: String, hears: Vec<String>) {
+    /// Records a report. If it comes directly from the member that it describes, it is also
+    /// forwarded to all others.
+    fn handle_report(&mut self, now_ms: f64, from: &str, of: String, hears: Vec<String>) {
         if of == from {
             let report = Frame::Reachability {
                 of: of.clone(),
@@ -70,7 +73,7 @@
         }
     }
 
-    fn answer_join(&mut self, now_ms: f64, from: &str, nonce: u64) {
+    fn handle_join(&mut self, now_ms: f64, from: &str, nonce: u64) {
         let Some(member) = self.member_mut() else {
             return;
         };
@@ -81,7 +84,7 @@
         }
     }
 
-    fn take_admission(&mut self, nonce: u64, admission: Admission) {
+    fn handle_admission(&mut self, nonce: u64, admission: Admission) {
         if let Stage::Joining(joining) = &mut self.stage {
             if joining.nonce == nonce {
                 joining.admission.get_or_insert(admission);
@@ -89,8 +92,9 @@
         }
     }
 
-    /// Sends another member's frame on. An ingress that is no member must not: its links have greeted as no member, and
-    /// the other end closes a link that carries such a frame, and with it the request to be admitted.
+    /// Sends a frame on behalf of another member. Only a member may do so: the links of an ingress
+    /// that has not been admitted carry no incarnation, and the other end closes a link that
+    /// carries such a frame, which also loses the request to be admitted.
     fn forward(&mut self, to: String, frame: Frame) {
         if self.member().is_some() {
             self.frames.push((to, frame));
@@ -104,7 +108,7 @@
         name.or_else(|| self.names.get(&id)).cloned()
     }
 
-    /// Time goes by.
+    /// Advances the time.
     pub fn tick(&mut self, now_ms: f64) {
         match &mut self.stage {
             Stage::Member(member) => {
@@ -113,12 +117,12 @@
             }
             Stage::Joining(Joining { nonce, .. }) => {
                 let nonce = *nonce;
-                self.ask_to_join(now_ms, nonce);
+                self.request_admission(now_ms, nonce);
             }
         }
     }
 
-    fn ask_to_join(&mut self, now_ms: f64, nonce: u64) {
+    fn request_admission(&mut self, now_ms: f64, nonce: u64) {
         if now_ms - self.last_join_ms > JOIN_INTERVAL_MS {
             self.last_join_ms = now_ms;
             self.send_to_all(&Frame::Join { nonce });
@@ -142,7 +146,7 @@
         self.frames.extend(frames);
     }
 
-    /// Takes what is to be sent, and to whom.
+    /// Returns and clears the frames to send, with the names of their receivers.
     pub fn frames(&mut self, now_ms: f64) -> Vec<(String, Frame)> {
         let messages = self.member_mut().map(Member::messages).unwrap_or_default();
         for message in messages {
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -1,5 +1,6 @@
-//! One ingress in the group, from an empty folder on: it asks to be admitted, is admitted, and is a member from then on.
-//! It owns what goes to whom and by which route. It must never speak as a member before its folder says which one it is.
+//! One ingress in the group, starting with an empty folder: it asks to be admitted, is admitted,
+//! and is a member from then on. The module decides which frame goes to whom and by which route.
+//! The ingress sends nothing as a member before its folder records its incarnation.
 
 mod frames;
 
@@ -10,23 +11,23 @@
 use crate::subscribers::Subscribers;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What has to be on the disk before anything that follows from it.
+/// A write that must be on the disk before anything that follows from it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteJob {
-    /// The empty folder becomes this incarnation's.
+    /// Assigns the empty folder to this incarnation.
     Begin {
-        /// The group.
+        /// The group id.
         group: u64,
         /// The incarnation.
         id: u64,
-        /// What tells the folder from every other.
+        /// Identifies the folder, unique among all folders.
         nonce: u64,
     },
-    /// A member's.
+    /// Writes a batch of the member.
     Write(Box<Batch>),
 }
 
-/// Which incarnation an ingress was admitted as.
+/// The incarnation that an ingress was admitted as.
 #[derive(Clone, Copy)]
 struct Admission {
     group: u64,
@@ -35,10 +36,11 @@
 
 /// An ingress with an empty folder.
 struct Joining {
-    /// Tells the folder from every other.
+    /// Identifies the folder, unique among all folders.
     nonce: u64,
     admission: Option<Admission>,
-    /// The newest format version that each other one has said to speak, for the member that this one becomes.
+    /// The newest format version that each other ingress has announced, kept for the member that
+    /// this ingress becomes.
     newest_formats: BTreeMap<String, u16>,
 }
 
@@ -52,7 +54,7 @@
     settings: Settings,
     stage: Stage,
     routes: ForwardingRoutes,
-    /// Names by incarnation, as their links have said them.
+    /// Names by incarnation, from the greetings of their links.
     names: BTreeMap<u64, String>,
     last_join_ms: f64,
     last_report_ms: f64,
@@ -62,7 +64,7 @@
 }
 
 impl Peer {
-    /// With an empty folder, which the nonce tells from every other.
+    /// Creates an ingress with an empty folder, which `nonce` identifies.
     pub fn joining(settings: Settings, nonce: u64) -> Peer {
         let joining = Joining {
             nonce,
@@ -72,10 +74,10 @@
         Peer::new(settings, Stage::Joining(joining))
     }
 
-    /// With what its folder holds.
+    /// Creates a member from the content of its folder.
     ///
     /// # Errors
-    /// That makes no sense.
+    /// The folder's content is inconsistent, or of a newer format version than the settings allow.
     pub fn from_member(
         settings: Settings,
         loaded: StoredMember,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// The member; none: it has not been admitted yet.
+    /// Returns the member; `None`: the ingress has not been admitted yet.
     pub fn member(&self) -> Option<&Member> {
         match &self.stage {
             Stage::Member(member) => Some(member),
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The member, to ask it for something.
+    /// Returns the member for changes and calls; `None`: the ingress has not been admitted yet.
     pub fn member_mut(&mut self) -> Option<&mut Member> {
         match &mut self.stage {
             Stage::Member(member) => Some(member),
@@ -116,29 +118,30 @@
         }
     }
 
-    /// Everybody that this one is to have a link to, and the address.
+    /// Returns the names and addresses of all ingresses that this one keeps a link to.
     pub fn others(&self) -> BTreeMap<String, String> {
         let mut others = self.settings.members.clone();
         if let Some(state) = self.member().map(Member::state) {
             let invited = state.invited.iter().map(|(name, i)| (name, &i.address));
-            let present = state.members.values().filter(|m| !m.gone);
+            let present = state.members.values().filter(|m| !m.removed);
             let members = present.map(|m| (&m.name, &m.address));
             for (name, address) in members.chain(invited) {
-                // An address in the ingress's own file is the one by which it reaches that member.
+                // An address in the settings of this ingress takes precedence: by that one it
+                // reaches the member.
                 let address = || address.clone();
                 others.entry(name.clone()).or_insert_with(address);
             }
-            let gone = state.members.values().filter(|m| m.gone);
-            let gone: BTreeSet<&String> = gone.map(|m| &m.name).collect();
-            others.retain(|name, _| !gone.contains(name) || state.incarnation(name).is_some());
+            let removed = state.members.values().filter(|m| m.removed);
+            let removed: BTreeSet<&String> = removed.map(|m| &m.name).collect();
+            others.retain(|name, _| !removed.contains(name) || state.incarnation(name).is_some());
         }
         others.remove(&self.settings.name);
         others
     }
 
-    /// Another one has opened a link to this one: the newest format version that it speaks.
+    /// Records the newest format version that another ingress has announced when it opened a link.
     pub fn note_newest_format(&mut self, from: &str, newest: u16) {
-        // Followers, and whoever else greets, are no concern of the log.
+        // Followers and unknown ingresses do not affect the format version of the log.
         if !self.others().contains_key(from) {
             return;
         }
@@ -150,12 +153,13 @@
         }
     }
 
-    /// Members that report of late not to hear this one: a link to them that looks sound carries nothing.
+    /// Returns the members whose recent reports do not include this one: a link to them may look
+    /// sound and deliver nothing.
     pub fn unheard_by(&self, now_ms: f64) -> Vec<String> {
         self.routes.unheard_by(now_ms)
     }
 
-    /// What was sent to this member is lost.
+    /// Reports that frames to this member were lost.
     pub fn disconnected(&mut self, name: &str) {
         let Some(member) = self.member_mut() else {
             return;
@@ -165,8 +169,8 @@
         }
     }
 
-    /// What has to be on the disk next; none: nothing, or an earlier job is not done. To be followed by
-    /// [`Peer::written`].
+    /// Returns the next write; `None`: there is nothing to write, or an earlier write is not done.
+    /// Each write must be followed by [`Peer::written`].
     pub fn next_write(&mut self, now_ms: f64) -> Option<WriteJob> {
         match &mut self.stage {
             Stage::Joining(joining) => joining.admission.map(|admission| WriteJob::Begin {
@@ -181,10 +185,10 @@
         }
     }
 
-    /// The job is done.
+    /// Reports that the write is done.
     ///
     /// # Errors
-    /// The member cannot be.
+    /// The admitted member cannot be created.
     pub fn written(&mut self, now_ms: f64) -> Result<(), MemberFailure> {
         match &mut self.stage {
             Stage::Member(member) => member.written(now_ms),
@@ -203,45 +207,48 @@
         Ok(())
     }
 
-    /// A frame has come from a follower, by its connection. False: this one is no member, and has nothing to follow.
+    /// Handles a frame from a follower's connection. Returns false if this ingress is not a member,
+    /// so that there is nothing to follow.
     pub fn receive_from_follower(&mut self, now_ms: f64, from: u64, frame: Frame) -> bool {
         let Stage::Member(member) = &mut self.stage else {
             return false;
         };
-        self.subscribers.hear(now_ms, from, frame, member);
+        self.subscribers.receive(now_ms, from, frame, member);
         true
     }
 
-    /// A follower's connection has ended.
+    /// Removes a follower whose connection has ended.
     pub fn follower_disconnected(&mut self, from: u64) {
-        self.subscribers.gone(from);
+        self.subscribers.disconnected(from);
     }
 
-    /// How many follow this member.
+    /// Returns the number of followers of this member.
     pub fn followers(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Takes what is to be sent to followers, by their connections, and the events that they wait for.
+    /// Returns and clears the frames to send to followers, by connection. Events that followers
+    /// wait for become answers.
     pub fn to_followers(&mut self, now_ms: f64) -> Vec<(u64, Frame)> {
-        self.sort_events(now_ms);
+        self.dispatch_events(now_ms);
         if let Stage::Member(member) = &self.stage {
             self.subscribers.notify(now_ms, None, member);
         }
         self.subscribers.frames()
     }
 
-    /// Takes what has happened, apart from what followers waited for.
+    /// Returns and clears the events that no follower waits for.
     pub fn events(&mut self, now_ms: f64) -> Vec<Event> {
-        self.sort_events(now_ms);
+        self.dispatch_events(now_ms);
         std::mem::take(&mut self.events)
     }
 
-    /// Gives followers the events that they wait for, and puts the others by.
-    fn sort_events(&mut self, now_ms: f64) {
+    /// Answers the followers that wait for events, and keeps the other events.
+    fn dispatch_events(&mut self, now_ms: f64) {
         if let Stage::Member(member) = &mut self.stage {
             self.events.append(&mut member.events());
-            self.subscribers.take(now_ms, &mut self.events, member);
+            self.subscribers
+                .take_events(now_ms, &mut self.events, member);
         }
     }
 }
--- a/crates/group/src/record.rs
+++ b/crates/group/src/record.rs
@@ -1,69 +1,71 @@
-//! The library's messages, entries and snapshots as records of our own: what is written to the disk and sent over the
-//! link. Two versions of the program must agree on them, and they are encoded by position: the order of fields must not
-//! change. The library's own codec must never see bytes that came from outside.
+//! Messages, entries and snapshots of the consensus library as records of this crate, which are
+//! written to the disk and sent over links. Different versions of the program must agree on them,
+//! and they are encoded by position: the order of fields must not change. Bytes from outside never
+//! reach the codec of the library.
 
 mod conversion;
 
 use serde::{Deserialize, Serialize};
 
-/// A place in the log, and the term of the entry there.
+/// A position in the log, and the term of the entry there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The index.
+    /// The log index.
     pub index: u64,
-    /// Its term.
+    /// The term of the entry at the index.
     pub term: u64,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
-    /// The library's number of its kind.
+    /// The library's number of the entry type.
     pub kind: u8,
-    /// The term in which it was made.
+    /// The term in which the entry was created.
     pub term: u64,
-    /// Its index.
+    /// The log index.
     pub index: u64,
-    /// Its content: an encoded [`Proposed`](crate::Proposed), or a change of the configuration.
+    /// The content: an encoded [`Proposed`](crate::Proposed), or a configuration change.
     pub data: Vec<u8>,
-    /// The library's context of it.
+    /// The library's context of the entry.
     pub context: Vec<u8>,
 }
 
-/// The hard state: what a member must remember to keep what it has promised to others.
+/// The hard state: what a member must remember across restarts to keep its votes and
+/// acknowledgements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardRecord {
-    /// The latest term it knows.
+    /// The latest known term.
     pub term: u64,
-    /// The incarnation that it voted for in that term; 0: none.
+    /// The incarnation that the member voted for in that term; 0: none.
     pub vote: u64,
-    /// The last index that is known as committed.
+    /// The last log index that is known to be committed.
     pub commit: u64,
 }
 
-/// The configuration: who votes, and who only copies.
+/// The configuration: voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfRecord {
     /// Voters, by incarnation.
     pub voters: Vec<u64>,
-    /// Learners: they copy and do not vote.
+    /// Learners, which replicate the log and do not vote.
     pub learners: Vec<u64>,
     /// Voters of the earlier configuration, while the configuration is joint.
     pub outgoing: Vec<u64>,
-    /// Learners once the joint configuration ends.
+    /// Members that become learners once the joint configuration ends.
     pub next: Vec<u64>,
-    /// Whether the joint configuration ends by itself.
+    /// Whether the joint configuration ends automatically.
     pub auto_leave: bool,
 }
 
 /// The state at one index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The index.
+    /// The log index.
     pub index: u64,
-    /// Its term.
+    /// The term of the entry at the index.
     pub term: u64,
-    /// The configuration there.
+    /// The configuration at the index.
     pub conf: ConfRecord,
     /// The encoded [`State`](crate::State).
     pub data: Vec<u8>,
@@ -73,9 +75,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageRecord {
     kind: u8,
-    /// To whom.
+    /// The receiver's incarnation.
     pub to: u64,
-    /// From whom.
+    /// The sender's incarnation.
     pub from: u64,
     /// The sender's term.
     pub term: u64,
@@ -92,30 +94,32 @@
     priority: i64,
 }
 
-/// What has to be on the disk, in one piece, before anything that follows from it may be sent or said.
+/// An atomic write, which must be on the disk before anything that follows from it is sent or
+/// acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// A snapshot from another member, which replaces all that was there.
+    /// A snapshot from another member, which replaces everything stored before.
     pub restored: Option<SnapshotRecord>,
-    /// Entries; those on the disk from the index of the first one on go.
+    /// Entries to append. Stored entries from the index of the first one on are dropped.
     pub entries: Vec<EntryRecord>,
     /// The hard state.
     pub hard: Option<HardRecord>,
-    /// A snapshot of this member's own, in place of the entries before it.
+    /// A snapshot of this member's own state, in place of the entries before it.
     pub snapshot: Option<SnapshotRecord>,
-    /// Entries up to here may go.
+    /// Entries up to this position may be dropped.
     pub compacted: Option<LogPosition>,
-    /// The format version of the log, where it has changed: an older program must not use the folder from then on.
+    /// The format version of the log, if it has changed. An older program must not use the folder
+    /// from then on.
     pub format_version: Option<u16>,
 }
 
 impl Batch {
-    /// Whether nothing has to be written.
+    /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
         *self == Batch::default()
     }
 
-    /// Whether others rely on something in it, so that it must be on the disk, and not on its way there.
+    /// Whether other members rely on the batch, so that it must be synced to the disk.
     pub fn must_sync(&self) -> bool {
         self.restored.is_some()
             || !self.entries.is_empty()
@@ -125,7 +129,7 @@
 }
 
 impl SnapshotRecord {
-    /// Its place in the log.
+    /// Returns the position of the snapshot in the log.
     pub fn position(&self) -> LogPosition {
         LogPosition {
             index: self.index,
@@ -135,7 +139,7 @@
 }
 
 impl MessageRecord {
-    /// Whether it carries a snapshot.
+    /// Whether the message carries a snapshot.
     pub fn is_snapshot(&self) -> bool {
         self.snapshot.is_some()
     }
--- a/crates/group/src/record/conversion.rs
+++ b/crates/group/src/record/conversion.rs
@@ -1,10 +1,10 @@
-//! Between the library's types and the records. What came from outside is judged on its way in: the library aborts on
-//! messages that no member of its own would send.
+//! Conversions between the library's types and the records. Records from outside are validated,
+//! because the library aborts on messages that none of its own members would send.
 
 use super::{ConfRecord, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 
-/// Every kind of message, in the order of its number.
+/// All message types, in the order of their numbers.
 const MESSAGE_TYPES: [MessageType; 19] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
@@ -26,7 +26,7 @@
     MessageType::MsgRequestPreVote,
     MessageType::MsgRequestPreVoteResponse,
 ];
-/// The library sends these to itself: they never come from outside.
+/// Message types that the library sends to itself. They are rejected if they come from outside.
 const LOCAL_MESSAGE_TYPES: [MessageType; 5] = [
     MessageType::MsgHup,
     MessageType::MsgBeat,
@@ -34,7 +34,7 @@
     MessageType::MsgSnapStatus,
     MessageType::MsgCheckQuorum,
 ];
-/// Every kind of entry, in the order of its number.
+/// All entry types, in the order of their numbers.
 const ENTRY_TYPES: [EntryType; 3] = [
     EntryType::EntryNormal,
     EntryType::EntryConfChange,
@@ -54,7 +54,7 @@
 }
 
 impl EntryRecord {
-    /// The library's entry; none: no such kind.
+    /// Converts to the library's entry; `None`: the entry type is unknown.
     pub(crate) fn entry(self) -> Option<Entry> {
         let mut entry = Entry::default();
         entry.set_entry_type(*ENTRY_TYPES.get(usize::from(self.kind))?);
@@ -158,9 +158,10 @@
 }
 
 impl MessageRecord {
-    /// The library's message; none: it is of no known kind, or of one that never comes from outside.
+    /// Converts to the library's message; `None`: the message is invalid, or of a type that is
+    /// unknown or must not come from outside.
     pub(crate) fn message(self) -> Option<Message> {
-        let kind = self.sound_kind()?;
+        let kind = self.valid_message_type()?;
         let entries: Option<Vec<Entry>> =
             self.entries.into_iter().map(EntryRecord::entry).collect();
         let mut message = Message::default();
@@ -184,14 +185,15 @@
         Some(message)
     }
 
-    /// Its kind, if the message has what the library expects of that kind.
-    fn sound_kind(&self) -> Option<MessageType> {
+    /// Returns the message type, if the message has the content that the library expects of that
+    /// type.
+    fn valid_message_type(&self) -> Option<MessageType> {
         let kind = *MESSAGE_TYPES.get(usize::from(self.kind))?;
         let needs_snapshot = kind == MessageType::MsgSnapshot;
         if LOCAL_MESSAGE_TYPES.contains(&kind) || needs_snapshot != self.snapshot.is_some() {
             return None;
         }
-        // The library takes the first entry of these without a look at how many there are.
+        // The library reads the first entry of these messages without checking their number.
         let is_request = matches!(kind, MessageType::MsgPropose | MessageType::MsgReadIndex);
         if is_request && self.entries.len() != 1 {
             return None;
--- a/crates/group/src/state/apply.rs
+++ b/crates/group/src/state/apply.rs
@@ -1,5 +1,6 @@
-//! How a committed entry changes the state. The same entries must give the same state on every member: nothing here
-//! asks for a time, a random number or an order that memory happens to have.
+//! Application of committed entries to the state. The same entries must yield the same state on
+//! every member, so nothing here depends on time, random numbers or an iteration order that depends
+//! on memory addresses.
 
 use super::{
     Document, DocumentKind, Incarnation, Invitation, Outcome, Proposal, Proposed, RecentOutcome,
@@ -11,12 +12,12 @@
 const MAX_ENDPOINT_NAME: usize = 120;
 /// Longest address of a member's link, bytes.
 const MAX_ADDRESS: usize = 64;
-/// For so many indexes of the log a repeated proposal is known; one that comes later is refused, since nobody would
-/// know whether it had taken effect.
+/// A repeated proposal is recognized for this many log indexes. A later one is refused, because it
+/// would be unknown whether it had taken effect.
 const DEDUPLICATION_WINDOW: u64 = 4096;
 
 impl State {
-    /// Carries out an entry of the log; what has become of it.
+    /// Applies a log entry and returns its outcome.
     pub fn apply(&mut self, index: u64, proposed: &Proposed) -> Outcome {
         self.forget_outcomes_before(index);
         if proposed.made_at + DEDUPLICATION_WINDOW < index {
@@ -53,7 +54,7 @@
         match proposal {
             Proposal::Suspend(endpoint) => self.suspend(index, endpoint),
             Proposal::Restore(endpoint) => self.restore(endpoint),
-            Proposal::Write(kind, made_from, bytes) => self.write(*kind, *made_from, bytes),
+            Proposal::Write(kind, base_number, bytes) => self.write(*kind, *base_number, bytes),
             Proposal::Admit {
                 name,
                 address,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Writes a new version, if nobody wrote one since the version that it was made from.
-    fn write(&mut self, kind: DocumentKind, made_from: u64, bytes: &[u8]) -> Outcome {
+    /// Writes a new version of a document, if it has not been changed since version `base_number`.
+    fn write(&mut self, kind: DocumentKind, base_number: u64, bytes: &[u8]) -> Outcome {
         if bytes.len() > MAX_DOCUMENT {
             return Outcome::Refused;
         }
@@ -100,7 +101,7 @@
             return Outcome::Unchanged;
         }
         let present_number = present.map_or(0, |document| document.number);
-        if present_number != made_from {
+        if present_number != base_number {
             return Outcome::Newer(present_number);
         }
         let document = Document {
@@ -111,8 +112,8 @@
         Outcome::Written(present_number + 1)
     }
 
-    /// Admits a member as a new incarnation, which takes over the vote of its earlier ones, or of the member that it
-    /// replaces.
+    /// Admits a member as a new incarnation, which takes over the vote of its earlier incarnations,
+    /// or of the member that it replaces.
     fn admit(&mut self, name: &str, address: &str, nonce: u64) -> Outcome {
         if let Some(id) = self.admitted(name, nonce) {
             return Outcome::Admitted(id);
@@ -122,21 +123,21 @@
         let is_replaced =
             |member: &Incarnation| member.name == name || Some(&member.name) == instead_of.as_ref();
         let mut members = self.members.values();
-        let grows = !members.any(|member| !member.gone && is_replaced(member));
+        let grows = !members.any(|member| !member.removed && is_replaced(member));
         if !may_be_member(name, address) || grows && self.is_full() {
             return Outcome::Refused;
         }
         let id = self.next_incarnation;
         self.next_incarnation += 1;
-        let mut place_of = Vec::new();
+        let mut replaced_ids = Vec::new();
         for (old_id, old) in self.members.iter_mut().filter(|(_, m)| is_replaced(m)) {
-            old.gone = true;
-            place_of.push(*old_id);
-            place_of.append(&mut old.place_of);
+            old.removed = true;
+            replaced_ids.push(*old_id);
+            replaced_ids.append(&mut old.replaced_ids);
         }
         self.invited.remove(name);
         let mut member = Incarnation::new(name, address, nonce);
-        member.place_of = place_of;
+        member.replaced_ids = replaced_ids;
         self.members.insert(id, member);
         Outcome::Admitted(id)
     }
@@ -166,11 +167,11 @@
         let Some((id, _)) = self.incarnation(name) else {
             return Outcome::Unknown;
         };
-        if self.wanted().len() <= MIN_MEMBERS {
+        if self.target_voters().len() <= MIN_MEMBERS {
             return Outcome::Refused;
         }
         if let Some(member) = self.members.get_mut(&id) {
-            member.gone = true;
+            member.removed = true;
         }
         Outcome::Done
     }
@@ -184,7 +185,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.wanted().len() >= MAX_MEMBERS
+        self.target_voters().len() >= MAX_MEMBERS
     }
 }
 
--- a/crates/group/src/state/proposal.rs
+++ b/crates/group/src/state/proposal.rs
@@ -1,18 +1,19 @@
-//! What entries of the log ask for, and what becomes of them. These types are written to the disk and sent over links
-//! by position: the order of fields and variants must not change.
+//! Proposals in log entries, and their outcomes. These types are written to the disk and sent over
+//! links by position: the order of fields and variants must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// An operation id: who proposed it and its number there. A proposal that is sent twice takes effect once.
+/// An operation id: the ingress that proposed the operation, and its number there. A proposal that
+/// is sent twice takes effect once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OpId {
-    /// The process incarnation.
+    /// The process incarnation of the ingress.
     pub origin: u64,
-    /// Counted there.
+    /// The number of the operation, counted by the ingress.
     pub number: u64,
 }
 
-/// What kind of document.
+/// The kind of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DocumentKind {
     /// The last accepted inventory.
@@ -21,69 +22,71 @@
     Rules,
 }
 
-/// What an entry asks for.
+/// A change that a log entry proposes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Proposal {
-    /// Excludes an endpoint, for the whole group.
+    /// Excludes an endpoint for the whole group.
     Suspend(String),
-    /// Ends its exclusion.
+    /// Ends the exclusion of an endpoint.
     Restore(String),
-    /// A new version of a document, made from the one of this number.
+    /// Writes a new version of a document, based on the version of this number.
     Write(DocumentKind, u64, Vec<u8>),
-    /// Admits a member, for the first time or again: a new incarnation. `nonce` tells its folder from every other.
+    /// Admits a member as a new incarnation, for the first time or again.
     Admit {
-        /// The member.
+        /// The member's name.
         name: String,
-        /// Where its link listens.
+        /// The address of the member's link.
         address: String,
-        /// Chosen by the folder that was empty.
+        /// Identifies the member's folder, unique among all folders.
         nonce: u64,
     },
-    /// Lets a member go for good.
+    /// Removes a member for good.
     Remove(String),
-    /// Admits a member that the others' files do not name, once it comes with an empty folder.
+    /// Admits a member that the others' settings do not name, once it asks with an empty folder.
     Invite {
-        /// The member.
+        /// The member's name.
         name: String,
-        /// Where its link listens.
+        /// The address of the member's link.
         address: String,
-        /// Whose place it takes.
+        /// The name of the member that it replaces.
         instead_of: Option<String>,
     },
-    /// From here on the log may hold what this format version knows: all members speak it.
+    /// Raises the format version of the log: from here on, entries may use what this version adds.
+    /// All members support it.
     Raise(u16),
 }
 
-/// A proposal as it stands in the log.
+/// A proposal as it is stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposed {
-    /// Whose.
+    /// The operation id.
     pub op: OpId,
-    /// The last index of the log when it was made: long after it, it is refused.
+    /// The last log index known to the ingress when it made the proposal. A proposal that is
+    /// committed long after this index is refused.
     pub made_at: u64,
-    /// What.
+    /// The proposed change.
     pub proposal: Proposal,
 }
 
-/// What has become of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is so now.
+    /// The change was made.
     Done,
-    /// It was so before.
+    /// No change was needed: the state was already as proposed.
     Unchanged,
     /// Too many endpoints are excluded.
     TooMany,
-    /// It came too late to know whether it had come before.
+    /// The proposal came too late to determine whether it had taken effect before.
     Late,
-    /// It makes no sense: a name, a size.
+    /// The proposal is invalid, for example a name or a size, or would exceed a limit on members.
     Refused,
-    /// Somebody else wrote the document meanwhile; this is its number now.
+    /// The document has been changed since the base version. This is its current version number.
     Newer(u64),
-    /// Written under this number.
+    /// The document was written under this version number.
     Written(u64),
-    /// Admitted as this incarnation.
+    /// The member was admitted as this incarnation.
     Admitted(u64),
-    /// Nobody of this name is in the group.
+    /// No member of this name is in the group.
     Unknown,
 }
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -1,24 +1,26 @@
-//! The subscribers of one member: the followers that are connected to it, and what each has been sent. No document goes
-//! to a follower that has it, nor the whole list of exclusions where nothing has changed.
+//! Subscribers of one member: the followers that are connected to it, and what each has been sent.
+//! A follower is sent only documents that it lacks, and the list of exclusions only if it has
+//! changed.
 
 use crate::frame::{Frame, MemberAnswer};
 use crate::member::{Event, Member};
 use crate::state::{Document, DocumentKind, OpId, Proposal, State};
 use std::collections::BTreeMap;
 
-/// A subscriber is sent the age of its member's replica this often at least, ms.
+/// Longest time between two updates of a subscriber, which carry the age of the member's state, ms.
 const HEARTBEAT_INTERVAL_MS: f64 = 500.0;
-/// A member that heard of its leader so lately is led, ms.
-const LED_WITHIN_MS: f64 = 400.0;
+/// A member that has heard from its leader within this time counts as connected to the leader, ms.
+const LEADER_CONTACT_MS: f64 = 400.0;
 
-/// One follower, and what it has.
+/// One follower and the versions that it has.
 struct Subscriber {
-    /// The number of changes of the list of exclusions that it was last sent; none: it has no list of this member.
+    /// The change count of the list of exclusions that was last sent; `None`: this member has sent
+    /// no list.
     sent_changes: Option<u64>,
-    /// The number of each document that it has.
+    /// The version number of each document that the follower has.
     documents: BTreeMap<DocumentKind, u64>,
     last_sent_ms: f64,
-    /// How old this member's replica was by then, ms.
+    /// The age of this member's state in the last update, ms.
     sent_age_ms: f64,
 }
 
@@ -32,16 +34,17 @@
         }
     }
 
-    /// What it lacks, if something is to be sent now.
-    fn next_copy(&mut self, now_ms: f64, at_once: bool, member: &Member) -> Option<Frame> {
+    /// Returns the update to send now, if any.
+    fn next_update(&mut self, now_ms: f64, immediately: bool, member: &Member) -> Option<Frame> {
         let state = member.state();
         let age_ms = member.age_ms(now_ms);
         let documents = self.missing_documents(state);
         let list_changed = self.sent_changes != Some(state.changes);
-        // It would leave a member that it takes for cut off: it is notified at once that this one is led again.
-        let led_again = self.sent_age_ms > LED_WITHIN_MS && age_ms < LED_WITHIN_MS;
+        // A follower leaves a member that seems partitioned, so it is notified at once when this
+        // member has a leader again.
+        let leader_regained = self.sent_age_ms > LEADER_CONTACT_MS && age_ms < LEADER_CONTACT_MS;
         let heartbeat_due = now_ms - self.last_sent_ms >= HEARTBEAT_INTERVAL_MS;
-        let due = heartbeat_due || at_once || led_again;
+        let due = heartbeat_due || immediately || leader_regained;
         if !due && !list_changed && documents.is_empty() {
             return None;
         }
@@ -68,7 +71,7 @@
     }
 }
 
-/// A follower's read, under the number that the member gave it.
+/// A follower's read, stored under the number that the member assigned to it.
 struct PendingRead {
     connection: u64,
     op: OpId,
@@ -78,15 +81,15 @@
 #[derive(Default)]
 pub(crate) struct Subscribers {
     subscribers: BTreeMap<u64, Subscriber>,
-    /// Proposals without an outcome, and the connections that wait for it.
+    /// Proposals without an outcome, and the connections that wait for them.
     proposals: BTreeMap<OpId, u64>,
     reads: BTreeMap<u64, PendingRead>,
     frames: Vec<(u64, Frame)>,
 }
 
 impl Subscribers {
-    /// A frame has come by this connection.
-    pub(crate) fn hear(&mut self, now_ms: f64, from: u64, frame: Frame, member: &mut Member) {
+    /// Handles a frame from this connection.
+    pub(crate) fn receive(&mut self, now_ms: f64, from: u64, frame: Frame, member: &mut Member) {
         match frame {
             Frame::Follow { have } => {
                 self.subscribers.insert(from, Subscriber::new(have));
@@ -134,19 +137,19 @@
         self.frames.push((to, Frame::Answer { op, answer }));
     }
 
-    /// A connection has ended.
-    pub(crate) fn gone(&mut self, from: u64) {
+    /// Removes the subscriber of a connection that has ended.
+    pub(crate) fn disconnected(&mut self, from: u64) {
         self.subscribers.remove(&from);
         self.proposals.retain(|_, connection| *connection != from);
         self.reads.retain(|_, read| read.connection != from);
     }
 
-    /// Takes the events that subscribers wait for, and leaves the others.
-    pub(crate) fn take(&mut self, now_ms: f64, events: &mut Vec<Event>, member: &Member) {
+    /// Answers the subscribers that wait for an event, and removes those events from `events`.
+    pub(crate) fn take_events(&mut self, now_ms: f64, events: &mut Vec<Event>, member: &Member) {
         events.retain(|event| match event {
             Event::DoneFor(op, outcome) => {
                 if let Some(to) = self.proposals.remove(op) {
-                    self.answer_with_copy(now_ms, to, *op, MemberAnswer::Done(*outcome), member);
+                    self.answer_after_update(now_ms, to, *op, MemberAnswer::Done(*outcome), member);
                 }
                 false
             }
@@ -164,7 +167,7 @@
             Event::Read(number) => match self.reads.remove(number) {
                 Some(read) => {
                     let (to, op) = (read.connection, read.op);
-                    self.answer_with_copy(now_ms, to, op, MemberAnswer::Read, member);
+                    self.answer_after_update(now_ms, to, op, MemberAnswer::Read, member);
                     false
                 }
                 None => true,
@@ -180,8 +183,9 @@
         });
     }
 
-    /// An answer says that the follower's replica holds what it rests on: the replica goes before it.
-    fn answer_with_copy(
+    /// Sends an update before the answer, because the answer implies that the follower's replica
+    /// includes its result.
+    fn answer_after_update(
         &mut self,
         now_ms: f64,
         to: u64,
@@ -193,7 +197,7 @@
         self.answer(to, op, answer);
     }
 
-    /// Sends all subscribers, or one of them at once, what they lack.
+    /// Sends the missing changes to all subscribers that are due, or to `only` at once.
     pub(crate) fn notify(&mut self, now_ms: f64, only: Option<u64>, member: &Member) {
         if member.applied() == 0 {
             return;
@@ -202,13 +206,13 @@
             if only.is_some_and(|only| only != *to) {
                 continue;
             }
-            if let Some(copy) = subscriber.next_copy(now_ms, only.is_some(), member) {
-                self.frames.push((*to, copy));
+            if let Some(update) = subscriber.next_update(now_ms, only.is_some(), member) {
+                self.frames.push((*to, update));
             }
         }
     }
 
-    /// Takes the frames that are to be sent, by connection.
+    /// Returns and clears the frames to send, by connection.
     pub(crate) fn frames(&mut self) -> Vec<(u64, Frame)> {
         std::mem::take(&mut self.frames)
     }
