--- a/crates/group/tests/one_machine/mod.rs
+++ b/crates/group/tests/one_machine/mod.rs
@@ -5,22 +5,22 @@
 
 /// What one machine would do.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct OneMachine(pub BTreeSet<String>);
+pub struct SingleMachine(pub BTreeSet<String>);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Said {
+pub enum Reply {
     Changed(bool),
-    Held(BTreeSet<String>),
+    Excluded(BTreeSet<String>),
 }
 
-impl SequentialSpec for OneMachine {
+impl SequentialSpec for SingleMachine {
     type Op = Op;
-    type Ret = Said;
-    fn invoke(&mut self, op: &Op) -> Said {
+    type Ret = Reply;
+    fn invoke(&mut self, op: &Op) -> Reply {
         match op {
-            Op::Suspend(name) => Said::Changed(self.0.insert(name.clone())),
-            Op::Restore(name) => Said::Changed(self.0.remove(name)),
-            Op::Read => Said::Held(self.0.clone()),
+            Op::Suspend(name) => Reply::Changed(self.0.insert(name.clone())),
+            Op::Restore(name) => Reply::Changed(self.0.remove(name)),
+            Op::Read => Reply::Excluded(self.0.clone()),
         }
     }
 }
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -5,7 +5,7 @@
 mod one_machine;
 mod world;
 
-use one_machine::{OneMachine, Op, Said};
+use one_machine::{Op, Reply, SingleMachine};
 use oorandom::Rand64;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
 use world::{Planted, Seen, What, World};
@@ -22,13 +22,13 @@
         steps.extend(call.ended_ms.map(|at| (at, true, i)));
     }
     steps.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    let mut tester = LinearizabilityTester::new(OneMachine::default());
+    let mut tester = LinearizabilityTester::new(SingleMachine::default());
     for (_, ends, i) in steps {
         let call = &seen[i];
         let fine = if ends {
             let said = match &call.what {
-                What::Read(held) => Said::Held(held.clone().unwrap_or_default()),
-                _ => Said::Changed(call.changed),
+                What::Read(held) => Reply::Excluded(held.clone().unwrap_or_default()),
+                _ => Reply::Changed(call.changed),
             };
             tester.on_return(i, said).is_ok()
         } else {
--- a/tests/group/random_faults.rs
+++ b/tests/group/random_faults.rs
@@ -1,6 +1,6 @@
 //! Random schedules of faults between real processes; what callers saw must be linearizable.
 
-use crate::one_machine::{OneMachine, Op, Said};
+use crate::one_machine::{Op, Reply, SingleMachine};
 use crate::peers::{run, Peers};
 use oorandom::Rand64;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
@@ -10,14 +10,14 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// What an answer says; none: nothing that is certain.
-fn parse_answer(op: &Op, answer: &str) -> Option<Said> {
+fn parse_answer(op: &Op, answer: &str) -> Option<Reply> {
     let answer = answer.strip_prefix("ACK ")?;
     Some(match op {
-        Op::Suspend(_) => Said::Changed(!answer.contains("was suspended")),
-        Op::Restore(_) => Said::Changed(!answer.contains("was not suspended")),
+        Op::Suspend(_) => Reply::Changed(!answer.contains("was suspended")),
+        Op::Restore(_) => Reply::Changed(!answer.contains("was not suspended")),
         Op::Read => {
             let (_, names) = answer.split_once(':')?;
-            Said::Held(names.split_whitespace().map(String::from).collect())
+            Reply::Excluded(names.split_whitespace().map(String::from).collect())
         }
     })
 }
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 enum Moment {
     Began(Op),
-    Ended(Said),
+    Ended(Reply),
 }
 
 /// One line of the record.
@@ -213,7 +213,7 @@
 
 /// Whether one machine could have said what the record has about this name.
 fn is_linearizable(record: &[Recorded], name: &str) -> bool {
-    let mut tester = LinearizabilityTester::new(OneMachine::default());
+    let mut tester = LinearizabilityTester::new(SingleMachine::default());
     let concerns_name = |call: usize| {
         let mut steps = record.iter().filter(|recorded| recorded.call == call);
         steps.any(|recorded| begins_for(&recorded.moment, name))
@@ -222,9 +222,9 @@
         let call = recorded.call;
         let fine = match &recorded.moment {
             Moment::Began(op) => tester.on_invoke(call, op.clone()).is_ok(),
-            Moment::Ended(Said::Held(all)) => {
+            Moment::Ended(Reply::Excluded(all)) => {
                 let held = all.iter().filter(|n| *n == name).cloned().collect();
-                tester.on_return(call, Said::Held(held)).is_ok()
+                tester.on_return(call, Reply::Excluded(held)).is_ok()
             }
             Moment::Ended(said) => tester.on_return(call, said.clone()).is_ok(),
         };
