--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -1,7 +1,8 @@
-//! Bytes on disks and links that the program of commit e6ec670 wrote. Records are encoded by position: a field or variant
-//! that is moved, added or of another type shows as other bytes, and an older program, or the folder that it left, could
-//! not be read. `fixtures/encoded-by-e6ec670.txt` was written by a test of that commit with the values below, each line a
-//! name and bytes in hexadecimal.
+//! Compatibility with bytes on disks and links that the program of commit e6ec670 wrote. Records
+//! are encoded by position: a field or variant that is moved, added or of another type changes the
+//! bytes, and older programs or the folders that they left could not be read any more.
+//! `fixtures/encoded-by-e6ec670.txt` was written by a test of that commit with the values below:
+//! each line is a name and bytes in hexadecimal.
 
 use driftgap_group::{
     Document, DocumentKind, EntryRecord, Frame, Hello, LogPosition, MemberAnswer, MessageRecord,
@@ -24,14 +25,14 @@
         Fixture(bytes.collect())
     }
 
-    /// The bytes of this name, which no other check has taken.
+    /// Removes and returns the bytes of this name, so that no other check uses them.
     fn take(&mut self, name: &str) -> Vec<u8> {
         self.0
             .remove(name)
             .unwrap_or_else(|| panic!("no bytes of {name}"))
     }
 
-    /// The old bytes are read as this value, and the value is written as these bytes.
+    /// Checks that the old bytes decode to this value, and that the value encodes to these bytes.
     fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &str,
@@ -42,7 +43,7 @@
         assert_eq!(postcard::from_bytes::<T>(&bytes).unwrap(), *value, "{name}");
     }
 
-    /// The same of a state, whose newer fields come behind its old ones.
+    /// Checks the same for a state, whose newer fields follow the old ones.
     fn check_state(&mut self, name: &str, state: &State) {
         let bytes = self.take(name);
         assert_eq!(state.encode(), bytes, "{name}");
@@ -69,7 +70,7 @@
     }
 }
 
-/// Every kind of proposal, and what becomes of each in turn.
+/// Every kind of proposal, with the expected outcome of each in turn.
 fn proposals() -> Vec<(Proposal, Outcome)> {
     vec![
         (admit("m1", "10.0.0.1:1", 2), Outcome::Admitted(2)),
@@ -103,7 +104,8 @@
     OpId { origin: 9, number }
 }
 
-/// The state behind all proposals but the raise of the format version, and behind that.
+/// The state after all proposals but the raise of the format version, and the state after the
+/// raise.
 fn states(fixture: &mut Fixture) -> [State; 2] {
     let mut state = State::first(77, "m0", "10.0.0.0:1", 1);
     let mut before_raise = State::default();
@@ -123,9 +125,10 @@
     [before_raise, state]
 }
 
-/// A member that is started on a folder of the older program, or hears of the group from it, must read every record.
+/// A member that is started on a folder of the older program, or receives frames from it, must
+/// decode every record.
 #[test]
-fn what_the_older_program_has_written_is_read_and_written_the_same() {
+fn records_of_an_older_program_are_decoded_and_encoded_identically() {
     let mut fixture = Fixture::load();
     let [format_1, format_2] = states(&mut fixture);
     fixture.check_state("state-format-1", &format_1);
@@ -226,7 +229,7 @@
     ]
 }
 
-/// What a member sends that seeks votes.
+/// The vote request of a candidate.
 fn message() -> MessageRecord {
     let members =
         ["m0", "m1", "m2"].map(|name| (name.to_string(), format!("10.0.0.{}:1", &name[1..])));
@@ -247,5 +250,5 @@
             }
         }
     }
-    panic!("it seeks no votes");
+    panic!("the candidate requests no votes");
 }
--- a/crates/group/tests/one_machine/mod.rs
+++ b/crates/group/tests/one_machine/mod.rs
@@ -1,9 +1,10 @@
-//! What a group is judged by: one machine that does calls and reads one after the other.
+//! The sequential specification of a group: one machine that handles calls and reads one after the
+//! other.
 
 use stateright::semantics::SequentialSpec;
 use std::collections::BTreeSet;
 
-/// What one machine would do.
+/// The excluded endpoints of a single machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SingleMachine(pub BTreeSet<String>);
 
--- a/crates/group/tests/partial.rs
+++ b/crates/group/tests/partial.rs
@@ -1,20 +1,21 @@
-//! Members that reach only some: who leads, and whether anything is agreed.
+//! Partial partitions: members that reach only some of the others still elect a leader and commit.
 
 mod world;
 
-use world::{What, World};
+use world::{CallKind, World};
 
-/// Calls at every member until one is agreed; how long that took, or none in 20 s.
-fn agreed(world: &mut World) -> Option<f64> {
+/// Makes calls at every member until one is committed. Returns how long that took, ms, or `None`
+/// after 20 s.
+fn time_to_commit(world: &mut World) -> Option<f64> {
     let began = world.now_ms;
     let mut calls = Vec::new();
     while world.now_ms - began < 20_000.0 {
         for i in 0..world.nodes.len() {
-            calls.extend(world.call(i, What::Suspend(format!("{}-{i}", world.now_ms))));
+            calls.extend(world.call(i, CallKind::Suspend(format!("{}-{i}", world.now_ms))));
         }
         for _ in 0..300 {
             world.run(1.0);
-            if calls.iter().any(|c| world.seen[*c].ended_ms.is_some()) {
+            if calls.iter().any(|c| world.records[*c].ended_ms.is_some()) {
                 return Some(world.now_ms - began);
             }
         }
@@ -22,107 +23,121 @@
     None
 }
 
-fn cut(world: &mut World, a: usize, b: usize) {
-    world.cut.extend([(a, b), (b, a)]);
+fn cut_links(world: &mut World, a: usize, b: usize) {
+    world.cut_links.extend([(a, b), (b, a)]);
 }
 
-/// A whole group; its leader and the others.
-fn set(size: usize, seed: u64) -> (World, usize, Vec<usize>) {
+/// A complete group, its leader and the other members.
+fn ready_group(size: usize, seed: u64) -> (World, usize, Vec<usize>) {
     let mut world = World::new(size, seed);
-    world.until(20_000.0, World::whole);
+    world.run_until(20_000.0, World::is_ready);
     let leader = world.leader().unwrap();
     let others = (0..size).filter(|i| *i != leader).collect();
     (world, leader, others)
 }
 
-/// All links but those of one member.
-fn star(world: &mut World, hub: usize) {
+/// Cuts all links but those of one member.
+fn cut_to_star(world: &mut World, hub: usize) {
     for a in 0..world.nodes.len() {
         for b in (0..a).filter(|b| a != hub && *b != hub) {
-            cut(world, a, b);
+            cut_links(world, a, b);
         }
     }
 }
 
-/// Links between members are cut so that the leader, or the only member that reaches a majority, is not where the
-/// consensus library needs it. As long as members reach each other in two steps a call must be promised within
-/// seconds.
+/// Links between members are cut so that the leader, or the only member that reaches a majority, is
+/// not the one that the consensus library needs. As long as members reach each other in two hops, a
+/// call must be committed within seconds.
 #[test]
-fn whoever_reaches_a_majority_in_two_steps_goes_on() {
-    let mut figures: Vec<(&str, Vec<f64>)> = Vec::new();
-    let mut note = |what: &'static str, seed: u64, ms: Option<f64>, max: f64| {
-        let ms = ms.unwrap_or_else(|| panic!("seed {seed}: {what}: nothing in 20 s"));
-        assert!(ms < max, "seed {seed}: {what}: {ms} ms");
-        match figures.iter_mut().find(|(w, _)| *w == what) {
+fn group_commits_while_members_reach_each_other_in_two_hops() {
+    let mut times: Vec<(&str, Vec<f64>)> = Vec::new();
+    let mut record_time = |scenario: &'static str, seed: u64, ms: Option<f64>, max: f64| {
+        let ms = ms.unwrap_or_else(|| panic!("seed {seed}: {scenario}: no commit in 20 s"));
+        assert!(ms < max, "seed {seed}: {scenario}: {ms} ms");
+        match times.iter_mut().find(|(name, _)| *name == scenario) {
             Some((_, all)) => all.push(ms),
-            None => figures.push((what, vec![ms])),
+            None => times.push((scenario, vec![ms])),
         }
     };
     for seed in 0..20 {
-        let (mut w, l, o) = set(3, seed);
-        cut(&mut w, l, o[1]);
-        note("chain of 3, leader at its end", seed, agreed(&mut w), 500.0);
-        let (mut w, _, o) = set(5, seed);
-        star(&mut w, o[0]);
-        note(
+        let (mut world, leader, others) = ready_group(3, seed);
+        cut_links(&mut world, leader, others[1]);
+        record_time(
+            "chain of 3, leader at the end",
+            seed,
+            time_to_commit(&mut world),
+            500.0,
+        );
+        let (mut world, _, others) = ready_group(5, seed);
+        cut_to_star(&mut world, others[0]);
+        record_time(
             "star of 5, leader is not the hub",
             seed,
-            agreed(&mut w),
+            time_to_commit(&mut world),
             3000.0,
         );
-        let (mut w, l, o) = set(5, seed);
-        cut(&mut w, l, o[0]);
-        let _ = w.call(l, What::Suspend("x".into()));
-        w.run(100.0);
-        star(&mut w, o[0]);
-        note(
+        let (mut world, leader, others) = ready_group(5, seed);
+        cut_links(&mut world, leader, others[0]);
+        let _ = world.call(leader, CallKind::Suspend("x".into()));
+        world.run(100.0);
+        cut_to_star(&mut world, others[0]);
+        record_time(
             "star of 5, hub lags, leader cut off",
             seed,
-            agreed(&mut w),
+            time_to_commit(&mut world),
             3000.0,
         );
-        let (mut w, l, o) = set(3, seed);
-        w.cut.extend(o.iter().map(|x| (l, *x)));
-        note(
-            "leader hears and is not heard",
+        let (mut world, leader, others) = ready_group(3, seed);
+        world.cut_links.extend(others.iter().map(|x| (leader, *x)));
+        record_time(
+            "leader receives and cannot send",
             seed,
-            agreed(&mut w),
+            time_to_commit(&mut world),
             3000.0,
         );
-        let (mut w, l, o) = set(3, seed);
-        w.cut.extend(o.iter().map(|x| (*x, l)));
-        note(
-            "leader is heard and does not hear",
+        let (mut world, leader, others) = ready_group(3, seed);
+        world.cut_links.extend(others.iter().map(|x| (*x, leader)));
+        record_time(
+            "leader sends and cannot receive",
             seed,
-            agreed(&mut w),
+            time_to_commit(&mut world),
             4000.0,
         );
     }
-    for (what, mut all) in figures {
+    for (scenario, mut all) in times {
         all.sort_by(f64::total_cmp);
         println!(
-            "{what}: {:.0} ms in the middle, {:.0} at most",
+            "{scenario}: median {:.0} ms, maximum {:.0} ms",
             all[all.len() / 2],
             all[all.len() - 1]
         );
     }
 }
 
-/// A link goes and comes back again and again. Messages must go round it, and leader and term must stay.
+/// A link fails and recovers repeatedly. Messages must be forwarded around it, and leader and term
+/// must stay.
 #[test]
-fn a_flapping_link_changes_no_leader() {
+fn flapping_link_does_not_change_the_leader() {
     for seed in 0..5 {
-        let (mut w, l, o) = set(3, seed);
-        let term = w.nodes[l].member().unwrap().status(w.now_ms).term;
+        let (mut world, leader, others) = ready_group(3, seed);
+        let term = world.nodes[leader]
+            .member()
+            .unwrap()
+            .status(world.now_ms)
+            .term;
         for _ in 0..20 {
-            cut(&mut w, l, o[0]);
-            w.run(700.0);
-            w.cut.clear();
-            w.run(700.0);
+            cut_links(&mut world, leader, others[0]);
+            world.run(700.0);
+            world.cut_links.clear();
+            world.run(700.0);
         }
-        assert_eq!(w.leader(), Some(l), "seed {seed}");
+        assert_eq!(world.leader(), Some(leader), "seed {seed}");
         assert_eq!(
-            w.nodes[l].member().unwrap().status(w.now_ms).term,
+            world.nodes[leader]
+                .member()
+                .unwrap()
+                .status(world.now_ms)
+                .term,
             term,
             "seed {seed}"
         );
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -1,6 +1,6 @@
-//! Random schedules of faults over recorded calls and reads, in virtual time: the record must be one that a single
-//! machine could have given (linearizable), and every call that was answered with a yes must be there at the end. Faults
-//! that are built in must be found.
+//! Random schedules of faults in virtual time, with a record of all calls and reads. The record
+//! must be linearizable (a single machine could have produced it), and every acknowledged call must
+//! be in effect at the end. Faults that are injected into the members on purpose must be detected.
 
 mod one_machine;
 mod world;
@@ -8,53 +8,54 @@
 use one_machine::{Op, Reply, SingleMachine};
 use oorandom::Rand64;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester};
-use world::{Planted, Seen, What, World};
+use world::{CallKind, CallRecord, InjectedFault, World};
 
-/// Whether one machine could have given this record.
-fn linearizable(seen: &[Seen]) -> bool {
-    // A call that ends in the moment in which another begins counts as beside it.
-    let mut steps: Vec<(f64, bool, usize)> = Vec::new();
-    for (i, call) in seen.iter().enumerate() {
-        // A read without an answer says nothing.
-        if call.ended_ms.is_some() || !matches!(call.what, What::Read(_)) {
-            steps.push((call.began_ms, false, i));
+/// Whether a single machine could have produced this record.
+fn linearizable(records: &[CallRecord]) -> bool {
+    // A call that ends at the time at which another begins counts as concurrent with it.
+    let mut events: Vec<(f64, bool, usize)> = Vec::new();
+    for (i, call) in records.iter().enumerate() {
+        // A read without an answer does not constrain the order.
+        if call.ended_ms.is_some() || !matches!(call.kind, CallKind::Read(_)) {
+            events.push((call.began_ms, false, i));
         }
-        steps.extend(call.ended_ms.map(|at| (at, true, i)));
+        events.extend(call.ended_ms.map(|at| (at, true, i)));
     }
-    steps.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    events.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let mut tester = LinearizabilityTester::new(SingleMachine::default());
-    for (_, ends, i) in steps {
-        let call = &seen[i];
-        let fine = if ends {
-            let said = match &call.what {
-                What::Read(held) => Reply::Excluded(held.clone().unwrap_or_default()),
+    for (_, is_return, i) in events {
+        let call = &records[i];
+        let is_valid = if is_return {
+            let reply = match &call.kind {
+                CallKind::Read(excluded) => Reply::Excluded(excluded.clone().unwrap_or_default()),
                 _ => Reply::Changed(call.changed),
             };
-            tester.on_return(i, said).is_ok()
+            tester.on_return(i, reply).is_ok()
         } else {
-            let op = match &call.what {
-                What::Suspend(name) => Op::Suspend(name.clone()),
-                What::Restore(name) => Op::Restore(name.clone()),
-                What::Read(_) => Op::Read,
+            let op = match &call.kind {
+                CallKind::Suspend(name) => Op::Suspend(name.clone()),
+                CallKind::Restore(name) => Op::Restore(name.clone()),
+                CallKind::Read(_) => Op::Read,
             };
             tester.on_invoke(i, op).is_ok()
         };
-        assert!(fine, "the record itself makes no sense");
+        assert!(is_valid, "the record is invalid");
     }
     tester.is_consistent()
 }
 
-const WRONG: &str = "no one machine could have said this";
-const LOST: &str = "found that its disk had lost something";
+const NOT_LINEARIZABLE: &str = "the record is not linearizable";
+const DISK_LOST_DATA: &str = "found that its disk had lost data";
 
-/// Plays one schedule: the number of calls that were answered, or why it must not have gone so.
-fn play(seed: u64, planted: Planted) -> Result<usize, String> {
+/// Runs one schedule. Returns the number of calls that were answered, or the violation that was
+/// found.
+fn run_schedule(seed: u64, injected_fault: InjectedFault) -> Result<usize, String> {
     let members = if seed.is_multiple_of(4) { 5 } else { 3 };
     let mut world = World::new(members, seed);
-    world.until(20_000.0, World::whole);
-    world.planted = planted;
-    // A slow disk leaves more on its way when the power goes.
-    world.fsync_ms = if planted == Planted::NoSync {
+    world.run_until(20_000.0, World::is_ready);
+    world.injected_fault = injected_fault;
+    // A slow disk leaves more writes incomplete when the power fails.
+    world.fsync_ms = if injected_fault == InjectedFault::NoSync {
         (200.0, 400.0)
     } else {
         (0.5, 100.0)
@@ -64,37 +65,41 @@
         take_random_step(&mut world, &mut rand);
     }
     end_all_faults(&mut world);
-    until_whole(&mut world)?;
-    read_everywhere(&mut world)?;
-    let answered = world.seen.iter().filter(|s| s.ended_ms.is_some()).count();
-    if linearizable(&world.seen) {
+    wait_until_ready(&mut world)?;
+    read_from_every_member(&mut world)?;
+    let answered = world
+        .records
+        .iter()
+        .filter(|s| s.ended_ms.is_some())
+        .count();
+    if linearizable(&world.records) {
         Ok(answered)
     } else {
-        Err(format!("{WRONG}: {:#?}", world.seen))
+        Err(format!("{NOT_LINEARIZABLE}: {:#?}", world.records))
     }
 }
 
-/// Some time goes by, and then a random call or fault comes, or a fault ends.
+/// Lets some time pass, and then makes a random call, or starts or ends a random fault.
 fn take_random_step(world: &mut World, rand: &mut Rand64) {
     let members = world.nodes.len();
-    let planted = world.planted;
+    let injected_fault = world.injected_fault;
     let mut pick = |n: usize| rand.rand_range(0..n as u64) as usize;
     world.run(10.0 + 10.0 * pick(60) as f64);
     let (i, j) = (pick(members), pick(members));
     match pick(20) {
         0..=8 => {
             let name = ["a", "b"][pick(2)].to_string();
-            let what = [
-                What::Suspend(name.clone()),
-                What::Restore(name),
-                What::Read(None),
+            let kind = [
+                CallKind::Suspend(name.clone()),
+                CallKind::Restore(name),
+                CallKind::Read(None),
             ];
-            let _ = world.call(i, what[pick(3)].clone());
+            let _ = world.call(i, kind[pick(3)].clone());
         }
         9 if world.nodes[i].up => world.kill(i),
         10 => (0..members).for_each(|i| world.kill(i)),
-        // For the fault that shows only when all lose their power at once.
-        16..=18 if planted == Planted::NoSync => {
+        // For the injected fault that shows only if all members lose power at once.
+        16..=18 if injected_fault == InjectedFault::NoSync => {
             (0..members).for_each(|i| world.kill(i));
             (0..members).for_each(|i| world.start(i));
         }
@@ -102,15 +107,15 @@
             let down: Vec<usize> = (0..members).filter(|i| !world.nodes[*i].up).collect();
             down.into_iter().for_each(|i| world.start(i));
         }
-        // As many disks as a group can lose: one more only when the last one is made good.
-        13 | 14 if world.whole() => {
-            world.lose(i);
+        // A group can lose one disk at a time: the next one only after the last one is replaced.
+        13 | 14 if world.is_ready() => {
+            world.lose_disk(i);
             world.start(i);
         }
         15 => world.nodes[i].stalled = !world.nodes[i].stalled,
-        16 => world.cut.extend([(i, j)]),
-        17 => world.cut.clear(),
-        18 => world.drops = [0, 5, 20][pick(3)],
+        16 => world.cut_links.extend([(i, j)]),
+        17 => world.cut_links.clear(),
+        18 => world.drop_percent = [0, 5, 20][pick(3)],
         19 => {
             world.delay_ms.1 = [2.0, 40.0, 200.0][pick(3)];
             world.fsync_ms.1 = [5.0, 50.0, 400.0][pick(3)];
@@ -120,9 +125,9 @@
 }
 
 fn end_all_faults(world: &mut World) {
-    world.planted = Planted::Nothing;
-    world.cut.clear();
-    (world.drops, world.delay_ms.1, world.fsync_ms.1) = (0, 2.0, 5.0);
+    world.injected_fault = InjectedFault::NoFault;
+    world.cut_links.clear();
+    (world.drop_percent, world.delay_ms.1, world.fsync_ms.1) = (0, 2.0, 5.0);
     for i in 0..world.nodes.len() {
         world.nodes[i].stalled = false;
         if !world.nodes[i].up {
@@ -131,44 +136,47 @@
     }
 }
 
-/// Every member comes back, and none finds that its disk has lost something.
-fn until_whole(world: &mut World) -> Result<(), String> {
+/// Waits until every member votes again, and fails if a member finds that its disk has lost data.
+fn wait_until_ready(world: &mut World) -> Result<(), String> {
     let began = world.now_ms;
-    while !world.whole() {
+    while !world.is_ready() {
         world.run(20.0);
         if world.now_ms - began > 60_000.0 {
-            let standing = world.standing();
+            let status = world.describe_members();
             return Err(format!(
-                "it does not come back once the faults are over\n{standing}"
+                "the group does not recover after the faults have ended\n{status}"
             ));
         }
-        if let Some(i) = world.nodes.iter().position(|n| n.lost) {
-            return Err(format!("m{i} {LOST}"));
+        if let Some(i) = world.nodes.iter().position(|n| n.failed) {
+            return Err(format!("m{i} {DISK_LOST_DATA}"));
         }
     }
     Ok(())
 }
 
-/// What was left open has expired by then; the last reads are calls like any other.
-fn read_everywhere(world: &mut World) -> Result<(), String> {
+/// Waits until all pending calls have expired, and then reads from every member. These reads belong
+/// to the record too.
+fn read_from_every_member(world: &mut World) -> Result<(), String> {
     world.run(3000.0);
     for i in 0..world.nodes.len() {
-        let read = world.call(i, What::Read(None)).map_err(|e| e.to_string())?;
+        let read = world
+            .call(i, CallKind::Read(None))
+            .map_err(|e| e.to_string())?;
         let asked = world.now_ms;
-        while world.seen[read].ended_ms.is_none() {
+        while world.records[read].ended_ms.is_none() {
             world.run(1.0);
             if world.now_ms - asked > 3000.0 {
-                return Err("a read without an answer while nothing is wrong".into());
+                return Err("a read was not answered although there are no faults".into());
             }
         }
     }
     Ok(())
 }
 
-fn seeds(range: std::ops::Range<u64>) {
+fn run_seeds(range: std::ops::Range<u64>) {
     let mut answered = 0;
     for seed in range.clone() {
-        match play(seed, Planted::Nothing) {
+        match run_schedule(seed, InjectedFault::NoFault) {
             Ok(n) => answered += n,
             Err(why) => panic!("seed {seed}: {why}"),
         }
@@ -176,50 +184,54 @@
     println!("seeds {range:?}: {answered} answered calls and reads");
 }
 
-/// Members lose power, disks, messages and time at random while calls and reads go on. What callers saw must be what
-/// one machine could have said, and the group must come back once the faults are over.
+/// Members lose power, disks, messages and time at random while calls and reads go on. The record
+/// of the callers must be linearizable, and the group must recover after the faults have ended.
 #[test]
-fn what_was_promised_is_kept_through_random_faults() {
-    seeds(0..60);
+fn history_is_linearizable_under_random_faults() {
+    run_seeds(0..60);
 }
 
-/// The same for many seeds.
+/// The same with many more seeds.
 #[test]
-#[ignore = "long: run by hand, figures are in the commits"]
-fn what_was_promised_is_kept_through_many_random_faults() {
-    seeds(60..3000);
+#[ignore = "slow: run manually"]
+fn history_is_linearizable_under_many_random_faults() {
+    run_seeds(60..3000);
 }
 
-/// How many of the first schedules find a fault that is built in.
-fn found(planted: Planted) -> usize {
-    let quiet = std::panic::take_hook();
-    // The library stops a member that finds its log gone: that is a find as well.
+/// Returns how many of the first 60 schedules detect an injected fault.
+fn count_detections(injected_fault: InjectedFault) -> usize {
+    let previous_hook = std::panic::take_hook();
+    // The library panics in a member whose log is missing: that counts as a detection as well.
     std::panic::set_hook(Box::new(|_| {}));
-    let finds = |seed: &u64| match std::panic::catch_unwind(|| play(*seed, planted)) {
-        Ok(Ok(_)) => false,
-        // A group that does not come back is no find: nothing wrong was said.
-        Ok(Err(why)) => why.starts_with(WRONG) || why.contains(LOST),
-        Err(_) => true,
-    };
-    let found = (0..60).filter(finds).count();
-    std::panic::set_hook(quiet);
-    found
+    let detects =
+        |seed: &u64| match std::panic::catch_unwind(|| run_schedule(*seed, injected_fault)) {
+            Ok(Ok(_)) => false,
+            // A group that does not recover is no detection: no caller got a wrong answer.
+            Ok(Err(why)) => why.starts_with(NOT_LINEARIZABLE) || why.contains(DISK_LOST_DATA),
+            Err(_) => true,
+        };
+    let detected = (0..60).filter(detects).count();
+    std::panic::set_hook(previous_hook);
+    detected
 }
 
-/// Schedules that find nothing may look at nothing. Each of three faults that break promises is built in on purpose
-/// and must be found by some schedule.
+/// Guards against schedules that check nothing. Each of three faults that break promises is
+/// injected on purpose, and some schedule must detect it.
 #[test]
-fn faults_that_are_built_in_are_found() {
-    for (planted, name) in [
-        (Planted::EarlyYes, "a yes before the copy"),
-        (Planted::VoteAfterLoss, "a vote after a lost folder"),
+fn schedules_detect_injected_faults() {
+    for (injected_fault, name) in [
+        (
+            InjectedFault::AcknowledgeOnSend,
+            "acknowledgement before replication",
+        ),
+        (InjectedFault::VoteAfterLoss, "vote after a lost folder"),
         (
-            Planted::NoSync,
-            "a copy that counts before it is on the disk",
+            InjectedFault::NoSync,
+            "acknowledgement before the write is on the disk",
         ),
     ] {
-        let found = found(planted);
-        println!("{name}: found by {found} of 60 schedules");
-        assert!(found > 0, "{name}");
+        let detected = count_detections(injected_fault);
+        println!("{name}: detected by {detected} of 60 schedules");
+        assert!(detected > 0, "{name}");
     }
 }
--- a/crates/group/tests/waiting.rs
+++ b/crates/group/tests/waiting.rs
@@ -1,5 +1,5 @@
-//! An ingress with an empty folder, until it is let in: its links have greeted as no member, and are ended by a frame
-//! that only members may send.
+//! An ingress with an empty folder before its admission: its links carry no incarnation, and the
+//! other end closes a link on which it sends a frame that only members may send.
 
 use driftgap_group::{Frame, MessageRecord, Peer, Settings, StoredMember};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
     Settings::new(name, 1, BTreeMap::from(members))
 }
 
-/// What a member sends that seeks votes.
+/// The vote request of a candidate.
 fn message_to_m1() -> MessageRecord {
     let mut loaded = StoredMember::first(77, "m0", "10.0.0.0:1", 1);
     loaded.snapshot.conf.voters = vec![1, 2, 3];
@@ -28,17 +28,17 @@
             }
         }
     }
-    panic!("it seeks no votes");
+    panic!("the candidate requests no votes");
 }
 
-/// An ingress that is not admitted yet is sent frames that a member would forward. Its links have greeted as no
-/// member, and the other end closes a link with such a frame, and with it the request to be admitted: it must forward
-/// nothing and ask again.
+/// An ingress that has not been admitted receives frames that a member would forward. Its links
+/// carry no incarnation, and the other end closes a link with such a frame, which loses the request
+/// to be admitted. The ingress must forward nothing, and repeat its request.
 #[test]
-fn an_ingress_that_is_not_let_in_passes_nothing_on_and_asks_again() {
-    let mut waiting = Peer::joining(settings("m2"), 9);
-    waiting.receive(0.0, "m1", 2, Frame::Idle);
-    waiting.receive(
+fn joining_ingress_forwards_nothing_and_repeats_its_request() {
+    let mut joining_peer = Peer::joining(settings("m2"), 9);
+    joining_peer.receive(0.0, "m1", 2, Frame::Idle);
+    joining_peer.receive(
         0.0,
         "m0",
         1,
@@ -47,11 +47,11 @@
             hears: vec!["m1".into()],
         },
     );
-    waiting.receive(0.0, "m0", 1, Frame::Forward(message_to_m1()));
+    joining_peer.receive(0.0, "m0", 1, Frame::Forward(message_to_m1()));
     let mut joins = Vec::new();
     for now in [0.0, 250.0, 501.0] {
-        waiting.tick(now);
-        for (to, frame) in waiting.frames(now) {
+        joining_peer.tick(now);
+        for (to, frame) in joining_peer.frames(now) {
             assert!(frame.is_allowed_from(0), "{now} ms: to {to}: {frame:?}");
             if frame == (Frame::Join { nonce: 9 }) {
                 joins.push((now, to));
@@ -64,10 +64,10 @@
     assert_eq!(joins, all);
 }
 
-/// Somebody sends frames in another's name. A link must carry only what the incarnation allows that its sender has
-/// greeted as.
+/// An ingress sends frames in the name of another one. A link must carry only frames that are
+/// allowed for the incarnation in the sender's greeting.
 #[test]
-fn a_link_carries_only_what_its_sender_has_greeted_as() {
+fn link_carries_only_frames_allowed_for_its_incarnation() {
     let message = message_to_m1();
     let hears = Frame::Reachability {
         of: "m0".into(),
--- a/crates/group/tests/world/mod.rs
+++ b/crates/group/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! A group in virtual time: members with disks that take time and may fail, links that delay, drop and are cut, and a
-//! record of every call with its time. The same seed gives the same run.
+//! A simulated group in virtual time: members whose disks take time and may fail, links that delay,
+//! drop or stop messages, and a record of every call with its times. The same seed yields the same
+//! run.
 #![allow(dead_code)]
 
 use driftgap_group::{
@@ -9,20 +10,20 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A call or read as its caller saw it.
+/// A call or read from the point of view of its caller.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct CallRecord {
     pub caller: usize,
     pub began_ms: f64,
-    /// None: no answer, or one that leaves it open.
+    /// `None`: no answer, or one that leaves the result unknown.
     pub ended_ms: Option<f64>,
-    pub what: What,
-    /// Whether it changed something, as its caller was told.
+    pub kind: CallKind,
+    /// Whether the state was changed, according to the answer.
     pub changed: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum CallKind {
     Suspend(String),
     Restore(String),
     Read(Option<BTreeSet<String>>),
@@ -35,44 +36,44 @@
     pub up: bool,
     pub stalled: bool,
     incarnations: u64,
-    /// A batch on its way to the disk, and when it is there.
+    /// The write in progress, and when it is on the disk.
     writing: Option<(f64, WriteJob)>,
     inbox: Vec<(usize, u64, Frame)>,
     calls: BTreeMap<u64, usize>,
-    pub lost: bool,
+    pub failed: bool,
 }
 
-/// A fault that is built in to be found.
+/// A fault that is injected on purpose, to be detected by a test.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Planted {
-    Nothing,
-    /// A call is answered when it is sent, not when it is agreed.
-    EarlyYes,
-    /// A member whose folder was lost votes on as the one that it was.
+pub enum InjectedFault {
+    NoFault,
+    /// A call is acknowledged when it is sent rather than when it is committed.
+    AcknowledgeOnSend,
+    /// A member that has lost its folder continues to vote under its old incarnation.
     VoteAfterLoss,
-    /// What is written counts before it is on the disk.
+    /// A write counts as done before it is on the disk.
     NoSync,
 }
 
 pub struct World {
-    /// Virtual time.
+    /// Virtual time, ms.
     pub now_ms: f64,
     pub seed: u64,
     pub rand: Rand64,
     pub nodes: Vec<Node>,
-    pub seen: Vec<Seen>,
-    pub planted: Planted,
-    /// Links that carry nothing, from and to.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Of a hundred messages so many are dropped.
-    pub drops: u64,
+    pub records: Vec<CallRecord>,
+    pub injected_fault: InjectedFault,
+    /// Links that deliver nothing, as sender and receiver.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// Percentage of dropped messages.
+    pub drop_percent: u64,
     pub delay_ms: (f64, f64),
     pub fsync_ms: (f64, f64),
     /// Messages and bytes sent so far.
     pub sent: (u64, u64),
-    /// What members send to followers, by member and connection.
+    /// Frames from members to followers, with member and connection.
     pub to_followers: Vec<(usize, u64, Frame)>,
-    net: BTreeMap<(u64, u64), (usize, usize, u64, Frame)>,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, u64, Frame)>,
     number: u64,
     members: BTreeMap<String, String>,
 }
@@ -116,28 +117,28 @@
                 *disk = Some(StoredMember::admitted(group, id))
             }
             (WriteJob::Write(batch), Some(disk)) => save(disk, *batch),
-            (WriteJob::Write(_), None) => panic!("a write to no folder"),
+            (WriteJob::Write(_), None) => panic!("a batch was written without a folder"),
         }
     }
 }
 
 impl World {
-    /// A group of so many members; the first has begun it.
+    /// Creates a group of this many members, which the first one has started.
     pub fn new(members: usize, seed: u64) -> World {
         let mut world = World {
             now_ms: 1000.0,
             seed,
             rand: Rand64::new(seed.into()),
             nodes: Vec::new(),
-            seen: Vec::new(),
-            planted: Planted::Nothing,
-            cut: BTreeSet::new(),
-            drops: 0,
+            records: Vec::new(),
+            injected_fault: InjectedFault::NoFault,
+            cut_links: BTreeSet::new(),
+            drop_percent: 0,
             delay_ms: (0.2, 2.0),
             fsync_ms: (0.5, 5.0),
             sent: (0, 0),
             to_followers: Vec::new(),
-            net: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             number: 0,
             members: (0..members)
                 .map(|i| (name(i), format!("10.0.0.{i}:1")))
@@ -155,7 +156,7 @@
                 writing: None,
                 inbox: Vec::new(),
                 calls: BTreeMap::new(),
-                lost: false,
+                failed: false,
             });
             world.start(i);
         }
@@ -172,17 +173,17 @@
         settings.seed = seed ^ (i as u64) << 8;
         settings.retained_entries = 64;
         node.peer = Some(match node.disk.clone() {
-            Some(disk) => Peer::from_member(settings, disk, now).expect("a sound disk"),
+            Some(disk) => Peer::from_member(settings, disk, now).expect("a valid folder"),
             None => Peer::joining(settings, nonce),
         });
     }
 
-    /// The process is gone; what was on its way to the disk is there, or not.
+    /// Stops the process. A write in progress is completed or lost at random.
     pub fn kill(&mut self, i: usize) {
-        let half = self.rand.rand_range(0..2) == 0;
-        let no_sync = self.planted == Planted::NoSync;
+        let is_completed = self.rand.rand_range(0..2) == 0;
+        let no_sync = self.injected_fault == InjectedFault::NoSync;
         let node = &mut self.nodes[i];
-        if let Some((_, job)) = node.writing.take().filter(|_| half && !no_sync) {
+        if let Some((_, job)) = node.writing.take().filter(|_| is_completed && !no_sync) {
             node.save(job);
         }
         node.up = false;
@@ -191,17 +192,17 @@
         node.calls.clear();
     }
 
-    /// The machine is gone with its disk.
-    pub fn lose(&mut self, i: usize) {
+    /// Stops the process and erases its disk.
+    pub fn lose_disk(&mut self, i: usize) {
         self.kill(i);
-        let vote = self.planted == Planted::VoteAfterLoss;
+        let vote = self.injected_fault == InjectedFault::VoteAfterLoss;
         let node = &mut self.nodes[i];
         node.disk = node.disk.take().filter(|_| vote).map(|old| StoredMember {
             snapshot: old.snapshot.clone(),
             ..StoredMember::first(77, "m0", "10.0.0.0:1", 1)
         });
         if let Some(disk) = &mut node.disk {
-            // Under its old number, with the log as it was at the beginning.
+            // The member keeps its old incarnation, with the log of a new group.
             let id = self
                 .members
                 .keys()
@@ -215,31 +216,33 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, frame: Frame) {
+    fn send_frame(&mut self, from: usize, to: usize, frame: Frame) {
         let id = self.nodes[from].member().map_or(0, Member::id);
         self.sent.0 += 1;
         self.sent.1 += frame.bytes().len() as u64;
-        if self.cut.contains(&(from, to)) || self.rand.rand_range(0..100) < self.drops {
+        if self.cut_links.contains(&(from, to)) || self.rand.rand_range(0..100) < self.drop_percent
+        {
             return;
         }
         let delay = self.delay_ms.0 + self.rand.rand_float() * (self.delay_ms.1 - self.delay_ms.0);
         self.number += 1;
         let at = ((self.now_ms + delay) * 1e3) as u64;
-        self.net.insert((at, self.number), (from, to, id, frame));
+        self.in_flight
+            .insert((at, self.number), (from, to, id, frame));
     }
 
-    /// Lets time go by.
+    /// Lets this much virtual time pass.
     pub fn run(&mut self, ms: f64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
             self.now_ms += 1.0;
-            while let Some((key, _)) = self.net.first_key_value() {
+            while let Some((key, _)) = self.in_flight.first_key_value() {
                 if key.0 as f64 > self.now_ms * 1e3 {
                     break;
                 }
-                let (from, to, id, frame) = self.net.pop_first().unwrap().1;
+                let (from, to, id, frame) = self.in_flight.pop_first().unwrap().1;
                 if self.nodes[to].up {
-                    // A real link ends at such a frame, and what waits behind it is lost.
+                    // A real link is closed on such a frame, and the frames behind it are lost.
                     let allowed = frame.is_allowed_from(id);
                     assert!(
                         allowed,
@@ -251,14 +254,14 @@
             }
             for i in 0..self.nodes.len() {
                 if self.nodes[i].up && !self.nodes[i].stalled {
-                    self.turn(i);
+                    self.step_node(i);
                 }
             }
         }
     }
 
-    fn turn(&mut self, i: usize) {
-        let (now, no_sync) = (self.now_ms, self.planted == Planted::NoSync);
+    fn step_node(&mut self, i: usize) {
+        let (now, no_sync) = (self.now_ms, self.injected_fault == InjectedFault::NoSync);
         let node = &mut self.nodes[i];
         if node.writing.as_ref().is_some_and(|(due, _)| *due <= now) {
             let (_, job) = node.writing.take().unwrap();
@@ -294,18 +297,18 @@
         let events = peer.events(now);
         let frames = peer.frames(now);
         if peer.member().is_some_and(|m| m.failure().is_some()) {
-            node.lost = true;
+            node.failed = true;
             return self.kill(i);
         }
         for (to, frame) in frames {
-            self.post(i, to[1..].parse().unwrap(), frame);
+            self.send_frame(i, to[1..].parse().unwrap(), frame);
         }
         for event in events {
-            self.note(i, event);
+            self.record_event(i, event);
         }
     }
 
-    fn note(&mut self, i: usize, event: Event) {
+    fn record_event(&mut self, i: usize, event: Event) {
         let (number, done, changed) = match event {
             Event::Done(number, outcome) => {
                 let done = matches!(outcome, Outcome::Done | Outcome::Unchanged);
@@ -313,50 +316,54 @@
             }
             Event::Read(number) => (number, true, false),
             Event::Expired(number, sent) => {
-                // Never sent on: it has no effect, and is no part of the history.
-                if let Some(seen) = self.nodes[i].calls.remove(&number).filter(|_| !sent) {
-                    self.seen[seen].what = What::Read(None);
+                // The call was never sent: it has no effect and does not belong to the record.
+                if let Some(index) = self.nodes[i].calls.remove(&number).filter(|_| !sent) {
+                    self.records[index].kind = CallKind::Read(None);
                 }
                 return;
             }
             Event::Changed | Event::DoneFor(..) | Event::ExpiredFor(..) => return,
         };
-        let Some(seen) = self.nodes[i].calls.remove(&number).filter(|_| done) else {
+        let Some(index) = self.nodes[i].calls.remove(&number).filter(|_| done) else {
             return;
         };
-        if let What::Read(held) = &mut self.seen[seen].what {
+        if let CallKind::Read(excluded) = &mut self.records[index].kind {
             let state = self.nodes[i].member().unwrap().state();
-            *held = Some(state.excluded.keys().cloned().collect());
+            *excluded = Some(state.excluded.keys().cloned().collect());
         }
-        if self.seen[seen].ended_ms.is_none() {
-            self.seen[seen].ended_ms = Some(self.now_ms);
-            self.seen[seen].changed = changed;
+        if self.records[index].ended_ms.is_none() {
+            self.records[index].ended_ms = Some(self.now_ms);
+            self.records[index].changed = changed;
         }
     }
 
-    /// A call at one member; its place in the record.
-    pub fn call(&mut self, i: usize, what: What) -> Result<usize, ProposalRejected> {
+    /// Makes a call at one member. Returns its index in the record.
+    pub fn call(&mut self, i: usize, kind: CallKind) -> Result<usize, ProposalRejected> {
         let now = self.now_ms;
         let Some(member) = self.nodes[i].peer.as_mut().and_then(Peer::member_mut) else {
             return Err(ProposalRejected::NoMajority(0.0));
         };
-        let number = match &what {
-            What::Suspend(name) => member.propose(now, Proposal::Suspend(name.clone()))?,
-            What::Restore(name) => member.propose(now, Proposal::Restore(name.clone()))?,
-            What::Read(_) => member.read(now)?,
+        let number = match &kind {
+            CallKind::Suspend(name) => member.propose(now, Proposal::Suspend(name.clone()))?,
+            CallKind::Restore(name) => member.propose(now, Proposal::Restore(name.clone()))?,
+            CallKind::Read(_) => member.read(now)?,
         };
-        let early = self.planted == Planted::EarlyYes && !matches!(what, What::Read(_));
-        let (caller, ended) = (self.seen.len(), early.then_some(now + 0.5));
-        let seen = Seen {
+        let acknowledged_on_send = self.injected_fault == InjectedFault::AcknowledgeOnSend
+            && !matches!(kind, CallKind::Read(_));
+        let (caller, ended) = (
+            self.records.len(),
+            acknowledged_on_send.then_some(now + 0.5),
+        );
+        let record = CallRecord {
             caller,
             began_ms: now,
             ended_ms: ended,
             changed: true,
-            what,
+            kind,
         };
-        self.seen.push(seen);
-        self.nodes[i].calls.insert(number, self.seen.len() - 1);
-        Ok(self.seen.len() - 1)
+        self.records.push(record);
+        self.nodes[i].calls.insert(number, self.records.len() - 1);
+        Ok(self.records.len() - 1)
     }
 
     pub fn leader(&self) -> Option<usize> {
@@ -369,21 +376,21 @@
             })
     }
 
-    /// Runs until it is so; how long that took.
-    pub fn until(&mut self, max_ms: f64, so: impl Fn(&World) -> bool) -> f64 {
+    /// Runs until the condition holds. Returns how long that took, ms.
+    pub fn run_until(&mut self, max_ms: f64, condition: impl Fn(&World) -> bool) -> f64 {
         let began = self.now_ms;
-        while !so(self) {
+        while !condition(self) {
             if self.now_ms - began >= max_ms {
-                println!("{}", self.standing());
-                panic!("seed {}: nothing in {max_ms} ms", self.seed);
+                println!("{}", self.describe_members());
+                panic!("seed {}: condition not met in {max_ms} ms", self.seed);
             }
             self.run(1.0);
         }
         self.now_ms - began
     }
 
-    /// How all stand, for whoever looks into a failure.
-    pub fn standing(&self) -> String {
+    /// Describes the status of all members, for test failures.
+    pub fn describe_members(&self) -> String {
         let one = |n: &Node| {
             let status = n.member().map(|m| (m.id(), m.status(self.now_ms)));
             let disk = n
@@ -400,16 +407,16 @@
         self.nodes.iter().map(one).collect()
     }
 
-    /// Whether every member votes and somebody leads.
-    pub fn whole(&self) -> bool {
-        let wanted = self.nodes.len();
+    /// Whether every member votes and the group has a leader.
+    pub fn is_ready(&self) -> bool {
+        let member_count = self.nodes.len();
         self.leader()
-            .is_some_and(|l| self.nodes[l].member().unwrap().voters() == wanted)
+            .is_some_and(|l| self.nodes[l].member().unwrap().voters() == member_count)
             && self.nodes.iter().all(|n| {
                 n.member().is_some_and(|m| {
                     let status = m.status(self.now_ms);
                     let votes = status.role != Role::Learner && !status.changing;
-                    m.voters() == wanted && m.leader().is_some() && votes
+                    m.voters() == member_count && m.leader().is_some() && votes
                 })
             })
     }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -386,7 +386,7 @@
 /// The two-ingress check with all clock rates, and larger models with three ingresses, proposals
 /// that are committed twice, and ingresses that crash while they hold the lease.
 #[test]
-#[ignore = "long: figures are in the commits"]
+#[ignore = "slow: run manually"]
 fn three_ingresses_with_duplicates_and_crashes_stay_exclusive() {
     for rates in CLOCK_RATES {
         let (found, states) = check_model(two_ingresses(SafetyRules::SOUND, true, rates));
