--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -20,7 +20,7 @@
 pub enum HelloError {
     /// The peer uses another protocol.
     #[error("peer does not use this link protocol")]
-    Foreign,
+    UnknownProtocol,
     /// The greeting is addressed to a member of another name.
     #[error("greeting is addressed to another member")]
     OtherMember,
@@ -29,10 +29,10 @@
     OtherGroup,
     /// Both sides support no common format version.
     #[error("no common format version")]
-    UnknownForm,
+    NoCommonFormat,
     /// The peer does not support the format version of the group's log.
     #[error("peer does not support the format version of the group")]
-    OlderForm,
+    OutdatedFormat,
 }
 
 /// An inclusive range of format versions.
@@ -103,7 +103,7 @@
         name: &str,
     ) -> Result<u16, HelloError> {
         if self.magic != MAGIC {
-            return Err(HelloError::Foreign);
+            return Err(HelloError::UnknownProtocol);
         }
         if self.to != name {
             return Err(HelloError::OtherMember);
@@ -112,10 +112,10 @@
             return Err(HelloError::OtherGroup);
         }
         if self.formats.newest < OLDEST_FORMAT || self.formats.oldest > supported.newest {
-            return Err(HelloError::UnknownForm);
+            return Err(HelloError::NoCommonFormat);
         }
         if self.id != 0 && self.formats.newest < supported.oldest {
-            return Err(HelloError::OlderForm);
+            return Err(HelloError::OutdatedFormat);
         }
         Ok(self.formats.newest.min(supported.newest))
     }
--- a/src/group/link/identity.rs
+++ b/src/group/link/identity.rs
@@ -54,7 +54,7 @@
             return Err(HelloError::OtherGroup);
         }
         if welcome.format_version < self.format.get() {
-            return Err(HelloError::OlderForm);
+            return Err(HelloError::OutdatedFormat);
         }
         Ok(())
     }
