--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -1,7 +1,7 @@
-//! A follower: an ingress that is not a member. It keeps a replica of the group's state and sends its
-//! proposals to a member. The follower chooses the member that it connects to and tracks the age of
-//! its replica. It reports a proposal as done only if a member has reported it as done, and the
-//! followers of a lost member must not all move to the same other member.
+//! A follower: an ingress that is not a member. It keeps a replica of the group's state and sends
+//! its proposals to a member. The follower chooses the member that it connects to and tracks the
+//! age of its replica. It reports a proposal as done only if a member has reported it as done, and
+//! the followers of a lost member must not all move to the same other member.
 
 mod backoff;
 mod calls;
--- a/crates/group/src/forwarding_routes.rs
+++ b/crates/group/src/forwarding_routes.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member counts as reachable for this long after its last direct frame, ms. Shorter than any
+/// A member counts as heard for this long after its last direct frame, ms. Shorter than any
 /// election timeout, so that a route is found before an election starts.
 const HEARD_WITHIN_MS: f64 = 400.0;
 /// A member's report is used for routes for this long, ms: one or two reports may be lost.
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -44,8 +44,8 @@
 
 /// Largest number of voting members.
 pub const MAX_MEMBERS: usize = 7;
-/// Smallest number of voters with which proposals are accepted: with fewer, a committed entry has
-/// too few copies.
+/// Smallest number of voters with which proposals are accepted: with fewer voters, a committed
+/// entry has too few copies.
 pub const MIN_MEMBERS: usize = 3;
 /// Longest name of a member, bytes.
 pub const MAX_NAME: usize = 64;
--- a/crates/group/src/log_replica.rs
+++ b/crates/group/src/log_replica.rs
@@ -81,8 +81,8 @@
         self.snapshot = Some(snapshot.clone());
     }
 
-    /// Drops the entries up to this index and returns its position; `None`: the index is not in the
-    /// log.
+    /// Drops the entries up to and including this index, and returns the position of the last one;
+    /// `None`: the index is not in the log.
     pub(crate) fn compact(&mut self, index: u64) -> Option<LogPosition> {
         let term = self.term_of(index)?;
         let dropped = (index - self.compacted.index) as usize;
--- a/crates/group/src/member/calls.rs
+++ b/crates/group/src/member/calls.rs
@@ -10,8 +10,8 @@
 const MAX_PENDING: usize = 256;
 /// A call without a result is sent again after this interval, ms.
 const RETRY_INTERVAL_MS: f64 = 300.0;
-/// Without a leader for longer than this, the group is assumed to have no majority rather than an
-/// election in progress, ms.
+/// A group that has been without a leader for longer than this is assumed to have lost its
+/// majority, rather than to be in an election, ms.
 const NO_MAJORITY_MS: f64 = 2500.0;
 
 /// The request of a call.
--- a/crates/group/src/member/raft_step.rs
+++ b/crates/group/src/member/raft_step.rs
@@ -35,7 +35,7 @@
         self.retry_calls(now_ms);
     }
 
-    /// Reports lost snapshots to the library. It waits for the end of each transfer: without a
+    /// Reports lost snapshots to the library, which waits for the end of each transfer: without a
     /// report the receiver would never be sent another snapshot.
     fn expire_snapshots(&mut self, now_ms: f64) {
         let expired: Vec<u64> = self
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Returns the next election timeout. The library draws it from a thread-local random
+    /// Returns the next election timeout. The library would draw it from a thread-local random
     /// generator. Here it follows from the seed, incarnation, term and role, so that a run can be
     /// repeated, and lies in a part of the range that belongs to this voter alone in that term: two
     /// candidates at the same time would split the votes.
--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -35,7 +35,7 @@
 pub struct MemberStatus {
     /// The member's role.
     pub role: Role,
-    /// The leader's name; none: there is no leader.
+    /// The leader's name; `None`: there is no leader.
     pub leader: Option<String>,
     /// The current term.
     pub term: u64,
@@ -122,8 +122,8 @@
         health.collect()
     }
 
-    /// Returns when this leader last knew that a majority was reachable. After a stall of the
-    /// leader that time lies in the past.
+    /// Returns when this leader last received messages from a majority. A leader that was stalled
+    /// no longer knows that a majority follows it.
     pub(super) fn majority_heard_ms(&self, now_ms: f64) -> f64 {
         let others = self.conf.voters.iter().filter(|id| **id != self.id());
         let mut times: Vec<f64> = others
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -126,8 +126,8 @@
             let present = state.members.values().filter(|m| !m.removed);
             let members = present.map(|m| (&m.name, &m.address));
             for (name, address) in members.chain(invited) {
-                // An address in the settings of this ingress takes precedence: by that one it
-                // reaches the member.
+                // An address in the settings of this ingress takes precedence, because it is
+                // the one by which this ingress reaches the member.
                 let address = || address.clone();
                 others.entry(name.clone()).or_insert_with(address);
             }
--- a/crates/group/src/record/conversion.rs
+++ b/crates/group/src/record/conversion.rs
@@ -193,7 +193,7 @@
         if LOCAL_MESSAGE_TYPES.contains(&kind) || needs_snapshot != self.snapshot.is_some() {
             return None;
         }
-        // The library reads the first entry of these messages without checking their number.
+        // The library reads the first entry of these messages without checking how many there are.
         let is_request = matches!(kind, MessageType::MsgPropose | MessageType::MsgReadIndex);
         if is_request && self.entries.len() != 1 {
             return None;
--- a/crates/leases/src/client/local_lease.rs
+++ b/crates/leases/src/client/local_lease.rs
@@ -5,9 +5,9 @@
 use crate::table::{LeaseHolder, LeaseProposal, LeaseState};
 use crate::timing;
 
-/// Additional wait per rank before acquiring a lease, ms. The first ingress that can acquires the
-/// lease, and three ingresses in a row that cannot still leave it held within the 200 ms allowed
-/// after a release.
+/// Additional wait per rank before acquiring a lease, ms. The first ingress that is able acquires
+/// the lease. Three ingresses in a row that are unable delay this by less than the 200 ms within
+/// which a released lease must be held again.
 const RANK_INTERVAL_MS: f64 = 50.0;
 /// First pause before acquiring again a lease that this ingress gave up, ms; doubles with each
 /// failure.
@@ -17,7 +17,7 @@
 /// Most doublings of the pause: the sixth reaches the maximum.
 const MAX_DOUBLINGS: u32 = 6;
 /// Giving up a lease that was held for longer than this resets the failure count, ms.
-const SETTLED_MS: f64 = 30_000.0;
+const FAILURE_RESET_MS: f64 = 30_000.0;
 /// A proposal without an answer is sent again after this interval, ms.
 const RETRY_INTERVAL_MS: f64 = 300.0;
 
@@ -39,7 +39,7 @@
 }
 
 /// The next proposal for a lease.
-pub(super) enum Next {
+pub(super) enum NextProposal {
     Nothing,
     Acquire,
     /// Renews the grant of this token.
@@ -105,7 +105,7 @@
     }
 
     /// Records a change of the replicated lease. Returns false if that change was observed before.
-    pub(super) fn note_seen(&mut self, now_ms: f64, state: &LeaseState) -> bool {
+    pub(super) fn observe_change(&mut self, now_ms: f64, state: &LeaseState) -> bool {
         if state.changed_at == self.seen.changed_at {
             return false;
         }
@@ -160,7 +160,7 @@
     /// failure.
     pub(super) fn give_up(&mut self, now_ms: f64) -> Option<LeaseChange> {
         let grant = self.grant.take()?;
-        if now_ms - self.granted_ms > SETTLED_MS {
+        if now_ms - self.granted_ms > FAILURE_RESET_MS {
             self.failures = 0;
         }
         let factor = f64::from(1u32 << self.failures.min(MAX_DOUBLINGS));
@@ -189,19 +189,19 @@
     }
 
     /// Returns the next proposal and records it as sent.
-    pub(super) fn next(
+    pub(super) fn next_proposal(
         &mut self,
         now_ms: f64,
         state: Option<&LeaseState>,
         holder: &LeaseHolder,
         rules: SafetyRules,
         leaving: bool,
-    ) -> Next {
+    ) -> NextProposal {
         if let Some(token) = self.releasing {
             return self.next_release(now_ms, token, state, holder);
         }
         if leaving || self.awaits_answer(now_ms) {
-            return Next::Nothing;
+            return NextProposal::Nothing;
         }
         if let Some(grant) = self.grant {
             return self.next_renewal(now_ms, grant);
@@ -220,28 +220,28 @@
         token: u64,
         state: Option<&LeaseState>,
         holder: &LeaseHolder,
-    ) -> Next {
+    ) -> NextProposal {
         let is_held =
             |state: &LeaseState| state.token == token && state.holder.as_ref() == Some(holder);
         if !state.is_some_and(is_held) {
             self.releasing = None;
-            return Next::Nothing;
+            return NextProposal::Nothing;
         }
         if self.awaits_answer(now_ms) {
-            return Next::Nothing;
+            return NextProposal::Nothing;
         }
         self.proposed_ms = Some(now_ms);
-        Next::Release(token)
+        NextProposal::Release(token)
     }
 
-    fn next_renewal(&mut self, now_ms: f64, grant: Grant) -> Next {
+    fn next_renewal(&mut self, now_ms: f64, grant: Grant) -> NextProposal {
         let lease_ms = self.lease_ms();
         let counts_from_ms = grant.expires_ms - lease_ms;
         if now_ms < counts_from_ms + timing::renewal_interval_ms(lease_ms) {
-            return Next::Nothing;
+            return NextProposal::Nothing;
         }
         self.proposed_ms = Some(now_ms);
-        Next::Renew(grant.token)
+        NextProposal::Renew(grant.token)
     }
 
     /// A partitioned holder may act until its lease expires on the slowest permitted clock. Other
@@ -252,21 +252,21 @@
         now_ms: f64,
         state: Option<&LeaseState>,
         rules: SafetyRules,
-    ) -> Next {
+    ) -> NextProposal {
         let held_by_other = state.filter(|state| state.holder.is_some());
         let takeover_ms = held_by_other.map_or(0.0, |state| {
             timing::takeover_wait_ms(f64::from(state.lease_ms), rules.clock_rate_bound)
         });
         let wait_ms = takeover_ms + f64::from(self.spec.rank) * RANK_INTERVAL_MS;
         if now_ms < self.seen.at_ms + wait_ms || now_ms < self.not_before_ms {
-            return Next::Nothing;
+            return NextProposal::Nothing;
         }
         self.proposed_ms = Some(now_ms);
         self.reason = match held_by_other {
             Some(_) => ChangeReason::Lapsed,
             None => ChangeReason::Free,
         };
-        Next::Acquire
+        NextProposal::Acquire
     }
 
     /// Builds the proposal to acquire the lease on the condition that it has not changed since it
--- a/crates/leases/src/client/mod.rs
+++ b/crates/leases/src/client/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::table::{LeaseHolder, LeaseProposal, LeaseTable};
 use crate::timing;
-use local_lease::{LocalLease, Next};
+use local_lease::{LocalLease, NextProposal};
 use std::collections::BTreeMap;
 
 /// A lease that this ingress tries to hold.
@@ -33,7 +33,7 @@
 }
 
 impl SafetyRules {
-    /// The rules that are safe.
+    /// The rules for production.
     pub const SOUND: SafetyRules = SafetyRules {
         clock_rate_bound: timing::CLOCK_RATE_BOUND,
         count_from_sending: true,
@@ -129,7 +129,7 @@
             let Some(state) = table.state(name) else {
                 continue;
             };
-            if !lease.note_seen(now_ms, state) {
+            if !lease.observe_change(now_ms, state) {
                 continue;
             }
             let change = if state.holder.as_ref() != Some(&self.holder) {
@@ -181,14 +181,14 @@
         for (name, lease) in &mut self.leases {
             self.changes.extend(lease.expire(now_ms));
             let state = table.state(name);
-            match lease.next(now_ms, state, &self.holder, self.rules, self.leaving) {
-                Next::Nothing => {}
-                Next::Renew(token) => renewals.push((name.clone(), token)),
-                Next::Release(token) => proposals.push(LeaseProposal::Release {
+            match lease.next_proposal(now_ms, state, &self.holder, self.rules, self.leaving) {
+                NextProposal::Nothing => {}
+                NextProposal::Renew(token) => renewals.push((name.clone(), token)),
+                NextProposal::Release(token) => proposals.push(LeaseProposal::Release {
                     lease: name.clone(),
                     token,
                 }),
-                Next::Acquire => proposals.push(lease.acquire(&self.holder, number)),
+                NextProposal::Acquire => proposals.push(lease.acquire(&self.holder, number)),
             }
         }
         if !renewals.is_empty() {
--- a/crates/leases/src/table.rs
+++ b/crates/leases/src/table.rs
@@ -58,7 +58,7 @@
 pub enum TokenStatus {
     /// The token belongs to the latest grant.
     Current,
-    /// The lease has been granted to another ingress since, which may already have acted.
+    /// The token is outdated: another ingress may have acted since.
     Stale,
 }
 
