--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -119,7 +119,7 @@
 #[test]
 fn what_waits_for_a_connection_is_not_begun() {
     play_all(
-        "clog hung
+        "add_unreachable hung
          state a left
          state b left
          wait 100
@@ -158,7 +158,7 @@
             front,
             Wire::Resp,
             "always value news
-             rush 400
+             idle 400
              send c k1 fetch-episode national 7
              expect c k1 served news
              descriptors 250",
@@ -239,17 +239,17 @@
         front,
         behind,
         &format!(
-            "roomy
-             tight
+            "more_descriptors
+             small_receive_buffer
              always large 300000
              {passed_on}
              wait 500
-             begun 120
+             attempts 120
              {close}
              wait 100
-             begun 0
+             attempts 0
              wait 900
-             begun none
+             attempts none
              descriptors 40
              always large 60000
              {first}
@@ -260,7 +260,7 @@
              {close}
              wait 500
              memory 12
-             persist d book-rebroadcast city 7
+             retry d book-rebroadcast city 7
              stop
              expect exit"
         ),
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -95,8 +95,8 @@
         "always value news
          send c k1 fetch-episode city 7
          expect c k1 served news
-         crowd 20
-         rush 20
+         idle_after_ping 20
+         idle 20
          stop
          expect c k2 closed
          expect exit",
@@ -113,7 +113,7 @@
          expect * k1
          expect * k2
          raw c what?\\r\\n
-         spill c 200000
+         garbage c 200000
          answer * k1 value one
          answer * k2 value two
          wait 300
@@ -136,11 +136,11 @@
         .collect();
     play_resp(&format!(
         "always large 60000
-         tight
+         small_receive_buffer
          {send}
          wait 1500
          raw c what?\\r\\n
-         spill c 200000
+         garbage c 200000
          wait 300
          {expect}
          expect c - -ERR malformed
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -58,10 +58,10 @@
          answer a k1 twice first
          expect c k1 served first
          send c k2 book-rebroadcast city 7
-         answer a k2 odd second
+         answer a k2 odd_fields second
          expect c k2 served second
          send c k3 book-rebroadcast city 7
-         answer a k3 noise
+         answer a k3 unknown_error
          expect c k3 failed
          send c k4 book-rebroadcast city 7
          answer a k4 value fourth
@@ -80,7 +80,7 @@
         "with plans.3.units_per_s=0.0
          state b left
          wait 50
-         tardies c a 20 200
+         late_duplicates c a 20 200
          wait 10
          send c last book-rebroadcast national 7
          answer a last value own
@@ -326,7 +326,13 @@
 #[test]
 fn a_counter_out_of_order_costs_no_request_its_answer() {
     for fault in [
-        "silent", "full", "late", "garbage", "spoilt", "half", "close",
+        "silent",
+        "full",
+        "late",
+        "garbage",
+        "not_a_number",
+        "half",
+        "close",
     ] {
         play(
             Wire::Resp,
@@ -356,12 +362,12 @@
             Wire::Resp,
             &format!(
                 "always value news
-                 agent {fault}
+                 discovery {fault}
                  state a leaving
                  wait 100
                  send c k1 fetch-episode city 7
                  expect c k1 served news
-                 agent ok
+                 discovery ok
                  state b left
                  wait 700
                  send c k2 fetch-episode city 7
@@ -380,11 +386,11 @@
         "always value news
          state b left
          wait 100
-         agent silent
+         discovery silent
          state a leaving
          send c k1 fetch-episode city 7
          expect c k1 served news
-         agent ok
+         discovery ok
          wait 3500
          send c k2 fetch-episode city 7
          expect c k2 busy
@@ -402,10 +408,10 @@
             "always value news
              state b left
              wait 100
-             agent {fault}
+             discovery {fault}
              wait 3500
              state a leaving
-             agent ok
+             discovery ok
              wait 1000
              send c k1 fetch-episode city 7
              expect c k1 busy
@@ -420,19 +426,19 @@
 fn a_list_that_is_indented_or_ends_with_its_connection_is_taken_and_one_that_is_reset_is_not() {
     for (fault, want) in [
         ("indented", "busy"),
-        ("endless", "busy"),
-        ("torn", "served"),
+        ("no_length", "busy"),
+        ("truncated", "served"),
     ] {
         play_resp(&format!(
             "always value news
              state b left
              wait 100
-             agent {fault}
+             discovery {fault}
              state a leaving
              wait 1000
              send c k1 fetch-episode city 7
              expect c k1 {want}
-             agent ok
+             discovery ok
              wait 1000
              send c k2 fetch-episode city 7
              expect c k2 busy"
@@ -450,13 +456,13 @@
         "always value news
          state b left
          wait 100
-         agent silent
+         discovery silent
          wait 3000
-         crowd 200
-         rush 300
+         idle_after_ping 200
+         idle 300
          wait 200
          state a leaving
-         agent ok
+         discovery ok
          wait 1000
          descriptors 200
          send c k1 fetch-episode city 7
@@ -494,7 +500,7 @@
         play(
             front,
             Wire::Http2,
-            "unseen
+            "reject_by_goaway
              send c k1 book-rebroadcast city 7
              expect c k1 busy
              runs k1 0",
@@ -734,7 +740,7 @@
         "send c k1 book-rebroadcast city 7 d=2900
          expect * k1
          wait 1500
-         answer * k1 cut
+         answer * k1 tcp_reset
          expect c k1 failed
          wait 300
          runs k1 1",
@@ -750,7 +756,7 @@
         "send c k1 fetch-episode city 7 d=2900
          expect * k1
          wait 900
-         answer * k1 cut
+         answer * k1 tcp_reset
          answer * k1 value news
          expect c k1 served news
          runs k1 2",
@@ -764,7 +770,7 @@
     play_all(
         "state a left
          state b left
-         clog late
+         add_unreachable late
          wait 100
          send c k1 book-rebroadcast city 7 d=2900
          wait 50
@@ -776,7 +782,7 @@
          send c k2 book-rebroadcast city 7 d=1200
          expect c k2 busy
          wait 500
-         unclog late
+         make_reachable late
          wait 2500
          runs k1 1
          runs k2 0",
--- a/tests/operation.rs
+++ b/tests/operation.rs
@@ -10,7 +10,7 @@
 /// invalid calls must get an error.
 #[test]
 fn calls_are_answered_despite_silent_callers() {
-    let silent = "murmur SUSPEND a\n".repeat(40);
+    let silent = "partial_call SUSPEND a\n".repeat(40);
     play(
         Wire::Resp,
         Wire::Resp,
@@ -115,13 +115,13 @@
     for (client_wire, wait) in [(Wire::Resp, 0), (Wire::Http2, 700)] {
         for endpoint_wire in [Wire::Resp, Wire::Http2] {
             let scenario = format!(
-                "held
+                "inherited_socket
          send c k1 book-rebroadcast city 7
          expect * k1
          send d k2 fetch-episode city 7
          answer * k2 value news
          expect d k2 served news
-         beside
+         start_second
          stop
          wait {wait}
          send e k3 fetch-episode city 7
@@ -187,12 +187,12 @@
         play(
             Wire::Resp,
             endpoint_wire,
-            "held
+            "inherited_socket
              call ACK SUSPEND a
              send c k1 book-rebroadcast city 7
              answer b k1 value booked
              expect c k1 served booked
-             beside
+             start_second
              call ACK SUSPEND a
              call ACK RESTORE a
              call ACK SUSPEND b
@@ -221,19 +221,19 @@
     play(
         Wire::Resp,
         Wire::Resp,
-        "held
-         crowd 110
+        "inherited_socket
+         idle_after_ping 110
          descriptors 100
-         beside
+         start_second
          wait 300
-         crowd 110
+         idle_after_ping 110
          wait 300
          # 91 measured; 148 if each process used the whole limit.
          descriptors 120
          stop
          expect exit
          wait 300
-         crowd 110
+         idle_after_ping 110
          descriptors 100",
     );
 }
@@ -245,15 +245,15 @@
     play(
         Wire::Resp,
         Wire::Resp,
-        "held
+        "inherited_socket
          call ACK SUSPEND a
-         beside
+         start_second
          kill
          call ACK STATUS
          send c k1 book-rebroadcast city 7
          answer b k1 value booked
          expect c k1 served booked
-         beside
+         start_second
          call ACK SUSPEND b
          call NAK STATUS
          call ACK RESTORE a
@@ -263,7 +263,7 @@
          expect d k2 served news
          stop
          expect exit
-         beside
+         start_second
          stop
          expect exit
          call ACK STATUS
@@ -271,7 +271,7 @@
          answer a k3 value news
          expect e k3 served news
          wait 300
-         crowd 110
+         idle_after_ping 110
          descriptors 100",
     );
 }
@@ -283,15 +283,15 @@
     play(
         Wire::Resp,
         Wire::Resp,
-        "held
+        "inherited_socket
          call ACK SUSPEND a
-         stillborn
+         start_fails
          send c k1 fetch-episode city 7
          answer b k1 value news
          expect c k1 served news
          call ACK STATUS
          call ACK RESTORE a
-         crowd 110
+         idle_after_ping 110
          descriptors 100",
     );
 }
@@ -303,10 +303,10 @@
     play(
         Wire::Resp,
         Wire::Resp,
-        r"held
+        r"inherited_socket
          call ACK PAUSE
          call NAK STATUS
-         beside
+         start_second
          call ACK STATUS
          stop
          expect exit
@@ -325,12 +325,12 @@
         Wire::Resp,
         Wire::Resp,
         &format!(
-            "crowd 200
+            "idle_after_ping 200
              {}call ACK STATUS
              call ACK SUSPEND a
              call ACK RESTORE a
              descriptors 256",
-            "murmur STAT\n".repeat(20)
+            "partial_call STAT\n".repeat(20)
         ),
     );
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -17,8 +17,8 @@
 fn requests_of_a_pool_reach_only_its_endpoints() {
     play_all(&format!(
         "rules {POOLS}
-         pooled a x
-         pooled b y
+         pool a x
+         pool b y
          send c k1 fetch-episode city 7
          answer a k1 value one
          expect c k1 served one
@@ -40,15 +40,15 @@
 fn pool_without_ready_endpoint_falls_back_or_rejects() {
     play_all(&format!(
         "rules {POOLS}
-         pooled a x
-         pooled b y
+         pool a x
+         pool b y
          state b leaving
          wait 60
          send c k1 fetch-episode city 8
          answer a k1 value one
          expect c k1 served one
          state a left
-         pooled b y
+         pool b y
          send c k2 fetch-episode city 7
          expect c k2 busy
          runs k2 0
@@ -65,14 +65,14 @@
     // is no retry.
     play_all(&format!(
         "rules {POOLS}
-         pooled a x
-         pooled b x
+         pool a x
+         pool b x
          send c k1 fetch-episode city 7
          answer * k1 reset
          answer * k1 value one
          expect c k1 served one
          runs k1 2
-         pooled b y
+         pool b y
          send c k2 fetch-episode city 7 d=600
          answer a k2 reset
          wait 700
@@ -88,8 +88,8 @@
     // pool.
     play_all(&format!(
         "rules {POOLS}
-         pooled a x
-         pooled b y
+         pool a x
+         pool b y
          send c k1 fetch-episode city 8
          expect b k1
          rules [[pool]]\\nname = 'z'\\nwhen = 'true'\\n{POOLS}
@@ -116,7 +116,7 @@
          send c k2 fetch-episode city 7
          expect c k2 served ok
          send c k3 fetch-episode city 7
-         advice c k3 1000 2000
+         retry_after c k3 1000 2000
          send c k4 fetch-episode city 8
          expect c k4 served ok
          rules {limit}[[rule]]\\nname = 'n'\\nwhen = 'request.partner.orValue(\"\") == \"0000000000000009\"'\\nnack = 'duration(\"100ms\")'\\n
@@ -161,9 +161,9 @@
     play_all(&format!(
         "rules {rules}
          send c k1 fetch-episode city 9
-         advice c k1 1234 1234
+         retry_after c k1 1234 1234
          send c k2 book-rebroadcast city 9
-         advice c k2 1234 1234
+         retry_after c k2 1234 1234
          runs k1 0"
     ));
 }
@@ -259,8 +259,8 @@
     // attempts than a few.
     let mut lines = vec![
         format!("rules {}", file(0)),
-        "pooled a x".into(),
-        "pooled b y".into(),
+        "pool a x".into(),
+        "pool b y".into(),
         "always value ok".into(),
     ];
     for round in 1..16 {
--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -26,14 +26,14 @@
 
 pub(super) fn parts(how: &str) -> Option<Parts<'_>> {
     let (how, size) = how.split_once(' ')?;
-    if !["large", "torn", "vain", "pieces"].contains(&how) {
+    if !["large", "truncated", "short", "pieces"].contains(&how) {
         return None;
     }
     let value = large(size);
     let half = value.len() / 2;
     let (parts, whole) = match how {
-        "torn" => (vec![value[..half].to_vec()], false),
-        "vain" => (vec![b"nine-long".to_vec()], true),
+        "truncated" => (vec![value[..half].to_vec()], false),
+        "short" => (vec![b"nine-long".to_vec()], true),
         "pieces" => (
             value.chunks(value.len() / 12).map(<[u8]>::to_vec).collect(),
             true,
@@ -49,7 +49,7 @@
         return String::from_utf8_lossy(value).to_string();
     }
     let good = value == large(&value.len().to_string());
-    format!("{} {}", value.len(), if good { "bytes" } else { "SPOILT" })
+    format!("{} {}", value.len(), if good { "bytes" } else { "CORRUPT" })
 }
 
 /// The figures on use and the value of `cost N V`.
@@ -61,7 +61,7 @@
 /// The bytes of a reply, or what comes in its place.
 fn resp_reply(how: &str) -> String {
     match how.split_once(' ').unwrap_or((how, "")) {
-        ("value" | "last" | "tardy", v) => {
+        ("value" | "last" | "late_duplicate", v) => {
             format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
         }
         ("cost", v) => {
@@ -76,8 +76,8 @@
         ("error", _) => "-ERR failed\r\n".to_string(),
         ("half" | "hang", _) => "*3\r\n$10\r\nabc".to_string(),
         ("twice", v) => format!("*3\r\n${0}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len()).repeat(2),
-        ("noise", _) => "-what is this\r\n".to_string(),
-        ("odd", v) => format!("*3\r\n${}\r\n{v}\r\n+what\r\n$9\r\nlat_ms=no\r\n", v.len()),
+        ("unknown_error", _) => "-what is this\r\n".to_string(),
+        ("odd_fields", v) => format!("*3\r\n${}\r\n{v}\r\n+what\r\n$9\r\nlat_ms=no\r\n", v.len()),
         ("garbage", _) => "!what is this\r\n".to_string(),
         _ => String::new(),
     }
@@ -129,7 +129,7 @@
         let reply = resp_reply(&how);
         let answered_at = Instant::now();
         let _ = stream.write_all(reply.as_bytes()).await;
-        if how.starts_with("tardy") {
+        if how.starts_with("late_duplicate") {
             tokio::time::sleep(SECOND_ANSWER_DELAY).await;
             // On a busy machine the sleep may end later than the program promises anything for.
             if answered_at.elapsed() <= SECOND_ANSWER_LIMIT {
@@ -137,7 +137,7 @@
                 shared.second_answers.set(shared.second_answers.get() + 1);
             }
         }
-        if how == "cut" {
+        if how == "tcp_reset" {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
@@ -291,7 +291,7 @@
                 self.abrupt.notify_one();
                 std::future::pending::<()>().await;
             }
-            ("cut", _) => {
+            ("tcp_reset", _) => {
                 self.cut.notify_one();
                 std::future::pending::<()>().await;
             }
@@ -314,7 +314,7 @@
     if !whole {
         return send.send_reset(h2::Reason::INTERNAL_ERROR);
     }
-    if how.starts_with("vain") {
+    if how.starts_with("short") {
         std::future::pending::<()>().await;
     }
     let _ = send.send_data(Bytes::new(), true);
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -1,61 +1,102 @@
-//! The stage: the real program between stand-ins for clients, endpoints, counter and discovery, all on
-//! loopback, and the scenario language that drives them. One line, one step; `C` is a client's connection,
-//! `I` an endpoint, `K` a request's id:
+//! Test environment: the real program between simulated clients, endpoints, counter and discovery,
+//! all on loopback, and the scenario language that drives them. A scenario has one step a line. `C`
+//! names a connection of a client, `I` an endpoint and `K` the id of a request.
 //!
-//!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   a client sends a request
-//!     raw C TEXT                           a client writes bytes as they stand (\r\n are escapes)
-//!     with PATH=VALUE ...                  (first line) the settings hold these: `request_classes.1.effect="token"`
-//!     small                                (first line) the program's memory is 10 MB
-//!     roomy                                (first line) the program may hold 1024 descriptors
-//!     tight                                clients of RESP that come from now on have little room for what they do not read
-//!     spill C N                            a client writes N bytes that make no sense, as far as they are taken
-//!     part C N                             a client writes all but the end of a request with a body of N bytes
-//!     long C N                             a client writes a request of N bytes
-//!     expect C K WHAT                      its answer: served V, busy, failed, closed; or a prefix of a raw line
-//!     expect I K                           an attempt arrives whole (`*`: at any endpoint)
-//!     answer I K HOW                       value V, cost N V (with its true units), last V (and closes, RESP), busy, error, half (breaks halfway), reset, cut (a reset of the connection itself), refuse, goaway, garbage,
-//!                                          large N (a value of N bytes), torn N (breaks off in its middle), pieces N (comes slowly),
-//!                                          vain N (promises N bytes and gives 9), hang (halfway), noise (RESP), twice V, tardy V (the same, the second 5 ms later, or none if it would be later than 8 ms, RESP), odd V (with figures that make no sense, RESP)
-//!     always HOW                           from now on endpoints answer at once (`echo`: with the request's id)
-//!     reset C K / close C                  the client gives up a request (its connection on RESP) / closes
-//!     state I STATE                        discovery tells of an endpoint (a, b): active, leaving, left
-//!     inventory NAME[=STATE] ...           the operator's file names these, and is read again (SIGHUP)
-//!     unseen                               endpoints send GOAWAY below every stream (HTTP/2)
-//!     counter HOW                          it is silent, full, late, or answers garbage, spoilt, half, close, ok
-//!     agent HOW                            discovery answers garbage, error, nonsense, ok, indented, endless (without a length), torn
-//!                                          (so, and reset within), reset, or silent (open calls too, which stay so)
-//!     rush N                               N clients connect at once, say nothing and stay
-//!     burst C N                            a client writes N requests at once (ids C0, C1 and so on), as far as they are taken
-//!     fin C                                a client ends its sending and reads on
-//!     clog NAME                            discovery tells of a further endpoint, to which no connection comes up
-//!     unclog NAME                          it takes connections from now on, as an endpoint
-//!     move PARTS                           discovery, counter: are elsewhere from now on, as the configuration (SIGHUP) says
-//!     rules TEXT                           the file of rules holds this (\n are escapes), and is read again (SIGHUP)
-//!     pooled I BITS                        discovery tells of an endpoint with the label pool=BITS
-//!     flood C N                            a client sends N requests with ids of their own, some at a time, and reads all answers
-//!     tardies C I N MOST                   a client sends requests one behind the other, each with the answer `tardy` from
-//!                                          this endpoint, until N second answers were written; MOST requests at most
-//!     persist C CLASS PLAN PARTNER         a client comes again while it is refused, until it is served
-//!     memory / memory MB                   notes the program's memory / it has grown by so much at most
-//!     advice C K LEAST MOST                the answer is a refusal, to come back in so many ms
-//!     get C K PATH [NAME=VALUE ...]        a client asks for a path by GET, with these headers (HTTP/2)
-//!     post C K PATH [NAME=VALUE ...]       the same by POST
-//!     config TEXT                          the configuration file holds this, and is read again (SIGHUP)
-//!     stop / expect exit                   SIGTERM / the program ends with status 0
-//!     held                                 (first line) the stage holds the clients' socket, and processes inherit it
-//!     beside                               the program is started a second time and is ready; stop and exit mean the first
-//!     stillborn                            a second process finds its address for calls taken and ends with status 2
-//!     kill                                 SIGKILL to the first process; the second is the first from then on
-//!     call WORD CALL                       an operator's call to the newest process; the answer begins with the word
-//!     crowd N                              N clients ask PING, have their answers and stay (RESP)
-//!     descriptors N                        all processes of the program together hold so many at most
-//!     murmur TEXT                          a caller writes half a call and stays
-//!     freeze / thaw                        SIGSTOP, SIGCONT
-//!     wait MS                              time passes
-//!     runs K N                             N attempts for K have arrived in all
-//!     begun LEAST / begun none             notes that at least so many attempts have arrived / none has since
-//!     counted N                            the counter holds N units, and under one that time brought
-//!     counted N RATE                       it holds N units, and at most RATE for each second since it got the first
+//! Settings, on the first line only:
+//!
+//!     with PATH=VALUE ...            changes settings: `request_classes.1.effect="token"`
+//!     small_memory                   the program's memory limit is 10 MB
+//!     more_descriptors               the program's descriptor limit is 1024
+//!     inherited_socket the environment binds the clients' socket; processes inherit it
+//!
+//! Clients:
+//!
+//!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   sends a request
+//!     raw C TEXT                     writes TEXT unchanged; \r and \n are escapes (RESP)
+//!     garbage C N writes N malformed bytes, until the program stops reading (RESP)
+//!     incomplete C N writes a request with a body of N bytes, all but its end (RESP)
+//!     long C N                       writes a request of N bytes (RESP)
+//!     burst C N writes N requests at once, with the ids C0, C1 and so on, until
+//!                                    the program stops reading (RESP)
+//!     flood C N sends N requests with distinct ids in batches, reads all answers
+//!     late_duplicates C I N MAX      sends requests in sequence, which endpoint I answers with
+//!                                    `late_duplicate`, until N duplicates were written; at most
+//!                                    MAX
+//!     retry C CLASS PLAN PARTNER     repeats a request while it is refused, until it is served
+//!     get C K PATH [NAME=VALUE ...]  requests PATH by GET, with these headers (HTTP/2)
+//!     post C K PATH [NAME=VALUE ...] the same by POST
+//!     reset C K                      cancels a request (RESP: closes its connection)
+//!     close C                        closes the connection
+//!     fin C                          ends the sending side; the client still reads (RESP)
+//!     idle N                         N clients connect at once and stay without sending
+//!     idle_after_ping N              N clients send PING, read the answer and stay idle (RESP)
+//!     small_receive_buffer RESP clients that connect from now on have small receive buffers
+//!     expect C K ANSWER the answer begins with ANSWER: served V, busy, failed, closed, an
+//!                                    HTTP status, or a raw line
+//!     retry_after C K MIN MAX the answer is a refusal whose retry-after is in these bounds, ms
+//!
+//! Endpoints:
+//!
+//!     expect I K waits until a whole attempt has arrived (`*`: at any endpoint)
+//!     answer I K REPLY               waits for the attempt and answers it with REPLY, see below
+//!     always REPLY                   from now on every attempt gets REPLY at once (`echo`: its id)
+//!     state I STATE discovery lists the endpoint (a, b) as active, leaving or left
+//!     pool I LABEL                   discovery lists the endpoint with the label pool=LABEL
+//!     inventory NAME[=STATE] ...     the inventory file lists these endpoints; reloads it (SIGHUP)
+//!     reject_by_goaway               endpoints send GOAWAY with last stream id 0 (HTTP/2)
+//!     add_unreachable NAME           discovery lists a new endpoint that accepts no connection
+//!     make_reachable NAME            the same endpoint accepts connections from now on
+//!
+//! REPLY is one of:
+//!
+//!     value V                        the value V
+//!     cost N V                       the value V, with its actual units N
+//!     last V                         the value V, then the connection is closed (RESP)
+//!     twice V                        the value V twice at once (RESP)
+//!     late_duplicate V the value V, and 5 ms later again unless 8 ms have passed (RESP)
+//!     odd_fields V                   the value V, with malformed report fields (RESP)
+//!     large N                        a value of N bytes
+//!     truncated N                    a value of N bytes that breaks off in its middle
+//!     pieces N                       a value of N bytes that arrives slowly
+//!     short N                        announces N bytes and sends 9
+//!     busy, error, refuse, garbage   a rejection, a failure, a refused stream, malformed bytes
+//!     unknown_error                  an error reply that the protocol does not define (RESP)
+//!     half, hang                     part of a value, then a failure / then nothing
+//!     reset, goaway, tcp_reset       ends the stream / the connection / resets the TCP connection
+//!
+//! Counter, discovery and files:
+//!
+//!     counter FAULT                  silent, full, late, garbage, not_a_number, half, close, or ok
+//!     discovery FAULT                garbage, error, nonsense, indented, no_length (ends with the
+//!                                    connection), truncated (reset within the list), reset, silent
+//!                                    (also for polls that are open, for good), or ok
+//!     move SERVICE ...               discovery, counter: change ports; reloads the configuration
+//!     rules TEXT replaces the rule file (\n is an escape) and reloads it (SIGHUP)
+//!     config TEXT                    replaces the configuration file and reloads it (SIGHUP)
+//!
+//! Processes:
+//!
+//!     stop / expect exit             SIGTERM / the program ends with status 0
+//!     freeze / thaw                  SIGSTOP / SIGCONT
+//!     start_second                   starts a second process and waits until it is ready; stop and
+//!                                    exit still refer to the first
+//!     start_fails                    a second process finds its operator address in use and ends
+//!                                    with status 2
+//!     kill                           SIGKILL to the first process; the second takes its place
+//!     call WORD CALL an operator's call to the newest process; its answer begins with
+//!                                    WORD
+//!     partial_call TEXT              an operator writes part of a call and stays connected
+//!
+//! Time and checks:
+//!
+//!     wait MS                        sleeps
+//!     runs K N                       N attempts for K have arrived in total
+//!     attempts MIN / attempts none notes that at least MIN attempts have arrived / none since then
+//!     counted N                      the counter holds N units, and less than one from refill
+//!     counted N RATE the counter holds N units, and at most RATE more for each second
+//!                                    since its first
+//!     descriptors N                  all processes together hold at most N descriptors
+//!     memory / memory MB             notes the program's memory / it has grown by at most MB
 #![allow(dead_code)]
 
 mod clients;
@@ -302,7 +343,7 @@
             .map(str::trim)
             .filter(|l| !l.starts_with('#'))
         {
-            let long = if line.starts_with("flood") || line.starts_with("tardies") {
+            let long = if line.starts_with("flood") || line.starts_with("late_duplicates") {
                 LONG * 20
             } else {
                 LONG
--- a/tests/stage/services.rs
+++ b/tests/stage/services.rs
@@ -35,7 +35,9 @@
                 "late" => tokio::time::sleep(Duration::from_millis(200)).await,
                 "full" => answer = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into(),
                 "garbage" => answer = "what?\r\n\r\n".into(),
-                "spoilt" => answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwhat".into(),
+                "not_a_number" => {
+                    answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwhat".into()
+                }
                 "half" => answer = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nwhat".into(),
                 _ => answer.insert_str(0, "HTTP/1.1 103 Early Hints\r\n\r\n"),
             }
@@ -100,8 +102,8 @@
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        if how == "endless" || how == "torn" {
-            let half = if how == "torn" {
+        if how == "no_length" || how == "truncated" {
+            let half = if how == "truncated" {
                 body.len() - 1
             } else {
                 body.len()
@@ -111,7 +113,7 @@
                 .await;
             // What was written must have been read before a reset, or it goes with it.
             tokio::time::sleep(Duration::from_millis(30)).await;
-            if how == "torn" {
+            if how == "truncated" {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
             return;
--- a/tests/stage/setup.rs
+++ b/tests/stage/setup.rs
@@ -38,7 +38,7 @@
 impl Stage {
     /// Sets it up; `first` is a scenario's first line.
     pub async fn set(front: Wire, wire: Wire, first: &str) -> Stage {
-        let (held, small) = (first == "held", first == "small");
+        let (held, small) = (first == "inherited_socket", first == "small_memory");
         let shared = Shared::default();
         let mut endpoints = HashMap::new();
         for name in ["a", "b", "extra"] {
@@ -91,7 +91,7 @@
             idle_connections: Vec::new(),
             full_listeners: Vec::new(),
             small,
-            sockets: if first == "roomy" {
+            sockets: if first == "more_descriptors" {
                 ROOMY_SOCKETS
             } else {
                 SOCKETS
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -32,10 +32,10 @@
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
             ["burst", name, n] => self.write_burst(name, n).await,
-            ["spill", name, n] => {
+            ["garbage", name, n] => {
                 let noise = "x".repeat(n.parse().unwrap());
                 let Client::Resp { stream, .. } = self.client(name).await else {
-                    panic!("spill is for RESP")
+                    panic!("garbage is for RESP")
                 };
                 write_taken(stream, noise.as_bytes()).await;
             }
@@ -56,7 +56,7 @@
                 };
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
-            ["part", name, n] => self.write_part(name, n).await,
+            ["incomplete", name, n] => self.write_part(name, n).await,
             _ => return false,
         }
         true
@@ -90,7 +90,7 @@
             "x".repeat(n - 1)
         );
         let Client::Resp { stream, .. } = self.client(name).await else {
-            panic!("part is for RESP")
+            panic!("incomplete is for RESP")
         };
         // What is not read on stays with the writer.
         let _ = stream.try_write(text.as_bytes());
@@ -125,12 +125,12 @@
                 streams.insert(id.to_string(), stream);
             }
             ["flood", name, n] => self.flood(name, n.parse().unwrap()).await,
-            ["tardies", name, endpoint, n, most] => {
+            ["late_duplicates", name, endpoint, n, most] => {
                 let (n, most) = (n.parse().unwrap(), most.parse().unwrap());
                 self.send_until_answered_twice(name, endpoint, n, most)
                     .await;
             }
-            ["persist", name, terms @ ..] => {
+            ["retry", name, terms @ ..] => {
                 for turn in 0.. {
                     let id = format!("{name}-{turn}");
                     self.send(&[&[*name, id.as_str()], terms].concat()).await;
@@ -142,8 +142,8 @@
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
-            ["tight"] => self.tight = true,
-            ["rush", n] => {
+            ["small_receive_buffer"] => self.tight = true,
+            ["idle", n] => {
                 let to = &self.ports[if self.front == Wire::Resp {
                     "resp"
                 } else {
@@ -155,7 +155,7 @@
                     self.idle_connections.push(connect.await.unwrap().unwrap());
                 }
             }
-            ["crowd", n] => {
+            ["idle_after_ping", n] => {
                 for _ in 0..n.parse::<usize>().unwrap() {
                     let stream = self.ping().await.expect("a yes to PING");
                     self.idle_connections.push(stream);
@@ -198,7 +198,9 @@
             ["answer", endpoint, id, how @ ..] => {
                 self.answer_attempt(endpoint, id, how.join(" ")).await;
             }
-            ["advice", name, id, min, max] => self.retry_advice(line, name, id, min, max).await,
+            ["retry_after", name, id, min, max] => {
+                self.retry_advice(line, name, id, min, max).await
+            }
             _ => return false,
         }
         true
@@ -229,7 +231,7 @@
             let (id, value) = (format!("{name}{turn}"), format!("v{turn}."));
             self.send(&[name, &id, "book-rebroadcast", "national", "7"])
                 .await;
-            self.answer_attempt(endpoint, &id, format!("tardy {value}"))
+            self.answer_attempt(endpoint, &id, format!("late_duplicate {value}"))
                 .await;
             let answer = self.answer(name, &id).await;
             assert_eq!(answer, format!("served {value}"), "request {id}");
@@ -270,7 +272,7 @@
         };
         let range = min.parse::<u64>().unwrap()..=max.parse().unwrap();
         assert!(range.contains(&ms), "{:?}: {line}: {ms}", self.front);
-        self.answers.push("advice".into());
+        self.answers.push("retry_after".into());
     }
 }
 
@@ -278,15 +280,15 @@
     /// What becomes of endpoints. False: it is no such step.
     async fn endpoint_step(&mut self, words: &[&str]) -> bool {
         match words {
-            ["clog", name] => self.add_unreachable_endpoint(name).await,
-            ["unclog", name] => self.serve_unreachable_endpoint(name).await,
+            ["add_unreachable", name] => self.add_unreachable_endpoint(name).await,
+            ["make_reachable", name] => self.serve_unreachable_endpoint(name).await,
             ["state", name, state] => {
                 let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, state);
                 self.list.send_modify(|changes| changes.push(entry));
             }
             ["always", how @ ..] => *self.shared.always.borrow_mut() = Some(how.join(" ")),
-            ["pooled", name, label] => {
+            ["pool", name, label] => {
                 let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, "active");
                 let labels = format!(r#""labels":{{"pool":"{label}"}},"state""#);
@@ -294,7 +296,7 @@
                     .send_modify(|changes| changes.push(entry.replace(r#""state""#, &labels)));
                 tokio::time::sleep(Duration::from_millis(60)).await;
             }
-            ["unseen"] => *self.shared.unseen.borrow_mut() = true,
+            ["reject_by_goaway"] => *self.shared.unseen.borrow_mut() = true,
             _ => return false,
         }
         true
@@ -390,7 +392,7 @@
                 self.read_again().await;
             }
             ["counter", how] => *self.shared.counter.borrow_mut() = how.to_string(),
-            ["agent", how] => *self.shared.discovery.borrow_mut() = how.to_string(),
+            ["discovery", how] => *self.shared.discovery.borrow_mut() = how.to_string(),
             _ => return false,
         }
         true
@@ -418,8 +420,8 @@
                 }
             }
             ["thaw"] => self.signal("-CONT"),
-            ["held" | "small" | "roomy"] | ["with", ..] => {}
-            ["beside"] => {
+            ["inherited_socket" | "small_memory" | "more_descriptors"] | ["with", ..] => {}
+            ["start_second"] => {
                 self.staff_port += 1;
                 self.second = Some(self.start());
                 for turn in 0.. {
@@ -431,7 +433,7 @@
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
-            ["stillborn"] => {
+            ["start_fails"] => {
                 // Its second address is taken, by the stage.
                 self.staff_port += 1;
                 let _taken = TcpListener::bind(self.staff_address()).await.unwrap();
@@ -453,7 +455,7 @@
                     self.front
                 );
             }
-            ["murmur", text @ ..] => {
+            ["partial_call", text @ ..] => {
                 let mut stream = TcpStream::connect(self.staff_address()).await.unwrap();
                 stream.write_all(text.join(" ").as_bytes()).await.unwrap();
                 self.idle_connections.push(stream);
@@ -488,8 +490,8 @@
                 let runs = self.shared.runs.borrow().get(*id).copied().unwrap_or(0);
                 assert_eq!(runs.to_string(), *n, "{line}");
             }
-            ["begun", "none"] => assert_eq!(self.attempts(), self.begun, "{line}"),
-            ["begun", min] => {
+            ["attempts", "none"] => assert_eq!(self.attempts(), self.begun, "{line}"),
+            ["attempts", min] => {
                 self.begun = self.attempts();
                 assert!(self.begun >= min.parse().unwrap(), "{line}: {}", self.begun);
             }
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -48,7 +48,7 @@
 fn a_value_that_breaks_off_ends_as_one_that_is_not_whole_and_is_not_made_again() {
     play_all(
         "send c k1 book-rebroadcast city 7
-         answer * k1 torn 500000
+         answer * k1 truncated 500000
          expect c k1 closed
          send d k2 fetch-episode city 7
          answer * k2 value news
@@ -65,7 +65,7 @@
         Wire::Resp,
         Wire::Resp,
         "send c k1 fetch-episode city 7 d=1900
-         answer * k1 vain 3000000
+         answer * k1 short 3000000
          answer * k1 value news
          expect c k1 served news
          runs k1 2
@@ -102,9 +102,9 @@
 #[test]
 fn many_that_write_long_requests_and_do_not_finish_do_not_fill_the_memory() {
     // 80 halves of 60 KB are 4.8 MB; a sixth of 10 MB, halved for rings that double, is 0.8 MB.
-    let mut scenario = String::from("small\nmemory\n");
+    let mut scenario = String::from("small_memory\nmemory\n");
     for i in 0..80 {
-        scenario += &format!("part c{i} 60000\n");
+        scenario += &format!("incomplete c{i} 60000\n");
     }
     scenario += "wait 300\nmemory 3\n";
     scenario += "send d k1 fetch-episode city 7\nanswer * k1 value news\nexpect d k1 served news\n";
