--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -4,7 +4,7 @@
 mod stage;
 
 use oorandom::Rand64;
-use stage::steady::{Class, Notified, Sent, Steady};
+use stage::steady::{Answer, Class, SentRequest, SequentialClients};
 use stage::{run, Stage, Wire};
 use std::collections::{BTreeSet, HashMap};
 use std::future::Future;
@@ -163,16 +163,16 @@
 }
 
 /// Returns the number of the file whose rule refused this request.
-fn refused_by(sent: &Sent) -> Option<u64> {
-    match sent.notified {
-        Notified::Refused(ms) if sent.tenant == REFUSED_BY_ALL => ms.checked_sub(ALL_OFFSET_MS),
-        Notified::Refused(ms) if sent.tenant == REFUSED_BY_EVEN => ms.checked_sub(EVEN_OFFSET_MS),
+fn refused_by(sent: &SentRequest) -> Option<u64> {
+    match sent.answer {
+        Answer::Refused(ms) if sent.tenant == REFUSED_BY_ALL => ms.checked_sub(ALL_OFFSET_MS),
+        Answer::Refused(ms) if sent.tenant == REFUSED_BY_EVEN => ms.checked_sub(EVEN_OFFSET_MS),
         _ => None,
     }
 }
 
 /// Starts clients of every tenant on both protocols.
-fn start_clients(steady: &Rc<Steady>) {
+fn start_clients(steady: &Rc<SequentialClients>) {
     for front in [Wire::Resp, Wire::Http2] {
         steady.client(front, REFUSED_BY_NONE, Class::Fetch);
         steady.client(front, REFUSED_BY_NONE, Class::Booking);
@@ -192,7 +192,7 @@
 
 /// Checks that each request got the answer of some valid file, that no request with an effect ran
 /// twice, and that no file came into force after a later one.
-fn check_answers(sent: &[Sent], runs: &HashMap<String, usize>, valid_files: &BTreeSet<u64>) {
+fn check_answers(sent: &[SentRequest], runs: &HashMap<String, usize>, valid_files: &BTreeSet<u64>) {
     let mut latest: HashMap<(bool, u64), u64> = HashMap::new();
     for request in sent {
         let run_count = runs.get(&request.id).copied().unwrap_or(0);
@@ -200,15 +200,15 @@
             run_count <= 1 || request.class == Class::Fetch,
             "ran {run_count} times: {request:?}"
         );
-        match &request.notified {
-            Notified::Served(value) => {
+        match &request.answer {
+            Answer::Served(value) => {
                 assert_eq!(*value, request.id, "answer of another request");
                 assert!(
                     run_count >= 1 && request.tenant != REFUSED_BY_ALL,
                     "{request:?}"
                 );
             }
-            Notified::Refused(_) => {
+            Answer::Refused(_) => {
                 let file = refused_by(request).filter(|file| valid_files.contains(file));
                 let file = file
                     .unwrap_or_else(|| panic!("refused by no rule of a valid file: {request:?}"));
@@ -218,13 +218,13 @@
                 );
                 assert_eq!(run_count, 0, "{request:?}");
                 let latest = latest
-                    .entry((request.front == Wire::Resp, request.tenant))
+                    .entry((request.client_wire == Wire::Resp, request.tenant))
                     .or_default();
                 assert!(*latest <= file, "file {file} after {latest}: {request:?}");
                 *latest = file;
             }
-            Notified::Nothing => assert!(request.killed, "lost: {request:?}"),
-            Notified::Other(_) => panic!("{request:?}"),
+            Answer::Nothing => assert!(request.killed, "lost: {request:?}"),
+            Answer::Other(_) => panic!("{request:?}"),
         }
     }
 }
@@ -244,30 +244,30 @@
         let mut file = RuleFile::new(UNMATCHED_RULES);
         file.edit(&mut random);
         let mut valid_files = BTreeSet::from([file.number]);
-        stage.put_rules(&file.text());
-        stage.read_again().await;
-        let steady = Steady::new(&stage);
+        stage.write_rules(&file.text());
+        stage.reload_files().await;
+        let steady = SequentialClients::new(&stage);
         start_clients(&steady);
         for round in 1..=ROUNDS {
             match random_index(&mut random, 10) {
-                0 | 1 => stage.put_rules(&file.truncated(&mut random)),
-                2 | 3 => stage.put_rules(&file.invalid(&mut random)),
+                0 | 1 => stage.write_rules(&file.truncated(&mut random)),
+                2 | 3 => stage.write_rules(&file.invalid(&mut random)),
                 _ => {
                     file.edit(&mut random);
                     valid_files.insert(file.number);
-                    stage.put_rules(&file.text());
+                    stage.write_rules(&file.text());
                 }
             }
-            let before = stage.readings();
+            let before = stage.rule_reloads();
             stage.signal("-HUP");
             match random_index(&mut random, 4) {
-                0 => drop(stage.readings_after(before).await),
-                1 => steady.further(random_index(&mut random, 20)).await,
+                0 => drop(stage.wait_for_rule_reload(before).await),
+                1 => steady.wait_for_results(random_index(&mut random, 20)).await,
                 _ => {}
             }
             if round % KILL_EVERY == 0 {
                 // This SIGHUP probably starts a reading that the kill interrupts.
-                stage.put_rules(&file.text());
+                stage.write_rules(&file.text());
                 stage.signal("-HUP");
                 steady.restart(&mut stage).await;
             }
@@ -276,26 +276,26 @@
         for _ in 0..FINAL_RELOADS {
             file.edit(&mut random);
             valid_files.insert(file.number);
-            stage.put_rules(&file.text());
+            stage.write_rules(&file.text());
             stage.signal("-HUP");
         }
         let last = file.number;
         steady
-            .until(|sent| sent.tenant == REFUSED_BY_ALL && refused_by(sent) == Some(last))
+            .wait_until_any(|sent| sent.tenant == REFUSED_BY_ALL && refused_by(sent) == Some(last))
             .await;
         // The last valid file must be in force, not the truncated one after it. The reading of the
         // valid file may still be in progress.
-        let kept = stage.readings().kept;
-        stage.put_rules(&file.truncated(&mut random));
+        let kept = stage.rule_reloads().kept;
+        stage.write_rules(&file.truncated(&mut random));
         stage.signal("-HUP");
-        let mut now = stage.readings();
+        let mut now = stage.rule_reloads();
         while now.kept == kept {
-            now = stage.readings_after(now).await;
+            now = stage.wait_for_rule_reload(now).await;
         }
         let settled = steady.count();
-        steady.further(100).await;
+        steady.wait_for_results(100).await;
         for sent in steady
-            .since(settled)
+            .results_since(settled)
             .iter()
             .filter(|sent| sent.tenant != REFUSED_BY_NONE)
         {
@@ -303,10 +303,10 @@
             assert_eq!(refused_by(sent), refused.then_some(last), "{sent:?}");
         }
         let sent = steady.stop().await;
-        check_answers(&sent, &stage.runs(), &valid_files);
-        let readings = stage.readings();
+        check_answers(&sent, &stage.attempts_by_request(), &valid_files);
+        let rule_reloads = stage.rule_reloads();
         println!(
-            "storm: {} commands, {} valid files, {readings:?}",
+            "storm: {} commands, {} valid files, {rule_reloads:?}",
             sent.len(),
             valid_files.len()
         );
@@ -329,17 +329,17 @@
         let mut first_mb = 0.0;
         for reload in 1..=RELOADS {
             file.edit(&mut random);
-            stage.put_rules(&file.text());
-            stage.read_again().await;
+            stage.write_rules(&file.text());
+            stage.reload_files().await;
             if reload == WARM_UP_RELOADS {
-                first_mb = stage.resident();
+                first_mb = stage.resident_mb();
             }
         }
-        let (last_mb, max_mb) = (stage.resident(), stage.max_resident());
+        let (last_mb, max_mb) = (stage.resident_mb(), stage.max_resident_mb());
         println!(
             "memory: {first_mb:.1} MB after {WARM_UP_RELOADS}, {last_mb:.1} after {RELOADS}, {max_mb:.1} at most"
         );
-        assert_eq!(stage.readings().replaced, RELOADS);
+        assert_eq!(stage.rule_reloads().replaced, RELOADS);
         assert!(
             last_mb - first_mb <= GROWTH_MB,
             "{first_mb} MB, then {last_mb}"
@@ -360,26 +360,26 @@
     run_with_timeout(async {
         let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
-        let threads = stage.threads();
+        let threads = stage.thread_count();
         assert_eq!(
             threads, 1,
             "there is a reading thread before the first reload"
         );
-        let steady = Steady::new(&stage);
+        let steady = SequentialClients::new(&stage);
         steady.client(Wire::Resp, REFUSED_BY_NONE, Class::Fetch);
         steady.client(Wire::Http2, REFUSED_BY_NONE, Class::Fetch);
-        steady.further(500).await;
-        let calm = round_trips(&steady.since(0));
+        steady.wait_for_results(500).await;
+        let calm = round_trips(&steady.results_since(0));
         for turn in 1..=2 {
             // Every rule differs from the previous file, so that none is taken over.
             let mut file = RuleFile::new(LARGE_FILE_RULES);
             file.unmatched_rules
                 .iter_mut()
                 .for_each(|rule| rule.changed = turn);
-            stage.put_rules(&file.text());
+            stage.write_rules(&file.text());
             let (begun, before) = (std::time::Instant::now(), steady.count());
-            stage.read_again().await;
-            let (took, during) = (begun.elapsed(), steady.since(before));
+            stage.reload_files().await;
+            let (took, during) = (begun.elapsed(), steady.results_since(before));
             println!(
                 "reading {LARGE_FILE_RULES} rules: {took:?}, {} commands, {}",
                 during.len(),
@@ -401,16 +401,16 @@
             );
         }
         println!("before the reload: {calm}");
-        stage.calm().await;
+        stage.wait_until_single_threaded().await;
         let sent = steady.stop().await;
         assert!(sent
             .iter()
-            .all(|sent| sent.notified == Notified::Served(sent.id.clone())));
+            .all(|sent| sent.answer == Answer::Served(sent.id.clone())));
     });
 }
 
 /// Formats the median, the 99th percentile and the maximum of the round-trip times.
-fn round_trips(sent: &[Sent]) -> String {
+fn round_trips(sent: &[SentRequest]) -> String {
     let mut took: Vec<Duration> = sent.iter().map(|sent| sent.took).collect();
     took.sort();
     let percentile = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
@@ -431,10 +431,10 @@
         for line in ["send c k1 book-rebroadcast city 7", "expect * k1", "stop"] {
             stage.step(line).await;
         }
-        let before = stage.readings();
-        stage.put_rules(&RuleFile::new(1).text());
+        let before = stage.rule_reloads();
+        stage.write_rules(&RuleFile::new(1).text());
         stage.signal("-HUP");
-        let after = stage.readings_after(before).await;
+        let after = stage.wait_for_rule_reload(before).await;
         assert_eq!(
             (after.replaced, after.kept),
             (before.replaced + 1, before.kept)
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -233,7 +233,7 @@
     program: Child,
     /// Started beside the first, with the port where staff call it.
     second: Option<Child>,
-    staff_port: u16,
+    operator_port: u16,
     /// The clients' socket, where the stage holds it.
     held: Option<socket2::Socket>,
     idle_connections: Vec<TcpStream>,
@@ -262,14 +262,14 @@
 }
 
 impl Stage {
-    fn staff_address(&self) -> String {
+    fn operator_address(&self) -> String {
         let host = self.ports["resp"].split(':').next().unwrap().to_string();
-        format!("{host}:{}", self.staff_port)
+        format!("{host}:{}", self.operator_port)
     }
 
     /// An operator's call and its answer.
     async fn call(&self, text: &str) -> String {
-        let mut stream = TcpStream::connect(self.staff_address()).await.unwrap();
+        let mut stream = TcpStream::connect(self.operator_address()).await.unwrap();
         stream
             .write_all(
                 format!(
--- a/tests/stage/program.rs
+++ b/tests/stage/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: its start, its signals, its log, and what the system says of it.
+//! The program as a process: start, signals, log, and its figures in /proc.
 
 use super::Stage;
 use std::collections::HashMap;
@@ -7,38 +7,38 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// What the log says once a reading of rules has ended: of the new ones, or of the old ones.
+/// Log text at the end of each reload of rules: the new rules are in force, or the old ones stay.
 const RULES_REPLACED: &str = "rules replaced";
 const RULES_KEPT: &str = "the old rules stay";
-/// Longest that a reading of rules is waited for: nothing else may run on a busy machine for some seconds.
-const LONGEST_READING: Duration = Duration::from_secs(60);
-/// Between two looks at something that tells nobody when it changes.
-const LOOK: Duration = Duration::from_millis(2);
+/// Time limit for a reload of rules. On a busy machine the program may not run for some seconds.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition without a notification is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Readings of rules that have ended, by the log.
+/// Numbers of finished reloads of rules, counted in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Readings {
-    /// With new rules in force.
+pub struct RuleReloads {
+    /// Reloads that put new rules in force.
     pub replaced: usize,
-    /// With the old ones left in force.
+    /// Reloads that left the old rules in force.
     pub kept: usize,
 }
 
-impl Readings {
-    /// All of them.
-    pub fn all(self) -> usize {
+impl RuleReloads {
+    /// Returns the number of all reloads.
+    pub fn total(self) -> usize {
         self.replaced + self.kept
     }
 }
 
 impl Stage {
-    /// Starts the program; staff call it at the port that is set.
+    /// Starts the program, with its operator listener at the current `operator_port`.
     pub(super) fn start(&self) -> Child {
-        // As the platform does it: no more descriptors than the configuration says.
+        // The platform starts the program with the same descriptor limit as in its configuration.
         let mut program = Command::new("sh");
         let limit = format!("ulimit -n {}; exec \"$0\"", self.sockets);
         program.args(["-c", &limit, env!("CARGO_BIN_EXE_driftgap")]);
-        // Appended to: two processes may write to it, and one that is started again.
+        // The log is appended to: a second process or a restarted one writes to the same file.
         let log = OpenOptions::new()
             .create(true)
             .append(true)
@@ -47,7 +47,7 @@
         program
             .env("EDGE_CONFIG", self.folder.join("config.json"))
             .env("DRIFTGAP_OPERATOR", self.folder.join("operator.toml"))
-            .env("EDGE_OPERATOR", self.staff_address())
+            .env("EDGE_OPERATOR", self.operator_address())
             .env("TMPDIR", &self.folder)
             .stdout(Stdio::null())
             .stderr(log);
@@ -57,7 +57,7 @@
         program.spawn().unwrap()
     }
 
-    /// Kills the program at once and starts it again; it is ready then.
+    /// Kills the program, starts it again and waits until it is ready.
     pub async fn restart(&mut self) {
         self.program.kill().unwrap();
         self.program.wait().unwrap();
@@ -65,7 +65,7 @@
         self.ready().await;
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the program.
     pub fn signal(&self, name: &str) {
         let pid = self.program.id().to_string();
         assert!(Command::new("kill")
@@ -75,77 +75,77 @@
             .success());
     }
 
-    /// Has it read its files again, and waits until it has read the rules.
-    pub async fn read_again(&self) {
-        let before = self.readings();
+    /// Makes the program reload its files, and waits until the reload of rules has ended.
+    pub async fn reload_files(&self) {
+        let before = self.rule_reloads();
         self.signal("-HUP");
-        self.readings_after(before).await;
+        self.wait_for_rule_reload(before).await;
     }
 
-    /// Waits until a further reading of rules has ended.
-    pub async fn readings_after(&self, before: Readings) -> Readings {
-        let waited = tokio::time::timeout(LONGEST_READING, async {
+    /// Waits until at least one more reload of rules has ended. Returns the new numbers.
+    pub async fn wait_for_rule_reload(&self, before: RuleReloads) -> RuleReloads {
+        let waited = tokio::time::timeout(RELOAD_TIMEOUT, async {
             loop {
-                let now = self.readings();
-                if now.all() > before.all() {
+                let now = self.rule_reloads();
+                if now.total() > before.total() {
                     return now;
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
-        waited.await.expect("no reading of rules has ended")
+        waited.await.expect("no reload of rules ended in time")
     }
 
-    /// Readings of rules that have ended so far.
-    pub fn readings(&self) -> Readings {
+    /// Returns the reloads of rules that have ended so far.
+    pub fn rule_reloads(&self) -> RuleReloads {
         let log = self.log();
         let count = |text| log.lines().filter(|line| line.contains(text)).count();
-        Readings {
+        RuleReloads {
             replaced: count(RULES_REPLACED),
             kept: count(RULES_KEPT),
         }
     }
 
-    /// All that it has logged.
+    /// Returns the log of the program.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// The file of rules holds this from now on: all at once, so that no reading finds half of it.
-    pub fn put_rules(&self, text: &str) {
+    /// Replaces the rule file by a rename, so that the program never reads an incomplete file.
+    pub fn write_rules(&self, text: &str) {
         let new = self.folder.join("rules.new");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(new, self.folder.join("rules.toml")).unwrap();
     }
 
-    /// Memory that it holds, MB.
-    pub fn resident(&self) -> f64 {
+    /// Returns the resident memory of the program, MB.
+    pub fn resident_mb(&self) -> f64 {
         self.status("VmRSS") / 1e3
     }
 
-    /// The most memory that it has held, MB.
-    pub fn max_resident(&self) -> f64 {
+    /// Returns the peak resident memory of the program, MB.
+    pub fn max_resident_mb(&self) -> f64 {
         self.status("VmHWM") / 1e3
     }
 
-    /// Waits until it has one thread alone: none that reads rules, or drops old ones.
-    pub async fn calm(&self) {
-        while self.threads() > 1 {
-            tokio::time::sleep(LOOK).await;
+    /// Waits until the program has a single thread: none that reads rules or frees old ones.
+    pub async fn wait_until_single_threaded(&self) {
+        while self.thread_count() > 1 {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Attempts that have arrived at endpoints, by the request's id.
-    pub fn runs(&self) -> HashMap<String, usize> {
+    /// Returns the number of attempts that have arrived at endpoints, by request id.
+    pub fn attempts_by_request(&self) -> HashMap<String, usize> {
         self.shared.runs.borrow().clone()
     }
 
-    /// Its threads.
-    pub fn threads(&self) -> usize {
+    /// Returns the number of threads of the program.
+    pub fn thread_count(&self) -> usize {
         self.status("Threads") as usize
     }
 
-    /// A figure that the system keeps of it.
+    /// Returns a figure of /proc/PID/status.
     fn status(&self, name: &str) -> f64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.program.id())).unwrap();
--- a/tests/stage/setup.rs
+++ b/tests/stage/setup.rs
@@ -86,7 +86,7 @@
         let mut stage = Stage {
             program,
             second: None,
-            staff_port: 19_000,
+            operator_port: 19_000,
             held,
             idle_connections: Vec::new(),
             full_listeners: Vec::new(),
--- a/tests/stage/steady.rs
+++ b/tests/stage/steady.rs
@@ -1,4 +1,4 @@
-//! Clients that send one request after the other, on either wire, and keep what became of each.
+//! Clients that send requests in sequence, over RESP or HTTP/2, and record the result of each.
 
 use super::{read_some, Stage, Wire};
 use bytes::Bytes;
@@ -12,12 +12,12 @@
 use tokio::sync::watch;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Units of a request: so few that no plan refuses it.
+/// Units of a request: so few that no quota refuses it.
 const UNITS: &str = "0.001";
-/// How long a client waits for an answer, by its own word.
+/// Deadline that a client sends with each request, ms.
 const DEADLINE_MS: &str = "1000";
-/// Between two tries to connect to a program that is being started.
-const CONNECT_AGAIN: Duration = Duration::from_millis(5);
+/// Delay between two attempts to connect while the program restarts.
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// The class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,69 +37,69 @@
     }
 }
 
-/// What a client was told.
+/// The answer that a client received.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Notified {
-    /// The value.
+pub enum Answer {
+    /// A response with this value.
     Served(String),
-    /// To come back in so many ms.
+    /// A refusal with this retry-after, ms.
     Refused(u64),
-    /// Something else.
+    /// Any other answer, as text.
     Other(String),
-    /// Nothing: the connection ended.
+    /// No answer: the connection ended.
     Nothing,
 }
 
-/// A request and what became of it.
+/// A request and its result.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub id: String,
-    pub front: Wire,
+    pub client_wire: Wire,
     pub tenant: u64,
     pub class: Class,
-    pub notified: Notified,
-    /// When it was written.
-    pub at: Instant,
-    /// How long its answer took.
+    pub answer: Answer,
+    /// When the request was written.
+    pub sent_at: Instant,
+    /// Time from the request to its answer.
     pub took: Duration,
-    /// The program was killed while it was out.
+    /// Whether the program was killed while the request was in flight.
     pub killed: bool,
 }
 
-/// What the clients of a test share.
-pub struct Steady {
+/// The clients of a test, with the state that they share.
+pub struct SequentialClients {
     addresses: HashMap<&'static str, String>,
-    sent: RefCell<Vec<Sent>>,
-    numbers: Cell<u64>,
+    sent: RefCell<Vec<SentRequest>>,
+    next_number: Cell<u64>,
     kills: Cell<u64>,
-    /// Whether they send.
-    open: watch::Sender<bool>,
-    /// How many requests have ended.
+    /// Whether clients may send; false while the program restarts.
+    sending: watch::Sender<bool>,
+    /// Number of requests that have ended.
     ended: watch::Sender<usize>,
     stopped: Cell<bool>,
     clients: RefCell<Vec<JoinHandle<()>>>,
 }
 
-impl Steady {
-    /// No clients yet.
-    pub fn new(stage: &Stage) -> Rc<Steady> {
-        Rc::new(Steady {
+impl SequentialClients {
+    /// Creates a set without clients.
+    pub fn new(stage: &Stage) -> Rc<SequentialClients> {
+        Rc::new(SequentialClients {
             addresses: stage.ports.clone(),
             sent: RefCell::default(),
-            numbers: Cell::default(),
+            next_number: Cell::default(),
             kills: Cell::default(),
-            open: watch::Sender::new(true),
+            sending: watch::Sender::new(true),
             ended: watch::Sender::new(0),
             stopped: Cell::default(),
             clients: RefCell::default(),
         })
     }
 
-    /// A further client, of this tenant, that sends from now on.
-    pub fn client(self: &Rc<Self>, front: Wire, tenant: u64, class: Class) {
+    /// Adds a client of this tenant. The client sends from now on.
+    pub fn client(self: &Rc<Self>, client_wire: Wire, tenant: u64, class: Class) {
         let steady = self.clone();
         let task = spawn_local(async move {
-            match front {
+            match client_wire {
                 Wire::Resp => steady.resp(tenant, class).await,
                 Wire::Http2 => steady.http2(tenant, class).await,
             }
@@ -107,29 +107,29 @@
         self.clients.borrow_mut().push(task);
     }
 
-    /// Requests that have ended so far.
+    /// Returns the number of requests that have ended.
     pub fn count(&self) -> usize {
         self.sent.borrow().len()
     }
 
-    /// What became of each, from one on.
-    pub fn since(&self, first: usize) -> Vec<Sent> {
+    /// Returns the results from index `first` on.
+    pub fn results_since(&self, first: usize) -> Vec<SentRequest> {
         self.sent.borrow()[first..].to_vec()
     }
 
-    /// Waits until so many further requests have ended.
-    pub async fn further(&self, requests: usize) {
+    /// Waits until this many more requests have ended.
+    pub async fn wait_for_results(&self, requests: usize) {
         let until = self.count() + requests;
         let mut ended = self.ended.subscribe();
         ended.wait_for(|ended| *ended >= until).await.unwrap();
     }
 
-    /// Waits until one has ended of which this holds.
-    pub async fn until(&self, holds: impl Fn(&Sent) -> bool) {
+    /// Waits until a request ends for which `holds` returns true.
+    pub async fn wait_until_any(&self, holds: impl Fn(&SentRequest) -> bool) {
         let (mut seen, mut ended) = (self.count(), self.ended.subscribe());
         loop {
             ended.wait_for(|ended| *ended > seen).await.unwrap();
-            let new = self.since(seen);
+            let new = self.results_since(seen);
             if new.iter().any(&holds) {
                 return;
             }
@@ -137,16 +137,17 @@
         }
     }
 
-    /// Kills the program and starts it again. What is out then is lost, and nothing is sent meanwhile.
+    /// Kills the program and starts it again. Requests in flight are lost, and none is sent until
+    /// the program is ready.
     pub async fn restart(&self, stage: &mut Stage) {
         self.kills.set(self.kills.get() + 1);
-        self.open.send_replace(false);
+        self.sending.send_replace(false);
         stage.restart().await;
-        self.open.send_replace(true);
+        self.sending.send_replace(true);
     }
 
-    /// Has every client end behind the answer that it waits for; what became of every request.
-    pub async fn stop(&self) -> Vec<Sent> {
+    /// Stops each client after the answer that it waits for. Returns all results.
+    pub async fn stop(&self) -> Vec<SentRequest> {
         self.stopped.set(true);
         let clients = self.clients.take();
         for client in clients {
@@ -155,41 +156,45 @@
         self.sent.take()
     }
 
-    /// Whether to send one more on a connection that came up behind so many kills.
-    async fn goes_on_here(&self, kills: u64) -> bool {
-        self.goes_on().await && kills == self.kills.get()
+    /// Returns whether to send another request on a connection that was made after this many kills.
+    async fn may_send_on(&self, kills: u64) -> bool {
+        self.may_send().await && kills == self.kills.get()
     }
 
-    /// Whether to send one more.
-    async fn goes_on(&self) -> bool {
-        let mut open = self.open.subscribe();
-        open.wait_for(|open| *open).await.unwrap();
+    /// Returns whether to send another request. Waits while the program restarts.
+    async fn may_send(&self) -> bool {
+        let mut sending = self.sending.subscribe();
+        sending.wait_for(|sending| *sending).await.unwrap();
         !self.stopped.get()
     }
 
-    async fn connect(&self, front: Wire) -> TcpStream {
-        let address = &self.addresses[if front == Wire::Resp { "resp" } else { "http2" }];
+    async fn connect(&self, client_wire: Wire) -> TcpStream {
+        let address = &self.addresses[if client_wire == Wire::Resp {
+            "resp"
+        } else {
+            "http2"
+        }];
         loop {
             if let Ok(stream) = TcpStream::connect(address).await {
                 return stream;
             }
-            tokio::time::sleep(CONNECT_AGAIN).await;
+            tokio::time::sleep(CONNECT_RETRY_DELAY).await;
         }
     }
 
-    /// A request that is about to be written.
-    fn begin(&self, front: Wire, tenant: u64, class: Class) -> (Sent, u64) {
-        let number = self.numbers.replace(self.numbers.get() + 1);
-        let (id, notified) = (format!("s{number}"), Notified::Nothing);
-        let (at, took, killed) = (Instant::now(), Duration::ZERO, false);
+    /// Returns a request that is about to be written, with the number of kills so far.
+    fn begin(&self, client_wire: Wire, tenant: u64, class: Class) -> (SentRequest, u64) {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let (id, answer) = (format!("s{number}"), Answer::Nothing);
+        let (sent_at, took, killed) = (Instant::now(), Duration::ZERO, false);
         (
-            Sent {
+            SentRequest {
                 id,
-                front,
+                client_wire,
                 tenant,
                 class,
-                notified,
-                at,
+                answer,
+                sent_at,
                 took,
                 killed,
             },
@@ -197,27 +202,27 @@
         )
     }
 
-    fn end(&self, (mut sent, kills): (Sent, u64), notified: Notified) {
-        (sent.notified, sent.took) = (notified, sent.at.elapsed());
+    fn end(&self, (mut sent, kills): (SentRequest, u64), answer: Answer) {
+        (sent.answer, sent.took) = (answer, sent.sent_at.elapsed());
         sent.killed = kills != self.kills.get();
         self.sent.borrow_mut().push(sent);
         self.ended.send_replace(self.count());
     }
 
     async fn resp(&self, tenant: u64, class: Class) {
-        while self.goes_on().await {
+        while self.may_send().await {
             let kills = self.kills.get();
             let (mut stream, mut buffer) = (self.connect(Wire::Resp).await, Vec::new());
-            while self.goes_on_here(kills).await {
+            while self.may_send_on(kills).await {
                 let begun = self.begin(Wire::Resp, tenant, class);
-                let notified = ask_resp(&mut stream, &mut buffer, &begun.0).await;
-                let cut = notified == Notified::Nothing;
-                self.end(begun, notified);
-                if cut {
+                let answer = ask_resp(&mut stream, &mut buffer, &begun.0).await;
+                let disconnected = answer == Answer::Nothing;
+                self.end(begun, answer);
+                if disconnected {
                     break;
                 }
             }
-            // Whoever closes in order has nothing left to read: a second answer would be here.
+            // An orderly end leaves nothing unread: a duplicate answer would be in the buffer.
             assert!(
                 buffer.is_empty(),
                 "more than one answer: {}",
@@ -227,20 +232,20 @@
     }
 
     async fn http2(&self, tenant: u64, class: Class) {
-        while self.goes_on().await {
+        while self.may_send().await {
             let kills = self.kills.get();
             let stream = self.connect(Wire::Http2).await;
             let Ok((mut send, connection)) = h2::client::handshake(stream).await else {
                 continue;
             };
             let connection = spawn_local(connection);
-            while self.goes_on_here(kills).await {
+            while self.may_send_on(kills).await {
                 let begun = self.begin(Wire::Http2, tenant, class);
-                let notified = ask_http2(&mut send, &begun.0).await;
-                let notified = notified.unwrap_or(Notified::Nothing);
-                let cut = notified == Notified::Nothing;
-                self.end(begun, notified);
-                if cut {
+                let answer = ask_http2(&mut send, &begun.0).await;
+                let answer = answer.unwrap_or(Answer::Nothing);
+                let disconnected = answer == Answer::Nothing;
+                self.end(begun, answer);
+                if disconnected {
                     break;
                 }
             }
@@ -249,7 +254,7 @@
     }
 }
 
-async fn ask_resp(stream: &mut TcpStream, buffer: &mut Vec<u8>, sent: &Sent) -> Notified {
+async fn ask_resp(stream: &mut TcpStream, buffer: &mut Vec<u8>, sent: &SentRequest) -> Answer {
     let terms = format!(
         "c={},t=city,d={DEADLINE_MS},units={UNITS},spread=1,first=0",
         sent.class.name()
@@ -264,35 +269,38 @@
         text.push_str(&format!("${}\r\n{word}\r\n", word.len()));
     }
     if stream.write_all(text.as_bytes()).await.is_err() {
-        return Notified::Nothing;
+        return Answer::Nothing;
     }
     loop {
         if let Ok(Parsed::Complete(reply, used)) = endpoint_reply(buffer) {
-            let notified = match reply {
+            let answer = match reply {
                 Reply::Bulk(Some(value)) => {
-                    Notified::Served(String::from_utf8_lossy(value).to_string())
+                    Answer::Served(String::from_utf8_lossy(value).to_string())
                 }
-                Reply::Error(error) => notified_by_error(&String::from_utf8_lossy(error)),
-                other => Notified::Other(format!("{other:?}")),
+                Reply::Error(error) => answer_from_error(&String::from_utf8_lossy(error)),
+                other => Answer::Other(format!("{other:?}")),
             };
             buffer.drain(..used);
-            return notified;
+            return answer;
         }
         if !read_some(stream, buffer).await {
-            return Notified::Nothing;
+            return Answer::Nothing;
         }
     }
 }
 
-fn notified_by_error(error: &str) -> Notified {
+fn answer_from_error(error: &str) -> Answer {
     let retry_after_ms = error
         .strip_prefix("BUSY ")
         .and_then(|ms| ms.trim().parse().ok());
-    retry_after_ms.map_or(Notified::Other(error.to_string()), Notified::Refused)
+    retry_after_ms.map_or(Answer::Other(error.to_string()), Answer::Refused)
 }
 
-/// None: the connection has ended.
-async fn ask_http2(send: &mut h2::client::SendRequest<Bytes>, sent: &Sent) -> Option<Notified> {
+/// Returns none if the connection has ended.
+async fn ask_http2(
+    send: &mut h2::client::SendRequest<Bytes>,
+    sent: &SentRequest,
+) -> Option<Answer> {
     let request = http::Request::post(format!("http://ingress/commands/{}", sent.class.name()))
         .header("api-customer", format!("{:016x}", sent.tenant))
         .header("req-id", &sent.id)
@@ -322,8 +330,8 @@
         .and_then(|ms| ms.to_str().ok()?.parse().ok());
     let value = String::from_utf8_lossy(&value).to_string();
     Some(match (head.status.as_u16(), retry_after_ms) {
-        (200, _) => Notified::Served(value),
-        (429 | 503, Some(retry_after_ms)) => Notified::Refused(retry_after_ms),
-        (other, _) => Notified::Other(other.to_string()),
+        (200, _) => Answer::Served(value),
+        (429 | 503, Some(retry_after_ms)) => Answer::Refused(retry_after_ms),
+        (other, _) => Answer::Other(other.to_string()),
     })
 }
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -371,11 +371,11 @@
                 let rows: String = names.iter().map(row).collect();
                 std::fs::write(self.folder.join("inventory.csv"), format!("{HEADER}{rows}"))
                     .unwrap();
-                self.read_again().await;
+                self.reload_files().await;
             }
             ["move", services @ ..] => {
                 let old = self.relocate(services).await;
-                self.read_again().await;
+                self.reload_files().await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 old.iter().for_each(AbortHandle::abort);
             }
@@ -385,11 +385,11 @@
                     .map_or("", |x| x.1)
                     .replace("\\n", "\n");
                 std::fs::write(self.folder.join("rules.toml"), text).unwrap();
-                self.read_again().await;
+                self.reload_files().await;
             }
             ["config", text @ ..] => {
                 std::fs::write(self.folder.join("config.json"), text.join(" ")).unwrap();
-                self.read_again().await;
+                self.reload_files().await;
             }
             ["counter", how] => *self.shared.counter.borrow_mut() = how.to_string(),
             ["discovery", how] => *self.shared.discovery.borrow_mut() = how.to_string(),
@@ -422,10 +422,10 @@
             ["thaw"] => self.signal("-CONT"),
             ["inherited_socket" | "small_memory" | "more_descriptors"] | ["with", ..] => {}
             ["start_second"] => {
-                self.staff_port += 1;
+                self.operator_port += 1;
                 self.second = Some(self.start());
                 for turn in 0.. {
-                    let up = TcpStream::connect(self.staff_address()).await.is_ok();
+                    let up = TcpStream::connect(self.operator_address()).await.is_ok();
                     if up && self.call("STATUS").await.starts_with("ACK") {
                         break;
                     }
@@ -435,12 +435,12 @@
             }
             ["start_fails"] => {
                 // Its second address is taken, by the stage.
-                self.staff_port += 1;
-                let _taken = TcpListener::bind(self.staff_address()).await.unwrap();
+                self.operator_port += 1;
+                let _taken = TcpListener::bind(self.operator_address()).await.unwrap();
                 let mut program = self.start();
                 let status = program.wait().unwrap();
                 assert_eq!(status.code(), Some(2));
-                self.staff_port -= 1;
+                self.operator_port -= 1;
             }
             ["kill"] => {
                 self.program.kill().unwrap();
@@ -456,7 +456,7 @@
                 );
             }
             ["partial_call", text @ ..] => {
-                let mut stream = TcpStream::connect(self.staff_address()).await.unwrap();
+                let mut stream = TcpStream::connect(self.operator_address()).await.unwrap();
                 stream.write_all(text.join(" ").as_bytes()).await.unwrap();
                 self.idle_connections.push(stream);
             }
@@ -468,9 +468,9 @@
     /// Time, and what is checked of the program and of the stand-ins. False: it is no such step.
     async fn check_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
-            ["memory"] => self.memory = self.resident(),
+            ["memory"] => self.memory = self.resident_mb(),
             ["memory", max] => {
-                let grown = self.resident() - self.memory;
+                let grown = self.resident_mb() - self.memory;
                 assert!(
                     grown <= max.parse().unwrap(),
                     "{:?}: {line}: {grown} MB",
