--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -123,7 +123,7 @@
 #[test]
 fn request_waiting_for_connection_is_dropped_on_disconnect() {
     play_all(
-        "clog hung
+        "add_unreachable hung
          state a left
          state b left
          wait 100
@@ -163,7 +163,7 @@
             front,
             Wire::Resp,
             "always value news
-             rush 400
+             idle 400
              send c k1 fetch-episode national 7
              expect c k1 served news
              descriptors 250",
@@ -246,17 +246,17 @@
         front,
         behind,
         &format!(
-            "roomy
-             tight
+            "more_descriptors
+             small_receive_buffer
              always large 300000
              {streamed}
              wait 500
-             begun 120
+             attempts 120
              {close}
              wait 100
-             begun 0
+             attempts 0
              wait 900
-             begun none
+             attempts none
              descriptors 40
              always large 60000
              {first}
@@ -267,7 +267,7 @@
              {close}
              wait 500
              memory 12
-             persist d book-rebroadcast city 7
+             retry d book-rebroadcast city 7
              stop
              expect exit"
         ),
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -96,8 +96,8 @@
         "always value news
          send c k1 fetch-episode city 7
          expect c k1 served news
-         crowd 20
-         rush 20
+         idle_after_ping 20
+         idle 20
          stop
          expect c k2 closed
          expect exit",
@@ -114,7 +114,7 @@
          expect * k1
          expect * k2
          raw c what?\\r\\n
-         spill c 200000
+         garbage c 200000
          answer * k1 value one
          answer * k2 value two
          wait 300
@@ -137,11 +137,11 @@
         .collect();
     play_resp(&format!(
         "always large 60000
-         tight
+         small_receive_buffer
          {send}
          wait 1500
          raw c what?\\r\\n
-         spill c 200000
+         garbage c 200000
          wait 300
          {expect}
          expect c - -ERR malformed
--- a/tests/values.rs
+++ b/tests/values.rs
@@ -48,7 +48,7 @@
 fn truncated_value_closes_the_connection_without_retry() {
     play_all(
         "send c k1 book-rebroadcast city 7
-         answer * k1 torn 500000
+         answer * k1 truncated 500000
          expect c k1 closed
          send d k2 fetch-episode city 7
          answer * k2 value news
@@ -65,7 +65,7 @@
         Wire::Resp,
         Wire::Resp,
         "send c k1 fetch-episode city 7 d=1900
-         answer * k1 vain 3000000
+         answer * k1 short 3000000
          answer * k1 value news
          expect c k1 served news
          runs k1 2
@@ -103,9 +103,9 @@
 fn memory_is_bounded_when_clients_write_incomplete_requests() {
     // 80 incomplete requests of 60 KB are 4.8 MB. The bound is a sixth of 10 MB, halved because
     // ring buffers double: 0.8 MB.
-    let mut scenario = String::from("small\nmemory\n");
+    let mut scenario = String::from("small_memory\nmemory\n");
     for i in 0..80 {
-        scenario += &format!("part c{i} 60000\n");
+        scenario += &format!("incomplete c{i} 60000\n");
     }
     scenario += "wait 300\nmemory 3\n";
     scenario += "send d k1 fetch-episode city 7\nanswer * k1 value news\nexpect d k1 served news\n";
