--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -49,7 +49,7 @@
     for size in [100, 10_000, 100_000] {
         for (name, file) in [("csv", csv(size)), ("yaml", yaml(size))] {
             let files = [file];
-            assert!(read(&files, &schema).holds());
+            assert!(read(&files, &schema).has_no_errors());
             group.bench_function(BenchmarkId::new(name, size), |b| {
                 b.iter(|| read(black_box(&files), &schema))
             });
--- a/crates/inventory/src/ansible/file_reader.rs
+++ b/crates/inventory/src/ansible/file_reader.rs
@@ -1,7 +1,7 @@
 //! Reading one file into the inventory: groups with hosts, variables and children, or a file of variables.
 
 use super::{Inventory, ListedHost, Variables, VariablesOf, MAX_DEPTH, MAX_HOSTS};
-use crate::fault::{Fault, Faults, Place};
+use crate::fault::{Fault, Faults, Location};
 use crate::host::Schema;
 use crate::host_fields::FieldValue;
 use crate::range;
@@ -55,11 +55,11 @@
     fn read_meta_host(&mut self, name: &str, value: &LocatedValue) {
         let path = format!("_meta.hostvars.{name}");
         let variables = self.read_variables(value, &path);
-        let place = self.place(value, &path);
+        let location = self.location(value, &path);
         let host = self.inventory.hosts.entry(name.to_string());
         let host = host.or_insert_with(|| ListedHost {
             variables: Variables::new(),
-            place,
+            location,
         });
         host.variables.extend(variables);
     }
@@ -181,18 +181,18 @@
         value: &LocatedValue,
         path: &str,
     ) -> Result<(), TooManyHosts> {
-        let place = self.place(value, path);
+        let location = self.location(value, path);
         let names = match range::names(pattern) {
             Ok(names) => names,
             Err(problem) => {
-                let fault = Fault::error(&place, problem.to_string());
+                let fault = Fault::error(&location, problem.to_string());
                 self.faults.add(fault.field("name").value(pattern));
                 return Ok(());
             }
         };
         if self.inventory.hosts.len() + names.len() > MAX_HOSTS {
             let problem = format!("there are more than {MAX_HOSTS} hosts");
-            self.faults.add(Fault::error(&place, problem));
+            self.faults.add(Fault::error(&location, problem));
             return Err(TooManyHosts);
         }
         let variables = self.read_variables(value, path);
@@ -200,23 +200,23 @@
             if let Some(group) = self.inventory.groups.get_mut(group) {
                 group.hosts.insert(name.clone());
             }
-            self.add_host(name, &variables, &place);
+            self.add_host(name, &variables, &location);
         }
         Ok(())
     }
 
-    fn add_host(&mut self, name: String, variables: &Variables, place: &Place) {
+    fn add_host(&mut self, name: String, variables: &Variables, location: &Location) {
         let host = self.inventory.hosts.entry(name);
         let host = host.or_insert_with(|| ListedHost {
             variables: Variables::new(),
-            place: place.clone(),
+            location: location.clone(),
         });
         for (field, value) in variables {
             let before = host.variables.insert(field.clone(), value.clone());
             // Said twice of one host, and not the same: neither may silently win.
             if let Some(before) = before.filter(|before| before.text != value.text) {
-                let problem = format!("says otherwise than {}", before.place);
-                let fault = Fault::error(&value.place, problem)
+                let problem = format!("says otherwise than {}", before.location);
+                let fault = Fault::error(&value.location, problem)
                     .field(field)
                     .value(value.text.as_deref().unwrap_or_default())
                     .help("one host has one value");
@@ -251,16 +251,16 @@
         };
         FieldValue {
             text,
-            place: self.place(value, path),
+            location: self.location(value, path),
         }
     }
 
-    fn place(&self, value: &LocatedValue, path: &str) -> Place {
-        Place::new(self.file, value.line, value.column, path)
+    fn location(&self, value: &LocatedValue, path: &str) -> Location {
+        Location::new(self.file, value.line, value.column, path)
     }
 
     fn error(&self, value: &LocatedValue, path: &str, problem: impl Into<String>) -> Fault {
-        Fault::error(&self.place(value, path), problem)
+        Fault::error(&self.location(value, path), problem)
     }
 }
 
--- a/crates/inventory/src/ansible/mod.rs
+++ b/crates/inventory/src/ansible/mod.rs
@@ -7,7 +7,7 @@
 
 pub(crate) use file_reader::FileReader;
 
-use crate::fault::Place;
+use crate::fault::Location;
 use crate::host_fields::FieldValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 
 struct ListedHost {
     variables: Variables,
-    place: Place,
+    location: Location,
 }
 
 /// What the files of one inventory say together.
--- a/crates/inventory/src/ansible/precedence.rs
+++ b/crates/inventory/src/ansible/precedence.rs
@@ -4,7 +4,7 @@
 //! one over an earlier; then the host's own, those in the inventory before those in `host_vars`.
 
 use super::{Group, Inventory, ListedHost, MAX_DEPTH};
-use crate::fault::{Fault, Faults, Place};
+use crate::fault::{Fault, Faults, Location};
 use crate::host::{Host, Schema};
 use crate::host_fields::{read_host, FieldValue, HostSource};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
             group_names.sort();
             let source = HostSource {
                 name,
-                place: &listed.place,
+                location: &listed.location,
                 values: &values,
                 groups: group_names,
             };
@@ -46,7 +46,7 @@
             }
         }
         let problem = "groups are children of each other in a ring";
-        let fault = Fault::error(&Place::default(), problem);
+        let fault = Fault::error(&Location::default(), problem);
         faults.add(fault.field("children"));
     }
 
--- a/crates/inventory/src/completeness.rs
+++ b/crates/inventory/src/completeness.rs
@@ -3,7 +3,7 @@
 //!
 //! Guards against a file that is read while a tool writes it, which shows as a list that lacks its last hosts.
 
-use crate::fault::{Fault, Faults, Place};
+use crate::fault::{Fault, Faults, Location};
 use std::sync::Arc;
 
 const DECLARATION: &str = "# driftgap:";
@@ -15,7 +15,7 @@
         .lines()
         .rfind(|line| !line.trim().is_empty())
         .unwrap_or("");
-    let end = Place::in_file(file, text.lines().count() as u64, 1);
+    let end = Location::in_file(file, text.lines().count() as u64, 1);
     if !text.is_empty() && !text.ends_with('\n') && !text.trim_end().ends_with('}') {
         let help = "a whole file ends with a line break; it may have been read half-written";
         let fault = Fault::error(&end, "the last line is cut off");
@@ -37,7 +37,7 @@
             other => match declared_hosts(other) {
                 Some(count) => hosts = Some(count),
                 None => {
-                    let start = Place::in_file(file, 1, 1);
+                    let start = Location::in_file(file, 1, 1);
                     let fault = Fault::error(&start, "is nothing that a file can declare");
                     faults.add(fault.value(other).help("hosts=N, ends or end"));
                 }
--- a/crates/inventory/src/consistency.rs
+++ b/crates/inventory/src/consistency.rs
@@ -27,16 +27,16 @@
 }
 
 fn same_name(first: &Host, host: &Host) -> Fault {
-    let place = &first.place;
+    let location = &first.location;
     let differs = first.capacity != host.capacity || first.weight != host.weight;
     let fault = if differs {
         let (name, size) = (&host.name, size_of(first));
-        let problem = format!("{name:?} stands at {place} with {size} already");
-        Fault::error(&host.place, problem)
+        let problem = format!("{name:?} stands at {location} with {size} already");
+        Fault::error(&host.location, problem)
             .field("capacity")
             .value(&size_of(host))
     } else {
-        Fault::error(&host.place, format!("stands at {place} already"))
+        Fault::error(&host.location, format!("stands at {location} already"))
             .field("name")
             .value(&host.name)
     };
@@ -48,9 +48,9 @@
 }
 
 fn same_address(first: &Host, host: &Host) -> Fault {
-    let (name, place) = (&first.name, &first.place);
-    let problem = format!("is the address of {name:?} at {place} already");
-    Fault::error(&host.place, problem)
+    let (name, location) = (&first.name, &first.location);
+    let problem = format!("is the address of {name:?} at {location} already");
+    Fault::error(&host.location, problem)
         .field("address")
         .value(&host.address.to_string())
         .help("two hosts have two addresses")
@@ -78,7 +78,7 @@
     };
     for host in hosts.iter().filter(is_outlier) {
         let problem = format!("is far from its zone's median, {median}");
-        let fault = Fault::warning(&host.place, problem)
+        let fault = Fault::warning(&host.location, problem)
             .field("weight")
             .value(&host.weight.to_string());
         faults.add(fault);
--- a/crates/inventory/src/csv_file.rs
+++ b/crates/inventory/src/csv_file.rs
@@ -1,7 +1,7 @@
 //! Inventories in CSV: a header in any order, quoted fields, comment lines, `,` `;` or tab as the header has it.
 //! It owns the reading of rows. It must never take a row that is not complete.
 
-use crate::fault::{Fault, Faults, Place};
+use crate::fault::{Fault, Faults, Location};
 use crate::host::{Host, Schema};
 use crate::host_fields::{read_host, FieldValue, HostSource};
 use csv::{ReaderBuilder, StringRecord, Trim};
@@ -22,8 +22,8 @@
     let header = match reader.headers() {
         Ok(header) => header.clone(),
         Err(error) => {
-            let place = Place::new(file, 1, 1, "header");
-            faults.add(Fault::error(&place, error.to_string()));
+            let location = Location::new(file, 1, 1, "header");
+            faults.add(Fault::error(&location, error.to_string()));
             return Vec::new();
         }
     };
@@ -38,8 +38,8 @@
             Ok(false) => return hosts,
             Err(error) => {
                 let line = error.position().map_or(0, csv::Position::line);
-                let place = Place::new(file, line, 1, "");
-                faults.add(Fault::error(&place, error.to_string()));
+                let location = Location::new(file, line, 1, "");
+                faults.add(Fault::error(&location, error.to_string()));
                 return hosts;
             }
         }
@@ -67,7 +67,7 @@
     schema: &Schema,
     faults: &mut Faults,
 ) -> Option<Vec<String>> {
-    let place = Place::new(file, 1, 1, "header");
+    let location = Location::new(file, 1, 1, "header");
     let columns: Vec<String> = header
         .iter()
         .map(|name| schema.field(name).to_string())
@@ -75,14 +75,14 @@
     let mut seen = BTreeSet::new();
     for column in columns.iter().filter(|column| !column.is_empty()) {
         if !seen.insert(column) {
-            let fault = Fault::error(&place, "is a column twice");
+            let fault = Fault::error(&location, "is a column twice");
             faults.add(fault.field(column));
         }
     }
     if !columns.iter().any(|column| column == "name") {
         let all = columns.join(", ");
         let shown: String = all.chars().take(MAX_SHOWN_CHARS).collect();
-        let fault = Fault::error(&place, "is no column of the header")
+        let fault = Fault::error(&location, "is no column of the header")
             .field("name")
             .help(format!("the header has {shown}"));
         faults.add(fault);
@@ -100,7 +100,7 @@
 ) -> Option<Host> {
     let line = row.position().map_or(0, csv::Position::line);
     let path = format!("row {line}");
-    let row_place = Place::new(file, line, 1, &path);
+    let row_place = Location::new(file, line, 1, &path);
     // Guards against a row that was cut off, or has a comma too many: its values would be taken for other fields'.
     if row.len() != columns.len() {
         let (found, wanted) = (row.len(), columns.len());
@@ -119,7 +119,7 @@
         // The column as far as it is known: quotes and blanks around values are gone.
         let field_value = FieldValue {
             text: Some(value.to_string()),
-            place: Place::new(file, line, column, &path),
+            location: Location::new(file, line, column, &path),
         };
         column += value.chars().count() as u64 + 1;
         values.insert(name.clone(), field_value);
@@ -127,7 +127,7 @@
     let name = values.get("name").and_then(|value| value.text.as_deref());
     let source = HostSource {
         name: name.unwrap_or_default().trim(),
-        place: &row_place,
+        location: &row_place,
         values: &values,
         groups: Vec::new(),
     };
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -13,7 +13,7 @@
 
 /// Where a value stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The file.
     pub file: Arc<str>,
     /// Line and column, from 1; 0: the file as a whole.
@@ -24,19 +24,19 @@
     pub path: Arc<str>,
 }
 
-impl Place {
+impl Location {
     /// A file as a whole.
-    pub(crate) fn of_file(file: &Arc<str>) -> Place {
-        Place::in_file(file, 0, 0)
+    pub(crate) fn of_file(file: &Arc<str>) -> Location {
+        Location::in_file(file, 0, 0)
     }
 
     /// A place in a file, without a path.
-    pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Place {
-        Place::new(file, line, column, "")
+    pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Location {
+        Location::new(file, line, column, "")
     }
 
-    pub(crate) fn new(file: &Arc<str>, line: u64, column: u64, path: &str) -> Place {
-        Place {
+    pub(crate) fn new(file: &Arc<str>, line: u64, column: u64, path: &str) -> Location {
+        Location {
             file: file.clone(),
             line,
             column,
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
@@ -61,7 +61,7 @@
 
 /// How much a fault weighs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
+pub enum Severity {
     /// The file is refused.
     Error,
     /// It is reported, and the file is taken.
@@ -72,9 +72,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// How much it weighs.
-    pub weight: Weight,
+    pub severity: Severity,
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// The field; empty: none in particular.
     pub field: String,
     /// The value as it stands; empty: none.
@@ -86,18 +86,18 @@
 }
 
 impl Fault {
-    pub(crate) fn error(place: &Place, problem: impl Into<String>) -> Fault {
-        Fault::new(Weight::Error, place, problem.into())
+    pub(crate) fn error(location: &Location, problem: impl Into<String>) -> Fault {
+        Fault::new(Severity::Error, location, problem.into())
     }
 
-    pub(crate) fn warning(place: &Place, problem: impl Into<String>) -> Fault {
-        Fault::new(Weight::Warning, place, problem.into())
+    pub(crate) fn warning(location: &Location, problem: impl Into<String>) -> Fault {
+        Fault::new(Severity::Warning, location, problem.into())
     }
 
-    fn new(weight: Weight, place: &Place, problem: String) -> Fault {
+    fn new(severity: Severity, location: &Location, problem: String) -> Fault {
         Fault {
-            weight,
-            place: place.clone(),
+            severity,
+            location: location.clone(),
             field: String::new(),
             value: String::new(),
             problem,
@@ -129,12 +129,12 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = if self.weight == Weight::Warning {
+        let word = if self.severity == Severity::Warning {
             "warning: "
         } else {
             ""
         };
-        write!(f, "{}: {word}", self.place)?;
+        write!(f, "{}: {word}", self.location)?;
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
         }
@@ -161,7 +161,7 @@
         let is_full = self.found.len() >= MAX_FAULTS;
         // An error must never be lost to warnings: it decides.
         let has_error = || has_error(&self.found);
-        if is_full && (fault.weight == Weight::Warning || has_error()) {
+        if is_full && (fault.severity == Severity::Warning || has_error()) {
             return;
         }
         self.found.push(fault);
@@ -183,14 +183,14 @@
 }
 
 fn has_error(faults: &[Fault]) -> bool {
-    faults.iter().any(|fault| fault.weight == Weight::Error)
+    faults.iter().any(|fault| fault.severity == Severity::Error)
 }
 
 /// One line for each kind of fault: how often, and where first.
 pub fn summary(faults: &[Fault]) -> Vec<String> {
-    let mut kinds: BTreeMap<(Weight, &str, &str), (usize, &Fault)> = BTreeMap::new();
+    let mut kinds: BTreeMap<(Severity, &str, &str), (usize, &Fault)> = BTreeMap::new();
     for fault in faults {
-        let kind = (fault.weight, fault.field.as_str(), fault.problem.as_str());
+        let kind = (fault.severity, fault.field.as_str(), fault.problem.as_str());
         kinds.entry(kind).or_insert((0, fault)).0 += 1;
     }
     let lines = kinds.into_values().map(|(count, first)| match count {
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -1,6 +1,6 @@
 //! One host of an inventory, and the schema that hosts are read by.
 
-use crate::fault::Place;
+use crate::fault::Location;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -75,7 +75,7 @@
     /// Groups that it is in, by name.
     pub groups: Vec<String>,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// What hosts are judged by.
--- a/crates/inventory/src/host_address.rs
+++ b/crates/inventory/src/host_address.rs
@@ -17,7 +17,7 @@
     }
     let found = address_in_name(reader.source.name, port);
     if found.is_none() {
-        let fault = Fault::error(reader.source.place, "is missing")
+        let fault = Fault::error(reader.source.location, "is missing")
             .field("address")
             .help("give address, or ansible_host with an IP address");
         reader.faults.add(fault);
@@ -26,12 +26,12 @@
 }
 
 fn read_port(reader: &mut FieldReader) -> Option<u16> {
-    let Some(Text { text, place }) = reader.text("ansible_port") else {
+    let Some(Text { text, location }) = reader.text("ansible_port") else {
         return Some(PORT);
     };
     let port = text.parse::<u16>().ok().filter(|port| *port > 0);
     if port.is_none() {
-        let fault = Fault::error(place, "is not a port")
+        let fault = Fault::error(location, "is not a port")
             .field("ansible_port")
             .value(text)
             .help("1 to 65535");
@@ -41,11 +41,11 @@
 }
 
 fn parse_address(address: Text, reader: &mut FieldReader) -> Option<SocketAddr> {
-    let Text { text, place } = address;
+    let Text { text, location } = address;
     let found: Option<SocketAddr> = text.parse().ok();
     let found = found.filter(|address| address.port() > 0);
     if found.is_none() {
-        let fault = Fault::error(place, "is not an IP address and port")
+        let fault = Fault::error(location, "is not an IP address and port")
             .field("address")
             .value(text)
             .help("such as 10.0.0.4:6379 or [fd00::4]:6379");
@@ -55,10 +55,10 @@
 }
 
 fn parse_ansible_host(host: Text, port: u16, reader: &mut FieldReader) -> Option<SocketAddr> {
-    let Text { text, place } = host;
+    let Text { text, location } = host;
     let found = parse_ip(text).map(|ip| SocketAddr::new(ip, port));
     if found.is_none() {
-        let fault = Fault::error(place, "is not an IP address")
+        let fault = Fault::error(location, "is not an IP address")
             .field("ansible_host")
             .value(text)
             .help("names are not looked up here");
--- a/crates/inventory/src/host_fields.rs
+++ b/crates/inventory/src/host_fields.rs
@@ -1,7 +1,7 @@
 //! The fields of one host with their types, ranges and defaults: each value is judged by itself. It must never fill in
 //! what is wrong: a value that makes no sense is a fault.
 
-use crate::fault::{Fault, Faults, Place};
+use crate::fault::{Fault, Faults, Location};
 use crate::host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, MAX_NAME};
 use crate::host_address;
 use crate::spelling::closest_name;
@@ -12,13 +12,13 @@
 pub(crate) struct FieldValue {
     /// None: it is no single value.
     pub(crate) text: Option<String>,
-    pub(crate) place: Place,
+    pub(crate) location: Location,
 }
 
 /// What a file says of a host.
 pub(crate) struct HostSource<'a> {
     pub(crate) name: &'a str,
-    pub(crate) place: &'a Place,
+    pub(crate) location: &'a Location,
     pub(crate) values: &'a BTreeMap<String, FieldValue>,
     pub(crate) groups: Vec<String>,
 }
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Text<'a> {
     pub(crate) text: &'a str,
-    pub(crate) place: &'a Place,
+    pub(crate) location: &'a Location,
 }
 
 /// A field that holds a number.
@@ -111,7 +111,7 @@
         started,
         labels,
         groups: reader.source.groups,
-        place: reader.source.place.clone(),
+        location: reader.source.location.clone(),
     })
 }
 
@@ -126,15 +126,15 @@
     pub(crate) fn text(&self, field: &str) -> Option<Text<'a>> {
         let value = self.source.values.get(field)?;
         let text = value.text.as_deref()?.trim();
-        let place = &value.place;
-        (!text.is_empty()).then_some(Text { text, place })
+        let location = &value.location;
+        (!text.is_empty()).then_some(Text { text, location })
     }
 
     fn check_single_values(&mut self) {
         for field in FIELDS {
             let value = self.source.values.get(field);
             if let Some(value) = value.filter(|value| value.text.is_none()) {
-                let fault = Fault::error(&value.place, "is not a single value");
+                let fault = Fault::error(&value.location, "is not a single value");
                 self.faults.add(fault.field(field));
             }
         }
@@ -143,7 +143,7 @@
     fn check_name(&mut self) {
         let name = self.source.name;
         if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
-            let fault = Fault::error(self.source.place, "cannot be a name")
+            let fault = Fault::error(self.source.location, "cannot be a name")
                 .field("name")
                 .value(name)
                 .help(format!("1 to {MAX_NAME} characters"));
@@ -152,7 +152,7 @@
     }
 
     fn number(&mut self, field: &NumberField) -> f64 {
-        let Some(Text { text, place }) = self.text(field.name) else {
+        let Some(Text { text, location }) = self.text(field.name) else {
             return field.default;
         };
         if let Some(number) = field.parse(text) {
@@ -164,20 +164,20 @@
             "a number"
         };
         let (min, max) = (field.min, field.max);
-        let fault = Fault::error(place, format!("is not {kind} from {min} to {max}"));
+        let fault = Fault::error(location, format!("is not {kind} from {min} to {max}"));
         self.faults.add(fault.field(field.name).value(text));
         field.default
     }
 
     fn protocol(&mut self) -> Protocol {
-        let Some(Text { text, place }) = self.text("protocol") else {
+        let Some(Text { text, location }) = self.text("protocol") else {
             return Protocol::Resp;
         };
         match text {
             "resp" => Protocol::Resp,
             "http2" => Protocol::Http2,
             _ => {
-                let fault = Fault::error(place, "is no protocol")
+                let fault = Fault::error(location, "is no protocol")
                     .field("protocol")
                     .value(text)
                     .help("resp or http2 was expected");
@@ -195,7 +195,7 @@
         };
         if drain_by.is_some() && !matches!(state, State::Draining(_)) {
             let problem = "stands beside a state that does not drain";
-            let fault = Fault::warning(self.source.place, problem)
+            let fault = Fault::warning(self.source.location, problem)
                 .field("drain_by")
                 .help("state = draining was meant?");
             self.faults.add(fault);
@@ -204,7 +204,7 @@
     }
 
     fn parse_state(&mut self, state: Text, drain_by: Option<f64>) -> State {
-        let Text { text, place } = state;
+        let Text { text, location } = state;
         match text {
             "active" => State::Active,
             "draining" => State::Draining(drain_by),
@@ -215,7 +215,7 @@
                     Some(name) => format!("{name} was meant?"),
                     None => "active, draining or out was expected".into(),
                 };
-                let fault = Fault::error(place, "is no state")
+                let fault = Fault::error(location, "is no state")
                     .field("state")
                     .value(text)
                     .help(help);
@@ -226,21 +226,21 @@
     }
 
     fn zone(&mut self, schema: &Schema) -> Option<String> {
-        let Text { text, place } = self.text("zone")?;
+        let Text { text, location } = self.text("zone")?;
         if schema.zones.iter().any(|zone| zone == text) {
             return Some(text.to_string());
         }
         let problem = "is not in the settings";
         let known = schema.zones.iter().map(String::as_str);
         if let Some(zone) = closest_name(text, known) {
-            let fault = Fault::warning(place, problem)
+            let fault = Fault::warning(location, problem)
                 .field("zone")
                 .value(text)
                 .help(format!("taken as {zone}, spelled nearly so"));
             self.faults.add(fault);
             return Some(zone.to_string());
         }
-        let fault = Fault::error(place, problem)
+        let fault = Fault::error(location, problem)
             .field("zone")
             .value(text)
             .help(format!("known are {}", schema.zones.join(", ")));
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -22,7 +22,7 @@
 mod yaml;
 
 pub use ansible::MAX_HOSTS;
-pub use fault::{summary, Fault, Place, Weight, MAX_FAULTS};
+pub use fault::{summary, Fault, Location, Severity, MAX_FAULTS};
 pub use host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, PORT};
 pub use range::MAX_NAMES;
 pub use suspicion::{suspicious, Shares};
@@ -57,10 +57,10 @@
 
 impl Reading {
     /// Whether nothing but warnings was found.
-    pub fn holds(&self) -> bool {
+    pub fn has_no_errors(&self) -> bool {
         self.faults
             .iter()
-            .all(|fault| fault.weight == Weight::Warning)
+            .all(|fault| fault.severity == Severity::Warning)
     }
 }
 
@@ -128,7 +128,7 @@
         if length > MAX_FILE {
             let problem = format!("has {length} bytes, {MAX_FILE} are the most");
             self.faults
-                .add(Fault::error(&Place::of_file(name), problem));
+                .add(Fault::error(&Location::of_file(name), problem));
             return None;
         }
         let bytes = file.bytes.strip_prefix(BYTE_ORDER_MARK);
@@ -139,9 +139,9 @@
         };
         let before = bytes[..error.valid_up_to()].iter();
         let line = before.filter(|byte| **byte == b'\n').count() as u64 + 1;
-        let place = Place::in_file(name, line, 1);
+        let location = Location::in_file(name, line, 1);
         self.faults
-            .add(Fault::error(&place, "is not UTF-8 from here"));
+            .add(Fault::error(&location, "is not UTF-8 from here"));
         None
     }
 
@@ -149,8 +149,8 @@
         let root = match yaml::parse(text) {
             Ok(root) => root,
             Err(error) => {
-                let place = Place::in_file(name, error.line, error.column);
-                self.faults.add(Fault::error(&place, error.problem));
+                let location = Location::in_file(name, error.line, error.column);
+                self.faults.add(Fault::error(&location, error.problem));
                 return;
             }
         };
@@ -175,7 +175,7 @@
         let declared = self.declared_hosts;
         if let Some(count) = declared.filter(|count| *count != hosts.len()) {
             let problem = format!("{count} hosts are declared, {} were read", hosts.len());
-            let fault = Fault::error(&Place::default(), problem);
+            let fault = Fault::error(&Location::default(), problem);
             let help = "the file may have been read half-written";
             self.faults.add(fault.help(help));
         }
--- a/crates/inventory/tests/random.rs
+++ b/crates/inventory/tests/random.rs
@@ -1,6 +1,6 @@
 //! What holds for any bytes, and for any damage done to a good file. Failing cases print their seed.
 
-use driftgap_inventory::{read, File, Reading, Schema, Weight};
+use driftgap_inventory::{read, File, Reading, Schema, Severity};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -63,13 +63,13 @@
 
 /// A list that is taken holds what it declares, and nothing twice.
 fn sound(reading: &Reading) -> Result<(), TestCaseError> {
-    if reading.holds() {
+    if reading.has_no_errors() {
         prop_assert_eq!(reading.hosts.len(), 20);
     } else {
         prop_assert!(reading
             .faults
             .iter()
-            .any(|fault| fault.weight == Weight::Error));
+            .any(|fault| fault.severity == Severity::Error));
     }
     let names: BTreeSet<&str> = reading
         .hosts
@@ -78,7 +78,7 @@
         .collect();
     let addresses: BTreeSet<_> = reading.hosts.iter().map(|host| host.address).collect();
     let twice = names.len() < reading.hosts.len() || addresses.len() < reading.hosts.len();
-    prop_assert!(!(twice && reading.holds()));
+    prop_assert!(!(twice && reading.has_no_errors()));
     Ok(())
 }
 
--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -1,7 +1,7 @@
 //! Files as configuration tools keep them, whole and broken.
 
 use driftgap_inventory::{
-    read, summary, suspicious, File, Host, Protocol, Reading, Schema, Shares, State, Weight,
+    read, summary, suspicious, File, Host, Protocol, Reading, Schema, Severity, Shares, State,
 };
 use std::time::{Duration, Instant};
 
@@ -59,7 +59,7 @@
                     n1,10.0.0.1:7001,building-1,2,1.5,http2,draining,r 9\n\
                     n2,10.0.0.2:7001,building-2,,,,,\n");
     assert!(
-        want.holds() && want.faults.is_empty(),
+        want.has_no_errors() && want.faults.is_empty(),
         "{:?}",
         fault_lines(&want)
     );
@@ -177,7 +177,7 @@
         );
     }
     assert_eq!(all.len(), 11, "{}", all.join("\n"));
-    assert!(!reading.holds());
+    assert!(!reading.has_no_errors());
     let many: String = (0..500)
         .map(|i| format!("n{i},10.0.{}.{}:7001,moon\n", i / 250, i % 250))
         .collect();
@@ -210,7 +210,7 @@
     for (rows, want) in cases {
         let reading = csv(&format!("name,address,capacity\n{rows}"));
         assert!(
-            !reading.holds() && fault_lines(&reading).iter().any(|f| f.contains(want)),
+            !reading.has_no_errors() && fault_lines(&reading).iter().any(|f| f.contains(want)),
             "{:?}",
             fault_lines(&reading)
         );
@@ -246,16 +246,20 @@
     let marked = format!(
         "# driftgap: hosts=30\n# driftgap: ends\nname,address,zone\n{rows}# driftgap: end\n"
     );
-    assert!(csv(&marked).holds(), "{:?}", fault_lines(&csv(&marked)));
+    assert!(
+        csv(&marked).has_no_errors(),
+        "{:?}",
+        fault_lines(&csv(&marked))
+    );
     for cut in 0..marked.len() - 1 {
-        assert!(!csv(&marked[..cut]).holds(), "cut at {cut}");
+        assert!(!csv(&marked[..cut]).has_no_errors(), "cut at {cut}");
     }
     // Without marks: every cut inside a row is seen; one between rows shows in the number of hosts alone.
     let plain = format!("name,address,zone\n{rows}");
     let whole = csv(&plain);
     for cut in 18..plain.len() - 1 {
         let reading = csv(&plain[..cut]);
-        if reading.holds() {
+        if reading.has_no_errors() {
             assert!(plain[..cut].ends_with('\n'), "cut at {cut}");
             let missing = whole.hosts.len() - reading.hosts.len();
             let held = suspicious(&whole.hosts, &reading.hosts, Shares::default()).is_some();
@@ -328,7 +332,7 @@
     {
         let begun = Instant::now();
         let reading = yaml(text);
-        assert!(!reading.holds(), "case {i}");
+        assert!(!reading.has_no_errors(), "case {i}");
         assert!(
             begun.elapsed() < Duration::from_secs(if cfg!(debug_assertions) { 20 } else { 2 }),
             "case {i}: {:?}",
@@ -343,7 +347,7 @@
         path: "x.csv".into(),
         bytes: vec![b'a'; 33 << 20],
     };
-    assert!(!read(&[long], &schema()).holds());
+    assert!(!read(&[long], &schema()).has_no_errors());
     let latin = File {
         path: "x.csv".into(),
         bytes: b"name,address\nn\xe9,10.0.0.1:1\n".to_vec(),
@@ -358,7 +362,7 @@
         "name,address,weight\na,10.0.0.1:1,1\nb,10.0.0.2:1,1\nc,10.0.0.3:1,1\nd,10.0.0.4:1,50\n",
     );
     assert!(
-        weights.holds() && weights.faults[0].weight == Weight::Warning,
+        weights.has_no_errors() && weights.faults[0].severity == Severity::Warning,
         "{:?}",
         fault_lines(&weights)
     );
--- a/src/discovery/inventory/error.rs
+++ b/src/discovery/inventory/error.rs
@@ -1,7 +1,7 @@
 //! Errors of reading an inventory.
 
 use super::files::{MAX_FILES, MAX_FOLDER_DEPTH};
-use driftgap_inventory::{summary, Fault, Weight};
+use driftgap_inventory::{summary, Fault, Severity};
 
 /// An inventory that cannot be applied.
 #[derive(Debug, thiserror::Error)]
@@ -37,7 +37,7 @@
 fn first_error_and_count(faults: &[Fault]) -> String {
     let errors: Vec<&Fault> = faults
         .iter()
-        .filter(|fault| fault.weight == Weight::Error)
+        .filter(|fault| fault.severity == Severity::Error)
         .collect();
     match errors.as_slice() {
         [] => "no error".into(),
--- a/src/discovery/inventory/files.rs
+++ b/src/discovery/inventory/files.rs
@@ -3,7 +3,7 @@
 //! are too long.
 
 use super::error::InventoryError;
-use driftgap_inventory::{Fault, File, Place, Weight, MAX_FILE};
+use driftgap_inventory::{Fault, File, Location, Severity, MAX_FILE};
 use std::path::Path;
 use std::time::SystemTime;
 
@@ -96,10 +96,10 @@
 
 fn too_long(name: &str, length: u64) -> InventoryError {
     InventoryError::Faults(vec![Fault {
-        weight: Weight::Error,
-        place: Place {
+        severity: Severity::Error,
+        location: Location {
             file: name.into(),
-            ..Place::default()
+            ..Location::default()
         },
         field: String::new(),
         value: String::new(),
--- a/src/discovery/inventory/mod.rs
+++ b/src/discovery/inventory/mod.rs
@@ -117,7 +117,7 @@
             columns: self.settings.columns.clone(),
         };
         let reading = read(&files, &schema);
-        if !reading.holds() {
+        if !reading.has_no_errors() {
             return Err(InventoryError::Faults(reading.faults));
         }
         self.confirmation
