--- a/crates/routes/benches/rules.rs
+++ b/crates/routes/benches/rules.rs
@@ -84,7 +84,7 @@
         let mut prefix = router(size, test);
         group.bench_function(BenchmarkId::new("prefix", size), |b| {
             b.iter(|| match prefix.route(black_box(&request), 0.0) {
-                Verdict::Go(route) => route.pools,
+                Verdict::Forward(route) => route.pools,
                 _ => 0,
             });
         });
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -12,7 +12,7 @@
 
 /// The explanation of one rule.
 #[derive(Clone, Debug)]
-pub struct Explained {
+pub struct RuleExplanation {
     /// The rule's name.
     pub rule: String,
     /// Whether it matched.
@@ -20,9 +20,9 @@
     /// Whether the index had ruled it out, so that its test is not evaluated when serving.
     pub ruled_out: bool,
     /// Whether an earlier rule had ended the evaluation.
-    pub behind: bool,
+    pub skipped: bool,
     /// Its test and, where it matched, the expressions of what it does; each with its steps and their values.
-    pub parts: Vec<(String, Vec<Step>)>,
+    pub expressions: Vec<(String, Vec<Step>)>,
 }
 
 /// A file of rules that can be explained.
@@ -32,7 +32,7 @@
 }
 
 impl Explainer {
-    /// Reads a file as [`Rules::read_part`] does.
+    /// Reads a file as [`Rules::read_table`] does.
     ///
     /// # Errors
     /// Every fault of the file, 100 at most.
@@ -59,32 +59,32 @@
     }
 
     /// Explains every rule of the file on a request.
-    pub fn explain(&self, request: &Request<'_>) -> Vec<Explained> {
+    pub fn explain(&self, request: &Request<'_>) -> Vec<RuleExplanation> {
         let view = View::new(request);
         let mut chosen = Chosen::default();
         self.rules.set.selector.choose(&view, &mut chosen);
         let chosen: Vec<usize> = chosen.iter().collect();
-        let mut behind = false;
+        let mut skipped = false;
         let mut all = Vec::with_capacity(self.checked.len());
         for (number, rule) in self.checked.iter().enumerate() {
             let ruled_out = chosen.binary_search(&number).is_err();
             let matched = rule.when.test(&view, &mut Scratch::default()) == Ok(true);
-            let mut parts = vec![("when".to_string(), rule.when.explain(&view))];
-            if matched && !behind {
+            let mut expressions = vec![("when".to_string(), rule.when.explain(&view))];
+            if matched && !skipped {
                 let actions = rule
                     .parts
                     .iter()
                     .map(|(name, part)| (name.to_string(), part.explain(&view)));
-                parts.extend(actions);
+                expressions.extend(actions);
             }
-            all.push(Explained {
+            all.push(RuleExplanation {
                 rule: rule.name.clone(),
                 matched,
                 ruled_out,
-                behind,
-                parts,
+                skipped,
+                expressions,
             });
-            behind |= matched && !rule.goes_on;
+            skipped |= matched && !rule.goes_on;
         }
         all
     }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -2,7 +2,7 @@
 //! HTTP request is mapped to, which pool of endpoints may serve it, which local limits it must pass, which notes it
 //! carries, and whether it is rejected at once.
 //!
-//! [`Rules::read`] checks a whole file and reports every fault; [`Rules::read_part`] takes over unchanged rules from
+//! [`Rules::read`] checks a whole file and reports every fault; [`Rules::read_table`] takes over unchanged rules from
 //! those in force. [`Router::route`] takes a request and a time. The rules are expressions of `driftgap-expr`, so that
 //! the highest cost of a request is known when the file is read, and so are the classes that it can be mapped to: a rule
 //! by which a request that must not run twice could be retried is refused.
@@ -51,7 +51,7 @@
 
 pub use effect::{Effect, COMMANDS};
 pub use environment::Catalog;
-pub use explain::{Explained, Explainer};
+pub use explain::{Explainer, RuleExplanation};
 pub use fault::Fault;
 pub use limit::{Allowance, KeyHash, Limit, LimitExceeded, LimitPermit, LimitStatistics};
 pub use pool::{ANY, MAX_POOLS};
--- a/crates/routes/src/limit.rs
+++ b/crates/routes/src/limit.rs
@@ -35,7 +35,7 @@
         burst: f64,
     },
     /// A number of concurrent requests.
-    AtOnce {
+    Concurrency {
         /// Requests in flight.
         max: u32,
         /// When a rejected client may retry, ms.
@@ -122,7 +122,7 @@
     pub fn new(allowance: Allowance, keys: usize) -> Limit {
         let sets = match allowance {
             Allowance::Rate { .. } => keys.div_ceil(BUCKETS_PER_SET).next_power_of_two(),
-            Allowance::AtOnce { .. } => 0,
+            Allowance::Concurrency { .. } => 0,
         };
         Limit {
             allowance,
@@ -173,7 +173,7 @@
                 // `burst` tokens fill it: as many less the one that is asked for may be missing.
                 (full_at_ms.max(now) - now - (burst - 1.0) * interval_ms).max(0.0)
             }
-            Allowance::AtOnce {
+            Allowance::Concurrency {
                 max,
                 retry_after_ms,
             } => {
@@ -207,7 +207,7 @@
                 state.statistics.evicted += u64::from(evicts);
                 None
             }
-            Allowance::AtOnce { .. } => {
+            Allowance::Concurrency { .. } => {
                 *state.in_flight.entry(key.0).or_default() += 1;
                 Some(LimitPermit {
                     limit: self.clone(),
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -14,7 +14,7 @@
     /// # Errors
     /// Every fault of the file, 100 at most.
     pub fn read(text: &str, file: &str, catalog: &Catalog) -> Result<Rules, Vec<Fault>> {
-        Rules::read_part(text, file, None, catalog, &ReadOptions::default())
+        Rules::read_table(text, file, None, catalog, &ReadOptions::default())
     }
 
     /// Reads the table `part` of a file that holds other things as well, or the whole file where there is none.
@@ -23,7 +23,7 @@
     ///
     /// # Errors
     /// Every fault of that table, 100 at most; the previous rules stay as they are.
-    pub fn read_part(
+    pub fn read_table(
         text: &str,
         file: &str,
         part: Option<&str>,
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -166,7 +166,7 @@
             }
         }
         match evaluation.finish(&self.pools) {
-            Ok(route) => Verdict::Go(route),
+            Ok(route) => Verdict::Forward(route),
             Err(pool) => rejected(&pool.name, pool.retry_after_ms),
         }
     }
@@ -182,7 +182,7 @@
 
 /// The verdict on a request that is invalid to a rule.
 fn invalid(rule: &str, error: &InvalidRequest) -> Verdict {
-    Verdict::Bad {
+    Verdict::Invalid {
         rule: rule.to_string(),
         why: error.to_string(),
     }
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -238,7 +238,7 @@
     fn concurrency(&mut self, limit: &DeTable<'_>, max: Option<f64>) -> Option<Allowance> {
         let default = DEFAULT_LIMIT_RETRY_AFTER_MS;
         let retry_after_ms = retry_after_ms(self.expressions.values, limit, "after", default);
-        Some(Allowance::AtOnce {
+        Some(Allowance::Concurrency {
             max: max? as u32,
             retry_after_ms,
         })
--- a/crates/routes/src/verdict.rs
+++ b/crates/routes/src/verdict.rs
@@ -7,7 +7,7 @@
 #[derive(Debug)]
 pub enum Verdict {
     /// It is served as this route says.
-    Go(Box<Route>),
+    Forward(Box<Route>),
     /// It is rejected. Nothing was forwarded, so that repeating it is safe.
     Reject {
         /// When the client may retry, ms from now.
@@ -16,7 +16,7 @@
         by: String,
     },
     /// It is invalid: a rule cannot be evaluated on it.
-    Bad {
+    Invalid {
         /// The rule; empty where no rule was evaluated.
         rule: String,
         /// What is wrong.
--- a/crates/routes/tests/common/mod.rs
+++ b/crates/routes/tests/common/mod.rs
@@ -82,6 +82,6 @@
 
 /// Reads a file with these options; the lines of its faults where it is wrong.
 pub fn read_with(text: &str, options: &ReadOptions<'_>) -> Result<Rules, Vec<String>> {
-    let read = Rules::read_part(text, "rules.toml", None, &catalog(), options);
+    let read = Rules::read_table(text, "rules.toml", None, &catalog(), options);
     read.map_err(|faults| faults.into_iter().map(|fault| fault.line).collect())
 }
--- a/crates/routes/tests/common/rules.rs
+++ b/crates/routes/tests/common/rules.rs
@@ -47,7 +47,7 @@
         previous: Some(router.rules()),
         ..ReadOptions::default()
     };
-    Rules::read_part(text, "rules.toml", None, &catalog(), &options).unwrap()
+    Rules::read_table(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
 /// A router with the rules of a file.
@@ -98,7 +98,7 @@
 /// The route of a request that is served.
 pub fn go(verdict: Verdict) -> Route {
     match verdict {
-        Verdict::Go(route) => *route,
+        Verdict::Forward(route) => *route,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/routes/tests/cost.rs
+++ b/crates/routes/tests/cost.rs
@@ -50,9 +50,9 @@
     let reached = explainer
         .explain(request)
         .into_iter()
-        .filter(|rule| !rule.ruled_out && !rule.behind);
+        .filter(|rule| !rule.ruled_out && !rule.skipped);
     reached
-        .flat_map(|rule| rule.parts)
+        .flat_map(|rule| rule.expressions)
         .filter_map(|(_, steps)| steps.first().map(|whole| whole.cost))
         .sum()
 }
--- a/crates/routes/tests/limit.rs
+++ b/crates/routes/tests/limit.rs
@@ -51,7 +51,7 @@
 #[test]
 fn a_concurrency_limit_counts_what_is_in_flight_and_forgets_the_rest() {
     let limit = Arc::new(Limit::new(
-        Allowance::AtOnce {
+        Allowance::Concurrency {
             max: 2,
             retry_after_ms: 250.0,
         },
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -209,7 +209,10 @@
     let region = Region::new();
     let mut router = Router::new(read(text, None));
     let before = region.held();
-    assert!(matches!(router.route(&request("/"), 0.0), Verdict::Go(_)));
+    assert!(matches!(
+        router.route(&request("/"), 0.0),
+        Verdict::Forward(_)
+    ));
     let after = region.held();
     println!("{before} bytes before the first request, {after} after it");
     assert!(before < 4_000, "{before}");
@@ -261,7 +264,10 @@
     println!("{left} bytes more after {CHANGES} changes, {max} at most, of {whole}");
     assert!(left.abs() < 2_000, "{left}");
     assert!(max < whole / 2, "{max} of {whole}");
-    assert!(matches!(router.route(&request("/"), now), Verdict::Go(_)));
+    assert!(matches!(
+        router.route(&request("/"), now),
+        Verdict::Forward(_)
+    ));
 }
 
 /// One rule of a large file is edited on a loaded ingress. The reload must cost what changed, not what the file holds.
--- a/crates/routes/tests/pools.rs
+++ b/crates/routes/tests/pools.rs
@@ -62,7 +62,7 @@
     let mut pools = |ready: &[u64], headers: &Map, path: &str| {
         router.count_ready(ready.iter().copied());
         match router.route(&request("GET", path, headers), 0.0) {
-            Verdict::Go(route) => Ok(route.pools),
+            Verdict::Forward(route) => Ok(route.pools),
             Verdict::Reject { retry_after_ms, by } => Err((retry_after_ms, by)),
             bad => panic!("{bad:?}"),
         }
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -23,7 +23,7 @@
         previous,
         max_bytes: MAX_BYTES,
     };
-    Rules::read_part(text, "rules.toml", None, &catalog(), &options).unwrap()
+    Rules::read_table(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
 /// A pool of the endpoints in one zone.
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -60,7 +60,7 @@
             ..request("GET", "/a", &none)
         };
         match router.route(&request, now) {
-            Verdict::Go(_) => 0.0,
+            Verdict::Forward(_) => 0.0,
             Verdict::Reject { retry_after_ms, by } => {
                 assert_eq!(by, "l");
                 retry_after_ms
@@ -162,7 +162,7 @@
     let explained = explainer.explain(&request("GET", "/stop", &none));
     let told: Vec<(&str, bool, bool)> = explained
         .iter()
-        .map(|e| (&e.rule[..], e.matched, e.behind))
+        .map(|e| (&e.rule[..], e.matched, e.skipped))
         .collect();
     assert_eq!(
         told,
@@ -174,7 +174,7 @@
         ]
     );
     let put = explainer.explain(&request("PUT", "/", &none));
-    assert!(put[2].ruled_out && !put[2].matched && put[2].parts[0].1[0].value == "false");
+    assert!(put[2].ruled_out && !put[2].matched && put[2].expressions[0].1[0].value == "false");
 }
 
 /// A client sends a header that is no text or too long, or a value by which a rule divides by zero. If the rule took the
@@ -186,21 +186,21 @@
     let mut router = router(text);
     let long = headers(&[("x-deny", &"a".repeat(600)), ("y", "1")]);
     assert!(
-        matches!(router.route(&request("GET", "/", &long), 0.0), Verdict::Bad { rule, .. } if rule == "a")
+        matches!(router.route(&request("GET", "/", &long), 0.0), Verdict::Invalid { rule, .. } if rule == "a")
     );
     let mut binary = headers(&[("y", "1")]);
     binary.0.insert("x-deny".into(), vec![0xff, 0xfe]);
     assert!(
-        matches!(router.route(&request("GET", "/", &binary), 0.0), Verdict::Bad { rule, .. } if rule == "a")
+        matches!(router.route(&request("GET", "/", &binary), 0.0), Verdict::Invalid { rule, .. } if rule == "a")
     );
     // A division by zero.
     assert!(
-        matches!(router.route(&request("GET", "/", &headers(&[])), 0.0), Verdict::Bad { rule, .. } if rule == "div")
+        matches!(router.route(&request("GET", "/", &headers(&[])), 0.0), Verdict::Invalid { rule, .. } if rule == "div")
     );
     let path = "/".repeat(2000);
     assert!(matches!(
         router.route(&request("GET", &path, &headers(&[])), 0.0),
-        Verdict::Bad { .. }
+        Verdict::Invalid { .. }
     ));
     assert_eq!(router.failed_evaluations(), 3);
 }
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -166,7 +166,7 @@
 
 fn decided(verdict: Verdict) -> String {
     match verdict {
-        Verdict::Go(route) => {
+        Verdict::Forward(route) => {
             format!(
                 "{:?} {:x} {:?} {}",
                 route.command,
@@ -407,7 +407,7 @@
             previous,
             ..ReadOptions::default()
         };
-        let read = Rules::read_part(text, "operator.toml", Some("routes"), &catalog(), &options);
+        let read = Rules::read_table(text, "operator.toml", Some("routes"), &catalog(), &options);
         read.map_err(|faults| faults[0].line.clone())
     };
     let first = read(text, None).unwrap();
@@ -551,7 +551,7 @@
     // A sub-table that stands apart from its rule is that rule's all the same.
     let apart = format!("{section}[cost]\nrequest = 1000\n[rule.notes]\nn = '\"1\"'\n");
     let mut router = Router::new(read_on(&apart, Some(&held)).unwrap());
-    let Verdict::Go(route) = router.route(&request("/"), 0.0) else {
+    let Verdict::Forward(route) = router.route(&request("/"), 0.0) else {
         panic!("refused")
     };
     assert_eq!(route.notes, [("n".to_string(), "1".to_string())]);
@@ -584,13 +584,13 @@
             partner: Some("other"),
             ..request("/once")
         };
-        let Verdict::Go(in_flight) = router.route(&other, 0.0) else {
+        let Verdict::Forward(in_flight) = router.route(&other, 0.0) else {
             panic!("rejected at first")
         };
         assert_eq!(in_flight.permits.len(), 1);
         assert!(matches!(
             router.route(&request("/none"), 0.0),
-            Verdict::Go(_)
+            Verdict::Forward(_)
         ));
         for _ in 0..20 {
             file.edit(random);
@@ -626,7 +626,7 @@
         router.count_ready([u64::MAX].into_iter());
         assert!(matches!(
             router.route(&request("/once"), 1.0),
-            Verdict::Go(_)
+            Verdict::Forward(_)
         ));
     }
 }
--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -111,7 +111,7 @@
         previous,
         max_bytes: MAX_BYTES,
     };
-    Rules::read_part(text, "routes.toml", None, &catalog, &options).map_err(|faults| {
+    Rules::read_table(text, "routes.toml", None, &catalog, &options).map_err(|faults| {
         let first = faults
             .first()
             .map_or(String::new(), |fault| fault.line.clone());
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -5,7 +5,9 @@
 
 use crate::config::settings::{Config, Platform};
 use crate::routing::{catalog, RuleSource};
-use driftgap_routes::{Explained, Explainer, Fault, Headers, Request, Router, Rules, Verdict};
+use driftgap_routes::{
+    Explainer, Fault, Headers, Request, Router, RuleExplanation, Rules, Verdict,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -178,7 +180,7 @@
 /// Describes the verdict on a request, as one line.
 fn describe(verdict: Verdict, platform: &Platform) -> String {
     match verdict {
-        Verdict::Go(route) => {
+        Verdict::Forward(route) => {
             let mapped = match &route.command {
                 Some(mapped) => {
                     let class = &platform.classes[mapped.class];
@@ -192,19 +194,19 @@
         Verdict::Reject { retry_after_ms, by } => {
             format!("=> rejected by {by}, retry after {retry_after_ms} ms\n")
         }
-        Verdict::Bad { rule, why } => format!("=> invalid request for rule {rule}: {why}\n"),
+        Verdict::Invalid { rule, why } => format!("=> invalid request for rule {rule}: {why}\n"),
     }
 }
 
-fn write_rule(text: &mut String, rule: &Explained) -> std::fmt::Result {
-    let outcome = match (rule.behind, rule.ruled_out, rule.matched) {
+fn write_rule(text: &mut String, rule: &RuleExplanation) -> std::fmt::Result {
+    let outcome = match (rule.skipped, rule.ruled_out, rule.matched) {
         (true, ..) => "behind a rule that already decided the request",
         (_, true, _) => "ruled out by the index",
         (_, _, true) => "matches",
         _ => "does not match",
     };
     writeln!(text, "{}: {outcome}", rule.rule)?;
-    for (name, steps) in &rule.parts {
+    for (name, steps) in &rule.expressions {
         for step in steps {
             let label = if step.depth == 0 { name.as_str() } else { "" };
             let part = step.text.split_whitespace().collect::<Vec<_>>().join(" ");
--- a/src/frontend/http2/requests.rs
+++ b/src/frontend/http2/requests.rs
@@ -112,12 +112,12 @@
     }
     let view = HeaderView(&headers.head.headers);
     match dispatcher.route(&headers.for_rules(&view)) {
-        Verdict::Go(route) => Ok(RuleVerdict::Route(route)),
+        Verdict::Forward(route) => Ok(RuleVerdict::Route(route)),
         Verdict::Reject { retry_after_ms, by } => {
             tracing::debug!(by, retry_after_ms, "request rejected by a rule");
             Ok(RuleVerdict::Reject { retry_after_ms })
         }
-        Verdict::Bad { rule, why } => {
+        Verdict::Invalid { rule, why } => {
             tracing::debug!(rule, why, "request is invalid for a rule");
             Err(bad_request(why))
         }
--- a/src/frontend/resp/requests.rs
+++ b/src/frontend/resp/requests.rs
@@ -96,7 +96,7 @@
     let path = routing::request_path(platform, request);
     let rule_request = routing::rule_request(platform, request, &path, &NoHeaders, connection.peer);
     match dispatcher.route(&rule_request) {
-        Verdict::Go(route) => {
+        Verdict::Forward(route) => {
             request.attributes.pools = route.pools;
             request.notes = route.notes;
             Ok(route.permits)
@@ -110,7 +110,7 @@
             );
             Err(RuleRejection::Rejected { retry_after_ms })
         }
-        Verdict::Bad { rule, why } => {
+        Verdict::Invalid { rule, why } => {
             tracing::debug!(id = request.id, rule, why, "request is invalid for a rule");
             Err(RuleRejection::Invalid)
         }
--- a/src/routing/source.rs
+++ b/src/routing/source.rs
@@ -88,7 +88,7 @@
             previous,
             max_bytes: self.max_bytes,
         };
-        Rules::read_part(text, &file, self.table, catalog, &options)
+        Rules::read_table(text, &file, self.table, catalog, &options)
     }
 }
 
--- a/src/runtime/dispatcher/endpoints.rs
+++ b/src/runtime/dispatcher/endpoints.rs
@@ -59,7 +59,7 @@
     pub fn route(&self, request: &Request<'_>) -> Verdict {
         match &mut *self.router.borrow_mut() {
             Some(router) => router.route(request, self.clock.now()),
-            None => Verdict::Go(Box::default()),
+            None => Verdict::Forward(Box::default()),
         }
     }
 
