--- a/crates/routes/src/cost.rs
+++ b/crates/routes/src/cost.rs
@@ -25,7 +25,7 @@
     let mut always = 0u64;
     let mut fields: BTreeMap<FieldId, Vec<(&str, TextCost)>> = BTreeMap::new();
     for rule in rules {
-        let Some((field, texts, cost)) = found_by(rule) else {
+        let Some((field, texts, cost)) = selection(rule) else {
             always = always.saturating_add(rule.cost);
             continue;
         };
@@ -39,7 +39,7 @@
 }
 
 /// The field and the texts that select a rule, and what it costs for them. None: it is evaluated for every request.
-fn found_by(rule: &Rule) -> Option<(FieldId, &[Arc<str>], TextCost)> {
+fn selection(rule: &Rule) -> Option<(FieldId, &[Arc<str>], TextCost)> {
     let equal = TextCost {
         equal: rule.cost,
         prefix: 0,
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -18,7 +18,7 @@
 
 /// A run of an excerpt's bytes that stand together in the file.
 #[derive(Clone, Copy)]
-struct Piece {
+struct Segment {
     /// Where it begins in the excerpt.
     start: usize,
     /// Where it begins in the file.
@@ -28,19 +28,19 @@
 /// A part of a file that is parsed by itself, with the offsets of its bytes in the file.
 pub(crate) struct Excerpt<'t> {
     text: Cow<'t, str>,
-    pieces: Vec<Piece>,
+    segments: Vec<Segment>,
 }
 
 impl<'t> Excerpt<'t> {
     /// These bytes of the file.
     pub(crate) fn range(text: &'t str, range: Range<usize>) -> Excerpt<'t> {
-        let pieces = vec![Piece {
+        let segments = vec![Segment {
             start: 0,
             offset: range.start,
         }];
         Excerpt {
             text: Cow::Borrowed(text.get(range).unwrap_or("")),
-            pieces,
+            segments,
         }
     }
 
@@ -61,12 +61,12 @@
     }
 
     fn offset(&self, at: usize) -> usize {
-        let following = self.pieces.partition_point(|piece| piece.start <= at);
+        let following = self.segments.partition_point(|segment| segment.start <= at);
         match following
             .checked_sub(1)
-            .and_then(|last| self.pieces.get(last))
+            .and_then(|last| self.segments.get(last))
         {
-            Some(piece) => piece.offset + (at - piece.start),
+            Some(segment) => segment.offset + (at - segment.start),
             None => at,
         }
     }
@@ -76,7 +76,7 @@
         if range.is_empty() {
             return;
         }
-        self.pieces.push(Piece {
+        self.segments.push(Segment {
             start: self.text.len(),
             offset: range.start,
         });
@@ -93,43 +93,43 @@
 }
 
 impl<'t> Document<'t> {
-    /// Cuts a file whose rules are those of the table `part`, or its own.
-    pub(crate) fn split(text: &'t str, part: Option<&str>) -> Document<'t> {
-        let path: Vec<&str> = part.into_iter().chain([RULES]).collect();
+    /// Cuts a file whose rules are those of the table `table`, or its own.
+    pub(crate) fn split(text: &'t str, table: Option<&str>) -> Document<'t> {
+        let path: Vec<&str> = table.into_iter().chain([RULES]).collect();
         let mut skeleton = Excerpt {
             text: Cow::Owned(String::new()),
-            pieces: Vec::new(),
+            segments: Vec::new(),
         };
         let mut sections = Vec::new();
-        let mut open = 0;
+        let mut region_start = 0;
         let mut in_rule = false;
         for header in Headers::new(text, &path) {
             match (header.kind, in_rule) {
-                (HeaderKind::Unresolved, _) | (HeaderKind::OfRule, false) => {
-                    return Document::whole(text)
+                (HeaderKind::Unresolved, _) | (HeaderKind::SubTable, false) => {
+                    return Document::unsplit(text)
                 }
-                (HeaderKind::OfRule, true) | (HeaderKind::Other, false) => continue,
+                (HeaderKind::SubTable, true) | (HeaderKind::Other, false) => continue,
                 (HeaderKind::Rule | HeaderKind::Other, true) => {
-                    sections.push(open..header.span.start)
+                    sections.push(region_start..header.span.start)
                 }
                 (HeaderKind::Rule, false) => {
-                    skeleton.push(text, open..header.span.end);
+                    skeleton.push(text, region_start..header.span.end);
                     skeleton.text.to_mut().push('\n');
                 }
             }
-            open = header.span.start;
+            region_start = header.span.start;
             in_rule = header.kind == HeaderKind::Rule;
         }
         if in_rule {
-            sections.push(open..text.len());
+            sections.push(region_start..text.len());
         } else {
-            skeleton.push(text, open..text.len());
+            skeleton.push(text, region_start..text.len());
         }
         Document { skeleton, sections }
     }
 
     /// A file that is parsed in one piece.
-    fn whole(text: &'t str) -> Document<'t> {
+    fn unsplit(text: &'t str) -> Document<'t> {
         Document {
             skeleton: Excerpt::range(text, 0..text.len()),
             sections: Vec::new(),
@@ -143,7 +143,7 @@
     /// It begins a rule.
     Rule,
     /// It belongs to the rule before it.
-    OfRule,
+    SubTable,
     /// It has to do with no rule.
     Other,
     /// Its key is spelt in a form that only a parser resolves.
@@ -219,7 +219,7 @@
             match tokens.get(at).map(|token| self.key(token)) {
                 Some(Key::Plain(key)) => path.push(key),
                 Some(Key::Unresolved) => return (HeaderKind::Unresolved, tokens.len()),
-                Some(Key::None) | None => return (HeaderKind::Other, tokens.len()),
+                Some(Key::Missing) | None => return (HeaderKind::Other, tokens.len()),
             }
             at += 1;
             if tokens
@@ -235,7 +235,7 @@
         }
         let kind = match path.starts_with(self.path) {
             true if brackets == 2 && path.len() == self.path.len() => HeaderKind::Rule,
-            true => HeaderKind::OfRule,
+            true => HeaderKind::SubTable,
             false => HeaderKind::Other,
         };
         (kind, at + brackets)
@@ -257,7 +257,7 @@
             TokenKind::BasicString => within('"'),
             _ => None,
         };
-        quoted.map_or(Key::None, Key::Plain)
+        quoted.map_or(Key::Missing, Key::Plain)
     }
 }
 
@@ -267,7 +267,7 @@
     /// It has escapes.
     Unresolved,
     /// It is none.
-    None,
+    Missing,
 }
 
 impl Iterator for Headers<'_, '_> {
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -43,18 +43,18 @@
 
 /// The effects that requests outside of the platform's own protocol are declared to have.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Declared {
+pub(crate) struct DeclaredEffects {
     /// By method; any other has an effect.
     pub(crate) methods: BTreeMap<String, Effect>,
     /// By the beginning of the path, on top of the method's.
     pub(crate) paths: Vec<(String, Effect)>,
 }
 
-impl Default for Declared {
+impl Default for DeclaredEffects {
     /// RFC 9110's safe methods are pure, every other has an effect.
-    fn default() -> Declared {
+    fn default() -> DeclaredEffects {
         let safe = ["GET", "HEAD", "OPTIONS"].map(|m| (m.to_string(), Effect::Pure));
-        Declared {
+        DeclaredEffects {
             methods: safe.into(),
             paths: Vec::new(),
         }
@@ -64,7 +64,7 @@
 /// The beginning of the paths of the platform's own protocol, on which the client names the class.
 pub const COMMANDS: &str = "/commands/";
 
-impl Declared {
+impl DeclaredEffects {
     /// The strictest effect that a request may have of which `facts` are known, and the reason for messages.
     pub(crate) fn strictest(&self, facts: &Facts) -> (Effect, String) {
         let mut found = (Effect::Pure, String::new());
@@ -109,7 +109,7 @@
 }
 
 /// Why a branch of a rule's expression is refused.
-pub(crate) struct Unfit {
+pub(crate) struct RejectedBranch {
     /// The branch, in bytes of the expression.
     pub(crate) span: Range<usize>,
     pub(crate) problem: String,
@@ -124,12 +124,12 @@
 }
 
 /// Why a rule's class is refused, branch by branch; empty: it is accepted.
-pub(crate) fn class(
+pub(crate) fn check_class(
     expression: &Expression,
-    declared: &Declared,
+    declared: &DeclaredEffects,
     effect_of: impl Fn(&str) -> Option<Effect>,
     nearest: impl Fn(&str) -> String,
-) -> Vec<Unfit> {
+) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
         let help = "a table with [key].orValue(...) is flatter";
         return vec![too_many_ways(expression, "class has", help)];
@@ -146,7 +146,7 @@
             ),
         };
         let span = way.span.clone();
-        Some(Unfit {
+        Some(RejectedBranch {
             span,
             problem,
             help,
@@ -159,7 +159,7 @@
 fn too_weak(
     class: &str,
     effect: Effect,
-    declared: &Declared,
+    declared: &DeclaredEffects,
     facts: &Facts,
 ) -> Option<(String, String)> {
     let (needed, why) = declared.strictest(facts);
@@ -175,8 +175,8 @@
 }
 
 /// The branches of an expression are too many to check each.
-fn too_many_ways(expression: &Expression, what: &str, help: &str) -> Unfit {
-    Unfit {
+fn too_many_ways(expression: &Expression, what: &str, help: &str) -> RejectedBranch {
+    RejectedBranch {
         span: 0..expression.text().len(),
         problem: format!("the {what} too many ways to tell apart"),
         help: help.into(),
@@ -185,7 +185,7 @@
 
 /// Why a rule's units are refused, branch by branch: they must be above 0, `max` at most, and a value that the client
 /// names must stay. Empty: they are accepted.
-pub(crate) fn units(expression: &Expression, max: f64) -> Vec<Unfit> {
+pub(crate) fn check_units(expression: &Expression, max: f64) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
         return vec![too_many_ways(expression, "units have", "fewer branches")];
     };
@@ -208,7 +208,7 @@
             ),
         };
         let span = way.span.clone();
-        Unfit {
+        RejectedBranch {
             span,
             problem,
             help,
--- a/crates/routes/src/environment.rs
+++ b/crates/routes/src/environment.rs
@@ -3,7 +3,7 @@
 //! compiled with the same result, so that it may be taken over.
 
 use crate::document::RULES;
-use crate::effect::{Declared, Effect};
+use crate::effect::{DeclaredEffects, Effect};
 use crate::reader::{Value, Values};
 use toml::de::DeTable;
 
@@ -29,7 +29,7 @@
 #[derive(Debug, PartialEq)]
 pub(crate) struct Environment {
     pub(crate) catalog: Catalog,
-    pub(crate) declared: Declared,
+    pub(crate) declared: DeclaredEffects,
     /// Names of the pools.
     pub(crate) pools: Vec<String>,
     /// Most units that one expression may cost.
@@ -45,7 +45,7 @@
 }
 
 /// Notes every key of a file that is not known.
-pub(crate) fn known_parts(values: &mut Values<'_, '_>, table: &DeTable<'_>) {
+pub(crate) fn check_top_level_keys(values: &mut Values<'_, '_>, table: &DeTable<'_>) {
     values.known_keys(table, &["cost", "effects", "pool", RULES]);
 }
 
@@ -67,8 +67,8 @@
 }
 
 /// Reads the effects that requests are declared to have.
-pub(crate) fn effects(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> Declared {
-    let mut declared = Declared::default();
+pub(crate) fn effects(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> DeclaredEffects {
+    let mut declared = DeclaredEffects::default();
     let Some(effects) = table
         .get("effects")
         .and_then(|effects| values.table(effects))
--- a/crates/routes/src/evaluation.rs
+++ b/crates/routes/src/evaluation.rs
@@ -4,8 +4,8 @@
 use crate::limit::{KeyHash, Limit, LimitExceeded};
 use crate::pool::{Pool, ANY, MAX_RETRY_AFTER_MS};
 use crate::pool_bits::{PoolBits, SelectedPool};
-use crate::request::{cut, View};
-use crate::rule::{Part, PartName, Rule};
+use crate::request::{truncate, View};
+use crate::rule::{Action, ActionKind, Rule};
 use crate::rules::RuleSet;
 use crate::verdict::{Mapped, Route};
 use driftgap_expr::{Compiled, Fault, Scratch, Value};
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 
 /// Longest value of a note, bytes; longer ones are cut.
-const MAX_NOTE: usize = 128;
+const MAX_NOTE_BYTES: usize = 128;
 /// Longest value of a term, bytes; a request with a longer one is invalid.
-const MAX_TERM: usize = 256;
+const MAX_TERM_BYTES: usize = 256;
 
 /// Why a request is invalid to a rule.
 #[derive(Debug, thiserror::Error)]
@@ -35,28 +35,28 @@
 }
 
 /// Why an evaluation ends without a route.
-pub(crate) enum Stop {
+pub(crate) enum EvaluationError {
     /// The rule rejects the request for so long.
     Reject { retry_after_ms: f64 },
     /// The rule cannot be evaluated on it.
     Invalid(InvalidRequest),
 }
 
-impl From<Fault> for Stop {
-    fn from(fault: Fault) -> Stop {
-        Stop::Invalid(fault.into())
+impl From<Fault> for EvaluationError {
+    fn from(fault: Fault) -> EvaluationError {
+        EvaluationError::Invalid(fault.into())
     }
 }
 
-impl From<InvalidRequest> for Stop {
-    fn from(error: InvalidRequest) -> Stop {
-        Stop::Invalid(error)
+impl From<InvalidRequest> for EvaluationError {
+    fn from(error: InvalidRequest) -> EvaluationError {
+        EvaluationError::Invalid(error)
     }
 }
 
-impl From<LimitExceeded> for Stop {
-    fn from(exceeded: LimitExceeded) -> Stop {
-        Stop::Reject {
+impl From<LimitExceeded> for EvaluationError {
+    fn from(exceeded: LimitExceeded) -> EvaluationError {
+        EvaluationError::Reject {
             retry_after_ms: exceeded.retry_after_ms,
         }
     }
@@ -100,7 +100,7 @@
     /// # Errors
     /// The rule rejects the request, or cannot be evaluated on it.
     #[inline]
-    pub(crate) fn rule(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
+    pub(crate) fn rule(&mut self, rule: &Rule) -> Result<ControlFlow<()>, EvaluationError> {
         let result = self.test_and_apply(rule);
         // Without this check a header that cannot be read would look absent to the rule: a client could pass a rule that
         // rejects requests with the header by sending bytes that are no text.
@@ -111,12 +111,12 @@
     }
 
     #[inline]
-    fn test_and_apply(&mut self, rule: &Rule) -> Result<ControlFlow<()>, Stop> {
+    fn test_and_apply(&mut self, rule: &Rule) -> Result<ControlFlow<()>, EvaluationError> {
         if !rule.when.test(self.view, self.scratch)? {
             return Ok(ControlFlow::Continue(()));
         }
         self.apply(rule)?;
-        if rule.goes_on {
+        if rule.continues {
             Ok(ControlFlow::Continue(()))
         } else {
             Ok(ControlFlow::Break(()))
@@ -124,28 +124,28 @@
     }
 
     /// Does what a matching rule says.
-    fn apply(&mut self, rule: &Rule) -> Result<(), Stop> {
+    fn apply(&mut self, rule: &Rule) -> Result<(), EvaluationError> {
         let is_mapped = self.route.command.is_some();
-        for part in &rule.body.parts {
-            let expression = &part.expression;
-            match &part.name {
-                PartName::Reject => return Err(self.rejection(expression)),
-                PartName::Pool if self.pool.is_none() => self.select_pool(expression)?,
-                PartName::Pool => {}
-                PartName::Note(name) => self.note(name, expression)?,
-                PartName::LimitKey => self.check_limit(rule, expression)?,
+        for action in &rule.body.actions {
+            let expression = &action.expression;
+            match &action.kind {
+                ActionKind::Reject => return Err(self.rejection(expression)),
+                ActionKind::Pool if self.pool.is_none() => self.select_pool(expression)?,
+                ActionKind::Pool => {}
+                ActionKind::Note(name) => self.add_note(name, expression)?,
+                ActionKind::LimitKey => self.check_limit(rule, expression)?,
                 _ if is_mapped => {}
-                PartName::Class => self.map_to_class(expression)?,
-                _ => self.set_mapped(part)?,
+                ActionKind::Class => self.map_to_class(expression)?,
+                _ => self.set_mapped(action)?,
             }
         }
         Ok(())
     }
 
     /// The rejection that a rule asks for, or why it cannot be evaluated.
-    fn rejection(&mut self, expression: &Compiled) -> Stop {
+    fn rejection(&mut self, expression: &Compiled) -> EvaluationError {
         match expression.eval(self.view, self.scratch) {
-            Ok(Some(Value::Duration(ms))) => Stop::Reject {
+            Ok(Some(Value::Duration(ms))) => EvaluationError::Reject {
                 retry_after_ms: (ms as f64).clamp(0.0, MAX_RETRY_AFTER_MS),
             },
             Ok(_) => Fault::Input.into(),
@@ -153,7 +153,7 @@
         }
     }
 
-    fn select_pool(&mut self, expression: &Compiled) -> Result<(), Stop> {
+    fn select_pool(&mut self, expression: &Compiled) -> Result<(), EvaluationError> {
         let name = text(expression, self.view, self.scratch)?;
         let selected = if name == ANY {
             SelectedPool::Any
@@ -166,8 +166,8 @@
         Ok(())
     }
 
-    fn note(&mut self, name: &str, expression: &Compiled) -> Result<(), Stop> {
-        let value = cut(text(expression, self.view, self.scratch)?, MAX_NOTE);
+    fn add_note(&mut self, name: &str, expression: &Compiled) -> Result<(), EvaluationError> {
+        let value = truncate(text(expression, self.view, self.scratch)?, MAX_NOTE_BYTES);
         // A line break in a header would end it and begin another one. Only what every header can carry passes.
         let value: String = value
             .chars()
@@ -181,7 +181,7 @@
     }
 
     /// Checks a rule's limit. Nothing is acquired yet: see [`Evaluation::finish`].
-    fn check_limit(&mut self, rule: &Rule, expression: &Compiled) -> Result<(), Stop> {
+    fn check_limit(&mut self, rule: &Rule, expression: &Compiled) -> Result<(), EvaluationError> {
         let Some(limit) = rule.limit.as_deref() else {
             return Ok(());
         };
@@ -191,7 +191,7 @@
         Ok(())
     }
 
-    fn map_to_class(&mut self, expression: &Compiled) -> Result<(), Stop> {
+    fn map_to_class(&mut self, expression: &Compiled) -> Result<(), EvaluationError> {
         let name = text(expression, self.view, self.scratch)?;
         let mut classes = self.set.environment.catalog.classes.iter();
         let class = classes.position(|(known, _)| known == name);
@@ -203,33 +203,33 @@
     }
 
     /// Sets a value of the mapped request; its class has been set by the same rule.
-    fn set_mapped(&mut self, part: &Part) -> Result<(), Stop> {
+    fn set_mapped(&mut self, action: &Action) -> Result<(), EvaluationError> {
         let Some(mapped) = &mut self.route.command else {
             return Ok(());
         };
-        let (expression, view, scratch) = (&part.expression, self.view, &mut *self.scratch);
-        match &part.name {
-            PartName::Plan => mapped.plan = Some(text(expression, view, scratch)?.to_string()),
-            PartName::Partner => {
+        let (expression, view, scratch) = (&action.expression, self.view, &mut *self.scratch);
+        match &action.kind {
+            ActionKind::Plan => mapped.plan = Some(text(expression, view, scratch)?.to_string()),
+            ActionKind::Partner => {
                 mapped.partner = Some(text(expression, view, scratch)?.to_string())
             }
-            PartName::Id => mapped.id = Some(text(expression, view, scratch)?.to_string()),
-            PartName::Units => mapped.units = Some(double(expression, view, scratch)?),
-            PartName::Deadline => mapped.deadline_ms = Some(integer(expression, view, scratch)?),
-            PartName::Spread => mapped.spread = Some(integer(expression, view, scratch)?),
-            PartName::First => mapped.first = Some(integer(expression, view, scratch)?),
-            PartName::Term(name) => {
+            ActionKind::Id => mapped.id = Some(text(expression, view, scratch)?.to_string()),
+            ActionKind::Units => mapped.units = Some(double(expression, view, scratch)?),
+            ActionKind::Deadline => mapped.deadline_ms = Some(integer(expression, view, scratch)?),
+            ActionKind::Spread => mapped.spread = Some(integer(expression, view, scratch)?),
+            ActionKind::First => mapped.first = Some(integer(expression, view, scratch)?),
+            ActionKind::Term(name) => {
                 let value = text(expression, view, scratch)?;
                 if !is_safe_term(value) {
                     return Err(InvalidRequest::UnsafeTerm(name.clone()).into());
                 }
                 mapped.terms.push((name.to_string(), value.to_string()));
             }
-            PartName::Reject
-            | PartName::Pool
-            | PartName::Note(_)
-            | PartName::Class
-            | PartName::LimitKey => {}
+            ActionKind::Reject
+            | ActionKind::Pool
+            | ActionKind::Note(_)
+            | ActionKind::Class
+            | ActionKind::LimitKey => {}
         }
         Ok(())
     }
@@ -257,7 +257,7 @@
 /// which a client could set terms that the rule does not.
 fn is_safe_term(value: &str) -> bool {
     let is_safe = |b: u8| b.is_ascii_graphic() && b != b',';
-    value.len() <= MAX_TERM && value.bytes().all(is_safe)
+    value.len() <= MAX_TERM_BYTES && value.bytes().all(is_safe)
 }
 
 /// The value of a string expression.
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -39,14 +39,14 @@
     pub fn read(
         text: &str,
         file: &str,
-        part: Option<&str>,
+        table_name: Option<&str>,
         catalog: &Catalog,
     ) -> Result<Explainer, Vec<Fault>> {
         let mut checked = Vec::new();
         let input = Input {
             text,
             file,
-            part,
+            table_name,
             catalog,
         };
         let rules = read(&input, &ReadOptions::default(), Some(&mut checked))?;
@@ -72,9 +72,9 @@
             let mut expressions = vec![("when".to_string(), rule.when.explain(&view))];
             if matched && !skipped {
                 let actions = rule
-                    .parts
+                    .actions
                     .iter()
-                    .map(|(name, part)| (name.to_string(), part.explain(&view)));
+                    .map(|(kind, action)| (kind.to_string(), action.explain(&view)));
                 expressions.extend(actions);
             }
             all.push(RuleExplanation {
@@ -84,7 +84,7 @@
                 skipped,
                 expressions,
             });
-            skipped |= matched && !rule.goes_on;
+            skipped |= matched && !rule.continues;
         }
         all
     }
--- a/crates/routes/src/expression_reader.rs
+++ b/crates/routes/src/expression_reader.rs
@@ -30,7 +30,12 @@
 impl MatchedRequest<'_> {
     /// Whether a value that every mapped request needs may be missing: the rule does not set it, and its test does
     /// not ensure that the client names it.
-    pub(crate) fn may_lack(&self, rule: &RuleFields<'_, '_>, key: &str, field: FieldId) -> bool {
+    pub(crate) fn may_be_missing(
+        &self,
+        rule: &RuleFields<'_, '_>,
+        key: &str,
+        field: FieldId,
+    ) -> bool {
         let is_set = rule.table.get(key).is_some();
         let is_named = self.facts.present(&Path::Field(field));
         self.test_is_valid && !is_set && !is_named
@@ -51,11 +56,13 @@
         table: &DeTable<'_>,
         key: &str,
         facts: &Facts,
-        want: &Type,
+        expected: &Type,
     ) -> Option<(Expression, Text)> {
         let value = table.get(key)?;
         let text = self.values.string(value)?;
-        let expression = self.values.expression(&text, self.schema, facts, want)?;
+        let expression = self
+            .values
+            .expression(&text, self.schema, facts, expected)?;
         Some((expression, text))
     }
 
@@ -65,9 +72,9 @@
         table: &DeTable<'_>,
         key: &str,
         facts: &Facts,
-        want: &Type,
+        expected: &Type,
     ) -> Option<Expression> {
-        let (expression, _) = self.with_text(table, key, facts, want)?;
+        let (expression, _) = self.with_text(table, key, facts, expected)?;
         Some(expression)
     }
 
--- a/crates/routes/src/file_reader.rs
+++ b/crates/routes/src/file_reader.rs
@@ -7,7 +7,7 @@
 use crate::content_hash::ContentHash;
 use crate::cost::worst_request;
 use crate::document::{Document, Excerpt, RULES};
-use crate::environment::{ceilings, effects, known_parts, Ceilings, Environment};
+use crate::environment::{ceilings, check_top_level_keys, effects, Ceilings, Environment};
 use crate::expression_reader::RuleFields;
 use crate::limit::Limit;
 use crate::names;
@@ -15,8 +15,8 @@
 use crate::read_options::{Input, ReadOptions};
 use crate::reader::{Reader, Value, Values};
 use crate::request::request_schema;
-use crate::rule::{CheckedRule, Rule, RuleLimit, Shared};
-use crate::rule_reader::{refuse_second, RuleReader};
+use crate::rule::{CheckedRule, Rule, RuleLimit, SharedTables};
+use crate::rule_reader::{report_duplicate_name, RuleReader};
 use crate::rules::{ReadReport, RuleSet, Rules};
 use crate::takeover::Previous;
 use driftgap_expr::{Schema, Selector};
@@ -32,7 +32,7 @@
 const WORKING_BYTES: usize = 100;
 
 /// All rules of a file without faults, not indexed yet.
-pub(crate) struct RuleParts {
+pub(crate) struct UnindexedRules {
     rules: Vec<Arc<Rule>>,
     pools: Arc<[Pool]>,
     environment: Arc<Environment>,
@@ -40,10 +40,10 @@
     report: ReadReport,
 }
 
-impl RuleParts {
+impl UnindexedRules {
     /// Indexes the rules by the texts that they are found by.
-    pub(crate) fn finish(self, shared: Arc<Mutex<Shared>>) -> RuleSet {
-        let RuleParts {
+    pub(crate) fn finish(self, shared: Arc<Mutex<SharedTables>>) -> RuleSet {
+        let UnindexedRules {
             rules,
             pools,
             environment,
@@ -60,8 +60,8 @@
     input: &'a Input<'t>,
     options: &'a ReadOptions<'a>,
     reader: &'a mut Reader<'t>,
-    shared: &'a mut MutexGuard<'g, Shared>,
-    keep: Option<&'a mut Vec<CheckedRule>>,
+    shared: &'a mut MutexGuard<'g, SharedTables>,
+    checked_rules: Option<&'a mut Vec<CheckedRule>>,
     schema: Schema,
     rules: Vec<Arc<Rule>>,
     /// Hashes of the names of all rules so far.
@@ -72,20 +72,20 @@
 }
 
 impl<'a, 'g, 't> FileReader<'a, 'g, 't> {
-    /// A reader that notes faults in `reader` and appends checked rules to `keep`, where that is given.
+    /// A reader that notes faults in `reader` and appends checked rules to `checked_rules`, where that is given.
     pub(crate) fn new(
         input: &'a Input<'t>,
         options: &'a ReadOptions<'a>,
         reader: &'a mut Reader<'t>,
-        shared: &'a mut MutexGuard<'g, Shared>,
-        keep: Option<&'a mut Vec<CheckedRule>>,
+        shared: &'a mut MutexGuard<'g, SharedTables>,
+        checked_rules: Option<&'a mut Vec<CheckedRule>>,
     ) -> Self {
         FileReader {
             input,
             options,
             reader,
             shared,
-            keep,
+            checked_rules,
             schema: request_schema(),
             rules: Vec::new(),
             names: HashSet::new(),
@@ -95,8 +95,8 @@
     }
 
     /// Reads the whole file. None: it is faulty, and `reader` has the faults.
-    pub(crate) fn read(mut self) -> Option<RuleParts> {
-        let document = Document::split(self.input.text, self.input.part);
+    pub(crate) fn read(mut self) -> Option<UnindexedRules> {
+        let document = Document::split(self.input.text, self.input.table_name);
         let skeleton = &document.skeleton;
         let whole = 0..self.input.text.len();
         if !self.may_parse(skeleton.text().len(), whole) {
@@ -108,14 +108,14 @@
             return None;
         };
         let empty = DeTable::new();
-        let table = match self.input.part {
+        let table = match self.input.table_name {
             None => parsed.get_ref(),
-            Some(part) => match parsed.get_ref().get(part) {
+            Some(table_name) => match parsed.get_ref().get(table_name) {
                 Some(value) => Values::new(self.reader, skeleton, u64::MAX).table(value)?,
                 None => &empty,
             },
         };
-        let (ceilings, environment, pools) = self.head(skeleton, table);
+        let (ceilings, environment, pools) = self.read_head(skeleton, table);
         let previous = Previous::new(self.options.previous, &environment);
         if document.sections.is_empty() {
             self.inline_rules(skeleton, table, &environment, &previous);
@@ -124,7 +124,7 @@
         }
         drop((previous, document.sections));
         self.names = HashSet::new();
-        if !self.reader.clean() {
+        if !self.reader.has_no_faults() {
             return None;
         }
         let cost = self.worst_cost(&ceilings);
@@ -132,7 +132,7 @@
             mut rules, report, ..
         } = self;
         rules.shrink_to_fit();
-        Some(RuleParts {
+        Some(UnindexedRules {
             rules,
             pools,
             environment: Arc::new(environment),
@@ -155,13 +155,13 @@
     }
 
     /// Reads all but the rules.
-    fn head(
+    fn read_head(
         &mut self,
         skeleton: &Excerpt<'_>,
         table: &DeTable<'_>,
     ) -> (Ceilings, Environment, Arc<[Pool]>) {
         let mut values = Values::new(self.reader, skeleton, u64::MAX);
-        known_parts(&mut values, table);
+        check_top_level_keys(&mut values, table);
         let ceilings = ceilings(&mut values, table);
         let mut values = Values::new(self.reader, skeleton, ceilings.expression);
         let declared = effects(&mut values, table);
@@ -213,24 +213,25 @@
     /// Takes an unchanged rule over.
     fn take_over(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
         if !self.names.insert(ContentHash::of(&*rule.name)) {
-            self.refuse_second(range, environment);
+            self.report_duplicate_name(range, environment);
         }
         self.report.taken_over += 1;
         self.rules.push(rule.clone());
     }
 
     /// Notes the fault of an unchanged rule whose name an earlier rule of the file has.
-    fn refuse_second(&mut self, range: Range<usize>, environment: &Environment) {
+    fn report_duplicate_name(&mut self, range: Range<usize>, environment: &Environment) {
         let excerpt = Excerpt::range(self.input.text, range);
         let Some(parsed) = self.reader.parse(&excerpt) else {
             return;
         };
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.table_name)
+        else {
             return;
         };
         if let Some(name) = names::name(&mut values, fields.table, fields.span) {
-            refuse_second(&mut values, &name);
+            report_duplicate_name(&mut values, &name);
         }
     }
 
@@ -253,7 +254,8 @@
             return;
         }
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.table_name)
+        else {
             return;
         };
         self.rule(&excerpt, &fields, content, environment, previous);
@@ -308,7 +310,7 @@
         if let Some(name) = &read.name {
             self.names.insert(ContentHash::of(&*name.text));
         }
-        let Some(checked) = read.checked.filter(|_| self.reader.clean()) else {
+        let Some(checked) = read.checked.filter(|_| self.reader.has_no_faults()) else {
             return;
         };
         let limit = checked.limit.as_ref().map(|spec| {
@@ -323,8 +325,8 @@
         self.compiled_bytes += rule.heap_bytes();
         self.report.compiled += 1;
         self.rules.push(rule);
-        if let Some(keep) = &mut self.keep {
-            keep.push(checked);
+        if let Some(checked_rules) = &mut self.checked_rules {
+            checked_rules.push(checked);
         }
     }
 
@@ -333,11 +335,11 @@
         let max = self.options.max_bytes;
         let file = self.input.text.len();
         let in_force = self.options.previous.map_or(0, Rules::heap_bytes);
-        let taken = self.compiled_bytes + WORKING_BYTES * self.rules.len();
-        let fits = file + in_force + taken <= max;
+        let used = self.compiled_bytes + WORKING_BYTES * self.rules.len();
+        let fits = file + in_force + used <= max;
         if !fits {
             let problem = format!(
-                "the rules up to here take more memory than there is: {taken} bytes beside {in_force} of the rules in force and {file} of the file, {max} are the most"
+                "the rules up to here take more memory than there is: {used} bytes beside {in_force} of the rules in force and {file} of the file, {max} are the most"
             );
             let help = "fewer rules, fewer keys of limits, or a change in several steps";
             self.reader.fault_in_file(span, problem, Some(help.into()));
@@ -380,11 +382,11 @@
 fn section_fields<'v, 'd>(
     values: &mut Values<'_, '_>,
     parsed: &'v DeTable<'d>,
-    part: Option<&str>,
+    table_name: Option<&str>,
 ) -> Option<RuleFields<'v, 'd>> {
-    let table = match part {
+    let table = match table_name {
         None => parsed,
-        Some(part) => values.table(parsed.get(part)?)?,
+        Some(table_name) => values.table(parsed.get(table_name)?)?,
     };
     let rules = values.array(table.get(RULES)?);
     rule_fields(values, rules.first()?)
--- a/crates/routes/src/mapped_request.rs
+++ b/crates/routes/src/mapped_request.rs
@@ -2,12 +2,12 @@
 //! class itself, the units, the plan, the tenant and the rest. What cannot be proved when the file is read (the
 //! class exists and is as strict as the request's effect, the client's own units stay) is refused.
 
-use crate::effect::{self, Effect, Unfit};
+use crate::effect::{self, Effect, RejectedBranch};
 use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
 use crate::names::nearest;
 use crate::reader::Text;
 use crate::request::field;
-use crate::rule::{PartName, Parts};
+use crate::rule::{ActionKind, Actions};
 use driftgap_expr::{Expression, Outcome, Type};
 
 /// Keys that have a meaning only beside `class`.
@@ -34,19 +34,19 @@
         &mut self,
         rule: &RuleFields<'_, '_>,
         matched: &MatchedRequest<'_>,
-    ) -> Parts {
+    ) -> Actions {
         if rule.table.get("class").is_none() {
             self.refuse_without_class(rule);
-            return Parts::new();
+            return Actions::new();
         }
         self.refuse_platform_requests(rule, matched);
         let class = self.class(rule, matched);
         let units = self.units(rule, matched);
         let plan = self.plan(rule, matched);
         self.refuse_missing(rule, matched, class.as_ref());
-        let mut read = |key: &str, want: Type| {
+        let mut read = |key: &str, expected: Type| {
             self.expressions
-                .expression(rule.table, key, matched.facts, &want)
+                .expression(rule.table, key, matched.facts, &expected)
         };
         let partner = read("partner", Type::Text);
         let id = read("id", Type::Text);
@@ -57,24 +57,24 @@
             .expressions
             .named(rule.table, "terms", matched.facts, is_term_name);
         let Some(class) = class else {
-            return Parts::new();
+            return Actions::new();
         };
         let in_order = [
-            (PartName::Class, Some(class)),
-            (PartName::Plan, plan),
-            (PartName::Partner, partner),
-            (PartName::Id, id),
-            (PartName::Units, units),
-            (PartName::Deadline, deadline),
-            (PartName::Spread, spread),
-            (PartName::First, first),
+            (ActionKind::Class, Some(class)),
+            (ActionKind::Plan, plan),
+            (ActionKind::Partner, partner),
+            (ActionKind::Id, id),
+            (ActionKind::Units, units),
+            (ActionKind::Deadline, deadline),
+            (ActionKind::Spread, spread),
+            (ActionKind::First, first),
         ];
         let set = in_order
             .into_iter()
             .filter_map(|(name, expression)| Some((name, expression?)));
         let terms = terms
             .into_iter()
-            .map(|(name, term)| (PartName::Term(name), term));
+            .map(|(name, term)| (ActionKind::Term(name), term));
         set.chain(terms).collect()
     }
 
@@ -128,13 +128,13 @@
             let classes = &self.expressions.environment.catalog.classes;
             let effect_of = |name: &str| classes.iter().find(|(n, _)| n == name).map(|(_, e)| *e);
             let nearest = |name: &str| nearest(name, classes.iter().map(|(n, _)| n.as_str()));
-            let unfit = effect::class(
+            let rejected = effect::check_class(
                 &class,
                 &self.expressions.environment.declared,
                 effect_of,
                 nearest,
             );
-            self.refuse_unfit(&class, &text, unfit);
+            self.report_rejected_branches(&class, &text, rejected);
         }
         Some(class)
     }
@@ -149,8 +149,9 @@
             self.expressions
                 .with_text(rule.table, "units", matched.facts, &Type::Double)?;
         if matched.test_is_valid {
-            let unfit = effect::units(&units, self.expressions.environment.catalog.max_units);
-            self.refuse_unfit(&units, &text, unfit);
+            let rejected =
+                effect::check_units(&units, self.expressions.environment.catalog.max_units);
+            self.report_rejected_branches(&units, &text, rejected);
         }
         Some(units)
     }
@@ -179,9 +180,14 @@
         Some(plan)
     }
 
-    fn refuse_unfit(&mut self, expression: &Expression, text: &Text, unfit: Vec<Unfit>) {
-        for unfit in unfit {
-            let error = expression.fault(unfit.span, unfit.problem, unfit.help);
+    fn report_rejected_branches(
+        &mut self,
+        expression: &Expression,
+        text: &Text,
+        rejected: Vec<RejectedBranch>,
+    ) {
+        for rejected in rejected {
+            let error = expression.fault(rejected.span, rejected.problem, rejected.help);
             self.expressions.values.expression_fault(text, &error);
         }
     }
@@ -193,12 +199,12 @@
         matched: &MatchedRequest<'_>,
         class: Option<&Expression>,
     ) {
-        for (key, place) in [
+        for (key, field_id) in [
             ("plan", field::PLAN),
             ("partner", field::PARTNER),
             ("units", field::UNITS),
         ] {
-            if matched.may_lack(rule, key, place) {
+            if matched.may_be_missing(rule, key, field_id) {
                 let help = format!("give it, or test has(request.{key}) in `when`");
                 self.expressions.values.fault(
                     rule.span.clone(),
@@ -208,7 +214,7 @@
             }
         }
         let deduplicates = class.is_some_and(|class| self.deduplicates(class));
-        if deduplicates && matched.may_lack(rule, "id", field::ID) {
+        if deduplicates && matched.may_be_missing(rule, "id", field::ID) {
             let help = Some("give it, or test has(request.id) in `when`".into());
             let problem = "a class whose repeats are discarded by their id needs `id`";
             self.expressions
--- a/crates/routes/src/names.rs
+++ b/crates/routes/src/names.rs
@@ -7,9 +7,9 @@
 /// Longest name of a rule or a pool, bytes.
 const MAX_NAME: usize = 64;
 /// Most known names that are listed where none is near.
-const MAX_LISTED: usize = 12;
+const MAX_LISTED_NAMES: usize = 12;
 
-fn is_plain(name: &str) -> bool {
+fn is_valid(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
 }
@@ -25,7 +25,7 @@
         return None;
     };
     let name = values.string(name)?;
-    if !is_plain(&name.text) {
+    if !is_valid(&name.text) {
         let help = Some(format!("letters, digits, - _ and . up to {MAX_NAME}"));
         values.fault(name.span, "the name cannot be used", help);
         return None;
@@ -45,7 +45,7 @@
         }
         _ => format!(
             "known are {}",
-            known.take(MAX_LISTED).collect::<Vec<_>>().join(", ")
+            known.take(MAX_LISTED_NAMES).collect::<Vec<_>>().join(", ")
         ),
     }
 }
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -178,15 +178,15 @@
     nearest(wrong, names.iter().map(String::as_str).chain([ANY]))
 }
 
-/// The Retry-After under a key, ms; `absent` where there is none, or a wrong one.
+/// The Retry-After under a key, ms; `default` where there is none, or a wrong one.
 pub(crate) fn retry_after_ms(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
     key: &str,
-    absent: f64,
+    default: f64,
 ) -> f64 {
     let Some(text) = fields.get(key).and_then(|after| values.string(after)) else {
-        return absent;
+        return default;
     };
     match duration(&text.text).filter(|ms| (0.0..=MAX_RETRY_AFTER_MS).contains(ms)) {
         Some(ms) => ms,
@@ -197,7 +197,7 @@
                 format!("{:?} is no time to come back", text.text),
                 help,
             );
-            absent
+            default
         }
     }
 }
--- a/crates/routes/src/pool_bits.rs
+++ b/crates/routes/src/pool_bits.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts the pools `new` in force in place of `old` at `now_ms`; requests routed so far end within `longest_ms`.
+    /// Puts the pools `new` in force in place of `old` at `now_ms`; requests routed so far end within `max_request_ms`.
     ///
     /// # Errors
     /// There are too many pools together with those that are still needed; nothing has changed.
@@ -69,7 +69,7 @@
         old: &[Pool],
         new: &[Pool],
         now_ms: f64,
-        longest_ms: f64,
+        max_request_ms: f64,
     ) -> Result<ReplacedPools, PoolBitsExhausted> {
         let bits = self.assign(old, new, now_ms)?;
         let ready: Vec<Option<usize>> = bits.iter().map(|bit| self.ready_of(*bit)).collect();
@@ -85,7 +85,7 @@
                 self.retired.push(RetiredPool {
                     bit,
                     when: pool.when.clone(),
-                    until_ms: now_ms + longest_ms,
+                    until_ms: now_ms + max_request_ms,
                 });
             }
         }
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -17,7 +17,7 @@
         Rules::read_table(text, file, None, catalog, &ReadOptions::default())
     }
 
-    /// Reads the table `part` of a file that holds other things as well, or the whole file where there is none.
+    /// Reads the table `table_name` of a file that holds other things as well, or the whole file where there is none.
     /// Unchanged rules of [`ReadOptions::previous`] are taken over, unless the pools' names, the effects, the
     /// cost ceiling of an expression or the catalog have changed: then every rule is compiled anew.
     ///
@@ -26,28 +26,28 @@
     pub fn read_table(
         text: &str,
         file: &str,
-        part: Option<&str>,
+        table_name: Option<&str>,
         catalog: &Catalog,
         options: &ReadOptions<'_>,
     ) -> Result<Rules, Vec<Fault>> {
         let input = Input {
             text,
             file,
-            part,
+            table_name,
             catalog,
         };
         read(&input, options, None)
     }
 }
 
-/// Reads a file. Where `keep` is given, the checked rules are appended to it, with their texts.
+/// Reads a file. Where `checked_rules` is given, the checked rules are appended to it, with their texts.
 ///
 /// # Errors
 /// Every fault of the file, 100 at most.
 pub(crate) fn read(
     input: &Input<'_>,
     options: &ReadOptions<'_>,
-    keep: Option<&mut Vec<CheckedRule>>,
+    checked_rules: Option<&mut Vec<CheckedRule>>,
 ) -> Result<Rules, Vec<Fault>> {
     let length = input.text.len();
     if length > options.max_bytes {
@@ -63,8 +63,8 @@
     let mut reader = Reader::new(input.text, input.file);
     let mut tables = lock(&shared);
     tables.sweep();
-    let parts = FileReader::new(input, options, &mut reader, &mut tables, keep).read();
-    if let Some(parts) = parts.filter(|_| reader.clean()) {
+    let parts = FileReader::new(input, options, &mut reader, &mut tables, checked_rules).read();
+    if let Some(parts) = parts.filter(|_| reader.has_no_faults()) {
         drop(tables);
         return Ok(Rules::new(parts.finish(shared)));
     }
--- a/crates/routes/src/read_options.rs
+++ b/crates/routes/src/read_options.rs
@@ -32,7 +32,7 @@
     /// The file's name in messages.
     pub(crate) file: &'a str,
     /// The table that holds the rules; none: the file's own.
-    pub(crate) part: Option<&'a str>,
+    pub(crate) table_name: Option<&'a str>,
     /// The platform's classes and plans.
     pub(crate) catalog: &'a Catalog,
 }
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether there is no fault so far.
-    pub(crate) fn clean(&self) -> bool {
+    pub(crate) fn has_no_faults(&self) -> bool {
         self.faults.is_empty() && self.syntax.is_empty()
     }
 
@@ -126,7 +126,7 @@
         let within = |at: usize| at.saturating_sub(start).min(text.len());
         let error = Error::at(within(span.start)..within(span.end), problem, help).located(text);
         let origin = Origin { line, column: 1 };
-        self.note(
+        self.add_fault(
             error.line(self.file, origin),
             error.render(self.file, origin),
         );
@@ -138,13 +138,13 @@
             return;
         }
         let origin = self.origin(text.start);
-        self.note(
+        self.add_fault(
             error.line(self.file, origin),
             error.render(self.file, origin),
         );
     }
 
-    fn note(&mut self, line: String, shown: String) {
+    fn add_fault(&mut self, line: String, shown: String) {
         self.faults.push(Fault { line, shown });
     }
 }
@@ -267,12 +267,12 @@
         fits
     }
 
-    /// Notes that a value is of another type than `want`.
-    fn type_fault(&mut self, span: Range<usize>, got: &DeValue, want: &str) {
+    /// Notes that a value is of another type than `expected`.
+    fn type_fault(&mut self, span: Range<usize>, got: &DeValue, expected: &str) {
         self.fault(
             span,
             format!("this is a TOML {}", got.type_str()),
-            Some(format!("{want} was expected")),
+            Some(format!("{expected} was expected")),
         );
     }
 
@@ -282,9 +282,9 @@
         text: &Text,
         schema: &Schema,
         facts: &Facts,
-        want: &Type,
+        expected: &Type,
     ) -> Option<Expression> {
-        match Expression::within(&text.text, schema, facts, want, self.max_cost) {
+        match Expression::within(&text.text, schema, facts, expected, self.max_cost) {
             Ok(expression) => Some(expression),
             Err(e) => {
                 self.expression_fault(text, &e);
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -231,7 +231,7 @@
 impl Input for Endpoint<'_> {
     fn get(&self, field: FieldId) -> Option<Value<'_>> {
         // A name that is longer than its bound is read as far as that goes.
-        let text = |text| Some(Value::Text(cut(text, MAX_NAME)));
+        let text = |text| Some(Value::Text(truncate(text, MAX_NAME)));
         match field.0 {
             0 => text(self.name),
             1 => text(self.zone),
@@ -253,12 +253,12 @@
             .iter()
             .take(MAX_LABELS)
             .find(|(name, _)| name == key);
-        label.map(|(_, value)| Value::Text(cut(value, MAX_NAME)))
+        label.map(|(_, value)| Value::Text(truncate(value, MAX_NAME)))
     }
 }
 
 /// The beginning of a text, in whole characters, `max` bytes at most.
-pub(crate) fn cut(text: &str, max: usize) -> &str {
+pub(crate) fn truncate(text: &str, max: usize) -> &str {
     let mut end = text.len().min(max);
     while !text.is_char_boundary(end) {
         end -= 1;
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -3,10 +3,10 @@
 //! The router does no I/O and reads no clock. It must not choose an endpoint: that is the decision module's, among
 //! the endpoints of the pool that the route names.
 
-use crate::evaluation::{Evaluation, InvalidRequest, Stop};
+use crate::evaluation::{Evaluation, EvaluationError, InvalidRequest};
 use crate::pool_bits::{PoolBits, PoolBitsExhausted, RetiredPool};
 use crate::request::{Endpoint, Request, View};
-use crate::rule::Shared;
+use crate::rule::SharedTables;
 use crate::rules::Rules;
 use crate::verdict::Verdict;
 use driftgap_expr::{Chosen, Scratch};
@@ -18,7 +18,7 @@
 pub struct Replaced {
     rules: Option<Rules>,
     expired_pools: Vec<RetiredPool>,
-    shared: Arc<Mutex<Shared>>,
+    shared: Arc<Mutex<SharedTables>>,
     has_new_pools: bool,
 }
 
@@ -75,7 +75,7 @@
     ///
     /// Limits that both have keep their state where the new rules were read with these as
     /// [`ReadOptions::previous`]. Pools that both have keep their bits, and those that are gone keep them for
-    /// `longest_ms`, until the last request that was routed under the old rules has ended. If there are new pools
+    /// `max_request_ms`, until the last request that was routed under the old rules has ended. If there are new pools
     /// ([`Replaced::has_new_pools`]) the caller determines the pools of every endpoint anew.
     ///
     /// [`ReadOptions::previous`]: crate::ReadOptions::previous
@@ -87,10 +87,10 @@
         &mut self,
         rules: Rules,
         now: f64,
-        longest_ms: f64,
+        max_request_ms: f64,
     ) -> Result<Replaced, PoolBitsExhausted> {
         let (old, new) = (&self.rules.set.pools, &rules.set.pools);
-        let replaced = self.pools.replace(old, new, now, longest_ms)?;
+        let replaced = self.pools.replace(old, new, now, max_request_ms)?;
         let old = std::mem::replace(&mut self.rules, rules);
         let shared = old.set.shared.clone();
         Ok(Replaced {
@@ -142,8 +142,8 @@
 
     /// Routes a request at `now`, ms.
     pub fn route(&mut self, request: &Request<'_>, now: f64) -> Verdict {
-        if let Some(part) = request.too_long() {
-            return invalid("", &InvalidRequest::TooLong(part));
+        if let Some(too_long) = request.too_long() {
+            return invalid("", &InvalidRequest::TooLong(too_long));
         }
         let set = &*self.rules.set;
         let view = View::new(request);
@@ -156,10 +156,10 @@
             match evaluation.rule(rule) {
                 Ok(next) if next.is_break() => break,
                 Ok(_) => {}
-                Err(Stop::Reject { retry_after_ms }) => {
+                Err(EvaluationError::Reject { retry_after_ms }) => {
                     return rejected(&rule.name, retry_after_ms)
                 }
-                Err(Stop::Invalid(error)) => {
+                Err(EvaluationError::Invalid(error)) => {
                     self.failed_evaluations += 1;
                     return invalid(&rule.name, &error);
                 }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -16,7 +16,7 @@
 
 /// What an expression of a rule is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum PartName {
+pub(crate) enum ActionKind {
     /// Rejects the request; the value is the Retry-After.
     Reject,
     /// The pool that serves it.
@@ -39,27 +39,27 @@
 }
 
 /// As the rules' language spells it, for operators.
-impl fmt::Display for PartName {
+impl fmt::Display for ActionKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            PartName::Reject => "nack",
-            PartName::Pool => "pool",
-            PartName::Note(name) | PartName::Term(name) => name,
-            PartName::Class => "class",
-            PartName::Plan => "plan",
-            PartName::Partner => "partner",
-            PartName::Id => "id",
-            PartName::Units => "units",
-            PartName::Deadline => "deadline",
-            PartName::Spread => "spread",
-            PartName::First => "first",
-            PartName::LimitKey => "limit.key",
+            ActionKind::Reject => "nack",
+            ActionKind::Pool => "pool",
+            ActionKind::Note(name) | ActionKind::Term(name) => name,
+            ActionKind::Class => "class",
+            ActionKind::Plan => "plan",
+            ActionKind::Partner => "partner",
+            ActionKind::Id => "id",
+            ActionKind::Units => "units",
+            ActionKind::Deadline => "deadline",
+            ActionKind::Spread => "spread",
+            ActionKind::First => "first",
+            ActionKind::LimitKey => "limit.key",
         })
     }
 }
 
 /// Checked expressions with what they are for, in the order of their evaluation.
-pub(crate) type Parts = Vec<(PartName, Expression)>;
+pub(crate) type Actions = Vec<(ActionKind, Expression)>;
 
 /// A limit as the file states it. If it is equal under the same rule after a reload, the limit keeps its state.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,15 +74,15 @@
 pub(crate) struct CheckedRule {
     pub(crate) name: String,
     pub(crate) when: Expression,
-    pub(crate) parts: Parts,
+    pub(crate) actions: Actions,
     pub(crate) limit: Option<LimitSpec>,
-    pub(crate) goes_on: bool,
+    pub(crate) continues: bool,
 }
 
 /// An expression of a rule.
 #[derive(PartialEq, Eq, Hash)]
-pub(crate) struct Part {
-    pub(crate) name: PartName,
+pub(crate) struct Action {
+    pub(crate) kind: ActionKind,
     pub(crate) expression: Compiled,
 }
 
@@ -90,23 +90,23 @@
 #[derive(PartialEq, Eq, Hash)]
 pub(crate) struct Body {
     /// In the order of their evaluation.
-    pub(crate) parts: Box<[Arc<Part>]>,
+    pub(crate) actions: Box<[Arc<Action>]>,
 }
 
 impl Body {
     /// Bytes on the heap, with its share of the parts that others have as well.
     fn heap_bytes(&self) -> usize {
-        let parts = self
-            .parts
+        let actions = self
+            .actions
             .iter()
-            .map(|part| size_of::<Arc<Part>>() + share(part, part.heap_bytes()));
-        ARC_HEADER + size_of::<Body>() + parts.sum::<usize>()
+            .map(|action| size_of::<Arc<Action>>() + share(action, action.heap_bytes()));
+        ARC_HEADER + size_of::<Body>() + actions.sum::<usize>()
     }
 }
 
-impl Part {
+impl Action {
     fn heap_bytes(&self) -> usize {
-        ARC_HEADER + size_of::<Part>() + self.expression.heap_bytes() + TABLE_BYTES
+        ARC_HEADER + size_of::<Action>() + self.expression.heap_bytes() + TABLE_BYTES
     }
 }
 
@@ -133,7 +133,7 @@
     pub(crate) cost: u64,
     /// The hash of the text that it was read from.
     pub(crate) content: ContentHash,
-    pub(crate) goes_on: bool,
+    pub(crate) continues: bool,
 }
 
 impl Rule {
@@ -172,13 +172,13 @@
 
 /// The tables by which rules share equal parts, those in force and those of the next file alike.
 #[derive(Default)]
-pub(crate) struct Shared {
+pub(crate) struct SharedTables {
     pub(crate) interner: Interner,
-    parts: HashSet<Arc<Part>>,
+    actions: HashSet<Arc<Action>>,
     bodies: HashSet<Arc<Body>>,
 }
 
-impl Shared {
+impl SharedTables {
     /// Compiles a rule; `limit` is its limit, if it has one.
     pub(crate) fn rule(
         &mut self,
@@ -188,8 +188,12 @@
     ) -> Rule {
         let when = checked.when.compile(&mut self.interner);
         let key = checked.when.select_key(&mut self.interner);
-        let parts_cost: u64 = checked.parts.iter().map(|(_, part)| part.cost()).sum();
-        let cost = checked.when.cost() + parts_cost;
+        let actions_cost: u64 = checked
+            .actions
+            .iter()
+            .map(|(_, action)| action.cost())
+            .sum();
+        let cost = checked.when.cost() + actions_cost;
         let body = self.body(checked);
         let name = checked.name.as_str().into();
         Rule {
@@ -200,36 +204,36 @@
             limit,
             cost,
             content,
-            goes_on: checked.goes_on,
+            continues: checked.continues,
         }
     }
 
     /// What a rule does, shared with the rules that do the same.
     fn body(&mut self, checked: &CheckedRule) -> Arc<Body> {
-        let parts = checked
-            .parts
+        let actions = checked
+            .actions
             .iter()
-            .map(|(name, part)| self.part(name, part))
+            .map(|(kind, action)| self.action(kind, action))
             .collect();
-        intern(&mut self.bodies, Body { parts })
+        intern(&mut self.bodies, Body { actions })
     }
 
-    fn part(&mut self, name: &PartName, checked: &Expression) -> Arc<Part> {
-        let name = match name {
-            PartName::Note(name) => PartName::Note(self.interner.text(name)),
-            PartName::Term(name) => PartName::Term(self.interner.text(name)),
-            name => name.clone(),
+    fn action(&mut self, kind: &ActionKind, checked: &Expression) -> Arc<Action> {
+        let kind = match kind {
+            ActionKind::Note(name) => ActionKind::Note(self.interner.text(name)),
+            ActionKind::Term(name) => ActionKind::Term(self.interner.text(name)),
+            kind => kind.clone(),
         };
         let expression = checked.compile(&mut self.interner);
-        intern(&mut self.parts, Part { name, expression })
+        intern(&mut self.actions, Action { kind, expression })
     }
 
     /// Drops what no rule uses any more.
     pub(crate) fn sweep(&mut self) {
         self.bodies.retain(|body| Arc::strong_count(body) > 1);
         self.bodies.shrink_to_fit();
-        self.parts.retain(|part| Arc::strong_count(part) > 1);
-        self.parts.shrink_to_fit();
+        self.actions.retain(|action| Arc::strong_count(action) > 1);
+        self.actions.shrink_to_fit();
         self.interner.sweep();
     }
 }
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -7,7 +7,7 @@
 use crate::names;
 use crate::pool::{nearest_pool, retry_after_ms, ANY};
 use crate::reader::{Text, Values};
-use crate::rule::{CheckedRule, LimitSpec, PartName, Parts};
+use crate::rule::{ActionKind, Actions, CheckedRule, LimitSpec};
 use driftgap_expr::{Expression, Facts, Outcome, Schema, Type};
 use toml::de::{DeTable, DeValue};
 
@@ -17,7 +17,7 @@
     "terms", "pool", "limit", "notes", "nack", "go_on",
 ];
 /// Keys that make a rule do something.
-const ACTIONS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
+const ACTION_KEYS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
 /// Keys of a limit.
 const LIMIT_KEYS: [&str; 6] = ["key", "rate", "burst", "at_once", "after", "keys"];
 /// Longest name of a note, bytes.
@@ -78,15 +78,15 @@
             facts: &facts,
             test_is_valid: when.is_some(),
         };
-        let (parts, limit) = self.parts(rule, &matched);
-        let goes_on = self.goes_on(rule.table);
-        self.refuse_without_action(rule, goes_on);
+        let (actions, limit) = self.actions(rule, &matched);
+        let continues = self.continues(rule.table);
+        self.refuse_without_action(rule, continues);
         let checked = name.as_ref().zip(when).map(|(name, when)| CheckedRule {
             name: name.text.clone(),
             when,
-            parts,
+            actions,
             limit,
-            goes_on,
+            continues,
         });
         ReadRule { name, checked }
     }
@@ -97,18 +97,18 @@
         values.known_keys(rule.table, &KEYS);
         let name = names::name(values, rule.table, rule.span.clone())?;
         if (self.is_used)(&name.text) {
-            refuse_second(values, &name);
+            report_duplicate_name(values, &name);
         }
         Some(name)
     }
 
     /// What the rule does, in the order of evaluation, and its limit.
-    fn parts(
+    fn actions(
         &mut self,
         rule: &RuleFields<'_, '_>,
         matched: &MatchedRequest<'_>,
-    ) -> (Parts, Option<LimitSpec>) {
-        let mapping = MappedRequestReader::new(&mut self.expressions).read(rule, matched);
+    ) -> (Actions, Option<LimitSpec>) {
+        let mapped = MappedRequestReader::new(&mut self.expressions).read(rule, matched);
         let pool = self.pool(rule.table, matched.facts);
         let limit = self.limit(rule.table, matched.facts);
         let notes = self
@@ -118,20 +118,20 @@
             self.expressions
                 .expression(rule.table, "nack", matched.facts, &Type::Duration);
         let (limit_key, limit) = limit.unzip();
-        let mut parts = Parts::new();
-        parts.extend(rejection.map(|rejection| (PartName::Reject, rejection)));
-        parts.extend(pool.map(|pool| (PartName::Pool, pool)));
+        let mut actions = Actions::new();
+        actions.extend(rejection.map(|rejection| (ActionKind::Reject, rejection)));
+        actions.extend(pool.map(|pool| (ActionKind::Pool, pool)));
         let notes = notes.into_iter();
-        parts.extend(notes.map(|(name, note)| (PartName::Note(name), note)));
-        parts.extend(mapping);
-        parts.extend(limit_key.map(|key| (PartName::LimitKey, key)));
-        (parts, limit)
+        actions.extend(notes.map(|(name, note)| (ActionKind::Note(name), note)));
+        actions.extend(mapped);
+        actions.extend(limit_key.map(|key| (ActionKind::LimitKey, key)));
+        (actions, limit)
     }
 
     /// Refuses a rule that would have no effect on any request.
-    fn refuse_without_action(&mut self, rule: &RuleFields<'_, '_>, goes_on: bool) {
-        let acts = ACTIONS.iter().any(|key| rule.table.contains_key(*key));
-        if !acts && goes_on {
+    fn refuse_without_action(&mut self, rule: &RuleFields<'_, '_>, continues: bool) {
+        let acts = ACTION_KEYS.iter().any(|key| rule.table.contains_key(*key));
+        if !acts && continues {
             let help = Some("class, pool, limit, notes or nack was expected".into());
             let span = rule.span.clone();
             self.expressions
@@ -245,12 +245,12 @@
     }
 
     /// Whether later rules are evaluated after this one has matched.
-    fn goes_on(&mut self, table: &DeTable<'_>) -> bool {
+    fn continues(&mut self, table: &DeTable<'_>) -> bool {
         let Some(value) = table.get("go_on") else {
             return false;
         };
-        if let DeValue::Boolean(goes_on) = value.get_ref() {
-            return *goes_on;
+        if let DeValue::Boolean(continues) = value.get_ref() {
+            return *continues;
         }
         self.expressions
             .values
@@ -260,7 +260,7 @@
 }
 
 /// Refuses a second rule of one name.
-pub(crate) fn refuse_second(values: &mut Values<'_, '_>, name: &Text) {
+pub(crate) fn report_duplicate_name(values: &mut Values<'_, '_>, name: &Text) {
     let problem = format!("there is a rule {:?} already", name.text);
     values.fault(name.span.clone(), problem, None);
 }
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -4,7 +4,7 @@
 use crate::cost::worst_request;
 use crate::environment::Environment;
 use crate::pool::Pool;
-use crate::rule::{Rule, Shared};
+use crate::rule::{Rule, SharedTables};
 use driftgap_expr::Selector;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -30,7 +30,7 @@
     pub(crate) environment: Arc<Environment>,
     pub(crate) selector: Selector,
     /// What these rules share with those of other files.
-    pub(crate) shared: Arc<Mutex<Shared>>,
+    pub(crate) shared: Arc<Mutex<SharedTables>>,
     cost: u64,
     heap_bytes: usize,
     report: ReadReport,
@@ -38,7 +38,7 @@
 
 /// Locks the tables that rules share. A panic while the lock was held would poison it and make every later reload
 /// fail. Ignoring the poison is safe: the tables only save memory, and an entry is either complete or absent.
-pub(crate) fn lock(shared: &Mutex<Shared>) -> MutexGuard<'_, Shared> {
+pub(crate) fn lock(shared: &Mutex<SharedTables>) -> MutexGuard<'_, SharedTables> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -50,13 +50,13 @@
         selector: Selector,
         cost: u64,
         report: ReadReport,
-        shared: Arc<Mutex<Shared>>,
+        shared: Arc<Mutex<SharedTables>>,
     ) -> RuleSet {
-        let of_rules: usize = rules
+        let rule_bytes: usize = rules
             .iter()
             .map(|rule| size_of::<Arc<Rule>>() + rule.heap_bytes())
             .sum();
-        let heap_bytes = of_rules + selector.heap_bytes();
+        let heap_bytes = rule_bytes + selector.heap_bytes();
         RuleSet {
             rules,
             pools,
