--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -1,4 +1,5 @@
-//! Reading and judging inventories of different sizes, in CSV and in YAML with variables of groups.
+//! Measures reading and comparing inventories of several sizes, in CSV and in YAML with group
+//! variables.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_inventory::{read, suspicious, File, Schema, Shares};
--- a/crates/inventory/src/ansible/file_reader.rs
+++ b/crates/inventory/src/ansible/file_reader.rs
@@ -1,6 +1,7 @@
-//! Reading one file into the inventory: groups with hosts, variables and children, or a file of variables.
+//! Reads one file into the inventory: a file of groups with hosts, variables and children, or a
+//! file of variables.
 
-use super::{Inventory, ListedHost, Variables, VariablesOf, MAX_DEPTH, MAX_HOSTS};
+use super::{Inventory, ListedHost, VariableScope, Variables, MAX_DEPTH, MAX_HOSTS};
 use crate::fault::{Fault, Faults, Location};
 use crate::host::Schema;
 use crate::host_fields::FieldValue;
@@ -9,7 +10,7 @@
 use crate::yaml::{LocatedValue, YamlValue};
 use std::sync::Arc;
 
-/// Reads one file.
+/// Reads one file and adds its content to the inventory.
 pub(crate) struct FileReader<'a> {
     pub(crate) inventory: &'a mut Inventory,
     pub(crate) file: &'a Arc<str>,
@@ -18,10 +19,10 @@
 }
 
 impl FileReader<'_> {
-    /// Takes in a file of groups.
+    /// Reads a file of groups.
     pub(crate) fn read_groups(&mut self, root: &LocatedValue) {
         let YamlValue::Map(groups) = &root.value else {
-            let fault = self.error(root, "", "has no groups at the top");
+            let fault = self.error(root, "", "has no groups at the top level");
             self.faults
                 .add(fault.help("all: {hosts: {...}} was expected"));
             return;
@@ -37,21 +38,27 @@
         }
     }
 
-    /// Takes in a file of `group_vars` or `host_vars`; `name` is the group's or the host's.
-    pub(crate) fn read_variables_file(&mut self, of: VariablesOf, name: &str, root: &LocatedValue) {
-        let path = match of {
-            VariablesOf::Group => format!("group_vars.{name}"),
-            VariablesOf::Host => format!("host_vars.{name}"),
+    /// Reads a file of `group_vars` or `host_vars`; `name` is the name of the group or host.
+    pub(crate) fn read_variables_file(
+        &mut self,
+        scope: VariableScope,
+        name: &str,
+        root: &LocatedValue,
+    ) {
+        let path = match scope {
+            VariableScope::Group => format!("group_vars.{name}"),
+            VariableScope::Host => format!("host_vars.{name}"),
         };
         let variables = self.read_variables(root, &path);
-        let files = match of {
-            VariablesOf::Group => &mut self.inventory.group_files,
-            VariablesOf::Host => &mut self.inventory.host_files,
+        let files = match scope {
+            VariableScope::Group => &mut self.inventory.group_files,
+            VariableScope::Host => &mut self.inventory.host_files,
         };
         files.entry(name.to_string()).or_default().extend(variables);
     }
 
-    /// A host's variables as `ansible-inventory --list` has them.
+    /// Reads the variables of one host from `_meta.hostvars`, as printed by
+    /// `ansible-inventory --list`.
     fn read_meta_host(&mut self, name: &str, value: &LocatedValue) {
         let path = format!("_meta.hostvars.{name}");
         let variables = self.read_variables(value, &path);
@@ -71,34 +78,34 @@
             self.faults.add(fault.field("children"));
             return;
         }
-        let parts = match &value.value {
+        let entries = match &value.value {
             YamlValue::Null => &[][..],
-            YamlValue::Map(parts) => parts,
+            YamlValue::Map(entries) => entries,
             _ => {
-                let fault = self.error(value, path, "is no group");
+                let fault = self.error(value, path, "is not a group");
                 let help = "hosts, vars and children were expected";
                 self.faults.add(fault.help(help));
                 return;
             }
         };
         self.inventory.groups.entry(name.to_string()).or_default();
-        for (key, part) in parts {
+        for (key, entry) in entries {
             match key.as_str() {
-                "hosts" => self.read_hosts(name, part, path),
-                "vars" => self.read_group_variables(name, part, path),
-                "children" => self.read_children(name, part, path, depth),
-                other => self.report_unknown_part(other, part, path),
+                "hosts" => self.read_hosts(name, entry, path),
+                "vars" => self.read_group_variables(name, entry, path),
+                "children" => self.read_children(name, entry, path, depth),
+                other => self.report_unknown_key(other, entry, path),
             }
         }
     }
 
-    fn report_unknown_part(&mut self, key: &str, part: &LocatedValue, path: &str) {
+    fn report_unknown_key(&mut self, key: &str, entry: &LocatedValue, path: &str) {
         let known = ["hosts", "vars", "children"].into_iter();
         let help = match closest_name(key, known) {
-            Some(name) => format!("{name} was meant?"),
+            Some(name) => format!("did you mean {name}?"),
             None => "a group has hosts, vars and children".into(),
         };
-        let fault = self.error(part, path, "is no part of a group");
+        let fault = self.error(entry, path, "is not a key of a group");
         self.faults.add(fault.value(key).help(help));
     }
 
@@ -123,7 +130,7 @@
                     self.read_group(child, value, &path, depth + 1);
                 }
             }
-            // As `ansible-inventory --list` has them.
+            // `ansible-inventory --list` prints children as a list of names.
             YamlValue::List(children) if all_scalars(children) => {
                 for child in children.iter().filter_map(LocatedValue::scalar) {
                     self.add_child(group, child);
@@ -173,7 +180,7 @@
         }
     }
 
-    /// Takes in the hosts that a pattern stands for.
+    /// Adds the hosts that a pattern expands to.
     fn read_pattern(
         &mut self,
         group: &str,
@@ -213,13 +220,14 @@
         });
         for (field, value) in variables {
             let before = host.variables.insert(field.clone(), value.clone());
-            // Said twice of one host, and not the same: neither may silently win.
+            // Two different values of one variable for the same host are an error: keeping either one
+            // silently could apply the wrong value.
             if let Some(before) = before.filter(|before| before.text != value.text) {
-                let problem = format!("says otherwise than {}", before.location);
+                let problem = format!("differs from the value at {}", before.location);
                 let fault = Fault::error(&value.location, problem)
                     .field(field)
                     .value(value.text.as_deref().unwrap_or_default())
-                    .help("one host has one value");
+                    .help("a host has one value for each variable");
                 self.faults.add(fault);
             }
         }
--- a/crates/inventory/src/ansible/mod.rs
+++ b/crates/inventory/src/ansible/mod.rs
@@ -1,6 +1,8 @@
-//! Inventories as Ansible keeps them, in YAML or in the JSON of `ansible-inventory --list`: groups with hosts,
-//! variables and children. `file_reader` takes files in; `precedence` says which variables a host has. It must never
-//! follow a ring of groups.
+//! Inventories of Ansible, in YAML or in the JSON of `ansible-inventory --list`: groups with hosts,
+//! variables and children.
+//!
+//! `file_reader` reads files into an [`Inventory`]; `precedence` determines the variables of each
+//! host. A cycle of groups is reported and never followed.
 
 mod file_reader;
 mod precedence;
@@ -12,12 +14,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Deepest nesting of groups: far deeper than groups are kept.
+/// Maximum nesting depth of groups.
 const MAX_DEPTH: usize = 32;
-/// Most hosts of an inventory: bounds the memory that one can claim.
+/// Maximum number of hosts of an inventory; bounds its memory.
 pub const MAX_HOSTS: usize = 200_000;
 
-/// Variables by the field that they are. A pattern's are shared by all hosts that it stands for.
+/// Variables by field name. All hosts that a pattern expands to share the values.
 type Variables = BTreeMap<String, Arc<FieldValue>>;
 
 #[derive(Default)]
@@ -25,9 +27,9 @@
     variables: Variables,
     hosts: BTreeSet<String>,
     children: BTreeSet<String>,
-    /// `ansible_group_priority`.
+    /// The value of `ansible_group_priority`.
     priority: i64,
-    /// How far it is below the top at most.
+    /// The length of the longest path from a top-level group.
     depth: usize,
 }
 
@@ -36,20 +38,20 @@
     location: Location,
 }
 
-/// What the files of one inventory say together.
+/// The merged content of all files of one inventory.
 #[derive(Default)]
 pub(crate) struct Inventory {
     groups: BTreeMap<String, Group>,
     hosts: BTreeMap<String, ListedHost>,
-    /// From `group_vars`: over what the inventory itself says.
+    /// Variables from `group_vars`, which override those in the inventory files.
     group_files: BTreeMap<String, Variables>,
-    /// From `host_vars`: over everything else.
+    /// Variables from `host_vars`, which override all others.
     host_files: BTreeMap<String, Variables>,
 }
 
-/// Whether a file of variables is one of a group or of a host.
+/// Whether a file of variables belongs to a group or to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum VariablesOf {
+pub(crate) enum VariableScope {
     Group,
     Host,
 }
--- a/crates/inventory/src/ansible/precedence.rs
+++ b/crates/inventory/src/ansible/precedence.rs
@@ -1,7 +1,8 @@
-//! Which variables a host has, where several places name them.
+//! Determines the variables of each host where several groups or files set the same one.
 //!
-//! The order is Ansible's: groups by their depth below `all`, then by `ansible_group_priority`, then by name, a later
-//! one over an earlier; then the host's own, those in the inventory before those in `host_vars`.
+//! The order of precedence is Ansible's. Groups are sorted by their depth below `all`, then by
+//! `ansible_group_priority`, then by name, and a later group overrides an earlier one. The host's
+//! own variables override those of groups, and `host_vars` override those in the inventory files.
 
 use super::{Group, Inventory, ListedHost, MAX_DEPTH};
 use crate::fault::{Fault, Faults, Location};
@@ -9,11 +10,11 @@
 use crate::host_fields::{read_host, FieldValue, HostSource};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The group that all hosts are in.
+/// The implicit group that contains all hosts.
 const ALL: &str = "all";
 
 impl Inventory {
-    /// The hosts with all that holds of them.
+    /// Returns the hosts with their effective variables.
     pub(crate) fn hosts(mut self, schema: &Schema, faults: &mut Faults) -> Vec<Host> {
         self.set_depths(faults);
         let groups_of_hosts = self.groups_of_hosts();
@@ -35,23 +36,25 @@
         hosts
     }
 
-    /// Sets how far each group is below the top at most; a ring of groups is a fault.
+    /// Sets the depth of each group, which is the length of its longest path from a top-level
+    /// group.
     ///
-    /// Guards against groups that are children of each other: their depths would grow without end, so they may grow
-    /// only as often as groups may be nested.
+    /// Reports a cycle of groups as a fault. The depths in a cycle would grow without end, so the
+    /// number of passes is limited to the maximum nesting depth.
     fn set_depths(&mut self, faults: &mut Faults) {
         for _ in 0..=MAX_DEPTH {
-            if !self.deepen_children() {
+            if !self.increase_child_depths() {
                 return;
             }
         }
-        let problem = "groups are children of each other in a ring";
+        let problem = "groups are nested in a cycle";
         let fault = Fault::error(&Location::default(), problem);
         faults.add(fault.field("children"));
     }
 
-    /// Puts each child below its parents; whether one was not.
-    fn deepen_children(&mut self) -> bool {
+    /// Increases each child's depth to at least one more than that of its parents. Returns whether
+    /// a depth changed.
+    fn increase_child_depths(&mut self) -> bool {
         let mut changed = false;
         let names: Vec<String> = self.groups.keys().cloned().collect();
         for name in &names {
@@ -70,7 +73,7 @@
         changed
     }
 
-    /// All groups that each host is in, with those above them.
+    /// Returns the groups that contain each host, ancestors included.
     fn groups_of_hosts(&self) -> BTreeMap<&str, BTreeSet<&str>> {
         let parents = self.parents();
         let mut groups_of_hosts: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
@@ -93,7 +96,8 @@
         parents
     }
 
-    /// A host's groups in the order of their variables, with what is listed of them: `all` may not be.
+    /// Returns a host's groups in order of precedence. The definition is absent for a group that no
+    /// file defines, which can be `all`.
     fn sorted_groups<'a>(
         &'a self,
         names: Option<&BTreeSet<&'a str>>,
@@ -109,7 +113,8 @@
         groups
     }
 
-    /// A host's values: what comes later in the order stands over what came before.
+    /// Returns a host's effective values: later sources in the order of precedence override earlier
+    /// ones.
     fn values(
         &self,
         name: &str,
@@ -134,14 +139,14 @@
     }
 }
 
-/// A group and all that it is below.
+/// Returns a group and its ancestors.
 fn with_ancestors<'a>(name: &'a str, parents: &BTreeMap<&str, Vec<&'a str>>) -> BTreeSet<&'a str> {
     let mut found = BTreeSet::from([name, ALL]);
-    let mut open = vec![name];
-    while let Some(next) = open.pop() {
+    let mut pending = vec![name];
+    while let Some(next) = pending.pop() {
         for parent in parents.get(next).into_iter().flatten() {
             if found.insert(parent) {
-                open.push(parent);
+                pending.push(parent);
             }
         }
     }
--- a/crates/inventory/src/completeness.rs
+++ b/crates/inventory/src/completeness.rs
@@ -1,7 +1,9 @@
-//! Whether a file is complete: its last line, and what it declares of itself in comment lines, `# driftgap: hosts=120`
-//! and `# driftgap: ends` where its last line is `# driftgap: end`.
+//! Checks that a file is complete, by its last line and by what its comment lines declare:
+//! `# driftgap: hosts=120` declares the number of hosts, and `# driftgap: ends` declares that the
+//! last line is `# driftgap: end`.
 //!
-//! Guards against a file that is read while a tool writes it, which shows as a list that lacks its last hosts.
+//! Detects a file that is read while a tool writes it: such a file lacks its last hosts and would
+//! otherwise be accepted as a shorter list.
 
 use crate::fault::{Fault, Faults, Location};
 use std::sync::Arc;
@@ -9,7 +11,8 @@
 const DECLARATION: &str = "# driftgap:";
 const END_MARK: &str = "# driftgap: end";
 
-/// Checks a file for its end; the number of hosts that it declares, if it does.
+/// Reports a file whose end is missing. Returns the number of hosts that the file declares, if it
+/// declares one.
 pub(crate) fn check(text: &str, file: &Arc<str>, faults: &mut Faults) -> Option<usize> {
     let last_line = text
         .lines()
@@ -17,7 +20,7 @@
         .unwrap_or("");
     let end = Location::in_file(file, text.lines().count() as u64, 1);
     if !text.is_empty() && !text.ends_with('\n') && !text.trim_end().ends_with('}') {
-        let help = "a whole file ends with a line break; it may have been read half-written";
+        let help = "a complete file ends with a newline; the file may have been read while it was being written";
         let fault = Fault::error(&end, "the last line is cut off");
         faults.add(fault.value(last_line).help(help));
     }
@@ -38,8 +41,8 @@
                 Some(count) => hosts = Some(count),
                 None => {
                     let start = Location::in_file(file, 1, 1);
-                    let fault = Fault::error(&start, "is nothing that a file can declare");
-                    faults.add(fault.value(other).help("hosts=N, ends or end"));
+                    let fault = Fault::error(&start, "is not a known declaration");
+                    faults.add(fault.value(other).help("expected hosts=N, ends or end"));
                 }
             },
         }
--- a/crates/inventory/src/consistency.rs
+++ b/crates/inventory/src/consistency.rs
@@ -1,16 +1,18 @@
-//! What no single value shows: hosts that contradict each other, and weights that are unlike all others. It must never
-//! compare by anything but what the files say.
+//! Checks across hosts: hosts that contradict each other, and weights far from those of the other
+//! hosts. The checks compare only what the files contain.
 
 use crate::fault::{Fault, Faults};
 use crate::host::Host;
 use std::collections::BTreeMap;
 
-/// Fewest hosts of a zone whose weights are compared: of fewer, none is the usual one.
+/// Minimum number of hosts in a zone for comparing weights: the median of fewer hosts is not
+/// representative.
 const MIN_COMPARED_HOSTS: usize = 4;
-/// A weight so many times the median, or as small a part of it, is most likely a mistake.
+/// A weight above the median times this factor, or below the median divided by it, is reported as a
+/// probable mistake.
 const OUTLIER_FACTOR: f64 = 10.0;
 
-/// Reports hosts that cannot both be.
+/// Reports hosts that share a name or an address.
 pub(crate) fn check_contradictions(hosts: &[Host], faults: &mut Faults) {
     let mut names: BTreeMap<&str, &Host> = BTreeMap::new();
     let mut addresses = BTreeMap::new();
@@ -30,33 +32,33 @@
     let location = &first.location;
     let differs = first.capacity != host.capacity || first.weight != host.weight;
     let fault = if differs {
-        let (name, size) = (&host.name, size_of(first));
-        let problem = format!("{name:?} stands at {location} with {size} already");
+        let (name, capacity) = (&host.name, capacity_or_weight(first));
+        let problem = format!("{name:?} is already listed at {location} with {capacity}");
         Fault::error(&host.location, problem)
             .field("capacity")
-            .value(&size_of(host))
+            .value(&capacity_or_weight(host))
     } else {
-        Fault::error(&host.location, format!("stands at {location} already"))
+        Fault::error(&host.location, format!("is already listed at {location}"))
             .field("name")
             .value(&host.name)
     };
-    fault.help("one host has one row")
+    fault.help("a host has one row")
 }
 
-fn size_of(host: &Host) -> String {
+fn capacity_or_weight(host: &Host) -> String {
     host.capacity.unwrap_or(host.weight).to_string()
 }
 
 fn same_address(first: &Host, host: &Host) -> Fault {
     let (name, location) = (&first.name, &first.location);
-    let problem = format!("is the address of {name:?} at {location} already");
+    let problem = format!("is already the address of {name:?} at {location}");
     Fault::error(&host.location, problem)
         .field("address")
         .value(&host.address.to_string())
-        .help("two hosts have two addresses")
+        .help("each host has its own address")
 }
 
-/// Warns of weights that are far from those of the hosts in the same zone.
+/// Warns of weights that are far from the median weight of the hosts in the same zone.
 pub(crate) fn check_weights(hosts: &[Host], faults: &mut Faults) {
     let mut zones: BTreeMap<Option<&str>, Vec<&Host>> = BTreeMap::new();
     for host in hosts {
--- a/crates/inventory/src/csv_file.rs
+++ b/crates/inventory/src/csv_file.rs
@@ -1,5 +1,5 @@
-//! Inventories in CSV: a header in any order, quoted fields, comment lines, `,` `;` or tab as the header has it.
-//! It owns the reading of rows. It must never take a row that is not complete.
+//! Inventories in CSV: the columns may be in any order, values may be quoted, lines may be
+//! comments, and the delimiter is `,` `;` or tab. A row that is not complete is refused.
 
 use crate::fault::{Fault, Faults, Location};
 use crate::host::{Host, Schema};
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Most characters of a header that a fault shows.
+/// Maximum length of the header that a fault shows, in characters.
 const MAX_SHOWN_CHARS: usize = 100;
 
-/// The hosts of a file; rows that are wrong are left out, each with its fault.
+/// Reads the hosts of a file. Invalid rows are omitted, and each of their faults is reported.
 pub(crate) fn read(text: &str, file: &Arc<str>, schema: &Schema, faults: &mut Faults) -> Vec<Host> {
     let mut reader = ReaderBuilder::new()
         .delimiter(delimiter(text))
@@ -46,7 +46,7 @@
     }
 }
 
-/// The delimiter that stands most often in the header; the comma where none stands more often.
+/// Returns the delimiter that occurs most often in the header; a comma in case of a tie.
 fn delimiter(text: &str) -> u8 {
     let header = text
         .lines()
@@ -60,7 +60,7 @@
     most.unwrap_or(',') as u8
 }
 
-/// The fields that the columns are; none: this header does not say what rows hold.
+/// Returns the field of each column, or `None` if the header has no `name` column.
 fn read_header(
     header: &StringRecord,
     file: &Arc<str>,
@@ -75,16 +75,16 @@
     let mut seen = BTreeSet::new();
     for column in columns.iter().filter(|column| !column.is_empty()) {
         if !seen.insert(column) {
-            let fault = Fault::error(&location, "is a column twice");
+            let fault = Fault::error(&location, "is a duplicate column");
             faults.add(fault.field(column));
         }
     }
     if !columns.iter().any(|column| column == "name") {
         let all = columns.join(", ");
         let shown: String = all.chars().take(MAX_SHOWN_CHARS).collect();
-        let fault = Fault::error(&location, "is no column of the header")
+        let fault = Fault::error(&location, "is missing from the header")
             .field("name")
-            .help(format!("the header has {shown}"));
+            .help(format!("the header has the columns {shown}"));
         faults.add(fault);
         return None;
     }
@@ -101,22 +101,23 @@
     let line = row.position().map_or(0, csv::Position::line);
     let path = format!("row {line}");
     let row_place = Location::new(file, line, 1, &path);
-    // Guards against a row that was cut off, or has a comma too many: its values would be taken for other fields'.
+    // A row with too few or too many values may have been cut off or contain an unquoted comma.
+    // Reading it would assign values to the wrong fields.
     if row.len() != columns.len() {
-        let (found, wanted) = (row.len(), columns.len());
+        let (found, expected) = (row.len(), columns.len());
         let fault = Fault::error(
             &row_place,
-            format!("has {found} values, the header {wanted}"),
+            format!("has {found} values, but the header has {expected} columns"),
         );
         let first = row.get(0).unwrap_or("");
-        let help = "a comma in a value needs quotes around it";
+        let help = "a value that contains a comma must be quoted";
         faults.add(fault.value(first).help(help));
         return None;
     }
     let mut values = BTreeMap::new();
     let mut column = 1;
     for (name, value) in columns.iter().zip(row.iter()) {
-        // The column as far as it is known: quotes and blanks around values are gone.
+        // The column is approximate: the CSV reader has removed quotes and spaces around values.
         let field_value = FieldValue {
             text: Some(value.to_string()),
             location: Location::new(file, line, column, &path),
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -1,36 +1,38 @@
-//! What is wrong with an inventory, and where. It owns the wording of faults and the summary that groups what
-//! repeats. It must never hold more of a hostile file than a line's worth for each fault, nor more faults than a
-//! person reads.
+//! Faults of an inventory: their severity, location and wording, and a summary that groups repeated
+//! ones.
+//!
+//! The number of faults and the length of the values that they quote are bounded, so that a
+//! malicious file cannot exhaust memory.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// Most faults that are kept of one reading: more than a person reads.
+/// Maximum number of faults that are kept for one inventory.
 pub const MAX_FAULTS: usize = 1000;
-/// Most characters that are kept of a value: a line's worth.
+/// Maximum length of the value that a fault quotes, in characters.
 const MAX_VALUE_CHARS: usize = 60;
 
-/// Where a value stands.
+/// The location of a value in the files of an inventory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Location {
-    /// The file.
+    /// The path of the file.
     pub file: Arc<str>,
-    /// Line and column, from 1; 0: the file as a whole.
+    /// The line, from 1; 0 if the fault concerns the file as a whole.
     pub line: u64,
-    /// See `line`.
+    /// The column, from 1; 0 if the fault concerns the file as a whole.
     pub column: u64,
-    /// The row, or the path of groups that leads to the host.
+    /// The row in a CSV file, or the path of groups that leads to the host.
     pub path: Arc<str>,
 }
 
 impl Location {
-    /// A file as a whole.
+    /// Creates the location of a file as a whole.
     pub(crate) fn of_file(file: &Arc<str>) -> Location {
         Location::in_file(file, 0, 0)
     }
 
-    /// A place in a file, without a path.
+    /// Creates a location in a file without a row or group path.
     pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Location {
         Location::new(file, line, column, "")
     }
@@ -59,29 +61,29 @@
     }
 }
 
-/// How much a fault weighs.
+/// Whether a fault refuses the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// The file is refused.
+    /// The inventory is refused.
     Error,
-    /// It is reported, and the file is taken.
+    /// The fault is reported, and the inventory is accepted.
     Warning,
 }
 
-/// A fault.
+/// One problem of an inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// How much it weighs.
+    /// Whether the fault refuses the inventory.
     pub severity: Severity,
-    /// Where.
+    /// The location of the faulty value.
     pub location: Location,
-    /// The field; empty: none in particular.
+    /// The name of the field; empty if the fault concerns no single field.
     pub field: String,
-    /// The value as it stands; empty: none.
+    /// The value as written in the file, possibly shortened; empty if there is none.
     pub value: String,
     /// What is wrong.
     pub problem: String,
-    /// What was expected, or how to mend it; empty: nothing to add.
+    /// What was expected, or how to correct it; may be empty.
     pub help: String,
 }
 
@@ -150,7 +152,7 @@
     }
 }
 
-/// Faults as they are found.
+/// Collects faults while an inventory is read.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
     found: Vec<Fault>,
@@ -159,7 +161,8 @@
 impl Faults {
     pub(crate) fn add(&mut self, fault: Fault) {
         let is_full = self.found.len() >= MAX_FAULTS;
-        // An error must never be lost to warnings: it decides.
+        // The first error is added even beyond the maximum, because it decides whether the
+        // inventory is refused.
         let has_error = || has_error(&self.found);
         if is_full && (fault.severity == Severity::Warning || has_error()) {
             return;
@@ -167,12 +170,12 @@
         self.found.push(fault);
     }
 
-    /// How many there are, for [`Faults::has_error_since`].
+    /// Returns the number of faults so far, for [`Faults::has_error_since`].
     pub(crate) fn count(&self) -> usize {
         self.found.len()
     }
 
-    /// Whether an error was added since there were so many faults.
+    /// Returns whether an error was added after the first `count` faults.
     pub(crate) fn has_error_since(&self, count: usize) -> bool {
         has_error(&self.found[count.min(self.found.len())..])
     }
@@ -186,7 +189,8 @@
     faults.iter().any(|fault| fault.severity == Severity::Error)
 }
 
-/// One line for each kind of fault: how often, and where first.
+/// Returns one line for each kind of fault, with its first occurrence and the number of further
+/// ones.
 pub fn summary(faults: &[Fault]) -> Vec<String> {
     let mut kinds: BTreeMap<(Severity, &str, &str), (usize, &Fault)> = BTreeMap::new();
     for fault in faults {
--- a/crates/inventory/src/host.rs
+++ b/crates/inventory/src/host.rs
@@ -1,17 +1,17 @@
-//! One host of an inventory, and the schema that hosts are read by.
+//! A host of an inventory, and the schema by which hosts are read.
 
 use crate::fault::Location;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Port of a host that names none.
+/// Default port of a host.
 pub const PORT: u16 = 6379;
-/// Longest name of a host, and longest label, bytes.
+/// Maximum length of a host's name and of a label, in bytes.
 pub(crate) const MAX_NAME: usize = 128;
-/// Most labels of a host.
+/// Maximum number of labels of a host.
 pub const MAX_LABELS: usize = 32;
 
-/// The fields that are read; whatever else a file holds of a host becomes a label.
+/// The names of the known fields. Every other column or variable of a host becomes a label.
 pub const FIELDS: [&str; 12] = [
     "name",
     "address",
@@ -27,68 +27,69 @@
     "started",
 ];
 
-/// The protocol that a host speaks.
+/// The protocol of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
-    /// The platform's RESP2.
+    /// RESP2, the platform's own protocol.
     #[default]
     Resp,
     /// HTTP/2.
     Http2,
 }
 
-/// Whether a host takes work.
+/// Whether a host accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum State {
-    /// It does.
+    /// The host accepts requests.
     #[default]
     Active,
-    /// It finishes its work and gets nothing new; by this Unix time, in seconds, it is gone, if one is given.
+    /// The host completes its requests in flight and accepts no new ones. It is shut down by the
+    /// given Unix time, in seconds, if there is one.
     Draining(Option<f64>),
-    /// It is not there.
+    /// The host is out of service.
     Out,
 }
 
 /// A host, which is an endpoint of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// The host's name.
     pub name: String,
-    /// Its address.
+    /// The host's address.
     pub address: SocketAddr,
-    /// Its zone by name; none: the first of the settings.
+    /// The name of the zone; absent for the first zone of the settings.
     pub zone: Option<String>,
-    /// Its cell.
+    /// The number of the cell.
     pub cell: u32,
-    /// Its weight beside the other hosts.
+    /// The weight relative to the other hosts.
     pub weight: f64,
-    /// What it can do, in the operator's unit; known to be one thing only.
+    /// The capacity in the operator's unit; used only to detect contradicting rows.
     pub capacity: Option<f64>,
-    /// Its protocol.
+    /// The protocol of the host.
     pub protocol: Protocol,
-    /// Its state.
+    /// Whether the host accepts requests.
     pub state: State,
-    /// When it started, Unix seconds; 0: long ago.
+    /// Unix time at which the host started, in seconds; 0 means long ago.
     pub started: f64,
-    /// What else is kept of it.
+    /// Further columns or variables by name.
     pub labels: BTreeMap<String, String>,
-    /// Groups that it is in, by name.
+    /// The names of the groups that contain the host.
     pub groups: Vec<String>,
-    /// Where it stands.
+    /// The location of the host in the inventory.
     pub location: Location,
 }
 
-/// What hosts are judged by.
+/// The names by which hosts are read and checked.
 #[derive(Clone, Debug, Default)]
 pub struct Schema {
-    /// Zones of the settings.
+    /// The names of the zones in the settings.
     pub zones: Vec<String>,
-    /// Names of columns or variables, and the fields that they are.
+    /// Field names by the names of the columns or variables that stand for them.
     pub columns: BTreeMap<String, String>,
 }
 
 impl Schema {
-    /// The field that a column or a variable is.
+    /// Returns the field that a column or variable stands for.
     pub(crate) fn field<'a>(&'a self, name: &'a str) -> &'a str {
         self.columns.get(name).map_or(name, String::as_str)
     }
--- a/crates/inventory/src/host_address.rs
+++ b/crates/inventory/src/host_address.rs
@@ -1,12 +1,12 @@
-//! Where a host listens: its `address`, or `ansible_host` with `ansible_port`, or its name. It must never look a name
-//! up: the platform has no look-ups.
+//! The address of a host: its `address`, or `ansible_host` with `ansible_port`, or its name. Host
+//! names are never resolved: the platform has no name resolution.
 
 use crate::fault::Fault;
 use crate::host::PORT;
 use crate::host_fields::{FieldReader, Text};
 use std::net::{IpAddr, SocketAddr};
 
-/// The address, if what is said of it is not wrong.
+/// Reads the address. Returns `None` and reports a fault if it is missing or invalid.
 pub(crate) fn read(reader: &mut FieldReader) -> Option<SocketAddr> {
     let port = read_port(reader)?;
     if let Some(address) = reader.text("address") {
@@ -61,13 +61,13 @@
         let fault = Fault::error(location, "is not an IP address")
             .field("ansible_host")
             .value(text)
-            .help("names are not looked up here");
+            .help("host names are not resolved");
         reader.faults.add(fault);
     }
     found
 }
 
-/// A host's name may be its address.
+/// Parses the name of a host as its address.
 fn address_in_name(name: &str, port: u16) -> Option<SocketAddr> {
     let address = name.parse().ok();
     address.or_else(|| Some(SocketAddr::new(parse_ip(name)?, port)))
--- a/crates/inventory/src/host_fields.rs
+++ b/crates/inventory/src/host_fields.rs
@@ -1,5 +1,5 @@
-//! The fields of one host with their types, ranges and defaults: each value is judged by itself. It must never fill in
-//! what is wrong: a value that makes no sense is a fault.
+//! Reads the fields of one host, with their types, ranges and defaults. Each value is checked by
+//! itself, and an invalid value is a fault: it is never replaced by a default.
 
 use crate::fault::{Fault, Faults, Location};
 use crate::host::{Host, Protocol, Schema, State, FIELDS, MAX_LABELS, MAX_NAME};
@@ -7,15 +7,15 @@
 use crate::spelling::closest_name;
 use std::collections::BTreeMap;
 
-/// A value of a host as it stands in the file.
+/// The value of a host's field as written in the file.
 #[derive(Clone, Debug)]
 pub(crate) struct FieldValue {
-    /// None: it is no single value.
+    /// The text; absent if the value is a list or a mapping.
     pub(crate) text: Option<String>,
     pub(crate) location: Location,
 }
 
-/// What a file says of a host.
+/// The fields of one host as read from a file.
 pub(crate) struct HostSource<'a> {
     pub(crate) name: &'a str,
     pub(crate) location: &'a Location,
@@ -23,14 +23,14 @@
     pub(crate) groups: Vec<String>,
 }
 
-/// A text of a field that is not empty, and where it stands.
+/// The text of a field, which is not empty, with its location.
 #[derive(Clone, Copy)]
 pub(crate) struct Text<'a> {
     pub(crate) text: &'a str,
     pub(crate) location: &'a Location,
 }
 
-/// A field that holds a number.
+/// A numeric field with its default and range.
 struct NumberField {
     name: &'static str,
     default: f64,
@@ -39,7 +39,7 @@
     is_whole: bool,
 }
 
-/// Latest Unix time that a field may hold, s: beyond it there is another unit in the file.
+/// Maximum Unix time of a field, in seconds. A larger number is most likely in another unit.
 const MAX_UNIX_TIME_S: f64 = 1e11;
 
 const CELL: NumberField = NumberField {
@@ -56,7 +56,7 @@
     max: 1000.0,
     is_whole: false,
 };
-/// Below 0 where the file names none.
+/// The default is negative, which stands for a host without a capacity.
 const CAPACITY: NumberField = NumberField {
     name: "capacity",
     default: -1.0,
@@ -71,7 +71,7 @@
     max: MAX_UNIX_TIME_S,
     is_whole: false,
 };
-/// 0 where the file names none.
+/// The default is 0, which stands for a host without a time limit.
 const DRAIN_BY: NumberField = NumberField {
     name: "drain_by",
     default: 0.0,
@@ -80,7 +80,7 @@
     is_whole: false,
 };
 
-/// The host of these values, if none is wrong.
+/// Reads a host from its values. Returns `None` and reports each fault if a value is invalid.
 pub(crate) fn read_host(source: HostSource, schema: &Schema, faults: &mut Faults) -> Option<Host> {
     let faults_before = faults.count();
     let mut reader = FieldReader { source, faults };
@@ -115,14 +115,14 @@
     })
 }
 
-/// Reads the fields of one host.
+/// Reads the fields of one host and reports their faults.
 pub(crate) struct FieldReader<'a, 'f> {
     pub(crate) source: HostSource<'a>,
     pub(crate) faults: &'f mut Faults,
 }
 
 impl<'a> FieldReader<'a, '_> {
-    /// A field's text, unless it is absent or empty.
+    /// Returns a field's text, unless it is absent or empty.
     pub(crate) fn text(&self, field: &str) -> Option<Text<'a>> {
         let value = self.source.values.get(field)?;
         let text = value.text.as_deref()?.trim();
@@ -143,7 +143,7 @@
     fn check_name(&mut self) {
         let name = self.source.name;
         if name.is_empty() || name.len() > MAX_NAME || name.chars().any(char::is_control) {
-            let fault = Fault::error(self.source.location, "cannot be a name")
+            let fault = Fault::error(self.source.location, "is not a valid name")
                 .field("name")
                 .value(name)
                 .help(format!("1 to {MAX_NAME} characters"));
@@ -177,7 +177,7 @@
             "resp" => Protocol::Resp,
             "http2" => Protocol::Http2,
             _ => {
-                let fault = Fault::error(location, "is no protocol")
+                let fault = Fault::error(location, "is not a protocol")
                     .field("protocol")
                     .value(text)
                     .help("resp or http2 was expected");
@@ -194,10 +194,10 @@
             Some(text) => self.parse_state(text, drain_by),
         };
         if drain_by.is_some() && !matches!(state, State::Draining(_)) {
-            let problem = "stands beside a state that does not drain";
+            let problem = "has no effect unless the state is draining";
             let fault = Fault::warning(self.source.location, problem)
                 .field("drain_by")
-                .help("state = draining was meant?");
+                .help("did you mean state = draining?");
             self.faults.add(fault);
         }
         state
@@ -212,10 +212,10 @@
             _ => {
                 let known = ["active", "draining", "out"].into_iter();
                 let help = match closest_name(text, known) {
-                    Some(name) => format!("{name} was meant?"),
+                    Some(name) => format!("did you mean {name}?"),
                     None => "active, draining or out was expected".into(),
                 };
-                let fault = Fault::error(location, "is no state")
+                let fault = Fault::error(location, "is not a state")
                     .field("state")
                     .value(text)
                     .help(help);
@@ -236,19 +236,19 @@
             let fault = Fault::warning(location, problem)
                 .field("zone")
                 .value(text)
-                .help(format!("taken as {zone}, spelled nearly so"));
+                .help(format!("treated as {zone}, which has a similar name"));
             self.faults.add(fault);
             return Some(zone.to_string());
         }
         let fault = Fault::error(location, problem)
             .field("zone")
             .value(text)
-            .help(format!("known are {}", schema.zones.join(", ")));
+            .help(format!("known zones: {}", schema.zones.join(", ")));
         self.faults.add(fault);
         None
     }
 
-    /// What the file says beside the fields, without Ansible's own variables.
+    /// Returns the values that are not fields, except Ansible's own variables.
     fn labels(&self) -> BTreeMap<String, String> {
         let others =
             self.source.values.iter().filter(|(name, _)| {
@@ -264,15 +264,15 @@
 }
 
 impl NumberField {
-    /// The number that a text is, if the field may hold it.
+    /// Parses a number. Returns `None` if it is malformed or out of range.
     fn parse(&self, text: &str) -> Option<f64> {
-        // Only what is written in digits: Rust also reads `inf` and `1e9`.
-        let is_plain = text
+        // Accepts plain decimal digits only: `f64::parse` also accepts `inf` and `1e9`.
+        let has_only_digits = text
             .bytes()
             .all(|byte| byte.is_ascii_digit() || matches!(byte, b'.' | b'-'));
         let number: f64 = text.parse().ok()?;
         let in_range = number >= self.min && number <= self.max;
-        let fits = is_plain && in_range && !(self.is_whole && number.fract() != 0.0);
-        fits.then_some(number)
+        let is_allowed = has_only_digits && in_range && !(self.is_whole && number.fract() != 0.0);
+        is_allowed.then_some(number)
     }
 }
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,9 +1,10 @@
-//! Lists of hosts as configuration tools keep them: CSV, YAML in Ansible's form, the JSON of
-//! `ansible-inventory --list`, with `group_vars` and `host_vars` beside them. [`read`] takes the bytes of all files
-//! of an inventory and gives its hosts and every fault; [`suspicious`] says whether a list must be confirmed
-//! before it takes the place of another.
+//! Reads inventories, the lists of hosts that configuration tools write: CSV, Ansible's YAML, or
+//! the JSON of `ansible-inventory --list`, with `group_vars` and `host_vars`.
 //!
-//! It opens no file and no socket and reads no clock.
+//! [`read`] takes the bytes of all files of an inventory and returns its hosts and every fault.
+//! [`suspicious`] decides whether a list must be confirmed before it replaces another one.
+//!
+//! The crate opens no file and no socket and reads no clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -27,36 +28,37 @@
 pub use range::MAX_NAMES;
 pub use suspicion::{suspicious, Shares};
 
-use ansible::{FileReader, VariablesOf};
+use ansible::{FileReader, VariableScope};
 use fault::Faults;
 use std::sync::Arc;
 
-/// Longest file, bytes: bounds what a reading holds in memory.
+/// Maximum size of a file, in bytes; bounds the memory for reading.
 pub const MAX_FILE: usize = 32 * 1024 * 1024;
 
-/// What some editors put before a text, and is none of it.
+/// The UTF-8 byte order mark, which some editors write at the start of a file.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
 /// A file of an inventory.
 #[derive(Clone, Debug)]
 pub struct File {
-    /// Its path: `.csv` is CSV, whatever else YAML or JSON; `group_vars/NAME` and `host_vars/NAME` hold variables.
+    /// The path of the file. `.csv` is read as CSV, every other file as YAML or JSON;
+    /// `group_vars/NAME` and `host_vars/NAME` hold variables.
     pub path: String,
-    /// Its bytes.
+    /// The content of the file.
     pub bytes: Vec<u8>,
 }
 
-/// What the files of an inventory say.
+/// The result of reading an inventory.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// Hosts by name; all that could be read, also where there are faults.
+    /// The valid hosts, sorted by name. They are present even if there are faults.
     pub hosts: Vec<Host>,
-    /// Faults in the order in which they were found.
+    /// The faults in the order in which they were found.
     pub faults: Vec<Fault>,
 }
 
 impl Reading {
-    /// Whether nothing but warnings was found.
+    /// Returns whether all faults are warnings, so that the inventory may be applied.
     pub fn has_no_errors(&self) -> bool {
         self.faults
             .iter()
@@ -64,8 +66,8 @@
     }
 }
 
-/// Reads the files of one inventory. They are merged in the order of their paths; `group_vars` and `host_vars`
-/// are over what the others say.
+/// Reads the files of one inventory. Files are merged in the order of their paths; variables in
+/// `group_vars` and `host_vars` override those in other files.
 pub fn read(files: &[File], schema: &Schema) -> Reading {
     let mut sorted: Vec<&File> = files.iter().collect();
     sorted.sort_by(|a, b| a.path.cmp(&b.path));
@@ -76,22 +78,22 @@
     reader.finish()
 }
 
-/// What has been read of an inventory.
+/// Collects the content of the files of one inventory.
 struct Reader<'a> {
     schema: &'a Schema,
-    /// From CSV.
+    /// Hosts from CSV files.
     hosts: Vec<Host>,
     ansible: ansible::Inventory,
-    /// Hosts that the files declare, together.
+    /// The number of hosts that all files together declare, if any file declares one.
     declared_hosts: Option<usize>,
     faults: Faults,
 }
 
-/// The form of a file, by its path.
+/// The format of a file, determined by its path.
 enum FileForm<'a> {
     Csv,
     Groups,
-    Variables { of: VariablesOf, name: &'a str },
+    Variables { scope: VariableScope, name: &'a str },
 }
 
 impl<'a> Reader<'a> {
@@ -122,11 +124,11 @@
         }
     }
 
-    /// A file's text, unless it is too long or none.
+    /// Returns the text of a file, or reports a fault if it is too long or not UTF-8.
     fn text<'f>(&mut self, file: &'f File, name: &Arc<str>) -> Option<&'f str> {
         let length = file.bytes.len();
         if length > MAX_FILE {
-            let problem = format!("has {length} bytes, {MAX_FILE} are the most");
+            let problem = format!("has {length} bytes; the limit is {MAX_FILE}");
             self.faults
                 .add(Fault::error(&Location::of_file(name), problem));
             return None;
@@ -140,8 +142,10 @@
         let before = bytes[..error.valid_up_to()].iter();
         let line = before.filter(|byte| **byte == b'\n').count() as u64 + 1;
         let location = Location::in_file(name, line, 1);
-        self.faults
-            .add(Fault::error(&location, "is not UTF-8 from here"));
+        self.faults.add(Fault::error(
+            &location,
+            "is not UTF-8 from this position on",
+        ));
         None
     }
 
@@ -161,12 +165,12 @@
             faults: &mut self.faults,
         };
         match form {
-            FileForm::Variables { of, name } => reader.read_variables_file(of, name, &root),
+            FileForm::Variables { scope, name } => reader.read_variables_file(scope, name, &root),
             FileForm::Groups | FileForm::Csv => reader.read_groups(&root),
         }
     }
 
-    /// The hosts, judged together.
+    /// Determines the hosts of all files and checks them for contradictions.
     fn finish(mut self) -> Reading {
         let mut hosts = self.hosts;
         hosts.extend(self.ansible.hosts(self.schema, &mut self.faults));
@@ -176,7 +180,7 @@
         if let Some(count) = declared.filter(|count| *count != hosts.len()) {
             let problem = format!("{count} hosts are declared, {} were read", hosts.len());
             let fault = Fault::error(&Location::default(), problem);
-            let help = "the file may have been read half-written";
+            let help = "the file may have been read while it was being written";
             self.faults.add(fault.help(help));
         }
         hosts.sort_by(|a, b| a.name.cmp(&b.name));
@@ -189,17 +193,17 @@
 
 impl FileForm<'_> {
     fn of(path: &str) -> FileForm<'_> {
-        let mut parts = path.rsplit('/');
-        let (last, folder) = (parts.next().unwrap_or(""), parts.next().unwrap_or(""));
+        let mut segments = path.rsplit('/');
+        let (last, folder) = (segments.next().unwrap_or(""), segments.next().unwrap_or(""));
         if last.to_ascii_lowercase().ends_with(".csv") {
             return FileForm::Csv;
         }
         let name = last.rsplit_once('.').map_or(last, |(stem, _)| stem);
-        let of = match folder {
-            "group_vars" => VariablesOf::Group,
-            "host_vars" => VariablesOf::Host,
+        let scope = match folder {
+            "group_vars" => VariableScope::Group,
+            "host_vars" => VariableScope::Host,
             _ => return FileForm::Groups,
         };
-        FileForm::Variables { of, name }
+        FileForm::Variables { scope, name }
     }
 }
--- a/crates/inventory/src/range.rs
+++ b/crates/inventory/src/range.rs
@@ -1,31 +1,32 @@
-//! Ranges in host names as Ansible writes them: `node-[01:40].example`, `rack-[a:f]`, `n[0:10:2]`. It owns their
-//! unfolding and its bound.
+//! Expands ranges in host names as Ansible writes them: `node-[01:40].example`, `rack-[a:f]`,
+//! `n[0:10:2]`.
 
-/// Most names that one pattern unfolds to: bounds the memory that a short pattern can claim.
+/// Maximum number of names that one pattern expands to; bounds the memory that a short pattern can
+/// require.
 pub const MAX_NAMES: usize = 100_000;
-/// Most characters of a wrong range that its error holds.
+/// Maximum length of the invalid range that an error quotes, in characters.
 const MAX_SHOWN_CHARS: usize = 40;
 
-/// Why a pattern cannot be unfolded.
+/// An error in a pattern of host names.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RangeError {
-    #[error("[{0}] is no range: [01:40], [a:f] or [0:10:2]")]
+    #[error("[{0}] is not a range such as [01:40], [a:f] or [0:10:2]")]
     NotARange(String),
-    #[error("the range stands for more than {MAX_NAMES} names")]
+    #[error("the range expands to more than {MAX_NAMES} names")]
     RangeTooLong,
-    #[error("the ranges stand for more than {MAX_NAMES} names")]
+    #[error("the ranges expand to more than {MAX_NAMES} names")]
     TooManyNames,
 }
 
-/// The names that a pattern stands for.
+/// Returns the names that a pattern expands to.
 ///
 /// # Errors
-/// What is wrong with a range.
+/// A range is malformed, or the pattern expands to more than [`MAX_NAMES`] names.
 pub(crate) fn names(pattern: &str) -> Result<Vec<String>, RangeError> {
     let mut names = vec![String::new()];
     let mut rest = pattern;
     while let Some((before, range, after)) = next_range(rest) {
-        let items = unfold(range)?;
+        let items = expand(range)?;
         if names.len().saturating_mul(items.len()) > MAX_NAMES {
             return Err(RangeError::TooManyNames);
         }
@@ -43,16 +44,16 @@
     Ok(names)
 }
 
-/// What stands before the next range, in its brackets, and behind it.
+/// Returns the text before the next range, the content of its brackets, and the text after it.
 fn next_range(pattern: &str) -> Option<(&str, &str, &str)> {
     let (before, rest) = pattern.split_once('[')?;
     let (range, after) = rest.split_once(']')?;
-    // An IPv6 address in brackets is no range.
+    // An IPv6 address in brackets is not a range.
     let is_address = range.matches(':').count() > 2 || range.parse::<std::net::Ipv6Addr>().is_ok();
     (!is_address).then_some((before, range, after))
 }
 
-fn unfold(range: &str) -> Result<Vec<String>, RangeError> {
+fn expand(range: &str) -> Result<Vec<String>, RangeError> {
     let not_a_range = || RangeError::NotARange(range.chars().take(MAX_SHOWN_CHARS).collect());
     let parts: Vec<&str> = range.split(':').collect();
     let (from, to, step) = match parts.as_slice() {
@@ -66,10 +67,10 @@
         return Ok((from..=to).step_by(step).map(String::from).collect());
     }
     let numbers = Numbers::parse(from, to).ok_or_else(not_a_range)?;
-    numbers.unfold(step)
+    numbers.expand(step)
 }
 
-/// The ends of a range of letters, which are of one case.
+/// Returns the first and last letter of a range of letters, which must have the same case.
 fn letters(from: &str, to: &str) -> Option<(char, char)> {
     let (from, to) = (single_letter(from)?, single_letter(to)?);
     let one_case = from.is_ascii_lowercase() == to.is_ascii_lowercase();
@@ -82,7 +83,7 @@
     chars.next().is_none().then_some(letter)
 }
 
-/// The ends of a range of numbers, and the width that they are filled to with zeros.
+/// A range of numbers, and the width to which they are padded with zeros.
 struct Numbers {
     from: u32,
     to: u32,
@@ -91,7 +92,7 @@
 
 impl Numbers {
     fn parse(from: &str, to: &str) -> Option<Numbers> {
-        // An empty beginning is 0, as in Ansible.
+        // An omitted start is 0, as in Ansible.
         let from = if from.is_empty() { "0" } else { from };
         let has_width = from.starts_with('0');
         if !is_digits(from) || !is_digits(to) {
@@ -108,7 +109,7 @@
         (numbers.from <= numbers.to).then_some(numbers)
     }
 
-    fn unfold(&self, step: usize) -> Result<Vec<String>, RangeError> {
+    fn expand(&self, step: usize) -> Result<Vec<String>, RangeError> {
         let Numbers { from, to, width } = *self;
         if (to - from) as usize / step >= MAX_NAMES {
             return Err(RangeError::RangeTooLong);
--- a/crates/inventory/src/spelling.rs
+++ b/crates/inventory/src/spelling.rs
@@ -1,12 +1,13 @@
-//! Names that are spelled nearly like a known one.
+//! Finds the known name that is closest to a misspelled one.
 
-/// Longest name that is compared, bytes: the comparison takes the square of it.
+/// Maximum length of a compared name, in bytes: the cost of the comparison is quadratic.
 const MAX_COMPARED_BYTES: usize = 64;
-/// Most letters in which a name may differ, and one for each so many of its letters.
+/// Maximum edit distance of a similar name.
 const MAX_DIFFERENCES: usize = 2;
 const LETTERS_PER_DIFFERENCE: usize = 3;
 
-/// The known name that a wrong one nearly is.
+/// Returns the known name that is closest to an unknown one, if their edit distance is small: one
+/// edit for each [`LETTERS_PER_DIFFERENCE`] letters, at least 1 and at most [`MAX_DIFFERENCES`].
 pub(crate) fn closest_name<'a>(
     wrong: &str,
     known: impl Iterator<Item = &'a str>,
--- a/crates/inventory/src/suspicion.rs
+++ b/crates/inventory/src/suspicion.rs
@@ -1,20 +1,21 @@
-//! Lists that are right in form and would take out too much at once. It must never compare by anything but what the
-//! files say.
+//! Detects valid lists that would remove an unusually large share of the hosts at once. The check
+//! compares only what the files contain.
 
 use crate::host::{Host, State};
 use std::collections::BTreeMap;
 
-/// Default share of either kind: more is rarely meant at once.
+/// Default of both shares in [`Shares`].
 const DEFAULT_SHARE: f64 = 0.3;
-/// So many hosts a list may always lose: of a small one a few are a large share.
-const ALWAYS_ALLOWED: f64 = 2.0;
+/// Number of hosts that a list may always remove: in a small list, a few hosts are a large share.
+const MIN_ALLOWED_HOSTS: f64 = 2.0;
 
-/// How far a list may fall behind the last one before it must be confirmed.
+/// The shares of hosts that a new list may remove without confirmation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shares {
-    /// Share of the last list's hosts that a new list may lack, 0 to 1.
+    /// Maximum share of the last list's hosts by which the new list may be shorter, 0 to 1.
     pub shorter: f64,
-    /// Share of the serving hosts that it may take out at once, by whatever state, 0 to 1.
+    /// Maximum share of the serving hosts that the new list may take out of service, whether it
+    /// omits them or changes their state, 0 to 1.
     pub taken_out: f64,
 }
 
@@ -27,7 +28,8 @@
     }
 }
 
-/// Why a list must be confirmed before it takes the place of `old`; none: it need not be.
+/// Returns why the list `new` must be confirmed before it replaces `old`, or `None` if it needs no
+/// confirmation.
 pub fn suspicious(old: &[Host], new: &[Host], shares: Shares) -> Option<String> {
     if old.is_empty() {
         return None;
@@ -35,27 +37,30 @@
     let listed = old.len();
     let missing = listed.saturating_sub(new.len());
     if missing as f64 > allowed(shares.shorter, listed) {
-        return Some(format!("{missing} hosts of {listed} are missing from it"));
+        return Some(format!(
+            "{missing} of {listed} hosts are missing from the new list"
+        ));
     }
     let serving = old.iter().filter(|host| is_serving(host)).count();
     let taken_out = count_taken_out(old, new);
     if taken_out as f64 > allowed(shares.taken_out, serving) {
         return Some(format!(
-            "it takes out {taken_out} of {serving} serving hosts at once"
+            "the new list takes {taken_out} of {serving} serving hosts out of service at once"
         ));
     }
     None
 }
 
-fn allowed(share: f64, of: usize) -> f64 {
-    (share * of as f64).max(ALWAYS_ALLOWED)
+fn allowed(share: f64, total: usize) -> f64 {
+    (share * total as f64).max(MIN_ALLOWED_HOSTS)
 }
 
 fn is_serving(host: &Host) -> bool {
     host.state == State::Active
 }
 
-/// The hosts that serve by the old list and not by the new one.
+/// Returns the number of hosts that serve according to the old list and not according to the new
+/// one.
 fn count_taken_out(old: &[Host], new: &[Host]) -> usize {
     let by_name: BTreeMap<&str, &Host> =
         new.iter().map(|host| (host.name.as_str(), host)).collect();
--- a/crates/inventory/src/yaml.rs
+++ b/crates/inventory/src/yaml.rs
@@ -1,28 +1,29 @@
-//! YAML and JSON as values that know where they stand. It owns the bounds on files of either form: nodes, depth,
-//! anchors and what they unfold to. It must never unfold more than those bounds.
+//! Parses YAML and JSON into values with their locations. The size, nesting depth and expanded
+//! anchors of a file are bounded.
 
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::Spanned;
 use std::fmt;
 
-/// Deepest nesting of a file: far deeper than groups are kept.
+/// Maximum nesting depth of a file.
 const MAX_DEPTH: usize = 32;
-/// Most values of a file, with all that anchors unfold to: bounds the memory that a small file can claim.
+/// Maximum number of values of a file, expanded anchors included; bounds the memory that a small
+/// file can require.
 const MAX_NODES: usize = 1_500_000;
-/// Most characters that are kept of the parser's message: a line's worth.
+/// Maximum length of a parser message, in characters.
 const MAX_PROBLEM_CHARS: usize = 160;
 
-/// A value.
+/// A value of a YAML or JSON file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum YamlValue {
     Null,
-    /// A scalar as a text.
+    /// A scalar in its text form.
     Scalar(String),
     List(Vec<LocatedValue>),
     Map(Vec<(String, LocatedValue)>),
 }
 
-/// A value, and the line and column at which it begins, from 1.
+/// A value with the line and column at which it begins, from 1.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LocatedValue {
     pub(crate) line: u64,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Builds a [`YamlValue`] from what the parser finds.
+/// Builds a [`YamlValue`] from the events of the parser.
 struct ValueVisitor;
 
 impl<'de> Visitor<'de> for ValueVisitor {
@@ -122,14 +123,14 @@
     }
 }
 
-/// A text that is no YAML, and where.
+/// A syntax error with its location.
 pub(crate) struct YamlError {
     pub(crate) line: u64,
     pub(crate) column: u64,
     pub(crate) problem: String,
 }
 
-/// Reads a text of YAML or JSON.
+/// Parses a text as YAML or JSON.
 pub(crate) fn parse(text: &str) -> Result<LocatedValue, YamlError> {
     let options = serde_saphyr::options! {
         budget: serde_saphyr::budget! {
@@ -152,6 +153,6 @@
 }
 
 fn first_line(text: &str) -> String {
-    let line = text.lines().next().unwrap_or("this is no YAML");
+    let line = text.lines().next().unwrap_or("this is not YAML");
     line.chars().take(MAX_PROBLEM_CHARS).collect()
 }
--- a/crates/inventory/tests/random.rs
+++ b/crates/inventory/tests/random.rs
@@ -1,4 +1,4 @@
-//! What holds for any bytes, and for any damage done to a good file. Failing cases print their seed.
+//! Properties of reading arbitrary bytes and damaged files. A failing case prints its input.
 
 use driftgap_inventory::{read, File, Reading, Schema, Severity};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
     }
 }
 
-fn take(path: &str, bytes: Vec<u8>) -> Reading {
+fn read_file(path: &str, bytes: Vec<u8>) -> Reading {
     read(
         &[File {
             path: path.into(),
@@ -42,7 +42,7 @@
     )
 }
 
-/// Bytes cut out, changed, written twice or put in.
+/// Returns variants of a text with bytes removed, changed, duplicated or inserted.
 fn damaged(text: String) -> impl Strategy<Value = Vec<u8>> {
     let length = text.len();
     (0..4u8, 0..length, 1..200usize, any::<u8>()).prop_map(move |(how, from, span, byte)| {
@@ -61,8 +61,8 @@
     })
 }
 
-/// A list that is taken holds what it declares, and nothing twice.
-fn sound(reading: &Reading) -> Result<(), TestCaseError> {
+/// Asserts that an accepted list has the declared number of hosts, and no name or address twice.
+fn check_consistency(reading: &Reading) -> Result<(), TestCaseError> {
     if reading.has_no_errors() {
         prop_assert_eq!(reading.hosts.len(), 20);
     } else {
@@ -86,32 +86,32 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_damaged_csv_is_refused_or_holds_what_it_declares(bytes in damaged(good_csv())) {
-        // Damage to the declaration itself may take it away: then the file says nothing of its length.
+    fn damaged_csv_is_refused_or_complete(bytes in damaged(good_csv())) {
+        // Damage to the declaration can remove it, so that the file declares no number of hosts.
         if bytes.starts_with(b"# driftgap: hosts=20\n# driftgap: ends\n") {
-            sound(&take("n.csv", bytes))?;
+            check_consistency(&read_file("n.csv", bytes))?;
         }
     }
 
     #[test]
-    fn a_damaged_yaml_is_refused_or_holds_what_it_declares(bytes in damaged(good_yaml())) {
+    fn damaged_yaml_is_refused_or_complete(bytes in damaged(good_yaml())) {
         if bytes.starts_with(b"# driftgap: hosts=20\n# driftgap: ends\n") {
-            sound(&take("n.yml", bytes))?;
+            check_consistency(&read_file("n.yml", bytes))?;
         }
     }
 
     #[test]
-    fn no_bytes_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), csv in any::<bool>()) {
-        let _ = take(if csv { "n.csv" } else { "n.yml" }, bytes);
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), csv in any::<bool>()) {
+        let _ = read_file(if csv { "n.csv" } else { "n.yml" }, bytes);
     }
 
     #[test]
-    fn no_words_panic(words in prop::collection::vec(prop::sample::select(WORDS.to_vec()), 0..40)) {
-        let _ = take("n.yml", words.concat().into_bytes());
+    fn arbitrary_tokens_do_not_panic(tokens in prop::collection::vec(prop::sample::select(TOKENS.to_vec()), 0..40)) {
+        let _ = read_file("n.yml", tokens.concat().into_bytes());
     }
 }
 
-const WORDS: [&str; 22] = [
+const TOKENS: [&str; 22] = [
     "all",
     ":",
     " ",
--- a/crates/inventory/tests/reading.rs
+++ b/crates/inventory/tests/reading.rs
@@ -1,4 +1,4 @@
-//! Files as configuration tools keep them, whole and broken.
+//! Reads valid, invalid and truncated files of configuration tools.
 
 use driftgap_inventory::{
     read, summary, suspicious, File, Host, Protocol, Reading, Schema, Severity, Shares, State,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn csv_is_read_as_tools_write_it() {
+fn csv_dialects_read_alike() {
     let want = csv("name,address,zone,cell,weight,protocol,state,rack\n\
                     n1,10.0.0.1:7001,building-1,2,1.5,http2,draining,r 9\n\
                     n2,10.0.0.2:7001,building-2,,,,,\n");
@@ -64,7 +64,7 @@
         fault_lines(&want)
     );
     let variants = [
-        // Another order, other names, a byte order mark, CRLF, `;`, quotes, comments.
+        // Another column order, a renamed column, a byte order mark, CRLF, `;`, quotes, comments.
         "\u{feff}rack;state;name;site;address;protocol;weight;cell\r\n\
          # from the tool\r\n\
          \"r 9\";draining;n1;building-1;10.0.0.1:7001;http2;1.5;2\r\n\
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn yaml_json_and_folders_say_the_same() {
+fn yaml_json_and_variable_files_read_alike() {
     let inventory = "\
 all:
   vars: {zone: building-1, ansible_port: 7001, rack: none}
@@ -121,7 +121,7 @@
     let got = files(&[("list.json", listed)]);
     assert!(got.faults.is_empty(), "{:?}", fault_lines(&got));
     assert_eq!(plain(&got.hosts), plain(&want.hosts));
-    // Anchors, merged; a host whose name is its address.
+    // Merged anchors, and a host whose name is its address.
     let anchored = yaml(
         "all:\n  hosts:\n    10.0.0.9: &one {zone: building-2, rack: x}\n    '10.0.0.8:99': *one\n",
     );
@@ -131,23 +131,23 @@
 }
 
 #[test]
-fn variables_have_ansibles_precedence() {
+fn variables_follow_ansible_precedence() {
     let text = |priority: &str| {
         format!(
             "all:\n  vars: {{cell: 1}}\n  children:\n    parent:\n      vars: {{cell: 2}}\n      children:\n        a: {{vars: {{cell: 3{priority}}}, hosts: {{h: {{ansible_host: 10.0.0.1}}}}}}\n    b: {{vars: {{cell: 4}}, hosts: {{h: }}}}\n    parentb: {{children: {{b: }}}}\n"
         )
     };
-    // Of two groups equally deep the later by name is over the earlier, unless its priority is lower.
+    // Of two groups of equal depth the later name takes precedence, unless its priority is lower.
     assert_eq!(yaml(&text("")).hosts[0].cell, 4);
     assert_eq!(yaml(&text(", ansible_group_priority: 10")).hosts[0].cell, 3);
     let own = "all:\n  children:\n    g: {vars: {cell: 3}, hosts: {h: {ansible_host: 10.0.0.1, cell: 9}}}\n";
     assert_eq!(yaml(own).hosts[0].cell, 9);
 }
 
-/// An operator's list has many mistakes at once. One reading must name all of them, with their places, so that they are
-/// mended at once; those that repeat must not hide the others.
+/// An operator's list has many mistakes. One reading must report all of them with their locations,
+/// and repeated faults must not hide the others.
 #[test]
-fn every_fault_is_named() {
+fn all_faults_are_reported_with_locations() {
     let reading = csv("name,address,zone,weight,state,cell,protocol\n\
                        a,10.0.0.1:7001,building-1,heavy,active,1,resp\n\
                        b,here,building-1,1,activ,1,resp\n\
@@ -160,14 +160,14 @@
     for want in [
         "nodes.csv:2:28: row 2: weight: \"heavy\" is not a number from 0.01 to 1000",
         "nodes.csv:3:3: row 3: address: \"here\" is not an IP address and port",
-        "row 3: state: \"activ\" is no state; active was meant?",
-        "row 4: warning: zone: \"buildng-1\" is not in the settings; taken as building-1",
+        "row 3: state: \"activ\" is not a state; did you mean active?",
+        "row 4: warning: zone: \"buildng-1\" is not in the settings; treated as building-1",
         "row 4: cell: \"1.5\" is not a whole number",
-        "row 4: protocol: \"smtp\" is no protocol",
-        "row 5: zone: \"moon\" is not in the settings; known are building-1, building-2",
+        "row 4: protocol: \"smtp\" is not a protocol",
+        "row 5: zone: \"moon\" is not in the settings; known zones: building-1, building-2",
         "row 5: weight: \"inf\" is not a number",
-        "row 6: \"e\" has 2 values, the header 7",
-        "row 7: name: cannot be a name",
+        "row 6: \"e\" has 2 values, but the header has 7 columns",
+        "row 7: name: is not a valid name",
         "row 8: address: \"10.0.0.7:0\"",
     ] {
         assert!(
@@ -189,22 +189,22 @@
     );
 }
 
-/// A host stands twice in a list, or two hosts have one address. None of the two may silently win: both places are
-/// named.
+/// A host is listed twice, or two hosts have one address. Neither entry may silently win: the fault
+/// names both locations.
 #[test]
-fn what_contradicts_itself_is_refused_with_both_rows() {
+fn contradicting_hosts_are_refused_with_both_locations() {
     let cases = [
         (
             "n1,10.0.0.1:1,5\nn1,10.0.0.1:1,9\n",
-            "row 3: capacity: \"9\" \"n1\" stands at nodes.csv:2:1: row 2 with 5 already",
+            "row 3: capacity: \"9\" \"n1\" is already listed at nodes.csv:2:1: row 2 with 5",
         ),
         (
             "n1,10.0.0.1:1,5\nn1,10.0.0.1:1,5\n",
-            "row 3: name: \"n1\" stands at nodes.csv:2:1: row 2 already",
+            "row 3: name: \"n1\" is already listed at nodes.csv:2:1: row 2",
         ),
         (
             "n1,10.0.0.1:1,5\nn2,10.0.0.1:1,9\n",
-            "row 3: address: \"10.0.0.1:1\" is the address of \"n1\" at nodes.csv:2:1",
+            "row 3: address: \"10.0.0.1:1\" is already the address of \"n1\" at nodes.csv:2:1",
         ),
     ];
     for (rows, want) in cases {
@@ -219,7 +219,7 @@
     assert!(
         fault_lines(&twice)
             .iter()
-            .any(|f| f.contains("capacity: \"9\" says otherwise than nodes.yml:3")),
+            .any(|f| f.contains("capacity: \"9\" differs from the value at nodes.yml:3")),
         "{:?}",
         fault_lines(&twice)
     );
@@ -236,10 +236,10 @@
     );
 }
 
-/// A list is read while a tool writes it, so that its end is missing. It must not be taken for a list of fewer hosts:
-/// the cut is seen, or the list must be confirmed.
+/// A list is read while a tool writes it, so that its end is missing. The truncation must be
+/// detected, or the list must be confirmed: it must not be accepted as a list of fewer hosts.
 #[test]
-fn a_file_cut_anywhere_is_never_taken_for_a_shorter_one() {
+fn truncated_file_is_refused_or_suspicious() {
     let rows: String = (0..30)
         .map(|i| format!("n{i},10.0.0.{i}:70{i:02},building-1\n"))
         .collect();
@@ -254,7 +254,8 @@
     for cut in 0..marked.len() - 1 {
         assert!(!csv(&marked[..cut]).has_no_errors(), "cut at {cut}");
     }
-    // Without marks: every cut inside a row is seen; one between rows shows in the number of hosts alone.
+    // Without declarations, a cut inside a row is detected; a cut between rows changes only the
+    // number of hosts.
     let plain = format!("name,address,zone\n{rows}");
     let whole = csv(&plain);
     for cut in 18..plain.len() - 1 {
@@ -272,9 +273,10 @@
         .any(|f| f.contains("3 hosts are declared, 1 were read")));
 }
 
-/// A list that is right in form takes a large part of the hosts out of service, by whatever state. It must be confirmed.
+/// A valid list takes a large share of the hosts out of service, whichever state it sets. It must
+/// be confirmed.
 #[test]
-fn a_list_that_takes_out_too_much_must_be_confirmed() {
+fn list_that_removes_many_hosts_is_suspicious() {
     let list = |states: &[&str]| {
         let rows = states
             .iter()
@@ -290,17 +292,19 @@
         suspicious(&old, &list(&states), shares)
     };
     assert_eq!(with(3, "draining"), None);
-    assert!(with(4, "draining").unwrap().contains("takes out 4 of 10"));
+    assert!(with(4, "draining")
+        .unwrap()
+        .contains("takes 4 of 10 serving hosts out"));
     assert!(with(4, "out").is_some() && suspicious(&[], &old, shares).is_none());
     assert!(suspicious(&old, &old[..6], shares)
         .unwrap()
-        .contains("4 hosts of 10 are missing"));
+        .contains("4 of 10 hosts are missing"));
 }
 
-/// A file unfolds to far more than it holds, nests without end, or is no list at all. It must be refused soon, with a
-/// fault of a line.
+/// A file expands to far more than its size, is nested without end, or is not a list. It must be
+/// refused in bounded time, with short faults.
 #[test]
-fn hostile_files_are_refused_within_bounds() {
+fn malicious_files_are_refused_in_bounded_time() {
     let bomb = "a: &a [x,x,x,x,x,x,x,x,x]\n".to_string()
         + &(1..12)
             .map(|i| {
