--- a/crates/routes/src/cost.rs
+++ b/crates/routes/src/cost.rs
@@ -1,26 +1,26 @@
-//! The most that one request may spend on the rules of a file.
+//! The highest cost of the rules of a file for one request.
 //!
-//! A rule that the index selects by a text of the request costs nothing where the request has another text. Of all rules
-//! found by one field, a request reaches those whose text the field equals and those whose beginnings it has:
-//! the beginnings of one text form a chain. The costliest chain of each field, the costliest equal text behind
-//! it included, and all rules that are always looked at add up to a bound that no request exceeds, whatever
-//! texts it has.
+//! A rule that the index selects by a text costs nothing for a request with another text. Of the
+//! rules that are selected by one field, a request reaches those whose text equals the field's
+//! value and those whose text is a prefix of it. The prefixes of a text form a chain. The bound is
+//! the sum of the most expensive chain of each field, including the rules for an equal text at its
+//! end, and of all rules that are evaluated for every request. No request exceeds it.
 
 use crate::rule::Rule;
 use driftgap_expr::{FieldId, SelectKey};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Costs of the rules that one text selects, in units.
+/// The cost of the rules that one text selects, in units.
 #[derive(Clone, Copy, Default)]
 struct TextCost {
-    /// By rules that the field must equal it for.
+    /// The cost of rules that require the field to equal the text.
     equal: u64,
-    /// By rules that the field must begin with it for.
+    /// The cost of rules that require the field to begin with the text.
     prefix: u64,
 }
 
-/// The most that one request spends on these rules, in units.
+/// Returns the highest cost of these rules for one request, in units.
 pub(crate) fn worst_request(rules: &[Arc<Rule>]) -> u64 {
     let mut always = 0u64;
     let mut fields: BTreeMap<FieldId, Vec<(&str, TextCost)>> = BTreeMap::new();
@@ -38,7 +38,8 @@
         .fold(always, u64::saturating_add)
 }
 
-/// The field and the texts that select a rule, and what it costs for them. None: it is evaluated for every request.
+/// Returns the field and the texts that select a rule, with its cost. Returns `None` if no text
+/// selects the rule, so that it counts for every request.
 fn selection(rule: &Rule) -> Option<(FieldId, &[Arc<str>], TextCost)> {
     let equal = TextCost {
         equal: rule.cost,
@@ -57,9 +58,10 @@
     }
 }
 
-/// The highest cost of the rules that one text of a field selects.
+/// Returns the highest cost of the rules that one value of a field selects.
 fn worst_text(mut texts: Vec<(&str, TextCost)>) -> u64 {
-    // In order, each text follows its beginnings, with nothing between that does not begin with them.
+    // In sorted order, each text follows its prefixes, and every text between them begins with the
+    // prefix.
     texts.sort_unstable_by_key(|(text, _)| *text);
     let mut worst = 0;
     let mut chain: Vec<(&str, u64)> = Vec::new();
--- a/crates/routes/src/document.rs
+++ b/crates/routes/src/document.rs
@@ -1,12 +1,12 @@
-//! Cuts a file of rules into its rules and the rest without parsing it, so that each rule can be parsed, and
-//! recognised as unchanged, by itself.
+//! Splits a file of rules into its rules and the remaining text without parsing it, so that each
+//! rule can be parsed, and recognised as unchanged, by itself.
 //!
-//! The file is read as tokens by TOML's own lexer: a rule begins at a line that holds the header `[[rule]]`
-//! outside of any value and ends where the next header begins that is not one of its sub-tables. What is left is
-//! the skeleton, in which one empty header stands for each run of rules: whatever the rest of the file says
-//! about the same key is still found by parsing it. A file that spells its headers in a form that this module
-//! does not resolve (escapes in a quoted key, a sub-table apart from its rule) has no sections: its skeleton is
-//! the whole file.
+//! The file is tokenised by the lexer of the TOML parser. A rule begins at a line with the header
+//! `[[rule]]` outside of any value, and ends before the next header that is not one of its
+//! sub-tables. The remaining text is the skeleton, in which one empty header stands for each run of
+//! rules: parsing it therefore still detects other definitions of the same key. A file whose
+//! headers this module cannot resolve (escapes in a quoted key, a sub-table apart from its rule)
+//! has no sections, and its skeleton is the whole file.
 
 use std::borrow::Cow;
 use std::ops::Range;
@@ -16,23 +16,23 @@
 /// The key of the array of rules.
 pub(crate) const RULES: &str = "rule";
 
-/// A run of an excerpt's bytes that stand together in the file.
+/// A contiguous range of the file within an excerpt.
 #[derive(Clone, Copy)]
 struct Segment {
-    /// Where it begins in the excerpt.
+    /// Offset of its first byte in the excerpt.
     start: usize,
-    /// Where it begins in the file.
+    /// Offset of its first byte in the file.
     offset: usize,
 }
 
-/// A part of a file that is parsed by itself, with the offsets of its bytes in the file.
+/// A part of a file that is parsed by itself. It maps offsets of its bytes to offsets in the file.
 pub(crate) struct Excerpt<'t> {
     text: Cow<'t, str>,
     segments: Vec<Segment>,
 }
 
 impl<'t> Excerpt<'t> {
-    /// These bytes of the file.
+    /// Creates the excerpt of one range of the file.
     pub(crate) fn range(text: &'t str, range: Range<usize>) -> Excerpt<'t> {
         let segments = vec![Segment {
             start: 0,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Its text.
+    /// Returns the text of the excerpt.
     pub(crate) fn text(&self) -> &str {
         &self.text
     }
 
-    /// Where these of its bytes are in the file.
+    /// Converts a span of the excerpt to a span of the file.
     pub(crate) fn in_file(&self, span: &Range<usize>) -> Range<usize> {
         let start = self.offset(span.start);
         let end = if span.end > span.start {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Adds further bytes of the file.
+    /// Appends a range of the file.
     fn push(&mut self, text: &str, range: Range<usize>) {
         if range.is_empty() {
             return;
@@ -84,16 +84,16 @@
     }
 }
 
-/// A file cut into its rules and the rest.
+/// A file split into its rules and the remaining text.
 pub(crate) struct Document<'t> {
-    /// All but the rules.
+    /// The file without its rules.
     pub(crate) skeleton: Excerpt<'t>,
-    /// The bytes of each rule, from its header on.
+    /// The span of each rule, from its header on.
     pub(crate) sections: Vec<Range<usize>>,
 }
 
 impl<'t> Document<'t> {
-    /// Cuts a file whose rules are those of the table `table`, or its own.
+    /// Splits a file. The rules are those of the table `table`, or those at the top level.
     pub(crate) fn split(text: &'t str, table: Option<&str>) -> Document<'t> {
         let path: Vec<&str> = table.into_iter().chain([RULES]).collect();
         let mut skeleton = Excerpt {
@@ -128,7 +128,7 @@
         Document { skeleton, sections }
     }
 
-    /// A file that is parsed in one piece.
+    /// Creates a document that is parsed in one piece.
     fn unsplit(text: &'t str) -> Document<'t> {
         Document {
             skeleton: Excerpt::range(text, 0..text.len()),
@@ -137,33 +137,33 @@
     }
 }
 
-/// What a header is to the rules.
+/// How a header relates to the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeaderKind {
-    /// It begins a rule.
+    /// The header begins a rule.
     Rule,
-    /// It belongs to the rule before it.
+    /// The header begins a sub-table of the preceding rule.
     SubTable,
-    /// It has to do with no rule.
+    /// The header belongs to no rule.
     Other,
-    /// Its key is spelt in a form that only a parser resolves.
+    /// The key has a spelling that only the parser can resolve.
     Unresolved,
 }
 
 struct Header {
     kind: HeaderKind,
-    /// From the beginning of its line to its last bracket.
+    /// The span from the start of its line to its last bracket.
     span: Range<usize>,
 }
 
-/// The headers of a file in order.
+/// Iterator over the headers of a file in order.
 struct Headers<'t, 'p> {
     text: &'t str,
     path: &'p [&'p str],
     lexer: Lexer<'t>,
-    /// Brackets that are open.
+    /// Number of open brackets.
     depth: usize,
-    /// Where the line begins, as long as nothing but white space stood in it.
+    /// The start of the current line, while only white space has been read from it.
     line_start: Option<usize>,
 }
 
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The header whose first bracket has just been read, up to the end of its line.
+    /// Reads the header whose first bracket has just been read, up to the end of its line.
     fn header(&mut self, line_start: usize, bracket: Token) -> Header {
         let mut tokens = vec![bracket];
         for token in self.lexer.by_ref() {
@@ -199,8 +199,9 @@
         }
     }
 
-    /// What a header's tokens are to the rules, and how many of them are the header itself. A malformed header
-    /// is no rule's: the parser finds it in the skeleton.
+    /// Returns the kind of a header, and the number of its tokens that form the header itself. A
+    /// malformed header counts as [`HeaderKind::Other`], so that the parser reports it in the
+    /// skeleton.
     fn kind(&self, tokens: &[Token]) -> (HeaderKind, usize) {
         let opens = |at: usize| {
             tokens
@@ -261,12 +262,12 @@
     }
 }
 
-/// A segment of a header's path.
+/// One key of a header's dotted path.
 enum Key<'t> {
     Plain(&'t str),
-    /// It has escapes.
+    /// A quoted key that contains escapes.
     Unresolved,
-    /// It is none.
+    /// The token is not a key.
     Missing,
 }
 
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -1,27 +1,28 @@
-//! Which effect a request is declared to have, and whether a rule may map it to a class.
+//! The declared effect of requests, and the check that a rule may map a request to a class.
 //!
-//! A class whose requests are idempotent is retried. If a rule mapped a request that must not run twice to such a class,
-//! a retry would run it again. So a rule is accepted only if on every branch of its `class` the class is proved to be at
-//! least as strict as any request that reaches the branch. What cannot be proved is refused when the file is read.
+//! Requests of an idempotent class are retried. If a rule mapped a request that must not run twice
+//! to such a class, a retry would run it again. A rule is therefore accepted only if the class on
+//! every branch of its `class` expression is proved to be at least as strict as any request that
+//! reaches the branch. A rule that cannot be proved is refused when the file is read.
 
 use crate::request::field;
 use driftgap_expr::{Expression, Facts, Outcome, Path, Way};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// How often a request may take effect: its idempotency, under the names of the settings. A later one is stricter.
+/// The idempotency of a request, in increasing strictness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Effect {
-    /// Idempotent: it may run any number of times.
+    /// Idempotent: the request may run any number of times.
     Pure,
-    /// Idempotent with its key, by which endpoints discard repeats for a while.
+    /// Idempotent with a key, by which endpoints discard repeats for a limited time.
     Token,
-    /// Unsafe: it must never run twice.
+    /// Not idempotent: the request must never run twice.
     SideEffect,
 }
 
 impl Effect {
-    /// An effect by the name that the settings use.
+    /// Returns the effect with the given name in the settings.
     pub fn named(name: &str) -> Option<Effect> {
         match name {
             "pure" => Some(Effect::Pure),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The name that the settings use.
+    /// Returns the name in the settings.
     fn as_str(self) -> &'static str {
         match self {
             Effect::Pure => "pure",
@@ -41,17 +42,18 @@
     }
 }
 
-/// The effects that requests outside of the platform's own protocol are declared to have.
+/// The declared effects of requests that do not use the platform's own protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DeclaredEffects {
-    /// By method; any other has an effect.
+    /// Effects by method; a method that is not listed has [`Effect::SideEffect`].
     pub(crate) methods: BTreeMap<String, Effect>,
-    /// By the beginning of the path, on top of the method's.
+    /// Effects by path prefix; the stricter one of the method's and the path's effect applies.
     pub(crate) paths: Vec<(String, Effect)>,
 }
 
 impl Default for DeclaredEffects {
-    /// RFC 9110's safe methods are pure, every other has an effect.
+    /// The safe methods GET, HEAD and OPTIONS of RFC 9110 are pure; every other method has a side
+    /// effect.
     fn default() -> DeclaredEffects {
         let safe = ["GET", "HEAD", "OPTIONS"].map(|m| (m.to_string(), Effect::Pure));
         DeclaredEffects {
@@ -61,11 +63,12 @@
     }
 }
 
-/// The beginning of the paths of the platform's own protocol, on which the client names the class.
+/// The path prefix of the platform's own protocol, in which the client names the class.
 pub const COMMANDS: &str = "/commands/";
 
 impl DeclaredEffects {
-    /// The strictest effect that a request may have of which `facts` are known, and the reason for messages.
+    /// Returns the strictest effect of any request that satisfies `facts`, with the reason for
+    /// messages.
     pub(crate) fn strictest(&self, facts: &Facts) -> (Effect, String) {
         let mut found = (Effect::Pure, String::new());
         let mut note = |effect: Effect, why: String| {
@@ -108,22 +111,22 @@
     }
 }
 
-/// Why a branch of a rule's expression is refused.
+/// A branch of a rule's expression that is refused, and why.
 pub(crate) struct RejectedBranch {
-    /// The branch, in bytes of the expression.
+    /// The span of the branch in the expression, in bytes.
     pub(crate) span: Range<usize>,
     pub(crate) problem: String,
     pub(crate) help: String,
 }
 
-/// Whether a rule may match a request of the platform's own protocol.
+/// Returns whether a rule may match a request of the platform's own protocol.
 pub(crate) fn may_be_platform_request(facts: &Facts) -> bool {
     !facts
         .get(&Path::Field(field::PATH))
         .is_some_and(|fact| fact.never_begins(COMMANDS))
 }
 
-/// Why a rule's class is refused, branch by branch; empty: it is accepted.
+/// Checks the class of a rule and returns the refused branches.
 pub(crate) fn check_class(
     expression: &Expression,
     declared: &DeclaredEffects,
@@ -131,7 +134,7 @@
     nearest: impl Fn(&str) -> String,
 ) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
-        let help = "a table with [key].orValue(...) is flatter";
+        let help = "use a table with [key].orValue(...)";
         return vec![too_many_ways(expression, "class has", help)];
     };
     let refused = ways.iter().filter_map(|way| {
@@ -142,7 +145,7 @@
             },
             _ => (
                 "this class is not known before use".into(),
-                "a class is written out on every branch, so that its effect is known when the file is read".into(),
+                "write out a class on every branch, so that its effect is known when the file is read".into(),
             ),
         };
         let span = way.span.clone();
@@ -155,7 +158,7 @@
     refused.collect()
 }
 
-/// The problem and its help if a class is weaker than a request of which `facts` are known may be.
+/// Returns the problem and help text if a class is weaker than some request that satisfies `facts`.
 fn too_weak(
     class: &str,
     effect: Effect,
@@ -174,20 +177,24 @@
     Some((problem, help.into()))
 }
 
-/// The branches of an expression are too many to check each.
+/// Refuses an expression that has too many branches to check each of them.
 fn too_many_ways(expression: &Expression, what: &str, help: &str) -> RejectedBranch {
     RejectedBranch {
         span: 0..expression.text().len(),
-        problem: format!("the {what} too many ways to tell apart"),
+        problem: format!("the {what} too many branches to check"),
         help: help.into(),
     }
 }
 
-/// Why a rule's units are refused, branch by branch: they must be above 0, `max` at most, and a value that the client
-/// names must stay. Empty: they are accepted.
+/// Checks the units of a rule and returns the refused branches. Units must be above 0 and at most
+/// `max`, and a value that the client names must be kept.
 pub(crate) fn check_units(expression: &Expression, max: f64) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
-        return vec![too_many_ways(expression, "units have", "fewer branches")];
+        return vec![too_many_ways(
+            expression,
+            "units have",
+            "use fewer branches",
+        )];
     };
     let named = Path::Field(field::UNITS);
     let is_allowed = |number: f64| number > 0.0 && number <= max;
@@ -199,11 +206,11 @@
     let refused = ways.iter().filter(|way| !keeps(way)).map(|way| {
         let (problem, help) = match &way.outcome {
             Outcome::Number(number) if !is_allowed(*number) => (
-                format!("{number} units are none that a request may count"),
-                format!("a number above 0, {max} at most, was expected"),
+                format!("a request cannot count {number} units"),
+                format!("expected a number above 0 and at most {max}"),
             ),
             _ => (
-                "this would change the units that a client names itself".into(),
+                "this would change the units that the client names".into(),
                 "request.units.orValue(...) keeps them".into(),
             ),
         };
--- a/crates/routes/src/environment.rs
+++ b/crates/routes/src/environment.rs
@@ -1,55 +1,55 @@
-//! What the rules of a file are checked against besides their own text: the platform's catalog, the declared effects,
-//! the names of the pools and the cost ceilings. A rule that was read in an equal environment would be checked and
-//! compiled with the same result, so that it may be taken over.
+//! The context in which the rules of a file are checked: the platform's catalog, the declared
+//! effects, the names of the pools and the cost limits. A rule that was read in an equal
+//! environment would be compiled with the same result and can therefore be reused.
 
 use crate::document::RULES;
 use crate::effect::{DeclaredEffects, Effect};
 use crate::reader::{Value, Values};
 use toml::de::DeTable;
 
-/// Most units that one expression may cost unless the file says otherwise.
+/// Default limit for the cost of one expression, in units.
 const DEFAULT_EXPRESSION_COST: f64 = 10_000.0;
-/// Most units that one request may cost unless the file says otherwise.
+/// Default limit for the cost of all rules that one request can reach, in units.
 const DEFAULT_REQUEST_COST: f64 = 200_000.0;
-/// Highest ceiling that a file may name, in units.
+/// Highest cost limit that a file may set, in units.
 const MAX_CEILING: f64 = 1e7;
 
 /// The platform's classes and plans, from its settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Catalog {
-    /// Classes by name with their effects. Mapped requests name a class by its index here.
+    /// The classes by name, with their effects. Mapped requests refer to a class by its index.
     pub classes: Vec<(String, Effect)>,
-    /// Names of the plans.
+    /// The names of the plans.
     pub plans: Vec<String>,
-    /// Most units that one request may count.
+    /// Maximum number of units that one request may count.
     pub max_units: f64,
 }
 
-/// What the rules of one file are checked against.
+/// The context in which the rules of one file are checked.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Environment {
     pub(crate) catalog: Catalog,
     pub(crate) declared: DeclaredEffects,
-    /// Names of the pools.
+    /// The names of the pools.
     pub(crate) pools: Vec<String>,
-    /// Most units that one expression may cost.
+    /// Maximum cost of one expression, in units.
     pub(crate) expression_cost: u64,
 }
 
-/// Cost ceilings, in units.
+/// Cost limits of a file, in units.
 pub(crate) struct Ceilings {
-    /// Of one expression.
+    /// Limit for one expression.
     pub(crate) expression: u64,
-    /// Of all rules that one request can reach.
+    /// Limit for all rules that one request can reach.
     pub(crate) request: u64,
 }
 
-/// Notes every key of a file that is not known.
+/// Reports every unknown key at the top level of a file.
 pub(crate) fn check_top_level_keys(values: &mut Values<'_, '_>, table: &DeTable<'_>) {
     values.known_keys(table, &["cost", "effects", "pool", RULES]);
 }
 
-/// Reads the cost ceilings.
+/// Reads the cost limits.
 pub(crate) fn ceilings(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> Ceilings {
     let (mut expression, mut request) = (DEFAULT_EXPRESSION_COST, DEFAULT_REQUEST_COST);
     if let Some(cost) = table.get("cost").and_then(|cost| values.table(cost)) {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads the effects that requests are declared to have.
+/// Reads the declared effects of requests.
 pub(crate) fn effects(values: &mut Values<'_, '_>, table: &DeTable<'_>) -> DeclaredEffects {
     let mut declared = DeclaredEffects::default();
     let Some(effects) = table
@@ -96,8 +96,12 @@
             if name.starts_with('/') {
                 declared.paths.push((name.to_string(), effect));
             } else {
-                let problem = format!("{name:?} is no beginning of a path");
-                values.fault(value.span(), problem, Some("it begins with /".into()));
+                let problem = format!("{name:?} is not a path prefix");
+                values.fault(
+                    value.span(),
+                    problem,
+                    Some("a path prefix begins with /".into()),
+                );
             }
         }
     }
--- a/crates/routes/src/evaluation.rs
+++ b/crates/routes/src/evaluation.rs
@@ -1,5 +1,5 @@
-//! The evaluation of rules on one request. Rules are evaluated in their order; what an earlier rule has set stays. It
-//! ends with a route, or with the reason why there is none.
+//! Evaluates the rules on one request, in their order. A value that an earlier rule has set is not
+//! changed by a later one. The result is a route, or the reason why there is none.
 
 use crate::limit::{KeyHash, Limit, LimitExceeded};
 use crate::pool::{Pool, ANY, MAX_RETRY_AFTER_MS};
@@ -12,33 +12,33 @@
 use std::ops::ControlFlow;
 use std::sync::Arc;
 
-/// Longest value of a note, bytes; longer ones are cut.
+/// Maximum length of a note's value, in bytes; longer values are truncated.
 const MAX_NOTE_BYTES: usize = 128;
-/// Longest value of a term, bytes; a request with a longer one is invalid.
+/// Maximum length of a term's value, in bytes; a request with a longer one is invalid.
 const MAX_TERM_BYTES: usize = 256;
 
-/// Why a request is invalid to a rule.
+/// Why a rule cannot be evaluated on a request.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum InvalidRequest {
-    /// A part of it is longer than rules may read.
+    /// A field of the request is longer than rules may read.
     #[error("the {0} is too long")]
     TooLong(&'static str),
-    /// A header that the rule reads is no text, or longer than rules may read.
+    /// A header that the rule reads is not UTF-8, or longer than rules may read.
     #[error("a header that it reads is too long or no text")]
     UnreadableHeader,
-    /// The value of a term has characters, or a length, that the protocol cannot carry.
+    /// The value of a term contains characters that the protocol cannot carry, or is too long.
     #[error("the term `{0}` cannot be carried")]
     UnsafeTerm(Arc<str>),
-    /// An expression fails on it.
+    /// The evaluation of an expression failed.
     #[error(transparent)]
     Expression(#[from] Fault),
 }
 
 /// Why an evaluation ends without a route.
 pub(crate) enum EvaluationError {
-    /// The rule rejects the request for so long.
+    /// The rule rejects the request; the client may retry after the given time.
     Reject { retry_after_ms: f64 },
-    /// The rule cannot be evaluated on it.
+    /// The rule cannot be evaluated on the request.
     Invalid(InvalidRequest),
 }
 
@@ -69,14 +69,14 @@
     scratch: &'a mut Scratch,
     now_ms: f64,
     route: Route,
-    /// What the first matching rule with a pool has selected.
+    /// The pool that the first matching rule with a pool has selected.
     pool: Option<SelectedPool>,
-    /// Limits that admit the request, with its key.
+    /// The limits that admit the request, with the request's key in each.
     limits: Vec<(Arc<Limit>, KeyHash)>,
 }
 
 impl<'a> Evaluation<'a> {
-    /// Begins the evaluation of these rules at `now_ms`.
+    /// Starts the evaluation of these rules at `now_ms`.
     #[inline]
     pub(crate) fn new(
         set: &'a RuleSet,
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Evaluates one rule; breaks if no later rule is to be evaluated.
+    /// Evaluates one rule; breaks if later rules are not evaluated.
     ///
     /// # Errors
     /// The rule rejects the request, or cannot be evaluated on it.
     #[inline]
     pub(crate) fn rule(&mut self, rule: &Rule) -> Result<ControlFlow<()>, EvaluationError> {
         let result = self.test_and_apply(rule);
-        // Without this check a header that cannot be read would look absent to the rule: a client could pass a rule that
-        // rejects requests with the header by sending bytes that are no text.
+        // Without this check the rule would treat an unreadable header as absent: a client could
+        // bypass a rule that rejects requests with the header by sending bytes that are not UTF-8.
         if self.view.has_unreadable_header() {
             return Err(InvalidRequest::UnreadableHeader.into());
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Does what a matching rule says.
+    /// Executes the actions of a matching rule.
     fn apply(&mut self, rule: &Rule) -> Result<(), EvaluationError> {
         let is_mapped = self.route.command.is_some();
         for action in &rule.body.actions {
@@ -142,7 +142,8 @@
         Ok(())
     }
 
-    /// The rejection that a rule asks for, or why it cannot be evaluated.
+    /// Returns the rejection that a rule requests, or the error if its expression cannot be
+    /// evaluated.
     fn rejection(&mut self, expression: &Compiled) -> EvaluationError {
         match expression.eval(self.view, self.scratch) {
             Ok(Some(Value::Duration(ms))) => EvaluationError::Reject {
@@ -168,7 +169,7 @@
 
     fn add_note(&mut self, name: &str, expression: &Compiled) -> Result<(), EvaluationError> {
         let value = truncate(text(expression, self.view, self.scratch)?, MAX_NOTE_BYTES);
-        // A line break in a header would end it and begin another one. Only what every header can carry passes.
+        // A newline would end the header and begin another one, so only printable ASCII is kept.
         let value: String = value
             .chars()
             .map(|c| if matches!(c, ' '..='~') { c } else { '?' })
@@ -180,7 +181,7 @@
         Ok(())
     }
 
-    /// Checks a rule's limit. Nothing is acquired yet: see [`Evaluation::finish`].
+    /// Checks a rule's limit without acquiring it; [`Evaluation::finish`] acquires it.
     fn check_limit(&mut self, rule: &Rule, expression: &Compiled) -> Result<(), EvaluationError> {
         let Some(limit) = rule.limit.as_deref() else {
             return Ok(());
@@ -202,7 +203,7 @@
         Ok(())
     }
 
-    /// Sets a value of the mapped request; its class has been set by the same rule.
+    /// Sets a value of the mapped request, whose class the same rule has set.
     fn set_mapped(&mut self, action: &Action) -> Result<(), EvaluationError> {
         let Some(mapped) = &mut self.route.command else {
             return Ok(());
@@ -234,33 +235,34 @@
         Ok(())
     }
 
-    /// The route, once all rules have been evaluated.
+    /// Returns the route once all rules have been evaluated, and acquires the limits.
     ///
     /// # Errors
-    /// The pool that rejects the request, since none of its endpoints is ready.
+    /// The pool that rejects the request because none of its endpoints is ready.
     #[inline]
     pub(crate) fn finish(mut self, pools: &PoolBits) -> Result<Box<Route>, &'a Pool> {
         if let Some(selected) = self.pool {
             self.route.pools = pools.resolve(&self.set.pools, selected)?;
         }
-        // Acquired last: a request that a later limit or the pool rejects must not use up what an earlier limit allows.
+        // Limits are acquired last: a request that a later limit or the pool rejects must not
+        // consume an earlier limit.
         for (limit, key) in &self.limits {
             let permit = limit.acquire(*key, self.now_ms);
             self.route.permits.extend(permit);
         }
-        // Boxed here, since a route is large and moving it costs more than finding it.
+        // The route is boxed because it is large, and moving it costs more than the allocation.
         Ok(Box::new(self.route))
     }
 }
 
-/// Whether the protocol can carry a term's value. A comma or a space in it would begin a further term on the wire, by
-/// which a client could set terms that the rule does not.
+/// Returns whether the protocol can carry a term's value. A comma or space in it would begin
+/// another term on the wire, by which a client could set terms that the rule does not.
 fn is_safe_term(value: &str) -> bool {
     let is_safe = |b: u8| b.is_ascii_graphic() && b != b',';
     value.len() <= MAX_TERM_BYTES && value.bytes().all(is_safe)
 }
 
-/// The value of a string expression.
+/// Evaluates a string expression.
 fn text<'b>(
     expression: &'b Compiled,
     view: &'b View<'_>,
@@ -272,7 +274,7 @@
     }
 }
 
-/// The value of an integer expression, or of a duration, ms.
+/// Evaluates an integer expression, or a duration expression in ms.
 fn integer(expression: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> Result<i64, Fault> {
     match expression.eval(view, scratch)? {
         Some(Value::Int(number) | Value::Duration(number)) => Ok(number),
@@ -280,7 +282,7 @@
     }
 }
 
-/// The value of a floating-point expression.
+/// Evaluates a floating-point expression.
 fn double(expression: &Compiled, view: &View<'_>, scratch: &mut Scratch) -> Result<f64, Fault> {
     match expression.eval(view, scratch)? {
         Some(Value::Double(number)) => Ok(number),
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,5 +1,6 @@
-//! Explains how a file of rules routes a request, rule by rule and expression by expression. It keeps the checked
-//! expressions with their texts, which rules in force do not: it is for a terminal, not for serving.
+//! Explains at a terminal how a file of rules routes a request, rule by rule and expression by
+//! expression. For this it keeps the checked expressions with their texts, which rules in force do
+//! not.
 
 use crate::environment::Catalog;
 use crate::fault::Fault;
@@ -10,22 +11,23 @@
 use crate::rules::Rules;
 use driftgap_expr::{Chosen, Scratch, Step};
 
-/// The explanation of one rule.
+/// How one rule applies to a request.
 #[derive(Clone, Debug)]
 pub struct RuleExplanation {
-    /// The rule's name.
+    /// The name of the rule.
     pub rule: String,
-    /// Whether it matched.
+    /// Whether the rule's test holds for the request.
     pub matched: bool,
-    /// Whether the index had ruled it out, so that its test is not evaluated when serving.
+    /// Whether the index excludes the rule, so that its test is not evaluated when serving.
     pub ruled_out: bool,
-    /// Whether an earlier rule had ended the evaluation.
+    /// Whether an earlier rule ended the evaluation.
     pub skipped: bool,
-    /// Its test and, where it matched, the expressions of what it does; each with its steps and their values.
+    /// The rule's test and, if it matched, the expressions of its actions, each with its steps and
+    /// their values.
     pub expressions: Vec<(String, Vec<Step>)>,
 }
 
-/// A file of rules that can be explained.
+/// A file of rules whose effect on requests can be explained.
 pub struct Explainer {
     rules: Rules,
     checked: Vec<CheckedRule>,
@@ -53,12 +55,12 @@
         Ok(Explainer { rules, checked })
     }
 
-    /// The rules.
+    /// Returns the rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Explains every rule of the file on a request.
+    /// Explains how every rule of the file applies to a request.
     pub fn explain(&self, request: &Request<'_>) -> Vec<RuleExplanation> {
         let view = View::new(request);
         let mut chosen = Chosen::default();
--- a/crates/routes/src/expression_reader.rs
+++ b/crates/routes/src/expression_reader.rs
@@ -1,5 +1,6 @@
-//! Reads the expressions of one rule and checks each against the facts that the rule's own test establishes. What the
-//! readers of a whole rule ([`crate::rule_reader`]) and of a mapped request ([`crate::mapped_request`]) have in common.
+//! Reads the expressions of one rule and checks each against the facts that the rule's own test
+//! establishes. The readers of a whole rule ([`crate::rule_reader`]) and of a mapped request
+//! ([`crate::mapped_request`]) share it.
 
 use crate::environment::Environment;
 use crate::reader::{Text, Values};
@@ -9,27 +10,27 @@
 use std::sync::Arc;
 use toml::de::DeTable;
 
-/// Most entries of one table of named expressions: notes, or terms.
+/// Maximum number of entries in a table of notes or terms.
 const MAX_NAMED_EXPRESSIONS: usize = 8;
 
 /// The fields of one rule.
 pub(crate) struct RuleFields<'v, 'd> {
     pub(crate) table: &'v DeTable<'d>,
-    /// Where faults of the rule as a whole are reported.
+    /// The span at which faults of the rule as a whole are reported.
     pub(crate) span: Range<usize>,
 }
 
-/// What a rule's own test establishes about the requests that its other expressions see.
+/// The facts that a rule's own test establishes about the requests that its other expressions see.
 pub(crate) struct MatchedRequest<'a> {
     pub(crate) facts: &'a Facts,
-    /// Whether the test could be read. If not, `facts` is empty for another reason than what the operator wrote, and
-    /// a missing fact must not be reported as a fault of its own.
+    /// Whether the test could be read. If not, `facts` is empty for that reason, and a missing fact
+    /// must not be reported as a further fault.
     pub(crate) test_is_valid: bool,
 }
 
 impl MatchedRequest<'_> {
-    /// Whether a value that every mapped request needs may be missing: the rule does not set it, and its test does
-    /// not ensure that the client names it.
+    /// Returns whether a value that every mapped request needs may be missing: the rule does not
+    /// set it, and its test does not ensure that the client names it.
     pub(crate) fn may_be_missing(
         &self,
         rule: &RuleFields<'_, '_>,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Reads the expressions of one rule. Every fault is noted; a faulty expression yields none.
+/// Reads the expressions of one rule. A faulty expression is reported and yields `None`.
 pub(crate) struct ExpressionReader<'a, 'r, 't> {
     pub(crate) values: &'a mut Values<'r, 't>,
     pub(crate) environment: &'a Environment,
@@ -50,7 +51,7 @@
 }
 
 impl ExpressionReader<'_, '_, '_> {
-    /// The expression under a key, with its text, if there is one.
+    /// Returns the expression under a key with its text, if the key is present.
     pub(crate) fn with_text(
         &mut self,
         table: &DeTable<'_>,
@@ -66,7 +67,7 @@
         Some((expression, text))
     }
 
-    /// The expression under a key, if there is one.
+    /// Returns the expression under a key, if the key is present.
     pub(crate) fn expression(
         &mut self,
         table: &DeTable<'_>,
@@ -78,7 +79,8 @@
         Some(expression)
     }
 
-    /// The table of string expressions under a key, by those names that `is_allowed`.
+    /// Returns the string expressions of the table under a key, by name. A name that is not
+    /// `is_allowed` is a fault.
     pub(crate) fn named(
         &mut self,
         table: &DeTable<'_>,
@@ -100,7 +102,7 @@
         for (name, value) in table.iter().take(MAX_NAMED_EXPRESSIONS) {
             let text: &str = name.get_ref();
             if text.is_empty() || !is_allowed(text) {
-                let problem = format!("the name cannot stand in `{key}`");
+                let problem = format!("the name is not valid in `{key}`");
                 self.values.fault(name.span(), problem, None);
                 continue;
             }
--- a/crates/routes/src/file_reader.rs
+++ b/crates/routes/src/file_reader.rs
@@ -1,8 +1,9 @@
-//! Reads a file of rules: a rule that stood in the file before is taken over, only the others are parsed, checked and
-//! compiled.
+//! Reads a file of rules. A rule that is unchanged since the previous file is reused; only the
+//! others are parsed, checked and compiled.
 //!
-//! A reload must not take the ingress out of memory. What is parsed in one piece is bounded before it is parsed, and
-//! the rules are counted while they are read: the reading stops with a fault at the rule where the bound is reached.
+//! A reload must not exhaust the memory of the ingress. The size of each text that is parsed in one
+//! piece is limited beforehand, and the memory of the rules is counted while they are read: reading
+//! stops with a fault at the rule that exceeds the limit.
 
 use crate::content_hash::ContentHash;
 use crate::cost::worst_request;
@@ -25,13 +26,14 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use toml::de::DeTable;
 
-/// Bytes of memory that are planned for each byte that is parsed in one piece. Measured: lists, tables and texts take
-/// up to 122, keys of many dots up to 333.
+/// Bytes of memory that are reserved for each byte that is parsed in one piece. Arrays, tables and
+/// strings take up to 122, keys with many dots up to 333.
 const PARSED_FACTOR: usize = 128;
-/// Bytes that reading takes for each rule besides the rule itself: its span, its name's hash, its sorted texts.
+/// Bytes that reading takes for each rule in addition to the rule itself: its span, the hash of its
+/// name, its sorted texts.
 const WORKING_BYTES: usize = 100;
 
-/// All rules of a file without faults, not indexed yet.
+/// All rules of a file without faults, before they are indexed.
 pub(crate) struct UnindexedRules {
     rules: Vec<Arc<Rule>>,
     pools: Arc<[Pool]>,
@@ -41,7 +43,7 @@
 }
 
 impl UnindexedRules {
-    /// Indexes the rules by the texts that they are found by.
+    /// Indexes the rules by the texts that select them.
     pub(crate) fn finish(self, shared: Arc<Mutex<SharedTables>>) -> RuleSet {
         let UnindexedRules {
             rules,
@@ -55,7 +57,7 @@
     }
 }
 
-/// Reads one file.
+/// Reads one file of rules.
 pub(crate) struct FileReader<'a, 'g, 't> {
     input: &'a Input<'t>,
     options: &'a ReadOptions<'a>,
@@ -64,15 +66,16 @@
     checked_rules: Option<&'a mut Vec<CheckedRule>>,
     schema: Schema,
     rules: Vec<Arc<Rule>>,
-    /// Hashes of the names of all rules so far.
+    /// Hashes of the names of the rules read so far.
     names: HashSet<ContentHash>,
-    /// Bytes of the rules that were compiled.
+    /// Memory of the compiled rules, in bytes.
     compiled_bytes: usize,
     report: ReadReport,
 }
 
 impl<'a, 'g, 't> FileReader<'a, 'g, 't> {
-    /// A reader that notes faults in `reader` and appends checked rules to `checked_rules`, where that is given.
+    /// Creates a reader that reports faults to `reader` and appends checked rules to
+    /// `checked_rules`, if given.
     pub(crate) fn new(
         input: &'a Input<'t>,
         options: &'a ReadOptions<'a>,
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Reads the whole file. None: it is faulty, and `reader` has the faults.
+    /// Reads the whole file. Returns `None` if it is faulty; `reader` then has the faults.
     pub(crate) fn read(mut self) -> Option<UnindexedRules> {
         let document = Document::split(self.input.text, self.input.table_name);
         let skeleton = &document.skeleton;
@@ -141,20 +144,21 @@
         })
     }
 
-    /// Whether so many bytes may be parsed in one piece; if not, a fault is noted at `span`. Without this bound a
-    /// bracket that does not end would make one piece of a large file, and parsing it could exhaust the memory.
+    /// Returns whether `length` bytes may be parsed in one piece, and otherwise reports a fault at
+    /// `span`. Without this limit an unclosed bracket could make one piece of a large file, and
+    /// parsing it could exhaust the memory.
     fn may_parse(&mut self, length: usize, span: Range<usize>) -> bool {
         let max = self.options.max_bytes / PARSED_FACTOR;
         if length > max {
             let problem =
-                format!("{length} bytes would be parsed in one piece, {max} are the most");
-            let help = "does a bracket or a quote not end? rules that begin with [[rule]] each are parsed one by one";
+                format!("{length} bytes would be parsed in one piece; the limit is {max}");
+            let help = "check for an unclosed bracket or quote; rules that each begin with [[rule]] are parsed one by one";
             self.reader.fault_in_file(span, problem, Some(help.into()));
         }
         length <= max
     }
 
-    /// Reads all but the rules.
+    /// Reads everything except the rules.
     fn read_head(
         &mut self,
         skeleton: &Excerpt<'_>,
@@ -179,7 +183,7 @@
         (ceilings, environment, pools.into())
     }
 
-    /// Looks for further faults of the TOML where there are some already.
+    /// Parses the rules only to report further syntax errors, after the skeleton had some.
     fn find_syntax_faults(&mut self, sections: &[Range<usize>]) {
         for range in sections {
             if self.may_parse(range.len(), range.clone()) {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Reads the rules, each by itself.
+    /// Reads the rules of a file that was split into sections.
     fn sections(
         &mut self,
         sections: &[Range<usize>],
@@ -210,7 +214,7 @@
         }
     }
 
-    /// Takes an unchanged rule over.
+    /// Reuses an unchanged rule.
     fn take_over(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
         if !self.names.insert(ContentHash::of(&*rule.name)) {
             self.report_duplicate_name(range, environment);
@@ -219,7 +223,7 @@
         self.rules.push(rule.clone());
     }
 
-    /// Notes the fault of an unchanged rule whose name an earlier rule of the file has.
+    /// Reports an unchanged rule whose name an earlier rule of the file has.
     fn report_duplicate_name(&mut self, range: Range<usize>, environment: &Environment) {
         let excerpt = Excerpt::range(self.input.text, range);
         let Some(parsed) = self.reader.parse(&excerpt) else {
@@ -235,7 +239,7 @@
         }
     }
 
-    /// Parses and reads one rule.
+    /// Parses, checks and compiles one rule.
     fn section(
         &mut self,
         range: Range<usize>,
@@ -261,7 +265,7 @@
         self.rule(&excerpt, &fields, content, environment, previous);
     }
 
-    /// Reads rules that are no sections of their own.
+    /// Reads the rules of a file that could not be split into sections.
     fn inline_rules(
         &mut self,
         skeleton: &Excerpt<'_>,
@@ -276,7 +280,8 @@
             if !self.within_budget(skeleton.in_file(&value.span())) {
                 return;
             }
-            // The text of such a rule is not known by itself: it is unchanged where the whole file is.
+            // The text of such a rule is not known by itself, so it counts as unchanged only if the
+            // whole file is.
             let content = ContentHash::of(&(file, number));
             let mut values = Values::new(self.reader, skeleton, environment.expression_cost);
             let Some(fields) = rule_fields(&mut values, value) else {
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Checks a rule and, as long as the file is without fault, compiles it.
+    /// Checks a rule and, while the file has no fault, compiles it.
     fn rule(
         &mut self,
         excerpt: &Excerpt<'_>,
@@ -330,7 +335,8 @@
         }
     }
 
-    /// Whether what was read so far fits into memory; if not, a fault is noted at `span`.
+    /// Returns whether the rules read so far fit into the memory limit, and otherwise reports a
+    /// fault at `span`.
     fn within_budget(&mut self, span: Range<usize>) -> bool {
         let max = self.options.max_bytes;
         let file = self.input.text.len();
@@ -339,38 +345,39 @@
         let fits = file + in_force + used <= max;
         if !fits {
             let problem = format!(
-                "the rules up to here take more memory than there is: {used} bytes beside {in_force} of the rules in force and {file} of the file, {max} are the most"
+                "the rules up to this one need more memory than is available: {used} bytes, in addition to {in_force} for the rules in force and {file} for the file; the limit is {max}"
             );
-            let help = "fewer rules, fewer keys of limits, or a change in several steps";
+            let help = "use fewer rules, fewer keys of limits, or change the file in several steps";
             self.reader.fault_in_file(span, problem, Some(help.into()));
         }
         fits
     }
 
-    /// The most that one request may spend on all rules, in units. Notes a fault if it is above the ceiling.
+    /// Returns the highest cost of all rules for one request, in units. Reports a fault if it
+    /// exceeds the limit.
     fn worst_cost(&mut self, ceilings: &Ceilings) -> u64 {
         let cost = worst_request(&self.rules);
         if cost > ceilings.request {
             let costliest = self.rules.iter().max_by_key(|rule| rule.cost);
             let costliest = costliest.map_or("", |rule| &rule.name);
             let problem = format!(
-                "all rules together may cost {cost} units a request, {} are the most",
+                "all rules together may cost {cost} units per request; the limit is {}",
                 ceilings.request
             );
             self.reader.fault_in_file(
                 0..1,
                 problem,
-                Some(format!("rule {costliest:?} costs most")),
+                Some(format!("rule {costliest:?} costs the most")),
             );
         }
         cost
     }
 }
 
-/// The hash of a rule's text. Empty lines behind a rule do not change it.
+/// Computes the hash of a rule's text. Empty lines after a rule do not change it.
 fn section_content(text: &str) -> ContentHash {
     let trimmed = text.trim_end_matches('\n');
-    // A carriage return that stands alone would be wrong where one before a newline is not.
+    // A trailing carriage return is kept: alone it is a syntax error, before a newline it is not.
     ContentHash::of(if trimmed.ends_with('\r') {
         text
     } else {
@@ -378,7 +385,7 @@
     })
 }
 
-/// The fields of the only rule of a section.
+/// Returns the fields of the only rule of a section.
 fn section_fields<'v, 'd>(
     values: &mut Values<'_, '_>,
     parsed: &'v DeTable<'d>,
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,24 +1,27 @@
-//! Ordered routing rules, evaluated before anything else is decided about a request: which of the service's classes an
-//! HTTP request is mapped to, which pool of endpoints may serve it, which local limits it must pass, which notes it
-//! carries, and whether it is rejected at once.
+//! Evaluates the operator's routing rules on requests, before any other decision about them.
 //!
-//! [`Rules::read`] checks a whole file and reports every fault; [`Rules::read_table`] takes over unchanged rules from
-//! those in force. [`Router::route`] takes a request and a time. The rules are expressions of `driftgap-expr`, so that
-//! the highest cost of a request is known when the file is read, and so are the classes that it can be mapped to: a rule
-//! by which a request that must not run twice could be retried is refused.
+//! The rules are evaluated in order. They determine the class that an HTTP request is mapped to,
+//! the pool of endpoints that may serve it, the local limits that it must pass, the notes that it
+//! carries, and whether it is rejected.
 //!
-//! The modules by concern, each on top of the ones before:
+//! [`Rules::read`] checks a whole file and reports every fault; [`Rules::read_table`] also reuses
+//! unchanged rules of those in force. [`Router::route`] routes a request at a given time. The rules
+//! are expressions of `driftgap-expr`, so the highest cost of a request and the classes that it can
+//! be mapped to are known when the file is read. A rule that would allow retries of a request that
+//! must not run twice is refused.
 //!
-//! - reading: `document` cuts a file into rules, `reader` reads TOML values, `expression_reader`, `mapped_request` and
-//!   `rule_reader` check a rule, `effect` proves its idempotency, `file_reader` reads a file, `takeover` finds what is
-//!   unchanged, `read` is the entry;
+//! The modules by concern, each built on those before:
+//!
+//! - reading: `document` splits a file into rules, `reader` reads TOML values, `expression_reader`,
+//!   `mapped_request` and `rule_reader` check a rule, `effect` proves its idempotency,
+//!   `file_reader` reads a file, `takeover` finds unchanged rules, `read` is the entry point;
 //! - in memory: `rule`, `rules`, `pool`, `limit`, `cost`, `content_hash`;
-//! - serving: `request` is the input, `evaluation` applies the rules to it, `pool_bits` finds its pool, `router` holds
-//!   the rules in force, `verdict` is the result;
+//! - serving: `request` is the input, `evaluation` applies the rules to it, `pool_bits` resolves
+//!   its pool, `router` holds the rules in force, `verdict` is the result;
 //! - at a terminal: `explain`.
 //!
-//! The crate does no I/O and reads no clock. It must not choose an endpoint: that is the decision module's, among the
-//! endpoints of the pool.
+//! The crate does no I/O and reads no clock. It chooses no endpoint: the decision module does,
+//! among the endpoints of the pool.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/routes/src/limit.rs
+++ b/crates/routes/src/limit.rs
@@ -1,97 +1,101 @@
 //! Local limits by key: a rate with a burst, or a number of concurrent requests.
 //!
-//! No key is let through beyond its limit as long as no more keys are active together than the table has buckets for,
-//! and no Retry-After is too early. What is remembered of the keys is in memory that is bounded whatever keys arrive.
-//! The table is allocated with the first request, so that a limit that no request meets takes little; where memory is
-//! planned it counts in full. A limit reads no clock: its caller passes the time.
+//! While no more keys are active at once than the table has buckets, each key is limited exactly,
+//! and no Retry-After is too early. The memory is bounded whichever keys arrive. The table is
+//! allocated with the first request, so an unused limit takes little memory; memory planning counts
+//! it in full. A limit reads no clock: the caller passes the time.
 //!
-//! A rate is the generic cell rate algorithm (GCRA): of each key one time is kept, that at which its bucket is full
-//! again. A key whose time has passed is as good as unknown, so that its bucket is free and nothing has to be swept.
-//! The table is set-associative: sets of eight buckets by the key's hash. A key that finds its set full takes over
-//! the bucket that is full first, with its debt: it may be rejected early, and all keys together never get more than
-//! all buckets allow.
+//! A rate uses the generic cell rate algorithm (GCRA): for each key it stores one time, at which
+//! the key's bucket is full again. A key whose time has passed is in the same state as an unknown
+//! key, so its bucket is free and needs no cleanup. The table is set-associative, with sets of
+//! eight buckets by the hash of the key. A key that finds its set full takes over the bucket that
+//! will be full first, together with its debt: the key may be rejected early, and all keys together
+//! never get more than all buckets allow.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Buckets of a set. More make it rarer that a set is full before the table is, and cost time on each request.
+/// Number of buckets in a set. With more buckets a set is less often full before the table is, but
+/// each request takes longer.
 const BUCKETS_PER_SET: usize = 8;
-/// Waits that are shorter come from rounding and are none, ms. A client that retries exactly when it was told to must
-/// be admitted.
+/// Waits up to this time are due to rounding and are ignored, in ms, so that a client that retries
+/// exactly after the given Retry-After is admitted.
 const ROUNDING_MS: f64 = 1e-3;
-/// Shortest Retry-After of a concurrency limit, ms: at 0 ms a client would retry at once and without end.
+/// Minimum Retry-After of a concurrency limit, in ms: with 0 a client would retry at once and in a
+/// loop.
 const MIN_RETRY_AFTER_MS: f64 = 1.0;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// What a limit allows to each key.
+/// What a limit allows for each key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Allowance {
     /// A token bucket.
     Rate {
-        /// Requests a second.
+        /// Requests per second.
         rate: f64,
-        /// Requests that a full bucket holds.
+        /// Capacity of the bucket, in requests.
         burst: f64,
     },
     /// A number of concurrent requests.
     Concurrency {
-        /// Requests in flight.
+        /// Maximum number of requests in flight.
         max: u32,
-        /// When a rejected client may retry, ms.
+        /// Time after which a rejected client may retry, in ms.
         retry_after_ms: f64,
     },
 }
 
-/// A limit rejects a request.
+/// The error of a request that exceeds a limit.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("the limit of the key is reached, retry after {retry_after_ms} ms")]
 pub struct LimitExceeded {
-    /// When one more request of the key passes at the earliest, ms from now.
+    /// Time until the next request of the key can pass, in ms.
     pub retry_after_ms: f64,
 }
 
-/// A key's hash under the secret seed of its limit, never 0.
+/// The hash of a key under the secret seed of its limit; never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct KeyHash(u64);
 
-/// Counts of a limit since it was made.
+/// Counts since a limit was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimitStatistics {
     /// Requests that were rejected.
     pub rejected: u64,
-    /// Keys that took over the bucket of another key in debt, since their set was full.
+    /// Keys that took over the bucket of another key in debt because their set was full.
     pub evicted: u64,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Bucket {
-    /// The hash of the key that it belongs to; 0: it has never been used.
+    /// The hash of the key that uses the bucket; 0 if none has used it yet.
     key: u64,
-    /// When it is full again, ms.
+    /// The time at which the bucket is full again, in ms.
     full_at_ms: f64,
 }
 
-/// A limit and what it remembers.
+/// A limit with its state.
 pub struct Limit {
     allowance: Allowance,
-    /// Sets of buckets; 0 for a concurrency limit.
+    /// Number of sets of buckets; 0 for a concurrency limit.
     sets: usize,
     hasher: RandomState,
     state: Mutex<State>,
 }
 
-/// What a limit remembers.
+/// The state of a limit.
 #[derive(Default)]
 struct State {
-    /// For a rate; empty before the first request.
+    /// The buckets of a rate; empty before the first request.
     buckets: Vec<Bucket>,
-    /// For a concurrency limit: requests in flight by key. It has no more entries than there are such requests.
+    /// The number of requests in flight by key, for a concurrency limit. Keys without one are
+    /// removed.
     in_flight: HashMap<u64, u32>,
     statistics: LimitStatistics,
 }
 
-/// A permit under a concurrency limit, released when dropped.
+/// A permit of a concurrency limit, which is released when dropped.
 pub struct LimitPermit {
     limit: Arc<Limit>,
     key: KeyHash,
@@ -99,7 +103,7 @@
 
 impl std::fmt::Debug for LimitPermit {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Ticket")
+        f.debug_struct("LimitPermit")
             .field("key", &self.key)
             .finish_non_exhaustive()
     }
@@ -118,7 +122,7 @@
 }
 
 impl Limit {
-    /// A limit that remembers at least `keys` keys, where it is a rate.
+    /// Creates a limit. A rate has buckets for at least `keys` keys.
     pub fn new(allowance: Allowance, keys: usize) -> Limit {
         let sets = match allowance {
             Allowance::Rate { .. } => keys.div_ceil(BUCKETS_PER_SET).next_power_of_two(),
@@ -132,33 +136,34 @@
         }
     }
 
-    /// A panic while the lock was held poisons it, and every later request would panic on it. Ignoring the poison is
-    /// safe: every update is one assignment to a bucket or a count.
+    /// Locks the state. A panic while the lock was held poisons it, and without this every later
+    /// request would panic. Ignoring the poison is safe: every update is one assignment to a bucket
+    /// or a count.
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes that it takes once requests have met it, estimated.
+    /// Estimates the memory of the limit with its table allocated, in bytes.
     pub fn heap_bytes(&self) -> usize {
         let table = self.sets * BUCKETS_PER_SET * size_of::<Bucket>();
         let in_flight = self.state().in_flight.capacity();
         table + in_flight * size_of::<(u64, u32)>()
     }
 
-    /// Counts since it was made.
+    /// Returns the counts since the limit was created.
     pub fn statistics(&self) -> LimitStatistics {
         self.state().statistics
     }
 
-    /// The number of keys of which something is remembered at `now`, ms.
+    /// Returns the number of keys that are in debt or have requests in flight at `now`, in ms.
     pub fn active_keys(&self, now: f64) -> usize {
         let state = self.state();
         let in_debt = state.buckets.iter().filter(|b| b.full_at_ms > now).count();
         in_debt + state.in_flight.len()
     }
 
-    /// Whether one more request of a key passes at `now`, ms. Nothing is acquired: [`Limit::acquire`] does that once
-    /// nothing else rejects the request.
+    /// Checks whether one more request of a key passes at `now`, in ms. Nothing is acquired: the
+    /// caller uses [`Limit::acquire`] once nothing else rejects the request.
     ///
     /// # Errors
     /// The limit is reached.
@@ -170,7 +175,8 @@
                 let interval_ms = MS_PER_SECOND / rate;
                 let bucket = state.bucket(self.sets, key);
                 let full_at_ms = bucket.map_or(now, |bucket| bucket.full_at_ms);
-                // `burst` tokens fill it: as many less the one that is asked for may be missing.
+                // The bucket holds `burst` tokens; one must be left, so at most `burst - 1` may be
+                // missing.
                 (full_at_ms.max(now) - now - (burst - 1.0) * interval_ms).max(0.0)
             }
             Allowance::Concurrency {
@@ -194,7 +200,8 @@
         Ok(key)
     }
 
-    /// Takes what [`Limit::check`] has allowed at `now`, ms. A concurrency limit gives a permit for it.
+    /// Acquires what [`Limit::check`] has allowed at `now`, in ms. A concurrency limit returns a
+    /// permit.
     pub fn acquire(self: &Arc<Self>, key: KeyHash, now: f64) -> Option<LimitPermit> {
         let mut state = self.state();
         match self.allowance {
@@ -219,8 +226,8 @@
 }
 
 impl State {
-    /// A key's bucket in a table of so many sets: its own, or that of its set which is full first (a free one before
-    /// all others).
+    /// Returns the bucket of a key in a table of `sets` sets: its own, or otherwise the bucket of
+    /// its set that is full first, which is a free one if there is any.
     fn bucket(&mut self, sets: usize, key: KeyHash) -> Option<&mut Bucket> {
         if self.buckets.is_empty() {
             self.buckets = vec![Bucket::default(); sets * BUCKETS_PER_SET];
--- a/crates/routes/src/mapped_request.rs
+++ b/crates/routes/src/mapped_request.rs
@@ -1,6 +1,7 @@
-//! Checks of those expressions of a rule that map an HTTP request to a request for one of the service's classes: the
-//! class itself, the units, the plan, the tenant and the rest. What cannot be proved when the file is read (the
-//! class exists and is as strict as the request's effect, the client's own units stay) is refused.
+//! Checks the expressions of a rule that map an HTTP request to a request of one of the service's
+//! classes: the class, the units, the plan, the tenant and the rest. A rule is refused if reading
+//! the file cannot prove that the class exists and is as strict as the request's effect, and that
+//! the units that a client names are kept.
 
 use crate::effect::{self, Effect, RejectedBranch};
 use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
@@ -10,13 +11,13 @@
 use crate::rule::{ActionKind, Actions};
 use driftgap_expr::{Expression, Outcome, Type};
 
-/// Keys that have a meaning only beside `class`.
+/// Keys that require `class`.
 const KEYS: [&str; 8] = [
     "plan", "partner", "units", "id", "deadline", "spread", "first", "terms",
 ];
-/// Names of the terms that the platform's protocol defines; a rule must not set them a second time.
+/// Names of the terms that the platform's protocol defines, which a rule must not set again.
 const PROTOCOL_TERMS: [&str; 7] = ["c", "t", "d", "r", "units", "spread", "first"];
-/// Longest name of a term, bytes.
+/// Maximum length of a term's name, in bytes.
 const MAX_TERM_NAME: usize = 32;
 
 /// Reads the expressions that map a request to one of the service's classes.
@@ -29,7 +30,8 @@
         MappedRequestReader { expressions }
     }
 
-    /// The expressions in the order of evaluation. Empty: the rule maps no request, or its class is wrong.
+    /// Returns the expressions in the order of evaluation. They are empty if the rule maps no
+    /// request, or if its class is invalid.
     pub(crate) fn read(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -78,22 +80,22 @@
         set.chain(terms).collect()
     }
 
-    /// Refuses keys that have no meaning without `class`.
+    /// Reports keys that require `class` in a rule without it.
     fn refuse_without_class(&mut self, rule: &RuleFields<'_, '_>) {
         for key in KEYS {
             if let Some(value) = rule.table.get(key) {
-                let help = Some("a rule with `class` makes a command of a request".into());
+                let help = Some("a rule with `class` maps the request to a class".into());
                 self.expressions.values.fault(
                     value.span(),
-                    format!("`{key}` stands without `class`"),
+                    format!("`{key}` requires `class`"),
                     help,
                 );
             }
         }
     }
 
-    /// Refuses a rule that may match a request of the platform's own protocol: it keeps the class that its client
-    /// names.
+    /// Refuses a rule that may match a request of the platform's own protocol, because such a
+    /// request keeps the class that its client names.
     fn refuse_platform_requests(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -103,11 +105,11 @@
             return;
         }
         let help = format!(
-            "a rule with `class` is for other paths than {}...: test request.path in `when`",
+            "a rule with `class` must not match paths that begin with {}: test request.path in `when`",
             effect::COMMANDS
         );
         let problem =
-            "the rule may match a command of the platform's own, whose class and units are the client's word";
+            "the rule may match a request of the platform's own protocol, whose client names the class and the units";
         let span = rule
             .table
             .get("class")
@@ -115,7 +117,8 @@
         self.expressions.values.fault(span, problem, Some(help));
     }
 
-    /// The class; every branch must be a class that is as strict as the requests it is for.
+    /// Reads the class. On every branch it must be at least as strict as the requests that reach
+    /// the branch.
     fn class(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -139,7 +142,7 @@
         Some(class)
     }
 
-    /// The units; a value that the client names must stay.
+    /// Reads the units. A value that the client names must be kept.
     fn units(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -156,7 +159,7 @@
         Some(units)
     }
 
-    /// The plan; what is written out must be a plan of the catalog.
+    /// Reads the plan. A plan that is written out must exist in the catalog.
     fn plan(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Refuses a rule that leaves out what every request needs, unless its test ensures that the client names it.
+    /// Reports values that every mapped request needs and the rule does not set, unless its test
+    /// ensures that the client names them.
     fn refuse_missing(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -205,25 +209,25 @@
             ("units", field::UNITS),
         ] {
             if matched.may_be_missing(rule, key, field_id) {
-                let help = format!("give it, or test has(request.{key}) in `when`");
+                let help = format!("set it, or test has(request.{key}) in `when`");
                 self.expressions.values.fault(
                     rule.span.clone(),
-                    format!("a command needs `{key}`"),
+                    format!("a mapped request needs `{key}`"),
                     Some(help),
                 );
             }
         }
         let deduplicates = class.is_some_and(|class| self.deduplicates(class));
         if deduplicates && matched.may_be_missing(rule, "id", field::ID) {
-            let help = Some("give it, or test has(request.id) in `when`".into());
-            let problem = "a class whose repeats are discarded by their id needs `id`";
+            let help = Some("set it, or test has(request.id) in `when`".into());
+            let problem = "a class whose endpoints discard repeats by id needs `id`";
             self.expressions
                 .values
                 .fault(rule.span.clone(), problem, help);
         }
     }
 
-    /// Whether the class may be one whose endpoints deduplicate requests by their id.
+    /// Returns whether the class may be one whose endpoints deduplicate requests by id.
     fn deduplicates(&self, class: &Expression) -> bool {
         let classes = &self.expressions.environment.catalog.classes;
         let is_token = |name: &str| {
--- a/crates/routes/src/names.rs
+++ b/crates/routes/src/names.rs
@@ -1,12 +1,12 @@
-//! Names in a file of rules: which may be used, and which known one is nearest to an unknown one.
+//! Names in a file of rules: their syntax, and suggestions for unknown ones.
 
 use crate::reader::{Text, Values};
 use std::ops::Range;
 use toml::de::DeTable;
 
-/// Longest name of a rule or a pool, bytes.
+/// Maximum length of the name of a rule or pool, in bytes.
 const MAX_NAME: usize = 64;
-/// Most known names that are listed where none is near.
+/// Maximum number of known names that are listed if none is similar.
 const MAX_LISTED_NAMES: usize = 12;
 
 fn is_valid(name: &str) -> bool {
@@ -14,7 +14,8 @@
     !name.is_empty() && name.len() <= MAX_NAME && name.bytes().all(plain)
 }
 
-/// The name of a rule or a pool. A missing or unusable one is noted, at `span` or where it is.
+/// Reads the name of a rule or pool. A missing name is reported at `span`, an invalid one at its
+/// own span.
 pub(crate) fn name(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
@@ -26,14 +27,17 @@
     };
     let name = values.string(name)?;
     if !is_valid(&name.text) {
-        let help = Some(format!("letters, digits, - _ and . up to {MAX_NAME}"));
+        let help = Some(format!(
+            "expected up to {MAX_NAME} letters, digits, - _ and ."
+        ));
         values.fault(name.span, "the name cannot be used", help);
         return None;
     }
     Some(name)
 }
 
-/// Help for an unknown name: the known one that is nearest, or the first of the known ones.
+/// Returns the help text for an unknown name: the most similar known name, or the first known names
+/// if none is similar.
 pub(crate) fn nearest<'a>(wrong: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
     let nearest = known
         .clone()
@@ -44,7 +48,7 @@
             format!("did you mean {name:?}?")
         }
         _ => format!(
-            "known are {}",
+            "known names: {}",
             known.take(MAX_LISTED_NAMES).collect::<Vec<_>>().join(", ")
         ),
     }
--- a/crates/routes/src/pool.rs
+++ b/crates/routes/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of endpoints: which endpoints are in each, and where its requests go while none of them is ready.
+//! Pools of endpoints: their members, and where their requests go while no member is ready.
 
 use crate::names::{name, nearest};
 use crate::reader::{Value, Values};
@@ -6,45 +6,46 @@
 use driftgap_expr::{Compiled, Expression, FieldId, Input, Interner, Schema, Scratch, Type};
 use toml::de::DeTable;
 
-/// Most pools: an endpoint's pools are a word of 64 bits, of which one stands for all endpoints.
+/// Maximum number of pools: an endpoint's pools are bits of a 64-bit word, one of which stands for
+/// all endpoints.
 pub const MAX_POOLS: usize = 62;
-/// The name of a pool that stands for all endpoints.
+/// The reserved pool name that stands for all endpoints.
 pub const ANY: &str = "any";
-/// Longest Retry-After of a rule or a pool, ms: 10 minutes.
+/// Maximum Retry-After of a rule or pool, in ms: 10 minutes.
 pub(crate) const MAX_RETRY_AFTER_MS: f64 = 600_000.0;
-/// Retry-After of a pool without a ready endpoint unless the file says otherwise, ms.
+/// Default Retry-After of a pool without a ready endpoint, in ms.
 const DEFAULT_RETRY_AFTER_MS: f64 = 1000.0;
 
-/// Where a pool's requests go while none of its endpoints is ready.
+/// Where the requests of a pool go while none of its endpoints is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fallback {
-    /// They are rejected.
+    /// The requests are rejected.
     Refuse,
-    /// Another pool, by its index in the file.
+    /// The requests go to another pool, given by its index in the file.
     Pool(usize),
-    /// All endpoints.
+    /// The requests go to any endpoint.
     Any,
 }
 
 /// A pool of endpoints.
 pub(crate) struct Pool {
     pub(crate) name: String,
-    /// The text of its test, by which it is recognised in another file.
+    /// The text of the test, by which the same pool is recognised in another file.
     pub(crate) text: String,
     pub(crate) when: Compiled,
     pub(crate) fallback: Fallback,
-    /// When a rejected client may retry, ms.
+    /// Time after which a rejected client may retry, in ms.
     pub(crate) retry_after_ms: f64,
 }
 
 impl Pool {
-    /// Whether a pool of another file takes the same endpoints under the same name.
+    /// Returns whether a pool of another file has the same name and the same test.
     pub(crate) fn is_same(&self, other: &Pool) -> bool {
         self.name == other.name && self.text == other.text
     }
 }
 
-/// The list of pools of a file.
+/// Returns the list of pools of a file.
 pub(crate) fn list<'v, 'd>(values: &mut Values<'_, '_>, table: &'v DeTable<'d>) -> &'v [Value<'d>] {
     let Some(list) = table.get("pool") else {
         return &[];
@@ -61,7 +62,7 @@
     list
 }
 
-/// The names of all pools: one may fall back on another further down.
+/// Reads the names of all pools. They are read first, because a pool may fall back on a later one.
 pub(crate) fn names(values: &mut Values<'_, '_>, list: &[Value<'_>]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for value in list {
@@ -73,11 +74,11 @@
         };
         if names.contains(&name.text) || name.text == ANY {
             let help = if name.text == ANY {
-                "it stands for all instances"
+                "the name is reserved for all endpoints"
             } else {
-                "there is one already"
+                "the name is already in use"
             };
-            let problem = format!("no further pool can be named {:?}", name.text);
+            let problem = format!("the pool name {:?} cannot be used", name.text);
             values.fault(name.span, problem, Some(help.into()));
         }
         names.push(name.text);
@@ -85,7 +86,7 @@
     names
 }
 
-/// The pools of a list, with these names.
+/// Reads the pools of a list, whose names are already known.
 pub(crate) fn pools(
     values: &mut Values<'_, '_>,
     list: &[Value<'_>],
@@ -154,7 +155,8 @@
     }
 }
 
-/// Refuses pools that fall back on each other in a cycle, of which none would ever reject or serve a request.
+/// Reports pools that fall back on each other in a cycle, in which no pool would ever reject or
+/// serve a request.
 fn refuse_cycles(values: &mut Values<'_, '_>, list: &[Value<'_>], pools: &[Pool]) {
     if pools.len() != list.len() {
         return;
@@ -165,7 +167,7 @@
             (at, steps) = (next, steps + 1);
             if at == start || steps > pools.len() {
                 let problem = format!("pool {:?} falls back on itself", pools[start].name);
-                let help = "one pool of the ring must refuse, or fall back on any";
+                let help = "one pool of the cycle must refuse, or fall back on any";
                 values.fault(value.span(), problem, Some(help.into()));
                 break;
             }
@@ -173,12 +175,12 @@
     }
 }
 
-/// Help for the name of a pool that does not exist.
+/// Returns the help text for an unknown pool name.
 pub(crate) fn nearest_pool(wrong: &str, names: &[String]) -> String {
     nearest(wrong, names.iter().map(String::as_str).chain([ANY]))
 }
 
-/// The Retry-After under a key, ms; `default` where there is none, or a wrong one.
+/// Reads the Retry-After under a key, in ms. Returns `default` if it is missing or invalid.
 pub(crate) fn retry_after_ms(
     values: &mut Values<'_, '_>,
     fields: &DeTable<'_>,
@@ -191,10 +193,10 @@
     match duration(&text.text).filter(|ms| (0.0..=MAX_RETRY_AFTER_MS).contains(ms)) {
         Some(ms) => ms,
         None => {
-            let help = Some("a time up to 10m, such as \"250ms\" or \"1.5s\", was expected".into());
+            let help = Some("expected a time up to 10m, such as \"250ms\" or \"1.5s\"".into());
             values.fault(
                 text.span,
-                format!("{:?} is no time to come back", text.text),
+                format!("{:?} is not a valid Retry-After", text.text),
                 help,
             );
             default
@@ -202,7 +204,7 @@
     }
 }
 
-/// A duration as expressions spell it, ms.
+/// Parses a duration in the syntax of expressions; returns ms.
 fn duration(text: &str) -> Option<f64> {
     let quoted = format!("duration({text:?})");
     let duration = Expression::new(&quoted, &Schema::new()).ok()?;
@@ -212,7 +214,7 @@
     }
 }
 
-/// An input without fields.
+/// The input of an expression that reads no fields.
 struct NoInput;
 
 impl Input for NoInput {
--- a/crates/routes/src/pool_bits.rs
+++ b/crates/routes/src/pool_bits.rs
@@ -1,19 +1,20 @@
-//! The bits that stand for the pools of the rules in force, and how many endpoints of each pool are ready.
+//! Assigns a bit to each pool of the rules in force, and counts the ready endpoints of each pool.
 //!
-//! Endpoints and requests carry their pools as a word of bits, so that a reload must not give a bit a new meaning while
-//! requests of the old rules are in flight. A pool that both files have keeps its bit; the bit of a pool that is gone
-//! stays reserved until the last request of the old rules has ended.
+//! Endpoints and requests carry their pools as a word of bits, so a reload must not reassign a bit
+//! while requests of the old rules are in flight. A pool that exists in both files keeps its bit;
+//! the bit of a removed pool stays reserved until the last request of the old rules has ended.
 
 use crate::pool::{Fallback, Pool, MAX_POOLS};
 use crate::request::Endpoint;
 use driftgap_expr::{Compiled, Scratch};
 
-/// The bit that stands for all endpoints: every endpoint has it.
+/// The bit that every endpoint has, which stands for all endpoints.
 pub const ALL: u64 = 1 << 63;
 
-/// Rules cannot be put in force yet: requests in flight still need the pools of earlier ones.
+/// Rules cannot be put in force yet, because requests in flight still need the pools of earlier
+/// rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the pools of earlier rules still serve commands under way, and with these there would be more than {MAX_POOLS}; read the rules again once they have ended")]
+#[error("requests in flight still need the pools of earlier rules, and with the new ones there would be more than {MAX_POOLS}; read the rules again once those requests have ended")]
 pub struct PoolBitsExhausted;
 
 /// The pool that the rules have selected for a request.
@@ -21,37 +22,38 @@
 pub(crate) enum SelectedPool {
     /// All endpoints.
     Any,
-    /// The pool of this index.
+    /// The pool with this index in the file.
     Pool(usize),
 }
 
-/// A pool of earlier rules, kept for the requests that were routed under them.
+/// A pool of earlier rules, kept for the requests that were routed by them.
 pub(crate) struct RetiredPool {
     bit: u8,
     when: Compiled,
-    /// When the last of those requests has ended, ms.
+    /// The time by which the last of those requests has ended, in ms.
     until_ms: f64,
 }
 
-/// What putting other pools in force leaves behind.
+/// The result of replacing the pools in force.
 pub(crate) struct ReplacedPools {
     /// Retired pools that no request needs any more.
     pub(crate) expired: Vec<RetiredPool>,
-    /// Whether a pool has no ready endpoints counted yet, since the old rules did not have it.
+    /// Whether the new rules have a pool that the old rules did not have, whose ready endpoints are
+    /// not counted yet.
     pub(crate) has_new_pools: bool,
 }
 
 /// The bits of the pools in force.
 pub(crate) struct PoolBits {
-    /// The bit of each pool, by its index in the file.
+    /// The bit of each pool, by the pool's index in the file.
     bits: Vec<u8>,
-    /// Ready endpoints of each pool, by its index in the file.
+    /// The number of ready endpoints of each pool, by the pool's index in the file.
     ready: Vec<usize>,
     retired: Vec<RetiredPool>,
 }
 
 impl PoolBits {
-    /// The bits of the first rules: those of the pools' indices.
+    /// Assigns each pool of the first rules the bit of its index.
     pub(crate) fn new(pools: &[Pool]) -> PoolBits {
         PoolBits {
             bits: (0..pools.len() as u8).collect(),
@@ -60,10 +62,11 @@
         }
     }
 
-    /// Puts the pools `new` in force in place of `old` at `now_ms`; requests routed so far end within `max_request_ms`.
+    /// Replaces the pools `old` by `new` at `now_ms`. Requests routed before end within
+    /// `max_request_ms`.
     ///
     /// # Errors
-    /// There are too many pools together with those that are still needed; nothing has changed.
+    /// The new pools and those that are still needed are too many; nothing has changed.
     pub(crate) fn replace(
         &mut self,
         old: &[Pool],
@@ -95,7 +98,8 @@
         })
     }
 
-    /// The bits of the pools `new`: a pool that `old` has as well keeps its bit, others get free ones.
+    /// Returns the bits of the pools `new`: a pool that is also in `old` keeps its bit, others get
+    /// free ones.
     fn assign(
         &self,
         old: &[Pool],
@@ -123,13 +127,13 @@
         Ok(bits)
     }
 
-    /// Ready endpoints of the pool that has this bit.
+    /// Returns the number of ready endpoints of the pool with this bit, if there is one.
     fn ready_of(&self, bit: u8) -> Option<usize> {
         let index = self.bits.iter().position(|known| *known == bit)?;
         self.ready.get(index).copied()
     }
 
-    /// The pools that an endpoint belongs to, one bit each, retired ones among them.
+    /// Returns the pools of an endpoint as bits, including retired pools.
     pub(crate) fn of_endpoint(
         &self,
         pools: &[Pool],
@@ -151,7 +155,7 @@
         word
     }
 
-    /// Counts the ready endpoints of each pool; an item holds the pools of one ready endpoint.
+    /// Counts the ready endpoints of each pool; each item holds the pools of one ready endpoint.
     pub(crate) fn count_ready(&mut self, endpoints: impl Iterator<Item = u64>) {
         self.ready.fill(0);
         for word in endpoints {
@@ -161,16 +165,16 @@
         }
     }
 
-    /// Ready endpoints of each pool, by its index in the file.
+    /// Returns the number of ready endpoints of each pool, by the pool's index in the file.
     pub(crate) fn ready(&self) -> &[usize] {
         &self.ready
     }
 
-    /// The bits of the pool that serves requests for the selected one: itself if it has a ready endpoint, or else
-    /// what it falls back on.
+    /// Returns the bit of the pool that serves requests for the selected one: the pool itself if it
+    /// has a ready endpoint, otherwise its fallback.
     ///
     /// # Errors
-    /// The pool that rejects its requests while none of its endpoints is ready.
+    /// The pool that rejects the request because none of its endpoints is ready.
     #[inline]
     pub(crate) fn resolve<'p>(
         &self,
@@ -178,7 +182,8 @@
         selected: SelectedPool,
     ) -> Result<u64, &'p Pool> {
         let mut selected = selected;
-        // Bounded, so that a cycle of fallbacks could not hold a request up for ever. Reading a file refuses cycles.
+        // The bound prevents an endless loop on a cycle of fallbacks, which reading a file already
+        // refuses.
         for _ in 0..=pools.len() {
             let SelectedPool::Pool(index) = selected else {
                 return Ok(ALL);
--- a/crates/routes/src/read.rs
+++ b/crates/routes/src/read.rs
@@ -1,4 +1,5 @@
-//! The entry points for reading a file of rules. A file that is wrong anywhere yields no rules but all of its faults.
+//! The entry points for reading a file of rules. A file with any fault yields all of its faults and
+//! no rules.
 
 use crate::environment::Catalog;
 use crate::fault::Fault;
@@ -9,7 +10,7 @@
 use crate::rules::{lock, Rules};
 
 impl Rules {
-    /// Reads a file's text; `file` is its name in messages.
+    /// Reads the text of a file; `file` is its name in messages.
     ///
     /// # Errors
     /// Every fault of the file, 100 at most.
@@ -17,12 +18,13 @@
         Rules::read_table(text, file, None, catalog, &ReadOptions::default())
     }
 
-    /// Reads the table `table_name` of a file that holds other things as well, or the whole file where there is none.
-    /// Unchanged rules of [`ReadOptions::previous`] are taken over, unless the pools' names, the effects, the
-    /// cost ceiling of an expression or the catalog have changed: then every rule is compiled anew.
+    /// Reads the table `table_name` of a file that also has other content, or the top level of the
+    /// file if there is none. Unchanged rules of [`ReadOptions::previous`] are reused, unless the
+    /// names of the pools, the effects, the cost limit of an expression or the catalog have
+    /// changed: then every rule is compiled again.
     ///
     /// # Errors
-    /// Every fault of that table, 100 at most; the previous rules stay as they are.
+    /// Every fault of that table, 100 at most; the previous rules do not change.
     pub fn read_table(
         text: &str,
         file: &str,
@@ -40,7 +42,7 @@
     }
 }
 
-/// Reads a file. Where `checked_rules` is given, the checked rules are appended to it, with their texts.
+/// Reads a file. The checked rules are appended to `checked_rules`, if given, with their texts.
 ///
 /// # Errors
 /// Every fault of the file, 100 at most.
@@ -52,7 +54,7 @@
     let length = input.text.len();
     if length > options.max_bytes {
         let problem = format!(
-            "the file has {length} bytes, {} are the most",
+            "the file has {length} bytes; the limit is {}",
             options.max_bytes
         );
         return Err(vec![Fault::of_file(input.file, &problem)]);
--- a/crates/routes/src/read_options.rs
+++ b/crates/routes/src/read_options.rs
@@ -1,18 +1,19 @@
-//! How a file of rules is read: what is taken over, and how much memory it may take.
+//! Options for reading a file of rules: the rules to reuse and the memory limit.
 
 use crate::environment::Catalog;
 use crate::rules::Rules;
 
-/// Bytes that a file's text, the rules in force and those that are compiled anew may take together, unless the caller
-/// says otherwise: 64 MiB.
+/// Default of [`ReadOptions::max_bytes`]: 64 MiB.
 pub const DEFAULT_MAX_BYTES: usize = 64 * 1024 * 1024;
-/// How a file is read.
+/// Options for reading a file of rules.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadOptions<'a> {
-    /// The rules in force. Those that the file still has are taken over, with the state of their limits.
+    /// The rules in force. Rules that are unchanged in the file are reused with the state of their
+    /// limits.
     pub previous: Option<&'a Rules>,
-    /// Bytes that the file's text, the rules in force and those that are compiled anew may take together. A file
-    /// that has changed throughout counts in full beside the rules in force, until those are dropped.
+    /// Maximum memory of the file's text, the rules in force and the newly compiled rules together,
+    /// in bytes. If every rule has changed, the new rules count in full in addition to the rules in
+    /// force, until those are dropped.
     pub max_bytes: usize,
 }
 
@@ -27,11 +28,11 @@
 
 /// The file to read.
 pub(crate) struct Input<'a> {
-    /// Its text.
+    /// The text of the file.
     pub(crate) text: &'a str,
-    /// The file's name in messages.
+    /// The name of the file in messages.
     pub(crate) file: &'a str,
-    /// The table that holds the rules; none: the file's own.
+    /// The table that contains the rules; the top level of the file if there is none.
     pub(crate) table_name: Option<&'a str>,
     /// The platform's classes and plans.
     pub(crate) catalog: &'a Catalog,
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -1,6 +1,8 @@
-//! Reads the values of a file of rules: TOML with the span of every value, so that each fault names its line.
-//! Reading goes on after a fault, so that an operator sees all faults of a file at once. It checks the types and ranges
-//! of values, never what a rule does.
+//! Reads the values of a file of rules: TOML with the span of every value, so that each fault names
+//! its line.
+//!
+//! Reading continues after a fault, so that an operator sees all faults of a file at once. This
+//! module checks the types and ranges of values; other modules check what a rule does.
 
 use crate::document::Excerpt;
 use crate::fault::Fault;
@@ -10,37 +12,37 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Most faults that are reported of one file.
+/// Maximum number of faults that are reported for one file.
 const MAX_FAULTS: usize = 100;
-/// Longest part of an unknown key that is shown, in characters.
+/// Maximum length of the unknown key that a fault quotes, in characters.
 const MAX_KEY_SHOWN: usize = 40;
 
 /// A value of the file with its span in the excerpt that it was parsed from.
 pub(crate) type Value<'d> = Spanned<DeValue<'d>>;
 
-/// A text of the file and where it is.
+/// A string of the file with its location.
 #[derive(Clone, Debug)]
 pub(crate) struct Text {
     pub(crate) text: String,
-    /// Its span in the excerpt, bytes.
+    /// Its span in the excerpt, in bytes.
     pub(crate) span: Range<usize>,
-    /// The offset of its first character in the file, bytes.
+    /// The offset of its first character in the file, in bytes.
     start: usize,
 }
 
-/// A fault of the TOML itself.
+/// A syntax error of the TOML.
 struct SyntaxFault {
     span: Range<usize>,
     problem: String,
 }
 
-/// One file, and the faults found in it.
+/// One file and the faults found in it.
 pub(crate) struct Reader<'t> {
     text: &'t str,
     file: &'t str,
     faults: Vec<Fault>,
     syntax: Vec<SyntaxFault>,
-    /// The offset of each line, bytes; determined at the first fault.
+    /// The offset of each line, in bytes; computed at the first fault.
     lines: OnceCell<Vec<usize>>,
 }
 
@@ -55,7 +57,8 @@
         }
     }
 
-    /// The faults found. If the TOML itself is faulty, only those: others may be mere consequences.
+    /// Returns the faults. If there are syntax errors, only these are returned, because the others
+    /// may be consequences of them.
     pub(crate) fn into_faults(mut self) -> Vec<Fault> {
         if self.syntax.is_empty() {
             return self.faults;
@@ -67,17 +70,17 @@
         self.faults
     }
 
-    /// Whether there is no fault so far.
+    /// Returns whether no fault has been found so far.
     pub(crate) fn has_no_faults(&self) -> bool {
         self.faults.is_empty() && self.syntax.is_empty()
     }
 
-    /// Whether the TOML is without fault so far.
+    /// Returns whether no syntax error has been found so far.
     pub(crate) fn well_formed(&self) -> bool {
         self.syntax.is_empty()
     }
 
-    /// Parses an excerpt. None: it is no TOML, which is noted.
+    /// Parses an excerpt. Returns `None` and records the syntax errors if it is not TOML.
     pub(crate) fn parse<'d>(&mut self, excerpt: &'d Excerpt<'_>) -> Option<Spanned<DeTable<'d>>> {
         let (table, errors) = DeTable::parse_recoverable(excerpt.text());
         let fault = |error: &toml::de::Error| SyntaxFault {
@@ -85,7 +88,8 @@
             problem: error.message().replace('\n', " "),
         };
         self.syntax.extend(errors.iter().map(fault));
-        // The parser does not report them in the order of the file, and a hostile file has one for each token.
+        // The parser reports errors in another order than the file's, and a malicious file has one
+        // for each token.
         self.syntax.sort_by_key(|fault| fault.span.start);
         self.syntax.truncate(MAX_FAULTS);
         errors.is_empty().then_some(table)
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Notes a fault at a span of the file.
+    /// Records a fault at a span of the file.
     pub(crate) fn fault_in_file(
         &mut self,
         span: Range<usize>,
@@ -114,7 +118,7 @@
         if self.faults.len() >= MAX_FAULTS {
             return;
         }
-        // Only the first line is shown: a span may be a whole table.
+        // Only the first line is shown, because a span can be a whole table.
         let before = self.text.get(..span.start).unwrap_or("");
         let start = before.rfind('\n').map_or(0, |at| at + 1);
         let line = self.origin(span.start).line;
@@ -132,7 +136,7 @@
         );
     }
 
-    /// Notes a fault of an expression.
+    /// Records a fault of an expression.
     pub(crate) fn expression_fault(&mut self, text: &Text, error: &Error) {
         if self.faults.len() >= MAX_FAULTS {
             return;
@@ -153,7 +157,7 @@
 pub(crate) struct Values<'r, 't> {
     pub(crate) reader: &'r mut Reader<'t>,
     excerpt: &'r Excerpt<'r>,
-    /// Highest cost of one expression, in units.
+    /// Maximum cost of one expression, in units.
     max_cost: u64,
 }
 
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Notes a fault at a span of the excerpt.
+    /// Records a fault at a span of the excerpt.
     pub(crate) fn fault(
         &mut self,
         span: Range<usize>,
@@ -177,12 +181,12 @@
             .fault_in_file(self.excerpt.in_file(&span), problem, help);
     }
 
-    /// Notes a fault of an expression.
+    /// Records a fault of an expression.
     pub(crate) fn expression_fault(&mut self, text: &Text, error: &Error) {
         self.reader.expression_fault(text, error);
     }
 
-    /// Notes every key of a table that is none of these.
+    /// Reports every key of a table that is not in `keys`.
     pub(crate) fn known_keys(&mut self, table: &DeTable<'_>, keys: &[&str]) {
         for key in table.keys() {
             let name: &str = key.get_ref();
@@ -193,7 +197,7 @@
                 let near = near.filter(|k| strsim::damerau_levenshtein(name, k) <= 2);
                 let help = match near {
                     Some(near) => format!("did you mean `{near}`?"),
-                    None => format!("known are {}", keys.join(", ")),
+                    None => format!("known keys: {}", keys.join(", ")),
                 };
                 let short: String = name.chars().take(MAX_KEY_SHOWN).collect();
                 self.fault(
@@ -205,7 +209,7 @@
         }
     }
 
-    /// The value as a table; another type is noted.
+    /// Returns the value as a table, or reports that it has another type.
     pub(crate) fn table<'v, 'd>(&mut self, value: &'v Value<'d>) -> Option<&'v DeTable<'d>> {
         match value.get_ref() {
             DeValue::Table(table) => Some(table),
@@ -216,7 +220,7 @@
         }
     }
 
-    /// The value as an array; another type is noted, and the array is empty.
+    /// Returns the value as an array, or reports that it has another type and returns an empty one.
     pub(crate) fn array<'v, 'd>(&mut self, value: &'v Value<'d>) -> &'v [Value<'d>] {
         match value.get_ref() {
             DeValue::Array(array) => array,
@@ -227,7 +231,7 @@
         }
     }
 
-    /// The value as a text; another type is noted.
+    /// Returns the value as a string, or reports that it has another type.
     pub(crate) fn string(&mut self, value: &Value<'_>) -> Option<Text> {
         let DeValue::String(text) = value.get_ref() else {
             self.type_fault(value.span(), value.get_ref(), "a text");
@@ -243,7 +247,7 @@
         })
     }
 
-    /// The value as a number in this range; anything else is noted.
+    /// Returns the value as a number, or reports that it has another type or is out of range.
     pub(crate) fn number(&mut self, value: &Value<'_>, range: RangeInclusive<f64>) -> Option<f64> {
         let number = match value.get_ref() {
             DeValue::Integer(number) => i64::from_str_radix(number.as_str(), number.radix())
@@ -267,7 +271,7 @@
         fits
     }
 
-    /// Notes that a value is of another type than `expected`.
+    /// Reports that a value does not have the expected type.
     fn type_fault(&mut self, span: Range<usize>, got: &DeValue, expected: &str) {
         self.fault(
             span,
@@ -276,7 +280,8 @@
         );
     }
 
-    /// Checks an expression of this type that is evaluated where `facts` hold; its fault is noted.
+    /// Checks an expression that is evaluated where `facts` hold, and reports its fault. `expected`
+    /// is the type of its result.
     pub(crate) fn expression(
         &mut self,
         text: &Text,
@@ -294,8 +299,8 @@
     }
 }
 
-/// The length of what stands before the first character of a text as it is spelt in TOML: the opening quotes, and a line
-/// break right after three of them, bytes.
+/// Returns the length of the opening quotes of a string as written in TOML, in bytes. It includes a
+/// newline directly after three quotes, which is not part of the string.
 fn opening_length(raw: &str) -> usize {
     if !raw.starts_with("'''") && !raw.starts_with("\"\"\"") {
         return 1;
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -1,27 +1,31 @@
-//! What rules may read of a request and of an endpoint: the two schemas, and the views through which values come.
+//! The fields of a request and of an endpoint that rules can read: the two schemas, and the inputs
+//! that supply the values.
 //!
-//! Values are borrowed, and none is longer than its bound: the costs of expressions are computed from the bounds.
+//! Values are borrowed, and none is longer than its bound, because the costs of expressions are
+//! computed from the bounds.
 
 use driftgap_expr::{Bound, FieldId, Input, Schema, Type, Value};
 use std::cell::Cell;
 use std::net::IpAddr;
 
-/// Longest path and longest query, bytes; a request with a longer one is rejected before any rule is evaluated.
+/// Maximum length of the path and of the query, in bytes; a longer one is rejected before any rule
+/// is evaluated.
 pub const MAX_PATH: usize = 1024;
-/// Longest header value that a rule may read, bytes.
+/// Maximum length of a header value that a rule can read, in bytes.
 pub const MAX_HEADER: usize = 512;
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 pub const MAX_HEADERS: usize = 100;
-/// Longest of the other texts, bytes: host, tenant, id, class, plan.
+/// Maximum length of the other strings, in bytes: host, tenant, id, class, plan.
 pub const MAX_NAME: usize = 128;
-/// Most labels of an endpoint that pools read; their values are read up to [`MAX_NAME`] bytes.
+/// Maximum number of labels of an endpoint that pools read; values are truncated to [`MAX_NAME`]
+/// bytes.
 pub const MAX_LABELS: usize = 32;
 
-/// The headers of a request, by name in lower case.
+/// The headers of a request, by lower-case name.
 pub trait Headers {
-    /// The value of the first header of this name, as received.
+    /// Returns the value of the first header with this name, as received.
     fn get(&self, name: &str) -> Option<&[u8]>;
-    /// How many headers there are.
+    /// Returns the number of headers.
     fn count(&self) -> usize;
 }
 
@@ -38,41 +42,42 @@
     }
 }
 
-/// A request as rules see it, whatever wire it came by.
+/// A request as rules see it, independent of the client's protocol.
 pub struct Request<'a> {
-    /// `resp` or `http2`.
+    /// The client's protocol, `resp` or `http2`.
     pub protocol: &'a str,
-    /// The method in capitals; over RESP `GET` for a query and `POST` for what may have an effect.
+    /// The method in upper case; over RESP `GET` for a query and `POST` for a request that may have
+    /// an effect.
     pub method: &'a str,
     /// The path without the query; over RESP `/commands/CLASS`.
     pub path: &'a str,
-    /// What follows the `?`, without it.
+    /// The query without the `?`.
     pub query: Option<&'a str>,
-    /// The host that was asked for.
+    /// The requested host.
     pub host: Option<&'a str>,
     /// The headers.
     pub headers: &'a dyn Headers,
-    /// The class that the client names itself.
+    /// The class that the client names.
     pub class: Option<&'a str>,
-    /// The plan that the client names itself.
+    /// The plan that the client names.
     pub plan: Option<&'a str>,
-    /// The tenant that the client names itself.
+    /// The tenant that the client names.
     pub partner: Option<&'a str>,
-    /// The id that the client names itself.
+    /// The id that the client names.
     pub id: Option<&'a str>,
-    /// The units that the client names itself.
+    /// The units that the client names.
     pub units: Option<f64>,
-    /// How long the client says that it waits, ms.
+    /// The client's time limit, in ms.
     pub deadline_ms: Option<i64>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub retry: bool,
-    /// The body's length, bytes, where it is known before the body.
+    /// The length of the body in bytes, if it is known before the body arrives.
     pub length: Option<i64>,
     /// The client's address.
     pub client: IpAddr,
 }
 
-/// Fields of the request about which facts are used when rules are checked.
+/// Fields of the request whose facts are used when rules are checked.
 pub(crate) mod field {
     use driftgap_expr::FieldId;
     pub const METHOD: FieldId = FieldId(1);
@@ -83,7 +88,7 @@
     pub const UNITS: FieldId = FieldId(10);
 }
 
-/// What rules may read of a request, in the order of the private module `field`.
+/// Returns the schema of the request fields. The order is that of the private module `field`.
 pub fn request_schema() -> Schema {
     let (name, path) = (MAX_NAME as u32, MAX_PATH as u32);
     Schema::new()
@@ -110,7 +115,7 @@
 }
 
 impl Request<'_> {
-    /// The first part that is longer than rules may read, if there is one.
+    /// Returns the name of the first field that is longer than rules can read, if there is one.
     pub fn too_long(&self) -> Option<&'static str> {
         let long = |text: Option<&str>, max: usize| text.is_some_and(|t| t.len() > max);
         let parts = [
@@ -134,7 +139,7 @@
 /// A request as the input of expressions.
 pub(crate) struct View<'a> {
     request: &'a Request<'a>,
-    /// Whether a rule has read a header that is no text, or too long.
+    /// Whether a rule has read a header that is not UTF-8, or too long.
     unreadable_header: Cell<bool>,
 }
 
@@ -146,8 +151,8 @@
         }
     }
 
-    /// Whether a rule has read a header that is no text, or too long. It was given as absent, which no rule may act
-    /// on.
+    /// Returns whether a rule has read a header that is not UTF-8, or too long. The header appeared
+    /// absent to the rule, so the result of the rule must not be used.
     pub(crate) fn has_unreadable_header(&self) -> bool {
         self.unreadable_header.get()
     }
@@ -191,26 +196,26 @@
     }
 }
 
-/// An endpoint as pools see it.
+/// An endpoint as the tests of pools see it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint<'a> {
-    /// Its name.
+    /// The endpoint's name.
     pub name: &'a str,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: &'a str,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: u32,
     /// Its weight relative to the other endpoints.
     pub weight: f64,
-    /// `resp` or `http2`.
+    /// Its protocol, `resp` or `http2`.
     pub protocol: &'a str,
-    /// Its address.
+    /// Its IP address.
     pub ip: IpAddr,
     /// Further properties by name.
     pub labels: &'a [(String, String)],
 }
 
-/// What pools may read of an endpoint.
+/// Returns the schema of the endpoint fields that pools can read.
 pub fn endpoint_schema() -> Schema {
     let name = MAX_NAME as u32;
     Schema::new()
@@ -230,7 +235,7 @@
 
 impl Input for Endpoint<'_> {
     fn get(&self, field: FieldId) -> Option<Value<'_>> {
-        // A name that is longer than its bound is read as far as that goes.
+        // A name that is longer than its bound is truncated.
         let text = |text| Some(Value::Text(truncate(text, MAX_NAME)));
         match field.0 {
             0 => text(self.name),
@@ -257,7 +262,7 @@
     }
 }
 
-/// The beginning of a text, in whole characters, `max` bytes at most.
+/// Returns the longest prefix of whole characters that has at most `max` bytes.
 pub(crate) fn truncate(text: &str, max: usize) -> &str {
     let mut end = text.len().min(max);
     while !text.is_char_boundary(end) {
@@ -266,7 +271,7 @@
     &text[..end]
 }
 
-/// The bound of a field, for tests and messages.
+/// Returns the bound of a field, for tests and messages.
 pub fn bound(schema: &Schema, name: &str) -> Option<Bound> {
     schema
         .id(name)
--- a/crates/routes/src/router.rs
+++ b/crates/routes/src/router.rs
@@ -1,7 +1,7 @@
-//! The rules in force: the routing of requests, and the replacement of the rules by others.
+//! Routes requests by the rules in force, and replaces those rules.
 //!
-//! The router does no I/O and reads no clock. It must not choose an endpoint: that is the decision module's, among
-//! the endpoints of the pool that the route names.
+//! The router does no I/O and reads no clock. It chooses no endpoint: the decision module does,
+//! among the endpoints of the pool that the route names.
 
 use crate::evaluation::{Evaluation, EvaluationError, InvalidRequest};
 use crate::pool_bits::{PoolBits, PoolBitsExhausted, RetiredPool};
@@ -12,9 +12,10 @@
 use driftgap_expr::{Chosen, Scratch};
 use std::sync::{Arc, Mutex};
 
-/// What rules leave behind that are in force no more. Dropping it frees whatever the new rules do not share. That
-/// takes as long as there is much of it, and would hold requests up on the serving thread: drop it on another one.
-#[must_use = "dropping old rules takes time: hand them to another thread"]
+/// The replaced rules. Dropping them frees everything that the new rules do not share. The time for
+/// that grows with the number of rules and would delay requests on the serving thread, so the value
+/// must be dropped on another one.
+#[must_use = "dropping old rules takes time: drop them on another thread"]
 pub struct Replaced {
     rules: Option<Rules>,
     expired_pools: Vec<RetiredPool>,
@@ -23,8 +24,9 @@
 }
 
 impl Replaced {
-    /// Whether the new rules have a pool that the old ones had not. Only then must the pools of every endpoint be
-    /// determined anew, with [`Router::pools_of`] and [`Router::count_ready`].
+    /// Returns whether the new rules have a pool that the old rules did not have. Only then must
+    /// the pools of every endpoint be determined again, with [`Router::pools_of`] and
+    /// [`Router::count_ready`].
     pub fn has_new_pools(&self) -> bool {
         self.has_new_pools
     }
@@ -42,14 +44,14 @@
     fn drop(&mut self) {
         self.rules = None;
         self.expired_pools.clear();
-        // If the lock is taken, a file is being read, and that reading sweeps.
+        // If another thread holds the lock, it is reading a file and sweeps the tables itself.
         if let Ok(mut shared) = self.shared.try_lock() {
             shared.sweep();
         }
     }
 }
 
-/// Rules in force.
+/// The rules in force, with the state for routing requests.
 pub struct Router {
     rules: Rules,
     pools: PoolBits,
@@ -59,7 +61,7 @@
 }
 
 impl Router {
-    /// Puts rules in force.
+    /// Creates a router with these rules in force.
     pub fn new(rules: Rules) -> Router {
         let pools = PoolBits::new(&rules.set.pools);
         Router {
@@ -71,18 +73,20 @@
         }
     }
 
-    /// Puts other rules in force at `now`, ms, in a time that depends on the number of pools alone.
+    /// Replaces the rules at `now`, in ms. The time for that depends only on the number of pools.
     ///
-    /// Limits that both have keep their state where the new rules were read with these as
-    /// [`ReadOptions::previous`]. Pools that both have keep their bits, and those that are gone keep them for
-    /// `max_request_ms`, until the last request that was routed under the old rules has ended. If there are new pools
-    /// ([`Replaced::has_new_pools`]) the caller determines the pools of every endpoint anew.
+    /// Limits that both files have keep their state if the new rules were read with the current
+    /// ones as [`ReadOptions::previous`]. Pools that both files have keep their bits. Removed pools
+    /// keep theirs for `max_request_ms`, until the last request that was routed by the old rules
+    /// has ended. If there are new pools ([`Replaced::has_new_pools`]), the caller must determine
+    /// the pools of every endpoint again.
     ///
     /// [`ReadOptions::previous`]: crate::ReadOptions::previous
     ///
     /// # Errors
-    /// There are too many pools together with those that are still needed. The old rules stay, and the new ones are
-    /// dropped: a caller that must not do that on its thread holds a clone of them.
+    /// The new pools and those that are still needed are too many. The old rules stay in force, and
+    /// the new ones are dropped: a caller that must not drop them on its thread keeps a clone of
+    /// them.
     pub fn replace(
         &mut self,
         rules: Rules,
@@ -101,17 +105,17 @@
         })
     }
 
-    /// The rules in force.
+    /// Returns the rules in force.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// The number of requests so far on which a rule could not be evaluated.
+    /// Returns the number of requests so far on which a rule could not be evaluated.
     pub fn failed_evaluations(&self) -> u64 {
         self.failed_evaluations
     }
 
-    /// Bytes that all limits take once requests have met them, estimated.
+    /// Estimates the memory of all limits with their tables allocated, in bytes.
     pub fn limit_bytes(&self) -> usize {
         let rules = self.rules.set.rules.iter();
         rules
@@ -120,19 +124,19 @@
             .sum()
     }
 
-    /// The pools of an endpoint, one bit each.
+    /// Returns the pools of an endpoint, one bit each.
     pub fn pools_of(&mut self, endpoint: &Endpoint<'_>) -> u64 {
         let pools = &self.rules.set.pools;
         self.pools.of_endpoint(pools, endpoint, &mut self.scratch)
     }
 
-    /// Counts the ready endpoints of each pool; an item holds the pools of one ready endpoint, as
-    /// [`Router::pools_of`] gives them.
+    /// Counts the ready endpoints of each pool. Each item holds the pools of one ready endpoint, as
+    /// returned by [`Router::pools_of`].
     pub fn count_ready(&mut self, endpoints: impl Iterator<Item = u64>) {
         self.pools.count_ready(endpoints);
     }
 
-    /// The pools by name with the number of their ready endpoints.
+    /// Returns the names of the pools, each with the number of its ready endpoints.
     pub fn ready_endpoints(&self) -> impl Iterator<Item = (&str, usize)> {
         let pools = self.rules.set.pools.iter();
         pools
@@ -140,7 +144,7 @@
             .zip(self.pools.ready().iter().copied())
     }
 
-    /// Routes a request at `now`, ms.
+    /// Routes a request at `now`, in ms.
     pub fn route(&mut self, request: &Request<'_>, now: f64) -> Verdict {
         if let Some(too_long) = request.too_long() {
             return invalid("", &InvalidRequest::TooLong(too_long));
@@ -172,7 +176,7 @@
     }
 }
 
-/// The rejection by a rule or a pool of this name.
+/// Returns the verdict for a request that the given rule or pool rejects.
 fn rejected(by: &str, retry_after_ms: f64) -> Verdict {
     Verdict::Reject {
         retry_after_ms,
@@ -180,7 +184,7 @@
     }
 }
 
-/// The verdict on a request that is invalid to a rule.
+/// Returns the verdict for a request on which a rule cannot be evaluated.
 fn invalid(rule: &str, error: &InvalidRequest) -> Verdict {
     Verdict::Invalid {
         rule: rule.to_string(),
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -1,4 +1,4 @@
-//! A rule as it is kept in memory: its compiled test, and what it does. Rules that do the same share that.
+//! Compiled rules: the test of each and its actions. Rules with equal actions share them in memory.
 
 use crate::content_hash::ContentHash;
 use crate::limit::{Allowance, Limit};
@@ -8,22 +8,22 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// Bytes that the tables by which expressions are shared take for one of its own, on average: an entry for it and
-/// one for a text of its, of 24 and 16 bytes, at a load between 7/16 and 7/8.
+/// Average memory per expression of the tables by which expressions are shared, in bytes: an entry
+/// of 24 bytes for the expression and one of 16 for a text, at a load between 7/16 and 7/8.
 const TABLE_BYTES: usize = 68;
-/// Bytes that an `Arc` takes besides its value.
+/// Size of the counters of an `Arc`, in bytes.
 const ARC_HEADER: usize = 2 * size_of::<usize>();
 
-/// What an expression of a rule is for.
+/// What the value of an action's expression sets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ActionKind {
     /// Rejects the request; the value is the Retry-After.
     Reject,
-    /// The pool that serves it.
+    /// The pool that serves the request.
     Pool,
-    /// A note for the endpoint, by name.
+    /// The note for the endpoint with this name.
     Note(Arc<str>),
-    /// The class of the mapped request; the next ones are its other values.
+    /// The class of the mapped request; the kinds that follow are its other values.
     Class,
     Plan,
     /// The tenant.
@@ -38,7 +38,7 @@
     LimitKey,
 }
 
-/// As the rules' language spells it, for operators.
+/// Writes the key in the rule file, for operators.
 impl fmt::Display for ActionKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -58,13 +58,14 @@
     }
 }
 
-/// Checked expressions with what they are for, in the order of their evaluation.
+/// Checked expressions with their kinds, in the order of evaluation.
 pub(crate) type Actions = Vec<(ActionKind, Expression)>;
 
-/// A limit as the file states it. If it is equal under the same rule after a reload, the limit keeps its state.
+/// A limit as configured in the file. A limit whose rule has an equal one after a reload keeps its
+/// state.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LimitSpec {
-    /// The text of its key.
+    /// The text of its key expression.
     pub(crate) key: Box<str>,
     pub(crate) allowance: Allowance,
     pub(crate) keys: usize,
@@ -79,22 +80,22 @@
     pub(crate) continues: bool,
 }
 
-/// An expression of a rule.
+/// One action of a rule: an expression, and what its value sets.
 #[derive(PartialEq, Eq, Hash)]
 pub(crate) struct Action {
     pub(crate) kind: ActionKind,
     pub(crate) expression: Compiled,
 }
 
-/// What a rule does.
+/// The actions of a rule.
 #[derive(PartialEq, Eq, Hash)]
 pub(crate) struct Body {
-    /// In the order of their evaluation.
+    /// The actions in the order of evaluation.
     pub(crate) actions: Box<[Arc<Action>]>,
 }
 
 impl Body {
-    /// Bytes on the heap, with its share of the parts that others have as well.
+    /// Returns the memory in bytes, with this rule's share of actions that other rules also have.
     fn heap_bytes(&self) -> usize {
         let actions = self
             .actions
@@ -110,7 +111,8 @@
     }
 }
 
-/// The part of a shared value's bytes that each owner counts. The table by which they share it is no owner.
+/// Returns the share of a shared value's bytes that each owner counts. The table of shared values
+/// does not count as an owner.
 fn share<T>(shared: &Arc<T>, bytes: usize) -> usize {
     let owners = Arc::strong_count(shared).saturating_sub(1).max(1);
     bytes.div_ceil(owners)
@@ -122,23 +124,23 @@
     pub(crate) limit: Arc<Limit>,
 }
 
-/// A rule.
+/// A compiled rule.
 pub(crate) struct Rule {
     pub(crate) name: Box<str>,
     pub(crate) when: Compiled,
     pub(crate) key: SelectKey,
     pub(crate) body: Arc<Body>,
     pub(crate) limit: Option<Box<RuleLimit>>,
-    /// The most that one request spends on it, its test included, in units.
+    /// The highest cost of the rule for one request, in units, including its test.
     pub(crate) cost: u64,
-    /// The hash of the text that it was read from.
+    /// The hash of the text that the rule was read from.
     pub(crate) content: ContentHash,
     pub(crate) continues: bool,
 }
 
 impl Rule {
-    /// Bytes on the heap, with its part of what it shares with others. A limit's table counts in full, though it is
-    /// allocated with the first request.
+    /// Returns the memory in bytes, with this rule's share of what it shares with others. The table
+    /// of a limit counts in full, although it is allocated with the first request.
     pub(crate) fn heap_bytes(&self) -> usize {
         let own = ARC_HEADER + size_of::<Rule>() + self.name.len();
         let expressions = self.when.heap_bytes() + key_bytes(&self.key) + TABLE_BYTES;
@@ -157,7 +159,7 @@
     }
 }
 
-/// Bytes of a key's list of texts; the texts are those of the test.
+/// Returns the memory of a key's list of texts in bytes; the texts themselves belong to the test.
 fn key_bytes(key: &SelectKey) -> usize {
     match key {
         SelectKey::EqualsAny(_, texts) | SelectKey::BeginsWithAny(_, texts) => {
@@ -170,7 +172,8 @@
     }
 }
 
-/// The tables by which rules share equal parts, those in force and those of the next file alike.
+/// The tables by which rules share equal actions, across the rules in force and those of the next
+/// file.
 #[derive(Default)]
 pub(crate) struct SharedTables {
     pub(crate) interner: Interner,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// What a rule does, shared with the rules that do the same.
+    /// Returns the actions of a rule, shared with rules that have equal ones.
     fn body(&mut self, checked: &CheckedRule) -> Arc<Body> {
         let actions = checked
             .actions
@@ -228,7 +231,7 @@
         intern(&mut self.actions, Action { kind, expression })
     }
 
-    /// Drops what no rule uses any more.
+    /// Drops the entries that no rule uses any more.
     pub(crate) fn sweep(&mut self) {
         self.bodies.retain(|body| Arc::strong_count(body) > 1);
         self.bodies.shrink_to_fit();
@@ -238,7 +241,7 @@
     }
 }
 
-/// The member of a set that is equal to the value; the value itself becomes one where there is none.
+/// Returns the member of a set that is equal to the value, after adding the value if there is none.
 fn intern<T: Eq + Hash>(set: &mut HashSet<Arc<T>>, value: T) -> Arc<T> {
     if let Some(known) = set.get(&value) {
         return known.clone();
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -1,4 +1,4 @@
-//! Reads and checks one rule: its name, its test, and what it does with a request that matches.
+//! Reads and checks one rule: its name, its test, and its actions for a request that matches.
 
 use crate::environment::Environment;
 use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
@@ -11,31 +11,31 @@
 use driftgap_expr::{Expression, Facts, Outcome, Schema, Type};
 use toml::de::{DeTable, DeValue};
 
-/// Keys of a rule.
+/// Known keys of a rule.
 const KEYS: [&str; 16] = [
     "name", "when", "class", "plan", "partner", "units", "id", "deadline", "spread", "first",
     "terms", "pool", "limit", "notes", "nack", "go_on",
 ];
-/// Keys that make a rule do something.
+/// Keys that give a rule an effect.
 const ACTION_KEYS: [&str; 5] = ["class", "pool", "limit", "notes", "nack"];
-/// Keys of a limit.
+/// Known keys of a limit.
 const LIMIT_KEYS: [&str; 6] = ["key", "rate", "burst", "at_once", "after", "keys"];
-/// Longest name of a note, bytes.
+/// Maximum length of a note's name, in bytes.
 const MAX_NOTE_NAME: usize = 32;
-/// Lowest rate of a limit, requests a second: one request in about 17 minutes.
+/// Minimum rate of a limit, in requests per second: one request in about 17 minutes.
 const MIN_RATE: f64 = 0.001;
-/// Highest rate, burst, concurrency and number of keys of a limit.
+/// Maximum rate, burst, concurrency and number of keys of a limit.
 const MAX_LIMIT: f64 = 1e6;
-/// Fewest keys that a limit remembers: one set of its table.
+/// Minimum number of keys of a limit: one set of its table.
 const MIN_KEYS: f64 = 8.0;
-/// Keys that a limit remembers unless the file says otherwise.
+/// Default number of keys of a limit.
 const DEFAULT_KEYS: f64 = 16_384.0;
-/// When a client is to retry after a concurrency limit unless the file says otherwise, ms.
+/// Default Retry-After of a concurrency limit, in ms.
 const DEFAULT_LIMIT_RETRY_AFTER_MS: f64 = 250.0;
 
-/// A rule as far as it could be read.
+/// A rule after reading, which may be faulty.
 pub(crate) struct ReadRule {
-    /// Its name, where it has a usable one, even if something else is wrong.
+    /// The name, if it is valid, even if the rule has other faults.
     pub(crate) name: Option<Text>,
     pub(crate) checked: Option<CheckedRule>,
 }
@@ -43,12 +43,13 @@
 /// Reads one rule.
 pub(crate) struct RuleReader<'a, 'r, 't> {
     expressions: ExpressionReader<'a, 'r, 't>,
-    /// Whether an earlier rule of the file has this name.
+    /// Returns whether an earlier rule of the file has this name.
     is_used: &'a dyn Fn(&str) -> bool,
 }
 
 impl<'a, 'r, 't> RuleReader<'a, 'r, 't> {
-    /// A reader for one rule; `is_used` tells whether an earlier rule of the file has a name.
+    /// Creates a reader for one rule; `is_used` returns whether an earlier rule of the file has a
+    /// name.
     pub(crate) fn new(
         values: &'a mut Values<'r, 't>,
         environment: &'a Environment,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Reads a rule and notes every fault of it.
+    /// Reads a rule and reports each of its faults.
     pub(crate) fn read(&mut self, rule: &RuleFields<'_, '_>) -> ReadRule {
         let name = self.name(rule);
         let when = self.when(rule.table);
@@ -91,7 +92,7 @@
         ReadRule { name, checked }
     }
 
-    /// The rule's name, if it has a usable one.
+    /// Reads the rule's name; returns `None` if it is invalid.
     fn name(&mut self, rule: &RuleFields<'_, '_>) -> Option<Text> {
         let values = &mut *self.expressions.values;
         values.known_keys(rule.table, &KEYS);
@@ -102,7 +103,7 @@
         Some(name)
     }
 
-    /// What the rule does, in the order of evaluation, and its limit.
+    /// Reads the actions of the rule, in the order of evaluation, and its limit.
     fn actions(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -128,7 +129,7 @@
         (actions, limit)
     }
 
-    /// Refuses a rule that would have no effect on any request.
+    /// Reports a rule that would have no effect on any request.
     fn refuse_without_action(&mut self, rule: &RuleFields<'_, '_>, continues: bool) {
         let acts = ACTION_KEYS.iter().any(|key| rule.table.contains_key(*key));
         if !acts && continues {
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The test. None: it is wrong, and the other expressions are checked without facts.
+    /// Reads the test. Returns `None` if it is faulty; the other expressions are then checked
+    /// without facts.
     fn when(&mut self, table: &DeTable<'_>) -> Option<Expression> {
         if !table.contains_key("when") {
             return Expression::new("true", self.expressions.schema).ok();
@@ -156,14 +158,15 @@
         Some(when)
     }
 
-    /// The pool, which must be written out on every branch so that it is known before use.
+    /// Reads the pool, which must be written out on every branch so that it is known when the file
+    /// is read.
     fn pool(&mut self, table: &DeTable<'_>, facts: &Facts) -> Option<Expression> {
         let (pool, text) = self
             .expressions
             .with_text(table, "pool", facts, &Type::Text)?;
         let Some(ways) = pool.ways() else {
-            let problem = "the pool has too many ways to tell apart";
-            let error = pool.fault(0..pool.text().len(), problem, "fewer branches");
+            let problem = "the pool has too many branches to check";
+            let error = pool.fault(0..pool.text().len(), problem, "use fewer branches");
             self.expressions.values.expression_fault(&text, &error);
             return None;
         };
@@ -177,7 +180,7 @@
                 ),
                 _ => (
                     "this pool is not known before use".to_string(),
-                    "a pool is written out on every branch".to_string(),
+                    "write out a pool on every branch".to_string(),
                 ),
             };
             let error = pool.fault(way.span.clone(), problem, help);
@@ -186,13 +189,13 @@
         Some(pool)
     }
 
-    /// A limit: its key, and what it allows.
+    /// Reads a limit: its key expression and its configuration.
     fn limit(&mut self, table: &DeTable<'_>, facts: &Facts) -> Option<(Expression, LimitSpec)> {
         let value = table.get("limit")?;
         let limit = self.expressions.values.table(value)?;
         self.expressions.values.known_keys(limit, &LIMIT_KEYS);
         if limit.get("key").is_none() {
-            let help = "key = '\"all\"' is one for all requests";
+            let help = "key = '\"all\"' makes one limit for all requests";
             self.expressions
                 .values
                 .fault(value.span(), "a limit needs `key`", Some(help.into()));
@@ -213,7 +216,7 @@
                 let help = "`rate` with `burst`, or `at_once` with `after`, was expected";
                 self.expressions.values.fault(
                     value.span(),
-                    "the limit is not whole",
+                    "the limit is incomplete",
                     Some(help.into()),
                 );
                 return None;
@@ -228,13 +231,14 @@
         Some((key, spec))
     }
 
-    /// The number under a key of a limit, where the key is there; none within: it is wrong, which is noted.
+    /// Reads the number under a key of a limit. Returns `None` if the key is absent, and
+    /// `Some(None)` after reporting an invalid number.
     fn number(&mut self, limit: &DeTable<'_>, key: &str, min: f64) -> Option<Option<f64>> {
         let value = limit.get(key)?;
         Some(self.expressions.values.number(value, min..=MAX_LIMIT))
     }
 
-    /// A limit on concurrent requests.
+    /// Reads a limit on concurrent requests.
     fn concurrency(&mut self, limit: &DeTable<'_>, max: Option<f64>) -> Option<Allowance> {
         let default = DEFAULT_LIMIT_RETRY_AFTER_MS;
         let retry_after_ms = retry_after_ms(self.expressions.values, limit, "after", default);
@@ -244,7 +248,7 @@
         })
     }
 
-    /// Whether later rules are evaluated after this one has matched.
+    /// Reads whether later rules are evaluated after this one has matched.
     fn continues(&mut self, table: &DeTable<'_>) -> bool {
         let Some(value) = table.get("go_on") else {
             return false;
@@ -254,14 +258,14 @@
         }
         self.expressions
             .values
-            .fault(value.span(), "`go_on` is true or false", None);
+            .fault(value.span(), "`go_on` must be true or false", None);
         false
     }
 }
 
-/// Refuses a second rule of one name.
+/// Reports a rule whose name an earlier rule has.
 pub(crate) fn report_duplicate_name(values: &mut Values<'_, '_>, name: &Text) {
-    let problem = format!("there is a rule {:?} already", name.text);
+    let problem = format!("the rule name {:?} is already in use", name.text);
     values.fault(name.span.clone(), problem, None);
 }
 
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -1,5 +1,7 @@
-//! The rules of a file without faults: those in force, or those that are about to be. How a file is read is not
-//! known here, so that a reading can depend on the rules in force without a circle of imports.
+//! The rules of a file without faults: those in force, or those that will replace them.
+//!
+//! This module does not depend on the modules that read a file, because reading depends on the
+//! rules in force.
 
 use crate::cost::worst_request;
 use crate::environment::Environment;
@@ -8,36 +10,37 @@
 use driftgap_expr::Selector;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What reading a file took.
+/// How many rules were reused and compiled when a file was read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadReport {
-    /// Rules that were taken over unchanged from the rules in force.
+    /// Rules that were unchanged and reused from the rules in force.
     pub taken_over: usize,
     /// Rules that were parsed, checked and compiled.
     pub compiled: usize,
 }
 
-/// The rules of a file without faults. Clones share it.
+/// The rules of a file without faults. Clones share them.
 #[derive(Clone)]
 pub struct Rules {
     pub(crate) set: Arc<RuleSet>,
 }
 
-/// What clones of [`Rules`] share.
+/// The data that clones of [`Rules`] share.
 pub(crate) struct RuleSet {
     pub(crate) rules: Vec<Arc<Rule>>,
     pub(crate) pools: Arc<[Pool]>,
     pub(crate) environment: Arc<Environment>,
     pub(crate) selector: Selector,
-    /// What these rules share with those of other files.
+    /// The tables that these rules share with those of other files.
     pub(crate) shared: Arc<Mutex<SharedTables>>,
     cost: u64,
     heap_bytes: usize,
     report: ReadReport,
 }
 
-/// Locks the tables that rules share. A panic while the lock was held would poison it and make every later reload
-/// fail. Ignoring the poison is safe: the tables only save memory, and an entry is either complete or absent.
+/// Locks the tables that rules share. A panic while the lock was held poisons it, and without this
+/// every later reload would fail. Ignoring the poison is safe: the tables only save memory, and an
+/// entry is either complete or absent.
 pub(crate) fn lock(shared: &Mutex<SharedTables>) -> MutexGuard<'_, SharedTables> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -81,43 +84,44 @@
 }
 
 impl Rules {
-    /// Wraps a complete set.
+    /// Wraps a complete set of rules.
     pub(crate) fn new(set: RuleSet) -> Rules {
         Rules { set: Arc::new(set) }
     }
 
-    /// The number of rules.
+    /// Returns the number of rules.
     pub fn len(&self) -> usize {
         self.set.rules.len()
     }
 
-    /// Whether the file has no rule.
+    /// Returns whether the file has no rules.
     pub fn is_empty(&self) -> bool {
         self.set.rules.is_empty()
     }
 
-    /// The most that one request may cost, in units: what the costliest texts of a request reach.
+    /// Returns the highest cost of one request, in units, over all texts that a request can have.
     pub fn cost(&self) -> u64 {
         self.set.cost
     }
 
-    /// The number of rules whose tests are evaluated for every request, since no text of the request selects them.
+    /// Returns the number of rules whose tests are evaluated for every request, because no text of
+    /// the request selects them.
     pub fn unindexed(&self) -> usize {
         self.set.selector.unindexed()
     }
 
-    /// Bytes that the rules take, estimated. The tables of limits count in full, though they are allocated
-    /// with a limit's first request.
+    /// Estimates the memory of the rules, in bytes. The tables of limits count in full, although
+    /// they are allocated with the limit's first request.
     pub fn heap_bytes(&self) -> usize {
         self.set.heap_bytes
     }
 
-    /// What reading the file took.
+    /// Returns how many rules were reused and compiled when the file was read.
     pub fn report(&self) -> ReadReport {
         self.set.report
     }
 
-    /// The first `count` rules alone, for measurements.
+    /// Returns only the first `count` rules, for measurements.
     #[must_use]
     pub fn first(&self, count: usize) -> Rules {
         let RuleSet {
--- a/crates/routes/src/takeover.rs
+++ b/crates/routes/src/takeover.rs
@@ -1,4 +1,5 @@
-//! What the reading of a file takes over from the rules in force: unchanged rules, and the state of equal limits.
+//! Finds what reading a file can reuse from the rules in force: unchanged rules, and the state of
+//! equal limits.
 
 use crate::content_hash::ContentHash;
 use crate::environment::Environment;
@@ -9,17 +10,17 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The rules in force, as the reading of another file sees them.
+/// The rules in force, indexed for reading another file.
 pub(crate) struct Previous<'a> {
     rules: &'a [Arc<Rule>],
-    /// Indices of the rules, sorted by content; empty where the environment has changed.
+    /// Indices of the rules, sorted by content hash; empty if the environment has changed.
     by_content: Vec<u32>,
-    /// Indices of the rules by name; filled when the first rule with a limit is compiled.
+    /// Indices of the rules by name; built when the first rule with a limit is compiled.
     by_name: OnceCell<HashMap<&'a str, u32>>,
 }
 
 impl<'a> Previous<'a> {
-    /// The rules in force, if there are any, for a file that is read in this environment.
+    /// Indexes the rules in force, if there are any, for a file that is read in this environment.
     pub(crate) fn new(previous: Option<&'a Rules>, environment: &Environment) -> Previous<'a> {
         let rules = previous.map_or(&[][..], |previous| &previous.set.rules);
         let is_same = previous.is_some_and(|previous| *previous.set.environment == *environment);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// The rule that was read from this content in an equal environment.
+    /// Returns the rule that was read from this content in an equal environment.
     pub(crate) fn rule(&self, content: ContentHash) -> Option<&'a Arc<Rule>> {
         let found = self
             .by_content
@@ -41,7 +42,8 @@
         self.rules.get(self.by_content[found.ok()?] as usize)
     }
 
-    /// The limit of the rule of this name, with its state, if it is stated as `spec`.
+    /// Returns the limit of the rule with this name, with its state, if its configuration equals
+    /// `spec`.
     pub(crate) fn limit(&self, rule: &str, spec: &LimitSpec) -> Option<Arc<Limit>> {
         let names = || {
             self.rules
--- a/crates/routes/src/verdict.rs
+++ b/crates/routes/src/verdict.rs
@@ -1,44 +1,45 @@
-//! What the rules decide about a request: forward it, with what the rules have set, reject it, or refuse it as invalid.
+//! The result of routing a request: forward it with the values that the rules have set, reject it,
+//! or refuse it as invalid.
 
 use crate::limit::LimitPermit;
 use crate::pool_bits::ALL;
 
-/// What the rules decide about a request.
+/// The decision of the rules about a request.
 #[derive(Debug)]
 pub enum Verdict {
-    /// It is served as this route says.
+    /// The request is forwarded along this route.
     Forward(Box<Route>),
-    /// It is rejected. Nothing was forwarded, so that repeating it is safe.
+    /// The request is rejected. It was not forwarded, so repeating it is safe.
     Reject {
-        /// When the client may retry, ms from now.
+        /// Time after which the client may retry, in ms.
         retry_after_ms: f64,
-        /// The rule, or the pool, that rejects it.
+        /// The name of the rule or pool that rejects the request.
         by: String,
     },
-    /// It is invalid: a rule cannot be evaluated on it.
+    /// The request is invalid: a rule cannot be evaluated on it, or a field is too long.
     Invalid {
-        /// The rule; empty where no rule was evaluated.
+        /// The name of the rule; empty if no rule was evaluated.
         rule: String,
-        /// What is wrong.
+        /// Why the request is invalid.
         why: String,
     },
 }
 
-/// What the rules have set for a request that is served.
+/// The values that the rules have set for a request that is forwarded.
 #[derive(Debug)]
 pub struct Route {
-    /// The request of one of the service's classes, where a rule maps this one to it.
+    /// The request of one of the service's classes that a rule maps this request to, if one does.
     pub command: Option<Mapped>,
-    /// Pools that it may be sent to, one bit each; [`ALL`] for all endpoints.
+    /// The pools that may serve the request, one bit each; [`ALL`] for all endpoints.
     pub pools: u64,
     /// Notes for the endpoint, by name. Values are printable ASCII.
     pub notes: Vec<(String, String)>,
-    /// Permits under limits of concurrent requests, released when dropped.
+    /// Permits of concurrency limits, which are released when dropped.
     pub permits: Vec<LimitPermit>,
 }
 
 impl Default for Route {
-    /// The route of a request that no rule matches.
+    /// Creates the route of a request that no rule matches.
     fn default() -> Route {
         Route {
             command: None,
@@ -49,25 +50,25 @@
     }
 }
 
-/// A request of one of the service's classes to which a rule maps an HTTP request. What the rule does not set is the
-/// client's own.
+/// A request of one of the service's classes to which a rule maps an HTTP request. For values that
+/// the rule does not set, those of the client apply.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Mapped {
-    /// The class's index in the catalog.
+    /// The index of the class in the catalog.
     pub class: usize,
-    /// The plan.
+    /// The name of the plan.
     pub plan: Option<String>,
     /// The tenant.
     pub partner: Option<String>,
-    /// Units that the request counts.
+    /// The units that the request counts.
     pub units: Option<f64>,
-    /// The request id.
+    /// The id of the request.
     pub id: Option<String>,
-    /// How long the client waits, ms.
+    /// The client's time limit, in ms.
     pub deadline_ms: Option<i64>,
-    /// The number of ingresses among which the tenant's requests are spread.
+    /// The number of ingresses over which the tenant's requests are spread.
     pub spread: Option<i64>,
-    /// The index of the first of them.
+    /// The index of the first of these ingresses.
     pub first: Option<i64>,
     /// Further names and values for the endpoint.
     pub terms: Vec<(String, String)>,
--- a/crates/routes/tests/bounds.rs
+++ b/crates/routes/tests/bounds.rs
@@ -30,7 +30,7 @@
 fn a_file_that_is_longer_than_the_memory_is_refused_at_once() {
     let text = routes(10);
     let want = format!(
-        "rules.toml: the file has {} bytes, 100 are the most",
+        "rules.toml: the file has {} bytes; the limit is 100",
         text.len()
     );
     assert_eq!(within(&text, None, 100).unwrap_err(), [want]);
@@ -49,7 +49,7 @@
     let faults = within(&text, None, needed - whole.heap_bytes() / 2).unwrap_err();
     assert_eq!(faults.len(), 1, "{faults:?}");
     assert!(
-        faults[0].contains("the rules up to here take more memory than there is"),
+        faults[0].contains("the rules up to this one need more memory than is available"),
         "{faults:?}"
     );
     let line: usize = faults[0].split(':').nth(1).unwrap().parse().unwrap();
@@ -75,7 +75,7 @@
     assert!(within(&one, Some(&in_force), room).is_ok());
     let other: String = (RULES..2 * RULES).map(route).collect();
     let faults = within(&format!("{}{other}", common::POOLS), Some(&in_force), room).unwrap_err();
-    assert!(faults[0].contains("of the rules in force"), "{faults:?}");
+    assert!(faults[0].contains("for the rules in force"), "{faults:?}");
 }
 
 /// The table of a limit is allocated with its first request. If it did not count before, a file would be accepted, and
@@ -122,7 +122,7 @@
     let torn = cut.replacen("name = 'r7'", "name = 'r7'\npool = [", 1);
     let faults = within(&torn, None, torn.len() * 64).unwrap_err();
     assert!(
-        faults[0].starts_with("rules.toml:15:1: ") && faults[0].contains("does a bracket"),
+        faults[0].starts_with("rules.toml:15:1: ") && faults[0].contains("an unclosed bracket"),
         "{faults:?}"
     );
     // One rule that is as long.
--- a/crates/routes/tests/effects.rs
+++ b/crates/routes/tests/effects.rs
@@ -196,7 +196,7 @@
         Ok(_) => String::new(),
         Err(faults) => faults.join("\n"),
     };
-    assert!(faults(get, "").contains("a command needs `units`"));
+    assert!(faults(get, "").contains("a mapped request needs `units`"));
     for changed in [
         "1.0",
         "request.units.orValue(1.0) * 2.0",
--- a/crates/routes/tests/faults.rs
+++ b/crates/routes/tests/faults.rs
@@ -48,18 +48,18 @@
     let faults = read(FAULTY).unwrap_err();
     let want = [
         "rules.toml:3:1: `expresion` is not known here; did you mean `expression`?",
-        "rules.toml:10:8: no further pool can be named \"dar\"",
+        "rules.toml:10:8: the pool name \"dar\" cannot be used",
         "rules.toml:7:9: there is no `instance.zon`; did you mean `instance.zone`?",
         "rules.toml:12:12: there is no pool \"tanga\"",
         "rules.toml:16:9: there is no `.startsWth()` for a string; did you mean `startsWith`?",
         "rules.toml:17:9: there is no pool \"dodoma\"",
-        "rules.toml:20:8: there is a rule \"one\" already",
+        "rules.toml:20:8: the rule name \"one\" is already in use",
         "rules.toml:23:3: there is no `request.size`",
         "rules.toml:25:18: this is of type optional(string); string was expected",
         "rules.toml:25:43: the number is out of range",
-        "rules.toml:26:11: the name cannot stand in `notes`",
+        "rules.toml:26:11: the name is not valid in `notes`",
         "rules.toml:30:9: this is of type string; duration was expected",
-        "rules.toml:31:9: `go_on` is true or false",
+        "rules.toml:31:9: `go_on` must be true or false",
         "rules.toml:33:1: `name` is missing",
         "rules.toml:34:9: this is never true; the rule has no effect",
     ];
@@ -110,7 +110,7 @@
             "this part of it costs",
         ),
         (sum, "all rules together may cost"),
-        ("x".repeat(5 << 20), "are the most"),
+        ("x".repeat(5 << 20), "the limit is"),
         ("\u{0}\u{1}".into(), ""),
     ] {
         let faults = read(&text).unwrap_err();
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -520,7 +520,7 @@
     let twice = format!("{text}{}", route(1));
     let line = 1 + text.lines().count();
     let want = format!(
-        "rules.toml:{}:8: there is a rule \"route-1\" already",
+        "rules.toml:{}:8: the rule name \"route-1\" is already in use",
         line + 1
     );
     assert_eq!(read_on(&twice, Some(&held)).unwrap_err(), [want]);
