--- a/crates/inventory/benches/read.rs
+++ b/crates/inventory/benches/read.rs
@@ -1,4 +1,5 @@
-//! Reading and judging inventories of different sizes, in CSV and in YAML with variables of groups.
+//! Measures reading and comparing inventories of several sizes, in CSV and in YAML with group
+//! variables.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_inventory::{read, suspicious, File, Schema, Shares};
@@ -49,7 +50,7 @@
     for size in [100, 10_000, 100_000] {
         for (name, file) in [("csv", csv(size)), ("yaml", yaml(size))] {
             let files = [file];
-            assert!(read(&files, &schema).holds());
+            assert!(read(&files, &schema).has_no_errors());
             group.bench_function(BenchmarkId::new(name, size), |b| {
                 b.iter(|| read(black_box(&files), &schema))
             });
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -1,42 +1,44 @@
-//! What is wrong with an inventory, and where. It owns the wording of faults and the summary that groups what
-//! repeats. It must never hold more of a hostile file than a line's worth for each fault, nor more faults than a
-//! person reads.
+//! Faults of an inventory: their severity, location and wording, and a summary that groups repeated
+//! ones.
+//!
+//! The number of faults and the length of the values that they quote are bounded, so that a
+//! malicious file cannot exhaust memory.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// Most faults that are kept of one reading: more than a person reads.
+/// Maximum number of faults that are kept for one inventory.
 pub const MAX_FAULTS: usize = 1000;
-/// Most characters that are kept of a value: a line's worth.
+/// Maximum length of the value that a fault quotes, in characters.
 const MAX_VALUE_CHARS: usize = 60;
 
-/// Where a value stands.
+/// The location of a value in the files of an inventory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
-    /// The file.
+pub struct Location {
+    /// The path of the file.
     pub file: Arc<str>,
-    /// Line and column, from 1; 0: the file as a whole.
+    /// The line, from 1; 0 if the fault concerns the file as a whole.
     pub line: u64,
-    /// See `line`.
+    /// The column, from 1; 0 if the fault concerns the file as a whole.
     pub column: u64,
-    /// The row, or the path of groups that leads to the host.
+    /// The row in a CSV file, or the path of groups that leads to the host.
     pub path: Arc<str>,
 }
 
-impl Place {
-    /// A file as a whole.
-    pub(crate) fn of_file(file: &Arc<str>) -> Place {
-        Place::in_file(file, 0, 0)
+impl Location {
+    /// Creates the location of a file as a whole.
+    pub(crate) fn of_file(file: &Arc<str>) -> Location {
+        Location::in_file(file, 0, 0)
     }
 
-    /// A place in a file, without a path.
-    pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Place {
-        Place::new(file, line, column, "")
+    /// Creates a location in a file without a row or group path.
+    pub(crate) fn in_file(file: &Arc<str>, line: u64, column: u64) -> Location {
+        Location::new(file, line, column, "")
     }
 
-    pub(crate) fn new(file: &Arc<str>, line: u64, column: u64, path: &str) -> Place {
-        Place {
+    pub(crate) fn new(file: &Arc<str>, line: u64, column: u64, path: &str) -> Location {
+        Location {
             file: file.clone(),
             line,
             column,
@@ -45,7 +47,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
@@ -59,45 +61,45 @@
     }
 }
 
-/// How much a fault weighs.
+/// Whether a fault refuses the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Weight {
-    /// The file is refused.
+pub enum Severity {
+    /// The inventory is refused.
     Error,
-    /// It is reported, and the file is taken.
+    /// The fault is reported, and the inventory is accepted.
     Warning,
 }
 
-/// A fault.
+/// One problem of an inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// How much it weighs.
-    pub weight: Weight,
-    /// Where.
-    pub place: Place,
-    /// The field; empty: none in particular.
+    /// Whether the fault refuses the inventory.
+    pub severity: Severity,
+    /// The location of the faulty value.
+    pub location: Location,
+    /// The name of the field; empty if the fault concerns no single field.
     pub field: String,
-    /// The value as it stands; empty: none.
+    /// The value as written in the file, possibly shortened; empty if there is none.
     pub value: String,
     /// What is wrong.
     pub problem: String,
-    /// What was expected, or how to mend it; empty: nothing to add.
+    /// What was expected, or how to correct it; may be empty.
     pub help: String,
 }
 
 impl Fault {
-    pub(crate) fn error(place: &Place, problem: impl Into<String>) -> Fault {
-        Fault::new(Weight::Error, place, problem.into())
+    pub(crate) fn error(location: &Location, problem: impl Into<String>) -> Fault {
+        Fault::new(Severity::Error, location, problem.into())
     }
 
-    pub(crate) fn warning(place: &Place, problem: impl Into<String>) -> Fault {
-        Fault::new(Weight::Warning, place, problem.into())
+    pub(crate) fn warning(location: &Location, problem: impl Into<String>) -> Fault {
+        Fault::new(Severity::Warning, location, problem.into())
     }
 
-    fn new(weight: Weight, place: &Place, problem: String) -> Fault {
+    fn new(severity: Severity, location: &Location, problem: String) -> Fault {
         Fault {
-            weight,
-            place: place.clone(),
+            severity,
+            location: location.clone(),
             field: String::new(),
             value: String::new(),
             problem,
@@ -129,12 +131,12 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = if self.weight == Weight::Warning {
+        let word = if self.severity == Severity::Warning {
             "warning: "
         } else {
             ""
         };
-        write!(f, "{}: {word}", self.place)?;
+        write!(f, "{}: {word}", self.location)?;
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
         }
@@ -150,7 +152,7 @@
     }
 }
 
-/// Faults as they are found.
+/// Collects faults while an inventory is read.
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
     found: Vec<Fault>,
@@ -159,20 +161,21 @@
 impl Faults {
     pub(crate) fn add(&mut self, fault: Fault) {
         let is_full = self.found.len() >= MAX_FAULTS;
-        // An error must never be lost to warnings: it decides.
+        // The first error is added even beyond the maximum, because it decides whether the
+        // inventory is refused.
         let has_error = || has_error(&self.found);
-        if is_full && (fault.weight == Weight::Warning || has_error()) {
+        if is_full && (fault.severity == Severity::Warning || has_error()) {
             return;
         }
         self.found.push(fault);
     }
 
-    /// How many there are, for [`Faults::has_error_since`].
+    /// Returns the number of faults so far, for [`Faults::has_error_since`].
     pub(crate) fn count(&self) -> usize {
         self.found.len()
     }
 
-    /// Whether an error was added since there were so many faults.
+    /// Returns whether an error was added after the first `count` faults.
     pub(crate) fn has_error_since(&self, count: usize) -> bool {
         has_error(&self.found[count.min(self.found.len())..])
     }
@@ -183,14 +186,15 @@
 }
 
 fn has_error(faults: &[Fault]) -> bool {
-    faults.iter().any(|fault| fault.weight == Weight::Error)
+    faults.iter().any(|fault| fault.severity == Severity::Error)
 }
 
-/// One line for each kind of fault: how often, and where first.
+/// Returns one line for each kind of fault, with its first occurrence and the number of further
+/// ones.
 pub fn summary(faults: &[Fault]) -> Vec<String> {
-    let mut kinds: BTreeMap<(Weight, &str, &str), (usize, &Fault)> = BTreeMap::new();
+    let mut kinds: BTreeMap<(Severity, &str, &str), (usize, &Fault)> = BTreeMap::new();
     for fault in faults {
-        let kind = (fault.weight, fault.field.as_str(), fault.problem.as_str());
+        let kind = (fault.severity, fault.field.as_str(), fault.problem.as_str());
         kinds.entry(kind).or_insert((0, fault)).0 += 1;
     }
     let lines = kinds.into_values().map(|(count, first)| match count {
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -1,5 +1,6 @@
-//! Explains how a file of rules routes a request, rule by rule and expression by expression. It keeps the checked
-//! expressions with their texts, which rules in force do not: it is for a terminal, not for serving.
+//! Explains at a terminal how a file of rules routes a request, rule by rule and expression by
+//! expression. For this it keeps the checked expressions with their texts, which rules in force do
+//! not.
 
 use crate::environment::Catalog;
 use crate::fault::Fault;
@@ -10,81 +11,82 @@
 use crate::rules::Rules;
 use driftgap_expr::{Chosen, Scratch, Step};
 
-/// The explanation of one rule.
+/// How one rule applies to a request.
 #[derive(Clone, Debug)]
-pub struct Explained {
-    /// The rule's name.
+pub struct RuleExplanation {
+    /// The name of the rule.
     pub rule: String,
-    /// Whether it matched.
+    /// Whether the rule's test holds for the request.
     pub matched: bool,
-    /// Whether the index had ruled it out, so that its test is not evaluated when serving.
+    /// Whether the index excludes the rule, so that its test is not evaluated when serving.
     pub ruled_out: bool,
-    /// Whether an earlier rule had ended the evaluation.
-    pub behind: bool,
-    /// Its test and, where it matched, the expressions of what it does; each with its steps and their values.
-    pub parts: Vec<(String, Vec<Step>)>,
+    /// Whether an earlier rule ended the evaluation.
+    pub skipped: bool,
+    /// The rule's test and, if it matched, the expressions of its actions, each with its steps and
+    /// their values.
+    pub expressions: Vec<(String, Vec<Step>)>,
 }
 
-/// A file of rules that can be explained.
+/// A file of rules whose effect on requests can be explained.
 pub struct Explainer {
     rules: Rules,
     checked: Vec<CheckedRule>,
 }
 
 impl Explainer {
-    /// Reads a file as [`Rules::read_part`] does.
+    /// Reads a file as [`Rules::read_table`] does.
     ///
     /// # Errors
     /// Every fault of the file, 100 at most.
     pub fn read(
         text: &str,
         file: &str,
-        part: Option<&str>,
+        table_name: Option<&str>,
         catalog: &Catalog,
     ) -> Result<Explainer, Vec<Fault>> {
         let mut checked = Vec::new();
         let input = Input {
             text,
             file,
-            part,
+            table_name,
             catalog,
         };
         let rules = read(&input, &ReadOptions::default(), Some(&mut checked))?;
         Ok(Explainer { rules, checked })
     }
 
-    /// The rules.
+    /// Returns the rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Explains every rule of the file on a request.
-    pub fn explain(&self, request: &Request<'_>) -> Vec<Explained> {
+    /// Explains how every rule of the file applies to a request.
+    pub fn explain(&self, request: &Request<'_>) -> Vec<RuleExplanation> {
         let view = View::new(request);
         let mut chosen = Chosen::default();
         self.rules.set.selector.choose(&view, &mut chosen);
         let chosen: Vec<usize> = chosen.iter().collect();
-        let mut behind = false;
+        let mut skipped = false;
         let mut all = Vec::with_capacity(self.checked.len());
         for (number, rule) in self.checked.iter().enumerate() {
             let ruled_out = chosen.binary_search(&number).is_err();
             let matched = rule.when.test(&view, &mut Scratch::default()) == Ok(true);
-            let mut parts = vec![("when".to_string(), rule.when.explain(&view))];
-            if matched && !behind {
+            let mut expressions = vec![("when".to_string(), rule.when.explain(&view))];
+            if matched && !skipped {
                 let actions = rule
-                    .parts
+                    .actions
                     .iter()
-                    .map(|(name, part)| (name.to_string(), part.explain(&view)));
-                parts.extend(actions);
+                    .map(|(kind, action)| (kind.to_string(), action.explain(&view)));
+                expressions.extend(actions);
             }
-            all.push(Explained {
+            all.push(RuleExplanation {
                 rule: rule.name.clone(),
                 matched,
                 ruled_out,
-                behind,
-                parts,
+                skipped,
+                expressions,
             });
-            behind |= matched && !rule.goes_on;
+            skipped |= matched && !rule.continues;
         }
         all
     }
--- a/crates/routes/src/file_reader.rs
+++ b/crates/routes/src/file_reader.rs
@@ -1,13 +1,14 @@
-//! Reads a file of rules: a rule that stood in the file before is taken over, only the others are parsed, checked and
-//! compiled.
+//! Reads a file of rules. A rule that is unchanged since the previous file is reused; only the
+//! others are parsed, checked and compiled.
 //!
-//! A reload must not take the ingress out of memory. What is parsed in one piece is bounded before it is parsed, and
-//! the rules are counted while they are read: the reading stops with a fault at the rule where the bound is reached.
+//! A reload must not exhaust the memory of the ingress. The size of each text that is parsed in one
+//! piece is limited beforehand, and the memory of the rules is counted while they are read: reading
+//! stops with a fault at the rule that exceeds the limit.
 
 use crate::content_hash::ContentHash;
 use crate::cost::worst_request;
 use crate::document::{Document, Excerpt, RULES};
-use crate::environment::{ceilings, effects, known_parts, Ceilings, Environment};
+use crate::environment::{ceilings, check_top_level_keys, effects, Ceilings, Environment};
 use crate::expression_reader::RuleFields;
 use crate::limit::Limit;
 use crate::names;
@@ -15,8 +16,8 @@
 use crate::read_options::{Input, ReadOptions};
 use crate::reader::{Reader, Value, Values};
 use crate::request::request_schema;
-use crate::rule::{CheckedRule, Rule, RuleLimit, Shared};
-use crate::rule_reader::{refuse_second, RuleReader};
+use crate::rule::{CheckedRule, Rule, RuleLimit, SharedTables};
+use crate::rule_reader::{report_duplicate_name, RuleReader};
 use crate::rules::{ReadReport, RuleSet, Rules};
 use crate::takeover::Previous;
 use driftgap_expr::{Schema, Selector};
@@ -25,14 +26,15 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use toml::de::DeTable;
 
-/// Bytes of memory that are planned for each byte that is parsed in one piece. Measured: lists, tables and texts take
-/// up to 122, keys of many dots up to 333.
+/// Bytes of memory that are reserved for each byte that is parsed in one piece. Arrays, tables and
+/// strings take up to 122, keys with many dots up to 333.
 const PARSED_FACTOR: usize = 128;
-/// Bytes that reading takes for each rule besides the rule itself: its span, its name's hash, its sorted texts.
+/// Bytes that reading takes for each rule in addition to the rule itself: its span, the hash of its
+/// name, its sorted texts.
 const WORKING_BYTES: usize = 100;
 
-/// All rules of a file without faults, not indexed yet.
-pub(crate) struct RuleParts {
+/// All rules of a file without faults, before they are indexed.
+pub(crate) struct UnindexedRules {
     rules: Vec<Arc<Rule>>,
     pools: Arc<[Pool]>,
     environment: Arc<Environment>,
@@ -40,10 +42,10 @@
     report: ReadReport,
 }
 
-impl RuleParts {
-    /// Indexes the rules by the texts that they are found by.
-    pub(crate) fn finish(self, shared: Arc<Mutex<Shared>>) -> RuleSet {
-        let RuleParts {
+impl UnindexedRules {
+    /// Indexes the rules by the texts that select them.
+    pub(crate) fn finish(self, shared: Arc<Mutex<SharedTables>>) -> RuleSet {
+        let UnindexedRules {
             rules,
             pools,
             environment,
@@ -55,37 +57,38 @@
     }
 }
 
-/// Reads one file.
+/// Reads one file of rules.
 pub(crate) struct FileReader<'a, 'g, 't> {
     input: &'a Input<'t>,
     options: &'a ReadOptions<'a>,
     reader: &'a mut Reader<'t>,
-    shared: &'a mut MutexGuard<'g, Shared>,
-    keep: Option<&'a mut Vec<CheckedRule>>,
+    shared: &'a mut MutexGuard<'g, SharedTables>,
+    checked_rules: Option<&'a mut Vec<CheckedRule>>,
     schema: Schema,
     rules: Vec<Arc<Rule>>,
-    /// Hashes of the names of all rules so far.
+    /// Hashes of the names of the rules read so far.
     names: HashSet<ContentHash>,
-    /// Bytes of the rules that were compiled.
+    /// Memory of the compiled rules, in bytes.
     compiled_bytes: usize,
     report: ReadReport,
 }
 
 impl<'a, 'g, 't> FileReader<'a, 'g, 't> {
-    /// A reader that notes faults in `reader` and appends checked rules to `keep`, where that is given.
+    /// Creates a reader that reports faults to `reader` and appends checked rules to
+    /// `checked_rules`, if given.
     pub(crate) fn new(
         input: &'a Input<'t>,
         options: &'a ReadOptions<'a>,
         reader: &'a mut Reader<'t>,
-        shared: &'a mut MutexGuard<'g, Shared>,
-        keep: Option<&'a mut Vec<CheckedRule>>,
+        shared: &'a mut MutexGuard<'g, SharedTables>,
+        checked_rules: Option<&'a mut Vec<CheckedRule>>,
     ) -> Self {
         FileReader {
             input,
             options,
             reader,
             shared,
-            keep,
+            checked_rules,
             schema: request_schema(),
             rules: Vec::new(),
             names: HashSet::new(),
@@ -94,9 +97,9 @@
         }
     }
 
-    /// Reads the whole file. None: it is faulty, and `reader` has the faults.
-    pub(crate) fn read(mut self) -> Option<RuleParts> {
-        let document = Document::split(self.input.text, self.input.part);
+    /// Reads the whole file. Returns `None` if it is faulty; `reader` then has the faults.
+    pub(crate) fn read(mut self) -> Option<UnindexedRules> {
+        let document = Document::split(self.input.text, self.input.table_name);
         let skeleton = &document.skeleton;
         let whole = 0..self.input.text.len();
         if !self.may_parse(skeleton.text().len(), whole) {
@@ -108,14 +111,14 @@
             return None;
         };
         let empty = DeTable::new();
-        let table = match self.input.part {
+        let table = match self.input.table_name {
             None => parsed.get_ref(),
-            Some(part) => match parsed.get_ref().get(part) {
+            Some(table_name) => match parsed.get_ref().get(table_name) {
                 Some(value) => Values::new(self.reader, skeleton, u64::MAX).table(value)?,
                 None => &empty,
             },
         };
-        let (ceilings, environment, pools) = self.head(skeleton, table);
+        let (ceilings, environment, pools) = self.read_head(skeleton, table);
         let previous = Previous::new(self.options.previous, &environment);
         if document.sections.is_empty() {
             self.inline_rules(skeleton, table, &environment, &previous);
@@ -124,7 +127,7 @@
         }
         drop((previous, document.sections));
         self.names = HashSet::new();
-        if !self.reader.clean() {
+        if !self.reader.has_no_faults() {
             return None;
         }
         let cost = self.worst_cost(&ceilings);
@@ -132,7 +135,7 @@
             mut rules, report, ..
         } = self;
         rules.shrink_to_fit();
-        Some(RuleParts {
+        Some(UnindexedRules {
             rules,
             pools,
             environment: Arc::new(environment),
@@ -141,27 +144,28 @@
         })
     }
 
-    /// Whether so many bytes may be parsed in one piece; if not, a fault is noted at `span`. Without this bound a
-    /// bracket that does not end would make one piece of a large file, and parsing it could exhaust the memory.
+    /// Returns whether `length` bytes may be parsed in one piece, and otherwise reports a fault at
+    /// `span`. Without this limit an unclosed bracket could make one piece of a large file, and
+    /// parsing it could exhaust the memory.
     fn may_parse(&mut self, length: usize, span: Range<usize>) -> bool {
         let max = self.options.max_bytes / PARSED_FACTOR;
         if length > max {
             let problem =
-                format!("{length} bytes would be parsed in one piece, {max} are the most");
-            let help = "does a bracket or a quote not end? rules that begin with [[rule]] each are parsed one by one";
+                format!("{length} bytes would be parsed in one piece; the limit is {max}");
+            let help = "check for an unclosed bracket or quote; rules that each begin with [[rule]] are parsed one by one";
             self.reader.fault_in_file(span, problem, Some(help.into()));
         }
         length <= max
     }
 
-    /// Reads all but the rules.
-    fn head(
+    /// Reads everything except the rules.
+    fn read_head(
         &mut self,
         skeleton: &Excerpt<'_>,
         table: &DeTable<'_>,
     ) -> (Ceilings, Environment, Arc<[Pool]>) {
         let mut values = Values::new(self.reader, skeleton, u64::MAX);
-        known_parts(&mut values, table);
+        check_top_level_keys(&mut values, table);
         let ceilings = ceilings(&mut values, table);
         let mut values = Values::new(self.reader, skeleton, ceilings.expression);
         let declared = effects(&mut values, table);
@@ -179,7 +183,7 @@
         (ceilings, environment, pools.into())
     }
 
-    /// Looks for further faults of the TOML where there are some already.
+    /// Parses the rules only to report further syntax errors, after the skeleton had some.
     fn find_syntax_faults(&mut self, sections: &[Range<usize>]) {
         for range in sections {
             if self.may_parse(range.len(), range.clone()) {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Reads the rules, each by itself.
+    /// Reads the rules of a file that was split into sections.
     fn sections(
         &mut self,
         sections: &[Range<usize>],
@@ -210,31 +214,32 @@
         }
     }
 
-    /// Takes an unchanged rule over.
+    /// Reuses an unchanged rule.
     fn take_over(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
         if !self.names.insert(ContentHash::of(&*rule.name)) {
-            self.refuse_second(range, environment);
+            self.report_duplicate_name(range, environment);
         }
         self.report.taken_over += 1;
         self.rules.push(rule.clone());
     }
 
-    /// Notes the fault of an unchanged rule whose name an earlier rule of the file has.
-    fn refuse_second(&mut self, range: Range<usize>, environment: &Environment) {
+    /// Reports an unchanged rule whose name an earlier rule of the file has.
+    fn report_duplicate_name(&mut self, range: Range<usize>, environment: &Environment) {
         let excerpt = Excerpt::range(self.input.text, range);
         let Some(parsed) = self.reader.parse(&excerpt) else {
             return;
         };
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.table_name)
+        else {
             return;
         };
         if let Some(name) = names::name(&mut values, fields.table, fields.span) {
-            refuse_second(&mut values, &name);
+            report_duplicate_name(&mut values, &name);
         }
     }
 
-    /// Parses and reads one rule.
+    /// Parses, checks and compiles one rule.
     fn section(
         &mut self,
         range: Range<usize>,
@@ -253,13 +258,14 @@
             return;
         }
         let mut values = Values::new(self.reader, &excerpt, environment.expression_cost);
-        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.part) else {
+        let Some(fields) = section_fields(&mut values, parsed.get_ref(), self.input.table_name)
+        else {
             return;
         };
         self.rule(&excerpt, &fields, content, environment, previous);
     }
 
-    /// Reads rules that are no sections of their own.
+    /// Reads the rules of a file that could not be split into sections.
     fn inline_rules(
         &mut self,
         skeleton: &Excerpt<'_>,
@@ -274,7 +280,8 @@
             if !self.within_budget(skeleton.in_file(&value.span())) {
                 return;
             }
-            // The text of such a rule is not known by itself: it is unchanged where the whole file is.
+            // The text of such a rule is not known by itself, so it counts as unchanged only if the
+            // whole file is.
             let content = ContentHash::of(&(file, number));
             let mut values = Values::new(self.reader, skeleton, environment.expression_cost);
             let Some(fields) = rule_fields(&mut values, value) else {
@@ -291,7 +298,7 @@
         }
     }
 
-    /// Checks a rule and, as long as the file is without fault, compiles it.
+    /// Checks a rule and, while the file has no fault, compiles it.
     fn rule(
         &mut self,
         excerpt: &Excerpt<'_>,
@@ -308,7 +315,7 @@
         if let Some(name) = &read.name {
             self.names.insert(ContentHash::of(&*name.text));
         }
-        let Some(checked) = read.checked.filter(|_| self.reader.clean()) else {
+        let Some(checked) = read.checked.filter(|_| self.reader.has_no_faults()) else {
             return;
         };
         let limit = checked.limit.as_ref().map(|spec| {
@@ -323,52 +330,54 @@
         self.compiled_bytes += rule.heap_bytes();
         self.report.compiled += 1;
         self.rules.push(rule);
-        if let Some(keep) = &mut self.keep {
-            keep.push(checked);
+        if let Some(checked_rules) = &mut self.checked_rules {
+            checked_rules.push(checked);
         }
     }
 
-    /// Whether what was read so far fits into memory; if not, a fault is noted at `span`.
+    /// Returns whether the rules read so far fit into the memory limit, and otherwise reports a
+    /// fault at `span`.
     fn within_budget(&mut self, span: Range<usize>) -> bool {
         let max = self.options.max_bytes;
         let file = self.input.text.len();
         let in_force = self.options.previous.map_or(0, Rules::heap_bytes);
-        let taken = self.compiled_bytes + WORKING_BYTES * self.rules.len();
-        let fits = file + in_force + taken <= max;
+        let used = self.compiled_bytes + WORKING_BYTES * self.rules.len();
+        let fits = file + in_force + used <= max;
         if !fits {
             let problem = format!(
-                "the rules up to here take more memory than there is: {taken} bytes beside {in_force} of the rules in force and {file} of the file, {max} are the most"
+                "the rules up to this one need more memory than is available: {used} bytes, in addition to {in_force} for the rules in force and {file} for the file; the limit is {max}"
             );
-            let help = "fewer rules, fewer keys of limits, or a change in several steps";
+            let help = "use fewer rules, fewer keys of limits, or change the file in several steps";
             self.reader.fault_in_file(span, problem, Some(help.into()));
         }
         fits
     }
 
-    /// The most that one request may spend on all rules, in units. Notes a fault if it is above the ceiling.
+    /// Returns the highest cost of all rules for one request, in units. Reports a fault if it
+    /// exceeds the limit.
     fn worst_cost(&mut self, ceilings: &Ceilings) -> u64 {
         let cost = worst_request(&self.rules);
         if cost > ceilings.request {
             let costliest = self.rules.iter().max_by_key(|rule| rule.cost);
             let costliest = costliest.map_or("", |rule| &rule.name);
             let problem = format!(
-                "all rules together may cost {cost} units a request, {} are the most",
+                "all rules together may cost {cost} units per request; the limit is {}",
                 ceilings.request
             );
             self.reader.fault_in_file(
                 0..1,
                 problem,
-                Some(format!("rule {costliest:?} costs most")),
+                Some(format!("rule {costliest:?} costs the most")),
             );
         }
         cost
     }
 }
 
-/// The hash of a rule's text. Empty lines behind a rule do not change it.
+/// Computes the hash of a rule's text. Empty lines after a rule do not change it.
 fn section_content(text: &str) -> ContentHash {
     let trimmed = text.trim_end_matches('\n');
-    // A carriage return that stands alone would be wrong where one before a newline is not.
+    // A trailing carriage return is kept: alone it is a syntax error, before a newline it is not.
     ContentHash::of(if trimmed.ends_with('\r') {
         text
     } else {
@@ -376,15 +385,15 @@
     })
 }
 
-/// The fields of the only rule of a section.
+/// Returns the fields of the only rule of a section.
 fn section_fields<'v, 'd>(
     values: &mut Values<'_, '_>,
     parsed: &'v DeTable<'d>,
-    part: Option<&str>,
+    table_name: Option<&str>,
 ) -> Option<RuleFields<'v, 'd>> {
-    let table = match part {
+    let table = match table_name {
         None => parsed,
-        Some(part) => values.table(parsed.get(part)?)?,
+        Some(table_name) => values.table(parsed.get(table_name)?)?,
     };
     let rules = values.array(table.get(RULES)?);
     rule_fields(values, rules.first()?)
--- a/crates/routes/src/mapped_request.rs
+++ b/crates/routes/src/mapped_request.rs
@@ -1,22 +1,23 @@
-//! Checks of those expressions of a rule that map an HTTP request to a request for one of the service's classes: the
-//! class itself, the units, the plan, the tenant and the rest. What cannot be proved when the file is read (the
-//! class exists and is as strict as the request's effect, the client's own units stay) is refused.
+//! Checks the expressions of a rule that map an HTTP request to a request of one of the service's
+//! classes: the class, the units, the plan, the tenant and the rest. A rule is refused if reading
+//! the file cannot prove that the class exists and is as strict as the request's effect, and that
+//! the units that a client names are kept.
 
-use crate::effect::{self, Effect, Unfit};
+use crate::effect::{self, Effect, RejectedBranch};
 use crate::expression_reader::{ExpressionReader, MatchedRequest, RuleFields};
 use crate::names::nearest;
 use crate::reader::Text;
 use crate::request::field;
-use crate::rule::{PartName, Parts};
+use crate::rule::{ActionKind, Actions};
 use driftgap_expr::{Expression, Outcome, Type};
 
-/// Keys that have a meaning only beside `class`.
+/// Keys that require `class`.
 const KEYS: [&str; 8] = [
     "plan", "partner", "units", "id", "deadline", "spread", "first", "terms",
 ];
-/// Names of the terms that the platform's protocol defines; a rule must not set them a second time.
+/// Names of the terms that the platform's protocol defines, which a rule must not set again.
 const PROTOCOL_TERMS: [&str; 7] = ["c", "t", "d", "r", "units", "spread", "first"];
-/// Longest name of a term, bytes.
+/// Maximum length of a term's name, in bytes.
 const MAX_TERM_NAME: usize = 32;
 
 /// Reads the expressions that map a request to one of the service's classes.
@@ -29,24 +30,25 @@
         MappedRequestReader { expressions }
     }
 
-    /// The expressions in the order of evaluation. Empty: the rule maps no request, or its class is wrong.
+    /// Returns the expressions in the order of evaluation. They are empty if the rule maps no
+    /// request, or if its class is invalid.
     pub(crate) fn read(
         &mut self,
         rule: &RuleFields<'_, '_>,
         matched: &MatchedRequest<'_>,
-    ) -> Parts {
+    ) -> Actions {
         if rule.table.get("class").is_none() {
             self.refuse_without_class(rule);
-            return Parts::new();
+            return Actions::new();
         }
         self.refuse_platform_requests(rule, matched);
         let class = self.class(rule, matched);
         let units = self.units(rule, matched);
         let plan = self.plan(rule, matched);
         self.refuse_missing(rule, matched, class.as_ref());
-        let mut read = |key: &str, want: Type| {
+        let mut read = |key: &str, expected: Type| {
             self.expressions
-                .expression(rule.table, key, matched.facts, &want)
+                .expression(rule.table, key, matched.facts, &expected)
         };
         let partner = read("partner", Type::Text);
         let id = read("id", Type::Text);
@@ -57,43 +59,43 @@
             .expressions
             .named(rule.table, "terms", matched.facts, is_term_name);
         let Some(class) = class else {
-            return Parts::new();
+            return Actions::new();
         };
         let in_order = [
-            (PartName::Class, Some(class)),
-            (PartName::Plan, plan),
-            (PartName::Partner, partner),
-            (PartName::Id, id),
-            (PartName::Units, units),
-            (PartName::Deadline, deadline),
-            (PartName::Spread, spread),
-            (PartName::First, first),
+            (ActionKind::Class, Some(class)),
+            (ActionKind::Plan, plan),
+            (ActionKind::Partner, partner),
+            (ActionKind::Id, id),
+            (ActionKind::Units, units),
+            (ActionKind::Deadline, deadline),
+            (ActionKind::Spread, spread),
+            (ActionKind::First, first),
         ];
         let set = in_order
             .into_iter()
             .filter_map(|(name, expression)| Some((name, expression?)));
         let terms = terms
             .into_iter()
-            .map(|(name, term)| (PartName::Term(name), term));
+            .map(|(name, term)| (ActionKind::Term(name), term));
         set.chain(terms).collect()
     }
 
-    /// Refuses keys that have no meaning without `class`.
+    /// Reports keys that require `class` in a rule without it.
     fn refuse_without_class(&mut self, rule: &RuleFields<'_, '_>) {
         for key in KEYS {
             if let Some(value) = rule.table.get(key) {
-                let help = Some("a rule with `class` makes a command of a request".into());
+                let help = Some("a rule with `class` maps the request to a class".into());
                 self.expressions.values.fault(
                     value.span(),
-                    format!("`{key}` stands without `class`"),
+                    format!("`{key}` requires `class`"),
                     help,
                 );
             }
         }
     }
 
-    /// Refuses a rule that may match a request of the platform's own protocol: it keeps the class that its client
-    /// names.
+    /// Refuses a rule that may match a request of the platform's own protocol, because such a
+    /// request keeps the class that its client names.
     fn refuse_platform_requests(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -103,11 +105,11 @@
             return;
         }
         let help = format!(
-            "a rule with `class` is for other paths than {}...: test request.path in `when`",
+            "a rule with `class` must not match paths that begin with {}: test request.path in `when`",
             effect::COMMANDS
         );
         let problem =
-            "the rule may match a command of the platform's own, whose class and units are the client's word";
+            "the rule may match a request of the platform's own protocol, whose client names the class and the units";
         let span = rule
             .table
             .get("class")
@@ -115,7 +117,8 @@
         self.expressions.values.fault(span, problem, Some(help));
     }
 
-    /// The class; every branch must be a class that is as strict as the requests it is for.
+    /// Reads the class. On every branch it must be at least as strict as the requests that reach
+    /// the branch.
     fn class(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -128,18 +131,18 @@
             let classes = &self.expressions.environment.catalog.classes;
             let effect_of = |name: &str| classes.iter().find(|(n, _)| n == name).map(|(_, e)| *e);
             let nearest = |name: &str| nearest(name, classes.iter().map(|(n, _)| n.as_str()));
-            let unfit = effect::class(
+            let rejected = effect::check_class(
                 &class,
                 &self.expressions.environment.declared,
                 effect_of,
                 nearest,
             );
-            self.refuse_unfit(&class, &text, unfit);
+            self.report_rejected_branches(&class, &text, rejected);
         }
         Some(class)
     }
 
-    /// The units; a value that the client names must stay.
+    /// Reads the units. A value that the client names must be kept.
     fn units(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -149,13 +152,14 @@
             self.expressions
                 .with_text(rule.table, "units", matched.facts, &Type::Double)?;
         if matched.test_is_valid {
-            let unfit = effect::units(&units, self.expressions.environment.catalog.max_units);
-            self.refuse_unfit(&units, &text, unfit);
+            let rejected =
+                effect::check_units(&units, self.expressions.environment.catalog.max_units);
+            self.report_rejected_branches(&units, &text, rejected);
         }
         Some(units)
     }
 
-    /// The plan; what is written out must be a plan of the catalog.
+    /// Reads the plan. A plan that is written out must exist in the catalog.
     fn plan(
         &mut self,
         rule: &RuleFields<'_, '_>,
@@ -179,45 +183,51 @@
         Some(plan)
     }
 
-    fn refuse_unfit(&mut self, expression: &Expression, text: &Text, unfit: Vec<Unfit>) {
-        for unfit in unfit {
-            let error = expression.fault(unfit.span, unfit.problem, unfit.help);
+    fn report_rejected_branches(
+        &mut self,
+        expression: &Expression,
+        text: &Text,
+        rejected: Vec<RejectedBranch>,
+    ) {
+        for rejected in rejected {
+            let error = expression.fault(rejected.span, rejected.problem, rejected.help);
             self.expressions.values.expression_fault(text, &error);
         }
     }
 
-    /// Refuses a rule that leaves out what every request needs, unless its test ensures that the client names it.
+    /// Reports values that every mapped request needs and the rule does not set, unless its test
+    /// ensures that the client names them.
     fn refuse_missing(
         &mut self,
         rule: &RuleFields<'_, '_>,
         matched: &MatchedRequest<'_>,
         class: Option<&Expression>,
     ) {
-        for (key, place) in [
+        for (key, field_id) in [
             ("plan", field::PLAN),
             ("partner", field::PARTNER),
             ("units", field::UNITS),
         ] {
-            if matched.may_lack(rule, key, place) {
-                let help = format!("give it, or test has(request.{key}) in `when`");
+            if matched.may_be_missing(rule, key, field_id) {
+                let help = format!("set it, or test has(request.{key}) in `when`");
                 self.expressions.values.fault(
                     rule.span.clone(),
-                    format!("a command needs `{key}`"),
+                    format!("a mapped request needs `{key}`"),
                     Some(help),
                 );
             }
         }
         let deduplicates = class.is_some_and(|class| self.deduplicates(class));
-        if deduplicates && matched.may_lack(rule, "id", field::ID) {
-            let help = Some("give it, or test has(request.id) in `when`".into());
-            let problem = "a class whose repeats are discarded by their id needs `id`";
+        if deduplicates && matched.may_be_missing(rule, "id", field::ID) {
+            let help = Some("set it, or test has(request.id) in `when`".into());
+            let problem = "a class whose endpoints discard repeats by id needs `id`";
             self.expressions
                 .values
                 .fault(rule.span.clone(), problem, help);
         }
     }
 
-    /// Whether the class may be one whose endpoints deduplicate requests by their id.
+    /// Returns whether the class may be one whose endpoints deduplicate requests by id.
     fn deduplicates(&self, class: &Expression) -> bool {
         let classes = &self.expressions.environment.catalog.classes;
         let is_token = |name: &str| {
