--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -1,6 +1,7 @@
-//! A follower's copy of the replica on its disk, so that one that starts while it is cut off goes on to keep out the
-//! endpoints that it knew to be excluded. One file, replaced as a whole. What it holds is never taken for more than
-//! what was known when it was written, and a file that cannot be read never keeps an ingress from starting.
+//! A follower's copy of the replica on its disk. A follower that restarts while no member can be
+//! reached keeps excluding the endpoints that it knew to be excluded. The copy is one file that is
+//! replaced atomically. It counts only as the state at the time of writing, and an unreadable file
+//! never prevents an ingress from starting.
 
 #[cfg(test)]
 mod tests;
@@ -14,16 +15,16 @@
 const COPY_FILE: &str = "copy";
 const NEW_COPY_FILE: &str = "copy.new";
 const LOCK_FILE: &str = "lock";
-/// The first byte of the file.
+/// The format version, which is the first byte of the file.
 const FORMAT_VERSION: u8 = 1;
 
 /// Why a follower's folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum CachedReplicaError {
-    /// Another process has locked it.
+    /// Another process has locked the folder.
     #[error("another process uses this folder")]
-    Held,
-    /// The system refuses to open or lock it.
+    Locked,
+    /// The operating system refused to open or lock the folder.
     #[error("{0}")]
     System(#[from] std::io::Error),
 }
@@ -35,10 +36,10 @@
 }
 
 impl CachedReplica {
-    /// Opens and locks the folder, which is made if it is not there.
+    /// Opens and locks the folder, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Another process has locked it, or the system refuses.
+    /// Returns an error if another process has locked the folder or the operating system refuses.
     pub(super) fn open(folder: &Path) -> Result<CachedReplica, CachedReplicaError> {
         std::fs::create_dir_all(folder)?;
         let lock = File::options()
@@ -50,12 +51,12 @@
                 folder: folder.to_path_buf(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(CachedReplicaError::Held),
+            Err(TryLockError::WouldBlock) => Err(CachedReplicaError::Locked),
             Err(TryLockError::Error(e)) => Err(e.into()),
         }
     }
 
-    /// The copy of an earlier start; none: there is no file, or none that can be read.
+    /// Loads the copy of an earlier run. `None` if there is no file or the file is corrupt.
     pub(super) fn load(&self) -> Option<Replica> {
         let bytes = std::fs::read(self.folder.join(COPY_FILE)).ok()?;
         let copy = decode(&bytes);
@@ -64,17 +65,17 @@
                 group = format!("{:x}", copy.group),
                 applied = copy.applied,
                 out = copy.excluded.len(),
-                "goes on with the copy of an earlier start until a member is heard"
+                "using the cached replica of an earlier run until a member is connected"
             ),
             None => tracing::warn!(
                 bytes = bytes.len(),
-                "the copy on the disk is torn or spoilt: not used"
+                "cached replica on the disk is corrupt: ignored"
             ),
         }
         copy
     }
 
-    /// Replaces the file. A crash in between leaves the earlier one whole.
+    /// Replaces the file. A crash in between leaves the earlier file intact.
     fn write(&self, copy: &Replica) -> std::io::Result<()> {
         let new_path = self.folder.join(NEW_COPY_FILE);
         let mut file = File::create(&new_path)?;
@@ -84,11 +85,11 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Starts the thread that writes copies: the disk may be slow, and the follower must not wait for it. `loaded` is
-    /// the copy that [`CachedReplica::load`] gave.
+    /// Starts the thread that writes copies, because the follower must not wait for a slow disk.
+    /// `loaded` is the copy that [`CachedReplica::load`] returned.
     ///
     /// # Errors
-    /// The system gives no thread.
+    /// Returns an error if the operating system cannot start the thread.
     pub(super) fn into_writer(self, loaded: Option<&Replica>) -> std::io::Result<ReplicaWriter> {
         let stored = loaded.map(|copy| StoredCopy {
             number: 0,
@@ -111,14 +112,14 @@
         })
     }
 
-    /// The thread's loop: writes each copy that comes until the queue is closed.
+    /// Runs the writer thread: writes each queued copy until the queue is closed.
     fn write_copies(&self, queue: &WriteQueue) {
         while let Some(pending) = queue.next() {
             match self.write(&pending.copy) {
                 Ok(()) => queue.note_stored(&pending),
                 Err(e) => tracing::warn!(
                     error = %e,
-                    "the copy is not on the disk: a start while cut off would miss it"
+                    "cannot write the cached replica: a restart without a connection would not have it"
                 ),
             }
         }
@@ -127,29 +128,29 @@
 
 /// A copy that waits to be written.
 struct PendingCopy {
-    /// Counted from 1 in this process.
+    /// The sequence number, counted from 1 in this process.
     number: u64,
     copy: Replica,
 }
 
-/// Which copy is on the disk.
+/// Identifies the copy that is on the disk.
 #[derive(Clone, Copy)]
 struct StoredCopy {
-    /// The number it was queued under; 0: an earlier process wrote it.
+    /// The sequence number it was queued under, or 0 if an earlier process wrote it.
     number: u64,
-    /// Its place in the group's log.
+    /// The last log index that is applied in it.
     applied: u64,
 }
 
 #[derive(Default)]
 struct QueueState {
-    /// The latest copy alone: a disk that hangs holds up no more than one.
+    /// Only the latest copy, so that a disk that hangs holds up at most one.
     pending: Option<PendingCopy>,
     stored: Option<StoredCopy>,
     closed: bool,
 }
 
-/// What the follower's thread and the writing thread share.
+/// The state that the follower's thread and the writer thread share.
 struct WriteQueue {
     state: Mutex<QueueState>,
     changed: Condvar,
@@ -160,7 +161,7 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Waits for a copy to be written; none: the queue is closed, and nothing is left to write.
+    /// Waits for a copy to write. `None` once the queue is closed and empty.
     fn next(&self) -> Option<PendingCopy> {
         let idle = |state: &mut QueueState| state.pending.is_none() && !state.closed;
         let state = self.changed.wait_while(self.lock(), idle);
@@ -175,15 +176,15 @@
     }
 }
 
-/// Hands copies to the writing thread, which ends when this is dropped.
+/// Hands copies to the writer thread, which ends when this is dropped.
 pub(super) struct ReplicaWriter {
     queue: Arc<WriteQueue>,
-    /// Of the copy that was queued last.
+    /// The sequence number of the copy that was queued last.
     last_number: u64,
 }
 
 impl ReplicaWriter {
-    /// Queues a copy in place of one that is not written yet.
+    /// Queues a copy, and replaces one that is not written yet.
     pub(super) fn store(&mut self, copy: Replica) {
         self.last_number += 1;
         self.queue.lock().pending = Some(PendingCopy {
@@ -193,9 +194,10 @@
         self.queue.changed.notify_one();
     }
 
-    /// The place in the log up to which the copy on the disk holds everything; none: nothing is on the disk. `applied`
-    /// is the place of the copy in memory: entries that change nothing in it are not written, so once the latest copy
-    /// is on the disk it is as good as the one in memory.
+    /// Returns the log index up to which the copy on the disk is complete, or `None` if nothing is
+    /// on the disk. `applied` is the index of the copy in memory. Entries that do not change the
+    /// replica are not written, so once the latest copy is on the disk it is complete up to
+    /// `applied`.
     pub(super) fn stored(&self, applied: u64) -> Option<u64> {
         let stored = self.queue.lock().stored?;
         if stored.number == self.last_number {
@@ -212,7 +214,7 @@
     }
 }
 
-/// The file's bytes: format version, checksum, body.
+/// Encodes the file: format version, checksum, body.
 fn encode(copy: &Replica) -> Vec<u8> {
     let body = postcard::to_stdvec(copy).unwrap_or_default();
     let mut bytes = vec![FORMAT_VERSION];
@@ -221,7 +223,7 @@
     bytes
 }
 
-/// The copy that such bytes hold; none: they are torn, spoilt or of another format version.
+/// Decodes the file. `None` if the bytes are truncated, corrupt or of another format version.
 fn decode(bytes: &[u8]) -> Option<Replica> {
     let (version, rest) = bytes.split_first()?;
     let (checksum, body) = rest.split_first_chunk::<4>()?;
--- a/src/group/cached_replica/tests.rs
+++ b/src/group/cached_replica/tests.rs
@@ -1,11 +1,12 @@
-//! The follower's copy on its disk.
+//! Tests of the follower's cached replica.
 
 use super::*;
 
-/// A file may be cut short by a crash or changed by a bad disk. A follower that took such bytes for a copy would keep
-/// out endpoints that nobody excluded: it must find the damage wherever it is.
+/// A crash may truncate the file, and a bad disk may change bits in it. A follower that accepted
+/// such bytes would exclude endpoints that nobody excluded, so damage at any position must be
+/// detected.
 #[test]
-fn a_copy_comes_back_whole_or_not_at_all() {
+fn truncated_or_corrupt_copy_is_rejected() {
     let copy = Replica {
         group: 7,
         applied: 12,
@@ -22,10 +23,11 @@
     }
 }
 
-/// What is shown as stored must be on the disk: a follower that is killed after it showed a number starts again with
-/// all that the group had agreed on up to there.
+/// A follower that is killed after it reported an index as stored must restart with everything that
+/// the group committed up to that index. The reported index must therefore never be ahead of the
+/// copy on the disk.
 #[test]
-fn a_number_is_shown_as_stored_once_the_copy_is_on_the_disk() {
+fn stored_index_advances_once_the_copy_is_written() {
     let folder = std::env::temp_dir().join(format!("driftgap-copy-{}", std::process::id()));
     let copy = |applied, out: &str| Replica {
         group: 7,
@@ -43,21 +45,21 @@
     }
     let bytes = std::fs::read(folder.join(COPY_FILE)).unwrap();
     assert_eq!(decode(&bytes), Some(copy(9, "b")));
-    // An entry that changed nothing in the copy needs no write.
+    // An entry that does not change the replica needs no write.
     assert_eq!(writer.stored(11), Some(11));
     drop(writer);
 
-    let read_only = CachedReplica {
+    let missing_folder = CachedReplica {
         folder: folder.join("missing"),
         _lock: File::open(folder.join(LOCK_FILE)).unwrap(),
     };
-    let mut writer = read_only.into_writer(Some(&copy(9, "b"))).unwrap();
+    let mut writer = missing_folder.into_writer(Some(&copy(9, "b"))).unwrap();
     assert_eq!(writer.stored(9), Some(9), "an earlier process wrote it");
     writer.store(copy(12, "c"));
     assert_eq!(
         writer.stored(12),
         Some(9),
-        "what cannot be written is not stored"
+        "a copy that cannot be written is not reported as stored"
     );
     drop(writer);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/src/group/call.rs
+++ b/src/group/call.rs
@@ -1,56 +1,56 @@
-//! What goes between the group's thread and the rest of the ingress.
+//! Requests and results between the group's thread and the rest of the ingress.
 
 use driftgap_group::{Document, DocumentKind, MemberStatus, Outcome, Proposal};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// What the group holds, as this ingress knows it.
+/// The group's state as this ingress knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Excluded endpoints.
     pub excluded: Arc<BTreeSet<String>>,
-    /// The last accepted versions of what operators write.
+    /// The last accepted versions of the documents that operators write.
     pub documents: Arc<BTreeMap<DocumentKind, Document>>,
-    /// The last index of the log that is carried out here.
+    /// The last log index that is applied here.
     pub applied: u64,
 }
 
-/// How the group's part of this ingress stands.
+/// The status of this ingress in the group.
 #[derive(Clone, Debug)]
 pub enum MembershipStatus {
-    /// Its folder is empty, and it has not been admitted yet.
+    /// The folder is empty, and this ingress has not been admitted yet.
     Joining,
-    /// It is a member.
+    /// This ingress is a member.
     Member(Box<MemberStatus>),
-    /// It follows a member; none: it reaches none now.
+    /// This ingress follows a member.
     Follower {
-        /// The member.
+        /// The member, or `None` while none is connected.
         member: Option<String>,
-        /// The last index in its replica.
+        /// The last log index in the replica.
         applied: u64,
-        /// How old its replica is, ms; none: it has none.
+        /// The age of the replica, ms. `None` if it was not updated since the start.
         age_ms: Option<f64>,
-        /// Up to which index of the log the copy on its disk holds everything, which a crash does not take back; none:
-        /// it has no folder, or nothing is written yet.
+        /// The log index up to which the copy on the disk is complete. A crash does not undo it.
+        /// `None` without a folder, or before the first write.
         stored: Option<u64>,
     },
-    /// It neither votes nor promises any more, and why.
+    /// This ingress has stopped voting and acknowledging calls, for the given reason.
     Failed(String),
 }
 
-/// How a call at the group ended.
+/// The result of a call to the group.
 #[derive(Clone, Debug)]
 pub enum CallResult {
-    /// It is committed, and on the disks of a majority; what the group holds now.
+    /// The call is committed on the disks of a majority. Carries the group's state after it.
     Done(Outcome, View),
-    /// It was not done, and why.
+    /// The call was not carried out, for the given reason.
     Refused(String),
-    /// Nobody knows whether it will yet be done.
+    /// The call may or may not take effect: no answer came in time.
     Unknown,
 }
 
-/// What the rest of the ingress asks of the group's thread, and where the answer goes.
+/// A request to the group's thread, with the channel for its answer.
 pub(super) enum Request {
     Proposal(Proposal, oneshot::Sender<CallResult>),
     Read(oneshot::Sender<CallResult>),
--- a/src/group/clock.rs
+++ b/src/group/clock.rs
@@ -2,11 +2,11 @@
 
 use std::time::Instant;
 
-/// Milliseconds since the thread began, as `driftgap_group` counts time. Monotonic.
+/// Monotonic milliseconds since the thread started, which is the time scale of `driftgap_group`.
 pub(super) struct Clock(Instant);
 
 impl Clock {
-    /// Begins at 0.
+    /// Starts at 0.
     pub(super) fn start() -> Clock {
         Clock(Instant::now())
     }
@@ -16,5 +16,5 @@
     }
 }
 
-/// The group's lines of statistics are logged this often, ms.
+/// Interval between the group's lines of statistics in the log, ms.
 pub(super) const STATISTICS_INTERVAL_MS: f64 = 10_000.0;
--- a/src/group/documents.rs
+++ b/src/group/documents.rs
@@ -1,40 +1,45 @@
-//! Documents that the group stores: how a start waits for one, and how an accepted one is submitted.
+//! Documents that the group stores: how startup waits for one, and how an accepted one is
+//! submitted.
 
 use super::call::CallResult;
 use super::handle::Group;
 use driftgap_group::{Document, DocumentKind, Outcome, Proposal, MAX_DOCUMENT};
 use std::time::Duration;
 
-/// A start whose file is torn or missing waits for the group's answer so long.
+/// How long startup waits for the group's answer if the local file is damaged or missing.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Then, where no version of that file is known, it waits for the first one so long: others submit theirs within
-/// [`SUBMIT_INTERVAL`] of when they can.
+/// How long startup then waits for the first version if the group holds none. Other members submit
+/// theirs within [`SUBMIT_INTERVAL`] of being able to.
 const FIRST_VERSION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two reads while a start waits.
+/// Pause between two reads while startup waits.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
-/// What the group did not take is submitted again after this.
+/// Pause before a document that the group did not commit is submitted again.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Group {
-    /// The last version of a document: by the group, if it answers in time, else the one that is known here. Where
-    /// neither has one, the first is waited for: nothing can be submitted before enough members vote, so a group that
-    /// has just come up answers before it has any.
+    /// Returns the last version of a document: the group's if it answers in time, else the one that
+    /// is known here. If neither has one, waits for the first version. Nothing can be submitted
+    /// before enough members vote, so a group that has just started answers reads before it holds
+    /// any document.
     pub async fn document(&self, kind: DocumentKind) -> Option<Document> {
         let answered = tokio::time::timeout(ANSWER_TIMEOUT, self.until_read(READ_INTERVAL)).await;
         if answered.is_err() {
             tracing::warn!(
                 ?kind,
-                "the group cannot be asked: what is known here may be old"
+                "the group does not answer: the version that is known here may be outdated"
             );
         }
         if let Some(known) = self.known_document(kind) {
             return Some(known);
         }
-        tracing::info!(?kind, "the group holds no version yet: waits for the first");
+        tracing::info!(
+            ?kind,
+            "the group holds no version yet: waiting for the first one"
+        );
         let first_version = self.until_first_version(kind);
         let first = tokio::time::timeout(FIRST_VERSION_TIMEOUT, first_version).await;
         if first.is_err() {
-            tracing::warn!(?kind, "the group has been given no version in time");
+            tracing::warn!(?kind, "no first version of the document arrived in time");
         }
         self.known_document(kind)
     }
@@ -50,7 +55,8 @@
         }
     }
 
-    /// Returns once a version of the document is known here, or never will be: the group's part has ended.
+    /// Returns once a version of the document is known here, or the group's thread has ended and
+    /// none will be.
     async fn until_first_version(&self, kind: DocumentKind) {
         let _ = self
             .view()
@@ -58,17 +64,18 @@
             .await;
     }
 
-    /// Submits what was accepted here, until the group has it or a later one. At a start (`at_start`) the group's own is
-    /// left as it is: a file that was forgotten on one machine is no new version.
+    /// Submits a document that was accepted here, until the group holds it or a later one. At
+    /// startup (`at_start`) a version that the group already holds is kept, because an outdated
+    /// file on one machine is not a new version.
     pub async fn submit_document(self, kind: DocumentKind, bytes: Vec<u8>, at_start: bool) {
         if bytes.len() > MAX_DOCUMENT {
             return tracing::warn!(
                 ?kind,
                 bytes = bytes.len(),
-                "too large to be stored by the group"
+                "document is too large for the group: not submitted"
             );
         }
-        // What the group holds has to be known before anything is compared with it.
+        // The group's current version must be known before this one is compared with it.
         self.until_read(SUBMIT_INTERVAL).await;
         loop {
             let present = self.known_document(kind);
@@ -78,7 +85,7 @@
                     return tracing::warn!(
                         ?kind,
                         number = present.number,
-                        "differs from the group's last accepted"
+                        "local file differs from the group's last accepted version: not submitted"
                     );
                 }
                 _ => {}
@@ -92,7 +99,7 @@
                     return tracing::info!(?kind, number, "stored by the group");
                 }
                 CallResult::Done(Outcome::Refused, _) => {
-                    return tracing::warn!(?kind, "refused by the group");
+                    return tracing::warn!(?kind, "the group refused the document");
                 }
                 _ => tokio::time::sleep(SUBMIT_INTERVAL).await,
             }
--- a/src/group/error.rs
+++ b/src/group/error.rs
@@ -1,29 +1,29 @@
-//! Why the group's part of an ingress cannot start.
+//! Errors that prevent an ingress from joining its group.
 
 use super::cached_replica::CachedReplicaError;
 use super::store::StoreError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the group's part cannot start.
+/// Why this ingress cannot join its group.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupError {
-    /// A member's folder cannot be used.
+    /// The member's folder cannot be used.
     #[error("group.folder: {0}")]
     Folder(#[from] StoreError),
-    /// The link's address cannot be listened on.
+    /// The address for links cannot be bound.
     #[error("group.listen: {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// This ingress is no member.
+    /// This ingress is not listed as a member.
     #[error("group.members: {0} is not among them")]
     Name(String),
-    /// A field that a member needs, and the member.
+    /// A field that a member needs is missing; carries the field and the member's name.
     #[error("group.{0} is missing: {1} is a member")]
     Missing(&'static str, String),
-    /// A follower's folder cannot be used.
+    /// The follower's folder cannot be used.
     #[error("group.folder: {0}: {1}")]
     CachedReplica(PathBuf, CachedReplicaError),
-    /// The system gives no thread or socket.
+    /// The operating system refused a thread or a socket.
     #[error("group: {0}")]
     System(#[from] std::io::Error),
 }
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -1,6 +1,6 @@
-//! The task of a follower, on the group's thread: it carries frames and time to the follower, and away what follows from
-//! them. It owns the one connection to a member. It must never have more than one, or make a call wait for a member that
-//! is gone.
+//! The task of a follower, which runs on the group's thread. Passes frames and the time to the
+//! follower, and carries out what the follower asks for. Owns the one connection to a member: there
+//! is never a second one, and no call waits for a member that has disconnected.
 
 use super::cached_replica::{CachedReplica, ReplicaWriter};
 use super::call::{CallResult, MembershipStatus, Request, View};
@@ -16,9 +16,9 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::MissedTickBehavior;
 
-/// How often the follower gets the time.
+/// Interval between two ticks of the follower.
 const TICK: Duration = Duration::from_millis(50);
-/// Link events that wait for the task.
+/// Most link events that are queued for the task.
 const MAX_QUEUED_EVENTS: usize = 256;
 
 /// The task of a follower.
@@ -26,22 +26,22 @@
     settings: GroupSettings,
     identity: Rc<LinkIdentity>,
     follower: Follower,
-    /// None: no connection is up.
+    /// `None` while no connection is up.
     sender: Option<Rc<LinkSender>>,
-    /// The connection's task; none: there is no connection, and none is being made.
+    /// The connection's task. `None` if there is no connection and none is being made.
     link: Option<AbortHandle>,
     link_statistics: Rc<LinkStatistics>,
-    /// By the follower's number.
+    /// Calls without a result so far, by the follower's call number.
     waiting_calls: BTreeMap<u64, oneshot::Sender<CallResult>>,
     view: watch::Sender<View>,
-    /// None: it has no folder.
+    /// `None` without a folder.
     writer: Option<ReplicaWriter>,
     clock: Clock,
     logged_ms: f64,
 }
 
 impl FollowerTask {
-    /// A follower that goes on with the copy of an earlier start, if it has a folder with one.
+    /// Creates a follower that starts with the copy of an earlier run, if its folder holds one.
     pub(super) fn new(
         settings: GroupSettings,
         name: String,
@@ -88,38 +88,38 @@
         loop {
             tokio::select! {
                 _ = tick.tick() => {}
-                Some(event) = events.recv() => self.take_event(event),
+                Some(event) = events.recv() => self.handle_event(event),
                 request = requests.recv() => match request {
                     Some(request) => self.answer(request),
                     None => return Ok(()),
                 },
             }
-            self.pass_time();
+            self.on_tick();
             self.open_link(&event_sender);
             self.send_frames();
             self.publish_copy();
-            self.end_calls();
+            self.complete_calls();
         }
     }
 
-    fn take_event(&mut self, event: FollowerLinkEvent) {
+    fn handle_event(&mut self, event: FollowerLinkEvent) {
         let now_ms = self.clock.now_ms();
         match event {
             FollowerLinkEvent::Up { sender, group } => {
                 self.sender = Some(sender);
                 self.follower.connected(now_ms, group);
-                tracing::info!(member = self.follower.next_member().0, "follows");
+                tracing::info!(member = self.follower.next_member().0, "following member");
             }
             FollowerLinkEvent::Frame(frame) => self.follower.receive(now_ms, *frame),
             FollowerLinkEvent::Down => self.drop_link(),
         }
     }
 
-    fn pass_time(&mut self) {
+    fn on_tick(&mut self) {
         let now_ms = self.clock.now_ms();
         self.follower.tick(now_ms);
         if self.follower.leaves_stale_member(now_ms) {
-            tracing::info!("the member's copy is old: follows another one");
+            tracing::info!("the member's replica is stale: switching to another member");
             self.end_link();
         }
         if now_ms - self.logged_ms > STATISTICS_INTERVAL_MS {
@@ -137,11 +137,11 @@
             member,
             applied = self.follower.replica().applied,
             age_ms = self.follower.age_ms(now_ms).map(f64::round),
-            "beside the group"
+            "follower statistics"
         );
     }
 
-    /// Connects to the member that the follower has chosen, once it is time.
+    /// Connects to the member that the follower has chosen, once its backoff has passed.
     fn open_link(&mut self, events: &mpsc::Sender<FollowerLinkEvent>) {
         let (member, connect_at_ms) = self.follower.next_member();
         if self.link.is_some() || self.clock.now_ms() < connect_at_ms {
@@ -160,7 +160,7 @@
         self.link = Some(link.abort_handle());
     }
 
-    /// Ends the link. False: there was none.
+    /// Ends the link. Returns false if there was none.
     fn end_link(&mut self) -> bool {
         self.sender = None;
         self.link.take().inspect(AbortHandle::abort).is_some()
@@ -181,21 +181,23 @@
         }
     }
 
-    /// Shows the rest of the ingress a replica that has changed, and has it written. It does not wait for the disk, which
-    /// may be slow: a follower that crashes in between starts with the copy before.
+    /// Publishes a replica that has changed, and queues it for the disk. Does not wait for the
+    /// disk, which may be slow: a follower that crashes before the write restarts with the previous
+    /// copy.
     fn publish_copy(&mut self) {
         if !self.follower.changed() {
             return;
         }
         let copy = self.follower.replica();
-        // Before it is shown: what is shown and not stored yet must not count as stored.
+        // Queued before it is published: an index that is visible but not written must not be
+        // reported as stored.
         if let Some(writer) = &mut self.writer {
             writer.store(copy.clone());
         }
         self.view.send_replace(view_of(copy));
     }
 
-    fn end_calls(&mut self) {
+    fn complete_calls(&mut self) {
         for (number, answered) in self.follower.ended() {
             let Some(answer) = self.waiting_calls.remove(&number) else {
                 continue;
@@ -238,14 +240,15 @@
         }
     }
 
-    /// Up to which index of the log the copy on the disk holds everything; none: nothing is on a disk.
+    /// Returns the log index up to which the copy on the disk is complete, or `None` if nothing is
+    /// on the disk.
     fn stored(&self) -> Option<u64> {
         let applied = self.follower.replica().applied;
         self.writer.as_ref()?.stored(applied)
     }
 }
 
-/// A replica as the rest of the ingress sees it.
+/// Converts a replica to the view that the rest of the ingress reads.
 fn view_of(copy: &Replica) -> View {
     View {
         excluded: Arc::new(copy.excluded.clone()),
--- a/src/group/link/error.rs
+++ b/src/group/link/error.rs
@@ -1,68 +1,68 @@
-//! Why a link between ingresses could not be made, or has ended: what is logged, and by which name it is counted.
+//! Errors of links between ingresses: the texts that are logged, and the names by which they are counted.
 
 use driftgap_group::{FrameError, HelloError};
 
-/// Why a link could not be made, or has ended.
+/// Why a link could not be opened, or has ended.
 #[derive(Debug, thiserror::Error)]
 pub(in crate::group) enum LinkError {
-    /// The other side did not take the connection.
-    #[error("no connection in time")]
+    /// The peer did not accept the connection.
+    #[error("connect timed out")]
     ConnectTimeout,
-    /// The side that connected sent no greeting, or not all of it.
-    #[error("no greeting in time")]
+    /// The connecting peer sent no complete hello.
+    #[error("no hello in time")]
     GreetingTimeout,
-    /// The side that connected sent something else.
-    #[error("no greeting")]
+    /// The connecting peer sent something other than a hello, or closed the connection.
+    #[error("no valid hello")]
     NoGreeting,
-    /// The other side took the connection and sent nothing.
+    /// The peer accepted the connection and sent no complete welcome.
     #[error("no welcome in time")]
     WelcomeTimeout,
-    /// The other side ended the connection instead of welcoming this one.
-    #[error("rejected")]
+    /// The peer closed the connection, or sent something other than a welcome.
+    #[error("rejected by the peer")]
     Rejected,
-    /// The other side is none that this one can speak with.
+    /// The peer's hello or welcome is not acceptable.
     #[error(transparent)]
     Hello(#[from] HelloError),
-    /// Bytes that are no frame.
+    /// The received bytes are not a valid frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The sender's greeting does not allow it to send such a frame.
-    #[error("speaks in another's name")]
+    /// The sender's hello does not allow it to send such a frame.
+    #[error("frame not allowed for this sender")]
     FrameNotAllowed,
-    /// A follower sent what only members send.
-    #[error("speaks as a member")]
+    /// A follower sent a frame that only members may send.
+    #[error("frame not allowed for a follower")]
     FollowerFrameNotAllowed,
-    /// A frame that trickles in for too long.
-    #[error("a frame that does not end")]
+    /// A frame took too long to arrive completely.
+    #[error("incomplete frame timed out")]
     FrameTimeout,
     /// The connection ended within a frame.
-    #[error("torn within a frame")]
+    #[error("connection ended within a frame")]
     TornFrame,
-    /// Nothing came, not even an idle frame.
-    #[error("silent")]
+    /// The peer sent nothing, not even an idle frame.
+    #[error("read timed out")]
     ReadTimeout,
-    /// The other side took nothing of what was sent.
-    #[error("it reads nothing")]
+    /// The peer read none of the bytes that were sent.
+    #[error("write timed out")]
     WriteTimeout,
-    /// This side gave up a follower: it reads too slowly, or there are too many.
-    #[error("reads nothing, or one too many")]
+    /// This member dropped a follower: it reads too slowly, or there are too many followers.
+    #[error("follower reads too slowly, or there are too many followers")]
     FollowerDropped,
-    /// More links are open than may be.
+    /// The most links that may be open are open already.
     #[error("too many links")]
     TooManyLinks,
-    /// The other side ended the connection.
-    #[error("ended by the other side")]
+    /// The peer closed the connection.
+    #[error("closed by the peer")]
     Closed,
-    /// This ingress has been admitted since it greeted.
-    #[error("let in meanwhile: greets anew")]
+    /// This ingress has been admitted since it sent its hello.
+    #[error("admitted since the hello: reconnecting")]
     IncarnationChanged,
-    /// The system's.
+    /// An error of the operating system.
     #[error("{0}")]
     System(#[from] std::io::Error),
 }
 
 impl LinkError {
-    /// The name by which it is counted.
+    /// Returns the name under which the error is counted.
     pub(super) fn cause(&self) -> &'static str {
         match self {
             LinkError::ConnectTimeout => "connect_timeout",
--- a/src/group/link/event.rs
+++ b/src/group/link/event.rs
@@ -1,40 +1,40 @@
-//! What links report to the task that has them.
+//! Events that links report to the task that owns them.
 
 use super::LinkSender;
 use driftgap_group::Frame;
 use std::rc::Rc;
 
-/// What a member's links report.
+/// An event of a member's links.
 pub(in crate::group) enum LinkEvent {
-    /// An ingress has opened a link to this one.
-    Greeted { name: String, newest_format: u16 },
-    /// A frame over a link that another ingress has opened.
+    /// Another ingress has opened a link to this one.
+    HelloReceived { name: String, newest_format: u16 },
+    /// A frame arrived over a link that another ingress has opened.
     Frame {
         from: String,
-        /// As which the other side has greeted; 0: none.
+        /// The incarnation in the sender's hello; 0 if it has none.
         incarnation: u64,
         frame: Box<Frame>,
     },
-    /// The link to this member has ended: what was sent is lost.
-    Broken { name: String },
-    /// A connection has become a follower's.
+    /// The link to this member has ended, and frames in flight are lost.
+    Disconnected { name: String },
+    /// A follower has connected.
     FollowerConnected {
         connection: u64,
         name: String,
         sender: Rc<LinkSender>,
     },
-    /// A frame from a follower.
+    /// A frame arrived from a follower.
     FollowerFrame { connection: u64, frame: Box<Frame> },
     /// A follower's connection has ended.
-    FollowerGone { connection: u64 },
+    FollowerDisconnected { connection: u64 },
 }
 
-/// What a follower's one link reports.
+/// An event of a follower's one link.
 pub(in crate::group) enum FollowerLinkEvent {
-    /// It is up, to a member of this group.
+    /// The link to a member of this group is up.
     Up { sender: Rc<LinkSender>, group: u64 },
-    /// A frame from the member.
+    /// A frame arrived from the member.
     Frame(Box<Frame>),
-    /// It could not be made, or has ended.
+    /// The link could not be opened, or has ended.
     Down,
 }
--- a/src/group/link/frame_reader.rs
+++ b/src/group/link/frame_reader.rs
@@ -1,5 +1,6 @@
-//! The reading end of a connection: frames within their bounds of size and time. A peer that sends nothing, or a frame
-//! that trickles in, would occupy one of the bounded number of links for ever.
+//! The reading end of a connection: reads frames within bounds of size and time. Without the time
+//! bound a peer that sends nothing, or a frame byte by byte, would occupy one of the limited number
+//! of links forever.
 
 use super::error::LinkError;
 use super::PEER_TIMEOUT;
@@ -10,11 +11,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// A frame has so long in all.
+/// Most time from the first bytes of a frame to its end.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
-/// Memory beyond this is given back once a large frame is taken, bytes.
+/// Buffer capacity that is kept after a large frame, bytes; a larger buffer is freed.
 const RETAINED_BUFFER: usize = 64 << 10;
-/// Before the body of a frame: its length and its checksum.
+/// The header of a frame: the length and the checksum of the body.
 const HEADER_BYTES: usize = 8;
 const LENGTH_BYTES: usize = 4;
 
@@ -22,15 +23,15 @@
 #[derive(Default)]
 pub(super) struct FrameReader {
     bytes: Vec<u8>,
-    /// When the first bytes of a frame that is not whole yet came.
+    /// When the first bytes of the incomplete frame in `bytes` arrived.
     frame_began: Option<Instant>,
 }
 
 impl FrameReader {
-    /// The next frame; none: the connection has ended where it may.
+    /// Returns the next frame, or `None` if the connection has ended between two frames.
     ///
     /// # Errors
-    /// Bytes that are no frame, a frame that does not end, or silence.
+    /// Returns an error for an invalid frame, a frame that takes too long, or a read timeout.
     pub(super) async fn next(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
@@ -39,12 +40,12 @@
             if let Some(frame) = self.take_frame()? {
                 return Ok(Some(frame));
             }
-            self.judge_time()?;
+            self.check_frame_timeout()?;
             match timeout(PEER_TIMEOUT, reader.read_buf(&mut self.bytes)).await {
                 Ok(Ok(0)) if self.bytes.is_empty() => return Ok(None),
                 Ok(Ok(0)) => return Err(LinkError::TornFrame),
                 Ok(Ok(_)) => {}
-                // A reset: the other side connects again.
+                // A connection reset counts as an end: the peer reconnects.
                 Ok(Err(_)) => return Ok(None),
                 Err(_) => return Err(LinkError::ReadTimeout),
             }
@@ -63,7 +64,7 @@
         Ok(Some(frame))
     }
 
-    fn judge_time(&mut self) -> Result<(), LinkError> {
+    fn check_frame_timeout(&mut self) -> Result<(), LinkError> {
         if self.bytes.is_empty() {
             return Ok(());
         }
@@ -75,7 +76,8 @@
     }
 }
 
-/// The first frame of a connection, and no byte behind it: that is the link's. None: there is none.
+/// Reads the first frame of a connection and not a byte more, since the following bytes belong to
+/// the link. `None` if there is no valid frame.
 pub(super) async fn read_first<T: DeserializeOwned>(stream: &mut TcpStream) -> Option<T> {
     let mut bytes = Vec::with_capacity(64);
     loop {
@@ -91,7 +93,8 @@
     }
 }
 
-/// How many bytes the frame lacks at least, as far as its length is known.
+/// Returns how many bytes of the frame are missing: up to the end of the header while its length is
+/// unknown.
 fn missing_bytes(bytes: &[u8]) -> u64 {
     let frame_bytes = match bytes.first_chunk::<LENGTH_BYTES>() {
         Some(length) if bytes.len() >= HEADER_BYTES => {
--- a/src/group/link/identity.rs
+++ b/src/group/link/identity.rs
@@ -1,55 +1,58 @@
-//! What an ingress says of itself when it greets, and judges greetings by.
+//! How an ingress identifies itself in the handshake of a link, and checks the identity of its
+//! peer.
 
 use driftgap_group::{FormatRange, Hello, HelloError, Welcome};
 use std::cell::Cell;
 
-/// Who this ingress is to the others. Its task changes it when the ingress is admitted, and all links see that.
+/// The identity of this ingress, shared by all its links. The owning task updates it when the
+/// ingress is admitted.
 #[derive(Clone, Debug, Default)]
 pub(in crate::group) struct LinkIdentity {
     pub(in crate::group) name: String,
-    /// 0: in none yet.
+    /// The group; 0 if it is not known yet.
     pub(in crate::group) group: Cell<u64>,
-    /// 0: a follower, or not admitted yet.
+    /// The incarnation; 0 for a follower, or before admission.
     pub(in crate::group) incarnation: Cell<u64>,
     /// The group's format version.
     pub(in crate::group) format: Cell<u16>,
-    /// The newest one that this ingress speaks.
+    /// The newest format version that this ingress supports.
     pub(in crate::group) newest_format: u16,
 }
 
 impl LinkIdentity {
-    /// The greeting to the member of this name.
+    /// Returns the hello for the member named `to`.
     pub(super) fn hello(&self, to: &str) -> Hello {
         let (group, incarnation) = (self.group.get(), self.incarnation.get());
         Hello::new(self.newest_format, group, incarnation, &self.name, to)
     }
 
-    /// The format version to be spoken with whoever sent this greeting.
+    /// Checks a hello, and returns the format version for the link.
     ///
     /// # Errors
-    /// Why the greeting is not taken.
-    pub(super) fn judge_hello(&self, hello: &Hello) -> Result<u16, HelloError> {
-        let spoken = FormatRange {
+    /// Returns why the hello is not accepted.
+    pub(super) fn check_hello(&self, hello: &Hello) -> Result<u16, HelloError> {
+        let supported = FormatRange {
             oldest: self.format.get(),
             newest: self.newest_format,
         };
-        hello.negotiate_format(spoken, self.group.get(), &self.name)
+        hello.negotiate_format(supported, self.group.get(), &self.name)
     }
 
-    /// The answer to a greeting that was taken.
-    pub(super) fn welcome(&self, form: u16) -> Welcome {
+    /// Returns the answer to an accepted hello.
+    pub(super) fn welcome(&self, format_version: u16) -> Welcome {
         Welcome {
-            format_version: form,
+            format_version,
             group: self.group.get(),
             id: self.incarnation.get(),
         }
     }
 
-    /// Judges the answer to a greeting that was sent by this ingress when it was in `group`.
+    /// Checks the answer to a hello that this ingress sent when it was in `group`.
     ///
     /// # Errors
-    /// The other side is of another group, or an older program than the group allows.
-    pub(super) fn judge_welcome(&self, welcome: &Welcome, group: u64) -> Result<(), HelloError> {
+    /// Returns an error if the peer is in another group, or runs an older program than the group
+    /// allows.
+    pub(super) fn check_welcome(&self, welcome: &Welcome, group: u64) -> Result<(), HelloError> {
         if group != 0 && welcome.group != 0 && welcome.group != group {
             return Err(HelloError::OtherGroup);
         }
--- a/src/group/link/incoming.rs
+++ b/src/group/link/incoming.rs
@@ -18,14 +18,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Most followers of one member; the next one goes to another.
+/// Most followers of one member; a further follower connects to another member.
 pub(in crate::group) const MAX_FOLLOWERS: usize = 160;
-/// Most links that others have opened to this member: members, and followers.
+/// Most links that other members and followers may have open to this member.
 const MAX_LINKS: usize = 64 + MAX_FOLLOWERS;
-/// After an accept that failed, as where descriptors have run out.
+/// Pause after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Takes in links that other ingresses open.
+/// Accepts links from other ingresses.
 pub(in crate::group) async fn listen(
     listener: TcpListener,
     identity: Rc<LinkIdentity>,
@@ -38,7 +38,7 @@
         let (stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(e) => {
-                tracing::warn!(error = %e, "accept, links");
+                tracing::warn!(error = %e, "cannot accept a link; retrying");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Reads the link until it ends; an error is a link that has done what none may.
+    /// Reads the link until it ends. Returns an error if the peer violates the protocol or a timeout.
     async fn run(&self, mut stream: TcpStream) -> Result<(), LinkError> {
         let _ = stream.set_nodelay(true);
-        let hello = self.greet(&mut stream).await?;
+        let hello = self.receive_hello(&mut stream).await?;
         let (mut reader, writer) = stream.into_split();
         let mut frames = FrameReader::default();
         while let Some(frame) = frames.next(&mut reader).await? {
@@ -90,7 +90,7 @@
                 return Err(LinkError::FrameNotAllowed);
             }
             if matches!(frame, Frame::Follow { .. }) {
-                // From here on this connection is a follower's, both ways.
+                // This frame makes the connection a follower's, in both directions.
                 return self
                     .run_follower(hello.name, frame, frames, reader, writer)
                     .await;
@@ -107,19 +107,19 @@
         Ok(())
     }
 
-    /// Takes the greeting, and answers it.
-    async fn greet(&self, stream: &mut TcpStream) -> Result<Hello, LinkError> {
+    /// Receives the hello and answers it.
+    async fn receive_hello(&self, stream: &mut TcpStream) -> Result<Hello, LinkError> {
         let hello = timeout(PEER_TIMEOUT, read_first::<Hello>(stream))
             .await
             .map_err(|_| LinkError::GreetingTimeout)?
             .ok_or(LinkError::NoGreeting)?;
-        let form = self.identity.judge_hello(&hello)?;
-        let greeted = LinkEvent::Greeted {
+        let format_version = self.identity.check_hello(&hello)?;
+        let received = LinkEvent::HelloReceived {
             name: hello.name.clone(),
             newest_format: hello.formats.newest,
         };
-        self.report(greeted).await;
-        let welcome = self.identity.welcome(form);
+        self.report(received).await;
+        let welcome = self.identity.welcome(format_version);
         write_all(stream, &welcome.bytes()).await?;
         Ok(hello)
     }
@@ -148,7 +148,8 @@
             ended = sender.write_queue(&mut writer, not_dropped) => ended,
             ended = self.read_follower(&mut frames, &mut reader) => ended,
         };
-        self.report(LinkEvent::FollowerGone { connection }).await;
+        self.report(LinkEvent::FollowerDisconnected { connection })
+            .await;
         if task_runs {
             ended
         } else {
@@ -181,7 +182,7 @@
         self.report(event).await
     }
 
-    /// False: the member's task has ended.
+    /// Reports an event. Returns false if the member's task has ended.
     async fn report(&self, event: LinkEvent) -> bool {
         self.events.send(event).await.is_ok()
     }
--- a/src/group/link/mod.rs
+++ b/src/group/link/mod.rs
@@ -1,6 +1,7 @@
-//! The links between ingresses: one connection a direction between members, on which the one who connects writes, and
-//! one connection both ways between a follower and its member. A member that does not read costs no more than a bound of
-//! memory, no frame is taken from somebody who has not greeted, and one link's fault never reaches another.
+//! Links between ingresses. Two members have one connection for each direction, on which the side
+//! that connected writes. A follower and its member share one connection for both directions. A
+//! peer that does not read costs a bounded amount of memory, no frame is accepted before a valid
+//! hello, and a fault of one link does not affect another.
 
 mod error;
 mod event;
@@ -20,5 +21,6 @@
 
 use std::time::Duration;
 
-/// How long the other side has for its greeting, for the rest of what it has begun, and to read what it is sent.
+/// Timeout for connecting, for the peer's part of the handshake, for each read, and for the peer to
+/// read what is sent.
 const PEER_TIMEOUT: Duration = Duration::from_millis(2500);
--- a/src/group/link/outgoing.rs
+++ b/src/group/link/outgoing.rs
@@ -1,4 +1,5 @@
-//! Links that this ingress opens: to each other member, or a follower's one to its member.
+//! Links that this ingress opens: one to each other member, or a follower's single link to its
+//! member.
 
 use super::error::LinkError;
 use super::event::{FollowerLinkEvent, LinkEvent};
@@ -17,9 +18,10 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Between two attempts to connect, at first; doubles with each.
+/// Pause before reconnecting after a connection that lasted longer than [`PEER_TIMEOUT`]; doubles with
+/// each connection or attempt that ends sooner.
 const FIRST_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// The same at most.
+/// Longest pause between two attempts to connect.
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(1000);
 
 /// The link to one member.
@@ -30,7 +32,7 @@
 }
 
 impl MemberLink {
-    /// Opens the link, and again whenever it ends, until [`MemberLink::end`].
+    /// Opens the link, and reconnects whenever it ends, until [`MemberLink::end`].
     pub(in crate::group) fn open(
         identity: Rc<LinkIdentity>,
         to: String,
@@ -52,28 +54,29 @@
         }
     }
 
-    /// Sends a frame; false: it is lost.
+    /// Sends a frame. Returns false if the frame is dropped.
     pub(in crate::group) fn send(&self, frame: &Frame) -> bool {
         self.sender.send(frame)
     }
 
-    /// Whether it is up.
+    /// Whether the link is up.
     pub(in crate::group) fn is_up(&self) -> bool {
         self.sender.is_up()
     }
 
-    /// Whether it has been up for longer than a sound one takes to be heard.
+    /// Whether the link has been up for long enough that a healthy link has delivered frames.
     pub(in crate::group) fn is_established(&self) -> bool {
         self.sender.is_established()
     }
 
-    /// Ends it: the member is none any more, or another link takes its place.
+    /// Ends the link for good, because the other ingress is no longer a member or another link
+    /// replaces this one.
     pub(in crate::group) fn end(&self) {
         self.task.abort();
     }
 }
 
-/// Whom to connect to, and as whom.
+/// Connects to one member under this ingress's identity.
 struct Connector {
     identity: Rc<LinkIdentity>,
     to: String,
@@ -81,7 +84,7 @@
 }
 
 impl Connector {
-    /// A connection to the member, which has welcomed this ingress.
+    /// Connects to the member and completes the handshake.
     async fn connect(&self) -> Result<(TcpStream, Welcome), LinkError> {
         let connecting = timeout(PEER_TIMEOUT, TcpStream::connect(self.address));
         let mut stream = connecting.await.map_err(|_| LinkError::ConnectTimeout)??;
@@ -92,7 +95,7 @@
             .await
             .map_err(|_| LinkError::WelcomeTimeout)?
             .ok_or(LinkError::Rejected)?;
-        self.identity.judge_welcome(&welcome, hello.group)?;
+        self.identity.check_welcome(&welcome, hello.group)?;
         Ok((stream, welcome))
     }
 
@@ -107,7 +110,7 @@
     }
 }
 
-/// Connects again and again. A connection that lasted for a while is made anew at once; otherwise the pause doubles.
+/// Keeps one connection open by reconnecting, with an exponential backoff between the attempts.
 async fn keep_connected(
     connector: Connector,
     sender: Rc<LinkSender>,
@@ -117,11 +120,11 @@
     loop {
         let began = Instant::now();
         if let Err(error) = run_member_link(&connector, &sender).await {
-            connector.log_end(&error, "link");
+            connector.log_end(&error, "member link ended");
         }
         sender.close();
         let name = connector.to.clone();
-        let _ = events.send(LinkEvent::Broken { name }).await;
+        let _ = events.send(LinkEvent::Disconnected { name }).await;
         pause = if began.elapsed() > PEER_TIMEOUT {
             FIRST_RECONNECT_PAUSE
         } else {
@@ -131,26 +134,28 @@
     }
 }
 
-/// One connection to a member, until it ends.
+/// Runs one connection to a member until it ends.
 async fn run_member_link(connector: &Connector, sender: &LinkSender) -> Result<(), LinkError> {
     let identity = &connector.identity;
-    let greeted_as = (identity.group.get(), identity.incarnation.get());
+    let connected_as = (identity.group.get(), identity.incarnation.get());
     let (mut stream, _) = connector.connect().await?;
     sender.set_up();
     let (mut reader, mut writer) = stream.split();
-    let same_identity = || match (identity.group.get(), identity.incarnation.get()) == greeted_as {
+    let same_identity = || match (identity.group.get(), identity.incarnation.get()) == connected_as
+    {
         true => Ok(()),
         false => Err(LinkError::IncarnationChanged),
     };
     let mut unexpected = [0; 64];
     tokio::select! {
         ended = sender.write_queue(&mut writer, same_identity) => ended,
-        // Nothing is sent this way: an end, or noise.
+        // The peer sends nothing in this direction: a read returns at the end of the connection or
+        // with invalid data.
         _ = reader.read(&mut unexpected) => Err(LinkError::Closed),
     }
 }
 
-/// A follower's one connection to a member, until it ends.
+/// Runs a follower's one connection to a member until it ends.
 pub(in crate::group) async fn follow(
     identity: Rc<LinkIdentity>,
     to: String,
@@ -164,7 +169,7 @@
         address,
     };
     if let Err(error) = run_follower_link(&connector, &events, statistics).await {
-        connector.log_end(&error, "follower's link");
+        connector.log_end(&error, "follower link ended");
     }
     let _ = events.send(FollowerLinkEvent::Down).await;
 }
--- a/src/group/link/sender.rs
+++ b/src/group/link/sender.rs
@@ -11,9 +11,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection on which nothing is to be sent carries an idle frame this often: silence means that it is broken.
+/// Interval between idle frames on a connection with nothing to send, so that its peer can detect a
+/// broken connection by a read timeout.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Bytes that wait for one reader at most. Frames beyond are dropped: the group's messages may be lost on any link.
+/// Most bytes that are queued for one connection. Frames beyond that are dropped, which the
+/// protocol tolerates.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 /// Queues frames for one connection.
@@ -26,7 +28,7 @@
 }
 
 impl LinkSender {
-    /// For a connection that is not up yet.
+    /// Creates the sender of a connection that is not up yet.
     pub(super) fn down(statistics: Rc<LinkStatistics>) -> Rc<LinkSender> {
         Rc::new(LinkSender {
             queue: RefCell::default(),
@@ -37,14 +39,14 @@
         })
     }
 
-    /// For a connection that is up.
+    /// Creates the sender of a connection that is up.
     pub(super) fn up(statistics: Rc<LinkStatistics>) -> Rc<LinkSender> {
         let sender = LinkSender::down(statistics);
         sender.set_up();
         sender
     }
 
-    /// The connection is up.
+    /// Marks the connection as up.
     pub(super) fn set_up(&self) {
         self.up.set(true);
         self.up_since.set(Some(Instant::now()));
@@ -54,13 +56,15 @@
         self.up.get()
     }
 
-    /// Whether the connection has been up for longer than a sound one takes to be heard.
+    /// Whether the connection has been up for long enough that a healthy connection has delivered
+    /// frames.
     pub(super) fn is_established(&self) -> bool {
         let since = self.up_since.get();
         self.is_up() && since.is_some_and(|since| since.elapsed() > PEER_TIMEOUT)
     }
 
-    /// Queues a frame, if the connection is up and its reader keeps up; false: the frame is lost.
+    /// Queues a frame. Returns false if the frame is dropped because the connection is down or the
+    /// queue is full.
     pub(in crate::group) fn send(&self, frame: &Frame) -> bool {
         let bytes = frame.bytes();
         let mut queue = self.queue.borrow_mut();
@@ -73,24 +77,25 @@
         true
     }
 
-    /// Closes the connection; what is queued is lost.
+    /// Closes the connection. Queued frames are lost.
     pub(in crate::group) fn close(&self) {
         self.up.set(false);
         *self.queue.borrow_mut() = Vec::new();
         self.queued.notify_one();
     }
 
-    /// Writes what is queued, and idle frames where nothing is, until `may_go_on` gives an error or the write does.
+    /// Writes queued frames, and idle frames while the queue is empty, until `check_open` or a write
+    /// fails.
     ///
     /// # Errors
-    /// Why it ended.
+    /// Returns why the link ended.
     pub(super) async fn write_queue(
         &self,
         writer: &mut (impl AsyncWrite + Unpin),
-        may_go_on: impl Fn() -> Result<(), LinkError>,
+        check_open: impl Fn() -> Result<(), LinkError>,
     ) -> Result<(), LinkError> {
         loop {
-            may_go_on()?;
+            check_open()?;
             let bytes = std::mem::take(&mut *self.queue.borrow_mut());
             if !bytes.is_empty() {
                 self.statistics.count_sent(bytes.len());
@@ -105,10 +110,10 @@
     }
 }
 
-/// Writes all bytes, as long as the reader takes some of them within each timeout.
+/// Writes all bytes, with a timeout for each partial write.
 ///
 /// # Errors
-/// It took none in time, or the connection has ended.
+/// Returns an error if the peer reads nothing in time, or the connection has ended.
 pub(super) async fn write_all(
     writer: &mut (impl AsyncWrite + Unpin),
     mut bytes: &[u8],
--- a/src/group/link/statistics.rs
+++ b/src/group/link/statistics.rs
@@ -1,10 +1,10 @@
-//! What is counted of links since the start, for the log.
+//! Counters of links since the start, for the log.
 
 use super::error::LinkError;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Debug, Default)]
 pub(in crate::group) struct LinkStatistics {
     pub(in crate::group) refused: Refusals,
@@ -22,22 +22,22 @@
     }
 }
 
-/// Links that were refused, by cause.
+/// Number of refused links by cause.
 #[derive(Debug, Default)]
 pub(in crate::group) struct Refusals(RefCell<BTreeMap<&'static str, u64>>);
 
 impl Refusals {
-    /// Counts one.
+    /// Counts one refused link.
     pub(super) fn add(&self, error: &LinkError) {
         *self.0.borrow_mut().entry(error.cause()).or_default() += 1;
     }
 
-    /// Of all causes.
+    /// Returns the number of refused links of all causes.
     pub(in crate::group) fn total(&self) -> u64 {
         self.0.borrow().values().sum()
     }
 
-    /// As `cause=number`, separated by spaces.
+    /// Formats the counts as `cause=number`, separated by spaces.
     pub(in crate::group) fn by_cause(&self) -> String {
         let counts = self.0.borrow();
         let words: Vec<String> = counts
--- a/src/group/member_task/disk.rs
+++ b/src/group/member_task/disk.rs
@@ -1,21 +1,22 @@
-//! The thread that writes a member's folder. It may hang for as long as the disk does: the member goes on taking
-//! messages, and a leader whose disk hangs gives leadership away.
+//! The thread that writes a member's folder. A write may hang for as long as the disk does.
+//! Meanwhile the member keeps receiving messages, and a leader hands leadership over if the write
+//! takes too long.
 
 use crate::group::store::{Identity, Store, StoreError};
 use driftgap_group::{StoredMember, WriteJob};
 use tokio::sync::mpsc;
 
-/// How a job ended.
+/// The result of a write job.
 pub(super) type JobResult = Result<(), StoreError>;
 
-/// Jobs that may have ended before the member's task looks.
+/// Most results that are queued until the member's task reads them.
 const MAX_RESULTS: usize = 4;
 
-/// The way to the disk's thread, which ends when this is dropped.
+/// A handle to the disk thread, which ends when this is dropped.
 pub(super) struct Disk {
     jobs: std::sync::mpsc::Sender<WriteJob>,
     results: mpsc::Receiver<JobResult>,
-    /// Since when it has a job to do, ms.
+    /// When the current job was handed over, ms; `None` while the thread is idle.
     busy_since_ms: Option<f64>,
 }
 
@@ -38,12 +39,12 @@
         self.busy_since_ms.is_some()
     }
 
-    /// How long its job has taken so far, ms.
+    /// How long the current job has taken so far, ms.
     pub(super) fn busy_ms(&self, now_ms: f64) -> f64 {
         self.busy_since_ms.map_or(0.0, |since_ms| now_ms - since_ms)
     }
 
-    /// Hands it a job. False: the thread has ended.
+    /// Hands a job to the thread. Returns false if the thread has ended.
     pub(super) fn begin(&mut self, now_ms: f64, job: WriteJob) -> bool {
         let begun = self.jobs.send(job).is_ok();
         if begun {
@@ -52,7 +53,7 @@
         begun
     }
 
-    /// The next job that has ended; none: the thread has ended.
+    /// Waits for the result of the next job. `None` if the thread has ended.
     pub(super) async fn ended(&mut self) -> Option<JobResult> {
         let result = self.results.recv().await;
         if result.is_some() {
--- a/src/group/member_task/links.rs
+++ b/src/group/member_task/links.rs
@@ -1,4 +1,4 @@
-//! A member's links: which there are, and what they report.
+//! A member's links: opens and ends them, and handles their events.
 
 use super::{MemberTask, Participation};
 use crate::group::link::{LinkEvent, LinkSender, MemberLink, MAX_FOLLOWERS};
@@ -7,9 +7,10 @@
 use tokio::sync::mpsc;
 
 impl MemberTask {
-    /// A fault on the way may end a connection for one side only: the other one goes on to write to nobody, and the
-    /// link looks sound. The member at its other end reports that it does not hear this one; a link that had the time
-    /// to be heard is made anew then. True: there was one.
+    /// Ends links that look healthy but carry nothing: a network fault may end a connection on one
+    /// side only, and the other side keeps writing to it. The member at the other end reports that
+    /// it receives nothing from this one. A link that has been up long enough to deliver frames is
+    /// then ended, to be opened again. Returns true if a link was ended.
     pub(super) fn end_dead_links(&mut self) -> bool {
         let now_ms = self.clock.now_ms();
         let Participation::Active(peer) = &self.participation else {
@@ -21,21 +22,24 @@
             if !link.is_some_and(MemberLink::is_established) {
                 continue;
             }
-            tracing::warn!(to = name, "is not heard over its link: made anew");
+            tracing::warn!(
+                to = name,
+                "member receives nothing over its link: reconnecting"
+            );
             self.links.remove(&name).inspect(MemberLink::end);
             ended = true;
         }
         ended
     }
 
-    /// A link to everybody who is in the group or awaited, and to nobody else.
+    /// Keeps a link to each ingress that is a member or is to be admitted, and to no other.
     pub(super) fn reconcile_links(&mut self, events: &mpsc::Sender<LinkEvent>) {
         let Participation::Active(peer) = &self.participation else {
             return;
         };
         let others = peer.others();
         self.links.retain(|name, link| {
-            // A member that was admitted again may be at another address.
+            // A member that was admitted again may have another address.
             let address = others.get(name);
             let stays = address.is_some_and(|address| *address == link.address.to_string());
             if !stays {
@@ -59,13 +63,13 @@
         }
     }
 
-    pub(super) fn take_event(&mut self, event: LinkEvent) {
+    pub(super) fn handle_event(&mut self, event: LinkEvent) {
         let now_ms = self.clock.now_ms();
         let Participation::Active(peer) = &mut self.participation else {
             return;
         };
         match event {
-            LinkEvent::Greeted {
+            LinkEvent::HelloReceived {
                 name,
                 newest_format,
             } => peer.note_newest_format(&name, newest_format),
@@ -74,7 +78,7 @@
                 incarnation,
                 frame,
             } => peer.receive(now_ms, &from, incarnation, *frame),
-            LinkEvent::Broken { name } => peer.disconnected(&name),
+            LinkEvent::Disconnected { name } => peer.disconnected(&name),
             LinkEvent::FollowerConnected {
                 connection,
                 name,
@@ -87,7 +91,7 @@
                     self.drop_follower(connection);
                 }
             }
-            LinkEvent::FollowerGone { connection } => {
+            LinkEvent::FollowerDisconnected { connection } => {
                 self.followers.remove(&connection);
                 peer.follower_disconnected(connection);
             }
@@ -98,7 +102,7 @@
         if self.followers.len() >= MAX_FOLLOWERS {
             return sender.close();
         }
-        tracing::info!(name, "is followed by");
+        tracing::info!(name, "follower connected");
         self.followers.insert(connection, sender);
     }
 
--- a/src/group/member_task/mod.rs
+++ b/src/group/member_task/mod.rs
@@ -1,6 +1,7 @@
-//! The task of a member, on the group's thread: it carries frames, the ends of writes and time to the member, and away
-//! what follows from them. It owns their order: nothing that follows from a write goes out before the disk has it. It
-//! must never decide what the group agrees on, or go on as a member once its disk has failed.
+//! The task of a member, which runs on the group's thread. Passes frames, results of writes and the
+//! time to the member, and carries out what the member asks for. Guarantees the order of effects:
+//! nothing that depends on a write is sent before the write is on the disk. Leaves all decisions of
+//! the protocol to the member, and stops taking part once the disk has failed.
 
 mod disk;
 mod links;
@@ -22,23 +23,23 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::MissedTickBehavior;
 
-/// How often the member gets the time.
+/// Interval between two ticks of the member.
 const TICK: Duration = Duration::from_millis(25);
-/// A leader whose disk has not done a job for so long gives leadership away, ms.
-const DISK_HANGS_MS: f64 = 1500.0;
-/// Link events taken before the disk is written, so that one write serves many.
+/// A leader hands leadership over once a disk job takes longer than this, ms.
+const DISK_STALL_MS: f64 = 1500.0;
+/// Most link events that are handled before the next write, so that one write serves many events.
 const MAX_EVENTS_AT_ONCE: usize = 256;
-/// Link events that wait for the task.
+/// Most link events that are queued for the task.
 const MAX_QUEUED_EVENTS: usize = 1024;
 
-/// Whether this ingress takes part.
+/// Whether this ingress takes part in the group.
 enum Participation {
     Active(Box<Peer>),
-    /// It votes no more, and why: what it says could be wrong.
+    /// This ingress no longer votes, for the given reason, because its state may be wrong.
     Failed(String),
 }
 
-/// A call of the rest of the ingress without a result so far.
+/// A call from the rest of the ingress that has no result yet.
 struct WaitingCall {
     answer: oneshot::Sender<CallResult>,
     began: Instant,
@@ -55,18 +56,19 @@
     /// Followers, by connection.
     followers: BTreeMap<u64, Rc<LinkSender>>,
     view: watch::Sender<View>,
-    /// By the member's number.
+    /// Calls without a result so far, by the member's call number.
     waiting_calls: BTreeMap<u64, WaitingCall>,
     clock: Clock,
     logged_ms: f64,
-    /// The leader that was logged last; none: nothing was logged.
+    /// The leader that was logged last. `None` if no line about the leader was logged yet.
     logged_leader: Option<Option<String>>,
-    /// How long calls took that were done, ms.
+    /// Durations of the calls that were committed since the last line of statistics, ms.
     call_times_ms: Vec<f64>,
 }
 
 impl MemberTask {
-    /// A member with what its folder holds, or an ingress with an empty folder.
+    /// Creates the task from the member that the folder holds, or for an ingress with an empty
+    /// folder.
     pub(super) fn new(
         settings: GroupSettings,
         name: String,
@@ -103,7 +105,7 @@
         Ok(task)
     }
 
-    /// Links greet as the member that this is now.
+    /// Updates the identity with which links identify this ingress in their handshake.
     fn update_identity(&self) {
         if let Some(member) = self.member() {
             self.identity.group.set(member.group());
@@ -119,9 +121,12 @@
         }
     }
 
-    /// It votes no more: what it says could be wrong.
+    /// Stops taking part in the group, because the state of this member may be wrong.
     fn fail(&mut self, why: String) {
-        tracing::error!(why, "this member votes no more; commands are served on");
+        tracing::error!(
+            why,
+            "member failed and no longer votes; client requests are still served"
+        );
         self.participation = Participation::Failed(why);
         for (_, follower) in std::mem::take(&mut self.followers) {
             follower.close();
@@ -146,8 +151,8 @@
             let mut first_request = None;
             tokio::select! {
                 _ = tick.tick() => {}
-                Some(event) = events.recv() => self.take_event(event),
-                Some(result) = self.disk.ended() => self.take_job_result(result),
+                Some(event) = events.recv() => self.handle_event(event),
+                Some(result) = self.disk.ended() => self.handle_job_result(result),
                 request = requests.recv() => match request {
                     Some(request) => first_request = Some(request),
                     None => return Ok(()),
@@ -155,7 +160,7 @@
             }
             for _ in 0..MAX_EVENTS_AT_ONCE {
                 match events.try_recv() {
-                    Ok(event) => self.take_event(event),
+                    Ok(event) => self.handle_event(event),
                     Err(_) => break,
                 }
             }
@@ -165,7 +170,7 @@
             while let Ok(request) = requests.try_recv() {
                 self.answer(request);
             }
-            self.pass_time();
+            self.on_tick();
             let links_ended = self.end_dead_links();
             let state_changed = self.make_progress();
             if state_changed || links_ended {
@@ -189,8 +194,8 @@
         Ok(())
     }
 
-    /// The disk has done its job, or failed.
-    fn take_job_result(&mut self, result: JobResult) {
+    /// Handles the end of the disk's current job, or its failure.
+    fn handle_job_result(&mut self, result: JobResult) {
         let now_ms = self.clock.now_ms();
         let Participation::Active(peer) = &mut self.participation else {
             return;
@@ -207,19 +212,23 @@
         }
         if !was_member {
             self.update_identity();
-            tracing::info!(id = self.identity.incarnation.get(), "let into the group");
+            tracing::info!(
+                id = self.identity.incarnation.get(),
+                "admitted to the group"
+            );
         }
     }
 
-    fn pass_time(&mut self) {
+    fn on_tick(&mut self) {
         let now_ms = self.clock.now_ms();
         if let Participation::Active(peer) = &mut self.participation {
             peer.tick(now_ms);
-            // Calls wait for what the disk does not take; another member leads without that.
-            let disk_hangs = self.disk.busy_ms(now_ms) > DISK_HANGS_MS;
+            // Calls wait for a disk that makes no progress, and another leader can commit without
+            // it.
+            let disk_stalled = self.disk.busy_ms(now_ms) > DISK_STALL_MS;
             let leader = peer.member_mut().filter(|member| member.leads());
-            if let Some(member) = leader.filter(|_| disk_hangs) {
-                tracing::warn!("the disk hangs: gives leadership away");
+            if let Some(member) = leader.filter(|_| disk_stalled) {
+                tracing::warn!("disk write is stalled: handing leadership over");
                 member.step_down();
             }
         }
@@ -230,14 +239,15 @@
     }
 }
 
-/// The ingress as its folder has it; none loaded: the folder is empty. An error says why it cannot take part.
+/// Creates the peer from the loaded folder, or a joining one if the folder is empty (`loaded` is
+/// `None`). Returns the reason if the ingress cannot take part.
 fn peer(
     settings: Settings,
     loaded: Option<Result<StoredMember, StoreError>>,
 ) -> Result<Peer, String> {
     let unusable = |e: String| format!("its folder cannot be used: {e}");
     let Some(loaded) = loaded else {
-        tracing::info!("the folder is empty: asks to be let into the group");
+        tracing::info!("the folder is empty: requesting admission to the group");
         return Ok(Peer::joining(settings, random_id()));
     };
     let loaded = loaded.map_err(|e| unusable(e.to_string()))?;
@@ -247,7 +257,7 @@
         group = format!("{group:x}"),
         id,
         entries,
-        "member of the group"
+        "loaded the member from its folder"
     );
     Ok(peer)
 }
--- a/src/group/member_task/progress.rs
+++ b/src/group/member_task/progress.rs
@@ -1,16 +1,17 @@
-//! What follows from frames, writes and time: jobs for the disk, frames for the links, what the rest of the ingress sees,
-//! and the ends of calls.
+//! Carries out what the member asks for after frames, writes and ticks: disk jobs, frames to send,
+//! the published state, and the results of calls.
 
 use super::{MemberTask, Participation};
 use crate::group::call::{CallResult, View};
 use driftgap_group::{Event, Member, Outcome, WriteJob};
 use std::sync::Arc;
 
-/// Times of calls that one line of statistics takes in.
+/// Most call durations that one line of statistics covers.
 const MAX_CALL_TIMES: usize = 4096;
 
 impl MemberTask {
-    /// Has written what has to be, and sends what follows from that. True: who is in the group may have changed.
+    /// Starts the next write, and then sends frames and completes calls. Returns true if the
+    /// members of the group may have changed.
     pub(super) fn make_progress(&mut self) -> bool {
         let now_ms = self.clock.now_ms();
         if !self.begin_job(now_ms) {
@@ -33,13 +34,14 @@
             self.publish_state();
         }
         for event in events {
-            self.end_call(event);
+            self.complete_call(event);
         }
         self.log_leader(now_ms);
         changed
     }
 
-    /// Gives the disk its next job, if it is free. False: this ingress takes no part.
+    /// Starts the next disk job if the disk is idle. Returns false if this ingress does not take
+    /// part in the group.
     fn begin_job(&mut self, now_ms: f64) -> bool {
         let Participation::Active(peer) = &mut self.participation else {
             return false;
@@ -49,7 +51,7 @@
                 break;
             };
             if job == WriteJob::Write(Box::default()) {
-                // Nothing to write: what waits for it goes on at once.
+                // Nothing to write: the effects that wait for this batch follow at once.
                 let _ = peer.written(now_ms);
             } else if !self.disk.begin(now_ms, job) {
                 self.fail("its disk's thread has ended".into());
@@ -73,25 +75,25 @@
                 continue;
             };
             if !follower.send(&frame) {
-                // It reads too slowly: it connects again, and gets the whole replica.
+                // The follower reads too slowly. It reconnects and receives the whole replica.
                 follower.close();
             }
         }
     }
 
-    /// Shows the rest of the ingress what the group holds now.
+    /// Publishes the member's state to the rest of the ingress.
     fn publish_state(&self) {
         let Some(member) = self.member() else { return };
         let form = member.state().format_version();
         if self.identity.format.get() < form {
             self.identity.format.set(form);
-            tracing::info!(form, "the group has raised its form");
+            tracing::info!(form, "the group raised its format version");
         }
         let view = next_view(&self.view.borrow(), member);
         self.view.send_replace(view);
     }
 
-    fn end_call(&mut self, event: Event) {
+    fn complete_call(&mut self, event: Event) {
         let done = |outcome| CallResult::Done(outcome, self.view.borrow().clone());
         let (number, ended) = match event {
             Event::Done(number, outcome) => (number, done(outcome)),
@@ -120,14 +122,15 @@
             return;
         }
         match &status.leader {
-            Some(leader) => tracing::info!(leader, term = status.term, "the group is led"),
+            Some(leader) => tracing::info!(leader, term = status.term, "the group has a leader"),
             None => tracing::warn!(term = status.term, "the group has no leader"),
         }
         self.logged_leader = Some(status.leader);
     }
 }
 
-/// The member's state as the rest of the ingress sees it. What has not changed is shared with the last view.
+/// Builds the view of the member's state. Parts that have not changed are shared with the last
+/// view.
 fn next_view(last: &View, member: &Member) -> View {
     let state = member.state();
     let out = match last.excluded.iter().eq(state.excluded.keys()) {
--- a/src/group/member_task/requests.rs
+++ b/src/group/member_task/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the rest of the ingress to a member.
+//! Handles requests from the rest of the ingress to a member.
 
 use super::{MemberTask, Participation, WaitingCall};
 use crate::group::call::{CallResult, MembershipStatus, Request};
@@ -6,7 +6,7 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// Why there is no member to ask.
+/// Why there is no member that could handle a request.
 enum NoMember {
     NotAdmitted,
     Failed(String),
@@ -29,7 +29,7 @@
 }
 
 impl MemberTask {
-    fn member_to_ask(&mut self) -> Result<&mut Member, NoMember> {
+    fn active_member(&mut self) -> Result<&mut Member, NoMember> {
         match &mut self.participation {
             Participation::Active(peer) => peer.member_mut().ok_or(NoMember::NotAdmitted),
             Participation::Failed(why) => Err(NoMember::Failed(why.clone())),
@@ -40,14 +40,14 @@
         let now_ms = self.clock.now_ms();
         match request {
             Request::MembershipStatus(answer) => {
-                let status = match self.member_to_ask() {
+                let status = match self.active_member() {
                     Ok(member) => MembershipStatus::Member(Box::new(member.status(now_ms))),
                     Err(no_member) => no_member.status(),
                 };
                 let _ = answer.send(status);
             }
             Request::Leave(answer) => {
-                if let Ok(member) = self.member_to_ask() {
+                if let Ok(member) = self.active_member() {
                     member.step_down();
                 }
                 let _ = answer.send(());
@@ -64,13 +64,14 @@
         }
     }
 
-    /// Begins a call at the member; its answer waits for the member's event of that number.
+    /// Starts a call at the member. Its answer is sent on the member's event with the call's
+    /// number.
     fn begin_call(
         &mut self,
         answer: oneshot::Sender<CallResult>,
         begin: impl FnOnce(&mut Member) -> Result<u64, ProposalRejected>,
     ) {
-        let begun = match self.member_to_ask() {
+        let begun = match self.active_member() {
             Ok(member) => begin(member).map_err(|refusal| CallResult::Refused(refusal.to_string())),
             Err(no_member) => Err(no_member.refusal()),
         };
--- a/src/group/member_task/statistics.rs
+++ b/src/group/member_task/statistics.rs
@@ -1,4 +1,4 @@
-//! A member's line of statistics in the log.
+//! The periodic line of statistics of a member in the log.
 
 use super::MemberTask;
 use driftgap_group::Health;
@@ -30,7 +30,7 @@
     }
 }
 
-/// How far each member lags, as `name=entries`.
+/// Formats how many entries each member lags behind, as `name=entries`.
 fn lags(members: &[Health]) -> String {
     let lags = members
         .iter()
@@ -38,8 +38,8 @@
     lags.collect::<Vec<String>>().join(" ")
 }
 
-/// A quantile of sorted times, to a tenth of a millisecond; none: there are no times.
-fn quantile(sorted_ms: &[f64], part: f64) -> Option<f64> {
-    let index = (sorted_ms.len() as f64 * part) as usize;
+/// Returns a quantile of sorted durations, rounded to 0.1 ms; `None` without durations.
+fn quantile(sorted_ms: &[f64], fraction: f64) -> Option<f64> {
+    let index = (sorted_ms.len() as f64 * fraction) as usize;
     sorted_ms.get(index).map(|ms| (ms * 10.0).round() / 10.0)
 }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,7 +1,8 @@
-//! This ingress in a group with others. It owns the group's thread, and the handle by which the rest of the ingress
-//! reaches it: calls go in, answers and what the group holds come out. It must never let a client's request wait for
-//! the group, nor exist where the operator's file has no `[group]`: then there is no thread, no listener and no file.
-//! What the group agrees on is decided in `driftgap_group`.
+//! Runs this ingress as a member or a follower of a group. The group has a thread of its own; the
+//! rest of the ingress reaches it through the [`Group`] handle, which takes calls and publishes the
+//! group's state. A client's request never waits for the group. Without a `[group]` section in the
+//! operator's file there is no thread, no listener and no file. The consensus protocol is in
+//! `driftgap_group`.
 
 mod cached_replica;
 mod call;
@@ -25,7 +26,8 @@
 pub use settings::GroupSettings;
 pub use thread::start;
 
-/// A number like no other, never 0: the seeds of the standard library's hashers come from the system.
+/// Returns a random number that is never 0. The randomness comes from the seeds that the operating
+/// system gives the standard library's hashers.
 fn random_id() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::hash::RandomState::new().build_hasher().finish().max(1)
--- a/src/group/offline.rs
+++ b/src/group/offline.rs
@@ -1,4 +1,4 @@
-//! What operators do with a member's folder while the member does not run.
+//! Operations on a member's folder while the member does not run.
 
 use super::settings::GroupSettings;
 use super::store::{Identity, Store, StoreError, NEWEST_FOLDER_FORMAT};
@@ -6,10 +6,11 @@
 use driftgap_group::{Member, Settings, StoredMember};
 use std::path::Path;
 
-/// Begins a new group, with this member alone in it; others are admitted as they come.
+/// Starts a new group with this member as its only one; others are admitted as they join. Returns
+/// the group's number.
 ///
 /// # Errors
-/// The folder holds a member already, or cannot be used.
+/// Returns an error if the folder already holds a member or cannot be used.
 pub fn init(settings: &GroupSettings, folder: &Path, name: &str) -> Result<u64, GroupError> {
     let address = settings.address_of(name)?;
     let mut store = Store::open(&folder.join(settings.folder_of(name)?))?;
@@ -20,11 +21,11 @@
     Ok(group)
 }
 
-/// Begins a new group with what one folder of the old one holds, for operators who have lost a majority for good. The old
-/// folder stays as it is. What was done, in words.
+/// Starts a new group from one folder of the old group, for operators who have lost a majority for
+/// good. The old folder is not changed. Returns a summary for the operator.
 ///
 /// # Errors
-/// Either folder cannot be used; the new one has to be empty.
+/// Returns an error if either folder cannot be used, or the new one is not empty.
 pub fn recover(
     settings: &GroupSettings,
     folder: &Path,
@@ -36,7 +37,7 @@
     let mut store = Store::open(&path)?;
     let newest_format = settings.newest_format().into();
     if store.identity(name, newest_format)?.is_some() {
-        return Err(StoreError::Taken(path).into());
+        return Err(StoreError::AlreadyInitialized(path).into());
     }
     let old = Store::open(from)?;
     old.identity(name, newest_format)?;
@@ -50,22 +51,24 @@
     let committed = recovered.committed;
     let further = recovered.last.saturating_sub(committed);
     Ok(format!(
-        "group {group:x} begins with {name} and all that its old folder held, {committed} places known as agreed and \
-         {further} more. Lost is what others were promised and this folder never received; a call that had a NAK may \
-         hold now: look through GROUP OUT. Members of the old group are let in with empty folders only."
+        "group {group:x} starts with member {name} and the whole log of its old folder: {committed} entries known to be \
+         committed and {further} more. Lost is every acknowledged call that this folder never received; a call that was \
+         answered with NAK may have taken effect: check GROUP OUT. Members of the old group can join with empty folders \
+         only."
     ))
 }
 
-/// Looks at a member's folder while it does not run, in words.
+/// Checks a member's folder while the member does not run. Returns a summary for the operator.
 ///
 /// # Errors
-/// It cannot be used: which record, or who holds it.
+/// Returns an error if the folder cannot be used: it names the damaged record or the conflicting
+/// owner.
 pub fn inspect(settings: &GroupSettings, folder: &Path, name: &str) -> Result<String, GroupError> {
     let path = folder.join(settings.folder_of(name)?);
     let store = Store::open(&path)?;
     let Some(identity) = store.identity(name, NEWEST_FOLDER_FORMAT)? else {
         return Ok(format!(
-            "{}: empty; {name} will ask to be let in",
+            "{}: empty; {name} will request admission to the group",
             path.display()
         ));
     };
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -1,4 +1,4 @@
-//! `[group]` of the operator's file.
+//! The `[group]` section of the operator's file.
 
 use super::GroupError;
 use driftgap_group::{is_name, MAX_MEMBERS, MIN_MEMBERS, NEWEST_FORMAT, OLDEST_FORMAT};
@@ -7,26 +7,26 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// `[group]` of the operator's file.
+/// The `[group]` section of the operator's file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GroupSettings {
-    /// Where other members reach this one, if it is a member.
+    /// The address on which this ingress accepts links, if it is a member.
     pub listen: Option<SocketAddr>,
-    /// A member's log and state; a follower's cached replica, if it has a folder.
+    /// The folder for a member's log and state, or for a follower's cached replica (optional).
     pub folder: Option<PathBuf>,
-    /// Where each member is reached, by name; an ingress of another name follows them.
+    /// The address of each member by name. An ingress with any other name is a follower.
     pub members: BTreeMap<String, SocketAddr>,
-    /// The newest format version of the log that this member takes part in, so that a release can be taken back; the
-    /// newest that the program knows where it is absent.
+    /// The newest format version of the log that this member accepts, so that a release can be
+    /// rolled back. Defaults to the newest version that the program supports.
     pub form: Option<u16>,
 }
 
 impl GroupSettings {
-    /// Judges the section for the ingress of this name.
+    /// Validates the section for the ingress of this name.
     ///
     /// # Errors
-    /// The field that it lacks.
+    /// Returns the field that is missing.
     pub fn validate_for(&self, name: &str) -> Result<(), GroupError> {
         if self.members.contains_key(name) {
             self.folder_of(name)?;
@@ -35,13 +35,16 @@
         Ok(())
     }
 
-    /// Judges the section by itself.
+    /// Validates the section independently of the ingress.
     ///
     /// # Errors
-    /// The field and what is wrong with it.
+    /// Returns the invalid field and what is wrong with it.
     pub fn validate(&self) -> Result<(), (&'static str, String)> {
         if let Some(name) = self.members.keys().find(|name| !is_name(name)) {
-            return Err(("group.members", format!("{name:?} is no name of a member")));
+            return Err((
+                "group.members",
+                format!("{name:?} is not a valid member name"),
+            ));
         }
         if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&self.members.len()) {
             let why = format!("must be {MIN_MEMBERS} to {MAX_MEMBERS} members");
@@ -54,7 +57,7 @@
         }
         let addresses: BTreeSet<SocketAddr> = self.members.values().copied().collect();
         if addresses.len() != self.members.len() {
-            return Err(("group.members", "two members at one address".into()));
+            return Err(("group.members", "two members have the same address".into()));
         }
         Ok(())
     }
@@ -63,13 +66,13 @@
         self.members.contains_key(name)
     }
 
-    /// Where a member's link listens.
+    /// Returns the address on which a member accepts links.
     pub(super) fn listen_of(&self, name: &str) -> Result<SocketAddr, GroupError> {
         self.listen
             .ok_or_else(|| GroupError::Missing("listen", name.into()))
     }
 
-    /// A member's folder.
+    /// Returns a member's folder.
     pub(super) fn folder_of(&self, name: &str) -> Result<&Path, GroupError> {
         if !self.is_member(name) {
             return Err(GroupError::Name(name.into()));
@@ -79,14 +82,14 @@
             .ok_or_else(|| GroupError::Missing("folder", name.into()))
     }
 
-    /// The address of a member's link as the group's log has it.
+    /// Returns a member's address in the form that the group's log stores.
     pub(super) fn address_of(&self, name: &str) -> Result<String, GroupError> {
         let address = self.members.get(name);
         let address = address.ok_or_else(|| GroupError::Name(name.into()))?;
         Ok(address.to_string())
     }
 
-    /// All members' addresses as the group's log has them.
+    /// Returns all members' addresses in the form that the group's log stores.
     pub(super) fn addresses(&self) -> BTreeMap<String, String> {
         let members = self.members.iter();
         members
@@ -94,7 +97,7 @@
             .collect()
     }
 
-    /// The newest format version that a member may speak.
+    /// Returns the newest format version that this ingress may use.
     pub(super) fn newest_format(&self) -> u16 {
         self.form.unwrap_or(NEWEST_FORMAT)
     }
--- a/src/group/store.rs
+++ b/src/group/store.rs
@@ -1,7 +1,7 @@
-//! A member's folder: who it is, what it has promised, its log and its last snapshot, in an embedded store. It owns how
-//! they are written, and every judgement on them. It must never say that something is written before the disk has said
-//! so, go on after a write that failed (what was in memory may be gone, and a second try would not bring it back), or
-//! use a record whose checksum differs.
+//! A member's folder: identity, hard state, log and last snapshot, in an embedded database. A write
+//! is reported as done only once the disk has confirmed it. After a failed write the store accepts
+//! no further ones, since buffered data may be lost and a retry would not restore it. A record with
+//! a wrong checksum is never used.
 
 mod error;
 mod identity;
@@ -21,15 +21,16 @@
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 
-/// The newest format version of a folder that this program reads. It is the format version of the log in it, and goes up
-/// with that: until then an older program may go on with the folder.
+/// The newest format version of a folder that this program reads. A folder has the format version
+/// of the log in it and is raised with the log; until then an older program can use the folder.
 pub const NEWEST_FOLDER_FORMAT: u32 = NEWEST_FORMAT as u32;
 const DATABASE_FILE: &str = "group.redb";
-/// What the store may keep in memory beside what is on the disk, bytes.
+/// Size of the database's cache in memory, bytes.
 const CACHE_BYTES: usize = 2 << 20;
-/// The entries of the log, by index.
+/// The entries of the log by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// All other records, by the keys below. Names of tables and keys are on the disks of older versions.
+/// All other records, by the keys below. Folders of earlier versions have these table names and
+/// keys.
 const HEAD: TableDefinition<&str, &[u8]> = TableDefinition::new("head");
 const FORMAT_KEY: &str = "format";
 const IDENTITY_KEY: &str = "identity";
@@ -40,19 +41,19 @@
 type HeadTable<'a> = Table<'a, &'static str, &'static [u8]>;
 type LogTable<'a> = Table<'a, u64, &'static [u8]>;
 
-/// A folder that this process has locked.
+/// A member's folder, locked by this process.
 pub struct Store {
     database: Database,
     path: PathBuf,
-    /// A write has failed: nothing is written any more.
+    /// Set once a write has failed; every further write is refused.
     write_failed: bool,
 }
 
 impl Store {
-    /// Opens the folder, made if it is not there, for this process alone.
+    /// Opens the folder for this process alone, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Another process has it, or the disk refuses.
+    /// Returns an error if another process has locked the folder or the disk refuses.
     pub fn open(folder: &Path) -> Result<Store, StoreError> {
         std::fs::create_dir_all(folder)
             .map_err(|e| disk_error(format!("{}: {e}", folder.display())))?;
@@ -61,7 +62,7 @@
             .set_cache_size(CACHE_BYTES)
             .create(&path)
             .map_err(|e| match e {
-                DatabaseError::DatabaseAlreadyOpen => StoreError::Held(folder.to_path_buf()),
+                DatabaseError::DatabaseAlreadyOpen => StoreError::Locked(folder.to_path_buf()),
                 e => disk_error(format!("{}: {e}", path.display())),
             })?;
         Ok(Store {
@@ -71,11 +72,11 @@
         })
     }
 
-    /// The same on any storage, for tests with one that fails.
+    /// Opens a store on any storage backend, for tests with one that fails.
     ///
     /// # Errors
-    /// It refuses.
-    pub fn on(backend: impl StorageBackend) -> Result<Store, StoreError> {
+    /// Returns an error if the backend refuses.
+    pub fn with_backend(backend: impl StorageBackend) -> Result<Store, StoreError> {
         let database = Builder::new()
             .set_cache_size(CACHE_BYTES)
             .create_with_backend(backend)
@@ -87,24 +88,26 @@
         })
     }
 
-    /// Its format version; none: it holds no member yet.
+    /// Returns the folder's format version, or `None` if it holds no member yet.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// Returns an error if the folder cannot be read.
     pub fn format(&self) -> Result<Option<u32>, StoreError> {
         self.head(FORMAT_KEY)
     }
 
-    /// Whose it is; none: it holds no member yet. `newest`: the newest format version that is allowed.
+    /// Returns the identity of the folder's member, or `None` if it holds no member yet. `newest`
+    /// is the newest format version that is allowed.
     ///
     /// # Errors
-    /// It is not the folder of the member `name`, or of a newer format version, or cannot be read.
+    /// Returns an error if the folder belongs to a member other than `name`, has a newer format
+    /// version, or cannot be read.
     pub fn identity(&self, name: &str, newest: u32) -> Result<Option<Identity>, StoreError> {
-        // By itself: what else is in the folder may look different in another format version.
-        self.judge_format(newest)?;
+        // Checked first: other records may differ in another format version.
+        self.check_format(newest)?;
         let identity: Option<Identity> = self.head(IDENTITY_KEY)?;
         match identity {
-            Some(identity) if identity.name != name => Err(StoreError::Member {
+            Some(identity) if identity.name != name => Err(StoreError::OtherMember {
                 path: self.path.clone(),
                 owner: identity.name,
                 member: name.into(),
@@ -113,11 +116,11 @@
         }
     }
 
-    fn judge_format(&self, newest: u32) -> Result<(), StoreError> {
+    fn check_format(&self, newest: u32) -> Result<(), StoreError> {
         let path = || self.path.clone();
         match self.format()? {
             Some(format) if format > NEWEST_FOLDER_FORMAT => Err(StoreError::Newer(path(), format)),
-            Some(format) if format > newest => Err(StoreError::Form {
+            Some(format) if format > newest => Err(StoreError::FormatNotAllowed {
                 path: path(),
                 format,
                 allowed: newest,
@@ -126,13 +129,13 @@
         }
     }
 
-    /// Makes it a member's, with what that begins with.
+    /// Initializes the folder for a new member.
     ///
     /// # Errors
-    /// It holds a member already, or the disk refuses.
+    /// Returns an error if the folder already holds a member or the disk refuses.
     pub fn begin(&mut self, identity: &Identity, loaded: &StoredMember) -> Result<(), StoreError> {
         if self.format()?.is_some() {
-            return Err(StoreError::Taken(self.path.clone()));
+            return Err(StoreError::AlreadyInitialized(self.path.clone()));
         }
         let state = State::decode(&loaded.snapshot.data);
         let format = state.map_or(OLDEST_FORMAT, |state| state.format_version());
@@ -145,10 +148,10 @@
         })
     }
 
-    /// What it holds.
+    /// Loads the member.
     ///
     /// # Errors
-    /// It holds no member, or a record is missing or spoilt.
+    /// Returns an error if the folder holds no member, or a record is missing or corrupt.
     pub fn load(&self) -> Result<StoredMember, StoreError> {
         let identity: Identity = self
             .head(IDENTITY_KEY)?
@@ -172,13 +175,13 @@
         };
         let value = table.get(key).map_err(disk_error)?;
         value
-            .map(|value| record::open(key, value.value()))
+            .map(|value| record::decode(key, value.value()))
             .transpose()
     }
 
     fn required<T: DeserializeOwned>(&self, key: &str) -> Result<T, StoreError> {
         let value = self.head(key)?;
-        value.ok_or_else(|| StoreError::Spoilt(key.to_string()))
+        value.ok_or_else(|| StoreError::Corrupt(key.to_string()))
     }
 
     fn entries(&self) -> Result<Vec<EntryRecord>, StoreError> {
@@ -192,19 +195,20 @@
         for entry in table.iter().map_err(disk_error)? {
             let (index, bytes) = entry.map_err(disk_error)?;
             let name = format!("{} of the log", index.value());
-            let entry: EntryRecord = record::open(&name, bytes.value())?;
+            let entry: EntryRecord = record::decode(&name, bytes.value())?;
             if entry.index != index.value() {
-                return Err(StoreError::Spoilt(name));
+                return Err(StoreError::Corrupt(name));
             }
             entries.push(entry);
         }
         Ok(entries)
     }
 
-    /// Writes a batch in one piece. Where others rely on it, it is on the disk when this returns.
+    /// Writes a batch atomically. A batch that must be durable is on the disk when this returns.
     ///
     /// # Errors
-    /// The disk refuses, now or before: nothing may be said that follows from the batch.
+    /// Returns an error if this or an earlier write failed. Nothing that depends on the batch may
+    /// be sent then.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let durability = match batch.must_sync() || batch.compacted.is_some() {
             true => Durability::Immediate,
@@ -250,11 +254,12 @@
     key: &'static str,
     value: &T,
 ) -> Result<(), StorageError> {
-    head.insert(key, record::seal(value).as_slice())?;
+    head.insert(key, record::encode(value).as_slice())?;
     Ok(())
 }
 
-/// A snapshot from another member replaces the log; entries replace those from the index of the first one on.
+/// Writes a snapshot from another member, which replaces the log, and then entries, which replace
+/// those from the index of the first one on.
 fn write_entries(
     head: &mut HeadTable<'_>,
     log: &mut LogTable<'_>,
@@ -269,7 +274,7 @@
         log.retain_in(first.index.., |_, _| false)?;
     }
     for entry in &batch.entries {
-        log.insert(entry.index, record::seal(entry).as_slice())?;
+        log.insert(entry.index, record::encode(entry).as_slice())?;
     }
     Ok(())
 }
--- a/src/group/store/identity.rs
+++ b/src/group/store/identity.rs
@@ -1,8 +1,8 @@
-//! Whose folder it is.
+//! The identity record of a folder.
 
 use serde::{Deserialize, Serialize};
 
-/// Whose folder it is.
+/// The member that a folder belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The format version of this record: 1.
@@ -11,9 +11,9 @@
     pub group: u64,
     /// The member's name.
     pub name: String,
-    /// Its incarnation.
+    /// The member's incarnation.
     pub id: u64,
-    /// Drawn with the folder, to tell it from every other.
+    /// A random number that distinguishes this folder from every other.
     pub nonce: u64,
 }
 
--- a/src/group/store/tests.rs
+++ b/src/group/store/tests.rs
@@ -1,31 +1,32 @@
-//! A member's folder on disks that fail, lose what was not synced, or change bits.
+//! Tests of the store on disks that fail, lose unsynced writes, or change bits.
 
 use super::*;
 use driftgap_group::HardRecord;
 use oorandom::Rand64;
 use std::sync::{Arc, Mutex};
 
-/// A disk that loses what was not synced when the power goes, as a whole or in parts, and fails when told to.
+/// The state of a simulated disk. A power cut loses unsynced writes as a whole or in part, and the
+/// disk fails after a given number of operations.
 #[derive(Debug, Default)]
-struct Platter {
-    now: Vec<u8>,
-    safe: Vec<u8>,
+struct DiskState {
+    current: Vec<u8>,
+    synced: Vec<u8>,
     /// Writes since the last sync.
-    loose: Vec<(u64, Vec<u8>)>,
-    /// So many writes and syncs are still done.
-    left: Option<u64>,
-    no_room: bool,
+    unsynced: Vec<(u64, Vec<u8>)>,
+    /// The number of writes and syncs that still succeed. `None` for no limit.
+    remaining_operations: Option<u64>,
+    is_full: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
-impl Platter {
-    fn use_up(&mut self) -> std::io::Result<()> {
-        match &mut self.left {
+impl DiskState {
+    fn use_operation(&mut self) -> std::io::Result<()> {
+        match &mut self.remaining_operations {
             Some(0) => Err(std::io::Error::other("the disk is gone")),
-            Some(left) => {
-                *left -= 1;
+            Some(remaining_operations) => {
+                *remaining_operations -= 1;
                 Ok(())
             }
             None => Ok(()),
@@ -35,13 +36,13 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> std::io::Result<u64> {
-        Ok(self.0.lock().unwrap().now.len() as u64)
+        Ok(self.0.lock().unwrap().current.len() as u64)
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
         let disk = self.0.lock().unwrap();
         let at = offset as usize;
         let bytes = disk
-            .now
+            .current
             .get(at..at + out.len())
             .ok_or(std::io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
@@ -49,47 +50,47 @@
     }
     fn set_len(&self, len: u64) -> std::io::Result<()> {
         let mut disk = self.0.lock().unwrap();
-        disk.use_up()?;
-        if disk.no_room && len as usize > disk.now.len() {
+        disk.use_operation()?;
+        if disk.is_full && len as usize > disk.current.len() {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
-        disk.now.resize(len as usize, 0);
-        // The length is kept with the next sync, and what is written before that may be beyond the old end.
-        disk.safe.resize(len as usize, 0);
+        disk.current.resize(len as usize, 0);
+        // The synced copy is resized as well, since unsynced writes may lie beyond the old end.
+        disk.synced.resize(len as usize, 0);
         Ok(())
     }
     fn sync_data(&self) -> std::io::Result<()> {
         let mut disk = self.0.lock().unwrap();
-        disk.use_up()?;
-        disk.safe = disk.now.clone();
-        disk.loose.clear();
+        disk.use_operation()?;
+        disk.synced = disk.current.clone();
+        disk.unsynced.clear();
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
         let mut disk = self.0.lock().unwrap();
-        disk.use_up()?;
-        disk.now[offset as usize..][..data.len()].copy_from_slice(data);
-        disk.loose.push((offset, data.to_vec()));
+        disk.use_operation()?;
+        disk.current[offset as usize..][..data.len()].copy_from_slice(data);
+        disk.unsynced.push((offset, data.to_vec()));
         Ok(())
     }
 }
 
 impl Disk {
-    /// The power goes: of what was not synced some sectors are there, in any order.
+    /// Simulates a power cut: an arbitrary subset of the unsynced sectors is on the disk.
     fn power_cut(&self, rand: &mut Rand64) -> Disk {
         let disk = self.0.lock().unwrap();
-        let mut bytes = disk.safe.clone();
-        for (offset, data) in &disk.loose {
+        let mut bytes = disk.synced.clone();
+        for (offset, data) in &disk.unsynced {
             for (i, sector) in data.chunks(512).enumerate() {
                 if rand.rand_range(0..2) == 0 {
                     bytes[*offset as usize + 512 * i..][..sector.len()].copy_from_slice(sector);
                 }
             }
         }
-        Disk(Arc::new(Mutex::new(Platter {
-            now: bytes.clone(),
-            safe: bytes,
-            ..Platter::default()
+        Disk(Arc::new(Mutex::new(DiskState {
+            current: bytes.clone(),
+            synced: bytes,
+            ..DiskState::default()
         })))
     }
 }
@@ -119,118 +120,135 @@
     }
 }
 
-fn begun(disk: &Disk) -> Result<Store, StoreError> {
-    let mut store = Store::on(disk.clone())?;
+fn initialized_store(disk: &Disk) -> Result<Store, StoreError> {
+    let mut store = Store::with_backend(disk.clone())?;
     store.begin(&identity(), &StoredMember::first(7, "m0", "10.0.0.1:1", 1))?;
     Ok(store)
 }
 
+/// A power cut loses unsynced writes, or keeps some of their sectors. A batch that was written must
+/// be loaded afterwards, and a batch whose write failed must be loaded as a whole or not at all.
 #[test]
-fn what_was_written_is_there_after_the_power_went_and_half_a_batch_never_is() {
+fn batches_survive_a_power_cut_whole_or_not_at_all() {
     for seed in 0..300 {
         let mut rand = Rand64::new(seed);
         let disk = Disk::default();
-        let mut store = begun(&disk).unwrap();
-        disk.0.lock().unwrap().left = Some(rand.rand_range(1..120));
-        let mut held = vec![];
-        let mut tried = None;
+        let mut store = initialized_store(&disk).unwrap();
+        disk.0.lock().unwrap().remaining_operations = Some(rand.rand_range(1..120));
+        let mut written = vec![];
+        let mut failed_batch = None;
         for index in 2..40 {
             let batch = batch(index, &mut rand);
             if store.write(&batch).is_err() {
-                tried = Some(batch);
+                failed_batch = Some(batch);
                 break;
             }
-            held.extend(batch.entries);
+            written.extend(batch.entries);
         }
-        let after = disk.power_cut(&mut rand);
-        let loaded = Store::on(after)
+        let disk_after_cut = disk.power_cut(&mut rand);
+        let loaded = Store::with_backend(disk_after_cut)
             .and_then(|s| s.load())
             .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-        let with: Vec<EntryRecord> = held
+        let with_failed_batch: Vec<EntryRecord> = written
             .iter()
-            .chain(tried.iter().flat_map(|b| &b.entries))
+            .chain(failed_batch.iter().flat_map(|b| &b.entries))
             .cloned()
             .collect();
         assert!(
-            loaded.entries == held || loaded.entries == with,
+            loaded.entries == written || loaded.entries == with_failed_batch,
             "seed {seed}"
         );
         let commit = loaded.entries.last().map_or(1, |e| e.index);
-        assert_eq!(loaded.hard.commit, commit, "seed {seed}: a batch is whole");
+        assert_eq!(
+            loaded.hard.commit, commit,
+            "seed {seed}: a batch must be loaded whole"
+        );
     }
 }
 
+/// After a failed write the disk may work again, but what it lost is unknown. A second try would not
+/// restore it, so the store must refuse every further write.
 #[test]
-fn a_write_that_failed_is_not_tried_again_as_though_nothing_were() {
-    for (left, no_room) in [(Some(0), false), (Some(1), false), (None, true)] {
+fn writes_after_a_failed_write_are_refused() {
+    for (remaining_operations, is_full) in [(Some(0), false), (Some(1), false), (None, true)] {
         let disk = Disk::default();
         let mut rand = Rand64::new(1);
-        let mut store = begun(&disk).unwrap();
-        (disk.0.lock().unwrap().left, disk.0.lock().unwrap().no_room) = (left, no_room);
+        let mut store = initialized_store(&disk).unwrap();
+        (
+            disk.0.lock().unwrap().remaining_operations,
+            disk.0.lock().unwrap().is_full,
+        ) = (remaining_operations, is_full);
         let large = |index| {
             let mut batch = batch(index, &mut Rand64::new(index.into()));
             batch.entries[0].data = vec![1; 4 << 20];
             batch
         };
         let failed = (2..40).find(|index| store.write(&large(*index)).is_err());
-        assert!(failed.is_some(), "{left:?} {no_room}");
-        (disk.0.lock().unwrap().left, disk.0.lock().unwrap().no_room) = (None, false);
-        let again = store.write(&batch(failed.unwrap(), &mut rand));
+        assert!(failed.is_some(), "{remaining_operations:?} {is_full}");
+        (
+            disk.0.lock().unwrap().remaining_operations,
+            disk.0.lock().unwrap().is_full,
+        ) = (None, false);
+        let second_write = store.write(&batch(failed.unwrap(), &mut rand));
         assert!(
-            again.is_err(),
-            "the disk is well again, and what it lost is not known"
+            second_write.is_err(),
+            "the disk works again, but what it lost is unknown"
         );
     }
 }
 
+/// A disk may return a changed bit. The store must report the damage, unless the loaded member is the
+/// same because the bit lies in unused space.
 #[test]
-fn a_bit_that_has_turned_is_found_or_does_not_matter() {
+fn a_flipped_bit_is_detected_or_has_no_effect() {
     let disk = Disk::default();
     let mut rand = Rand64::new(3);
-    let mut store = begun(&disk).unwrap();
+    let mut store = initialized_store(&disk).unwrap();
     (2..30).for_each(|index| store.write(&batch(index, &mut rand)).unwrap());
-    let want = store.load().unwrap();
+    let expected = store.load().unwrap();
     drop(store);
-    let whole = disk.0.lock().unwrap().now.clone();
-    let (mut found, mut same) = (0, 0);
+    let original_bytes = disk.0.lock().unwrap().current.clone();
+    let (mut detected, mut unaffected) = (0, 0);
     for seed in 0..400 {
         let mut rand = Rand64::new(seed);
-        let mut bytes = whole.clone();
+        let mut bytes = original_bytes.clone();
         let at = rand.rand_range(0..bytes.len() as u64) as usize;
         bytes[at] ^= 1 << rand.rand_range(0..8);
-        let spoilt = Disk(Arc::new(Mutex::new(Platter {
-            now: bytes.clone(),
-            safe: bytes,
-            ..Platter::default()
+        let damaged = Disk(Arc::new(Mutex::new(DiskState {
+            current: bytes.clone(),
+            synced: bytes,
+            ..DiskState::default()
         })));
-        // The store's own checks may stop at a page that makes no sense.
-        let read = std::panic::catch_unwind(|| Store::on(spoilt).and_then(|s| s.load()));
+        // The database's own checks may panic at a damaged page.
+        let read = std::panic::catch_unwind(|| Store::with_backend(damaged).and_then(|s| s.load()));
         match read {
             Ok(Ok(loaded)) => {
-                assert_eq!(loaded, want, "seed {seed}, byte {at}");
-                same += 1;
+                assert_eq!(loaded, expected, "seed {seed}, byte {at}");
+                unaffected += 1;
             }
-            _ => found += 1,
+            _ => detected += 1,
         }
     }
-    println!("of 400 bits {found} were found, {same} were in nobody's way");
-    assert!(found > 0 && same > 0);
+    println!("of 400 flipped bits {detected} were detected, {unaffected} had no effect");
+    assert!(detected > 0 && unaffected > 0);
 }
 
+/// A folder may belong to another member, or have a newer format version than the program or the
+/// settings allow. A member must not use it, and a folder that holds a member must not be initialized.
 #[test]
-fn folders_of_others_and_of_newer_programs_are_refused() {
+fn folders_of_other_members_and_newer_formats_are_refused() {
     let disk = Disk::default();
-    let store = begun(&disk).unwrap();
+    let store = initialized_store(&disk).unwrap();
     assert_eq!(
         store.identity("m0", NEWEST_FOLDER_FORMAT).unwrap(),
         Some(identity())
     );
     assert!(matches!(
         store.identity("m1", NEWEST_FOLDER_FORMAT),
-        Err(StoreError::Member { .. })
+        Err(StoreError::OtherMember { .. })
     ));
     let mut store = store;
-    // A folder goes up with the log in it, and is of the oldest form until then.
+    // A folder starts in the oldest format version, and is raised together with the log in it.
     assert_eq!(store.format().unwrap(), Some(1));
     store
         .write(&Batch {
@@ -240,7 +258,7 @@
         .unwrap();
     assert!(matches!(
         store.identity("m0", 1),
-        Err(StoreError::Form {
+        Err(StoreError::FormatNotAllowed {
             format: 2,
             allowed: 1,
             ..
@@ -248,7 +266,7 @@
     ));
     assert!(matches!(
         store.begin(&identity(), &StoredMember::default()),
-        Err(StoreError::Taken(_))
+        Err(StoreError::AlreadyInitialized(_))
     ));
     store
         .commit(Durability::Immediate, |head, _| {
--- a/src/group/thread.rs
+++ b/src/group/thread.rs
@@ -12,11 +12,11 @@
 use std::path::Path;
 use tokio::sync::{mpsc, watch};
 
-/// What the thread is to run, with all that could be wrong with it at a start.
-enum Part {
+/// The resources of the thread: everything that can fail is opened before the thread starts.
+enum Participant {
     Member {
         store: Store,
-        /// None: the folder is empty.
+        /// `None` if the folder is empty.
         identity: Option<Identity>,
         listener: TcpListener,
     },
@@ -25,14 +25,18 @@
     },
 }
 
-impl Part {
-    fn open(settings: &GroupSettings, folder: &Path, name: &str) -> Result<Part, GroupError> {
+impl Participant {
+    fn open(
+        settings: &GroupSettings,
+        folder: &Path,
+        name: &str,
+    ) -> Result<Participant, GroupError> {
         if !settings.is_member(name) {
             let cached = settings.folder.as_ref().map(|path| {
                 let path = folder.join(path);
                 CachedReplica::open(&path).map_err(|e| GroupError::CachedReplica(path, e))
             });
-            return Ok(Part::Follower {
+            return Ok(Participant::Follower {
                 cached: cached.transpose()?,
             });
         }
@@ -41,7 +45,7 @@
         let listen = settings.listen_of(name)?;
         let listener = TcpListener::bind(listen).map_err(|e| GroupError::Listen(listen, e))?;
         listener.set_nonblocking(true)?;
-        Ok(Part::Member {
+        Ok(Participant::Member {
             store,
             identity,
             listener,
@@ -56,7 +60,7 @@
         view: watch::Sender<View>,
     ) -> std::io::Result<()> {
         match self {
-            Part::Member {
+            Participant::Member {
                 store,
                 identity,
                 listener,
@@ -64,7 +68,7 @@
                 let task = MemberTask::new(settings, name, store, identity, view)?;
                 task.run(listener, requests).await
             }
-            Part::Follower { cached } => {
+            Participant::Follower { cached } => {
                 let task = FollowerTask::new(settings, name, random_id(), cached, view)?;
                 task.run(requests).await
             }
@@ -72,25 +76,26 @@
     }
 }
 
-/// Joins the group, on a thread of its own: its disk may be slow. Paths count from `folder`.
+/// Joins the group on a thread of its own, since the disk may be slow. Relative paths are resolved
+/// against `folder`.
 ///
 /// # Errors
-/// The folder or the address cannot be used.
+/// Returns an error if the folder or the address cannot be used.
 pub fn start(settings: &GroupSettings, folder: &Path, name: &str) -> Result<Group, GroupError> {
-    let part = Part::open(settings, folder, name)?;
+    let participant = Participant::open(settings, folder, name)?;
     let (view_sender, view) = watch::channel(View::default());
     let (group, requests) = Group::new(view);
     let (settings, name) = (settings.clone(), name.to_string());
     std::thread::Builder::new()
         .name("group".into())
-        .spawn(move || run_thread(part, settings, name, requests, view_sender))?;
+        .spawn(move || run_thread(participant, settings, name, requests, view_sender))?;
     Ok(group)
 }
 
-/// The thread. The consensus library aborts where its own invariants break: a panic ends this thread alone, calls are
-/// answered so, and client requests are served on.
+/// The body of the thread. The consensus library panics when its own invariants are violated. Such
+/// a panic ends this thread only: pending calls get an error, and client requests are still served.
 fn run_thread(
-    part: Part,
+    participant: Participant,
     settings: GroupSettings,
     name: String,
     requests: mpsc::Receiver<Request>,
@@ -100,13 +105,15 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build_local(Default::default())?;
-        runtime.block_on(part.run(settings, name, requests, view))
+        runtime.block_on(participant.run(settings, name, requests, view))
     });
     match std::panic::catch_unwind(run) {
         Ok(Ok(())) => {}
-        Ok(Err(e)) => tracing::error!(error = %e, "the group's part has ended"),
+        Ok(Err(e)) => tracing::error!(error = %e, "the group's thread has ended with an error"),
         Err(_) => {
-            tracing::error!("the group's part has ended by a fault; this member votes no more");
+            tracing::error!(
+                "the group's thread has panicked; this ingress no longer takes part in the group"
+            );
         }
     }
 }
--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -168,7 +168,7 @@
          split 3
          start 3
          answers 3 2 suspended : STATUS
-         logged 3 goes on with the copy of an earlier start
+         logged 3 using the cached replica of an earlier run
          says 3 member=none applied=
          says 3 age_ms=unknown
          call 3 NAK SUSPEND c
--- a/tests/group/promises.rs
+++ b/tests/group/promises.rs
@@ -149,7 +149,7 @@
          call 2 ACK SUSPEND d
          # Nothing that it sends arrives, until it notices by what the others say that they hear.
          out 0 b c d
-         logged 0 is not heard over its link: made anew
+         logged 0 member receives nothing over its link: reconnecting
          kill leader
          start 0
          start 1
