--- a/tests/group/disks.rs
+++ b/tests/group/disks.rs
@@ -1,12 +1,13 @@
-//! Full disks, writes that are interrupted, and members that catch up.
+//! Full disks, interrupted writes, and members that catch up.
 
 use crate::peers::{run, Peers};
 use std::time::{Duration, Instant};
 
-/// A member's disk is full, and a write fails. What it acknowledged before may be gone: it must vote no more and say
-/// why, go on to serve requests and obey what it hears, and be admitted again with an empty folder.
+/// A write fails because the member's disk is full, and entries that it acknowledged may be lost.
+/// The member must stop voting and report the reason, still serve requests and apply the state that
+/// it receives, and be admitted again with an empty folder.
 #[test]
-fn a_member_whose_disk_is_full_votes_no_more_and_the_others_go_on() {
+fn member_with_a_full_disk_stops_voting_until_readmitted() {
     run(async {
         let mut peers = Peers::new(3, 0).await;
         peers
@@ -20,7 +21,7 @@
             ])
             .await;
         peers.step("led 0 1 2").await;
-        // Documents of 256 kB, each one anew, until its 2 MB are used up.
+        // Writes a different document of about 256 kB each time, until the 2 MB are used up.
         let mut turn = 0;
         while !peers
             .call(2, "GROUP STATUS")
@@ -37,9 +38,9 @@
                     turn + 1
                 ))
                 .await;
-            assert!(turn < 200, "its disk is never full");
+            assert!(turn < 200, "the disk does not fill up");
         }
-        println!("full after {turn} documents");
+        println!("disk full after {turn} documents");
         peers
             .steps(&[
                 "says 2 its disk has failed",
@@ -59,16 +60,17 @@
     });
 }
 
-/// A member is stopped at some moment of a call's way and wakes later. What was promised meanwhile must hold
-/// everywhere, and the one that woke must answer nothing older.
+/// A member is paused (SIGSTOP) at a random moment of a call and resumes later. A call that was
+/// acknowledged meanwhile must hold at every member, and the resumed member must not answer from an
+/// older state.
 #[test]
-fn members_stopped_within_a_write_wake_without_harm() {
+fn members_paused_during_a_write_keep_acknowledged_calls() {
     run(async {
         let mut peers = Peers::new(3, 0).await;
         peers.steps(&["start 0 1 2", "whole 0 1 2"]).await;
         let mut rand = oorandom::Rand64::new(7);
         for turn in 0..12 {
-            // At a moment of the call's way: the leader, or one that copies.
+            // Pauses the leader and another member in turn.
             let leader: usize = peers.status(0, "leader").await.unwrap()[1..]
                 .parse()
                 .unwrap();
@@ -78,26 +80,27 @@
             peers.step(&format!("begin {through} {call} a")).await;
             tokio::time::sleep(Duration::from_micros(rand.rand_range(0..2500))).await;
             peers.step(&format!("freeze {stopped}")).await;
-            // Where two members sought votes at once the call's own 2 s may end first: then it is repeated, as the
-            // operators' page says, and the group carries out once what was asked for twice.
+            // If two members campaign at the same time, the call's own 2 s may pass first. An
+            // operator repeats the call then, and the group applies it once.
             peers.step("ended either ACK or NAK not known").await;
             peers
                 .step(&format!("answers {through} ACK : {call} a"))
                 .await;
-            // It holds whether it woke or not, and the one that woke says nothing older than that.
-            let held = if call == "SUSPEND" { "a" } else { "" };
-            peers.step(&format!("out {through} {held}")).await;
+            // The call holds whether or not the member has resumed, and a resumed member answers no
+            // older state.
+            let excluded = if call == "SUSPEND" { "a" } else { "" };
+            peers.step(&format!("out {through} {excluded}")).await;
             peers.step(&format!("thaw {stopped}")).await;
-            peers.step(&format!("out {stopped} {held}")).await;
+            peers.step(&format!("out {stopped} {excluded}")).await;
             peers.step("led 0 1 2").await;
         }
     });
 }
 
-/// A member and a follower are down while the log grows by more entries than members retain. Back again they must get
-/// a snapshot and hold all.
+/// A member and a follower are down while the log grows beyond the entries that members retain.
+/// After a restart both must receive a snapshot and hold the whole state.
 #[test]
-fn a_member_and_a_follower_that_were_away_for_10_000_entries_catch_up() {
+fn member_and_follower_catch_up_on_10_000_entries() {
     run(async {
         let mut peers = Peers::new(3, 1).await;
         peers
@@ -112,11 +115,12 @@
             .await;
         peers.step("call leader ACK SUSPEND d").await;
         for turn in 0..840 {
-            // Each name has its own order: one that is asked for twice at once may end either way.
+            // All concurrent calls of a turn have the same effect on the same name, so their order
+            // does not matter.
             let name = ["a", "b", "c"][turn % 3];
             let calls = (0..12).map(|i| {
                 let call = if turn % 2 == 0 { "SUSPEND" } else { "RESTORE" };
-                tokio::task::spawn_local(peers.calling(i % 2, format!("{call} {name}")))
+                tokio::task::spawn_local(peers.call_future(i % 2, format!("{call} {name}")))
             });
             for call in calls.collect::<Vec<_>>() {
                 let answer = call.await.unwrap();
@@ -124,16 +128,19 @@
             }
         }
         let began = Instant::now();
-        let held = peers.call(0, "GROUP OUT").await;
-        let (place, held) = held.split_once(": ").unwrap();
-        let place: u64 = place.strip_prefix("ACK at ").unwrap().parse().unwrap();
-        assert!(place > 10_000, "{place}");
+        let excluded = peers.call(0, "GROUP OUT").await;
+        let (index, excluded) = excluded.split_once(": ").unwrap();
+        let index: u64 = index.strip_prefix("ACK at ").unwrap().parse().unwrap();
+        assert!(index > 10_000, "{index}");
         peers.step("start 2 3").await;
         for i in [2, 3] {
-            peers.step(&format!("out {i} {held}")).await;
+            peers.step(&format!("out {i} {excluded}")).await;
             let applied: u64 = peers.status(i, "applied").await.unwrap().parse().unwrap();
-            assert!(applied >= place, "{applied} of {place}");
+            assert!(applied >= index, "{applied} of {index}");
         }
-        println!("{place} places: both have all after {:?}", began.elapsed());
+        println!(
+            "{index} entries: both have caught up after {:?}",
+            began.elapsed()
+        );
     });
 }
--- a/tests/group/documents.rs
+++ b/tests/group/documents.rs
@@ -1,11 +1,12 @@
-//! Inventories and rules that the group keeps, and starts with torn files.
+//! Inventories and rules that the group stores, and starts with damaged files.
 
 use crate::peers::play;
 
-/// A member's files are torn when it starts. It must serve the group's last good versions; a torn file at a reload
-/// must change nothing, and a good one must reach all.
+/// A member's files are truncated when it starts. The member must serve the group's last accepted
+/// versions. A damaged file at a reload must change nothing, and a valid file must reach all
+/// members.
 #[test]
-fn a_torn_inventory_and_torn_rules_are_served_from_the_groups_last_good_ones() {
+fn truncated_files_are_replaced_by_the_groups_versions() {
     play(
         3,
         r#"file 0 inventory.csv name,address\nz1,127.0.0.1:9\n
@@ -38,10 +39,11 @@
     );
 }
 
-/// Nothing can be handed in before three members vote: one with torn files that is let in as the second finds a group
-/// that answers and holds no version of them yet.
+/// No document can be submitted before three members vote. A member with truncated files that joins
+/// as the second one therefore gets an answer from the group before the group holds a version. The
+/// member must wait for the first version.
 #[test]
-fn a_member_with_torn_files_waits_for_the_first_version_that_the_group_keeps() {
+fn member_with_truncated_files_waits_for_the_first_version() {
     play(
         3,
         r#"file 0 inventory.csv name,address\nz1,127.0.0.1:9\n
--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -1,14 +1,14 @@
-//! Ingresses beside the group: they obey it, hand calls in, and change the member that they follow.
+//! Followers: they apply the group's state, forward calls, and change the member that they follow.
 
 use crate::peers::{play_with_followers, run, Peers, Wire};
 use crate::recovery::recover;
 use std::time::{Duration, Instant};
 
-/// The member that a follower is connected to is killed, and then the majority is lost. The follower must go to
-/// another member, obey and hand in calls while there is a majority, refuse them while there is none, and serve
-/// requests throughout.
+/// The member that a follower is connected to is killed, and then the majority is lost. The
+/// follower must connect to another member, apply the state and forward calls while there is a
+/// majority, refuse calls while there is none, and serve requests throughout.
 #[test]
-fn ingresses_beside_the_group_obey_it_hand_in_calls_and_change_members() {
+fn followers_forward_calls_and_change_members() {
     play_with_followers(
         3,
         2,
@@ -39,48 +39,51 @@
     );
 }
 
-/// An endpoint is excluded by a call at a member whose leader dies at that moment, and by one at a follower. No
-/// ingress may send it a new request 2 s after the ACK.
+/// An endpoint is suspended by a call at a member whose leader is killed at that moment, and
+/// another one by a call at a follower. No ingress may send the endpoint a new request 2 s after
+/// the ACK.
 #[test]
-fn nothing_new_reaches_an_endpoint_two_seconds_after_the_yes_wherever_it_was_called() {
+fn suspended_endpoint_gets_no_requests_after_two_seconds() {
     suspensions_are_obeyed_in_time(Wire::Resp);
 }
 
-/// The same over HTTP/2, where a connection carries many requests.
+/// The same over HTTP/2, where one connection carries many requests.
 #[test]
-fn nothing_new_reaches_an_endpoint_two_seconds_after_the_yes_over_http2() {
+fn suspended_endpoint_gets_no_requests_after_two_seconds_over_http2() {
     suspensions_are_obeyed_in_time(Wire::Http2);
 }
 
-/// Steady requests at all; an endpoint is taken out at a member that dies, and then by a follower.
+/// Sends requests to all ingresses, and suspends one endpoint by a call at a member, whose leader is
+/// then killed, and another one by a call at a follower.
 fn suspensions_are_obeyed_in_time(wire: Wire) {
     run(async move {
         let mut peers = Peers::with_wire(3, 1, wire).await;
         peers
             .steps(&["start 0 1 2 3", "whole 0 1 2", "says 3 member=m"])
             .await;
-        let counts: Vec<_> = (0..4).map(|i| peers.steady(i)).collect();
-        let more = async |n: u64| {
-            let want: Vec<u64> = counts.iter().map(|c| c.get() + n).collect();
+        let counts: Vec<_> = (0..4).map(|i| peers.send_requests(i)).collect();
+        let wait_for_requests = async |n: u64| {
+            let expected: Vec<u64> = counts.iter().map(|c| c.get() + n).collect();
             let began = Instant::now();
-            // All but the one whose ingress was killed.
+            // All ingresses must make progress except the one that was killed.
             while counts
                 .iter()
-                .zip(&want)
-                .filter(|(c, want)| c.get() < **want)
+                .zip(&expected)
+                .filter(|(c, expected)| c.get() < **expected)
                 .count()
                 > 1
             {
                 assert!(
                     began.elapsed() < Duration::from_secs(20),
-                    "commands have no answers: {counts:?}"
+                    "requests have no answers: {counts:?}"
                 );
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        more(50).await;
+        wait_for_requests(50).await;
         for at in [0, 3] {
-            // Whichever is in use: the choice is the module's.
+            // Suspends the endpoint with the latest request, since which endpoints are used is the
+            // ingress's choice.
             let name = *peers
                 .arrivals
                 .borrow()
@@ -89,28 +92,29 @@
                 .unwrap()
                 .0;
             peers.step(&format!("call {at} ACK SUSPEND {name}")).await;
-            let yes = Instant::now();
-            // The leader dies with the answer on its way to the others.
+            let acknowledged = Instant::now();
+            // Kills the leader while it sends the committed entry to the other members.
             if at == 0 {
                 peers.step("kill leader").await;
             }
-            while yes.elapsed() < Duration::from_secs(3) {
+            while acknowledged.elapsed() < Duration::from_secs(3) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
-            let last = peers.arrivals.borrow()[name].saturating_duration_since(yes);
-            println!("{name}: last command {last:?} after the yes");
+            let last = peers.arrivals.borrow()[name].saturating_duration_since(acknowledged);
+            println!("{name}: last request {last:?} after the ACK");
             assert!(last < Duration::from_secs(2), "{name}: {last:?}");
-            more(1).await;
+            wait_for_requests(1).await;
         }
         let total: u64 = counts.iter().map(|c| c.get()).sum();
         assert!(total > 400, "{total}");
     });
 }
 
-/// A follower's member answers, and is cut off from the other members: what it knows grows old, which shows as an age
-/// that grows. The follower must go to another member and know of a call within 2 s of its ACK.
+/// The member of a follower still answers but is partitioned from the other members, so the age of
+/// its state grows. The follower must change to another member and apply a call within 2 s of its
+/// ACK.
 #[test]
-fn a_follower_leaves_a_member_that_is_cut_off_and_obeys_within_two_seconds_of_the_yes() {
+fn follower_leaves_a_partitioned_member_within_two_seconds() {
     run(async {
         let mut peers = Peers::new(3, 1).await;
         peers
@@ -125,36 +129,38 @@
                 peers.step(&format!("cut {member} {other}")).await;
                 peers.step(&format!("cut {other} {member}")).await;
             }
-            // By a member that knows of no leader it is refused: asked until one does.
-            let mut yes = Instant::now();
+            // A member without a known leader refuses the call, so the call is repeated until one
+            // is known.
+            let mut acknowledged = Instant::now();
             while !peers
                 .call(others[0], &format!("SUSPEND {name}"))
                 .await
                 .starts_with("ACK")
             {
-                yes = Instant::now();
+                acknowledged = Instant::now();
             }
-            let called = yes;
-            yes = Instant::now();
+            let called = acknowledged;
+            acknowledged = Instant::now();
             let text = format!("{} suspended", if name == "a" { 1 } else { 2 });
             peers.step(&format!("answers 3 {text} : STATUS")).await;
-            let late = yes.elapsed();
+            let delay = acknowledged.elapsed();
             println!(
-                "{name}: the call took {:?}, the follower knew {late:?} after the yes",
-                yes - called
+                "{name}: the call took {:?}, the follower applied it {delay:?} after the ACK",
+                acknowledged - called
             );
-            assert!(late < Duration::from_secs(2), "{late:?}");
+            assert!(delay < Duration::from_secs(2), "{delay:?}");
             peers.step("heal").await;
             peers.step("led 0 1 2").await;
         }
     });
 }
 
-/// A follower dies and starts again while no member can be reached. It must keep out what it knew, from the copy in its
-/// folder, say that it does not know how old that is, refuse calls for the group and serve requests. What it showed and
-/// had not written when it died is not promised: the kill waits until the copy on the disk holds what is shown.
+/// A follower is killed and restarts while no member can be reached. It must keep the endpoints
+/// excluded that the copy in its folder has, report the age of its state as unknown, refuse calls
+/// for the group, and serve requests. State that was visible but not written before the kill may be
+/// lost, so the schedule waits until the copy on the disk is complete.
 #[test]
-fn a_follower_that_starts_while_it_is_cut_off_keeps_out_what_it_knew() {
+fn follower_restarted_without_members_uses_its_cached_replica() {
     play_with_followers(
         3,
         1,
@@ -180,10 +186,10 @@
     );
 }
 
-/// A group is lost and begun anew from one folder with less in it than a follower knew. The follower must take what
-/// the new group holds, though its own number in the log is the higher one.
+/// A group is lost and recovered from a folder that holds less than a follower knew. The follower
+/// must adopt the state of the new group, although the log index of its own replica is higher.
 #[test]
-fn a_follower_of_a_lost_group_takes_what_the_new_one_has() {
+fn follower_of_a_lost_group_adopts_the_recovered_group() {
     run(async {
         let mut peers = Peers::new(3, 1).await;
         peers
@@ -200,7 +206,8 @@
             ])
             .await;
         recover(&peers, 2);
-        // Further than the new group's log is for now: numbers of the old one count for nothing.
+        // The follower's index is beyond the new group's log: an index of the old group must be
+        // ignored.
         peers
             .steps(&[
                 "wipe 0",
--- a/tests/group/main.rs
+++ b/tests/group/main.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program in a group, with faults between them. Schedules are in the language of
-//! [`peers::schedule`].
+//! Tests of a group of real processes with faults between them. Schedules are written in the
+//! language of [`peers::schedule`].
 
 mod disks;
 mod documents;
--- a/tests/group/membership.rs
+++ b/tests/group/membership.rs
@@ -1,12 +1,12 @@
-//! Who is let in, let go or replaced, and whose folders are refused.
+//! Admission, removal and replacement of members, and folders that are refused.
 
 use crate::peers::{play, run, Peers};
 use crate::recovery::recover;
 
-/// A member's machine is lost with its folder. Started with an empty one it must be admitted as another incarnation,
-/// and hold all that was promised before it votes.
+/// A member's machine is lost with its folder. A member that starts with an empty folder must be
+/// admitted as a new incarnation, and hold all acknowledged calls before it votes.
 #[test]
-fn a_machine_lost_with_its_disk_is_let_in_anew_with_all_that_was_promised() {
+fn member_with_a_lost_disk_is_readmitted_with_the_state() {
     play(
         3,
         "start 0 1 2
@@ -23,10 +23,10 @@
     );
 }
 
-/// One member has lost its folder and another one is down: no majority remembers all promises. The lost one must not
-/// be admitted until the other one is back.
+/// One member has lost its folder and another one is down, so no majority holds all acknowledged
+/// calls. The member without its folder must not be admitted until the other one is back.
 #[test]
-fn a_lost_member_is_not_let_in_while_another_is_down() {
+fn lost_member_is_not_readmitted_without_a_majority() {
     play(
         3,
         "start 0 1 2
@@ -46,10 +46,10 @@
     );
 }
 
-/// A folder is mounted at the wrong member, or two processes are started under one name. Votes would count twice: the
-/// start must be refused with a line that says why.
+/// A folder is mounted at the wrong member, or two processes are started under one name. Votes
+/// would count twice, so the start must be refused with a line that gives the reason.
 #[test]
-fn folders_that_are_not_this_members_and_second_processes_are_refused() {
+fn wrong_folders_and_second_processes_are_refused() {
     play(
         3,
         "start 0
@@ -61,10 +61,10 @@
     );
 }
 
-/// A member is replaced by one of another name, one more is added, and one is removed, with members killed in
-/// between. Every promise must hold, and what makes no sense must be refused.
+/// A member is replaced by one of another name, one more is added and one is removed, with members
+/// killed in between. Every acknowledged call must hold, and invalid changes must be refused.
 #[test]
-fn a_member_takes_anothers_place_and_one_more_is_let_in_and_let_go() {
+fn members_are_replaced_added_and_removed() {
     run(async {
         let mut peers = Peers::new(3, 2).await;
         peers.write_operator_file(3, &[0, 1, 2, 3]);
@@ -98,10 +98,11 @@
     });
 }
 
-/// Two of three members are lost with their folders for good. The third one's folder begins a new group with what it
-/// holds, deliberately and once; a member of the old group must not take part with its old folder.
+/// Two of three members are lost with their folders for good. An operator recovers a new group from
+/// the folder of the third one, which must work only once. A member of the old group must not take
+/// part with its old folder.
 #[test]
-fn a_majority_lost_for_good_has_a_deliberate_way_back() {
+fn group_is_recovered_from_one_folder_after_majority_loss() {
     run(async {
         let mut peers = Peers::new(3, 0).await;
         peers
@@ -115,16 +116,16 @@
                 "kill 2",
             ])
             .await;
-        let (old, said) = recover(&peers, 2);
-        assert!(said.contains("Lost is"));
+        let (old, output) = recover(&peers, 2);
+        assert!(output.contains("Lost is"));
         let twice = peers
-            .request(2)
+            .command(2)
             .args(["group", "recover", "--from"])
             .arg(&old)
             .output()
             .unwrap();
         assert!(String::from_utf8_lossy(&twice.stderr).contains("holds a member already"));
-        // A member of the old group is not let in with what it holds.
+        // A member of the old group is not admitted with its old folder.
         peers
             .steps(&[
                 "start 2 1",
--- a/tests/group/peers/clients.rs
+++ b/tests/group/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of an ingress: requests without an end over either wire, and operators' calls.
+//! Clients of an ingress: a stream of requests over RESP or HTTP/2, and operators' calls.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,8 +8,9 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Requests over RESP without an end, each once the last has its one answer; each one's time goes to the list, ms.
-pub async fn steady_resp(
+/// Sends requests over RESP without an end, each after the answer to the previous one. Appends the
+/// duration of each to `times`, ms.
+pub async fn send_resp_requests(
     at: String,
     i: usize,
     answered: Rc<Cell<u64>>,
@@ -33,11 +34,11 @@
             return;
         }
         reader.clear();
-        let whole = |r: &[u8]| {
+        let is_complete = |r: &[u8]| {
             r.starts_with(b"-") && r.ends_with(b"\r\n")
                 || r.starts_with(b"$") && r.ends_with(b"news\r\n")
         };
-        while !whole(&reader) {
+        while !is_complete(&reader) {
             match stream.read_buf(&mut reader).await {
                 Ok(n) if n > 0 => {}
                 _ => return,
@@ -49,8 +50,8 @@
     }
 }
 
-/// Requests over HTTP/2 without an end, each once the last has its one answer.
-pub async fn steady_http2(at: String, i: usize, answered: Rc<Cell<u64>>) {
+/// Sends requests over HTTP/2 without an end, each after the answer to the previous one.
+pub async fn send_http2_requests(at: String, i: usize, answered: Rc<Cell<u64>>) {
     let Ok(stream) = TcpStream::connect(at).await else {
         return;
     };
@@ -83,17 +84,17 @@
     }
 }
 
-/// An operator's call and its answer; empty: there was none.
+/// Sends an operator's call and returns its answer, or an empty string if there is none.
 pub async fn call_operator(at: String, text: String) -> String {
-    let asked = async {
+    let request = async {
         let mut stream = TcpStream::connect(at).await?;
         stream.write_all(format!("{text}\n").as_bytes()).await?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await?;
         Ok::<_, std::io::Error>(answer.trim_end().to_string())
     };
-    // A frozen process takes connections and says nothing.
-    match tokio::time::timeout(Duration::from_secs(6), asked).await {
+    // A paused process accepts connections and does not answer.
+    match tokio::time::timeout(Duration::from_secs(6), request).await {
         Ok(Ok(answer)) => answer,
         _ => String::new(),
     }
--- a/tests/group/peers/endpoints.rs
+++ b/tests/group/peers/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints behind every ingress: they answer each request at once, and note when.
+//! The endpoints of every ingress. They answer each request at once and record when it arrived.
 
 use bytes::Bytes;
 use std::cell::RefCell;
@@ -9,10 +9,10 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// When each endpoint last got a request, by name.
+/// The time of the last request at each endpoint, by name.
 pub type Arrivals = Rc<RefCell<HashMap<&'static str, Instant>>>;
 
-/// An endpoint that answers every request at once.
+/// Runs an endpoint that answers every request at once.
 pub async fn resp_endpoint(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let arrivals = arrivals.clone();
--- a/tests/group/peers/mod.rs
+++ b/tests/group/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program in a group, every directed link between them through a relay of the test's own.
+//! Several processes of the program in a group. Every directed link between two of them runs
+//! through a relay of the test.
 
 mod clients;
 mod endpoints;
@@ -6,9 +7,9 @@
 pub mod schedule;
 mod steps;
 
-use clients::{call_operator, steady_http2, steady_resp};
+use clients::{call_operator, send_http2_requests, send_resp_requests};
 use endpoints::{http2_endpoint, resp_endpoint, Arrivals};
-use relay::{relay, Link, Links};
+use relay::{relay, Fault, LinkFaults};
 pub use schedule::{play, play_with_followers};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -21,16 +22,17 @@
 use tokio::task::{spawn_local, AbortHandle, JoinHandle};
 
 const SETTINGS: &str = include_str!("../../stage/settings.json");
-/// Every wait for something that has to come.
-const LONG: Duration = Duration::from_secs(30);
+/// Timeout of every condition that a test waits for.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Ports: clients, HTTP/2 clients, operators' calls, links, and the relays before links.
-const FRONT: usize = 7000;
-const HTTP2: usize = 8000;
-const CALLS: usize = 9000;
-const LINK: usize = 10_000;
+/// Base ports of process 0, to which the number of the process is added: clients, HTTP/2 clients,
+/// operators' calls, links.
+const CLIENT_BASE_PORT: usize = 7000;
+const HTTP2_BASE_PORT: usize = 8000;
+const CALL_BASE_PORT: usize = 9000;
+const LINK_BASE_PORT: usize = 10_000;
 
-/// The port at which P finds Q.
+/// Returns the port of the relay through which `p` connects to `q`.
 fn relay_port(p: usize, q: usize) -> usize {
     20_000 + 8 * p + q
 }
@@ -41,20 +43,20 @@
     host: String,
     folder: PathBuf,
     programs: Vec<Option<Child>>,
-    links: Links,
-    /// A call whose answer is waited for later.
-    begun_call: Option<JoinHandle<String>>,
+    links: LinkFaults,
+    /// The call of the last `begin` step, whose answer has not been checked yet.
+    pending_call: Option<JoinHandle<String>>,
     pub arrivals: Arrivals,
-    /// The wire of clients and endpoints.
+    /// The protocol of clients and endpoints.
     wire: Wire,
-    /// How large each one's files may be, in blocks of 512 bytes; 0: without a bound.
+    /// The file size limit of each process, in blocks of 512 bytes; 0 for no limit.
     max_file_blocks: Vec<u64>,
-    /// What each one's `[group] form` says.
+    /// The `[group] form` setting of each process.
     format_versions: Vec<Option<u16>>,
     program: PathBuf,
 }
 
-/// The wire that clients and endpoints speak.
+/// The protocol of clients and endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wire {
     Resp,
@@ -72,26 +74,27 @@
     )
 }
 
-/// A relay for every directed link.
-async fn start_relays(size: usize, host: &str) -> Links {
-    let links = Links::default();
+/// Starts a relay for every directed link.
+async fn start_relays(size: usize, host: &str) -> LinkFaults {
+    let links = LinkFaults::default();
     for i in 0..size {
-        // Nobody keeps a link to those who only follow, but some of the first become members.
+        // No link leads to a process that always follows, but some of the first ones become
+        // members.
         for j in 0..size.min(8) {
             if i == j {
                 continue;
             }
-            links.borrow_mut().insert((i, j), Link::Sound);
+            links.borrow_mut().insert((i, j), Fault::None);
             let at = format!("{host}:{}", relay_port(i, j));
             let listener = TcpListener::bind(at).await.unwrap();
-            let to = format!("{host}:{}", LINK + j);
+            let to = format!("{host}:{}", LINK_BASE_PORT + j);
             spawn_local(relay(listener, to, (i, j), links.clone()));
         }
     }
     links
 }
 
-/// Endpoints for requests, as a configuration names them.
+/// Starts the endpoints, and returns them in the format of the configuration.
 async fn start_endpoints(wire: Wire, host: &str, arrivals: &Arrivals) -> String {
     let mut endpoints = Vec::new();
     for name in ["a", "b", "c", "d"] {
@@ -112,12 +115,12 @@
 }
 
 impl Peers {
-    /// So many members, and followers.
+    /// Prepares a group of members and followers, none of which runs yet.
     pub async fn new(members: usize, followers: usize) -> Peers {
         Peers::with_wire(members, followers, Wire::Resp).await
     }
 
-    /// The same with clients and endpoints that speak this.
+    /// The same, with the given protocol for clients and endpoints.
     pub async fn with_wire(members: usize, followers: usize, wire: Wire) -> Peers {
         let size = members + followers;
         let host = own_address();
@@ -126,7 +129,7 @@
         let links = start_relays(size, &host).await;
         let arrivals = Arrivals::default();
         let endpoints = start_endpoints(wire, &host, &arrivals).await;
-        // Another build is measured beside this one by its path.
+        // The environment variable selects another build for a measurement.
         let program =
             std::env::var_os("DRIFTGAP_PROGRAM").unwrap_or(env!("CARGO_BIN_EXE_driftgap").into());
         let peers = Peers {
@@ -136,7 +139,7 @@
             folder,
             programs: (0..size).map(|_| None).collect(),
             links,
-            begun_call: None,
+            pending_call: None,
             arrivals,
             wire,
             max_file_blocks: vec![0; size],
@@ -146,11 +149,11 @@
         for i in 0..size {
             peers.write_files(i, &endpoints);
         }
-        peers.begin_group();
+        peers.init_group();
         peers
     }
 
-    /// All files of one process. `endpoints`: those that it knows, as its configuration has them.
+    /// Writes all files of one process. `endpoints` is the list of endpoints in its configuration.
     fn write_files(&self, i: usize, endpoints: &str) {
         let home = self.home(i);
         std::fs::create_dir_all(&home).unwrap();
@@ -158,8 +161,8 @@
             r#"{{"name":"m{i}","listen":"{0}:{1}","operator":"{0}:{2}","settings":{SETTINGS},
                 "known":{{"version":1,"full":true,"servers":[{endpoints}]}}}}"#,
             self.host,
-            FRONT + i,
-            CALLS + i,
+            CLIENT_BASE_PORT + i,
+            CALL_BASE_PORT + i,
         );
         std::fs::write(home.join("config.json"), config).unwrap();
         std::fs::write(home.join("inventory.csv"), "name,address\n").unwrap();
@@ -167,9 +170,9 @@
         self.write_operator_file(i, &(0..self.members).collect::<Vec<_>>());
     }
 
-    /// The first member begins the group.
-    fn begin_group(&self) {
-        let init = self.request(0).args(["group", "init"]).output().unwrap();
+    /// Initializes the group in the folder of the first member.
+    fn init_group(&self) {
+        let init = self.command(0).args(["group", "init"]).output().unwrap();
         assert!(
             init.status.success(),
             "{}",
@@ -177,42 +180,52 @@
         );
     }
 
-    /// The operator's file of one process, with these members.
+    /// Writes the operator's file of one process, with the given members.
     pub fn write_operator_file(&self, i: usize, members: &[usize]) {
         let members = members.iter().map(|j| {
-            let port = if *j == i { LINK + i } else { relay_port(i, *j) };
+            let port = if *j == i {
+                LINK_BASE_PORT + i
+            } else {
+                relay_port(i, *j)
+            };
             format!("m{j} = \"{}:{port}\"\n", self.host)
         });
-        let form = self.format_versions[i].filter(|_| self.older(i).is_none());
+        let form = self.format_versions[i].filter(|_| self.older_program(i).is_none());
         let form = form.map_or(String::new(), |form| format!("form = {form}\n"));
         let http2 = match self.wire {
-            Wire::Http2 => format!("[http2]\nlisten = \"{}:{}\"\n", self.host, HTTP2 + i),
+            Wire::Http2 => format!(
+                "[http2]\nlisten = \"{}:{}\"\n",
+                self.host,
+                HTTP2_BASE_PORT + i
+            ),
             Wire::Resp => String::new(),
         };
         let text = format!(
             "{http2}[inventory]\nfile = \"inventory.csv\"\n[routes]\nfile = \"rules.toml\"\n\
              [group]\nlisten = \"{}:{}\"\nfolder = \"group\"\n{form}[group.members]\n{}",
             self.host,
-            LINK + i,
+            LINK_BASE_PORT + i,
             members.collect::<String>()
         );
         std::fs::write(self.home(i).join("operator.toml"), text).unwrap();
     }
 
-    /// Where P's link listens, not by a relay.
+    /// Returns the address on which a process accepts links, without a relay.
     pub fn link(&self, i: usize) -> String {
-        format!("{}:{}", self.host, LINK + i)
+        format!("{}:{}", self.host, LINK_BASE_PORT + i)
     }
 
     pub fn home(&self, i: usize) -> PathBuf {
         self.folder.join(format!("m{i}"))
     }
 
-    pub fn request(&self, i: usize) -> Command {
-        let path = self.older(i).unwrap_or_else(|| self.program.clone());
+    pub fn command(&self, i: usize) -> Command {
+        let path = self
+            .older_program(i)
+            .unwrap_or_else(|| self.program.clone());
         let mut program = match self.max_file_blocks[i] {
             0 => Command::new(path),
-            // A write that is too much fails as on a full disk, rather than by a signal.
+            // Ignoring SIGXFSZ makes a write beyond the limit fail as on a full disk.
             blocks => {
                 let mut shell = Command::new("sh");
                 let line = format!("trap '' XFSZ; ulimit -f {blocks}; exec \"$0\" \"$@\"");
@@ -226,10 +239,11 @@
         program
     }
 
-    /// An older build takes the place of those that are kept to the first form, where one is named: by hand only.
-    fn older(&self, i: usize) -> Option<PathBuf> {
-        let older = std::env::var_os("DRIFTGAP_OLDER").map(PathBuf::from);
-        older.filter(|_| self.format_versions[i] == Some(1))
+    /// Returns an older build (`DRIFTGAP_OLDER`) for a process that is limited to format version 1,
+    /// if one is named.
+    fn older_program(&self, i: usize) -> Option<PathBuf> {
+        let older_program = std::env::var_os("DRIFTGAP_OLDER").map(PathBuf::from);
+        older_program.filter(|_| self.format_versions[i] == Some(1))
     }
 
     fn start(&mut self, i: usize) {
@@ -244,7 +258,7 @@
             .open(self.home(i).join("log"))
             .unwrap();
         let program = self
-            .request(i)
+            .command(i)
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
@@ -265,35 +279,40 @@
             .success());
     }
 
-    /// An operator's call and its answer; empty: there was none.
+    /// Sends an operator's call and returns its answer, or an empty string if there is none.
     pub async fn call(&self, i: usize, text: &str) -> String {
-        call_operator(format!("{}:{}", self.host, CALLS + i), text.to_string()).await
+        call_operator(
+            format!("{}:{}", self.host, CALL_BASE_PORT + i),
+            text.to_string(),
+        )
+        .await
     }
 
-    /// Sends requests at P without an end, each once the last has its one answer; how many have been answered.
-    pub fn steady(&self, i: usize) -> Rc<Cell<u64>> {
-        self.steady_timed(i, Rc::default()).0
+    /// Sends requests to a process without an end. Returns the number of answers so far.
+    pub fn send_requests(&self, i: usize) -> Rc<Cell<u64>> {
+        self.send_timed_requests(i, Rc::default()).0
     }
 
-    /// The same; each one's time goes to the list, ms (RESP). With it the handle that ends them.
-    pub fn steady_timed(
+    /// The same; also appends the duration of each request to `times`, ms (RESP only), and returns
+    /// a handle that stops it.
+    pub fn send_timed_requests(
         &self,
         i: usize,
         times: Rc<RefCell<Vec<f64>>>,
     ) -> (Rc<Cell<u64>>, AbortHandle) {
         let answered = Rc::new(Cell::new(0));
         if self.wire == Wire::Http2 {
-            let at = format!("{}:{}", self.host, HTTP2 + i);
-            let task = spawn_local(steady_http2(at, i, answered.clone()));
+            let at = format!("{}:{}", self.host, HTTP2_BASE_PORT + i);
+            let task = spawn_local(send_http2_requests(at, i, answered.clone()));
             return (answered, task.abort_handle());
         }
-        let at = format!("{}:{}", self.host, FRONT + i);
-        let task = spawn_local(steady_resp(at, i, answered.clone(), times));
+        let at = format!("{}:{}", self.host, CLIENT_BASE_PORT + i);
+        let task = spawn_local(send_resp_requests(at, i, answered.clone(), times));
         (answered, task.abort_handle())
     }
 
-    /// The time on a processor that all threads of P have had.
-    pub fn processor(&self, i: usize) -> Duration {
+    /// Returns the processor time that all threads of a process have used.
+    pub fn cpu_time(&self, i: usize) -> Duration {
         let id = self.programs[i].as_ref().expect("a process").id();
         let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
             .unwrap()
@@ -305,27 +324,28 @@
         Duration::from_nanos(ns.sum())
     }
 
-    /// P's resident memory, kB.
-    pub fn resident(&self, i: usize) -> u64 {
+    /// Returns the resident memory of a process, kB.
+    pub fn resident_kb(&self, i: usize) -> u64 {
         let id = self.programs[i].as_ref().expect("a process").id();
         let text = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap();
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap();
         line.split_whitespace().next().unwrap().parse().unwrap()
     }
 
-    /// P is in no group from its next start on.
+    /// Removes the `[group]` section from the operator's file of a process, which applies from its
+    /// next start on.
     pub fn leave_out_group_section(&self, i: usize) {
         let path = self.home(i).join("operator.toml");
         let text = std::fs::read_to_string(&path).unwrap();
         std::fs::write(path, text.split_once("[group]").unwrap().0).unwrap();
     }
 
-    /// A call that can be waited for elsewhere.
-    pub fn calling(&self, i: usize, text: String) -> impl Future<Output = String> + 'static {
-        call_operator(format!("{}:{}", self.host, CALLS + i), text)
+    /// Returns a call as a future that can be awaited in another task.
+    pub fn call_future(&self, i: usize, text: String) -> impl Future<Output = String> + 'static {
+        call_operator(format!("{}:{}", self.host, CALL_BASE_PORT + i), text)
     }
 
-    /// A value of `GROUP STATUS`, as `leader`.
+    /// Returns a value of `GROUP STATUS`, for example `leader`.
     pub async fn status(&self, i: usize, key: &str) -> Option<String> {
         let answer = self.call(i, "GROUP STATUS").await;
         let value = answer
@@ -334,7 +354,7 @@
         value.map(str::to_string)
     }
 
-    /// Whether P's process runs: one that has ended by itself is a zombie until it is waited for.
+    /// Whether the process runs. One that has exited is a zombie until it is waited for.
     fn is_running(&self, i: usize) -> bool {
         let Some(program) = &self.programs[i] else {
             return false;
@@ -346,7 +366,8 @@
             .any(|line| line.starts_with("State:") && !line.contains("zombie"))
     }
 
-    /// The ends of all logs and which processes run, for whoever looks into a failure.
+    /// Returns the last lines of all logs and the state of each process, for the message of a
+    /// failed test.
     pub fn logs(&self) -> String {
         let end = |i: usize| {
             let text = std::fs::read_to_string(self.home(i).join("log")).unwrap_or_default();
@@ -375,7 +396,7 @@
     }
 }
 
-/// Runs a test with its relays and stand-ins.
+/// Runs a test together with the relays and endpoints that it has started.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/tests/group/peers/steps.rs
+++ b/tests/group/peers/steps.rs
@@ -1,9 +1,9 @@
-//! What each step of a schedule does.
+//! Implements the steps of a schedule.
 
 use super::clients::call_operator;
-use super::relay::Link;
+use super::relay::Fault;
 use super::schedule::Step;
-use super::{Peers, CALLS, FRONT, LONG};
+use super::{Peers, CALL_BASE_PORT, CLIENT_BASE_PORT, STEP_TIMEOUT};
 use std::process::{Output, Stdio};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -11,11 +11,11 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Between two looks at something that has to come.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Peers {
-    /// The process that a word of a step names.
+    /// Returns the process that a word of a step names.
     pub(super) async fn process(&self, word: &str) -> usize {
         if word != "leader" {
             return word.parse().unwrap_or_else(|_| panic!("no process {word}"));
@@ -28,20 +28,28 @@
                     return i;
                 }
             }
-            assert!(began.elapsed() < LONG, "nobody leads{}", self.logs());
-            sleep(LOOK_INTERVAL).await;
+            assert!(
+                began.elapsed() < STEP_TIMEOUT,
+                "no process is the leader{}",
+                self.logs()
+            );
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks until it is so, or for too long.
-    async fn until(&self, line: &str, so: impl AsyncFn() -> Result<(), String>) {
+    /// Polls a condition until it holds, and panics after a timeout.
+    async fn wait_until(&self, line: &str, condition: impl AsyncFn() -> Result<(), String>) {
         let began = Instant::now();
         loop {
-            match so().await {
+            match condition().await {
                 Ok(()) => return,
                 Err(seen) => {
-                    assert!(began.elapsed() < LONG, "{line}: {seen}{}", self.logs());
-                    sleep(LOOK_INTERVAL).await;
+                    assert!(
+                        began.elapsed() < STEP_TIMEOUT,
+                        "{line}: {seen}{}",
+                        self.logs()
+                    );
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         }
@@ -88,7 +96,10 @@
             if let Some(status) = program.try_wait().unwrap() {
                 break status;
             }
-            assert!(began.elapsed() < LONG, "{line}: it does not end");
+            assert!(
+                began.elapsed() < STEP_TIMEOUT,
+                "{line}: the process does not exit"
+            );
             sleep(Duration::from_millis(10)).await;
         };
         assert!(status.success(), "{line}: {status}{}", self.logs());
@@ -98,7 +109,7 @@
         sleep(Duration::from_millis(step.number(1))).await;
         assert!(
             self.is_running(step.process()),
-            "{}: it has ended{}",
+            "{}: the process has exited{}",
             step.line,
             self.logs()
         );
@@ -106,53 +117,54 @@
 
     pub(super) async fn expect_refused(&self, step: &Step<'_>) {
         let Output { status, stderr, .. } = self.run_to_end(step.process()).await;
-        let said = String::from_utf8_lossy(&stderr).to_string();
-        let last = said.lines().last().unwrap_or("");
+        let output = String::from_utf8_lossy(&stderr).to_string();
+        let last = output.lines().last().unwrap_or("");
         assert!(
             status.code() == Some(2) && last.contains(&step.text_from(1)),
-            "{}: {said}",
+            "{}: {output}",
             step.line
         );
     }
 
-    /// Starts P's program once more, which is to end by itself.
+    /// Starts a second process from the files of process `i`, which is expected to exit, and
+    /// returns its output.
     async fn run_to_end(&self, i: usize) -> Output {
-        let mut second = self.request(i).stderr(Stdio::piped()).spawn().unwrap();
+        let mut second = self.command(i).stderr(Stdio::piped()).spawn().unwrap();
         let began = Instant::now();
-        while second.try_wait().unwrap().is_none() && began.elapsed() < LONG {
+        while second.try_wait().unwrap().is_none() && began.elapsed() < STEP_TIMEOUT {
             sleep(Duration::from_millis(5)).await;
         }
         let _ = second.kill();
         second.wait_with_output().unwrap()
     }
 
-    /// Steps that change what links carry.
+    /// Steps that change what the relays do.
     pub(super) fn change_links(&mut self, step: &Step) {
         let mut links = self.links.borrow_mut();
-        let how = match step.verb {
-            "cut" => Link::Cut,
-            "mute" => Link::Mute,
-            "torn" => Link::Torn,
-            "half" => Link::Half,
-            "jitter" => Link::Jitter(step.words[2].parse().unwrap()),
-            "throttle" => Link::Throttle(step.words[2].parse().unwrap()),
-            "slow" => Link::Slow(step.words[2].parse().unwrap()),
+        let fault = match step.verb {
+            "cut" => Fault::Cut,
+            "mute" => Fault::Mute,
+            "torn" => Fault::Torn,
+            "half" => Fault::Half,
+            "jitter" => Fault::Jitter(step.words[2].parse().unwrap()),
+            "throttle" => Fault::Throttle(step.words[2].parse().unwrap()),
+            "slow" => Fault::Slow(step.words[2].parse().unwrap()),
             "split" => {
                 let process = step.process();
-                let of_process = |link: &(usize, usize)| link.0 == process || link.1 == process;
-                let all = links.iter_mut().filter(|(link, _)| of_process(link));
-                return all.for_each(|(_, link)| *link = Link::Cut);
+                let is_of_process = |link: &(usize, usize)| link.0 == process || link.1 == process;
+                let all = links.iter_mut().filter(|(link, _)| is_of_process(link));
+                return all.for_each(|(_, link)| *link = Fault::Cut);
             }
-            "heal" => return links.values_mut().for_each(|link| *link = Link::Sound),
+            "heal" => return links.values_mut().for_each(|link| *link = Fault::None),
             _ => unreachable!("{}", step.line),
         };
-        links.insert(step.link(), how);
+        links.insert(step.link(), fault);
     }
 
-    /// Whether these processes know who leads and agree on it, and with `whole` all vote.
-    pub(super) async fn expect_led(&self, step: &Step<'_>) {
+    /// Waits until these processes agree on a leader, and for `whole` also until all of them vote.
+    pub(super) async fn expect_leader(&self, step: &Step<'_>) {
         let all = &step.processes;
-        self.until(step.line, async || {
+        self.wait_until(step.line, async || {
             let mut leaders = Vec::new();
             for i in all {
                 let answer = self.call(*i, "GROUP STATUS").await;
@@ -160,8 +172,8 @@
                 if !answer.starts_with("ACK") || (step.verb == "whole" && votes < all.len()) {
                     return Err(answer);
                 }
-                let behind = answer.split("leader=").nth(1);
-                leaders.push(behind.and_then(|text| text.split(' ').next().map(String::from)));
+                let rest = answer.split("leader=").nth(1);
+                leaders.push(rest.and_then(|text| text.split(' ').next().map(String::from)));
             }
             leaders.dedup();
             match leaders.len() {
@@ -187,29 +199,29 @@
     }
 
     pub(super) fn begin_call(&mut self, step: &Step) {
-        let at = format!("{}:{}", self.host, CALLS + step.process());
-        self.begun_call = Some(spawn_local(call_operator(at, step.text_from(1))));
+        let at = format!("{}:{}", self.host, CALL_BASE_PORT + step.process());
+        self.pending_call = Some(spawn_local(call_operator(at, step.text_from(1))));
     }
 
-    pub(super) async fn expect_begun_answer(&mut self, step: &Step<'_>) {
-        let answer = self.begun_call.take().expect("a call").await.unwrap();
+    pub(super) async fn expect_pending_answer(&mut self, step: &Step<'_>) {
+        let answer = self.pending_call.take().expect("a call").await.unwrap();
         let words = step.text_from(0);
-        let wanted = match words.strip_prefix("either ") {
+        let expected = match words.strip_prefix("either ") {
             Some(words) => words.split(" or ").collect(),
             None => vec![step.words[0]],
         };
-        let fits = wanted.iter().any(|word| answer.starts_with(word));
-        assert!(fits, "{}: {answer}{}", step.line, self.logs());
+        let matches = expected.iter().any(|word| answer.starts_with(word));
+        assert!(matches, "{}: {answer}{}", step.line, self.logs());
     }
 
     pub(super) async fn expect_excluded(&self, step: &Step<'_>) {
-        let want = step.text_from(1);
-        self.until(step.line, async || {
+        let expected = step.text_from(1);
+        self.wait_until(step.line, async || {
             let answer = self.call(step.process(), "GROUP OUT").await;
             let names = answer
                 .split_once(": ")
                 .map_or("", |(_, names)| names.trim());
-            if answer.starts_with("ACK") && names == want {
+            if answer.starts_with("ACK") && names == expected {
                 return Ok(());
             }
             Err(answer)
@@ -218,16 +230,16 @@
     }
 
     pub(super) async fn expect_status(&self, step: &Step<'_>) {
-        let want = step.text_from(1);
-        self.until(step.line, async || {
+        let expected = step.text_from(1);
+        self.wait_until(step.line, async || {
             let answer = self.call(step.process(), "GROUP STATUS").await;
-            contains(answer, &want)
+            contains(answer, &expected)
         })
         .await;
     }
 
     pub(super) async fn expect_stored(&self, step: &Step<'_>) {
-        self.until(step.line, async || {
+        self.wait_until(step.line, async || {
             let answer = self.call(step.process(), "GROUP STATUS").await;
             let number = |key: &str| -> Option<u64> {
                 let mut words = answer.split_ascii_whitespace();
@@ -241,26 +253,27 @@
         .await;
     }
 
-    pub(super) async fn expect_answer_in_time(&self, step: &Step<'_>) {
+    pub(super) async fn expect_answer_containing(&self, step: &Step<'_>) {
         let (text, call) = step.line.split_once(" : ").expect("a text and a call");
-        let want = text.splitn(3, ' ').nth(2).expect("a text");
-        self.until(step.line, async || {
-            contains(self.call(step.process(), call).await, want)
+        let expected = text.splitn(3, ' ').nth(2).expect("a text");
+        self.wait_until(step.line, async || {
+            contains(self.call(step.process(), call).await, expected)
         })
         .await;
     }
 
     pub(super) async fn expect_logged(&self, step: &Step<'_>) {
-        let want = step.text_from(1);
+        let expected = step.text_from(1);
         let path = self.home(step.process()).join("log");
-        self.until(step.line, async || {
+        self.wait_until(step.line, async || {
             let log = std::fs::read_to_string(&path).unwrap_or_default();
-            contains(log, &want).map_err(|_| "not logged".into())
+            contains(log, &expected).map_err(|_| "not logged".into())
         })
         .await;
     }
 
-    /// A request is answered with a value, or with `answered` by a refusal as well.
+    /// Sends a request that must be answered with a value, or for `answered` with a value or a
+    /// refusal.
     pub(super) async fn expect_served(&self, step: &Step<'_>) {
         let terms = "c=fetch-episode,t=city,d=2000,units=1,spread=1,first=0";
         let (id, text) = (step.words[1], format!("${}\r\n{terms}", terms.len()));
@@ -268,7 +281,7 @@
             "*4\r\n$9\r\nSVC.QUERY\r\n$16\r\n0000000000000007\r\n${}\r\n{id}\r\n{text}\r\n",
             id.len()
         );
-        let at = format!("{}:{}", self.host, FRONT + step.process());
+        let at = format!("{}:{}", self.host, CLIENT_BASE_PORT + step.process());
         let mut stream = TcpStream::connect(at).await.unwrap();
         stream.write_all(request.as_bytes()).await.unwrap();
         let mut answer = Vec::new();
@@ -277,7 +290,8 @@
             assert!(read > 0, "{}", step.line);
         }
         let answer = String::from_utf8_lossy(&answer).to_string();
-        // Without a counter a part of the quota is this ingress's: beyond it a refusal is the one answer.
+        // Without a counter this ingress has only a part of the quota, and refuses requests beyond
+        // it.
         let busy = step.verb == "answered" && answer.starts_with("-BUSY");
         assert!(busy || answer.contains("news"), "{}: {answer}", step.line);
     }
@@ -288,8 +302,8 @@
     answer.ends_with(b"\r\n") && (!is_value || answer.ends_with(b"news\r\n"))
 }
 
-fn contains(answer: String, want: &str) -> Result<(), String> {
-    if answer.contains(want) {
+fn contains(answer: String, expected: &str) -> Result<(), String> {
+    if answer.contains(expected) {
         Ok(())
     } else {
         Err(answer)
--- a/tests/group/promises.rs
+++ b/tests/group/promises.rs
@@ -1,11 +1,11 @@
-//! A call with `ACK` outlives kills, cuts and freezes of members.
+//! Calls that were acknowledged with `ACK` survive kills, partitions and pauses of members.
 
 use crate::peers::play;
 
-/// A leader answers calls with ACK and is killed. The others elect a new one, which must hold all that was promised,
-/// and take new calls.
+/// A leader acknowledges calls and is killed. The other members must elect a leader that holds all
+/// acknowledged calls, and accept new ones.
 #[test]
-fn a_promise_is_kept_through_the_death_of_the_leader_that_gave_it() {
+fn acknowledged_calls_survive_a_kill_of_the_leader() {
     play(
         3,
         "start 0 1 2
@@ -21,10 +21,11 @@
     );
 }
 
-/// A leader loses its links to all others. It must promise nothing from then on and say that it has no leader, while
-/// the others go on; once the links are back all hold the same.
+/// A leader loses its links to all other members. It must acknowledge nothing from then on and
+/// report that it has no leader, while the other members keep working. Once the links are back, all
+/// members must hold the same state.
 #[test]
-fn a_leader_that_is_cut_off_promises_nothing_and_hears_of_it_once_it_is_back() {
+fn partitioned_leader_catches_up_after_the_partition() {
     play(
         3,
         "start 0 1 2
@@ -42,10 +43,11 @@
     );
 }
 
-/// Two of three members cannot reach each other, and both reach the third. Messages go by the third: calls at every
-/// member must be promised, and every member must hear of all.
+/// Two of three members cannot reach each other, and both reach the third, which forwards their
+/// messages. Calls at every member must be acknowledged, and every member must hold the result of
+/// all.
 #[test]
-fn a_chain_of_members_goes_on_and_the_one_at_its_end_hears_all() {
+fn messages_are_forwarded_between_unconnected_members() {
     play(
         3,
         "start 0 1 2
@@ -61,10 +63,11 @@
     );
 }
 
-/// Two of three members are down. The third must refuse calls for the group and reads of it, go on to obey what it
-/// knew and calls for itself alone, and serve clients. Once the others are back, what was refused must not hold.
+/// Two of three members are down. The third one must refuse calls for the group and reads of its
+/// state, keep applying the state that it holds and calls for itself alone, and serve clients. Once
+/// the other members are back, the refused calls must have no effect.
 #[test]
-fn without_a_majority_nothing_is_promised_and_requests_are_served() {
+fn calls_are_refused_and_requests_served_without_a_majority() {
     play(
         3,
         "start 0 1 2
@@ -86,10 +89,10 @@
     );
 }
 
-/// All members are killed at one moment, as by a loss of power. What had an ACK must be on enough disks to be there
-/// after the start.
+/// All members are killed at the same moment, as by a loss of power. Calls that were acknowledged
+/// must be on enough disks to be there after the restart.
 #[test]
-fn all_killed_at_once_and_started_again_keep_every_promise() {
+fn acknowledged_calls_survive_a_kill_of_all_members() {
     play(
         3,
         "start 0 1 2
@@ -106,10 +109,10 @@
     );
 }
 
-/// A leader stops for a while, as a machine that is paused, and another one is elected meanwhile. When it wakes it
-/// must answer nothing from what it knew before.
+/// A leader is paused, as a virtual machine may be, and another one is elected meanwhile. The
+/// resumed member must not answer from the state that it had before.
 #[test]
-fn a_leader_that_was_frozen_wakes_as_no_leader() {
+fn paused_leader_does_not_answer_from_stale_state() {
     play(
         3,
         "start 0 1 2
@@ -124,11 +127,11 @@
     );
 }
 
-/// Links jitter, carry little, are slow, and end for one side only, which shows as a link that looks sound and
-/// carries nothing. Every promise must hold, the dead link must be noticed and made anew, and a kill of the leader
-/// after it must change nothing.
+/// Links have jitter, little bandwidth or delay, or end on one side only, which leaves a link that
+/// looks healthy and carries nothing. Every acknowledged call must hold, the half-open link must be
+/// detected and opened again, and a kill of the leader afterwards must lose nothing.
 #[test]
-fn slow_narrow_and_half_open_links_lose_no_promise() {
+fn slow_and_half_open_links_lose_no_acknowledged_call() {
     play(
         3,
         "start 0 1 2
@@ -147,7 +150,7 @@
          half 0 2
          call 1 ACK SUSPEND c
          call 2 ACK SUSPEND d
-         # Nothing that it sends arrives, until it notices by what the others say that they hear.
+         # Nothing that member 0 sends arrives, until the reports of the other members show this.
          out 0 b c d
          logged 0 member receives nothing over its link: reconnecting
          kill leader
--- a/tests/group/random_faults.rs
+++ b/tests/group/random_faults.rs
@@ -1,4 +1,5 @@
-//! Random schedules of faults between real processes; what callers saw must be linearizable.
+//! Random schedules of faults between real processes. The results that callers saw must be
+//! linearizable.
 
 use crate::one_machine::{OneMachine, Op, Said};
 use crate::peers::{run, Peers};
@@ -9,7 +10,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// What an answer says; none: nothing that is certain.
+/// Parses the result of a call. `None` if the answer gives no certain result.
 fn parse_answer(op: &Op, answer: &str) -> Option<Said> {
     let answer = answer.strip_prefix("ACK ")?;
     Some(match op {
@@ -22,38 +23,38 @@
     })
 }
 
-/// A call on its way.
-struct OpenCall {
+/// A call whose answer has not been recorded yet.
+struct PendingCall {
     op: Op,
     began: Duration,
-    /// When its answer came.
+    /// When the answer arrived.
     ended: Rc<Cell<Option<Duration>>>,
     answer: JoinHandle<String>,
 }
 
-/// What a call did at some moment of the record.
+/// The start or the end of a call.
 #[derive(Debug)]
-enum Moment {
-    Began(Op),
-    Ended(Said),
+enum CallEvent {
+    Invoked(Op),
+    Returned(Said),
 }
 
-/// One line of the record.
+/// An event of the record.
 #[derive(Debug)]
 struct Recorded {
     at: Duration,
-    /// Which call, by its number in the record.
+    /// The call's number in the record.
     call: usize,
-    moment: Moment,
+    event: CallEvent,
 }
 
-/// A random schedule, and the record of its calls.
+/// A random schedule and the record of its calls.
 struct Schedule {
     seed: u64,
     rand: Rand64,
     peers: Peers,
     began: Instant,
-    open: Vec<OpenCall>,
+    pending_calls: Vec<PendingCall>,
     down: Option<usize>,
     frozen: Option<usize>,
     record: Vec<Recorded>,
@@ -70,7 +71,7 @@
             rand: Rand64::new(seed.into()),
             peers,
             began: Instant::now(),
-            open: Vec::new(),
+            pending_calls: Vec::new(),
             down: None,
             frozen: None,
             record: Vec::new(),
@@ -81,7 +82,7 @@
         self.rand.rand_range(0..below) as usize
     }
 
-    /// Begins a random call at a random process, which is not waited for.
+    /// Starts a random call at a random process, without waiting for the answer.
     fn begin_call(&mut self) {
         let (a, b) = ("a".to_string(), "b".to_string());
         let ops = [
@@ -101,13 +102,13 @@
         let began = schedule_began.elapsed();
         let ended = Rc::new(Cell::new(None));
         let process = self.pick(4);
-        let (done, call) = (ended.clone(), self.peers.calling(process, text));
+        let (done, call) = (ended.clone(), self.peers.call_future(process, text));
         let answer = spawn_local(async move {
             let answer = call.await;
             done.set(Some(schedule_began.elapsed()));
             answer
         });
-        self.open.push(OpenCall {
+        self.pending_calls.push(PendingCall {
             op,
             began,
             ended,
@@ -115,7 +116,7 @@
         });
     }
 
-    /// A random fault, or the end of one, as a line of a schedule.
+    /// Returns a random fault, or the end of one, as a line of a schedule.
     fn next_fault(&mut self) -> String {
         let (i, j) = (self.pick(3), self.pick(3));
         match (self.pick(8), self.down, self.frozen) {
@@ -153,23 +154,30 @@
         self.peers.step("whole 0 1 2").await;
     }
 
-    /// Waits for the answers of all calls, and records those that say something.
+    /// Waits for the answers to all calls, and records the calls that may have had an effect.
     async fn record_calls(&mut self) {
-        for (call, open) in std::mem::take(&mut self.open).into_iter().enumerate() {
-            let answer = open.answer.await.unwrap();
-            let said = parse_answer(&open.op, &answer);
-            // A no that is certain, and a read without an answer, say nothing.
-            if answer.starts_with("NAK not done") || (said.is_none() && open.op == Op::Read) {
+        for (call, pending) in std::mem::take(&mut self.pending_calls)
+            .into_iter()
+            .enumerate()
+        {
+            let answer = pending.answer.await.unwrap();
+            let said = parse_answer(&pending.op, &answer);
+            // A call that certainly was not done, and a read without an answer, constrain nothing.
+            if answer.starts_with("NAK not done") || (said.is_none() && pending.op == Op::Read) {
                 continue;
             }
-            self.note(open.began, call, Moment::Began(open.op));
+            self.record_event(pending.began, call, CallEvent::Invoked(pending.op));
             if let Some(said) = said {
-                self.note(open.ended.get().unwrap(), call, Moment::Ended(said));
+                self.record_event(
+                    pending.ended.get().unwrap(),
+                    call,
+                    CallEvent::Returned(said),
+                );
             }
         }
     }
 
-    /// Reads at every process what holds in the end.
+    /// Reads the final state at every process.
     async fn record_last_reads(&mut self) {
         for process in 0..4 {
             let began = self.began.elapsed();
@@ -185,25 +193,29 @@
                 );
             }
             let call = 1000 + process;
-            self.note(began, call, Moment::Began(Op::Read));
-            self.note(self.began.elapsed(), call, Moment::Ended(said.unwrap()));
+            self.record_event(began, call, CallEvent::Invoked(Op::Read));
+            self.record_event(
+                self.began.elapsed(),
+                call,
+                CallEvent::Returned(said.unwrap()),
+            );
         }
     }
 
-    fn note(&mut self, at: Duration, call: usize, moment: Moment) {
-        self.record.push(Recorded { at, call, moment });
+    fn record_event(&mut self, at: Duration, call: usize, event: CallEvent) {
+        self.record.push(Recorded { at, call, event });
     }
 
-    /// Whether one machine could have said what is on record. Name by name: a record of many calls at once takes the
-    /// search for an order too long as a whole.
-    fn judge_record(&mut self) {
-        let ends = |recorded: &Recorded| matches!(recorded.moment, Moment::Ended(_));
+    /// Checks that the record is linearizable for each name separately. The search for an order of
+    /// all concurrent calls together would take too long.
+    fn check_record(&mut self) {
+        let ends = |recorded: &Recorded| matches!(recorded.event, CallEvent::Returned(_));
         self.record
             .sort_by(|a, b| a.at.cmp(&b.at).then(ends(a).cmp(&ends(b))));
         for name in ["a", "b"] {
             assert!(
                 is_linearizable(&self.record, name),
-                "seed {}: no one machine could have said this: {:#?}",
+                "seed {}: the record is not linearizable: {:#?}",
                 self.seed,
                 self.record
             );
@@ -211,39 +223,39 @@
     }
 }
 
-/// Whether one machine could have said what the record has about this name.
+/// Whether the part of the record about this name is linearizable.
 fn is_linearizable(record: &[Recorded], name: &str) -> bool {
     let mut tester = LinearizabilityTester::new(OneMachine::default());
     let concerns_name = |call: usize| {
         let mut steps = record.iter().filter(|recorded| recorded.call == call);
-        steps.any(|recorded| begins_for(&recorded.moment, name))
+        steps.any(|recorded| invokes_on(&recorded.event, name))
     };
     for recorded in record.iter().filter(|r| concerns_name(r.call)) {
         let call = recorded.call;
-        let fine = match &recorded.moment {
-            Moment::Began(op) => tester.on_invoke(call, op.clone()).is_ok(),
-            Moment::Ended(Said::Held(all)) => {
+        let is_valid = match &recorded.event {
+            CallEvent::Invoked(op) => tester.on_invoke(call, op.clone()).is_ok(),
+            CallEvent::Returned(Said::Held(all)) => {
                 let held = all.iter().filter(|n| *n == name).cloned().collect();
                 tester.on_return(call, Said::Held(held)).is_ok()
             }
-            Moment::Ended(said) => tester.on_return(call, said.clone()).is_ok(),
+            CallEvent::Returned(said) => tester.on_return(call, said.clone()).is_ok(),
         };
-        assert!(fine, "the record itself makes no sense");
+        assert!(is_valid, "the record is inconsistent");
     }
     tester.is_consistent()
 }
 
-/// Whether a call begins here that concerns this name.
-fn begins_for(moment: &Moment, name: &str) -> bool {
-    match moment {
-        Moment::Began(Op::Suspend(of) | Op::Restore(of)) => *of == name,
-        Moment::Began(Op::Read) => true,
-        Moment::Ended(_) => false,
+/// Whether this event starts a call that concerns the name.
+fn invokes_on(event: &CallEvent, name: &str) -> bool {
+    match event {
+        CallEvent::Invoked(Op::Suspend(of) | Op::Restore(of)) => *of == name,
+        CallEvent::Invoked(Op::Read) => true,
+        CallEvent::Returned(_) => false,
     }
 }
 
-/// One random schedule over three members and one follower: the record must be linearizable, and what had a yes must be
-/// there at the end.
+/// Plays one random schedule with three members and one follower. The record must be linearizable,
+/// which includes that acknowledged calls hold at the end.
 async fn play_random_schedule(seed: u64) {
     let mut schedule = Schedule::start(seed).await;
     for _ in 0..14 {
@@ -258,7 +270,7 @@
     schedule.end_all_faults().await;
     schedule.record_calls().await;
     schedule.record_last_reads().await;
-    schedule.judge_record();
+    schedule.check_record();
 }
 
 fn play_random_schedules(seeds: std::ops::Range<u64>) {
@@ -267,22 +279,22 @@
         run(async {
             let done =
                 tokio::time::timeout(Duration::from_secs(180), play_random_schedule(seed)).await;
-            assert!(done.is_ok(), "seed {seed}: it hangs");
+            assert!(done.is_ok(), "seed {seed}: the schedule hangs");
         });
     }
 }
 
-/// Members are killed, frozen, cut off and slowed at random while calls and reads go on. What callers saw must be
-/// what one machine could have said (linearizable).
+/// Members are killed, paused, partitioned and slowed at random while calls and reads continue. The
+/// results that callers saw must be those of a single machine (linearizable).
 #[test]
-fn random_faults_between_real_processes_break_no_promise() {
+fn calls_are_linearizable_under_random_faults() {
     play_random_schedules(0..2);
 }
 
-/// The same for many seeds.
+/// The same with many seeds.
 #[test]
-#[ignore = "long: DRIFTGAP_SEEDS=FROM-TO plays those schedules"]
-fn many_random_faults_between_real_processes_break_no_promise() {
+#[ignore = "long: plays the schedules of DRIFTGAP_SEEDS=FROM-TO"]
+fn calls_are_linearizable_under_many_random_faults() {
     let seeds = std::env::var("DRIFTGAP_SEEDS").unwrap_or("0-200".into());
     let (from, to) = seeds.split_once('-').unwrap();
     play_random_schedules(from.parse().unwrap()..to.parse().unwrap());
--- a/tests/group/recovery.rs
+++ b/tests/group/recovery.rs
@@ -1,21 +1,22 @@
-//! A new group from what one folder of a lost one holds.
+//! Recovery of a group from one folder of a lost one.
 
 use crate::peers::Peers;
 
-/// P's folder of the lost group begins a new one. Where the old folder is now, and what was said.
+/// Recovers a new group from the folder of process `i`. Returns where the old folder is now, and
+/// the command's output.
 pub fn recover(peers: &Peers, i: usize) -> (std::path::PathBuf, String) {
     let old = peers.home(i).join("old");
     std::fs::rename(peers.home(i).join("group"), &old).unwrap();
-    let said = peers
-        .request(i)
+    let output = peers
+        .command(i)
         .args(["group", "recover", "--from"])
         .arg(&old)
         .output()
         .unwrap();
     assert!(
-        said.status.success(),
+        output.status.success(),
         "{}",
-        String::from_utf8_lossy(&said.stderr)
+        String::from_utf8_lossy(&output.stderr)
     );
-    (old, String::from_utf8_lossy(&said.stdout).to_string())
+    (old, String::from_utf8_lossy(&output.stdout).to_string())
 }
--- a/tests/group/releases.rs
+++ b/tests/group/releases.rs
@@ -1,18 +1,18 @@
-//! Members replaced one by one by another program, under load.
+//! Rolling restarts and upgrades of members under load.
 
 use crate::peers::{play, run, Peers};
 use std::collections::BTreeSet;
 
-/// Members are stopped and started one after the other while calls come. Each call must be promised in time by
-/// another member, and hold at the end.
+/// Members are stopped and started one after the other while calls arrive. Each call must be
+/// acknowledged in time by another member, and hold at the end.
 #[test]
-fn a_release_one_by_one_under_steady_calls_loses_none() {
+fn rolling_restart_loses_no_acknowledged_call() {
     run(async {
         let mut peers = Peers::new(3, 1).await;
         peers
             .steps(&["start 0 1 2 3", "whole 0 1 2", "says 3 member=m"])
             .await;
-        let mut held = BTreeSet::new();
+        let mut excluded = BTreeSet::new();
         for (turn, member) in [0, 1, 2].into_iter().enumerate() {
             let at = member;
             for (i, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
@@ -24,26 +24,27 @@
                 let answer = peers.call(through, &format!("{call} {name}")).await;
                 assert!(answer.starts_with("ACK"), "{member} {name}: {answer}");
                 if turn % 2 == 0 {
-                    held.insert(name)
+                    excluded.insert(name)
                 } else {
-                    held.remove(name)
+                    excluded.remove(name)
                 };
                 peers.step(&format!("answered {through} k{turn}{i}")).await;
             }
             peers.step(&format!("start {member}")).await;
             peers.step("led 0 1 2").await;
         }
-        let all = held.into_iter().collect::<Vec<_>>().join(" ");
+        let all = excluded.into_iter().collect::<Vec<_>>().join(" ");
         for i in 0..4 {
             peers.step(&format!("out {i} {all}")).await;
         }
     });
 }
 
-/// Two versions of the program run in one group. What the older one cannot read must not be written before all speak
-/// the newer version; from then on the older one must be refused, with its own folder and with an empty one.
+/// Two versions of the program run in one group. Nothing that the older one cannot read may be
+/// written before all members support the newer format version. From then on the older one must be
+/// refused, with its own folder and with an empty one.
 #[test]
-fn two_forms_of_the_program_run_beside_each_other_through_a_release() {
+fn format_version_is_raised_once_all_members_support_it() {
     play(
         3,
         "form 0 1
@@ -65,7 +66,7 @@
          led 0 1 2
          call 1 ACK RESTORE a
          says 0 form=1
-         # The last one goes up: only then does the group.
+         # The last member is upgraded: only now does the group raise its format version.
          term 1
          form 1 2
          start 1
@@ -77,7 +78,7 @@
          kill 2
          form 2 1
          refused 2 form 2
-         # With an empty folder as well: the others let in nobody who could not carry out what the log holds.
+         # With an empty folder it is not admitted, since it could not apply the entries of the log.
          wipe 2
          start 2
          call 0 ACK SUSPEND d
--- a/tests/group/statistics.rs
+++ b/tests/group/statistics.rs
@@ -1,18 +1,18 @@
-//! Figures for the commits, by hand.
+//! Measurements of the group, which are run by hand. They print figures for commit messages.
 
 use crate::peers::{run, Peers};
 use std::time::{Duration, Instant};
 
 #[test]
-#[ignore = "figures, for the commits"]
-fn statistics() {
+#[ignore = "measurement, prints figures for commits"]
+fn measure_call_latency_and_failover() {
     for members in [3, 5] {
         run(async {
             let mut peers = Peers::new(members, 0).await;
             let all: Vec<String> = (0..members).map(|i| i.to_string()).collect();
             peers.step(&format!("start {}", all.join(" "))).await;
             peers.step(&format!("whole {}", all.join(" "))).await;
-            let (mut times, mut gaps) = (Vec::new(), Vec::new());
+            let (mut times, mut failover_ms) = (Vec::new(), Vec::new());
             for turn in 0..400 {
                 let began = Instant::now();
                 let call = if turn % 2 == 0 {
@@ -25,7 +25,7 @@
             }
             times.sort_by(f64::total_cmp);
             println!(
-                "{members} members: promise p50 {:.1} p99 {:.1} ms",
+                "{members} members: acknowledged call p50 {:.1} p99 {:.1} ms",
                 times[200], times[396]
             );
             for _ in 0..8 {
@@ -36,53 +36,55 @@
                 let began = Instant::now();
                 let other = (leader + 1) % members;
                 while !peers.call(other, "SUSPEND b").await.starts_with("ACK") {}
-                gaps.push(began.elapsed().as_millis());
+                failover_ms.push(began.elapsed().as_millis());
                 assert!(peers.call(other, "RESTORE b").await.starts_with("ACK"));
                 peers.step(&format!("start {leader}")).await;
             }
-            gaps.sort_unstable();
-            println!("{members} members: next promise after a kill {gaps:?} ms");
+            failover_ms.sort_unstable();
+            println!("{members} members: next acknowledged call after a kill {failover_ms:?} ms");
         });
     }
 }
 
-/// Requests at P for so long: their number, processor time for each in us, p50 and p99 in ms.
+/// Measures requests at process `i` for a number of seconds: their count, processor time of each in
+/// us, p50 and p99 in ms.
 async fn measure_requests(
     peers: &Peers,
     i: usize,
     seconds: u64,
-    mut beside: impl AsyncFnMut(u64),
+    mut each_second: impl AsyncFnMut(u64),
 ) -> String {
     let times = std::rc::Rc::new(std::cell::RefCell::new(Vec::new()));
     let clients: Vec<_> = (0..8)
-        .map(|_| peers.steady_timed(i, times.clone()).1)
+        .map(|_| peers.send_timed_requests(i, times.clone()).1)
         .collect();
     tokio::time::sleep(Duration::from_secs(1)).await;
     times.borrow_mut().clear();
-    let (used, began) = (peers.processor(i), Instant::now());
+    let (cpu_time, began) = (peers.cpu_time(i), Instant::now());
     for second in 0..seconds {
         let due = Duration::from_secs(second + 1);
-        beside(second).await;
+        each_second(second).await;
         tokio::time::sleep(due.saturating_sub(began.elapsed())).await;
     }
-    let used = peers.processor(i) - used;
+    let cpu_time = peers.cpu_time(i) - cpu_time;
     clients.iter().for_each(|client| client.abort());
     let mut times = times.borrow().clone();
     times.sort_by(f64::total_cmp);
-    let at = |share: f64| times[(times.len() as f64 * share) as usize];
-    let each = used.as_secs_f64() * 1e6 / times.len() as f64;
+    let quantile = |share: f64| times[(times.len() as f64 * share) as usize];
+    let cpu_us = cpu_time.as_secs_f64() * 1e6 / times.len() as f64;
     format!(
-        "{} commands, {each:.0} us each, p50 {:.2} p99 {:.2} ms",
+        "{} requests, {cpu_us:.0} us each, p50 {:.2} p99 {:.2} ms",
         times.len(),
-        at(0.5),
-        at(0.99)
+        quantile(0.5),
+        quantile(0.99)
     )
 }
 
-/// `DRIFTGAP_PROGRAM` names the build that is measured.
+/// Measures requests at a process without a group and at members of groups with and without calls.
+/// `DRIFTGAP_PROGRAM` names the build to measure.
 #[test]
-#[ignore = "figures, for the commits"]
-fn figures_of_requests_beside_the_group() {
+#[ignore = "measurement, prints figures for commits"]
+fn measure_requests_at_members() {
     for turn in 0..2 {
         run(async {
             let mut peers = Peers::new(3, 0).await;
@@ -140,20 +142,20 @@
     }
 }
 
-/// The numbers of followers that figures are wanted for.
+/// The numbers of followers to measure, from `DRIFTGAP_FOLLOWERS`.
 fn numbers_of_followers() -> Vec<usize> {
     let numbers = std::env::var("DRIFTGAP_FOLLOWERS").unwrap_or("3,30,300".into());
     numbers.split(',').filter_map(|n| n.parse().ok()).collect()
 }
 
 #[test]
-#[ignore = "figures, for the commits"]
-fn figures_of_many_followers_of_cuts_and_of_a_member_that_never_returns() {
+#[ignore = "measurement, prints figures for commits"]
+fn measure_followers_partitions_and_an_absent_member() {
     for followers in numbers_of_followers() {
         run(async {
             let mut peers = start_with_followers(followers).await;
             print_idle_costs(&peers, followers).await;
-            print_time_to_all(&mut peers, followers).await;
+            print_propagation_time(&mut peers, followers).await;
         });
     }
     for size in [3, 5] {
@@ -161,7 +163,7 @@
             let mut peers = Peers::new(size, 0).await;
             peers.step(&format!("start {}", members(size))).await;
             peers.step(&format!("whole {}", members(size))).await;
-            print_gaps_after_cuts(&mut peers, size).await;
+            print_failover_times(&mut peers, size).await;
             print_costs_of_an_absent_member(&mut peers, size).await;
         });
     }
@@ -185,40 +187,41 @@
     peers
 }
 
-/// Processor and memory of the members and one follower while nothing is called.
+/// Prints processor time and memory of the members and one follower without any calls.
 async fn print_idle_costs(peers: &Peers, followers: usize) {
     tokio::time::sleep(Duration::from_secs(2)).await;
     let all: Vec<usize> = vec![0, 1, 2, 3];
-    let used: Vec<Duration> = all.iter().map(|i| peers.processor(*i)).collect();
+    let cpu_time: Vec<Duration> = all.iter().map(|i| peers.cpu_time(*i)).collect();
     tokio::time::sleep(Duration::from_secs(10)).await;
     let share = |(i, before): (&usize, &Duration)| {
-        let used = peers.processor(*i) - *before;
-        format!("{:.2}%", used.as_secs_f64() * 10.0)
+        let cpu_time = peers.cpu_time(*i) - *before;
+        format!("{:.2}%", cpu_time.as_secs_f64() * 10.0)
     };
-    let shares: Vec<String> = all.iter().zip(&used).map(share).collect();
-    let kb: Vec<u64> = all.iter().map(|i| peers.resident(*i)).collect();
+    let shares: Vec<String> = all.iter().zip(&cpu_time).map(share).collect();
+    let kb: Vec<u64> = all.iter().map(|i| peers.resident_kb(*i)).collect();
     println!("{followers} followers: members and one follower {shares:?} of a core, {kb:?} kB");
 }
 
-async fn print_time_to_all(peers: &mut Peers, followers: usize) {
+async fn print_propagation_time(peers: &mut Peers, followers: usize) {
     let began = Instant::now();
     assert!(peers.call(0, "SUSPEND a").await.starts_with("ACK"));
-    let yes = Instant::now();
+    let acknowledged = Instant::now();
     for i in 0..3 + followers {
         peers
             .step(&format!("answers {i} 1 suspended : STATUS"))
             .await;
     }
     println!(
-        "the yes after {:?}, all have it at most {:?} later",
-        yes - began,
-        yes.elapsed()
+        "ACK after {:?}, applied everywhere at most {:?} later",
+        acknowledged - began,
+        acknowledged.elapsed()
     );
 }
 
-/// The time to the next promise after the leader is cut off, or heard by nobody.
-async fn print_gaps_after_cuts(peers: &mut Peers, size: usize) {
-    let mut gaps = Vec::new();
+/// Prints the time to the next acknowledged call after the leader is partitioned, or its frames are
+/// dropped.
+async fn print_failover_times(peers: &mut Peers, size: usize) {
+    let mut failover_ms = Vec::new();
     for turn in 0..8 {
         let leader = peers.status(0, "leader").await.unwrap();
         let leader: usize = leader[1..].parse().unwrap();
@@ -236,8 +239,8 @@
         while !answer.starts_with("ACK") {
             answer = peers.call(other, "SUSPEND b").await;
         }
-        gaps.push(began.elapsed().as_millis());
-        if gaps.last().is_some_and(|ms| *ms > 1500) {
+        failover_ms.push(began.elapsed().as_millis());
+        if failover_ms.last().is_some_and(|ms| *ms > 1500) {
             println!("{}", peers.logs());
         }
         peers.step("heal").await;
@@ -245,38 +248,39 @@
         peers.step(&format!("call {other} ACK RESTORE b")).await;
     }
     println!(
-        "{size} members: next promise after the leader is cut off, heard by nobody: {gaps:?} ms"
+        "{size} members: next acknowledged call after the leader is partitioned or muted: {failover_ms:?} ms"
     );
 }
 
-/// Memory and disk while a member is away and the log grows, and the time in which it catches up.
+/// Prints memory and disk use while a member is absent and the log grows, and the time in which it
+/// catches up.
 async fn print_costs_of_an_absent_member(peers: &mut Peers, size: usize) {
-    let away = size - 1;
-    peers.step(&format!("kill {away}")).await;
+    let absent = size - 1;
+    peers.step(&format!("kill {absent}")).await;
     peers.step("led 0 1").await;
     let disk_kb = |peers: &Peers| {
         let path = peers.home(0).join("group/group.redb");
         std::fs::metadata(path).unwrap().len() / 1024
     };
     println!(
-        "{size} members, one away: {} kB, {} kB on the disk",
-        peers.resident(0),
+        "{size} members, one absent: {} kB, {} kB on the disk",
+        peers.resident_kb(0),
         disk_kb(peers)
     );
     for _ in 0..5 {
         for turn in 0..4000 {
             let call = ["SUSPEND a", "RESTORE a"][turn % 2];
-            // Where the killed one led, the first calls wait for another leader.
+            // If the killed member was the leader, the first calls wait for another one.
             while !peers.call(turn % 2, call).await.starts_with("ACK") {}
         }
         println!(
-            "4,000 calls on: {} kB, {} kB on the disk",
-            peers.resident(0),
+            "after 4,000 more calls: {} kB, {} kB on the disk",
+            peers.resident_kb(0),
             disk_kb(peers)
         );
     }
     let began = Instant::now();
-    peers.step(&format!("start {away}")).await;
-    peers.step(&format!("out {away}")).await;
-    println!("back, and caught up after {:?}", began.elapsed());
+    peers.step(&format!("start {absent}")).await;
+    peers.step(&format!("out {absent}")).await;
+    println!("restarted and caught up after {:?}", began.elapsed());
 }
