--- a/crates/scale/src/check.rs
+++ b/crates/scale/src/check.rs
@@ -1,4 +1,5 @@
-//! Whether hollow fleets tell the truth: the same quantities from the hollow group and from one of real processes.
+//! Compares the quantities that a simulated (hollow) group reports with those of a group of real
+//! processes.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::experiments::group::IdleByFollowers;
@@ -10,50 +11,50 @@
 use std::time::Duration;
 
 /// Name of the result file.
-pub const FILE: &str = "check-group-idle.json";
-/// So long real processes are watched.
-const WATCHED: Duration = Duration::from_secs(20);
-/// Figures that differ by no more agree, as a share of the real one.
-const AGREES_WITHIN: f64 = 0.1;
+pub const RESULT_FILE: &str = "check-group-idle.json";
+/// Time over which the real processes are measured.
+const OBSERVATION_PERIOD: Duration = Duration::from_secs(20);
+/// Largest difference, as a share of the real value, at which two values count as equal.
+const MAX_RELATIVE_DIFFERENCE: f64 = 0.1;
 
-/// Why there is no comparison.
+/// Why a comparison failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
-    /// The hollow group.
+    /// The simulated group could not be measured.
     #[error("hollow: {0}")]
     Hollow(#[from] ExperimentError),
-    /// The real one.
+    /// The real group could not be started or measured.
     #[error("real: {0}")]
     Real(#[from] RealError),
 }
 
-/// One quantity at one size, hollow and real.
+/// One quantity at one size, simulated and real.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Row {
-    /// Followers.
+    /// Number of followers.
     pub followers: u64,
-    /// The quantity.
+    /// Name of the quantity.
     pub quantity: String,
-    /// Its unit.
+    /// Unit of both values.
     pub unit: Unit,
-    /// Of the hollow group; none: it has no such quantity.
+    /// Value of the simulated group; `None` if it does not report the quantity.
     pub hollow: Option<f64>,
-    /// Of real processes.
+    /// Value of the real processes.
     pub real: f64,
-    /// Hollow less real, as a share of real.
+    /// `hollow` minus `real`, as a share of `real`.
     pub difference: Option<f64>,
 }
 
 /// All rows of a comparison.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CheckFile {
-    /// The commit that was measured.
+    /// Commit that was measured.
     pub commit: String,
-    /// The machine that it was measured on.
+    /// Machine on which both groups were measured.
     pub machine: Machine,
-    /// Seed of the hollow group.
+    /// Seed of the simulated group.
     pub seed: u64,
-    /// By followers and quantity.
+    /// Rows in the order of followers and quantities.
     pub rows: Vec<Row>,
 }
 
@@ -67,7 +68,7 @@
         let (Some(hollow), Some(difference)) = (self.hollow, self.difference) else {
             return Ok(());
         };
-        let verdict = if difference.abs() <= AGREES_WITHIN {
+        let verdict = if difference.abs() <= MAX_RELATIVE_DIFFERENCE {
             ""
         } else {
             "  differs"
@@ -80,35 +81,36 @@
     }
 }
 
-/// Compares an idle second of groups with so many followers.
+/// Compares an idle second of a simulated group with one of real processes, for each number of
+/// followers.
 ///
 /// # Errors
-/// Either group does not come up.
+/// Either group does not start or cannot be measured.
 pub fn group_idle(program: &Path, followers: &[u64], seed: u64) -> Result<CheckFile, CheckError> {
     let mut rows = Vec::new();
     for size in followers {
         let hollow = IdleByFollowers.measure(*size, seed)?;
-        let real = RealGroup::start(program, *size as usize)?.idle_second(WATCHED)?;
+        let real = RealGroup::start(program, *size as usize)?.idle_second(OBSERVATION_PERIOD)?;
         rows.extend(real.iter().map(|real| row(*size, &hollow, real)));
     }
     Ok(CheckFile {
         commit: commit(),
-        machine: Machine::here(),
+        machine: Machine::current(),
         seed,
         rows,
     })
 }
 
 fn row(followers: u64, hollow: &[Measurement], real: &Measurement) -> Row {
-    let same = hollow
+    let matching = hollow
         .iter()
         .find(|hollow| hollow.quantity == real.quantity);
     Row {
         followers,
         quantity: real.quantity.clone(),
         unit: real.unit,
-        hollow: same.map(|same| same.value),
+        hollow: matching.map(|matching| matching.value),
         real: real.value,
-        difference: same.map(|same| (same.value - real.value) / real.value),
+        difference: matching.map(|matching| (matching.value - real.value) / real.value),
     }
 }
--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -1,4 +1,5 @@
-//! What an experiment is: a topic that is measured at several sizes, and the quantities it yields.
+//! The experiment trait: a topic that is measured at several sizes, and the quantities that it
+//! reports.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,9 +7,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Unit {
-    /// Bytes of heap, of resident memory or on a link.
+    /// Bytes of heap, of resident memory or sent over a link.
     Bytes,
-    /// Calls of the allocator.
+    /// Calls to the allocator.
     Allocations,
     /// Processor time.
     Microseconds,
@@ -16,12 +17,12 @@
     Milliseconds,
     /// Messages on links, or calls to other services.
     Messages,
-    /// Things: records held, requests refused.
+    /// Numbers of other items, such as records or refused requests.
     Count,
 }
 
 impl Unit {
-    /// The unit as tables and plots write it.
+    /// Returns the unit's name in tables and plots.
     pub fn label(self) -> &'static str {
         match self {
             Unit::Bytes => "bytes",
@@ -33,10 +34,11 @@
         }
     }
 
-    /// Values under this are none: what grows by less does not grow.
+    /// Returns the bound below which values count as 0: a quantity below it at every size does not
+    /// grow.
     pub fn negligible(self) -> f64 {
         match self {
-            // Hash tables that had entries removed keep a little more or less by chance.
+            // A hash table that had entries removed randomly keeps slightly more or less memory.
             Unit::Bytes => 4096.0,
             _ => 0.0,
         }
@@ -46,18 +48,18 @@
 /// One quantity at one size.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Measurement {
-    /// Name of the quantity, the same at every size: lower case, words joined by `_`.
+    /// Name of the quantity, the same at every size: lower-case words joined by `_`.
     pub quantity: String,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: Unit,
-    /// Its value.
+    /// Measured value.
     pub value: f64,
-    /// Whether it is counted, so that the same seed gives the same value on any machine.
+    /// Whether the value is counted, so that the same seed gives the same value on every machine.
     pub counted: bool,
 }
 
 impl Measurement {
-    /// A quantity that is the same on every run with the same seed.
+    /// Creates a measurement that is the same in every run with the same seed.
     pub fn counted(quantity: impl Into<String>, unit: Unit, value: f64) -> Measurement {
         Measurement {
             quantity: quantity.into(),
@@ -67,7 +69,8 @@
         }
     }
 
-    /// A quantity that depends on the machine: processor time, elapsed time, resident memory.
+    /// Creates a measurement that depends on the machine: processor time, elapsed time or resident
+    /// memory.
     pub fn timed(quantity: impl Into<String>, unit: Unit, value: f64) -> Measurement {
         Measurement {
             quantity: quantity.into(),
@@ -81,10 +84,10 @@
 /// Why a size could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// The settings of the simulated ingress make no sense.
+    /// The settings of the simulated ingress are invalid.
     #[error("settings: {0}")]
     Settings(String),
-    /// The code under measurement refused its input.
+    /// The measured code rejected its input.
     #[error("{0}")]
     Refused(String),
     /// A file could not be written or read.
@@ -94,22 +97,22 @@
 
 /// A topic that is measured at several sizes along one axis.
 pub trait Experiment {
-    /// Name on the request line and in result files: lower case, words joined by `-`.
+    /// Name on the command line and in result files: lower-case words joined by `-`.
     fn name(&self) -> &'static str;
 
-    /// What is measured, in a sentence.
+    /// One sentence about what is measured.
     fn description(&self) -> &'static str;
 
-    /// What the size counts, for endpoint `backends`.
+    /// What the sizes count, for example `backends`.
     fn axis(&self) -> &'static str;
 
-    /// Sizes to measure, smallest first: at least four, the largest at least 30 times the smallest. A quick run
-    /// takes smaller ones.
+    /// Sizes to measure in rising order: at least four, the largest at least 30 times the smallest.
+    /// A quick run uses smaller sizes.
     fn sizes(&self, quick: bool) -> Vec<u64>;
 
-    /// Measures every quantity at one size. Counted quantities depend on `size` and `seed` alone.
+    /// Measures every quantity at one size. Counted quantities depend only on `size` and `seed`.
     ///
     /// # Errors
-    /// The size cannot be measured.
+    /// The experiment cannot be run at this size.
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError>;
 }
--- a/crates/scale/src/experiments/backends.rs
+++ b/crates/scale/src/experiments/backends.rs
@@ -1,6 +1,6 @@
-//! What backends cost an ingress: at the start, while nothing happens, when one or all of them change, and when one
-//! is chosen for a request. Once by the operator's inventory, which is read whole, once by discovery's list, which
-//! tells changes.
+//! What backends cost an ingress: at the start, while idle, when one or all of them change, and
+//! when one is chosen for a request. The backends come either from the operator's inventory, which
+//! is read in full at each change, or from discovery's list, which can contain only the changes.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::experiments::fleet::{Fleet, InventoryFolder};
@@ -10,12 +10,12 @@
 
 const SIZES: [u64; 5] = [1_000, 3_000, 10_000, 30_000, 95_000];
 const QUICK_SIZES: [u64; 4] = [100, 300, 1_000, 3_000];
-/// Services that the backends belong to at the target: a label of each backend, nothing else.
+/// Number of services at the target size. A service is only a label of each backend.
 const SERVICES: u32 = 6_100;
-/// Time for what a start or a change sets off, ms.
+/// Time for the work that follows a start or a change, ms.
 const SETTLING_MS: f64 = 1_000.0;
 
-/// What happens to the backends between two readings of their list.
+/// A change of the fleet between two reads of its list.
 type FleetChange = fn(&mut Fleet);
 
 fn sizes(quick: bool) -> Vec<u64> {
@@ -34,14 +34,15 @@
     SimulatedIngress::new(&Deployment::TARGET.config()?, seed)
 }
 
-/// Resident memory that came with a start, from what was resident before. By discovery it is not measured: what was freed
-/// of the generated list is used again.
+/// Returns the growth of resident memory during the start, given the resident memory before. Not
+/// used for discovery: there the memory freed by the generated list is reused, which hides the
+/// growth.
 fn resident_growth(before: u64) -> Measurement {
     let growth = resident().saturating_sub(before);
     Measurement::timed("start_resident", Unit::Bytes, growth as f64)
 }
 
-/// Backends named by the operator's inventory, a CSV file that is read whole at each change.
+/// Backends of the operator's inventory, a CSV file that is read in full at each change.
 pub struct ByInventory;
 
 impl Experiment for ByInventory {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Backends told by discovery: a whole list at the start, then changes.
+/// Backends of discovery's list: a full list at the start, then changes.
 pub struct ByDiscovery;
 
 impl Experiment for ByDiscovery {
@@ -118,15 +119,15 @@
         let ingress = new_ingress(seed)?;
         let mut results = Vec::new();
 
-        let whole = fleet.whole_list(1);
+        let full_list = fleet.full_list(1);
         results.push(Measurement::counted(
             "whole_list_bytes",
             Unit::Bytes,
-            whole.len() as f64,
+            full_list.len() as f64,
         ));
-        let (started, cost) = measure(|| ingress.take_list(whole.clone()));
+        let (started, cost) = measure(|| ingress.apply_list(full_list.clone()));
         started?;
-        drop(whole);
+        drop(full_list);
         results.extend(cost.measurements("start"));
         ingress.advance(SETTLING_MS);
         results.extend(idle_cost(&ingress));
@@ -139,14 +140,14 @@
             Unit::Bytes,
             change.len() as f64,
         ));
-        let (changed, cost) = measure(|| ingress.take_list(change.clone()));
+        let (changed, cost) = measure(|| ingress.apply_list(change.clone()));
         changed?;
         results.extend(cost.measurements("one_changed"));
         ingress.advance(SETTLING_MS);
 
         fleet.restart_all();
-        let whole = fleet.whole_list(3);
-        let (changed, cost) = measure(|| ingress.take_list(whole.clone()));
+        let full_list = fleet.full_list(3);
+        let (changed, cost) = measure(|| ingress.apply_list(full_list.clone()));
         changed?;
         results.extend(cost.measurements("all_changed"));
         Ok(results)
--- a/crates/scale/src/experiments/changes.rs
+++ b/crates/scale/src/experiments/changes.rs
@@ -1,63 +1,70 @@
-//! What changes cost a group and its followers: by changes a second, and what members keep of those made before.
+//! What changes cost a group and its followers: by changes per second, and by the number of earlier
+//! changes that the members retain.
 
 use super::group::{
-    delays, document, heaps, load, loads, start, Reading, DOCUMENT_BYTES, IN_FORCE_MS,
+    delays, document, heaps, load, loads, start, LoadSnapshot, DOCUMENT_BYTES,
+    REPLICATION_TIMEOUT_MS,
 };
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::group::GroupWorld;
 use driftgap_group::{DocumentKind, Proposal};
 
-/// Changes a second.
+/// Changes per second.
 const RATES: [u64; 4] = [1, 3, 10, 30];
-/// Followers beside the members while changes are made.
+/// Number of followers while changes are made.
 const FOLLOWERS: usize = 30;
-/// Time in which changes are made, s.
+/// Time during which changes are made, s.
 const CHANGING_SECONDS: u64 = 10;
-/// Endpoints that are out before changes begin.
-const OUT_BEFORE: u64 = 50;
-/// Changes made one after the other, and the document that they change, bytes.
-const MADE: [u64; 5] = [100, 300, 1_000, 3_000, 6_000];
-const QUICK_MADE: [u64; 4] = [30, 100, 300, 1_000];
+/// Number of endpoints that are already excluded before the changes.
+const INITIALLY_EXCLUDED: u64 = 50;
+/// Numbers of sequential changes to a document whose effect on the members' heap is measured.
+const CHANGE_COUNTS: [u64; 5] = [100, 300, 1_000, 3_000, 6_000];
+const QUICK_CHANGE_COUNTS: [u64; 4] = [30, 100, 300, 1_000];
+/// Size of the changed document, bytes.
 const KEPT_DOCUMENT_BYTES: usize = 10_000;
-/// Between two of these, ms.
-const MADE_EACH_MS: f64 = 20.0;
+/// Interval between two of the sequential changes, ms.
+const CHANGE_INTERVAL_MS: f64 = 20.0;
 
-/// What is changed, again and again.
+/// The kind of change that is made repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Changed {
-    /// An endpoint is taken out, or put back.
+enum ChangeKind {
+    /// Excludes an endpoint, or restores it.
     ListEntry,
-    /// One line of a document of rules.
+    /// Changes one line of a rule document.
     Document,
 }
 
-/// Changes a second, of one kind.
-pub struct ByChanges(Changed);
+/// Measures a group by changes per second, all of one kind.
+pub struct ByChanges(ChangeKind);
 
 impl ByChanges {
-    /// Endpoints are taken out and put back.
+    /// Creates the experiment that excludes and restores endpoints.
     pub fn of_list_entries() -> ByChanges {
-        ByChanges(Changed::ListEntry)
+        ByChanges(ChangeKind::ListEntry)
     }
 
-    /// One line of a document of rules changes.
+    /// Creates the experiment that changes one line of a rule document.
     pub fn of_documents() -> ByChanges {
-        ByChanges(Changed::Document)
+        ByChanges(ChangeKind::Document)
     }
 
-    /// The change of this number.
+    /// Returns the proposal of the change with this number.
     fn proposal(&self, world: &GroupWorld, number: u64) -> Result<Proposal, ExperimentError> {
         let endpoint = endpoint(number / 2);
         Ok(match self.0 {
-            Changed::ListEntry if number.is_multiple_of(2) => Proposal::Suspend(endpoint),
-            Changed::ListEntry => Proposal::Restore(endpoint),
-            Changed::Document => {
-                let held = world
+            ChangeKind::ListEntry if number.is_multiple_of(2) => Proposal::Suspend(endpoint),
+            ChangeKind::ListEntry => Proposal::Restore(endpoint),
+            ChangeKind::Document => {
+                let current_number = world
                     .state()?
                     .documents
                     .get(&DocumentKind::Rules)
                     .map_or(0, |document| document.number);
-                Proposal::Write(DocumentKind::Rules, held, document(DOCUMENT_BYTES, number))
+                Proposal::Write(
+                    DocumentKind::Rules,
+                    current_number,
+                    document(DOCUMENT_BYTES, number),
+                )
             }
         })
     }
@@ -70,17 +77,17 @@
 impl Experiment for ByChanges {
     fn name(&self) -> &'static str {
         match self.0 {
-            Changed::ListEntry => "changes-list",
-            Changed::Document => "changes-document",
+            ChangeKind::ListEntry => "changes-list",
+            ChangeKind::Document => "changes-document",
         }
     }
 
     fn description(&self) -> &'static str {
         match self.0 {
-            Changed::ListEntry => {
+            ChangeKind::ListEntry => {
                 "Instances taken out or put back, 50 being out, with 30 followers: cost of a second"
             }
-            Changed::Document => {
+            ChangeKind::Document => {
                 "Changes of one line of a 100 KB document, with 30 followers: cost of a second"
             }
         }
@@ -96,43 +103,43 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(FOLLOWERS, seed)?;
-        for number in 0..OUT_BEFORE {
-            world.ask(Proposal::Suspend(endpoint(1_000_000 + number)))?;
-            world.run_until_in_force(IN_FORCE_MS)?;
+        for number in 0..INITIALLY_EXCLUDED {
+            world.propose(Proposal::Suspend(endpoint(1_000_000 + number)))?;
+            world.run_until_replicated(REPLICATION_TIMEOUT_MS)?;
         }
         world.take_delays();
-        let before = Reading::take(&world);
-        let began = world.now_ms();
+        let before = LoadSnapshot::take(&world);
+        let started_ms = world.now_ms();
         let changes = size * CHANGING_SECONDS;
         for number in 0..changes {
             let proposal = self.proposal(&world, number)?;
-            world.ask(proposal)?;
-            let due = began + 1_000.0 * (number + 1) as f64 / size as f64;
+            world.propose(proposal)?;
+            let due = started_ms + 1_000.0 * (number + 1) as f64 / size as f64;
             world.run(due - world.now_ms())?;
         }
-        let load_of = Reading::take(&world).since(&before);
-        world.run_until_in_force(IN_FORCE_MS)?;
+        let measured = LoadSnapshot::take(&world).since(&before);
+        world.run_until_replicated(REPLICATION_TIMEOUT_MS)?;
         let leader = world.leader()?;
-        let made = world.take_delays();
+        let completed = world.take_delays();
         let mut results = vec![Measurement::counted(
             "changes_in_force",
             Unit::Count,
-            made.len() as f64,
+            completed.len() as f64,
         )];
-        results.extend(delays(&made));
+        results.extend(delays(&completed));
         results.extend(load(
             "leader_second",
-            load_of.members[leader],
+            measured.members[leader],
             CHANGING_SECONDS,
         ));
         results.extend(load(
             "member_second",
-            load_of.busiest_follower_of(leader),
+            measured.busiest_other_member(leader),
             CHANGING_SECONDS,
         ));
         results.extend(loads(
             "follower_second",
-            &load_of.followers,
+            &measured.followers,
             CHANGING_SECONDS,
         ));
         results.extend(heaps(world, leader));
@@ -140,10 +147,10 @@
     }
 }
 
-/// Changes of a document that were made before, and stay in the members' logs.
-pub struct KeptByChanges;
+/// Measures the heap that members use after a number of document changes, which stay in their logs.
+pub struct HeapByChanges;
 
-impl Experiment for KeptByChanges {
+impl Experiment for HeapByChanges {
     fn name(&self) -> &'static str {
         "changes-kept"
     }
@@ -158,29 +165,29 @@
 
     fn sizes(&self, quick: bool) -> Vec<u64> {
         if quick {
-            QUICK_MADE.to_vec()
+            QUICK_CHANGE_COUNTS.to_vec()
         } else {
-            MADE.to_vec()
+            CHANGE_COUNTS.to_vec()
         }
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(1, seed)?;
         for number in 0..size {
-            world.ask(Proposal::Write(
+            world.propose(Proposal::Write(
                 DocumentKind::Rules,
                 number,
                 document(KEPT_DOCUMENT_BYTES, number),
             ))?;
-            world.run(MADE_EACH_MS)?;
+            world.run(CHANGE_INTERVAL_MS)?;
         }
-        world.run_until_in_force(IN_FORCE_MS)?;
-        let made = world.take_delays().len();
+        world.run_until_replicated(REPLICATION_TIMEOUT_MS)?;
+        let completed = world.take_delays().len();
         let leader = world.leader()?;
         let mut results = vec![Measurement::counted(
             "changes_in_force",
             Unit::Count,
-            made as f64,
+            completed as f64,
         )];
         results.extend(heaps(world, leader));
         Ok(results)
--- a/crates/scale/src/experiments/fleet.rs
+++ b/crates/scale/src/experiments/fleet.rs
@@ -1,4 +1,5 @@
-//! Generated backends, in the forms in which an ingress is told of them: an inventory in CSV, and discovery's JSON.
+//! Generated backends in the two formats that an ingress reads: an inventory in CSV and discovery's
+//! JSON.
 
 use crate::experiment::ExperimentError;
 use crate::ingress::Deployment;
@@ -8,9 +9,9 @@
 use std::path::Path;
 use tempfile::TempDir;
 
-/// Backends that share the memory of keys they have seen.
+/// Number of backends in a cell; they share one record of deduplication keys.
 const CELL_SIZE: usize = 16;
-/// Name of the inventory's file.
+/// File name of the inventory.
 const INVENTORY_FILE: &str = "inventory.csv";
 
 /// A generated backend.
@@ -25,14 +26,15 @@
     draining: bool,
 }
 
-/// Generated backends. Names, addresses and services have the same length whatever their number.
+/// Generated backends. All names, addresses and services have the same length, whatever the number
+/// of backends.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     backends: Vec<Backend>,
 }
 
 impl Fleet {
-    /// So many backends, spread by chance over zones and services.
+    /// Generates `size` backends, distributed randomly over zones and services.
     pub fn new(size: u64, zones: u32, services: u32, seed: u64) -> Fleet {
         let mut random = Rand32::new(seed);
         let backend = |number: usize| Backend {
@@ -54,20 +56,20 @@
         }
     }
 
-    /// The backend in the middle of the list leaves, or comes back.
+    /// Starts to drain the backend in the middle of the list, or makes it active again.
     pub fn toggle_one(&mut self) {
         let middle = self.backends.len() / 2;
         self.backends[middle].draining ^= true;
     }
 
-    /// Every backend is started again.
+    /// Marks every backend as restarted.
     pub fn restart_all(&mut self) {
         self.backends
             .iter_mut()
             .for_each(|backend| backend.started += 1);
     }
 
-    /// All backends as an inventory in CSV.
+    /// Returns all backends as an inventory in CSV.
     pub fn inventory(&self) -> String {
         let mut text = String::from("name,address,zone,cell,weight,started,state,service\n");
         for backend in &self.backends {
@@ -85,7 +87,7 @@
                 started,
                 ..
             } = backend;
-            // Writing to memory does not fail.
+            // Writing to a string does not fail.
             let _ = writeln!(
                 text,
                 "{name},{address},{zone},{cell},1.0,{started},{state},{}",
@@ -95,19 +97,19 @@
         text
     }
 
-    /// All backends as a whole list of discovery's.
-    pub fn whole_list(&self, version: u64) -> Vec<u8> {
+    /// Returns all backends as a full discovery list.
+    pub fn full_list(&self, version: u64) -> Vec<u8> {
         list(version, true, &self.backends)
     }
 
-    /// The backend in the middle of the list as a change of discovery's.
+    /// Returns the backend in the middle of the list as an incremental discovery list.
     pub fn change_list(&self, version: u64) -> Vec<u8> {
         let middle = self.backends.len() / 2;
         list(version, false, &self.backends[middle..=middle])
     }
 }
 
-/// The name of a service by its number.
+/// Returns the name of the service with this number.
 pub fn service_name(number: u32) -> String {
     format!("service-{number:04}")
 }
@@ -131,7 +133,7 @@
         .into_bytes()
 }
 
-/// An inventory in a folder of its own, which is removed with it.
+/// An inventory in a temporary folder, which is removed when this value is dropped.
 pub struct InventoryFolder {
     folder: TempDir,
     /// The inventory as the ingress reads it.
@@ -139,10 +141,10 @@
 }
 
 impl InventoryFolder {
-    /// A folder without an inventory yet.
+    /// Creates a folder without an inventory file.
     ///
     /// # Errors
-    /// The folder cannot be made.
+    /// The folder cannot be created.
     pub fn new() -> Result<InventoryFolder, ExperimentError> {
         let folder = tempfile::tempdir()?;
         let settings = InventorySettings {
@@ -156,10 +158,10 @@
         Ok(InventoryFolder { folder, inventory })
     }
 
-    /// Writes the inventory's file.
+    /// Writes the inventory file.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn write(&self, fleet: &Fleet) -> Result<(), ExperimentError> {
         let path: &Path = self.folder.path();
         Ok(std::fs::write(
--- a/crates/scale/src/experiments/group.rs
+++ b/crates/scale/src/experiments/group.rs
@@ -1,5 +1,5 @@
-//! What a group costs by its followers: three members, each follower beside one of them, over
-//! links in memory.
+//! What a group costs by its number of followers: three members, and followers that are each
+//! connected to one of them over links in memory.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::group::{Delay, GroupWorld, Load, WorldError};
@@ -9,15 +9,16 @@
 const MEMBERS: usize = 3;
 const SIZES: [u64; 6] = [10, 30, 100, 300, 1_000, 2_500];
 const QUICK_SIZES: [u64; 4] = [10, 30, 100, 300];
-/// With a document at every follower: all of them share one process' memory.
+/// Numbers of followers that each hold a document; fewer, since all of them share one process'
+/// memory.
 const DOCUMENT_SIZES: [u64; 5] = [10, 30, 100, 300, 1_000];
-/// Idle time that is measured, s.
+/// Duration of the idle measurement, s.
 const IDLE_SECONDS: u64 = 10;
-/// Behind the start, ms: all have their copies.
+/// Time after the start in which every follower receives its replica, ms.
 const SETTLING_MS: f64 = 2_000.0;
-/// A change that is not with every follower by then never will be, ms.
-pub(super) const IN_FORCE_MS: f64 = 20_000.0;
-/// A document of rules, bytes.
+/// Time limit for a change to reach every follower, ms.
+pub(super) const REPLICATION_TIMEOUT_MS: f64 = 20_000.0;
+/// Size of a rule document, bytes.
 pub(super) const DOCUMENT_BYTES: usize = 100_000;
 
 impl From<WorldError> for ExperimentError {
@@ -26,43 +27,43 @@
     }
 }
 
-/// A group with followers that has settled.
+/// Starts a group with followers and lets it settle.
 pub(super) fn start(followers: usize, seed: u64) -> Result<GroupWorld, ExperimentError> {
     let mut world = GroupWorld::start(MEMBERS, followers, seed)?;
     world.run(SETTLING_MS)?;
     Ok(world)
 }
 
-/// What all machines had done at one moment.
-pub(super) struct Reading {
+/// The loads of all nodes at one time.
+pub(super) struct LoadSnapshot {
     pub(super) members: Vec<Load>,
     pub(super) followers: Vec<Load>,
 }
 
-impl Reading {
-    pub(super) fn take(world: &GroupWorld) -> Reading {
-        Reading {
+impl LoadSnapshot {
+    pub(super) fn take(world: &GroupWorld) -> LoadSnapshot {
+        LoadSnapshot {
             members: world.member_loads().to_vec(),
             followers: world.follower_loads().to_vec(),
         }
     }
 
-    /// Loads since an earlier reading.
-    pub(super) fn since(self, earlier: &Reading) -> Reading {
+    /// Returns the loads since an earlier snapshot.
+    pub(super) fn since(self, earlier: &LoadSnapshot) -> LoadSnapshot {
         let since = |now: Vec<Load>, then: &[Load]| {
             now.iter()
                 .zip(then)
                 .map(|(now, then)| now.since(*then))
                 .collect()
         };
-        Reading {
+        LoadSnapshot {
             members: since(self.members, &earlier.members),
             followers: since(self.followers, &earlier.followers),
         }
     }
 
-    /// The member beside the leader that has sent most.
-    pub(super) fn busiest_follower_of(&self, leader: usize) -> Load {
+    /// Returns the load of the member, other than the leader, that has sent most bytes.
+    pub(super) fn busiest_other_member(&self, leader: usize) -> Load {
         let others = self
             .members
             .iter()
@@ -75,14 +76,15 @@
     }
 }
 
-/// One machine's load as quantities for each of so many pieces of time or work.
-pub(super) fn load(role: &str, load: Load, pieces: u64) -> Vec<Measurement> {
-    loads(role, &[load], pieces)
+/// Returns one node's load as quantities, each divided by `divisor` (seconds or repeats).
+pub(super) fn load(role: &str, load: Load, divisor: u64) -> Vec<Measurement> {
+    loads(role, &[load], divisor)
 }
 
-/// The mean of machines' loads.
-pub(super) fn loads(role: &str, loads: &[Load], pieces: u64) -> Vec<Measurement> {
-    let share = (loads.len().max(1) as u64 * pieces) as f64;
+/// Returns the mean of the nodes' loads as quantities, each divided by `divisor` (seconds or
+/// repeats).
+pub(super) fn loads(role: &str, loads: &[Load], divisor: u64) -> Vec<Measurement> {
+    let share = (loads.len().max(1) as u64 * divisor) as f64;
     let mean = |figure: &dyn Fn(&Load) -> f64| loads.iter().map(figure).sum::<f64>() / share;
     let counted = |name: &str, unit, figure: &dyn Fn(&Load) -> f64| {
         Measurement::counted(format!("{role}_{name}"), unit, mean(figure))
@@ -106,34 +108,40 @@
     ]
 }
 
-/// The largest of all changes' delays, and the median of those to the last follower.
+/// Returns the largest commit delay of all changes, and the median and the largest delay until the
+/// last follower has a change.
 pub(super) fn delays(delays: &[Delay]) -> Vec<Measurement> {
-    let mut last: Vec<f64> = delays.iter().map(|delay| delay.last_ms).collect();
-    last.sort_by(f64::total_cmp);
-    let agreed = delays
+    let mut last_follower: Vec<f64> = delays.iter().map(|delay| delay.last_follower_ms).collect();
+    last_follower.sort_by(f64::total_cmp);
+    let largest_commit = delays
         .iter()
-        .map(|delay| delay.agreed_ms)
+        .map(|delay| delay.commit_ms)
         .fold(0.0, f64::max);
     let counted = |name: &str, value| Measurement::counted(name, Unit::Milliseconds, value);
     vec![
-        counted("change_agreed_delay_max", agreed),
+        counted("change_agreed_delay_max", largest_commit),
         counted(
             "change_last_follower_delay_median",
-            last.get(last.len() / 2).copied().unwrap_or(0.0),
+            last_follower
+                .get(last_follower.len() / 2)
+                .copied()
+                .unwrap_or(0.0),
         ),
         counted(
             "change_last_follower_delay_max",
-            last.last().copied().unwrap_or(0.0),
+            last_follower.last().copied().unwrap_or(0.0),
         ),
     ]
 }
 
-/// Heap of the node that holds most, and of the mean of the rest.
+/// Returns the heap of each node: what dropping the node frees, plus the size of the node itself.
 fn heap_of<T>(nodes: Vec<T>) -> Vec<f64> {
     let freed = |node: T| -(measure(|| drop(node)).1.heap as f64) + std::mem::size_of::<T>() as f64;
     nodes.into_iter().map(freed).collect()
 }
 
+/// Returns the heap of the leader, the largest heap of the other members and the mean heap of the
+/// followers.
 pub(super) fn heaps(world: GroupWorld, leader: usize) -> Vec<Measurement> {
     let (members, followers) = world.into_nodes();
     let (members, followers) = (heap_of(members), heap_of(followers));
@@ -150,7 +158,7 @@
     ]
 }
 
-/// Followers of an idle group.
+/// Measures an idle group by its number of followers.
 pub struct IdleByFollowers;
 
 impl Experiment for IdleByFollowers {
@@ -176,9 +184,9 @@
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(size as usize, seed)?;
-        let before = Reading::take(&world);
+        let before = LoadSnapshot::take(&world);
         world.run(1_000.0 * IDLE_SECONDS as f64)?;
-        let idle = Reading::take(&world).since(&before);
+        let idle = LoadSnapshot::take(&world).since(&before);
         let leader = world.leader()?;
         let max = world.followers_by_member().into_iter().max().unwrap_or(0);
         let mut results = vec![Measurement::counted(
@@ -189,7 +197,7 @@
         results.extend(load("leader_second", idle.members[leader], IDLE_SECONDS));
         results.extend(load(
             "member_second",
-            idle.busiest_follower_of(leader),
+            idle.busiest_other_member(leader),
             IDLE_SECONDS,
         ));
         results.extend(loads("follower_second", &idle.followers, IDLE_SECONDS));
@@ -198,7 +206,7 @@
     }
 }
 
-/// One document put in force at every follower.
+/// Measures the distribution of one document by the number of followers.
 pub struct DocumentByFollowers;
 
 impl Experiment for DocumentByFollowers {
@@ -225,14 +233,14 @@
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
         let mut world = start(size as usize, seed)?;
         world.take_largest_burst();
-        let before = Reading::take(&world);
-        world.ask(Proposal::Write(
+        let before = LoadSnapshot::take(&world);
+        world.propose(Proposal::Write(
             DocumentKind::Rules,
             0,
             document(DOCUMENT_BYTES, 0),
         ))?;
-        world.run_until_in_force(IN_FORCE_MS)?;
-        let change = Reading::take(&world).since(&before);
+        world.run_until_replicated(REPLICATION_TIMEOUT_MS)?;
+        let change = LoadSnapshot::take(&world).since(&before);
         let leader = world.leader()?;
         let burst = world.take_largest_burst();
         let mut results = delays(&world.take_delays());
@@ -244,7 +252,7 @@
         results.extend(load("leader_document", change.members[leader], 1));
         results.extend(load(
             "member_document",
-            change.busiest_follower_of(leader),
+            change.busiest_other_member(leader),
             1,
         ));
         results.extend(loads("follower_document", &change.followers, 1));
@@ -253,7 +261,7 @@
     }
 }
 
-/// A document of so many bytes in which one line tells which change made it.
+/// Returns a document of `length` bytes whose first line contains the number of the change.
 pub(super) fn document(length: usize, change: u64) -> Vec<u8> {
     let mut bytes = vec![b'r'; length];
     let line = format!("change {change:08}\n");
--- a/crates/scale/src/experiments/ingresses.rs
+++ b/crates/scale/src/experiments/ingresses.rs
@@ -1,4 +1,5 @@
-//! What a fleet asks of the counter and of one backend, by its ingresses: decision modules on one virtual clock.
+//! The load that a fleet of ingresses puts on the counter and on one backend: decision modules on
+//! one virtual clock.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::hollow::ingresses::{Fleet, FleetCounts, FleetPlan};
@@ -7,18 +8,21 @@
 const QUICK_INGRESSES: [u64; 4] = [3, 10, 30, 100];
 const TENANTS: [u64; 5] = [10, 30, 100, 300, 1_000];
 const QUICK_TENANTS: [u64; 4] = [10, 30, 100, 300];
-/// Ingresses of the fleet whose tenants are counted.
-const FLEET: u32 = 30;
-/// Tenants of the fleet whose ingresses are counted.
+/// Number of ingresses while the number of tenants varies.
+const FLEET_INGRESSES: u32 = 30;
+/// Number of tenants while the number of ingresses varies.
 const FIXED_TENANTS: u64 = 100;
-/// Requests a second of one tenant: the mean at the target's peak, and a quota that bears them.
+/// Requests per second of one tenant: the mean at the target's peak load.
 const TENANT_REQUESTS: f64 = 1.0;
+/// Quota of one tenant in units per second, which its requests do not exceed.
 const TENANT_QUOTA: f64 = 10.0;
-/// Backends, and requests a second that each gets: at the target's peak 11.6.
+/// Number of backends.
 const BACKENDS: u32 = 20;
+/// Requests per second of one backend at the target's peak load.
 const BACKEND_REQUESTS: f64 = 11.6;
-/// Time before anything is counted, and time in which it is, s.
+/// Time before the measurement, s.
 const WARM_UP_SECONDS: f64 = 30.0;
+/// Duration of the measurement, s.
 const COUNTED_SECONDS: f64 = 30.0;
 
 fn start(plan: FleetPlan) -> Result<Fleet, ExperimentError> {
@@ -27,7 +31,7 @@
     Ok(fleet)
 }
 
-/// Counts of the counted time.
+/// Returns the counts of the measurement period.
 fn count(fleet: &mut Fleet) -> FleetCounts {
     let before = fleet.counts();
     fleet.run(COUNTED_SECONDS);
@@ -38,7 +42,7 @@
     Measurement::counted(name, unit, count as f64 / COUNTED_SECONDS)
 }
 
-/// A fleet of tenants with a quota, each coming through all ingresses.
+/// Returns a fleet of tenants with a quota, each of which sends requests through all ingresses.
 fn metered(ingresses: u32, tenants: u64, seed: u64) -> FleetPlan {
     FleetPlan {
         ingresses,
@@ -64,7 +68,7 @@
     ])
 }
 
-/// Calls to the counter by ingresses.
+/// Calls to the counter by number of ingresses.
 pub struct CounterByIngresses;
 
 impl Experiment for CounterByIngresses {
@@ -93,7 +97,7 @@
     }
 }
 
-/// Calls to the counter by tenants.
+/// Calls to the counter by number of tenants.
 pub struct CounterByTenants;
 
 impl Experiment for CounterByTenants {
@@ -118,11 +122,11 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
-        counter_calls(metered(FLEET, size, seed))
+        counter_calls(metered(FLEET_INGRESSES, size, seed))
     }
 }
 
-/// What one backend sees of the fleet.
+/// Ingresses, connections and probes of one backend by number of ingresses.
 pub struct BackendByIngresses;
 
 impl BackendByIngresses {
@@ -162,50 +166,50 @@
     }
 
     fn measure(&self, size: u64, seed: u64) -> Result<Vec<Measurement>, ExperimentError> {
-        let mut sound = start(Self::plan(size, false, seed))?;
-        let before = sound.seen();
-        let counts = count(&mut sound);
-        let seen = sound.seen();
+        let mut healthy = start(Self::plan(size, false, seed))?;
+        let before = healthy.stats();
+        let counts = count(&mut healthy);
+        let stats = healthy.stats();
         let mean = |figure: &dyn Fn(usize) -> f64| {
-            (0..seen.len()).map(figure).sum::<f64>() / seen.len() as f64
+            (0..stats.len()).map(figure).sum::<f64>() / stats.len() as f64
         };
         let counted = Measurement::counted;
         let mut results = vec![
             counted(
                 "ingresses_in_a_minute",
                 Unit::Count,
-                mean(&|b| seen[b].ingresses as f64),
+                mean(&|b| stats[b].ingresses as f64),
             ),
             counted(
                 "connections",
                 Unit::Count,
-                mean(&|b| seen[b].connections as f64),
+                mean(&|b| stats[b].connections as f64),
             ),
             counted(
                 "second_opened_connections",
                 Unit::Count,
-                mean(&|b| (seen[b].opened - before[b].opened) as f64) / COUNTED_SECONDS,
+                mean(&|b| (stats[b].opened - before[b].opened) as f64) / COUNTED_SECONDS,
             ),
             per_second("second_probes_of_all_sound", Unit::Messages, counts.probes),
         ];
         let mut down = start(Self::plan(size, true, seed))?;
-        let before = down.seen();
+        let before = down.stats();
         count(&mut down);
-        let seen = down.seen();
+        let stats = down.stats();
         results.push(per_second(
             "down_second_probes",
             Unit::Messages,
-            seen[0].probes - before[0].probes,
+            stats[0].probes - before[0].probes,
         ));
         results.push(per_second(
             "down_second_attempts",
             Unit::Messages,
-            seen[0].attempts - before[0].attempts,
+            stats[0].attempts - before[0].attempts,
         ));
         results.push(counted(
             "down_probing_ingresses",
             Unit::Count,
-            seen[0].probing as f64,
+            stats[0].probing as f64,
         ));
         Ok(results)
     }
--- a/crates/scale/src/experiments/mod.rs
+++ b/crates/scale/src/experiments/mod.rs
@@ -1,4 +1,4 @@
-//! The experiments, one module a topic. `registry` lists them.
+//! The experiments, one module per topic. `registry` lists them.
 
 pub mod backends;
 pub mod changes;
--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -1,4 +1,5 @@
-//! What routes cost an ingress: reading them at the start, a look-up, one route changed, the file replaced.
+//! What routes cost an ingress: reading them at the start, a look-up, a change of one route, and a
+//! replacement of all of them.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::probe::{measure, resident, Cost};
@@ -10,41 +11,46 @@
 
 const SIZES: [u64; 7] = [100, 300, 1_000, 3_000, 10_000, 30_000, 63_000];
 const QUICK_SIZES: [u64; 4] = [30, 100, 300, 1_000];
-/// Look-ups over which the cost of one is averaged.
+/// Number of look-ups over which the cost of one is averaged.
 const LOOK_UPS: u64 = 10_000;
-/// Different requests among these.
+/// Number of different requests among the look-ups.
 const TARGETS: u64 = 500;
-/// Pools of the mixed form, hosts, and every which of its routes has a limit or a note.
+/// Number of pools in the mixed form.
 const POOLS: u64 = 20;
+/// Number of hosts in the mixed form.
 const HOSTS: u64 = 50;
-const EVERY_LIMIT: u64 = 50;
-const EVERY_NOTE: u64 = 10;
-/// Bytes that reading may take: more than an ingress has for it, so that the bound is never what is measured.
+/// In the mixed form, one route of this many has a limit.
+const LIMIT_INTERVAL: u64 = 50;
+/// In the mixed form, one route of this many has a note.
+const NOTE_INTERVAL: u64 = 10;
+/// Memory limit for reading rules, bytes: more than the limit of an ingress, so that reading never
+/// reaches it.
 const MAX_BYTES: usize = 1 << 30;
-/// Virtual time of a replacement, ms.
+/// Virtual time at which rules are replaced, ms.
 const REPLACED_AT_MS: f64 = 60_000.0;
 /// Longest deadline of a request, ms.
 const LONGEST_MS: f64 = 3_000.0;
 
-/// What a look-up is made for.
+/// The host and path of a request to look up.
 #[derive(Clone, Copy, Debug)]
 pub struct Target<'a> {
-    /// Host of the request, if it names one.
+    /// Host of the request, if the request has one.
     pub host: Option<&'a str>,
-    /// Its path.
+    /// Path of the request.
     pub path: &'a str,
 }
 
-/// Routes in force: all that the measurements need of the `driftgap-routes` crate.
+/// Routes in force: a wrapper around the parts of the `driftgap-routes` crate that the measurements
+/// need.
 pub struct RouteTable {
     router: Router,
 }
 
 impl RouteTable {
-    /// Reads a file's text and puts its routes in force.
+    /// Reads routes from a file's text and puts them in force.
     ///
     /// # Errors
-    /// The text holds faults; the first of them.
+    /// The text is invalid; the error contains the first fault.
     pub fn start(text: &str) -> Result<RouteTable, ExperimentError> {
         let mut table = RouteTable {
             router: Router::new(read(text, None)?),
@@ -53,20 +59,20 @@
         Ok(table)
     }
 
-    /// Reads another text, which takes over what the routes in force have of it already: the work of the thread that
-    /// reads.
+    /// Reads routes from another text and reuses the unchanged parts of the routes in force. In the
+    /// program, the reading thread does this work.
     ///
     /// # Errors
-    /// The text holds faults; the first of them.
+    /// The text is invalid; the error contains the first fault.
     pub fn read(&self, text: &str) -> Result<Rules, ExperimentError> {
         read(text, Some(self.router.rules()))
     }
 
-    /// Puts routes in force in place of those that are: the work of the thread that serves. What it returns is dropped
-    /// by the thread that reads.
+    /// Replaces the routes in force. In the program, the serving thread does this work, and the
+    /// reading thread drops the returned value.
     ///
     /// # Errors
-    /// Earlier pools are still needed.
+    /// Pools of an earlier replacement are still in use.
     pub fn exchange(&mut self, rules: Rules) -> Result<Replaced, ExperimentError> {
         let replaced = self.router.replace(rules, REPLACED_AT_MS, LONGEST_MS);
         let replaced = replaced.map_err(|e| ExperimentError::Refused(e.to_string()))?;
@@ -74,7 +80,7 @@
         Ok(replaced)
     }
 
-    /// Looks a request up.
+    /// Looks up the route of a request.
     pub fn look_up(&mut self, target: &Target<'_>) {
         let request = Request {
             protocol: "http2",
@@ -119,11 +125,11 @@
     })
 }
 
-/// One generated route.
+/// A generated route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Route {
     number: u64,
-    /// Part of its path that nothing else has.
+    /// Random part of the path, which makes the path unique.
     token: u32,
 }
 
@@ -137,23 +143,23 @@
     }
 }
 
-/// How generated routes are written.
+/// The form in which routes are generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Form {
-    /// Each tests a path's beginning and names the pool of all backends.
+    /// Each route tests a path prefix and names the pool of all backends.
     Simple,
-    /// Each tests a host and a path's beginning and names one of 20 pools; every tenth writes a note, every
-    /// fiftieth has a limit.
+    /// Each route tests a host and a path prefix and names one of 20 pools; every tenth route has a
+    /// note, every fiftieth a limit.
     Mixed,
 }
 
 impl Form {
     fn text(self, routes: &[Route]) -> String {
-        // The ceilings on cost are those of small files.
+        // The default cost limits are meant for small files, so higher ones are set.
         let mut text = String::from("[cost]\nexpression = 100000\nrequest = 10000000\n");
         if self == Form::Mixed {
             for pool in 0..POOLS {
-                // Writing to memory does not fail.
+                // Writing to a string does not fail.
                 let _ = writeln!(
                     text,
                     "[[pool]]\nname = 'pool-{pool:02}'\nwhen = 'instance.cell == {pool}'"
@@ -183,10 +189,10 @@
                     "when = 'request.host.orValue(\"\") == \"{host}\" && request.path.startsWith(\"{path}\")'"
                 );
                 let _ = writeln!(text, "pool = '\"pool-{pool:02}\"'");
-                if number % EVERY_NOTE == 0 {
+                if number % NOTE_INTERVAL == 0 {
                     let _ = writeln!(text, "notes = {{ programme = '\"{number:06}\"' }}");
                 }
-                if number % EVERY_LIMIT == 0 {
+                if number % LIMIT_INTERVAL == 0 {
                     let _ = writeln!(
                         text,
                         "limit = {{ key = 'request.partner.orValue(\"\")', rate = 1000000, burst = 1000000 }}"
@@ -206,18 +212,19 @@
         .collect()
 }
 
-/// Routes of one form.
+/// Measures routes of one form.
 pub struct ByRoutes {
     form: Form,
 }
 
 impl ByRoutes {
-    /// Routes that test a path's beginning.
+    /// Creates the experiment with routes that test a path prefix.
     pub fn simple() -> ByRoutes {
         ByRoutes { form: Form::Simple }
     }
 
-    /// Routes that test a host and a path's beginning; some with notes and limits.
+    /// Creates the experiment with routes that test a host and a path prefix; some have notes and
+    /// limits.
     pub fn mixed() -> ByRoutes {
         ByRoutes { form: Form::Mixed }
     }
@@ -242,14 +249,15 @@
                 });
             }
         };
-        // Once beforehand: buffers grow to their size.
+        // The first run lets buffers grow to their final size.
         look_up_all();
         let ((), cost) = measure(look_up_all);
-        cost.each(LOOK_UPS).effort("look_up")
+        cost.each(LOOK_UPS).allocations_and_cpu("look_up")
     }
 }
 
-/// What it costs to replace the routes in force by those of a text: all of it, and what the thread that serves does.
+/// Measures the replacement of the routes in force: the total cost, and the part of the serving
+/// thread.
 fn replacement(
     table: &mut RouteTable,
     text: &str,
@@ -267,7 +275,7 @@
         cpu: reading.cpu + exchange.cpu + dropping.cpu,
     };
     let mut results = all.measurements(step).to_vec();
-    results.extend(exchange.effort(&format!("{step}_exchange")));
+    results.extend(exchange.allocations_and_cpu(&format!("{step}_exchange")));
     Ok(results)
 }
 
--- a/crates/scale/src/experiments/services.rs
+++ b/crates/scale/src/experiments/services.rs
@@ -1,6 +1,6 @@
-//! What services cost an ingress. The code has no services of its own: a service is mapped onto a pool, by a label of
-//! its backends, and a rule that sends a path's requests to that pool. There are 62 pools at most, so that is how many
-//! services one ingress can tell apart.
+//! What services cost an ingress. The program has no services of its own: a service is represented
+//! by a pool, which selects backends by a label, and a rule that routes the service's paths to that
+//! pool. An ingress has at most 62 pools and so can distinguish at most 62 services.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement};
 use crate::experiments::fleet::{service_name, Fleet};
@@ -10,22 +10,22 @@
 use crate::probe::measure;
 use std::fmt::Write;
 
-/// Services; 62 are the most.
+/// Numbers of services; 62 is the maximum.
 const SIZES: [u64; 5] = [2, 6, 20, 40, 62];
-/// Backends of all services together.
+/// Total number of backends.
 const BACKENDS: u64 = 6_200;
-/// Look-ups over which the cost of one is averaged.
+/// Number of look-ups over which the cost of one is averaged.
 const LOOK_UPS: u64 = 2_000;
 
-/// Services as pools of a fixed number of backends.
+/// Measures services as pools of a fixed number of backends.
 pub struct ByServices;
 
-/// A pool and a rule for each service.
+/// Returns the text of a pool and a rule for each service.
 fn rules(services: u64) -> String {
     let mut text = String::new();
     for number in 0..services {
         let name = service_name(number as u32);
-        // Writing to memory does not fail.
+        // Writing to a string does not fail.
         let _ = writeln!(
             text,
             "[[pool]]\nname = '{name}'\nwhen = 'instance.labels[\"service\"].orValue(\"\") == \"{name}\"'"
@@ -64,12 +64,12 @@
         let mut results = Vec::new();
 
         let text = rules(size);
-        let (put, cost) = measure(|| ingress.put_rules(&text));
+        let (put, cost) = measure(|| ingress.apply_rules(&text));
         put?;
         results.extend(cost.measurements("rules"));
 
-        let whole = fleet.whole_list(1);
-        let (started, cost) = measure(|| ingress.take_list(whole.clone()));
+        let full_list = fleet.full_list(1);
+        let (started, cost) = measure(|| ingress.apply_list(full_list.clone()));
         started?;
         results.extend(cost.measurements("start"));
         ingress.advance(1_000.0);
@@ -77,7 +77,7 @@
 
         fleet.toggle_one();
         let change = fleet.change_list(2);
-        let (changed, cost) = measure(|| ingress.take_list(change.clone()));
+        let (changed, cost) = measure(|| ingress.apply_list(change.clone()));
         changed?;
         results.extend(cost.measurements("one_changed"));
 
@@ -91,7 +91,7 @@
                 table.look_up(&Target { host: None, path });
             }
         });
-        results.extend(cost.each(LOOK_UPS).effort("look_up"));
+        results.extend(cost.each(LOOK_UPS).allocations_and_cpu("look_up"));
         Ok(results)
     }
 }
--- a/crates/scale/src/experiments/tenants.rs
+++ b/crates/scale/src/experiments/tenants.rs
@@ -1,5 +1,5 @@
-//! What tenants cost an ingress: those that it knows, those that are active, those that have gone idle, and what is
-//! never given back behind them.
+//! What tenants cost an ingress: remembered tenants, active tenants, idle tenants, and the memory
+//! that is still in use after all tenants were forgotten.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::experiments::fleet::Fleet;
@@ -7,31 +7,34 @@
 use crate::ingress::{Deployment, SimulatedIngress};
 use crate::probe::measure;
 
-/// Up to nearly the most tenants that one ingress remembers: at 20,000 it begins to forget some for others.
+/// Numbers of tenants, up to almost the 20,000 that an ingress remembers; beyond these it forgets
+/// some for others.
 const SIZES: [u64; 5] = [600, 2_000, 6_000, 12_000, 18_000];
 const QUICK_SIZES: [u64; 4] = [100, 300, 1_000, 3_000];
-/// Up to all tenants of the target, one after the other at one ingress.
+/// Numbers of tenants that use one ingress one after the other, up to all tenants of the target.
 const TURNOVER_SIZES: [u64; 4] = [30_000, 100_000, 300_000, 1_100_000];
 const QUICK_TURNOVER_SIZES: [u64; 4] = [1_000, 3_000, 10_000, 30_000];
-/// Tenants that come a second in the turnover.
+/// New tenants per second in the turnover experiment.
 const TURNOVER_RATE: u64 = 500;
-/// Backends: few, so that choosing one costs little beside the quota.
+/// Number of backends: few, so that choosing a backend costs little compared with the quota.
 const BACKENDS: u64 = 8;
-/// Time in which every tenant sends a request, ms, and the steps in which they do.
+/// Time in which every tenant sends one request, ms.
 const ROUND_MS: f64 = 1_000.0;
+/// Step by which time advances while requests are sent, ms.
 const STEP_MS: f64 = 5.0;
-/// Requests of an ingress before it is measured.
+/// Number of requests before the measurement.
 const WARM_UP_REQUESTS: u64 = 400;
-/// Time for the last answers and timers behind a round, ms.
+/// Time for the last answers and timers after a round, ms.
 const SETTLING_MS: f64 = 3_000.0;
-/// Behind this long without a request an ingress has forgotten every tenant, ms: three of the longest windows.
-const FORGOTTEN_MS: f64 = 90_000.0;
+/// Time without requests after which an ingress has forgotten every tenant, ms: three of the
+/// longest windows.
+const FORGET_ALL_MS: f64 = 90_000.0;
 
-/// An ingress that has served requests for a while: before it knows how many are answered in a second, its load ladder
-/// refuses some.
+/// Creates an ingress and sends it warm-up requests: until it has measured its rate of answers, its
+/// load shedding refuses some requests.
 fn start(seed: u64) -> Result<SimulatedIngress, ExperimentError> {
     let ingress = SimulatedIngress::new(&Deployment::TARGET.config()?, seed)?;
-    ingress.take_list(Fleet::new(BACKENDS, 1, 1, seed).whole_list(1))?;
+    ingress.apply_list(Fleet::new(BACKENDS, 1, 1, seed).full_list(1))?;
     for id in 0..WARM_UP_REQUESTS {
         ingress.arrive(unmetered_request(ingress.dispatcher().platform(), id)?);
         ingress.advance(STEP_MS);
@@ -39,8 +42,8 @@
     Ok(ingress)
 }
 
-/// Each of these tenants sends one request, spread evenly over a time.
-fn round(
+/// Sends one request from each tenant, spread evenly over a time.
+fn send_round(
     ingress: &SimulatedIngress,
     tenants: u64,
     milliseconds: f64,
@@ -58,7 +61,7 @@
     Ok(())
 }
 
-/// Tenants that an ingress meets at once.
+/// Measures tenants that one ingress remembers at the same time.
 pub struct ByTenants;
 
 impl Experiment for ByTenants {
@@ -87,12 +90,12 @@
         let mut results = Vec::new();
 
         let before = ingress.traffic();
-        let (met, known) = measure(|| {
-            round(&ingress, size, ROUND_MS)?;
+        let (sent_all, known) = measure(|| {
+            send_round(&ingress, size, ROUND_MS)?;
             ingress.advance(SETTLING_MS);
             Ok::<(), ExperimentError>(())
         });
-        met?;
+        sent_all?;
         results.extend(known.measurements("known"));
         let refused = ingress.traffic().refused - before.refused;
         results.push(Measurement::counted(
@@ -101,11 +104,11 @@
             refused as f64,
         ));
         let waited = idle_seconds(&ingress);
-        results.extend(waited.each(IDLE_SECONDS).effort("idle_second"));
+        results.extend(waited.each(IDLE_SECONDS).allocations_and_cpu("idle_second"));
 
         let before = ingress.traffic();
-        let (met, active) = measure(|| round(&ingress, size, ROUND_MS));
-        met?;
+        let (sent_all, active) = measure(|| send_round(&ingress, size, ROUND_MS));
+        sent_all?;
         let after = ingress.traffic();
         results.extend(active.measurements("active_second"));
         let calls = after.counter_calls - before.counter_calls;
@@ -121,7 +124,7 @@
             refused as f64,
         ));
 
-        let ((), idle) = measure(|| ingress.advance(FORGOTTEN_MS));
+        let ((), idle) = measure(|| ingress.advance(FORGET_ALL_MS));
         let kept = known.heap + waited.heap + active.heap + idle.heap;
         results.push(Measurement::counted(
             "kept_after_idle_heap",
@@ -132,7 +135,7 @@
     }
 }
 
-/// Tenants that come to one ingress one after the other.
+/// Measures tenants that use one ingress one after the other.
 pub struct ByTenantTurnover;
 
 impl Experiment for ByTenantTurnover {
@@ -160,12 +163,12 @@
         let ingress = start(seed)?;
         let before = ingress.traffic();
         let milliseconds = size as f64 / TURNOVER_RATE as f64 * 1_000.0;
-        let (met, come) = measure(|| round(&ingress, size, milliseconds));
-        met?;
-        let ((), idle) = measure(|| ingress.advance(FORGOTTEN_MS));
-        let kept = come.heap + idle.heap;
+        let (sent_all, turnover) = measure(|| send_round(&ingress, size, milliseconds));
+        sent_all?;
+        let ((), idle) = measure(|| ingress.advance(FORGET_ALL_MS));
+        let kept = turnover.heap + idle.heap;
         let refused = ingress.traffic().refused - before.refused;
-        let mut results = come.measurements("come").to_vec();
+        let mut results = turnover.measurements("come").to_vec();
         results.push(Measurement::counted(
             "kept_after_idle_heap",
             Unit::Bytes,
--- a/crates/scale/src/experiments/traffic.rs
+++ b/crates/scale/src/experiments/traffic.rs
@@ -1,4 +1,4 @@
-//! Generated requests.
+//! Generated requests, and the cost of a single request and of an idle second.
 
 use crate::experiment::{ExperimentError, Measurement};
 use crate::ingress::SimulatedIngress;
@@ -6,45 +6,49 @@
 use driftgap::config::settings::Platform;
 use driftgap::request::ClientRequest;
 
-/// Ingresses that one tenant's requests come through: those of one zone of the target, 2,500 over 21.
-const SPREAD: u32 = 119;
-/// The plan without a quota, and the plans of tenants.
+/// Number of ingresses that a tenant's requests come through: those of one zone of the target,
+/// 2,500 / 21.
+const TENANT_SPREAD: u32 = 119;
+/// Name of the plan without a quota.
 const UNMETERED: &str = "unmetered";
+/// The tenant of requests without a quota.
 const UNMETERED_TENANT: u64 = (1 << 33) - 1;
+/// Names of the plans of all other tenants.
 const PLANS: [&str; 4] = ["community", "district", "city", "national"];
-/// Requests over which the cost of one is averaged.
+/// Number of requests over which the cost of one is averaged.
 const SAMPLES: u64 = 64;
-/// Between two of these, ms: the last one has its answer by then.
-const PAUSE_MS: f64 = 60.0;
+/// Interval between these requests, ms; each request is answered before the next one.
+const SAMPLE_INTERVAL_MS: f64 = 60.0;
 
-/// A request of a tenant. Its class has a long aim, so that the load ladder refuses none of it.
+/// Creates a request of a tenant. The latency objective of its class is long, so load shedding does
+/// not refuse it.
 ///
 /// # Errors
-/// The ingress would refuse it as malformed.
+/// The request is malformed.
 pub fn request(
     platform: &Platform,
     tenant: u64,
     id: u64,
 ) -> Result<ClientRequest, ExperimentError> {
-    of_plan(platform, tenant, id, PLANS[tenant as usize % PLANS.len()])
+    request_of_plan(platform, tenant, id, PLANS[tenant as usize % PLANS.len()])
 }
 
-/// A request without a quota, of one tenant.
+/// Creates a request without a quota; all such requests belong to one tenant.
 ///
 /// # Errors
-/// The ingress would refuse it as malformed.
+/// The request is malformed.
 pub fn unmetered_request(platform: &Platform, id: u64) -> Result<ClientRequest, ExperimentError> {
-    of_plan(platform, UNMETERED_TENANT, id, UNMETERED)
+    request_of_plan(platform, UNMETERED_TENANT, id, UNMETERED)
 }
 
-fn of_plan(
+fn request_of_plan(
     platform: &Platform,
     tenant: u64,
     id: u64,
     plan: &str,
 ) -> Result<ClientRequest, ExperimentError> {
     let ingresses = platform.decision.ingresses;
-    let (spread, first) = (SPREAD.min(ingresses), tenant % u64::from(ingresses));
+    let (spread, first) = (TENANT_SPREAD.min(ingresses), tenant % u64::from(ingresses));
     let terms = format!("c=bulk-fetch,t={plan},d=1000,units=1,spread={spread},first={first}");
     ClientRequest::new(
         platform,
@@ -56,10 +60,10 @@
     .map_err(|e| ExperimentError::Refused(e.to_string()))
 }
 
-/// What it costs to accept one request without a quota and to choose a backend for it.
+/// Measures the cost of accepting one request without a quota and choosing a backend for it.
 ///
 /// # Errors
-/// The ingress refuses the request as malformed.
+/// A generated request is malformed.
 pub fn choice_cost(ingress: &SimulatedIngress) -> Result<Vec<Measurement>, ExperimentError> {
     let mut total = Cost::default();
     for id in 0..SAMPLES {
@@ -67,24 +71,24 @@
         let ((), cost) = measure(|| ingress.arrive(request));
         total.cpu += cost.cpu;
         total.allocations += cost.allocations;
-        ingress.advance(PAUSE_MS);
+        ingress.advance(SAMPLE_INTERVAL_MS);
     }
-    Ok(total.each(SAMPLES).effort("choice").to_vec())
+    Ok(total.each(SAMPLES).allocations_and_cpu("choice").to_vec())
 }
 
-/// Seconds over which an idle one is averaged.
+/// Number of seconds over which the cost of an idle second is averaged.
 pub const IDLE_SECONDS: u64 = 4;
 
-/// Lets [`IDLE_SECONDS`] pass without requests; what they cost together.
+/// Advances time by [`IDLE_SECONDS`] without requests and returns the total cost.
 pub fn idle_seconds(ingress: &SimulatedIngress) -> Cost {
     let ((), cost) = measure(|| ingress.advance(IDLE_SECONDS as f64 * 1000.0));
     cost
 }
 
-/// What an idle second costs: timers alone.
+/// Measures the cost of an idle second, in which only timers run.
 pub fn idle_cost(ingress: &SimulatedIngress) -> Vec<Measurement> {
     idle_seconds(ingress)
         .each(IDLE_SECONDS)
-        .effort("idle_second")
+        .allocations_and_cpu("idle_second")
         .to_vec()
 }
--- a/crates/scale/src/experiments/zones.rs
+++ b/crates/scale/src/experiments/zones.rs
@@ -1,4 +1,5 @@
-//! What zones cost an ingress: they are names in its settings and numbers in its list of backends.
+//! What zones cost an ingress: each zone is a name in its settings and a number in its list of
+//! backends.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement};
 use crate::experiments::fleet::Fleet;
@@ -10,7 +11,7 @@
 const BACKENDS: u64 = 10_000;
 const QUICK_SIZES: [u64; 4] = [1, 7, 21, 63];
 
-/// Zones that a fixed number of backends lies in.
+/// Measures zones over which a fixed number of backends is distributed.
 pub struct ByZones;
 
 impl Experiment for ByZones {
@@ -45,8 +46,8 @@
         let ingress = SimulatedIngress::new(&config, seed)?;
         let mut results = Vec::new();
 
-        let whole = fleet.whole_list(1);
-        let (started, cost) = measure(|| ingress.take_list(whole.clone()));
+        let full_list = fleet.full_list(1);
+        let (started, cost) = measure(|| ingress.apply_list(full_list.clone()));
         started?;
         results.extend(cost.measurements("start"));
         ingress.advance(1_000.0);
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,22 +1,22 @@
-//! Least-squares lines through measured points, and whether a line describes them.
+//! Least-squares lines through measured points, and a test of whether growth is linear.
 
 use linregress::fit_low_level_regression_model;
 use serde::{Deserialize, Serialize};
 
-/// Growth is called linear where no point lies further from the line than this share of the largest value.
-const LINEAR_WITHIN: f64 = 0.1;
-/// A line has two parameters; its errors take one point more.
-const FEWEST_POINTS: usize = 3;
-/// Columns of the regression's matrix: the value, 1 for the intercept, the size.
+/// Growth is linear if no point is farther from the line than this share of the largest value.
+const MAX_RELATIVE_RESIDUAL: f64 = 0.1;
+/// Fewest points for a fit: a line has two parameters, and its standard error needs one more point.
+const MIN_POINTS: usize = 3;
+/// Columns of the regression matrix: the value, 1 for the intercept, the size.
 const COLUMNS: usize = 3;
 
-/// Why no line can be put through points.
+/// Why no line can be fitted.
 #[derive(Debug, thiserror::Error)]
 pub enum FitError {
-    /// There are too few of them.
-    #[error("{0} points, {FEWEST_POINTS} at least are needed")]
+    /// There are fewer points than a fit needs.
+    #[error("{0} points, {MIN_POINTS} at least are needed")]
     TooFewPoints(usize),
-    /// All of them have the same size.
+    /// All points have the same size.
     #[error("all points have the same size")]
     OneSize,
     /// The regression failed.
@@ -24,18 +24,19 @@
     Regression(#[from] linregress::Error),
 }
 
-/// A line through points.
+/// A line fitted through `(size, value)` points.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Line {
     /// The value at size 0.
     pub intercept: f64,
-    /// What one more adds.
+    /// Increase of the value per unit of size.
     pub slope: f64,
     /// Standard error of the slope.
     pub standard_error: f64,
-    /// Residual standard error: how far points lie from the line, in the unit of the values.
+    /// Residual standard error: the typical distance of the points from the line, in the unit of
+    /// the values.
     pub residual: f64,
-    /// Whether every point lies within a tenth of the largest value from the line.
+    /// Whether every point is within a tenth of the largest value of the line.
     pub linear: bool,
 }
 
@@ -45,7 +46,7 @@
     /// # Errors
     /// There are too few points, or all have the same size.
     pub fn through(points: &[(f64, f64)]) -> Result<Line, FitError> {
-        if points.len() < FEWEST_POINTS {
+        if points.len() < MIN_POINTS {
             return Err(FitError::TooFewPoints(points.len()));
         }
         if points.iter().all(|(size, _)| *size == points[0].0) {
@@ -71,11 +72,11 @@
             slope: parameters[1],
             standard_error: errors[1],
             residual: model.scale().max(0.0).sqrt(),
-            linear: furthest <= LINEAR_WITHIN * largest,
+            linear: furthest <= MAX_RELATIVE_RESIDUAL * largest,
         })
     }
 
-    /// The value that the line gives at a size.
+    /// Returns the line's value at `size`.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
--- a/crates/scale/src/hollow/group/change.rs
+++ b/crates/scale/src/hollow/group/change.rs
@@ -1,90 +1,94 @@
-//! Changes that were asked for: when they were agreed, and when the last follower had them.
+//! Delays of proposed changes: until they are committed, and until the last follower has them.
 
 use driftgap_group::Outcome;
 use std::collections::HashMap;
 
-/// A call: the member that it was made at, and its number there.
-type Call = (usize, u64);
+/// Identifies a proposal: the index of the member that received it, and the proposal's number
+/// there.
+type ProposalId = (usize, u64);
 
-/// How long one change took, from the moment in which it was asked for.
+/// Delays of one change since its proposal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delay {
-    /// Until a majority had it on their disks and the caller was told, ms.
-    pub agreed_ms: f64,
-    /// Until the last follower had it, ms.
-    pub last_ms: f64,
+    /// Delay until a majority had written the change to disk and the caller received the result,
+    /// ms.
+    pub commit_ms: f64,
+    /// Delay until the last follower had the change, ms.
+    pub last_follower_ms: f64,
 }
 
-/// A change that is agreed and not with every follower yet.
+/// A committed change that some followers do not have yet.
 #[derive(Clone, Copy, Debug)]
-struct Agreed {
+struct CommittedChange {
     index: u64,
-    asked_at_ms: f64,
-    agreed_ms: f64,
-    lacking: usize,
+    proposed_at_ms: f64,
+    commit_ms: f64,
+    pending_followers: usize,
 }
 
 /// All changes of a run.
 #[derive(Debug, Default)]
 pub(super) struct Changes {
-    asked: HashMap<Call, f64>,
-    agreed: Vec<Agreed>,
+    proposed: HashMap<ProposalId, f64>,
+    committed: Vec<CommittedChange>,
     delays: Vec<Delay>,
 }
 
 impl Changes {
-    /// A change was asked for.
-    pub(super) fn asked(&mut self, now_ms: f64, call: Call) {
-        self.asked.insert(call, now_ms);
+    /// Records a proposal.
+    pub(super) fn proposed(&mut self, now_ms: f64, proposal: ProposalId) {
+        self.proposed.insert(proposal, now_ms);
     }
 
-    /// A call has ended, at this place of the log; so many followers lack that place. One that changed nothing is
-    /// forgotten.
-    pub(super) fn agreed(
+    /// Records the result of a proposal, its log index and the number of followers whose replicas
+    /// are behind that index. Proposals that changed nothing are not tracked further.
+    pub(super) fn committed(
         &mut self,
         now_ms: f64,
-        call: Call,
+        proposal: ProposalId,
         outcome: Outcome,
         index: u64,
-        lacking: usize,
+        pending_followers: usize,
     ) {
-        let Some(asked_at_ms) = self.asked.remove(&call) else {
+        let Some(proposed_at_ms) = self.proposed.remove(&proposal) else {
             return;
         };
         if !matches!(outcome, Outcome::Done | Outcome::Written(_)) {
             return;
         }
-        let agreed_ms = now_ms - asked_at_ms;
-        self.agreed.push(Agreed {
+        let commit_ms = now_ms - proposed_at_ms;
+        self.committed.push(CommittedChange {
             index,
-            asked_at_ms,
-            agreed_ms,
-            lacking,
+            proposed_at_ms,
+            commit_ms,
+            pending_followers,
         });
-        self.settle(now_ms);
+        self.collect_replicated(now_ms);
     }
 
-    /// A follower's copy has come from one place of the log to another.
-    pub(super) fn reached(&mut self, now_ms: f64, before: u64, after: u64) {
-        for change in &mut self.agreed {
+    /// Records that a follower's replica has advanced from log index `before` to `after`.
+    pub(super) fn follower_applied(&mut self, now_ms: f64, before: u64, after: u64) {
+        for change in &mut self.committed {
             if before < change.index && change.index <= after {
-                change.lacking -= 1;
+                change.pending_followers -= 1;
             }
         }
-        self.settle(now_ms);
+        self.collect_replicated(now_ms);
     }
 
-    fn settle(&mut self, now_ms: f64) {
-        let done = self.agreed.extract_if(.., |change| change.lacking == 0);
+    fn collect_replicated(&mut self, now_ms: f64) {
+        let done = self
+            .committed
+            .extract_if(.., |change| change.pending_followers == 0);
         self.delays.extend(done.map(|change| Delay {
-            agreed_ms: change.agreed_ms,
-            last_ms: now_ms - change.asked_at_ms,
+            commit_ms: change.commit_ms,
+            last_follower_ms: now_ms - change.proposed_at_ms,
         }));
     }
 
-    /// Whether nothing is under way.
-    pub(super) fn all_in_force(&self) -> bool {
-        self.asked.is_empty() && self.agreed.is_empty()
+    /// Returns whether every follower has every proposed change.
+    pub(super) fn all_replicated(&self) -> bool {
+        self.proposed.is_empty() && self.committed.is_empty()
     }
 
     pub(super) fn take_delays(&mut self) -> Vec<Delay> {
--- a/crates/scale/src/hollow/group/follower.rs
+++ b/crates/scale/src/hollow/group/follower.rs
@@ -1,24 +1,25 @@
-//! A follower without sockets: its code, and the copy that the rest of its ingress sees.
+//! A follower without sockets: the program's follower code, and the view of its replica for the
+//! rest of the ingress.
 
 use super::member::decode;
 use driftgap::group::View;
 use driftgap_group::{Follower, Replica};
 use std::sync::Arc;
 
-/// One follower.
+/// A simulated follower.
 pub struct HollowFollower {
     follower: Follower,
     view: View,
 }
 
-/// What a follower wants of its connection after a turn.
+/// What to do with a follower's connection after an iteration of its event loop.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Wants {
-    /// It stays as it is.
-    Nothing,
-    /// The connection is to end: its member is silent, or knows only old things.
-    End,
-    /// A connection to the member of this name.
+pub(super) enum ConnectionAction {
+    /// Keep the current state.
+    Keep,
+    /// Close the connection: the member is silent, or its state is stale.
+    Close,
+    /// Connect to the member with this name.
     Connect(String),
 }
 
@@ -32,13 +33,13 @@
         }
     }
 
-    /// A member of this group has welcomed it.
+    /// Reports that a member of this group has accepted the follower's connection.
     pub(super) fn connected(&mut self, now_ms: f64, group: u64) {
         self.follower.connected(now_ms, group);
     }
 
-    /// Takes in what its member has sent; false: it was no frame.
-    pub(super) fn hear(&mut self, now_ms: f64, bytes: &[u8]) -> bool {
+    /// Processes bytes from the member. Returns false if they are not a frame.
+    pub(super) fn receive(&mut self, now_ms: f64, bytes: &[u8]) -> bool {
         let Some(frame) = decode(bytes) else {
             return false;
         };
@@ -46,19 +47,28 @@
         true
     }
 
-    /// Time has passed, or something has come: what is to be sent, and what becomes of the connection.
-    pub(super) fn turn(&mut self, now_ms: f64, connecting: bool) -> (Vec<Vec<u8>>, Wants) {
+    /// Runs one iteration of the event loop. Returns the frames to send, and what to do with the
+    /// connection.
+    pub(super) fn turn(
+        &mut self,
+        now_ms: f64,
+        connecting: bool,
+    ) -> (Vec<Vec<u8>>, ConnectionAction) {
         self.follower.tick(now_ms);
-        let mut wants = Wants::Nothing;
+        let mut action = ConnectionAction::Keep;
         if self.follower.leaves_stale_member(now_ms) {
-            wants = Wants::End;
+            action = ConnectionAction::Close;
         } else if self.follower.is_silent(now_ms) {
             self.follower.disconnected(now_ms);
-            wants = Wants::End;
+            action = ConnectionAction::Close;
         }
         let (member, due) = self.follower.next_member();
-        if wants == Wants::Nothing && !connecting && !self.follower.is_up() && now_ms >= due {
-            wants = Wants::Connect(member.into());
+        if action == ConnectionAction::Keep
+            && !connecting
+            && !self.follower.is_up()
+            && now_ms >= due
+        {
+            action = ConnectionAction::Connect(member.into());
         }
         let frames = self
             .follower
@@ -69,20 +79,20 @@
         if self.follower.changed() {
             self.update_view();
         }
-        (frames, wants)
+        (frames, action)
     }
 
-    /// What the rest of the ingress sees of the copy, made anew at each change as the group's thread does.
+    /// Rebuilds the view of the replica after a change, as the group's thread does.
     fn update_view(&mut self) {
-        let copy = self.follower.replica();
+        let replica = self.follower.replica();
         self.view = View {
-            excluded: Arc::new(copy.excluded.clone()),
-            documents: Arc::new(copy.documents.clone()),
-            applied: copy.applied,
+            excluded: Arc::new(replica.excluded.clone()),
+            documents: Arc::new(replica.documents.clone()),
+            applied: replica.applied,
         };
     }
 
-    /// Whether what its ingress sees has this endpoint as out, and documents of this number.
+    /// Returns whether the view has this endpoint as excluded and a document with this number.
     pub fn holds(&self, endpoint: &str, number: u64) -> bool {
         let numbered = self
             .view
@@ -92,8 +102,8 @@
         self.view.excluded.contains(endpoint) && numbered
     }
 
-    /// What it knows of the group.
-    pub(super) fn copy(&self) -> &Replica {
+    /// Returns the follower's replica of the group's state.
+    pub(super) fn replica(&self) -> &Replica {
         self.follower.replica()
     }
 }
--- a/crates/scale/src/hollow/group/link.rs
+++ b/crates/scale/src/hollow/group/link.rs
@@ -1,45 +1,46 @@
-//! Links of hollow nodes: who sends to whom, and when what is sent arrives. One machine's interface sends one frame
-//! after the other; a link keeps the order of its frames.
+//! Links between hollow nodes and the arrival times of their frames. A machine's interface sends
+//! one frame after the other, and a link preserves the order of its frames.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// A link that has nothing to say says so after this, ms, as the links on sockets do.
+/// Idle time after which a link sends a keep-alive frame, ms; the same as on sockets.
 const IDLE_MS: f64 = 500.0;
-/// Times of the schedule are whole microseconds; sums of them are not.
+/// Tolerance for idle times, ms: the schedule rounds times to whole microseconds, sums of them are
+/// not rounded.
 const ROUNDING_MS: f64 = 0.001;
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Node {
-    /// A member, by its place.
+    /// A member, by index.
     Member(usize),
-    /// A follower, by its place.
+    /// A follower, by index.
     Follower(usize),
 }
 
-/// Which link.
+/// Identifies a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LinkId(u64);
 
 impl LinkId {
-    /// The number by which a member knows a follower's connection.
+    /// Returns the number that identifies a follower's connection to the member.
     pub(super) fn number(self) -> u64 {
         self.0
     }
 
-    /// The link of this number.
+    /// Returns the identifier with this number.
     pub(super) fn from_number(number: u64) -> LinkId {
         LinkId(number)
     }
 }
 
-/// A link, in one direction.
+/// One direction of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Link {
     pub(super) from: Node,
     pub(super) to: Node,
-    written_ms: f64,
-    arrival_ms: f64,
+    last_sent_ms: f64,
+    last_arrival_ms: f64,
 }
 
 impl Link {
@@ -47,28 +48,28 @@
         Link {
             from,
             to,
-            written_ms: now_ms,
-            arrival_ms: now_ms,
+            last_sent_ms: now_ms,
+            last_arrival_ms: now_ms,
         }
     }
 
-    /// Whether nothing has been sent for so long that it is to say that it is there.
+    /// Returns whether the link has been idle long enough for a keep-alive frame.
     pub(super) fn is_idle(&self, now_ms: f64) -> bool {
         self.idle_due_ms() - now_ms < ROUNDING_MS
     }
 
-    /// When it is to say that it is there, if nothing is sent before.
+    /// Returns the time at which a keep-alive frame is due if nothing is sent before, ms.
     pub(super) fn idle_due_ms(&self) -> f64 {
-        self.written_ms + IDLE_MS
+        self.last_sent_ms + IDLE_MS
     }
 }
 
-/// All links that are open, and how long each node's interface is busy.
+/// All open links, and the time until which each node's interface is busy.
 #[derive(Debug, Default)]
 pub(super) struct Links {
     links: HashMap<LinkId, Link>,
     opened: u64,
-    free_ms: BTreeMap<Node, f64>,
+    interface_free_ms: BTreeMap<Node, f64>,
 }
 
 impl Links {
@@ -87,20 +88,20 @@
         self.links.get(&id)
     }
 
-    /// Sends something that keeps the interface busy for so long, and is on its way for so long; when it arrives. None:
-    /// the link has ended.
+    /// Sends a frame that occupies the interface for `transmission_ms` and is delayed on the link by
+    /// `delay_ms`. Returns its arrival time, or `None` if the link is closed.
     pub(super) fn send(
         &mut self,
         id: LinkId,
         now_ms: f64,
-        busy_ms: f64,
+        transmission_ms: f64,
         delay_ms: f64,
     ) -> Option<f64> {
         let link = self.links.get_mut(&id)?;
-        let free = self.free_ms.entry(link.from).or_insert(now_ms);
-        *free = free.max(now_ms) + busy_ms;
-        link.written_ms = now_ms;
-        link.arrival_ms = link.arrival_ms.max(*free + delay_ms);
-        Some(link.arrival_ms)
+        let free = self.interface_free_ms.entry(link.from).or_insert(now_ms);
+        *free = free.max(now_ms) + transmission_ms;
+        link.last_sent_ms = now_ms;
+        link.last_arrival_ms = link.last_arrival_ms.max(*free + delay_ms);
+        Some(link.last_arrival_ms)
     }
 }
--- a/crates/scale/src/hollow/group/member.rs
+++ b/crates/scale/src/hollow/group/member.rs
@@ -1,24 +1,24 @@
-//! A group member without sockets or a disk: the peer's code, what its thread does around it, and the time its disk
-//! would take.
+//! A group member without sockets or a disk: the program's peer code, and what the group's thread
+//! does around it. The caller simulates the duration of disk writes.
 
 use driftgap::group::View;
 use driftgap_group::{read_frame, Event, Frame, Member, Peer, WriteJob, MAX_FRAME};
 use std::sync::Arc;
 
-/// Frames that a member sends at one turn, as bytes.
+/// The results of one iteration of a member's event loop.
 #[derive(Debug, Default)]
 pub(super) struct Turn {
-    /// To members, by name.
+    /// Encoded frames to members, by name.
     pub(super) to_members: Vec<(String, Vec<u8>)>,
-    /// To followers, by connection.
+    /// Encoded frames to followers, by connection.
     pub(super) to_followers: Vec<(u64, Vec<u8>)>,
-    /// Whether the disk has begun a write.
-    pub(super) writes: bool,
-    /// What has happened, followers' calls apart.
+    /// Whether a disk write was started.
+    pub(super) write_started: bool,
+    /// Events other than the results of followers' calls.
     pub(super) events: Vec<Event>,
 }
 
-/// One member.
+/// A simulated member.
 pub struct HollowMember {
     pub(super) name: String,
     pub(super) peer: Peer,
@@ -36,13 +36,13 @@
         }
     }
 
-    /// The member itself; none: it has not been let in yet.
+    /// Returns the member, or `None` before the group has accepted it.
     pub(super) fn member(&self) -> Option<&Member> {
         self.peer.member()
     }
 
-    /// Takes in what another member has sent; false: it was no frame.
-    pub(super) fn hear(&mut self, now_ms: f64, from: &str, id: u64, bytes: &[u8]) -> bool {
+    /// Processes bytes from another member. Returns false if they are not a frame.
+    pub(super) fn receive(&mut self, now_ms: f64, from: &str, id: u64, bytes: &[u8]) -> bool {
         let Some(frame) = decode(bytes) else {
             return false;
         };
@@ -50,21 +50,27 @@
         true
     }
 
-    /// Takes in what a follower has sent; false: it was no frame, or there is nothing to follow.
-    pub(super) fn hear_follower(&mut self, now_ms: f64, connection: u64, bytes: &[u8]) -> bool {
+    /// Processes bytes from a follower. Returns false if they are not a frame, or if there is no
+    /// state to follow yet.
+    pub(super) fn receive_from_follower(
+        &mut self,
+        now_ms: f64,
+        connection: u64,
+        bytes: &[u8],
+    ) -> bool {
         let Some(frame) = decode(bytes) else {
             return false;
         };
         self.peer.receive_from_follower(now_ms, connection, frame)
     }
 
-    /// The disk has done its job.
+    /// Reports that the disk write is complete.
     pub(super) fn written(&mut self, now_ms: f64) -> Result<(), driftgap_group::MemberFailure> {
         self.writing = false;
         self.peer.written(now_ms)
     }
 
-    /// Time has passed, or something has come: what the member's thread does then, in its order.
+    /// Runs one iteration of the event loop, in the order of the group's thread.
     pub(super) fn turn(&mut self, now_ms: f64) -> Result<Turn, driftgap_group::MemberFailure> {
         let mut turn = Turn::default();
         self.peer.tick(now_ms);
@@ -75,7 +81,7 @@
             if job == WriteJob::Write(Box::default()) {
                 self.peer.written(now_ms)?;
             } else {
-                (self.writing, turn.writes) = (true, true);
+                (self.writing, turn.write_started) = (true, true);
             }
         }
         let frames = self.peer.frames(now_ms);
@@ -95,7 +101,8 @@
         Ok(turn)
     }
 
-    /// Keeps what the rest of the ingress sees of the group, as the group's thread does.
+    /// Updates the view of the group's state for the rest of the ingress, as the group's thread
+    /// does.
     fn update_view(&mut self) {
         let Some(member) = self.peer.member() else {
             return;
@@ -111,7 +118,7 @@
     }
 }
 
-/// The frame that these bytes are.
+/// Decodes bytes that must contain exactly one frame.
 pub(super) fn decode(bytes: &[u8]) -> Option<Frame> {
     match read_frame(bytes, MAX_FRAME) {
         Ok(Some((frame, used))) if used == bytes.len() => Some(frame),
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -1,5 +1,6 @@
-//! A group of members with any number of followers, each with the code of a real ingress' group thread, in virtual time.
-//! Every frame goes over its link as bytes: encoded by its sender, counted, delayed, and decoded by its receiver.
+//! A group of members and any number of followers in virtual time. Each node runs the group code of
+//! a real ingress. Every frame is encoded by its sender, counted, delayed, and decoded by its
+//! receiver.
 
 mod change;
 mod follower;
@@ -10,75 +11,75 @@
 pub use follower::HollowFollower;
 pub use member::HollowMember;
 
-use super::{CpuTimer, Schedule, Traffic, Wire};
+use super::{CpuTimer, Network, Schedule, Traffic};
 use change::Changes;
 use driftgap_group::{
     Event as MemberEvent, Frame, Hello, Member, MemberFailure, Peer, Proposal, ProposalRejected,
     Role, Settings, StoredMember, Welcome, NEWEST_FORMAT,
 };
-use follower::Wants;
+use follower::ConnectionAction;
 use link::{Link, LinkId, Links, Node};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often time is told to a member, ms: the tick of the group's thread.
+/// Tick interval of a member's event loop, ms; the same as in the program.
 const MEMBER_TICK_MS: f64 = 25.0;
-/// The same of a follower.
+/// Tick interval of a follower's event loop, ms; the same as in the program.
 const FOLLOWER_TICK_MS: f64 = 50.0;
-/// Shortest write to a member's disk, ms.
+/// Shortest duration of a write to a member's disk, ms.
 const MIN_DISK_WRITE_MS: f64 = 0.5;
-/// Longest write to a member's disk, ms.
+/// Longest duration of a write to a member's disk, ms.
 const MAX_DISK_WRITE_MS: f64 = 5.0;
-/// A new group that has no leader and all its voters by then never will, ms.
-const START_MS: f64 = 30_000.0;
-/// Followers that are not all linked by then never will be, ms.
-const LINK_MS: f64 = 60_000.0;
-/// Steps in which a start is waited for, ms.
+/// Time limit for a new group to elect a leader and make all members voters, ms.
+const START_TIMEOUT_MS: f64 = 30_000.0;
+/// Time limit for all followers to connect, ms.
+const CONNECT_TIMEOUT_MS: f64 = 60_000.0;
+/// Interval between two checks of a condition that is waited for, ms.
 const WAIT_STEP_MS: f64 = 10.0;
-/// The number of the hollow group.
+/// Identifier of the simulated group.
 const GROUP: u64 = 77;
-/// Origins of followers' calls begin here: members' are below.
+/// First origin of followers' calls; members' origins are smaller.
 const FOLLOWER_ORIGINS: u64 = 1 << 40;
 
-/// Why a hollow group cannot go on.
+/// Why a simulated group failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WorldError {
-    /// A member cannot be one any more.
-    #[error("a member is lost: {0}")]
+    /// A member cannot continue.
+    #[error("a member failed: {0}")]
     MemberFailure(#[from] MemberFailure),
-    /// A call was refused.
-    #[error("a call was refused: {0}")]
+    /// The leader rejected a proposal.
+    #[error("the proposal was rejected: {0}")]
     Refused(#[from] ProposalRejected),
-    /// Nobody leads.
+    /// The group has no leader.
     #[error("the group has no leader")]
     NoLeader,
-    /// What was waited for did not come.
-    #[error("{what} has not come in {within_ms} ms of virtual time")]
-    Late {
-        /// What was waited for.
+    /// A condition was not met in time.
+    #[error("timed out after {timeout_ms} ms of virtual time waiting for {what}")]
+    Timeout {
+        /// Condition that was waited for.
         what: &'static str,
-        /// For how long.
-        within_ms: f64,
+        /// Time limit, ms.
+        timeout_ms: f64,
     },
-    /// A node has sent bytes that another one could not read.
-    #[error("bytes on a link that are no frame")]
-    NoFrame,
+    /// A node received bytes that it could not decode.
+    #[error("received bytes that are not a frame")]
+    InvalidFrame,
 }
 
-/// What one machine has sent, received and computed.
+/// Traffic and processor time of one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Sent.
+    /// Traffic that the node has sent.
     pub sent: Traffic,
-    /// Received.
+    /// Traffic that the node has received.
     pub received: Traffic,
-    /// Time on the processor.
+    /// Processor time that the node has used.
     pub cpu: Duration,
 }
 
 impl Load {
-    /// What came in after an earlier reading.
+    /// Returns the load since an earlier reading.
     pub fn since(self, earlier: Load) -> Load {
         Load {
             sent: self.sent.since(earlier.sent),
@@ -88,7 +89,7 @@
     }
 }
 
-/// What happens on the schedule.
+/// An event of the simulation.
 #[derive(Debug)]
 enum Event {
     MemberTick(usize),
@@ -99,33 +100,33 @@
         bytes: Vec<u8>,
     },
     Idle(LinkId),
-    /// A follower's greeting has been answered.
-    Welcomed {
+    /// A member's answer to a follower's handshake has arrived.
+    HandshakeDone {
         follower: usize,
         member: usize,
     },
 }
 
-/// A follower's connection: the link to its member, and the one back.
+/// A follower's connection: the link to the member, and the link back.
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     member: usize,
-    up: LinkId,
-    down: LinkId,
+    to_member: LinkId,
+    to_follower: LinkId,
 }
 
-/// A group with followers in virtual time.
+/// A simulated group with followers in virtual time.
 pub struct GroupWorld {
     schedule: Schedule<Event>,
-    wire: Wire,
+    network: Network,
     random: Rand64,
     members: Vec<HollowMember>,
     followers: Vec<HollowFollower>,
-    /// By follower.
+    /// Connections by follower.
     connections: Vec<Option<Connection>>,
-    /// Which followers wait for the answer to their greeting.
+    /// Whether each follower waits for the answer to its handshake.
     connecting: Vec<bool>,
-    /// From member to member.
+    /// Links by sending and receiving member.
     member_links: BTreeMap<(usize, usize), LinkId>,
     links: Links,
     member_loads: Vec<Load>,
@@ -136,18 +137,26 @@
 }
 
 impl GroupWorld {
-    /// A group whose members all vote, with followers that are all linked.
+    /// Starts a group and runs it until all members vote and all followers are connected.
     ///
     /// # Errors
-    /// The group does not come up.
+    /// A member fails, or the group is not ready in time.
     pub fn start(members: usize, followers: usize, seed: u64) -> Result<GroupWorld, WorldError> {
         let mut world = GroupWorld::empty(members, followers, seed)?;
-        world.run_until("a group in which all vote", START_MS, GroupWorld::all_vote)?;
+        world.run_until(
+            "all members to vote",
+            START_TIMEOUT_MS,
+            GroupWorld::all_vote,
+        )?;
         for index in 0..followers {
             let phase = world.random.rand_float() * FOLLOWER_TICK_MS;
             world.schedule.after(phase, Event::FollowerTick(index));
         }
-        world.run_until("a link of every follower", LINK_MS, GroupWorld::all_follow)?;
+        world.run_until(
+            "all followers to connect",
+            CONNECT_TIMEOUT_MS,
+            GroupWorld::all_follow,
+        )?;
         Ok(world)
     }
 
@@ -162,7 +171,7 @@
         let now = schedule.now_ms();
         let mut world = GroupWorld {
             schedule,
-            wire: Wire::new(seed),
+            network: Network::new(seed),
             random: Rand64::new(u128::from(seed) ^ 0x5eed),
             members: Vec::new(),
             followers: (0..followers)
@@ -213,19 +222,19 @@
         }
     }
 
-    /// The time, ms.
+    /// Returns the virtual time, ms.
     pub fn now_ms(&self) -> f64 {
         self.schedule.now_ms()
     }
 
-    /// Lets so much time pass, ms.
+    /// Advances virtual time by `ms`.
     ///
     /// # Errors
-    /// A member is lost, or bytes are no frame.
+    /// A member fails, or a node receives bytes that are not a frame.
     pub fn run(&mut self, ms: f64) -> Result<(), WorldError> {
         let end = self.now_ms() + ms;
         while let Some(event) = self.schedule.next_by(end) {
-            self.take(event)?;
+            self.handle_event(event)?;
         }
         Ok(())
     }
@@ -233,35 +242,37 @@
     fn run_until(
         &mut self,
         what: &'static str,
-        within_ms: f64,
+        timeout_ms: f64,
         done: impl Fn(&GroupWorld) -> bool,
     ) -> Result<(), WorldError> {
-        let end = self.now_ms() + within_ms;
+        let end = self.now_ms() + timeout_ms;
         while !done(self) {
             if self.now_ms() >= end {
-                return Err(WorldError::Late { what, within_ms });
+                return Err(WorldError::Timeout { what, timeout_ms });
             }
             self.run(WAIT_STEP_MS)?;
         }
         Ok(())
     }
 
-    /// Lets time pass until every change that was asked for is with every follower.
+    /// Runs the group until every follower has every proposed change.
     ///
     /// # Errors
-    /// They are not within so long, ms.
-    pub fn run_until_in_force(&mut self, within_ms: f64) -> Result<(), WorldError> {
-        self.run_until("a change at every follower", within_ms, |world| {
-            world.changes.all_in_force()
-        })
+    /// The changes do not reach all followers within `timeout_ms`.
+    pub fn run_until_replicated(&mut self, timeout_ms: f64) -> Result<(), WorldError> {
+        self.run_until(
+            "every follower to receive every change",
+            timeout_ms,
+            |world| world.changes.all_replicated(),
+        )
     }
 
-    /// Whether all members vote under one leader and nobody's place is being changed.
+    /// Returns whether all members vote under one leader and no membership change is in progress.
     fn all_vote(&self) -> bool {
-        let wanted = self.members.len();
+        let member_count = self.members.len();
         let votes = |member: &Member| {
             let status = member.status(self.now_ms());
-            member.voters() == wanted
+            member.voters() == member_count
                 && status.leader.is_some()
                 && status.role != Role::Learner
                 && !status.changing
@@ -274,13 +285,13 @@
             && self
                 .followers
                 .iter()
-                .all(|follower| follower.copy().applied > 0)
+                .all(|follower| follower.replica().applied > 0)
     }
 
-    /// The member that leads.
+    /// Returns the index of the leader.
     ///
     /// # Errors
-    /// None does.
+    /// The group has no leader.
     pub fn leader(&self) -> Result<usize, WorldError> {
         let leads = |m: &HollowMember| m.member().is_some_and(Member::leads);
         self.members
@@ -289,11 +300,11 @@
             .ok_or(WorldError::NoLeader)
     }
 
-    /// Asks the leader for a change.
+    /// Proposes a change to the leader.
     ///
     /// # Errors
-    /// It refuses, or there is none.
-    pub fn ask(&mut self, proposal: Proposal) -> Result<(), WorldError> {
+    /// The leader rejects the proposal, or there is no leader.
+    pub fn propose(&mut self, proposal: Proposal) -> Result<(), WorldError> {
         let now = self.now_ms();
         let leader = self.leader()?;
         let member = self.members[leader]
@@ -301,14 +312,14 @@
             .member_mut()
             .ok_or(WorldError::NoLeader)?;
         let number = member.propose(now, proposal)?;
-        self.changes.asked(now, (leader, number));
+        self.changes.proposed(now, (leader, number));
         self.member_turn(leader)
     }
 
-    /// What the leader holds.
+    /// Returns the leader's state.
     ///
     /// # Errors
-    /// There is none.
+    /// The group has no leader.
     pub fn state(&self) -> Result<&driftgap_group::State, WorldError> {
         let leader = self.leader()?;
         self.members[leader]
@@ -317,17 +328,17 @@
             .ok_or(WorldError::NoLeader)
     }
 
-    /// What each member has sent, received and computed.
+    /// Returns the traffic and processor time of each member.
     pub fn member_loads(&self) -> &[Load] {
         &self.member_loads
     }
 
-    /// What each follower has sent, received and computed.
+    /// Returns the traffic and processor time of each follower.
     pub fn follower_loads(&self) -> &[Load] {
         &self.follower_loads
     }
 
-    /// How many follow each member.
+    /// Returns the number of followers of each member.
     pub fn followers_by_member(&self) -> Vec<usize> {
         let count = |member| {
             self.connections
@@ -339,22 +350,23 @@
         (0..self.members.len()).map(count).collect()
     }
 
-    /// Most bytes that one member has handed to its links at one turn since this was last asked.
+    /// Returns the most bytes that one member has sent to followers in one iteration of its event
+    /// loop since the last call.
     pub fn take_largest_burst(&mut self) -> u64 {
         std::mem::take(&mut self.largest_burst)
     }
 
-    /// Delays of the changes that have come into force since this was last asked.
+    /// Returns the delays of the changes that have reached all followers since the last call.
     pub fn take_delays(&mut self) -> Vec<Delay> {
         self.changes.take_delays()
     }
 
-    /// The nodes, to be weighed; links and the schedule end.
+    /// Returns the nodes, so that their heap can be measured. Links and the schedule are dropped.
     pub fn into_nodes(self) -> (Vec<HollowMember>, Vec<HollowFollower>) {
         (self.members, self.followers)
     }
 
-    fn take(&mut self, event: Event) -> Result<(), WorldError> {
+    fn handle_event(&mut self, event: Event) -> Result<(), WorldError> {
         let now = self.now_ms();
         match event {
             Event::MemberTick(index) => {
@@ -372,46 +384,48 @@
                 self.members[index].written(now)?;
                 self.member_turn(index)
             }
-            Event::Frame { link, bytes } => self.arrive(link, &bytes),
+            Event::Frame { link, bytes } => self.deliver_frame(link, &bytes),
             Event::Idle(link) => {
                 self.keep_alive(link);
                 Ok(())
             }
-            Event::Welcomed { follower, member } => {
+            Event::HandshakeDone { follower, member } => {
                 self.connect(follower, member);
                 Ok(())
             }
         }
     }
 
-    fn arrive(&mut self, id: LinkId, bytes: &[u8]) -> Result<(), WorldError> {
+    fn deliver_frame(&mut self, id: LinkId, bytes: &[u8]) -> Result<(), WorldError> {
         let Some(link) = self.links.get(id) else {
             return Ok(());
         };
         let (from, to) = (link.from, link.to);
         self.load(to).received.count(bytes.len());
         match (from, to) {
-            (Node::Member(from), Node::Member(to)) => self.member_hears(from, to, bytes),
-            (Node::Follower(from), Node::Member(to)) => self.member_hears_follower(from, to, bytes),
-            (_, Node::Follower(to)) => self.follower_hears(to, bytes),
+            (Node::Member(from), Node::Member(to)) => self.member_receives(from, to, bytes),
+            (Node::Follower(from), Node::Member(to)) => {
+                self.member_receives_from_follower(from, to, bytes)
+            }
+            (_, Node::Follower(to)) => self.follower_receives(to, bytes),
         }
     }
 
-    fn member_hears(&mut self, from: usize, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
+    fn member_receives(&mut self, from: usize, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
         let now = self.now_ms();
         let id = self.members[from].member().map_or(0, Member::id);
         let name = self.members[from].name.clone();
         let span = self.timer.begin();
-        let read = self.members[to].hear(now, &name, id, bytes);
+        let read = self.members[to].receive(now, &name, id, bytes);
         self.member_loads[to].cpu += self.timer.end(span);
         if read {
             self.member_turn(to)
         } else {
-            Err(WorldError::NoFrame)
+            Err(WorldError::InvalidFrame)
         }
     }
 
-    fn member_hears_follower(
+    fn member_receives_from_follower(
         &mut self,
         from: usize,
         to: usize,
@@ -422,26 +436,27 @@
         };
         let now = self.now_ms();
         let span = self.timer.begin();
-        let read = self.members[to].hear_follower(now, connection.down.number(), bytes);
+        let read =
+            self.members[to].receive_from_follower(now, connection.to_follower.number(), bytes);
         self.member_loads[to].cpu += self.timer.end(span);
         if read {
             self.member_turn(to)
         } else {
-            Err(WorldError::NoFrame)
+            Err(WorldError::InvalidFrame)
         }
     }
 
-    fn follower_hears(&mut self, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
+    fn follower_receives(&mut self, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
         let now = self.now_ms();
-        let before = self.followers[to].copy().applied;
+        let before = self.followers[to].replica().applied;
         let span = self.timer.begin();
-        let read = self.followers[to].hear(now, bytes);
+        let read = self.followers[to].receive(now, bytes);
         self.follower_loads[to].cpu += self.timer.end(span);
         if !read {
-            return Err(WorldError::NoFrame);
+            return Err(WorldError::InvalidFrame);
         }
-        let after = self.followers[to].copy().applied;
-        self.changes.reached(now, before, after);
+        let after = self.followers[to].replica().applied;
+        self.changes.follower_applied(now, before, after);
         self.follower_turn(to);
         Ok(())
     }
@@ -452,12 +467,12 @@
         let turn = self.members[index].turn(now);
         self.member_loads[index].cpu += self.timer.end(span);
         let turn = turn?;
-        if turn.writes {
+        if turn.write_started {
             let range_ms = MAX_DISK_WRITE_MS - MIN_DISK_WRITE_MS;
             let ms = MIN_DISK_WRITE_MS + self.random.rand_float() * range_ms;
             self.schedule.after(ms, Event::Written(index));
         }
-        self.note_changes(index, &turn.events);
+        self.record_changes(index, &turn.events);
         let burst: usize = turn.to_followers.iter().map(|(_, bytes)| bytes.len()).sum();
         self.largest_burst = self.largest_burst.max(burst as u64);
         for (name, bytes) in turn.to_members {
@@ -475,18 +490,18 @@
         Ok(())
     }
 
-    fn note_changes(&mut self, index: usize, events: &[MemberEvent]) {
+    fn record_changes(&mut self, index: usize, events: &[MemberEvent]) {
         let now = self.now_ms();
         let applied = self.members[index].member().map_or(0, Member::applied);
         for event in events {
             if let MemberEvent::Done(number, outcome) = event {
-                let lacking = self
+                let pending_followers = self
                     .followers
                     .iter()
-                    .filter(|f| f.copy().applied < applied)
+                    .filter(|f| f.replica().applied < applied)
                     .count();
                 self.changes
-                    .agreed(now, (index, *number), *outcome, applied, lacking);
+                    .committed(now, (index, *number), *outcome, applied, pending_followers);
             }
         }
     }
@@ -495,26 +510,26 @@
         let now = self.now_ms();
         let connecting = self.connecting[index];
         let span = self.timer.begin();
-        let (frames, wants) = self.followers[index].turn(now, connecting);
+        let (frames, action) = self.followers[index].turn(now, connecting);
         self.follower_loads[index].cpu += self.timer.end(span);
-        match wants {
-            Wants::Nothing => {}
-            Wants::End => self.disconnect(index),
-            Wants::Connect(name) => {
+        match action {
+            ConnectionAction::Keep => {}
+            ConnectionAction::Close => self.disconnect(index),
+            ConnectionAction::Connect(name) => {
                 if let Some(member) = self.members.iter().position(|m| m.name == name) {
-                    self.greet(index, member);
+                    self.start_handshake(index, member);
                 }
             }
         }
         if let Some(connection) = self.connections[index] {
             frames
                 .into_iter()
-                .for_each(|bytes| self.send(connection.up, bytes));
+                .for_each(|bytes| self.send(connection.to_member, bytes));
         }
     }
 
-    /// A follower connects to a member: the greeting and its answer, a trip each.
-    fn greet(&mut self, follower: usize, member: usize) {
+    /// Connects a follower to a member. The handshake takes one trip in each direction.
+    fn start_handshake(&mut self, follower: usize, member: usize) {
         self.connecting[follower] = true;
         let name = &self.members[member].name;
         let hello = Hello::new(NEWEST_FORMAT, 0, 0, &format!("f{follower}"), name)
@@ -531,16 +546,20 @@
         self.member_loads[member].received.count(hello);
         self.member_loads[member].sent.count(welcome);
         self.follower_loads[follower].received.count(welcome);
-        let delay = self.wire.delay() + self.wire.delay();
+        let delay = self.network.delay() + self.network.delay();
         self.schedule
-            .after(delay, Event::Welcomed { follower, member });
+            .after(delay, Event::HandshakeDone { follower, member });
     }
 
     fn connect(&mut self, follower: usize, member: usize) {
         let now = self.now_ms();
-        let up = self.open(Node::Follower(follower), Node::Member(member));
-        let down = self.open(Node::Member(member), Node::Follower(follower));
-        self.connections[follower] = Some(Connection { member, up, down });
+        let to_member = self.open(Node::Follower(follower), Node::Member(member));
+        let to_follower = self.open(Node::Member(member), Node::Follower(follower));
+        self.connections[follower] = Some(Connection {
+            member,
+            to_member,
+            to_follower,
+        });
         self.connecting[follower] = false;
         self.followers[follower].connected(now, GROUP);
         self.follower_turn(follower);
@@ -552,9 +571,9 @@
         };
         self.members[connection.member]
             .peer
-            .follower_disconnected(connection.down.number());
-        self.links.close(connection.up);
-        self.links.close(connection.down);
+            .follower_disconnected(connection.to_follower.number());
+        self.links.close(connection.to_member);
+        self.links.close(connection.to_follower);
     }
 
     fn open(&mut self, from: Node, to: Node) -> LinkId {
@@ -565,7 +584,7 @@
         id
     }
 
-    /// Says that a link is there, if nothing has been sent over it for long enough.
+    /// Sends a keep-alive frame if a link has been idle for long enough.
     fn keep_alive(&mut self, id: LinkId) {
         let now = self.now_ms();
         let Some(link) = self.links.get(id) else {
@@ -581,7 +600,10 @@
 
     fn send(&mut self, id: LinkId, bytes: Vec<u8>) {
         let now = self.now_ms();
-        let (busy, delay) = (self.wire.busy_ms(bytes.len()), self.wire.delay());
+        let (busy, delay) = (
+            self.network.transmission_ms(bytes.len()),
+            self.network.delay(),
+        );
         let Some(arrival) = self.links.send(id, now, busy, delay) else {
             return;
         };
--- a/crates/scale/src/hollow/ingresses/backend.rs
+++ b/crates/scale/src/hollow/ingresses/backend.rs
@@ -1,36 +1,38 @@
-//! A backend as it is seen from its own side: who sends to it, over how many connections, and who probes it.
+//! The traffic that a backend receives: from which ingresses, over how many connections, and who
+//! probes it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An ingress closes a connection that was idle for so long, ms: six tenths of the platform's 15 s, as the ingress'
-/// connection pools do.
-const RETIRE_MS: f64 = 9000.0;
+/// Time after which an ingress closes an idle connection, ms: six tenths of the platform's 15 s, as
+/// in the ingress' connection pools.
+const IDLE_TIMEOUT_MS: f64 = 9000.0;
 
-/// What one backend sees.
+/// The traffic of one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    /// Different ingresses that have sent to it.
+pub struct BackendStats {
+    /// Number of ingresses that have sent attempts.
     pub ingresses: usize,
-    /// Connections that are open now.
+    /// Number of open connections.
     pub connections: usize,
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     pub opened: u64,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u64,
-    /// Probes so far.
+    /// Number of probes so far.
     pub probes: u64,
-    /// Different ingresses that have probed it.
+    /// Number of ingresses that have sent probes.
     pub probing: usize,
 }
 
-/// One ingress' connections to a backend: one attempt at a time on each, the newest idle one first.
+/// One ingress' connections to a backend. Each carries one attempt at a time; the newest idle
+/// connection is used first.
 #[derive(Debug, Default)]
 struct Pool {
     idle_since_ms: Vec<f64>,
     busy: usize,
 }
 
-/// One backend.
+/// A simulated backend.
 #[derive(Debug, Default)]
 pub(super) struct Backend {
     pools: BTreeMap<usize, Pool>,
@@ -41,10 +43,10 @@
 }
 
 impl Backend {
-    /// An attempt from this ingress has begun.
-    pub(super) fn begun(&mut self, now_ms: f64, ingress: usize) {
+    /// Records the start of an attempt from this ingress.
+    pub(super) fn attempt_started(&mut self, now_ms: f64, ingress: usize) {
         let pool = self.pools.entry(ingress).or_default();
-        pool.retire(now_ms);
+        pool.close_idle(now_ms);
         if pool.idle_since_ms.pop().is_none() {
             self.opened += 1;
         }
@@ -52,32 +54,34 @@
         self.attempts += 1;
     }
 
-    /// It has ended; its connection is kept where it was a sound one.
-    pub(super) fn ended(&mut self, now_ms: f64, ingress: usize, keeps: bool) {
+    /// Records the end of an attempt; `keep_connection` tells whether the connection stays open.
+    pub(super) fn attempt_ended(&mut self, now_ms: f64, ingress: usize, keep_connection: bool) {
         let Some(pool) = self.pools.get_mut(&ingress) else {
             return;
         };
         pool.busy -= 1;
-        if keeps {
+        if keep_connection {
             pool.idle_since_ms.push(now_ms);
         }
     }
 
-    /// A probe from this ingress has begun.
-    pub(super) fn probed(&mut self, ingress: usize) {
+    /// Records a probe from this ingress.
+    pub(super) fn probe_started(&mut self, ingress: usize) {
         self.probes += 1;
         self.probing.insert(ingress);
     }
 
-    /// Ingresses that have sent to it.
+    /// Returns the ingresses that have sent attempts.
     pub(super) fn senders(&self) -> impl Iterator<Item = usize> + '_ {
         self.pools.keys().copied()
     }
 
-    /// What it sees now.
-    pub(super) fn seen(&mut self, now_ms: f64) -> Seen {
-        self.pools.values_mut().for_each(|pool| pool.retire(now_ms));
-        Seen {
+    /// Returns the backend's traffic so far.
+    pub(super) fn stats(&mut self, now_ms: f64) -> BackendStats {
+        self.pools
+            .values_mut()
+            .for_each(|pool| pool.close_idle(now_ms));
+        BackendStats {
             ingresses: self.pools.len(),
             connections: self
                 .pools
@@ -93,8 +97,8 @@
 }
 
 impl Pool {
-    fn retire(&mut self, now_ms: f64) {
+    fn close_idle(&mut self, now_ms: f64) {
         self.idle_since_ms
-            .retain(|since| now_ms - since < RETIRE_MS);
+            .retain(|since| now_ms - since < IDLE_TIMEOUT_MS);
     }
 }
--- a/crates/scale/src/hollow/ingresses/mod.rs
+++ b/crates/scale/src/hollow/ingresses/mod.rs
@@ -1,10 +1,10 @@
-//! Many ingresses' decision modules on one virtual clock: each behind its facade with its own timers, one counter for
-//! all, and backends that only keep note of who comes to them.
+//! The decision modules of many ingresses on one virtual clock. Each module has its own driver and
+//! timers; all of them share one counter and simulated backends that record their traffic.
 
 mod backend;
 mod settings;
 
-pub use backend::Seen;
+pub use backend::BackendStats;
 
 use super::Schedule;
 use backend::Backend;
@@ -18,42 +18,43 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How long a backend takes for a request, ms.
-const SERVICE_MS: f64 = 50.0;
-/// How long the counter takes for a call, ms.
-const COUNTER_MS: f64 = 5.0;
-/// A client gives a request up after this, ms.
-const PATIENCE_MS: f64 = 2000.0;
-/// A timer is awaited so much longer, ms: the schedule's times are rounded.
+/// Response time of a backend, ms.
+const BACKEND_LATENCY_MS: f64 = 50.0;
+/// Response time of the counter, ms.
+const COUNTER_LATENCY_MS: f64 = 5.0;
+/// Time after which a client gives up a request, ms.
+const REQUEST_TIMEOUT_MS: f64 = 2000.0;
+/// Delay added to a timer's due time, ms: the schedule rounds times and could wake the module too
+/// early.
 const ROUNDING_MS: f64 = 0.002;
 
-/// A fleet and what is asked of it.
+/// The size of a fleet and the requests that it receives.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Ingresses.
+    /// Number of ingresses.
     pub ingresses: u32,
-    /// Tenants that ask, each as often as every other.
+    /// Number of tenants; all of them send requests at the same rate.
     pub tenants: u64,
-    /// Through how many ingresses each tenant comes.
+    /// Number of ingresses that each tenant's requests come through.
     pub spread: u32,
-    /// Units a second in each tenant's quota; 0: no quota.
+    /// Quota of each tenant in units per second; 0 for no quota.
     pub quota: f64,
-    /// Requests a second of all tenants together, one unit each.
+    /// Requests per second of all tenants together, one unit each.
     pub requests_per_second: f64,
-    /// Backends, all known to all ingresses.
+    /// Number of backends; every ingress has all of them in its list.
     pub backends: u32,
-    /// Whether the first backend turns every connection away.
+    /// Whether the first backend refuses all connections.
     pub first_is_down: bool,
-    /// Draws arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
 }
 
 /// Counts of a run so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Requests that have come in.
+    /// Requests that have arrived.
     pub requests: u64,
-    /// Requests refused.
+    /// Requests that were refused.
     pub refused: u64,
     /// Attempts sent to backends.
     pub attempts: u64,
@@ -64,7 +65,7 @@
 }
 
 impl FleetCounts {
-    /// What came in after an earlier reading.
+    /// Returns the counts since an earlier reading.
     #[must_use]
     pub fn since(self, earlier: FleetCounts) -> FleetCounts {
         FleetCounts {
@@ -77,7 +78,7 @@
     }
 }
 
-/// What happens on the schedule.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival,
@@ -104,9 +105,9 @@
 struct Ingress {
     driver: DecisionDriver,
     next_request: RequestId,
-    /// Attempts by request, for their numbers.
+    /// Number of attempts started for each request; the next attempt gets this number.
     attempts: HashMap<RequestId, u32>,
-    /// When its next timer is awaited.
+    /// Time of the pending wake-up event, ms; infinite without one.
     wake_ms: f64,
 }
 
@@ -122,10 +123,11 @@
 }
 
 impl Fleet {
-    /// A fleet whose ingresses all know all backends; the first request comes at once.
+    /// Creates a fleet in which every ingress has all backends in its list. The first request
+    /// arrives at once.
     ///
     /// # Errors
-    /// The plan makes no sense to the module.
+    /// The decision module rejects the plan's settings.
     pub fn start(plan: FleetPlan) -> Result<Fleet, SettingsError> {
         let schedule = Schedule::new(1e6);
         let now = schedule.now_ms();
@@ -154,38 +156,38 @@
                 attempts,
                 wake_ms: f64::INFINITY,
             });
-            fleet.settle(position as usize);
+            fleet.process_pending(position as usize);
         }
         fleet.schedule.after(0.0, Event::Arrival);
         Ok(fleet)
     }
 
-    /// Lets so much time pass, s.
+    /// Advances virtual time by `seconds`.
     pub fn run(&mut self, seconds: f64) {
         let end = self.schedule.now_ms() + 1e3 * seconds;
         while let Some(event) = self.schedule.next_by(end) {
-            self.take(event);
+            self.handle_event(event);
         }
     }
 
-    /// Counts so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> FleetCounts {
         self.counts
     }
 
-    /// What each backend sees now.
-    pub fn seen(&mut self) -> Vec<Seen> {
+    /// Returns the traffic of each backend so far.
+    pub fn stats(&mut self) -> Vec<BackendStats> {
         let now = self.schedule.now_ms();
         self.backends
             .iter_mut()
-            .map(|backend| backend.seen(now))
+            .map(|backend| backend.stats(now))
             .collect()
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.schedule.now_ms();
         match event {
-            Event::Arrival => self.arrive(),
+            Event::Arrival => self.handle_arrival(),
             Event::AttemptEnds {
                 ingress,
                 backend,
@@ -193,7 +195,7 @@
                 attempt,
                 outcome,
             } => {
-                self.backends[backend as usize].ended(now, ingress, outcome == Outcome::Ok);
+                self.backends[backend as usize].attempt_ended(now, ingress, outcome == Outcome::Ok);
                 let finished = outcome == Outcome::Ok;
                 let (load, cost) = (Vec::new(), None);
                 let end = AttemptReport {
@@ -237,7 +239,7 @@
             Event::Wake(ingress) => {
                 self.ingresses[ingress].wake_ms = f64::INFINITY;
                 self.ingresses[ingress].driver.tick(now);
-                self.settle(ingress);
+                self.process_pending(ingress);
             }
         }
     }
@@ -245,11 +247,11 @@
     fn report(&mut self, ingress: usize, report: Observation) {
         let now = self.schedule.now_ms();
         self.ingresses[ingress].driver.observe(now, report);
-        self.settle(ingress);
+        self.process_pending(ingress);
     }
 
-    /// A request of a tenant drawn by chance, at one of its ingresses.
-    fn arrive(&mut self) {
+    /// Submits a request of a random tenant to a random one of the tenant's ingresses.
+    fn handle_arrival(&mut self) {
         let mean_ms = 1e3 / self.plan.requests_per_second;
         let wait = -mean_ms * (1.0 - self.random.rand_float()).ln();
         self.schedule.after(wait, Event::Arrival);
@@ -260,7 +262,7 @@
         let spread = self.plan.spread.min(all);
         let ingress =
             ((first + self.random.rand_range(0..u64::from(spread)) as u32) % all) as usize;
-        let ask = RequestAttributes {
+        let attributes = RequestAttributes {
             class: 0,
             plan: 0,
             tenant,
@@ -273,15 +275,19 @@
         self.counts.requests += 1;
         let request = self.ingresses[ingress].next_request;
         self.ingresses[ingress].next_request += 1;
-        let verdict = self.ingresses[ingress]
-            .driver
-            .decide(now, request, &ask, now + PATIENCE_MS);
+        let verdict = self.ingresses[ingress].driver.decide(
+            now,
+            request,
+            &attributes,
+            now + REQUEST_TIMEOUT_MS,
+        );
         self.carry_out(ingress, request, verdict);
-        self.settle(ingress);
+        self.process_pending(ingress);
     }
 
-    /// Carries out what an ingress' module has left to do, and awaits its next timer.
-    fn settle(&mut self, ingress: usize) {
+    /// Executes all pending verdicts and actions of an ingress' module, and schedules its next
+    /// timer.
+    fn process_pending(&mut self, ingress: usize) {
         loop {
             if let Some((request, verdict)) = self.ingresses[ingress].driver.next_verdict() {
                 self.carry_out(ingress, request, verdict);
@@ -291,14 +297,14 @@
                 break;
             }
         }
-        let of = &mut self.ingresses[ingress];
-        if let Some(due) = of
+        let current = &mut self.ingresses[ingress];
+        if let Some(due) = current
             .driver
             .next_due_ms()
             .map(|due| due + ROUNDING_MS)
-            .filter(|due| *due < of.wake_ms)
+            .filter(|due| *due < current.wake_ms)
         {
-            of.wake_ms = due;
+            current.wake_ms = due;
             self.schedule.at(due, Event::Wake(ingress));
         }
     }
@@ -321,16 +327,16 @@
         let attempt = *number;
         *number += 1;
         let now = self.schedule.now_ms();
-        self.backends[backend as usize].begun(now, ingress);
+        self.backends[backend as usize].attempt_started(now, ingress);
         let outcome = self.outcome(backend);
-        let ends = Event::AttemptEnds {
+        let attempt_end = Event::AttemptEnds {
             ingress,
             backend,
             request,
             attempt,
             outcome,
         };
-        self.schedule.after(SERVICE_MS, ends);
+        self.schedule.after(BACKEND_LATENCY_MS, attempt_end);
     }
 
     fn carry_out_action(&mut self, ingress: usize, action: DriverAction) {
@@ -338,10 +344,10 @@
             DriverAction::AddToCounter(add) => self.count(ingress, add),
             DriverAction::Probe(backend) => {
                 self.counts.probes += 1;
-                self.backends[backend as usize].probed(ingress);
+                self.backends[backend as usize].probe_started(ingress);
                 let outcome = self.outcome(backend);
                 self.schedule.after(
-                    SERVICE_MS,
+                    BACKEND_LATENCY_MS,
                     Event::ProbeEnds {
                         ingress,
                         backend,
@@ -362,7 +368,7 @@
             name: add.name,
             total: *total,
         };
-        self.schedule.after(COUNTER_MS, answer);
+        self.schedule.after(COUNTER_LATENCY_MS, answer);
     }
 
     fn outcome(&self, backend: u32) -> Outcome {
@@ -372,7 +378,8 @@
         }
     }
 
-    /// Ingresses that have sent anything to any backend, as a check on the spread of requests.
+    /// Returns the number of ingresses that have sent attempts; a check on the distribution of
+    /// requests.
     pub fn busy_ingresses(&self) -> usize {
         let all: BTreeSet<usize> = self.backends.iter().flat_map(Backend::senders).collect();
         all.len()
--- a/crates/scale/src/hollow/ingresses/settings.rs
+++ b/crates/scale/src/hollow/ingresses/settings.rs
@@ -1,11 +1,12 @@
-//! What hollow ingresses are told at their start.
+//! Settings of the decision modules of hollow ingresses.
 
 use driftgap::decision::{Class, DeduplicationScope, Idempotency, Plan, Settings};
 
-/// Most units that can be saved up, in seconds of a quota.
+/// Burst of a quota, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Settings of one ingress among so many, with one class and one plan of so many units a second.
+/// Returns the settings of one of `ingresses` ingresses, with one class and one plan of `quota`
+/// units per second.
 pub(super) fn settings(ingresses: u32, position: u32, quota: f64) -> Settings {
     let class = Class {
         latency_objective: 0.5,
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -1,12 +1,13 @@
-//! Hollow fleets: the program's own code for hundreds of ingresses in one process. Links are byte queues in memory and
-//! time is virtual; sockets, disks and the wait for them are all that is stood in. The same seed gives the same run.
+//! Hollow fleets: hundreds of ingresses that run the program's own code in one process. Only
+//! sockets, disks and the waits for them are simulated: links are byte queues in memory, and time
+//! is virtual. The same seed gives the same run.
 
 mod cpu;
 pub mod group;
 pub mod ingresses;
+mod network;
 mod schedule;
-mod wire;
 
 pub use cpu::{CpuSpan, CpuTimer};
+pub use network::{Network, Traffic};
 pub use schedule::Schedule;
-pub use wire::{Traffic, Wire};
--- a/crates/scale/src/hollow/schedule.rs
+++ b/crates/scale/src/hollow/schedule.rs
@@ -1,46 +1,48 @@
-//! Virtual time: what is to happen, in the order of its times.
+//! Virtual time: a queue of events ordered by their due times.
 
 use std::collections::BTreeMap;
 
 /// Microseconds in a millisecond.
-const MICROS: f64 = 1000.0;
+const MICROS_PER_MS: f64 = 1000.0;
 
-/// Events by the time at which they are due. Events of one moment come in the order in which they were put in.
+/// Events ordered by due time. Events with the same due time are returned in the order in which
+/// they were added.
 #[derive(Debug)]
 pub struct Schedule<E> {
     now: u64,
-    next: u64,
+    next_sequence: u64,
     events: BTreeMap<(u64, u64), E>,
 }
 
 impl<E> Schedule<E> {
-    /// An empty schedule at this time, ms.
+    /// Creates an empty schedule that starts at `now_ms`.
     pub fn new(now_ms: f64) -> Schedule<E> {
         Schedule {
             now: to_micros(now_ms),
-            next: 0,
+            next_sequence: 0,
             events: BTreeMap::new(),
         }
     }
 
-    /// The time now, ms.
+    /// Returns the current time, ms.
     pub fn now_ms(&self) -> f64 {
-        self.now as f64 / MICROS
+        self.now as f64 / MICROS_PER_MS
     }
 
-    /// Adds an event that is due at this time, ms, or now if that is past.
+    /// Adds an event that is due at `due_ms`, or now if that time is past.
     pub fn at(&mut self, due_ms: f64, event: E) {
-        self.next += 1;
+        self.next_sequence += 1;
         let due = to_micros(due_ms).max(self.now);
-        self.events.insert((due, self.next), event);
+        self.events.insert((due, self.next_sequence), event);
     }
 
-    /// Adds an event that is due after so long, ms.
+    /// Adds an event that is due after `delay_ms`.
     pub fn after(&mut self, delay_ms: f64, event: E) {
         self.at(self.now_ms() + delay_ms, event);
     }
 
-    /// Goes on to the next event that is due by this time, ms; none: goes on to the time itself.
+    /// Advances to the next event that is due by `end_ms` and returns it. Without such an event,
+    /// advances to `end_ms` and returns `None`.
     pub fn next_by(&mut self, end_ms: f64) -> Option<E> {
         let end = to_micros(end_ms);
         match self.events.first_entry() {
@@ -57,5 +59,5 @@
 }
 
 fn to_micros(ms: f64) -> u64 {
-    (ms.max(0.0) * MICROS).round() as u64
+    (ms.max(0.0) * MICROS_PER_MS).round() as u64
 }
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -1,5 +1,6 @@
-//! A simulated ingress: the control side of the real program (clock, endpoint registry, inventory, router, core and decision
-//! module) without sockets. Backends and the counter are simulated; time passes as fast as the timers allow.
+//! A simulated ingress: the control code of the real program (clock, endpoint registry, inventory,
+//! router, core and decision module) without sockets. Backends and the counter are simulated;
+//! virtual time advances from timer to timer without waiting.
 
 use crate::experiment::ExperimentError;
 use crate::probe::uncounted;
@@ -19,29 +20,30 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Settings of a catch-up service with four plans; ingresses and zones are filled in.
+/// Settings of a catch-up service with four plans. The numbers of ingresses and zones are filled
+/// in.
 const SETTINGS: &str = include_str!("ingress_settings.json");
-/// When simulated time begins, Unix milliseconds.
+/// Start of simulated time, Unix milliseconds.
 const START_MS: f64 = 1.75e12;
-/// Longest between two looks at the timers, as in the program, ms.
-const LOOK_MS: f64 = 50.0;
-/// How long a backend takes for an answer, ms.
-const BACKEND_MS: f64 = 20.0;
-/// How long the counter takes for an answer, ms.
-const COUNTER_MS: f64 = 2.0;
-/// So far behind a timer's moment the ingress looks at it, ms: as a wait that never ends early.
-const LATENESS_MS: f64 = 0.01;
-/// Name of the file of rules in messages.
+/// Longest interval between two checks of the timers, ms; the same as in the program.
+const MAX_TIMER_WAIT_MS: f64 = 50.0;
+/// Response time of a backend, ms.
+const BACKEND_LATENCY_MS: f64 = 20.0;
+/// Response time of the counter, ms.
+const COUNTER_LATENCY_MS: f64 = 2.0;
+/// Delay between a timer's due time and its check, ms: a real wait never ends early.
+const TIMER_LATENESS_MS: f64 = 0.01;
+/// Name of the rule file in error messages.
 const RULES_FILE: &str = "rules.toml";
-/// Memory of the ingress, MB.
+/// Memory limit of the ingress, MB.
 const MEMORY_MB: f64 = 192.0;
 
-/// The deployment that a simulated ingress is part of.
+/// Size of the deployment that a simulated ingress belongs to.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Ingresses in all.
+    /// Number of ingresses.
     pub ingresses: u32,
-    /// Zones.
+    /// Number of zones.
     pub zones: u32,
 }
 
@@ -52,27 +54,27 @@
         zones: 21,
     };
 
-    /// The name of a zone by its number.
+    /// Returns the name of the zone with this number.
     pub fn zone(number: u32) -> String {
         format!("zone-{number:02}")
     }
 
-    /// The configuration of an ingress of this deployment.
+    /// Returns the configuration of an ingress in this deployment.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn config(&self) -> Result<Config, ExperimentError> {
-        let wrong = |e: &dyn std::fmt::Display| ExperimentError::Settings(e.to_string());
+        let invalid_settings = |e: &dyn std::fmt::Display| ExperimentError::Settings(e.to_string());
         let mut settings: serde_json::Value =
-            serde_json::from_str(SETTINGS).map_err(|e| wrong(&e))?;
+            serde_json::from_str(SETTINGS).map_err(|e| invalid_settings(&e))?;
         settings["balancers"] = self.ingresses.into();
         settings["zones"] = (0..self.zones).map(Deployment::zone).collect();
         let config = serde_json::json!({"listen": "127.0.0.1:1", "settings": settings});
-        Config::parse(&config.to_string()).map_err(|e| wrong(&e))
+        Config::parse(&config.to_string()).map_err(|e| invalid_settings(&e))
     }
 }
 
-/// Calls and answers of a simulated ingress so far.
+/// Numbers of calls and answers of a simulated ingress so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Attempts sent to backends.
@@ -87,7 +89,8 @@
     pub refused: u64,
 }
 
-/// Simulated backends, counter and clients: they answer after fixed times. What they hold is not counted.
+/// Simulated backends, counter and clients, which answer after fixed times. Their own memory is not
+/// counted.
 struct Peers {
     attempts: RefCell<VecDeque<(f64, AttemptStart)>>,
     calls: RefCell<VecDeque<(f64, CounterAdd)>>,
@@ -113,7 +116,7 @@
         self.traffic.set(traffic);
     }
 
-    /// When the next answer is due.
+    /// Returns the time at which the next answer is due.
     fn next_due(&self) -> Option<f64> {
         let attempt = self.attempts.borrow().front().map(|(due, _)| *due);
         let call = self.calls.borrow().front().map(|(due, _)| *due);
@@ -138,34 +141,35 @@
             .map(|(_, add)| add)
     }
 
-    /// Adds to a number on the counter; its total.
+    /// Adds an amount to a counter and returns its total.
     fn add(&self, add: CounterAdd) -> f64 {
         let mut total = 0.0;
         uncounted(|| {
             let mut totals = self.totals.borrow_mut();
-            let held = totals.entry(add.name).or_insert(0.0);
-            *held += add.amount;
-            total = *held;
+            let counter_total = totals.entry(add.name).or_insert(0.0);
+            *counter_total += add.amount;
+            total = *counter_total;
         });
         total
     }
 }
 
 impl ActionExecutor for Peers {
-    fn carry_out(&self, effect: Action) {
-        match effect {
+    fn carry_out(&self, action: Action) {
+        match action {
             Action::StartAttempt(start) => {
                 self.count(|traffic| traffic.attempts += 1);
-                let due = self.now.get() + BACKEND_MS;
+                let due = self.now.get() + BACKEND_LATENCY_MS;
                 uncounted(|| self.attempts.borrow_mut().push_back((due, start)));
             }
             Action::AddToCounter(add) => {
                 self.count(|traffic| traffic.counter_calls += 1);
-                let due = self.now.get() + COUNTER_MS;
+                let due = self.now.get() + COUNTER_LATENCY_MS;
                 uncounted(|| self.calls.borrow_mut().push_back((due, add)));
             }
             Action::Probe(_) => self.count(|traffic| traffic.probes += 1),
-            // Answers never come late, so that nothing is abandoned; there are no connections to release.
+            // Answers are never late, so no attempt is abandoned, and there are no connections to
+            // release.
             Action::AbandonAttempt(..) | Action::ReleaseEndpoint(_) | Action::Reply(..) => {}
         }
     }
@@ -180,19 +184,20 @@
     }
 }
 
-/// An ingress whose sockets, peers and waiting are simulated.
+/// An ingress with simulated sockets, peers and waits.
 pub struct SimulatedIngress {
     dispatcher: Rc<Dispatcher>,
     peers: Rc<Peers>,
-    network: Rc<dyn ActionExecutor>,
+    executor: Rc<dyn ActionExecutor>,
     client: Rc<dyn ResponseSink>,
 }
 
 impl SimulatedIngress {
-    /// An ingress that knows no backend yet. It is a member of a group, so that staff can take backends out.
+    /// Creates an ingress without backends. The ingress is a member of a group, so that operators
+    /// can exclude backends.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The settings are invalid.
     pub fn new(config: &Config, seed: u64) -> Result<SimulatedIngress, ExperimentError> {
         let config = Config {
             seed,
@@ -201,36 +206,37 @@
         let dispatcher = Dispatcher::new(&config, MEMORY_MB, None, Clock::fixed(START_MS), true);
         let dispatcher = dispatcher.map_err(|e| ExperimentError::Settings(e.to_string()))?;
         let peers = Peers::new();
-        let (network, client): (Rc<dyn ActionExecutor>, Rc<dyn ResponseSink>) =
+        let (executor, client): (Rc<dyn ActionExecutor>, Rc<dyn ResponseSink>) =
             (peers.clone(), peers.clone());
-        dispatcher.set_executor(&network);
+        dispatcher.set_executor(&executor);
         Ok(SimulatedIngress {
             dispatcher,
             peers,
-            network,
+            executor,
             client,
         })
     }
 
-    /// The shared state of the ingress.
+    /// Returns the shared state of the ingress.
     pub fn dispatcher(&self) -> &Rc<Dispatcher> {
         &self.dispatcher
     }
 
-    /// Calls and answers so far.
+    /// Returns the numbers of calls and answers so far.
     pub fn traffic(&self) -> Traffic {
         self.peers.traffic.get()
     }
 
-    /// Who carries out what the core wants done.
-    pub fn network(&self) -> &Rc<dyn ActionExecutor> {
-        &self.network
+    /// Returns the executor of the core's actions.
+    pub fn executor(&self) -> &Rc<dyn ActionExecutor> {
+        &self.executor
     }
 
-    /// Reads an inventory from its files, as at a start or a SIGHUP; the backends that were told to the core.
+    /// Reads an inventory from its files, as at a start or on SIGHUP. Returns the number of
+    /// backends that the core was notified of.
     ///
     /// # Errors
-    /// The inventory is wrong.
+    /// The inventory is invalid.
     pub fn load(&self, inventory: &mut Inventory) -> Result<usize, ExperimentError> {
         let loaded = inventory.load(&mut self.dispatcher.registry(), self.dispatcher.now());
         let (entries, _) = loaded.map_err(|e| ExperimentError::Refused(e.to_string()))?;
@@ -242,11 +248,11 @@
         Ok(notified)
     }
 
-    /// Takes an answer of discovery's.
+    /// Applies the body of a discovery response.
     ///
     /// # Errors
-    /// It is no list.
-    pub fn take_list(&self, body: Vec<u8>) -> Result<(), ExperimentError> {
+    /// The body is not a valid list.
+    pub fn apply_list(&self, body: Vec<u8>) -> Result<(), ExperimentError> {
         let answer = HttpAnswer {
             status: 200,
             body,
@@ -257,11 +263,11 @@
         Ok(())
     }
 
-    /// Puts the rules of a text in force, as at a start or a SIGHUP.
+    /// Compiles the rules in `text` and applies them, as at a start or on SIGHUP.
     ///
     /// # Errors
-    /// The text holds faults; the first of them.
-    pub fn put_rules(&self, text: &str) -> Result<(), ExperimentError> {
+    /// The rules are invalid; the error contains the first fault.
+    pub fn apply_rules(&self, text: &str) -> Result<(), ExperimentError> {
         let source = RuleSource::file(RULES_FILE.into(), MEMORY_MB);
         let in_force = self.dispatcher.rules();
         let rules = source
@@ -282,13 +288,13 @@
         Ok(())
     }
 
-    /// Takes a request; its answer comes with time.
+    /// Submits a request. The answer arrives as time advances.
     pub fn arrive(&self, request: ClientRequest) {
         self.dispatcher
             .arrive(request, self.client.clone(), 0, Vec::new(), |_| {});
     }
 
-    /// Lets time pass: timers come due and peers answer.
+    /// Advances time: runs due timers and delivers due answers of the peers.
     pub fn advance(&self, milliseconds: f64) {
         let end = self.dispatcher.now() + milliseconds;
         while self.dispatcher.now() < end {
@@ -297,9 +303,9 @@
                 .next_due()
                 .into_iter()
                 .chain(self.peers.next_due());
-            let due = timers.fold(self.dispatcher.now() + LOOK_MS, f64::min);
-            self.set_clock((due.max(self.dispatcher.now()) + LATENESS_MS).min(end));
-            self.deliver();
+            let due = timers.fold(self.dispatcher.now() + MAX_TIMER_WAIT_MS, f64::min);
+            self.set_clock((due.max(self.dispatcher.now()) + TIMER_LATENESS_MS).min(end));
+            self.deliver_due_answers();
             self.dispatcher.with_requests(|core, now| core.tick(now));
         }
     }
@@ -309,8 +315,8 @@
         self.peers.now.set(milliseconds);
     }
 
-    /// Hands over every answer that is due.
-    fn deliver(&self) {
+    /// Delivers every answer that is due.
+    fn deliver_due_answers(&self) {
         let now = self.dispatcher.now();
         while let Some(add) = self.peers.due_call(now) {
             let total = self.peers.add(add);
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,13 +1,13 @@
-//! Capacity measurements: what the control side of an ingress costs in heap, processor time and messages as the
-//! deployment around it grows, and the lines fitted through the figures.
+//! Capacity measurements: the heap, processor time and messages that the control code of an ingress
+//! uses as a deployment grows, and straight lines fitted through the measured values.
 //!
-//! An [`Experiment`](experiment::Experiment) measures one topic at several sizes. [`run`] measures every point in
-//! a process of its own, [`fit`] puts a line through the points of each quantity, [`report`] renders tables and
-//! plots, and [`results`] holds the JSON forms of all of it.
+//! An [`Experiment`](experiment::Experiment) measures one topic at several sizes. [`run`] measures
+//! every point in a separate process, [`fit`] fits a line through the points of each quantity,
+//! [`report`] renders tables and plots, and [`results`] defines the JSON files.
 //!
-//! The measured code is that of the `driftgap` library; only sockets, files' locations and the waiting between two
-//! timers are simulated ([`ingress`]). Fleets of hundreds of ingresses share one process ([`hollow`]); real processes check
-//! that these tell the truth ([`check`], [`real`]).
+//! The measured code is that of the `driftgap` library. Only sockets, file locations and the waits
+//! between timers are simulated ([`ingress`]). Fleets of hundreds of ingresses share one process
+//! ([`hollow`]); [`check`] compares their figures with those of real processes ([`real`]).
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -1,4 +1,4 @@
-//! What a run was made on: cores, memory, load and the commit. No host name and no path.
+//! The environment of a run: cores, memory, load and commit. Host names and paths are left out.
 
 use crate::probe::kilobytes;
 use serde::{Deserialize, Serialize};
@@ -9,15 +9,16 @@
 pub struct Machine {
     /// Cores that this process may use.
     pub cores: usize,
-    /// Memory in bytes.
+    /// Total memory, bytes.
     pub memory_bytes: u64,
-    /// Load average over a minute when the run began: how busy the machine was with other work.
+    /// One-minute load average at the start of the run; shows how busy the machine was with other
+    /// work.
     pub load_average: f64,
 }
 
 impl Machine {
-    /// This machine now.
-    pub fn here() -> Machine {
+    /// Returns the current state of this machine.
+    pub fn current() -> Machine {
         let read = |path| std::fs::read_to_string(path).unwrap_or_default();
         let load = read("/proc/loadavg");
         Machine {
@@ -32,8 +33,8 @@
     }
 }
 
-/// The commit of the working directory, with `+changes` behind it where files differ from it; `unknown` without
-/// git.
+/// Returns the commit of the working directory, followed by `+changes` if tracked files differ from
+/// it, or `unknown` if git is not available.
 pub fn commit() -> String {
     let git = |arguments: &[&str]| {
         let output = Command::new("git").args(arguments).output().ok()?;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -12,12 +12,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Where results go by default.
-const OUT: &str = "target/scale";
-/// How often each size is measured by default.
-const REPEATS: u32 = 5;
-/// How often each size is measured by default in a quick run.
-const QUICK_REPEATS: u32 = 3;
+/// Default folder of the result files.
+const DEFAULT_FOLDER: &str = "target/scale";
+/// Default number of repeats of each size.
+const DEFAULT_REPEATS: u32 = 5;
+/// Default number of repeats of each size in a quick run.
+const DEFAULT_QUICK_REPEATS: u32 = 3;
 
 /// Measures what an ingress costs in heap, processor time and messages as a deployment grows.
 #[derive(Parser)]
@@ -29,64 +29,69 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Runs experiments, one after the other, and writes a result file for each.
+    /// Runs experiments one after the other, writes a result file for each and prints its path.
     Run {
-        /// Names of experiments; none: all of them.
+        /// Names of the experiments to run; all experiments if none is given.
         experiments: Vec<String>,
-        /// Takes smaller sizes: all experiments in under 3 minutes.
+        /// Measures smaller sizes; all experiments together take less than 3 minutes.
         #[arg(long)]
         quick: bool,
-        /// Sizes in place of the experiments' own.
+        /// Comma-separated sizes that replace each experiment's own.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<u64>,
-        /// Seed of all that is generated: the same one gives the same counts.
+        /// Seed of all generated data; the same seed gives the same counts.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How often each size is measured; of processor times the smallest counts.
+        /// Repeats of each size; of processor times the smallest is used [default: 5, with --quick
+        /// 3].
         #[arg(long)]
         repeats: Option<u32>,
-        /// Folder of the result files.
-        #[arg(long, default_value = OUT)]
+        /// Folder that the result files are written to.
+        #[arg(long, default_value = DEFAULT_FOLDER)]
         out: PathBuf,
     },
-    /// Lists the experiments.
+    /// Lists the experiments with their descriptions.
     List,
-    /// Fits lines through the results of a run; writes slopes, tables and plots.
+    /// Fits lines through the results of a run, writes slopes, tables and plots, and prints the
+    /// path of the tables and the quantities that do not grow linearly.
     Report {
-        /// Folder of the result files.
-        #[arg(default_value = OUT)]
+        /// Folder of the result files of a run.
+        #[arg(default_value = DEFAULT_FOLDER)]
         results: PathBuf,
-        /// Where tables and plots go; by default `report` in the folder of the results.
+        /// Folder of the tables and plots [default: `report` in the folder of the results].
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Where the files of slopes go; by default beside the tables.
+        /// Folder of the slope files [default: the folder of the tables].
         #[arg(long)]
         slopes: Option<PathBuf>,
     },
-    /// Makes the tables of the capacity page from its files, or checks that they follow from these.
+    /// Generates the tables of the capacity page from its data files, or checks that they are up to
+    /// date.
     Page {
         #[command(flatten)]
         mode: PageMode,
-        /// Root of the repository.
+        /// Root folder of the repository.
         #[arg(long, default_value = ".")]
         root: PathBuf,
     },
-    /// Compares the hollow group with one of real processes on loopback, and writes both figures of each quantity.
+    /// Measures an idle group in simulation and with real processes on loopback, prints both values
+    /// of each quantity and writes them to a result file.
     Check {
-        /// The program; by default the one beside this.
+        /// Path of the ingress program [default: `driftgap` in the folder of this program].
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Followers beside the three members, a process each.
+        /// Comma-separated numbers of followers beside the three members; each follower is a
+        /// process.
         #[arg(long, value_delimiter = ',', default_value = "1,3,10,30")]
         followers: Vec<u64>,
-        /// Seed of the hollow group.
+        /// Seed of the simulated group.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Folder of the result file.
-        #[arg(long, default_value = OUT)]
+        /// Folder that the result file is written to.
+        #[arg(long, default_value = DEFAULT_FOLDER)]
         out: PathBuf,
     },
-    /// Measures one size in this process and prints it as JSON.
+    /// Measures one experiment at one size in this process and prints the result as JSON.
     #[command(hide = true)]
     Measure {
         experiment: String,
@@ -99,14 +104,14 @@
     },
 }
 
-/// What is done with the capacity page: exactly one of these.
+/// What to do with the capacity page; exactly one option is required.
 #[derive(Args)]
 #[group(required = true, multiple = false)]
 struct PageMode {
-    /// Writes the page with its tables made anew.
+    /// Regenerates the tables and writes the page.
     #[arg(long)]
     write: bool,
-    /// Fails where the page differs from what its files give.
+    /// Fails if the tables differ from what the data files give.
     #[arg(long)]
     check: bool,
 }
@@ -179,7 +184,7 @@
         println!("{row}");
     }
     std::fs::create_dir_all(out)?;
-    let path = out.join(check::FILE);
+    let path = out.join(check::RESULT_FILE);
     results::write(&path, &file)?;
     println!("{}", path.display());
     Ok(())
@@ -191,7 +196,7 @@
     Ok(())
 }
 
-fn carry_out(action: Action) -> Result<()> {
+fn execute(action: Action) -> Result<()> {
     match action {
         Action::Run {
             experiments,
@@ -202,7 +207,11 @@
             out,
         } => {
             let repeats = repeats
-                .unwrap_or(if quick { QUICK_REPEATS } else { REPEATS })
+                .unwrap_or(if quick {
+                    DEFAULT_QUICK_REPEATS
+                } else {
+                    DEFAULT_REPEATS
+                })
                 .max(1);
             run_all(
                 &experiments,
@@ -241,7 +250,7 @@
 }
 
 fn main() -> ExitCode {
-    match carry_out(Arguments::parse().command) {
+    match execute(Arguments::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("driftgap-scale: {e}");
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -1,5 +1,6 @@
-//! The tables of `docs/CAPACITY.md`. They are generated between markers from the measurements in `docs/capacity/*.json`
-//! and the targets, budgets and rows in `docs/capacity/targets.toml`, so that no figure in a table is typed by hand.
+//! The tables of `docs/CAPACITY.md`. They are generated between markers from the measurements in
+//! `docs/capacity/*.json` and the targets, budgets and rows in `docs/capacity/targets.toml`, so
+//! that no figure in a table is typed by hand.
 
 mod measurement;
 mod need;
@@ -13,72 +14,72 @@
 
 use std::path::{Path, PathBuf};
 
-/// Where the page and what it follows from lie.
+/// Paths of the page and of its data files.
 #[derive(Clone, Debug)]
 pub struct PageFiles {
     /// The page with its markers.
     pub page: PathBuf,
-    /// Targets, budgets and rows.
+    /// The file of targets, budgets and rows.
     pub targets: PathBuf,
-    /// The folder of the measurements.
+    /// The folder of the measurement files.
     pub measurements: PathBuf,
 }
 
-/// Why the page cannot be made, or does not hold.
+/// Why the page cannot be generated, or is not up to date.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// A file cannot be read or written.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// A file of measurements cannot be read, or is not in their form; the error names it.
+    /// A measurement file cannot be read or has another format; the error contains its path.
     #[error("{0}")]
     Measurements(std::io::Error),
-    /// The targets are not in their form.
+    /// The targets file has another format.
     #[error("{path}: {source}")]
     Targets {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The parse error.
         source: Box<toml::de::Error>,
     },
-    /// A row names something that there is not.
+    /// A row refers to a measurement, target or assumption that does not exist.
     #[error("row {row:?}: {problem}")]
     Row {
-        /// The row's name.
+        /// Name of the row.
         row: String,
-        /// What it lacks.
+        /// The missing reference.
         problem: String,
     },
-    /// The markers of the page are not in order.
+    /// The table markers of the page are invalid.
     #[error("the page's markers: {0}")]
     Markers(String),
-    /// Two measurements have one name.
+    /// Two files contain the same measurement.
     #[error("{experiment}/{quantity} is measured in two files")]
-    Doubled {
-        /// The experiment.
+    DuplicateMeasurement {
+        /// Name of the experiment.
         experiment: String,
-        /// What it measured.
+        /// Name of the quantity.
         quantity: String,
     },
-    /// The page differs from what its files give.
-    #[error("line {line} of the page is not what its files give; run `driftgap-scale page --write`\n  page:  {found}\n  files: {expected}")]
+    /// The page differs from what its data files give.
+    #[error("line {line} of the page differs from its data files; run `driftgap-scale page --write`\n  page:  {found}\n  files: {expected}")]
     Stale {
-        /// The first line that differs, from 1.
+        /// Number of the first line that differs, from 1.
         line: usize,
-        /// What the page has there.
+        /// The page's line.
         found: String,
-        /// What belongs there.
+        /// The generated line.
         expected: String,
     },
 }
 
 impl PageFiles {
-    /// The files of the repository at `root`.
+    /// Returns the files of the repository at `root`.
     pub fn of_repository(root: &Path) -> PageFiles {
         let docs = root.join("docs");
         PageFiles {
@@ -88,8 +89,8 @@
         }
     }
 
-    /// The page as it stands, and as its files give it.
-    fn versions(&self) -> Result<(String, String), PageError> {
+    /// Returns the current page and the generated page.
+    fn current_and_rendered(&self) -> Result<(String, String), PageError> {
         let page = read(&self.page)?;
         let targets =
             Targets::parse(&read(&self.targets)?).map_err(|source| PageError::Targets {
@@ -101,12 +102,12 @@
         Ok((page, rendered))
     }
 
-    /// Makes the page's tables anew; whether anything changed.
+    /// Regenerates the page's tables. Returns whether the page changed.
     ///
     /// # Errors
-    /// A file is missing or out of form, or the page's markers are.
+    /// A file is missing or invalid, or the page's markers are invalid.
     pub fn write(&self) -> Result<bool, PageError> {
-        let (page, rendered) = self.versions()?;
+        let (page, rendered) = self.current_and_rendered()?;
         if page == rendered {
             return Ok(false);
         }
@@ -117,12 +118,13 @@
         Ok(true)
     }
 
-    /// Whether the page's tables follow from its files.
+    /// Checks that the page's tables are up to date.
     ///
     /// # Errors
-    /// The first line that does not, or why the tables cannot be made.
+    /// The page is out of date (the error contains the first line that differs), or the tables
+    /// cannot be generated.
     pub fn check(&self) -> Result<(), PageError> {
-        let (page, rendered) = self.versions()?;
+        let (page, rendered) = self.current_and_rendered()?;
         if page == rendered {
             return Ok(());
         }
@@ -155,22 +157,23 @@
 const END: &str = "<!-- end table ";
 const CLOSE: &str = " -->";
 
-/// The name in a marker line, if the line is one of this kind.
+/// Returns the table name if the line is a marker of this kind.
 fn marker<'a>(line: &'a str, kind: &str) -> Option<&'a str> {
     line.strip_prefix(kind)?.strip_suffix(CLOSE)
 }
 
-/// The page with all its tables made anew; what stands outside of markers stays.
+/// Returns the page with all tables regenerated. Text outside of the markers is unchanged.
 ///
 /// # Errors
-/// A marker without its other half, a table without rows, rows without a table, or a row that cannot be worked out.
+/// A marker has no counterpart, a table has no rows, rows have no table, or a row cannot be
+/// computed.
 pub fn render(
     page: &str,
     targets: &Targets,
     measurements: &Measurements,
 ) -> Result<String, PageError> {
     let mut rendered = String::new();
-    let mut made = Vec::new();
+    let mut rendered_tables = Vec::new();
     let mut lines = page.lines();
     while let Some(line) = lines.next() {
         rendered.push_str(line);
@@ -178,7 +181,7 @@
         let Some(name) = marker(line, BEGIN) else {
             if let Some(name) = marker(line, END) {
                 return Err(PageError::Markers(format!(
-                    "table {name:?} ends without its begin"
+                    "table {name:?} has an end marker without a begin marker"
                 )));
             }
             continue;
@@ -186,17 +189,20 @@
         let end = lines.find(|line| marker(line, END).is_some() || marker(line, BEGIN).is_some());
         let Some(end) = end.filter(|end| marker(end, END) == Some(name)) else {
             return Err(PageError::Markers(format!(
-                "table {name:?} begins without its end"
+                "table {name:?} has a begin marker without an end marker"
             )));
         };
         rendered.push_str(&table::render(name, targets, measurements)?);
         rendered.push_str(end);
         rendered.push('\n');
-        made.push(name);
+        rendered_tables.push(name);
     }
-    match targets.tables().find(|table| !made.contains(table)) {
+    match targets
+        .tables()
+        .find(|table| !rendered_tables.contains(table))
+    {
         Some(table) => Err(PageError::Markers(format!(
-            "no place for the rows of table {table:?}"
+            "the rows of table {table:?} have no markers in the page"
         ))),
         None => Ok(rendered),
     }
--- a/crates/scale/src/page/measurement.rs
+++ b/crates/scale/src/page/measurement.rs
@@ -1,24 +1,25 @@
-//! Measured lines as the page reads them, by experiment and quantity.
+//! The fitted lines that the page uses, by experiment and quantity.
 
 use super::PageError;
 use crate::results::{json_files, read, Slope, SlopeFile};
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The folder of what was measured before the last mechanism was built. Its experiments' names begin with it.
+/// Folder of the measurements made before the last mechanism was built, and prefix of their
+/// experiments' names.
 const BEFORE: &str = "before";
 
-/// All measured lines.
+/// All fitted lines, by experiment and quantity.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements {
-    found: BTreeMap<(String, String), Slope>,
+    lines: BTreeMap<(String, String), Slope>,
 }
 
 impl Measurements {
-    /// Reads every `.json` file of a folder, and of the folder `before` in it if there is one.
+    /// Reads every `.json` file of a folder and of its subfolder `before`, if there is one.
     ///
     /// # Errors
-    /// A file cannot be read or is out of form, or two hold the same measurement.
+    /// A file cannot be read or has another format, or two files contain the same measurement.
     pub fn read(folder: &Path) -> Result<Measurements, PageError> {
         let mut measurements = Measurements::default();
         measurements.read_folder(folder, "")?;
@@ -46,8 +47,8 @@
 
     fn add(&mut self, slope: Slope) -> Result<(), PageError> {
         let name = (slope.experiment.clone(), slope.quantity.clone());
-        match self.found.insert(name, slope) {
-            Some(old) => Err(PageError::Doubled {
+        match self.lines.insert(name, slope) {
+            Some(old) => Err(PageError::DuplicateMeasurement {
                 experiment: old.experiment,
                 quantity: old.quantity,
             }),
@@ -55,13 +56,13 @@
         }
     }
 
-    /// One of them.
+    /// Returns the line of a quantity.
     pub fn get(&self, experiment: &str, quantity: &str) -> Option<&Slope> {
-        self.found
+        self.lines
             .get(&(experiment.to_string(), quantity.to_string()))
     }
 
-    /// One of them, if it is of the program as it stands.
+    /// Returns the line of a quantity if it was measured on the current program.
     pub fn current(&self, experiment: &str, quantity: &str) -> Option<&Slope> {
         self.get(experiment, quantity)
             .filter(|slope| !slope.experiment.starts_with(BEFORE))
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -1,51 +1,54 @@
-//! The arithmetic of a row: its need at the target, and the share of the target at which its budget is spent.
+//! The arithmetic of a row: its need at the target, and the share of the target at which the need
+//! exhausts its budget.
 
-use super::targets::{Evidence, Named, Row, Targets, Term};
+use super::targets::{Evidence, NamedValue, Row, Targets, Term};
 use super::{Measurements, PageError};
 use crate::results::Slope;
 
-/// Beyond this share of the target nothing is looked for.
+/// Largest share of the target that is examined.
 const MAX_SHARE: f64 = 10.0;
-/// Halvings of the range in which the share lies: enough for a double's digits.
-const HALVINGS: u32 = 60;
+/// Number of bisections of the range that contains the share; enough for the precision of an `f64`.
+const BISECTION_STEPS: u32 = 60;
 
-/// What a term reads, with its names looked up.
+/// A term whose names have been looked up.
 #[derive(Clone, Debug)]
-pub struct Part<'a> {
-    /// The measured line, and the numbers whose product is the place on its axis; none for a given number.
-    pub line: Option<(&'a Slope, Vec<Named>)>,
-    /// The given number; 0 for a measured line.
+pub struct ResolvedTerm<'a> {
+    /// The fitted line, and the numbers whose product is the position on its axis; `None` for a
+    /// given number.
+    pub line: Option<(&'a Slope, Vec<NamedValue>)>,
+    /// The given number; 0 for a fitted line.
     value: f64,
-    /// What the value is multiplied by.
-    pub times: Vec<Named>,
-    /// From the measured unit to the row's.
+    /// Numbers by which the value is multiplied.
+    pub times: Vec<NamedValue>,
+    /// Conversion factor from the measured unit to the row's.
     pub factor: f64,
 }
 
-fn product(numbers: &[Named], share: f64) -> f64 {
+fn product(numbers: &[NamedValue], share: f64) -> f64 {
     numbers.iter().map(|named| named.at_share(share)).product()
 }
 
-/// What was measured at a place on the axis: between two sizes their points interpolated, under the smallest size its
-/// point in proportion, beyond the largest size the fitted line.
-fn value_at(line: &Slope, place: f64) -> f64 {
+/// Returns the value of a measured line at a position on its axis. Between two sizes their points
+/// are interpolated; below the smallest size the value is proportional to its point; above the
+/// largest size the fitted line is used.
+fn value_at(line: &Slope, position: f64) -> f64 {
     let sizes = line.sizes.iter().map(|size| *size as f64);
     let mut below = (0.0, 0.0);
     for point in sizes.zip(line.points.iter().copied()) {
-        if place <= point.0 {
-            return below.1 + (point.1 - below.1) * (place - below.0) / (point.0 - below.0);
+        if position <= point.0 {
+            return below.1 + (point.1 - below.1) * (position - below.0) / (point.0 - below.0);
         }
         below = point;
     }
-    line.intercept + line.slope * place
+    line.intercept + line.slope * position
 }
 
-impl Part<'_> {
+impl ResolvedTerm<'_> {
     fn multiplier(&self, share: f64) -> f64 {
         self.factor * product(&self.times, share)
     }
 
-    /// The part's value at a share of the target.
+    /// Returns the term's value at a share of the target.
     fn at_share(&self, share: f64) -> f64 {
         let value = match &self.line {
             Some((line, at)) => value_at(line, product(at, share)),
@@ -54,21 +57,22 @@
         value * self.multiplier(share)
     }
 
-    /// The standard error of the part at the target, from that of its slope.
+    /// Returns the standard error of the term at the target, which follows from that of the slope.
     fn error(&self) -> f64 {
-        let of_line = |(line, at): &(&Slope, Vec<Named>)| line.standard_error * product(at, 1.0);
+        let of_line =
+            |(line, at): &(&Slope, Vec<NamedValue>)| line.standard_error * product(at, 1.0);
         self.line.as_ref().map_or(0.0, of_line) * self.multiplier(1.0)
     }
 }
 
-/// What stands behind a need: the weakest of its parts, where a run counts for more than a constant.
+/// The evidence for a need: that of its weakest term. A run counts for more than a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// Runs, and maybe constants.
+    /// At least one run; all other terms are stated.
     Measured,
-    /// Constants of the program and targets alone.
+    /// Only constants of the program and stated targets.
     Stated,
-    /// At least one part is worked out or assumed.
+    /// At least one term is derived or assumed.
     NotMeasured,
 }
 
@@ -90,28 +94,28 @@
     }
 }
 
-/// What a row needs.
+/// The need of a row.
 #[derive(Clone, Debug)]
 pub struct Need<'a> {
-    /// What is added up.
-    pub parts: Vec<Part<'a>>,
-    /// What stands behind it.
+    /// Terms whose sum is the need.
+    pub resolved_terms: Vec<ResolvedTerm<'a>>,
+    /// Evidence for the need.
     pub basis: Basis,
 }
 
-/// The share of the target at which a budget is spent.
+/// The share of the target at which a need exhausts its budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Share {
-    /// The budget does not bear even what is needed at no load.
+    /// The budget is exceeded even at no load.
     Never,
-    /// From this share on it is spent.
+    /// The budget is exhausted at this share.
     At(f64),
-    /// It is not spent at ten times the target.
+    /// The budget is not exhausted at ten times the target.
     Beyond,
 }
 
 impl Share {
-    /// The order of the ranking: what gives out first comes first.
+    /// Returns the sort key of the ranking; the budget that is exhausted first comes first.
     pub fn order(self) -> f64 {
         match self {
             Share::Never => 0.0,
@@ -122,28 +126,28 @@
 }
 
 impl<'a> Need<'a> {
-    /// Looks up what a row names.
+    /// Looks up the names in a row's terms.
     ///
     /// # Errors
-    /// It names a measurement, target or assumption that there is not.
+    /// A measurement, target or assumption does not exist.
     pub fn of(
         row: &Row,
         targets: &Targets,
         measurements: &'a Measurements,
     ) -> Result<Need<'a>, PageError> {
-        let lacks = |problem: String| PageError::Row {
+        let row_error = |problem: String| PageError::Row {
             row: row.name.clone(),
             problem,
         };
         let named = |name: &String| {
             targets
                 .named(name)
-                .ok_or_else(|| lacks(format!("no target or assumption {name:?}")))
+                .ok_or_else(|| row_error(format!("no target or assumption {name:?}")))
         };
         let all = |names: &[String]| names.iter().map(named).collect::<Result<Vec<_>, _>>();
-        let mut parts = Vec::with_capacity(row.terms.len());
+        let mut resolved_terms = Vec::with_capacity(row.terms.len());
         for term in &row.terms {
-            parts.push(match term {
+            resolved_terms.push(match term {
                 Term::Measured {
                     experiment,
                     quantity,
@@ -152,10 +156,11 @@
                     factor,
                 } => {
                     let line = measurements.get(experiment, quantity);
-                    let line = line
-                        .ok_or_else(|| lacks(format!("no measurement {experiment}/{quantity}")))?;
+                    let line = line.ok_or_else(|| {
+                        row_error(format!("no measurement {experiment}/{quantity}"))
+                    })?;
                     let line = Some((line, all(at)?));
-                    Part {
+                    ResolvedTerm {
                         line,
                         value: 0.0,
                         times: all(times)?,
@@ -167,7 +172,7 @@
                     times,
                     factor,
                     ..
-                } => Part {
+                } => ResolvedTerm {
                     line: None,
                     value: *value,
                     times: all(times)?,
@@ -176,27 +181,30 @@
             });
         }
         Ok(Need {
-            parts,
+            resolved_terms,
             basis: Basis::of(&row.terms),
         })
     }
 
-    /// The need at a share of the target.
+    /// Returns the need at a share of the target.
     pub fn at_share(&self, share: f64) -> f64 {
-        self.parts.iter().map(|part| part.at_share(share)).sum()
+        self.resolved_terms
+            .iter()
+            .map(|resolved| resolved.at_share(share))
+            .sum()
     }
 
-    /// The standard error of the need at the target.
+    /// Returns the standard error of the need at the target.
     pub fn error(&self) -> f64 {
-        self.parts
+        self.resolved_terms
             .iter()
-            .map(|part| part.error().powi(2))
+            .map(|resolved| resolved.error().powi(2))
             .sum::<f64>()
             .sqrt()
     }
 
-    /// The share of the target at which this budget is spent.
-    pub fn gives_out(&self, budget: f64) -> Share {
+    /// Returns the share of the target at which the need exhausts `budget`.
+    pub fn exhausted_at(&self, budget: f64) -> Share {
         if self.at_share(0.0) > budget {
             return Share::Never;
         }
@@ -204,7 +212,7 @@
             return Share::Beyond;
         }
         let (mut holds, mut fails) = (0.0, MAX_SHARE);
-        for _ in 0..HALVINGS {
+        for _ in 0..BISECTION_STEPS {
             let middle = (holds + fails) / 2.0;
             if self.at_share(middle) <= budget {
                 holds = middle;
--- a/crates/scale/src/page/number.rs
+++ b/crates/scale/src/page/number.rs
@@ -1,11 +1,11 @@
-//! Numbers as the page writes them: three digits that count, thousands apart.
+//! Numbers as the page writes them: three significant digits, thousands separated by commas.
 
 use super::Share;
 
-/// Digits that count.
-const DIGITS: i32 = 3;
+/// Number of significant digits.
+const SIGNIFICANT_DIGITS: i32 = 3;
 
-/// A number with three digits that count.
+/// Formats a number with three significant digits.
 pub(super) fn number(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return if value == 0.0 {
@@ -14,26 +14,26 @@
             value.to_string()
         };
     }
-    let places = DIGITS - 1 - value.abs().log10().floor() as i32;
-    let step = 10f64.powi(places);
+    let decimals = SIGNIFICANT_DIGITS - 1 - value.abs().log10().floor() as i32;
+    let step = 10f64.powi(decimals);
     let rounded = (value * step).round() / step;
-    let text = format!("{rounded:.*}", places.max(0) as usize);
-    apart(if places > 0 {
+    let text = format!("{rounded:.*}", decimals.max(0) as usize);
+    group_thousands(if decimals > 0 {
         text.trim_end_matches('0').trim_end_matches('.')
     } else {
         &text
     })
 }
 
-/// A number with its whole part in groups of three digits.
-fn apart(text: &str) -> String {
+/// Groups the digits of the integer part by thousands.
+fn group_thousands(text: &str) -> String {
     let (sign, digits) = text
         .strip_prefix('-')
         .map_or(("", text), |digits| ("-", digits));
-    let (whole, fraction) = digits.split_once('.').unwrap_or((digits, ""));
+    let (integer, fraction) = digits.split_once('.').unwrap_or((digits, ""));
     let mut grouped = String::from(sign);
-    for (place, digit) in whole.chars().enumerate() {
-        if place > 0 && (whole.len() - place) % 3 == 0 {
+    for (position, digit) in integer.chars().enumerate() {
+        if position > 0 && (integer.len() - position) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
@@ -45,7 +45,7 @@
     grouped
 }
 
-/// A share of the target.
+/// Formats a share of the target as a percentage.
 pub(super) fn share(share: Share) -> String {
     match share {
         Share::Never => "0%".into(),
--- a/crates/scale/src/page/number/tests.rs
+++ b/crates/scale/src/page/number/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module `number`.
+//! Tests of number formatting.
 
 use super::*;
 
 #[test]
-fn three_digits_count_and_thousands_stand_apart() {
+fn formats_three_significant_digits_and_groups_thousands() {
     let written = [
         0.0,
         0.000_123_46,
--- a/crates/scale/src/page/table.rs
+++ b/crates/scale/src/page/table.rs
@@ -1,25 +1,26 @@
-//! The tables: one for each role, and the ranking of all rows by the share of the target at which they give out.
+//! The tables: one for each role, and the rankings of all rows by the share of the target at which
+//! their budgets are exhausted.
 
-use super::need::{Basis, Need, Part, Share};
+use super::need::{Basis, Need, ResolvedTerm, Share};
 use super::number::{number, share};
 use super::targets::{Owner, Row, Targets, Term};
 use super::{Measurements, PageError};
 use std::fmt::Write;
 
-/// The table of all rows that have a budget.
+/// Name of the table that ranks all rows with a budget.
 const RANKING: &str = "ranking";
-/// The same for the program before the last mechanism was built.
+/// Name of the ranking for the program before the last mechanism was built.
 const RANKING_BEFORE: &str = "ranking-before";
-/// The table of targets and assumptions.
+/// Name of the table of targets and assumptions.
 const NUMBERS: &str = "numbers";
 
-/// Errors under this share of their value are not written.
+/// Errors below this share of their value are rounding errors and are omitted.
 const ROUNDING: f64 = 1e-9;
 
-/// What stands where nothing carries a need.
+/// Text for a row without a mechanism.
 const MISSING: &str = "**missing**";
 
-/// The text of a table by its name.
+/// Returns the text of the table with this name.
 pub(super) fn render(
     name: &str,
     targets: &Targets,
@@ -74,12 +75,12 @@
         let ratio = row
             .budget
             .map_or("-".into(), |budget| number(need.at_share(1.0) / budget));
-        let gives_out = row
+        let exhausted_at = row
             .budget
-            .map_or("-".into(), |budget| share(need.gives_out(budget)));
+            .map_or("-".into(), |budget| share(need.exhausted_at(budget)));
         let _ = writeln!(
             text,
-            "| {} | {} | {} | {budget} | {ratio} | {gives_out} | {} |",
+            "| {} | {} | {} | {budget} | {ratio} | {exhausted_at} | {} |",
             row.name,
             need_text(row, &need),
             formula(row, &need),
@@ -98,13 +99,13 @@
     for row in ranked {
         if let Some(budget) = row.budget {
             let need = Need::of(row, targets, measurements)?;
-            rows.push((need.gives_out(budget), row, need));
+            rows.push((need.exhausted_at(budget), row, need));
         }
     }
     rows.sort_by(|a, b| a.0.order().total_cmp(&b.0.order()));
     let mut text = String::from("| | gives out at | role | what | decided by | basis |\n");
     text.push_str("| ---: | ---: | --- | --- | --- | --- |\n");
-    for (place, (gives_out, row, need)) in rows.iter().enumerate() {
+    for (position, (exhausted_at, row, need)) in rows.iter().enumerate() {
         let owner = match row.owner {
             Owner::Program => "program",
             Owner::Platform => "platform",
@@ -117,8 +118,8 @@
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} | {owner} | {basis} |",
-            place + 1,
-            share(*gives_out),
+            position + 1,
+            share(*exhausted_at),
             row.table.replace('-', " "),
             row.name
         );
@@ -126,8 +127,8 @@
     Ok(text)
 }
 
-/// An error, or 0 where it is a rounding error of the arithmetic.
-fn visible(error: f64, value: f64) -> f64 {
+/// Returns an error, or 0 if it is only a rounding error of the arithmetic.
+fn without_rounding_error(error: f64, value: f64) -> f64 {
     if error > ROUNDING * value.abs() {
         error
     } else {
@@ -135,10 +136,10 @@
     }
 }
 
-/// The need with its error, and whether a run stands behind it.
+/// Formats the need with its error, and marks a need that was not measured.
 fn need_text(row: &Row, need: &Need) -> String {
     let mut text = format!("{} {}", number(need.at_share(1.0)), row.unit);
-    let error = visible(need.error(), need.at_share(1.0));
+    let error = without_rounding_error(need.error(), need.at_share(1.0));
     if error > 0.0 {
         let _ = write!(text, " ± {}", number(error));
     }
@@ -148,18 +149,18 @@
     text
 }
 
-/// Slopes, errors, runs and sources that the need is added up from.
+/// Formats the terms of a need: slopes, errors, measurements and sources.
 fn formula(row: &Row, need: &Need) -> String {
     let terms = row
         .terms
         .iter()
-        .zip(&need.parts)
-        .map(|(term, part)| term_text(term, part));
+        .zip(&need.resolved_terms)
+        .map(|(term, resolved)| term_text(term, resolved));
     terms.collect::<Vec<_>>().join("; ")
 }
 
-fn term_text(term: &Term, part: &Part) -> String {
-    match (term, &part.line) {
+fn term_text(term: &Term, resolved: &ResolvedTerm) -> String {
+    match (term, &resolved.line) {
         (
             Term::Measured {
                 experiment,
@@ -170,15 +171,15 @@
             },
             Some((line, _)),
         ) => {
-            let bent = if line.linear { "" } else { ", not linear" };
+            let linearity = if line.linear { "" } else { ", not linear" };
             format!(
-                "{} + {} ± {} {}{}{} (`{experiment}/{quantity}`{bent})",
+                "{} + {} ± {} {}{}{} (`{experiment}/{quantity}`{linearity})",
                 number(line.intercept),
                 number(line.slope),
-                number(visible(line.standard_error, line.slope)),
+                number(without_rounding_error(line.standard_error, line.slope)),
                 line.unit.label(),
-                multiplied(at),
-                multiplied(times),
+                multipliers(at),
+                multipliers(times),
             )
         }
         (
@@ -190,7 +191,7 @@
             },
             _,
         ) => {
-            format!("{}{} ({source})", number(*value), multiplied(times))
+            format!("{}{} ({source})", number(*value), multipliers(times))
         }
         (
             Term::Measured {
@@ -203,7 +204,7 @@
     }
 }
 
-fn multiplied(times: &[String]) -> String {
+fn multipliers(times: &[String]) -> String {
     times
         .iter()
         .map(|name| format!(" x {}", name.replace('_', " ")))
--- a/crates/scale/src/page/targets.rs
+++ b/crates/scale/src/page/targets.rs
@@ -3,102 +3,102 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// The whole file.
+/// The contents of the targets file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Targets {
-    /// The target size: these grow together with the share of the target that is looked at.
+    /// Numbers at the target size; they all grow with the share of the target.
     pub targets: BTreeMap<String, f64>,
-    /// Numbers that stay as they are at any share of the target.
+    /// Numbers that are the same at any share of the target.
     pub assumptions: BTreeMap<String, f64>,
-    /// The rows, in the order of the tables.
+    /// Rows in the order of the tables.
     #[serde(rename = "row")]
     pub rows: Vec<Row>,
 }
 
-/// Who decides what a row needs.
+/// The party that determines a row's need.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Owner {
     /// The program.
     #[default]
     Program,
-    /// A service of the platform, which bears what it bears.
+    /// A service of the platform, whose limits the program cannot change.
     Platform,
 }
 
-/// A line of a table: what something needs at the target, and what there is for it.
+/// A row of a table: the need of something at the target, and its budget.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// The table that it stands in.
+    /// Name of the row's table.
     pub table: String,
     /// What is needed.
     pub name: String,
-    /// The unit of need and budget.
+    /// Unit of need and budget.
     pub unit: String,
-    /// What there is; none: the row states the need alone.
+    /// Available amount; `None` if the row only states a need.
     pub budget: Option<f64>,
-    /// The file, module or other mechanism that carries it; none: it is missing.
+    /// The file, module or other mechanism that meets the need; `None` if it is missing.
     pub mechanism: Option<String>,
-    /// Who decides it.
+    /// Party that determines the need.
     #[serde(default)]
     pub owner: Owner,
-    /// Whether it tells of the program before the last mechanism was built; the row of the same name without this
-    /// tells of the program as it stands.
+    /// Whether the row describes the program before the last mechanism was built. The row of the
+    /// same name without this flag describes the current program.
     #[serde(default)]
     pub before: bool,
-    /// What is added up to the need.
+    /// Terms whose sum is the need.
     pub terms: Vec<Term>,
 }
 
-/// A part of a need.
+/// A term of a need.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
 pub enum Term {
-    /// A measured line, read at a place of its axis.
+    /// A fitted line, evaluated at a position on its axis.
     Measured {
-        /// The experiment.
+        /// Name of the experiment.
         experiment: String,
-        /// What it measured.
+        /// Name of the quantity.
         quantity: String,
-        /// The place on the line's axis: the product of these targets and assumptions.
+        /// Targets and assumptions whose product is the position on the line's axis.
         at: Vec<String>,
-        /// Targets and assumptions that the value is multiplied by.
+        /// Targets and assumptions by which the value is multiplied.
         #[serde(default)]
         times: Vec<String>,
-        /// From the measured unit to the row's.
+        /// Conversion factor from the measured unit to the row's.
         #[serde(default = "one")]
         factor: f64,
     },
-    /// A number that no run of the tool gave.
+    /// A number that this tool has not measured.
     Given {
         /// The number.
         value: f64,
-        /// Targets and assumptions that it is multiplied by.
+        /// Targets and assumptions by which the number is multiplied.
         #[serde(default)]
         times: Vec<String>,
-        /// From its unit to the row's.
+        /// Conversion factor from the number's unit to the row's.
         #[serde(default = "one")]
         factor: f64,
-        /// Where it is from.
+        /// Source of the number.
         source: String,
-        /// Whether a run or a constant of the program stands behind it.
+        /// Whether a run or a constant of the program supports the number.
         #[serde(default)]
         evidence: Evidence,
     },
 }
 
-/// What stands behind a given number.
+/// The evidence for a given number.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Evidence {
-    /// Nothing: it is worked out or assumed.
+    /// No evidence: the number is derived or assumed.
     #[default]
     None,
-    /// A constant of the program, or the letter.
+    /// A constant of the program, or a stated requirement.
     Stated,
-    /// A run other than the tool's, which the source names.
+    /// A measurement with another tool, which the source names.
     Run,
 }
 
@@ -106,59 +106,59 @@
     1.0
 }
 
-/// A number by its name, and whether it grows with the share of the target.
+/// The value of a target or assumption, and whether it grows with the share of the target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Named {
-    /// The number at the target.
+pub struct NamedValue {
+    /// Value at the target.
     pub value: f64,
-    /// Whether it grows.
+    /// Whether the value grows with the share of the target.
     pub grows: bool,
 }
 
-impl Named {
-    /// The number at a share of the target.
+impl NamedValue {
+    /// Returns the value at a share of the target.
     pub fn at_share(self, share: f64) -> f64 {
         self.value * if self.grows { share } else { 1.0 }
     }
 }
 
 impl Targets {
-    /// Reads the file's text.
+    /// Parses the text of the targets file.
     ///
     /// # Errors
-    /// It is not in this form.
+    /// The text has another format.
     pub fn parse(text: &str) -> Result<Targets, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// A target or an assumption.
-    pub fn named(&self, name: &str) -> Option<Named> {
-        let target = self.targets.get(name).map(|value| Named {
+    /// Returns the target or assumption with this name.
+    pub fn named(&self, name: &str) -> Option<NamedValue> {
+        let target = self.targets.get(name).map(|value| NamedValue {
             value: *value,
             grows: true,
         });
         target.or_else(|| {
-            self.assumptions.get(name).map(|value| Named {
+            self.assumptions.get(name).map(|value| NamedValue {
                 value: *value,
                 grows: false,
             })
         })
     }
 
-    /// The rows of the program before the last mechanism was built: those that tell of it, and all others that have no
-    /// such row of the same name.
+    /// Returns the rows for the program before the last mechanism was built: the rows that are
+    /// marked so, and all other rows without a marked row of the same name.
     pub fn rows_before(&self) -> impl Iterator<Item = &Row> {
-        let notified = |row: &&Row| {
+        let superseded = |row: &&Row| {
             self.rows
                 .iter()
                 .any(|other| other.before && other.name == row.name)
         };
         self.rows
             .iter()
-            .filter(move |row| row.before || !notified(row))
+            .filter(move |row| row.before || !superseded(row))
     }
 
-    /// The names of all tables, as often as they have rows.
+    /// Returns the table name of each row; names repeat.
     pub fn tables(&self) -> impl Iterator<Item = &str> {
         self.rows.iter().map(|row| row.table.as_str())
     }
--- a/crates/scale/src/probe.rs
+++ b/crates/scale/src/probe.rs
@@ -1,32 +1,34 @@
-//! Probes: heap by a counting allocator, processor time by the thread's own clock, resident memory by the kernel.
+//! Measures heap with a counting allocator, processor time with the thread's clock, and resident
+//! memory with the kernel's figures.
 //!
-//! The allocator counts the calling thread alone, so that a measurement is not disturbed by other threads and does
-//! not see what they allocate. It has no `realloc` of its own: a vector that grows counts as a new allocation, and
-//! both copies count to the peak.
+//! The allocator counts only the calling thread, so allocations of other threads neither disturb a
+//! measurement nor appear in it. The allocator has no `realloc` of its own: a vector that grows
+//! counts as a new allocation, and both copies count towards the peak.
 
 use crate::experiment::{Measurement, Unit};
 use cpu_time::ThreadTime;
 
-/// What a piece of work cost the thread that did it.
+/// Heap and processor time that a piece of work used on its thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Bytes that are held behind it and were not before; below 0: it freed more than it took.
+    /// Bytes still allocated after the work that were not allocated before; negative if the work
+    /// freed more.
     pub heap: i64,
-    /// The most bytes held at one moment beyond those held before.
+    /// Largest number of bytes allocated at one time beyond those allocated before.
     pub peak: u64,
-    /// Calls of the allocator.
+    /// Calls to the allocator.
     pub allocations: u64,
     /// Processor time, microseconds.
     pub cpu: f64,
 }
 
-/// Does a piece of work and measures it. Must not be nested.
+/// Runs `work` and measures its cost. Calls must not be nested.
 pub fn measure<T>(work: impl FnOnce() -> T) -> (T, Cost) {
-    let mut done = None;
+    let mut result = None;
     let mut cpu = 0.0;
     let heap = allocation_counter::measure(|| {
         let start = ThreadTime::now();
-        done = Some(work());
+        result = Some(work());
         cpu = start.elapsed().as_secs_f64() * 1e6;
     });
     let cost = Cost {
@@ -35,17 +37,19 @@
         allocations: heap.count_total,
         cpu,
     };
-    // The closure above has run once.
-    (done.expect("the work was done"), cost)
+    // `allocation_counter::measure` runs its closure exactly once.
+    (result.expect("the measured closure has run"), cost)
 }
 
-/// Does the simulation's own work within a measured piece without counting its allocations.
+/// Runs `work` within a measurement without counting its allocations; used for the simulation's own
+/// work.
 pub fn uncounted(work: impl FnOnce()) {
     allocation_counter::opt_out(work);
 }
 
 impl Cost {
-    /// Heap, peak, allocations and processor time as quantities whose names begin with `step`.
+    /// Returns heap, peak, allocations and processor time as quantities whose names begin with
+    /// `step`.
     pub fn measurements(&self, step: &str) -> [Measurement; 4] {
         [
             Measurement::counted(format!("{step}_heap"), Unit::Bytes, self.heap as f64),
@@ -59,8 +63,8 @@
         ]
     }
 
-    /// Allocations and processor time alone, for work that leaves nothing behind.
-    pub fn effort(&self, step: &str) -> [Measurement; 2] {
+    /// Returns only allocations and processor time, for work that retains no memory.
+    pub fn allocations_and_cpu(&self, step: &str) -> [Measurement; 2] {
         [
             Measurement::counted(
                 format!("{step}_allocations"),
@@ -71,7 +75,8 @@
         ]
     }
 
-    /// The cost of one of `count` equal pieces of work; the peak stays that of all.
+    /// Returns the cost of one of `count` equal pieces of work. The peak remains that of all of
+    /// them.
     #[must_use]
     pub fn each(self, count: u64) -> Cost {
         Cost {
@@ -87,12 +92,13 @@
     }
 }
 
-/// Resident memory of this process in bytes, as the kernel counts it; 0 where it does not say.
+/// Returns the resident memory of this process in bytes, or 0 if the kernel does not report it.
 pub fn resident() -> u64 {
     status_bytes("VmRSS:")
 }
 
-/// The most resident memory that this process has had, in bytes; 0 where the kernel does not say.
+/// Returns the peak resident memory of this process in bytes, or 0 if the kernel does not report
+/// it.
 pub fn peak_resident() -> u64 {
     status_bytes("VmHWM:")
 }
@@ -102,7 +108,8 @@
     kilobytes(&status, key) * 1024
 }
 
-/// The kilobytes that a line `KEY  NUMBER kB` of a file under `/proc` gives.
+/// Returns the number of kilobytes in the line `KEY  NUMBER kB` of a file under `/proc`, or 0
+/// without such a line.
 pub(crate) fn kilobytes(text: &str, key: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(key));
     line.and_then(|rest| rest.split_whitespace().next()?.parse().ok())
