--- a/crates/scale/src/real/group.rs
+++ b/crates/scale/src/real/group.rs
@@ -1,4 +1,4 @@
-//! A group of real processes with followers, every link of which goes through a relay.
+//! A group of real processes with followers. Every link passes through a counting relay.
 
 use super::process::Process;
 use super::relay::{Relay, RelayCounts};
@@ -16,47 +16,47 @@
 
 const SETTINGS: &str = include_str!("../ingress_settings.json");
 const MEMBERS: usize = 3;
-/// Ports: clients, operators' calls, links, and the relays before links.
+/// Ports of the processes are these bases plus the index of the process.
 const FRONT_PORT: usize = 7000;
 const CALL_PORT: usize = 9000;
 const LINK_PORT: usize = 10_000;
 const MEMBER_RELAY_PORT: usize = 20_000;
 const FOLLOWER_RELAY_PORT: usize = 21_000;
-/// A group that is not whole by then will not be.
-const START: Duration = Duration::from_secs(40);
-/// Between two looks at it.
-const LOOK: Duration = Duration::from_millis(100);
-/// An operator's call is answered within this.
-const CALL: Duration = Duration::from_secs(4);
-/// Behind the start: all have their copies.
+/// Time limit for the group to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(40);
+/// Interval between two checks of the group's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit for the answer to an operator's call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time after the start in which every follower receives its replica.
 const SETTLING: Duration = Duration::from_secs(3);
 
 /// Why a group of real processes could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum RealError {
-    /// A process, a file or a socket.
+    /// A process, file or socket operation failed.
     #[error("{0}")]
     System(#[from] io::Error),
-    /// The group did not come up.
-    #[error("the group is not whole after {START:?}: {0}")]
-    NotWhole(String),
-    /// The program refused to begin a group.
+    /// The group did not become ready.
+    #[error("the group is not ready after {START_TIMEOUT:?}: {0}")]
+    NotReady(String),
+    /// `group init` failed.
     #[error("group init: {0}")]
     Init(String),
 }
 
-/// What went through all relays up to one moment.
+/// Traffic of all relays and processor times up to one time.
 #[derive(Clone, Debug, Default)]
 struct Counts {
-    /// From one member to another.
+    /// Traffic from one member to another.
     members: BTreeMap<(usize, usize), RelayCounts>,
-    /// Between a member and all its followers.
+    /// Traffic between each member and all its followers.
     followers: Vec<RelayCounts>,
-    /// Time on the processor of the group's thread, by process.
+    /// Processor time of the group's thread, by process.
     cpu: Vec<Duration>,
 }
 
-/// Members and followers, each a process; all of them end with this.
+/// Members and followers, each a process. The processes end when this value is dropped.
 pub struct RealGroup {
     program: PathBuf,
     host: String,
@@ -67,10 +67,10 @@
 }
 
 impl RealGroup {
-    /// A group of three members with so many followers, of this build of the program.
+    /// Starts a group of three members and `followers` followers with this build of the program.
     ///
     /// # Errors
-    /// It does not come up.
+    /// The group does not become ready.
     pub fn start(program: &Path, followers: usize) -> Result<RealGroup, RealError> {
         let process = std::process::id();
         let mut group = RealGroup {
@@ -82,17 +82,17 @@
             follower_relays: Vec::new(),
         };
         group.start_relays()?;
-        for place in 0..MEMBERS + followers {
-            group.write_files(place)?;
+        for index in 0..MEMBERS + followers {
+            group.write_files(index)?;
         }
-        group.begin()?;
-        // Followers that come before all members vote would all stay beside the first one.
-        for places in [0..MEMBERS, MEMBERS..MEMBERS + followers] {
-            for place in places {
-                let process = Process::start(&mut group.request(place)?)?;
+        group.init_group()?;
+        // Followers that connect before all members vote would all stay with the first member.
+        for indexes in [0..MEMBERS, MEMBERS..MEMBERS + followers] {
+            for index in indexes {
+                let process = Process::start(&mut group.command(index)?)?;
                 group.processes.push(process);
             }
-            group.await_whole()?;
+            group.await_ready()?;
         }
         sleep(SETTLING);
         Ok(group)
@@ -118,42 +118,42 @@
         Ok(())
     }
 
-    fn home(&self, place: usize) -> PathBuf {
-        self.folder.path().join(name(place))
+    fn home(&self, index: usize) -> PathBuf {
+        self.folder.path().join(name(index))
     }
 
-    fn write_files(&self, place: usize) -> Result<(), RealError> {
-        let home = self.home(place);
+    fn write_files(&self, index: usize) -> Result<(), RealError> {
+        let home = self.home(index);
         std::fs::create_dir_all(&home)?;
         let config = format!(
             r#"{{"name":"{}","listen":"{host}:{}","operator":"{host}:{}","settings":{SETTINGS},
                 "known":{{"version":1,"full":true,"servers":[]}}}}"#,
-            name(place),
-            FRONT_PORT + place,
-            CALL_PORT + place,
+            name(index),
+            FRONT_PORT + index,
+            CALL_PORT + index,
             host = self.host,
         );
         std::fs::write(home.join("config.json"), config)?;
-        std::fs::write(home.join("operator.toml"), self.operator_file(place))?;
+        std::fs::write(home.join("operator.toml"), self.operator_file(index))?;
         Ok(())
     }
 
-    fn operator_file(&self, place: usize) -> String {
+    fn operator_file(&self, index: usize) -> String {
         let mut text = String::from("[group]\n");
-        if place < MEMBERS {
-            // Writing to memory does not fail.
+        if index < MEMBERS {
+            // Writing to a string does not fail.
             let _ = writeln!(
                 text,
                 "listen = \"{}:{}\"\nfolder = \"group\"",
                 self.host,
-                LINK_PORT + place
+                LINK_PORT + index
             );
         }
         text.push_str("[group.members]\n");
         for member in 0..MEMBERS {
-            let port = match place {
-                _ if place == member => LINK_PORT + member,
-                _ if place < MEMBERS => member_relay_port(place, member),
+            let port = match index {
+                _ if index == member => LINK_PORT + member,
+                _ if index < MEMBERS => member_relay_port(index, member),
                 _ => FOLLOWER_RELAY_PORT + member,
             };
             let _ = writeln!(text, "{} = \"{}:{port}\"", name(member), self.host);
@@ -161,23 +161,23 @@
         text
     }
 
-    /// The program as the ingress of this place.
-    fn request(&self, place: usize) -> io::Result<Command> {
-        let home = self.home(place);
+    /// Returns the command that starts the program as the ingress with this index.
+    fn command(&self, index: usize) -> io::Result<Command> {
+        let home = self.home(index);
         let log = std::fs::File::create(home.join("log"))?;
-        let mut request = Command::new(&self.program);
-        request
+        let mut command = Command::new(&self.program);
+        command
             .env("EDGE_CONFIG", home.join("config.json"))
             .env("DRIFTGAP_OPERATOR", home.join("operator.toml"))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
-        Ok(request)
+        Ok(command)
     }
 
-    fn begin(&self) -> Result<(), RealError> {
+    fn init_group(&self) -> Result<(), RealError> {
         let output = self
-            .request(0)?
+            .command(0)?
             .args(["group", "init"])
             .stderr(Stdio::piped())
             .output()?;
@@ -189,45 +189,45 @@
         ))
     }
 
-    /// An operator's call and its answer; empty: there was none.
-    fn call(&self, place: usize, text: &str) -> String {
-        let asked = || -> Result<String, RealError> {
-            let mut stream = TcpStream::connect(self.address(CALL_PORT + place)?)?;
-            stream.set_read_timeout(Some(CALL))?;
+    /// Sends an operator's call and returns the answer, or an empty string if the call failed.
+    fn call(&self, index: usize, text: &str) -> String {
+        let call_and_read = || -> Result<String, RealError> {
+            let mut stream = TcpStream::connect(self.address(CALL_PORT + index)?)?;
+            stream.set_read_timeout(Some(CALL_TIMEOUT))?;
             stream.write_all(format!("{text}\n").as_bytes())?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer)?;
             Ok(answer)
         };
-        asked().unwrap_or_default()
+        call_and_read().unwrap_or_default()
     }
 
-    /// Whether a process says that it votes beside all others, or follows one of them.
-    fn is_up(&self, place: usize) -> Result<(), String> {
-        let answer = self.call(place, "GROUP STATUS");
+    /// Checks that a process reports that all members vote, or that it follows a member.
+    fn is_up(&self, index: usize) -> Result<(), String> {
+        let answer = self.call(index, "GROUP STATUS");
         let votes = answer.matches(":votes").count() == MEMBERS;
-        let follows = place >= MEMBERS && answer.contains("role=beside");
+        let follows = index >= MEMBERS && answer.contains("role=beside");
         match answer.starts_with("ACK") && (votes || follows) {
             true => Ok(()),
-            false => Err(format!("{}: {answer:?}", name(place))),
+            false => Err(format!("{}: {answer:?}", name(index))),
         }
     }
 
-    fn await_whole(&self) -> Result<(), RealError> {
+    fn await_ready(&self) -> Result<(), RealError> {
         let began = Instant::now();
-        for place in 0..self.processes.len() {
-            while let Err(said) = self.is_up(place) {
-                if began.elapsed() > START {
-                    return Err(RealError::NotWhole(said));
+        for index in 0..self.processes.len() {
+            while let Err(status) = self.is_up(index) {
+                if began.elapsed() > START_TIMEOUT {
+                    return Err(RealError::NotReady(status));
                 }
-                sleep(LOOK);
+                sleep(POLL_INTERVAL);
             }
         }
         Ok(())
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..MEMBERS).find(|place| self.call(*place, "GROUP STATUS").contains("role=leader"))
+        (0..MEMBERS).find(|index| self.call(*index, "GROUP STATUS").contains("role=leader"))
     }
 
     fn counts(&self) -> Result<Counts, RealError> {
@@ -244,14 +244,15 @@
         })
     }
 
-    /// An idle second of the group, averaged over so much time: quantities named as those of the hollow group.
+    /// Measures an idle second of the group, averaged over a longer time. The quantities have the
+    /// same names as those of the hollow group.
     ///
     /// # Errors
-    /// A process has ended, or nobody leads.
+    /// A process has ended, or the group has no leader.
     pub fn idle_second(&self, over: Duration) -> Result<Vec<Measurement>, RealError> {
-        let leader = self
-            .leader()
-            .ok_or_else(|| RealError::NotWhole("nobody leads".into()))?;
+        let leader = self.leader().ok_or_else(|| {
+            RealError::NotReady("no process reports that it is the leader".into())
+        })?;
         let (began, before) = (Instant::now(), self.counts()?);
         sleep(over);
         let (seconds, after) = (began.elapsed().as_secs_f64(), self.counts()?);
@@ -264,7 +265,7 @@
         let mut results = since.member_second("leader_second", leader, seconds);
         results.extend(since.member_second("member_second", busiest, seconds));
         results.extend(since.follower_second(followers, seconds));
-        let resident = |place: usize| self.processes[place].resident().map(|bytes| bytes as f64);
+        let resident = |index: usize| self.processes[index].resident().map(|bytes| bytes as f64);
         let all: io::Result<Vec<f64>> = (MEMBERS..self.processes.len()).map(resident).collect();
         results.push(Measurement::timed(
             "leader_resident",
@@ -296,14 +297,14 @@
         }
     }
 
-    /// What a member has sent to other members and to its followers.
+    /// Returns the traffic that a member has sent to other members and to its followers.
     fn sent_by(&self, member: usize) -> Traffic {
         let to_members = self
             .members
             .iter()
             .filter(|((from, _), _)| *from == member)
-            .map(|(_, counts)| counts.there);
-        sum(to_members.chain([self.followers[member].back]))
+            .map(|(_, counts)| counts.to_server);
+        sum(to_members.chain([self.followers[member].to_client]))
     }
 
     fn received_by(&self, member: usize) -> Traffic {
@@ -311,8 +312,8 @@
             .members
             .iter()
             .filter(|((_, to), _)| *to == member)
-            .map(|(_, counts)| counts.there);
-        sum(from_members.chain([self.followers[member].there]))
+            .map(|(_, counts)| counts.to_server);
+        sum(from_members.chain([self.followers[member].to_server]))
     }
 
     fn member_second(&self, role: &str, member: usize, seconds: f64) -> Vec<Measurement> {
@@ -325,10 +326,10 @@
         )
     }
 
-    /// The mean follower's second.
+    /// Returns the quantities of a second of the mean follower.
     fn follower_second(&self, followers: usize, seconds: f64) -> Vec<Measurement> {
-        let sent = sum(self.followers.iter().map(|counts| counts.there));
-        let received = sum(self.followers.iter().map(|counts| counts.back));
+        let sent = sum(self.followers.iter().map(|counts| counts.to_server));
+        let received = sum(self.followers.iter().map(|counts| counts.to_client));
         let cpu = self.cpu[MEMBERS..].iter().sum();
         second(
             "follower_second",
@@ -374,9 +375,9 @@
     MEMBER_RELAY_PORT + MEMBERS * from + to
 }
 
-fn name(place: usize) -> String {
-    match place < MEMBERS {
-        true => format!("m{place}"),
-        false => format!("f{}", place - MEMBERS),
+fn name(index: usize) -> String {
+    match index < MEMBERS {
+        true => format!("m{index}"),
+        false => format!("f{}", index - MEMBERS),
     }
 }
--- a/crates/scale/src/real/mod.rs
+++ b/crates/scale/src/real/mod.rs
@@ -1,4 +1,5 @@
-//! Real processes of the program on loopback: a check that hollow fleets tell the truth at sizes that both can do.
+//! Groups of real processes on loopback, whose figures check those of hollow groups of the same
+//! size.
 
 mod group;
 mod process;
--- a/crates/scale/src/real/process.rs
+++ b/crates/scale/src/real/process.rs
@@ -1,4 +1,4 @@
-//! A process that ends with its guard.
+//! A child process that is killed when its handle is dropped.
 
 use crate::probe::kilobytes;
 use std::fs::{read_dir, read_to_string};
@@ -6,24 +6,24 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// The name of an ingress' thread for its group, as the kernel has it.
+/// Name of an ingress' group thread in `/proc`.
 const GROUP_THREAD: &str = "group";
 
-/// A child process, killed when this is dropped, also by a panic.
+/// A child process, killed on drop, also when a panic unwinds.
 pub(super) struct Process(Child);
 
 impl Process {
-    pub(super) fn start(request: &mut Command) -> io::Result<Process> {
-        Ok(Process(request.spawn()?))
+    pub(super) fn start(command: &mut Command) -> io::Result<Process> {
+        Ok(Process(command.spawn()?))
     }
 
-    /// Resident memory, bytes.
+    /// Returns the resident memory, bytes.
     pub(super) fn resident(&self) -> io::Result<u64> {
         let status = read_to_string(format!("/proc/{}/status", self.0.id()))?;
         Ok(kilobytes(&status, "VmRSS:") * 1024)
     }
 
-    /// The time on a processor that its thread for the group has had.
+    /// Returns the processor time of the process' group thread.
     pub(super) fn group_cpu(&self) -> io::Result<Duration> {
         let mut total = Duration::ZERO;
         for task in read_dir(format!("/proc/{}/task", self.0.id()))? {
@@ -43,7 +43,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself; there is nobody left to tell.
+        // The process may have ended already; a failure to kill it needs no handling.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/scale/src/real/relay.rs
+++ b/crates/scale/src/real/relay.rs
@@ -1,4 +1,5 @@
-//! A relay before a member's link: it passes bytes on in both directions and counts them, and the frames in them.
+//! A relay in front of a member's link: it forwards bytes in both directions and counts the bytes
+//! and frames.
 
 use crate::hollow::Traffic;
 use std::io::{self, Read, Write};
@@ -7,94 +8,94 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// Length and checksum of a frame.
-const HEAD_BYTES: usize = 8;
-/// Bytes passed on at once.
-const PIECE_BYTES: usize = 16 << 10;
+/// Length of a frame's header: the body's length and a checksum.
+const HEADER_BYTES: usize = 8;
+/// Size of the buffer for forwarding, bytes.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// Counts frames in a stream of bytes, however it is cut into pieces.
+/// Counts the frames in a byte stream that arrives in pieces of any size.
 #[derive(Debug, Default)]
 pub struct FrameCounter {
-    head: Vec<u8>,
+    header: Vec<u8>,
     body_left: usize,
     frames: u64,
 }
 
 impl FrameCounter {
-    /// Takes in the next bytes of the stream.
+    /// Processes the next bytes of the stream.
     pub fn feed(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let wanted = if self.body_left > 0 {
+            let needed = if self.body_left > 0 {
                 self.body_left
             } else {
-                HEAD_BYTES - self.head.len()
+                HEADER_BYTES - self.header.len()
             };
-            let (piece, rest) = bytes.split_at(wanted.min(bytes.len()));
+            let (piece, rest) = bytes.split_at(needed.min(bytes.len()));
             bytes = rest;
             if self.body_left > 0 {
                 self.body_left -= piece.len();
                 self.frames += u64::from(self.body_left == 0);
             } else {
-                self.take_head(piece);
+                self.feed_header(piece);
             }
         }
     }
 
-    fn take_head(&mut self, piece: &[u8]) {
-        self.head.extend(piece);
-        if self.head.len() < HEAD_BYTES {
+    fn feed_header(&mut self, piece: &[u8]) {
+        self.header.extend(piece);
+        if self.header.len() < HEADER_BYTES {
             return;
         }
-        if let Some(length) = self.head.first_chunk::<4>() {
+        if let Some(length) = self.header.first_chunk::<4>() {
             self.body_left = u32::from_le_bytes(*length) as usize;
         }
         self.frames += u64::from(self.body_left == 0);
-        self.head.clear();
+        self.header.clear();
     }
 
-    /// Whole frames so far.
+    /// Returns the number of complete frames so far.
     pub fn frames(&self) -> u64 {
         self.frames
     }
 }
 
-/// What has gone through a relay.
+/// The traffic of a relay in both directions.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
-    /// From those who connect.
-    pub there: Traffic,
-    /// To those.
-    pub back: Traffic,
+    /// Traffic from the connecting clients to the target address.
+    pub to_server: Traffic,
+    /// Traffic from the target address to the clients.
+    pub to_client: Traffic,
 }
 
 impl RelayCounts {
-    /// What came in after an earlier reading.
+    /// Returns the traffic since an earlier reading.
     #[must_use]
     pub fn since(self, earlier: RelayCounts) -> RelayCounts {
         RelayCounts {
-            there: self.there.since(earlier.there),
-            back: self.back.since(earlier.back),
+            to_server: self.to_server.since(earlier.to_server),
+            to_client: self.to_client.since(earlier.to_client),
         }
     }
 }
 
-/// Which way bytes go.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug)]
 enum Direction {
-    There,
-    Back,
+    ToServer,
+    ToClient,
 }
 
-/// A listener that passes every connection on to one address. It ends when it is dropped; its connections end with
-/// either of their ends.
+/// A listener that forwards every connection to one address. The listener closes when this value is
+/// dropped; a forwarded connection closes when either side closes it.
 pub struct Relay {
     address: SocketAddr,
     counts: Arc<Mutex<RelayCounts>>,
-    ended: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Relay {
-    /// A relay at an address, to another one.
+    /// Starts a relay that listens at `listen` and forwards to `to`.
     ///
     /// # Errors
     /// The address cannot be listened on.
@@ -104,19 +105,19 @@
         let relay = Relay {
             address,
             counts: Arc::default(),
-            ended: Arc::default(),
+            stopped: Arc::default(),
         };
-        let (counts, ended) = (relay.counts.clone(), relay.ended.clone());
-        thread::spawn(move || accept(&listener, to, &counts, &ended));
+        let (counts, stopped) = (relay.counts.clone(), relay.stopped.clone());
+        thread::spawn(move || accept(&listener, to, &counts, &stopped));
         Ok(relay)
     }
 
-    /// Where it listens.
+    /// Returns the address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What has gone through so far.
+    /// Returns the traffic so far.
     pub fn counts(&self) -> RelayCounts {
         *self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -124,8 +125,8 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::SeqCst);
-        // Wakes the listener, so that it sees the end.
+        self.stopped.store(true, Ordering::SeqCst);
+        // The connection wakes the listener, which then reads the flag and returns.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -134,33 +135,39 @@
     listener: &TcpListener,
     to: SocketAddr,
     counts: &Arc<Mutex<RelayCounts>>,
-    ended: &AtomicBool,
+    stopped: &AtomicBool,
 ) {
-    while let Ok((near, _)) = listener.accept() {
-        if ended.load(Ordering::SeqCst) {
+    while let Ok((client, _)) = listener.accept() {
+        if stopped.load(Ordering::SeqCst) {
             return;
         }
-        let Ok(far) = TcpStream::connect(to) else {
+        let Ok(server) = TcpStream::connect(to) else {
             continue;
         };
-        let (Ok(near_reader), Ok(far_reader)) = (near.try_clone(), far.try_clone()) else {
+        let (Ok(client_reader), Ok(server_reader)) = (client.try_clone(), server.try_clone())
+        else {
             continue;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (there, back) = (counts.clone(), counts.clone());
-        thread::spawn(move || pass(near_reader, far, Direction::There, &there));
-        thread::spawn(move || pass(far_reader, near, Direction::Back, &back));
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (to_server, to_client) = (counts.clone(), counts.clone());
+        thread::spawn(move || forward(client_reader, server, Direction::ToServer, &to_server));
+        thread::spawn(move || forward(server_reader, client, Direction::ToClient, &to_client));
     }
 }
 
-/// Passes bytes on until one side ends, and ends the other.
-fn pass(mut from: TcpStream, mut to: TcpStream, direction: Direction, counts: &Mutex<RelayCounts>) {
+/// Forwards bytes until one side closes the connection, then closes both sides.
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: Direction,
+    counts: &Mutex<RelayCounts>,
+) {
     let mut frames = FrameCounter::default();
-    let mut bytes = [0; PIECE_BYTES];
+    let mut bytes = [0; BUFFER_BYTES];
     while let Ok(count) = from.read(&mut bytes) {
         let before = frames.frames();
         frames.feed(&bytes[..count]);
-        note(counts, direction, frames.frames() - before, count);
+        record(counts, direction, frames.frames() - before, count);
         if count == 0 || to.write_all(&bytes[..count]).is_err() {
             break;
         }
@@ -168,11 +175,11 @@
     let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
 
-fn note(counts: &Mutex<RelayCounts>, direction: Direction, frames: u64, bytes: usize) {
+fn record(counts: &Mutex<RelayCounts>, direction: Direction, frames: u64, bytes: usize) {
     let mut counts = counts.lock().unwrap_or_else(PoisonError::into_inner);
     let traffic = match direction {
-        Direction::There => &mut counts.there,
-        Direction::Back => &mut counts.back,
+        Direction::ToServer => &mut counts.to_server,
+        Direction::ToClient => &mut counts.to_client,
     };
     traffic.messages += frames;
     traffic.bytes += bytes as u64;
--- a/crates/scale/src/registry.rs
+++ b/crates/scale/src/registry.rs
@@ -1,9 +1,9 @@
-//! The list of all experiments. A new one is added here and in `experiments`.
+//! The list of all experiments. A new experiment is added here and in `experiments`.
 
 use crate::experiment::Experiment;
 use crate::experiments::{backends, changes, group, ingresses, routes, services, tenants, zones};
 
-/// Every experiment, in the order in which they run.
+/// Returns all experiments in the order in which they run.
 pub fn all() -> Vec<Box<dyn Experiment>> {
     vec![
         Box::new(backends::ByInventory),
@@ -18,14 +18,14 @@
         Box::new(group::DocumentByFollowers),
         Box::new(changes::ByChanges::of_list_entries()),
         Box::new(changes::ByChanges::of_documents()),
-        Box::new(changes::KeptByChanges),
+        Box::new(changes::HeapByChanges),
         Box::new(ingresses::CounterByIngresses),
         Box::new(ingresses::CounterByTenants),
         Box::new(ingresses::BackendByIngresses),
     ]
 }
 
-/// The experiment of this name.
+/// Returns the experiment with this name.
 pub fn find(name: &str) -> Option<Box<dyn Experiment>> {
     all()
         .into_iter()
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -10,41 +10,41 @@
 use crate::results::{self, RunFile, SlopeFile};
 use std::path::{Path, PathBuf};
 
-/// Name of the file of tables.
+/// File name of the tables.
 pub const TABLES: &str = "tables.md";
 
-/// Why a report could not be made.
+/// Why a report could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A file could not be read or written.
     #[error("{0}")]
     File(#[from] std::io::Error),
-    /// No line goes through an experiment's points.
+    /// No line could be fitted to an experiment's points.
     #[error("{0}: {1}")]
     Fit(String, FitError),
     /// A plot could not be drawn.
     #[error("{0}")]
     Plot(#[from] PlotError),
-    /// The folder of results holds none.
+    /// The folder contains no result files.
     #[error("{0}: no result files; run the experiments first")]
     Empty(PathBuf),
 }
 
-/// Folders of a report.
+/// Folders that a report reads and writes.
 #[derive(Clone, Debug)]
 pub struct Folders {
-    /// Result files of runs.
+    /// Folder of the result files.
     pub results: PathBuf,
-    /// Where tables and plots go.
+    /// Folder of the tables and plots.
     pub report: PathBuf,
-    /// Where the files of slopes go.
+    /// Folder of the slope files.
     pub slopes: PathBuf,
 }
 
-/// Fits every result file of a folder and writes slopes, tables and plots.
+/// Fits every result file of a folder, writes slopes, tables and plots, and returns the slopes.
 ///
 /// # Errors
-/// A file cannot be read or written, or holds too few points.
+/// A file cannot be read or written, or has too few points.
 pub fn write(folders: &Folders) -> Result<Vec<SlopeFile>, ReportError> {
     let slopes = fit_all(&folders.results)?;
     std::fs::create_dir_all(&folders.report)?;
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -1,26 +1,27 @@
-//! Plots of measured points with their line, as SVG files.
+//! Plots of measured points and their fitted line, as SVG files.
 
 use crate::results::Slope;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// Size of a plot in pixels.
+/// Width of a plot in pixels.
 const WIDTH_PX: u32 = 640;
+/// Height of a plot in pixels.
 const HEIGHT_PX: u32 = 400;
 const MARGIN: u32 = 12;
 const LABEL_WIDTH: u32 = 90;
 const LABEL_HEIGHT: u32 = 40;
 const POINT_RADIUS: u32 = 4;
-/// Room above the highest point.
+/// Ratio of the top of the vertical axis to the largest value.
 const HEADROOM: f64 = 1.1;
 
-/// A plot that could not be drawn.
+/// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("plot: {0}")]
 pub struct PlotError(String);
 
-/// Draws the points of a quantity and the line through them.
+/// Draws the points of a quantity and the line fitted through them.
 ///
 /// # Errors
 /// The file cannot be written.
--- a/crates/scale/src/report/table.rs
+++ b/crates/scale/src/report/table.rs
@@ -3,11 +3,11 @@
 use crate::results::{Slope, SlopeFile};
 use std::fmt::Write;
 
-/// A section with a table for each experiment.
+/// Returns a section with a table for each experiment.
 pub fn tables(files: &[SlopeFile]) -> String {
     let mut text = String::new();
     for file in files {
-        // Writing to memory does not fail.
+        // Writing to a string does not fail.
         let _ = section(&mut text, file);
     }
     text
@@ -69,22 +69,22 @@
     )
 }
 
-/// Smaller values are what rounding leaves of 0.
-const MIN: f64 = 1e-7;
+/// Smaller absolute values are rounding errors and are written as 0.
+const ZERO_BELOW: f64 = 1e-7;
 
-/// A number with four significant digits, with thousands apart.
+/// Formats a number with four significant digits and thousands separated by commas.
 fn number(value: f64) -> String {
-    if value.abs() < MIN {
+    if value.abs() < ZERO_BELOW {
         return "0".into();
     }
     let digits = 3 - value.abs().log10().floor() as i32;
     if digits > 0 {
         return format!("{value:.*}", digits.min(9) as usize);
     }
-    let whole = format!("{:.0}", value.abs());
+    let integer = format!("{:.0}", value.abs());
     let mut grouped = String::new();
-    for (place, digit) in whole.chars().enumerate() {
-        if place > 0 && (whole.len() - place) % 3 == 0 {
+    for (position, digit) in integer.chars().enumerate() {
+        if position > 0 && (integer.len() - position) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,4 +1,4 @@
-//! The JSON forms: what a run has measured, and the lines fitted through it.
+//! The JSON files of the tool: measured points, and the lines fitted through them.
 
 use crate::experiment::{Measurement, Unit};
 use crate::fit::{FitError, Line};
@@ -9,97 +9,98 @@
 use std::io::{Error, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// Version of both forms; it changes with any field that is taken away or means something else.
+/// Version of both file formats. It changes when a field is removed or changes its meaning.
 pub const FORMAT: u32 = 1;
 
-/// Counted values may differ by this share between repeats: hash tables are seeded by chance, and one that had entries
-/// removed grows a little sooner or later.
-const EQUAL_WITHIN: f64 = 0.01;
+/// Largest spread between repeats, as a share, at which counted values are treated as equal. Hash
+/// tables are seeded randomly, and a table that had entries removed grows slightly sooner or later.
+const MAX_COUNTED_SPREAD: f64 = 0.01;
 
 /// How and where an experiment was run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Provenance {
-    /// Version of the form.
+    /// Version of the file format.
     pub format: u32,
-    /// The experiment's name.
+    /// Name of the experiment.
     pub experiment: String,
-    /// What it measures.
+    /// What the experiment measures.
     pub description: String,
-    /// What its sizes count.
+    /// What the sizes count.
     pub axis: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Whether the sizes of a quick run were taken.
+    /// Whether the sizes of a quick run were measured.
     pub quick: bool,
-    /// The commit that was measured.
+    /// Commit that was measured.
     pub commit: String,
-    /// The machine that it was measured on.
+    /// Machine of the run.
     pub machine: Machine,
 }
 
 /// One repeat of one size.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Size that was measured.
     pub size: u64,
-    /// Number of the repeat, from 0.
+    /// Index of the repeat, from 0.
     pub repeat: u32,
-    /// The most resident memory of the process that measured it, bytes.
+    /// Peak resident memory of the measuring process, bytes.
     pub peak_resident: u64,
-    /// What was measured.
+    /// Measured quantities.
     pub measurements: Vec<Measurement>,
 }
 
-/// Everything that one run of one experiment has measured.
+/// All points of one run of one experiment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RunFile {
-    /// How and where.
+    /// How and where the run was made.
     #[serde(flatten)]
     pub provenance: Provenance,
-    /// Raw points, smallest size first.
+    /// Measured points in rising order of size.
     pub points: Vec<Point>,
 }
 
-/// The line through one quantity.
+/// The line fitted through the points of one quantity.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Slope {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: String,
-    /// The quantity.
+    /// Name of the quantity.
     pub quantity: String,
-    /// Its unit.
+    /// Unit of the quantity.
     pub unit: Unit,
-    /// What sizes count.
+    /// What the sizes count.
     pub axis: String,
-    /// Sizes, smallest first.
+    /// Sizes in rising order.
     pub sizes: Vec<u64>,
-    /// The value at each size: of timed quantities the smallest of all repeats.
+    /// Value at each size: the smallest of all repeats.
     pub points: Vec<f64>,
-    /// The value at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// What one more of the axis adds, in units.
+    /// Increase of the value per unit of size.
     pub slope: f64,
     /// Standard error of the slope.
     pub standard_error: f64,
-    /// Residual standard error, in units.
+    /// Residual standard error, in the unit of the quantity.
     pub residual: f64,
-    /// Whether growth is linear: no point further from the line than a tenth of the largest, or nothing grows.
+    /// Whether growth is linear: no point is farther from the line than a tenth of the largest
+    /// value, or all values are negligible.
     pub linear: bool,
-    /// Whether the values are counted and differed by no more than a hundredth between repeats.
+    /// Whether the values are counted and differ by at most one per cent between repeats.
     pub counted: bool,
-    /// The largest difference between two repeats of a size, as a share of the larger value.
+    /// Largest difference between two repeats of one size, as a share of the larger value.
     pub spread: f64,
     /// Seed of the run.
     pub seed: u64,
 }
 
-/// The lines through every quantity of one experiment.
+/// The lines through all quantities of one experiment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SlopeFile {
     /// How and where the points were measured.
     #[serde(flatten)]
     pub provenance: Provenance,
-    /// One line a quantity.
+    /// One line for each quantity.
     pub slopes: Vec<Slope>,
 }
 
@@ -112,10 +113,10 @@
 }
 
 impl RunFile {
-    /// Fits a line through every quantity that was measured at every size.
+    /// Fits a line through the points of every quantity.
     ///
     /// # Errors
-    /// There are too few sizes for a line.
+    /// A quantity was measured at too few sizes for a line.
     pub fn slopes(&self) -> Result<SlopeFile, FitError> {
         let slopes: Result<Vec<Slope>, FitError> = self
             .quantities()
@@ -128,7 +129,7 @@
         })
     }
 
-    /// Each quantity's first measurement, in the order in which they were measured.
+    /// Returns the first measurement of each quantity, in the order of measurement.
     fn quantities(&self) -> Vec<&Measurement> {
         let mut found: Vec<&Measurement> = Vec::new();
         for measurement in self.points.iter().flat_map(|point| &point.measurements) {
@@ -186,7 +187,7 @@
             standard_error: line.standard_error,
             residual: line.residual,
             linear: line.linear || negligible,
-            counted: series.first.counted && series.spread <= EQUAL_WITHIN,
+            counted: series.first.counted && series.spread <= MAX_COUNTED_SPREAD,
             spread: series.spread,
             seed: self.provenance.seed,
         })
@@ -197,7 +198,7 @@
     values.iter().copied().fold(f64::INFINITY, f64::min)
 }
 
-/// The largest difference between two values, as a share of the larger one.
+/// Returns the largest difference between two values, as a share of the largest absolute value.
 fn spread(values: &[f64]) -> f64 {
     let largest = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     let difference = largest - min(values);
@@ -209,7 +210,7 @@
 }
 
 impl Slope {
-    /// Its line.
+    /// Returns the fitted line.
     pub fn line(&self) -> Line {
         Line {
             intercept: self.intercept,
@@ -221,7 +222,7 @@
     }
 }
 
-/// Writes a value as JSON.
+/// Writes a value to a file as JSON.
 ///
 /// # Errors
 /// The file cannot be written.
@@ -231,19 +232,19 @@
     std::fs::write(path, text)
 }
 
-/// Reads a value from JSON.
+/// Reads a value from a JSON file.
 ///
 /// # Errors
-/// The file cannot be read, or is not of this form; the error names it.
+/// The file cannot be read or has another format; the error contains the path.
 pub fn read<T: DeserializeOwned>(path: &Path) -> std::io::Result<T> {
-    let named = |e: &dyn std::fmt::Display| {
+    let with_path = |e: &dyn std::fmt::Display| {
         Error::new(ErrorKind::InvalidData, format!("{}: {e}", path.display()))
     };
-    let text = std::fs::read_to_string(path).map_err(|e| named(&e))?;
-    serde_json::from_str(&text).map_err(|e| named(&e))
+    let text = std::fs::read_to_string(path).map_err(|e| with_path(&e))?;
+    serde_json::from_str(&text).map_err(|e| with_path(&e))
 }
 
-/// The JSON files of a folder, by name.
+/// Returns the paths of a folder's JSON files, sorted by name.
 ///
 /// # Errors
 /// The folder cannot be read.
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs experiments: every point alone, in a process of its own, one after the other.
+//! Runs experiments sequentially and measures every point in a separate process.
 
 use crate::experiment::{Experiment, ExperimentError};
 use crate::machine::{commit, Machine};
@@ -8,16 +8,16 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// What is to be run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Whether the sizes of a quick run are taken.
+    /// Whether to measure the sizes of a quick run.
     pub quick: bool,
-    /// Sizes in place of each experiment's own; empty: its own.
+    /// Sizes that replace each experiment's own; empty to use the experiment's sizes.
     pub sizes: Vec<u64>,
-    /// Seed of everything that is generated.
+    /// Seed of all generated data.
     pub seed: u64,
-    /// How often each size is measured.
+    /// Number of repeats of each size.
     pub repeats: u32,
     /// Folder of the result files.
     pub out: PathBuf,
@@ -29,20 +29,20 @@
     /// An experiment could not be measured at a size.
     #[error("{experiment} at {size}: {problem}")]
     Point {
-        /// The experiment.
+        /// Name of the experiment.
         experiment: String,
-        /// The size.
+        /// Size that was measured.
         size: u64,
-        /// What went wrong.
+        /// Cause of the failure.
         problem: String,
     },
-    /// A file could not be written or a process not started.
+    /// A file could not be written or a process could not be started.
     #[error("{0}")]
     File(#[from] std::io::Error),
 }
 
 impl Plan {
-    /// The sizes of an experiment, smallest first.
+    /// Returns the sizes to measure in rising order.
     pub fn sizes_of(&self, experiment: &dyn Experiment) -> Vec<u64> {
         let mut sizes = if self.sizes.is_empty() {
             experiment.sizes(self.quick)
@@ -58,7 +58,7 @@
 /// Measures one point in this process.
 ///
 /// # Errors
-/// The size cannot be measured.
+/// The experiment cannot be run at this size.
 pub fn measure_point(
     experiment: &dyn Experiment,
     size: u64,
@@ -74,10 +74,10 @@
     })
 }
 
-/// Runs experiments and writes a result file for each; the files.
+/// Runs experiments, writes a result file for each and returns the paths of the files.
 ///
 /// # Errors
-/// A size cannot be measured; what was measured before is written.
+/// A size cannot be measured. The result files of earlier experiments are already written.
 pub fn run(experiments: &[Box<dyn Experiment>], plan: &Plan) -> Result<Vec<PathBuf>, RunError> {
     std::fs::create_dir_all(&plan.out)?;
     let points: usize = experiments
@@ -85,7 +85,7 @@
         .map(|experiment| plan.sizes_of(experiment.as_ref()).len())
         .sum();
     let progress = ProgressBar::new(points as u64 * u64::from(plan.repeats));
-    // The template is constant and holds no unknown key.
+    // The template is a constant without unknown keys, so parsing does not fail.
     let style = ProgressStyle::with_template("{elapsed_precise} [{bar:40}] {pos}/{len} {msg}");
     progress.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
     let files = experiments
@@ -109,7 +109,7 @@
         seed: plan.seed,
         quick: plan.quick,
         commit: commit(),
-        machine: Machine::here(),
+        machine: Machine::current(),
     };
     let mut points = Vec::new();
     for size in plan.sizes_of(experiment) {
@@ -124,7 +124,8 @@
     Ok(path)
 }
 
-/// Measures one point in a process of its own, so that no memory of another is left in it.
+/// Measures one point in a child process, so that memory left by other measurements does not affect
+/// it.
 fn measure_in_child(
     experiment: &dyn Experiment,
     size: u64,
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! The program as it is started: a run with the same seed gives the same counts, and its report is whole.
+//! The command line: runs with the same seed have equal counts, reports are complete, and failures
+//! are reported.
 
 use driftgap_scale::results::{self, Point, RunFile, SlopeFile};
 use std::path::Path;
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn two_runs_of_one_seed_count_the_same_and_report_the_same_slopes() {
+fn same_seed_gives_same_counts_and_complete_report() {
     let (first, second) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     let (a, b) = (run(first.path()), run(second.path()));
     assert_eq!(a.points.len(), 8);
@@ -84,13 +85,13 @@
 }
 
 #[test]
-fn what_cannot_be_measured_is_said() {
+fn unknown_experiments_and_invalid_sizes_are_reported() {
     let unknown = scale(&["run", "nothing-of-the-kind"]);
     assert!(!unknown.status.success());
     assert!(
         String::from_utf8_lossy(&unknown.stderr).contains("no experiment \"nothing-of-the-kind\"")
     );
-    // There are 62 pools at most.
+    // An ingress has at most 62 pools.
     let folder = tempfile::tempdir().unwrap();
     let beyond = scale(&[
         "run",
@@ -101,10 +102,10 @@
         folder.path().to_str().unwrap(),
     ]);
     assert!(!beyond.status.success());
-    let said = String::from_utf8_lossy(&beyond.stderr).to_string();
+    let stderr = String::from_utf8_lossy(&beyond.stderr).to_string();
     assert!(
-        said.contains("services at 63") && said.contains("pools"),
-        "{said}"
+        stderr.contains("services at 63") && stderr.contains("pools"),
+        "{stderr}"
     );
     let empty = scale(&["report", folder.path().to_str().unwrap()]);
     assert!(!empty.status.success());
--- a/crates/scale/tests/experiments.rs
+++ b/crates/scale/tests/experiments.rs
@@ -1,12 +1,12 @@
-//! Every experiment of the registry: names and sizes are in order, and the same seed gives the same counts.
+//! All experiments of the registry: valid names and sizes, and equal counts for equal seeds.
 
 use driftgap_scale::experiment::{Experiment, Measurement};
 use driftgap_scale::registry;
 use std::collections::BTreeSet;
 
-/// Least factor between the smallest and the largest size.
+/// Smallest ratio of the largest size to the smallest.
 const MIN_RANGE: u64 = 30;
-const FEWEST_SIZES: usize = 4;
+const MIN_SIZES: usize = 4;
 
 fn counted(experiment: &dyn Experiment, seed: u64) -> Vec<Measurement> {
     let size = experiment.sizes(true)[0];
@@ -26,7 +26,11 @@
             counted(experiment.as_ref(), 7),
             counted(experiment.as_ref(), 7),
         );
-        assert!(!first.is_empty(), "{} counts nothing", experiment.name());
+        assert!(
+            !first.is_empty(),
+            "{} has no counted quantities",
+            experiment.name()
+        );
         for (first, second) in first.iter().zip(&second) {
             assert_eq!(first, second, "{}", experiment.name());
         }
@@ -35,11 +39,11 @@
 }
 
 #[test]
-fn every_experiment_has_a_name_of_its_own_and_sizes_that_a_line_can_be_put_through() {
+fn names_are_unique_and_sizes_suit_a_fit() {
     let mut names = BTreeSet::new();
     for experiment in registry::all() {
         let name = experiment.name();
-        assert!(names.insert(name), "{name} stands twice");
+        assert!(names.insert(name), "two experiments are named {name}");
         assert!(
             name.bytes().all(|b| b.is_ascii_lowercase() || b == b'-'),
             "{name}"
@@ -47,7 +51,7 @@
         assert!(registry::find(name).is_some_and(|found| found.name() == name));
         for quick in [true, false] {
             let sizes = experiment.sizes(quick);
-            assert!(sizes.len() >= FEWEST_SIZES, "{name}: {sizes:?}");
+            assert!(sizes.len() >= MIN_SIZES, "{name}: {sizes:?}");
             assert!(
                 sizes.windows(2).all(|pair| pair[0] < pair[1]),
                 "{name}: {sizes:?}"
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -1,4 +1,5 @@
-//! Lines through points: what is known is recovered, and growth that is not linear is said to be none.
+//! Fitted lines: known lines are recovered, standard errors are correct, and other growth is not
+//! called linear.
 
 use driftgap_scale::fit::{FitError, Line};
 
@@ -21,8 +22,8 @@
 }
 
 #[test]
-fn noise_shows_in_the_errors() {
-    // Slope and errors as of the textbook formula, computed by hand for these four points.
+fn errors_match_the_textbook_formulas() {
+    // Slope and errors computed by hand with the textbook formulas for these four points.
     let line = Line::through(&[(1.0, 3.1), (2.0, 4.9), (3.0, 7.2), (4.0, 8.8)]).unwrap();
     assert!(
         (line.slope - 1.94).abs() < 1e-9 && (line.intercept - 1.15).abs() < 1e-9,
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn quadratic_growth_and_a_plateau_are_flagged_and_a_constant_is_not() {
+fn quadratic_and_saturating_growth_is_not_linear() {
     let linear = |value: &dyn Fn(f64) -> f64| Line::through(&points(value)).unwrap().linear;
     assert!(!linear(&|size| size * size));
     assert!(!linear(&|size| 5.0 * size + size * size));
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn too_few_points_and_equal_sizes_have_no_line() {
+fn too_few_points_and_equal_sizes_are_rejected() {
     assert!(matches!(
         Line::through(&[(1.0, 1.0), (2.0, 2.0)]),
         Err(FitError::TooFewPoints(2))
--- a/crates/scale/tests/hollow_group.rs
+++ b/crates/scale/tests/hollow_group.rs
@@ -1,4 +1,5 @@
-//! The hollow group: followers are linked, changes reach all of them, and the same seed gives the same traffic.
+//! The simulated group: followers connect, changes reach all of them, and the same seed gives the
+//! same traffic.
 
 use driftgap_group::{DocumentKind, Proposal};
 use driftgap_scale::hollow::group::GroupWorld;
@@ -18,13 +19,13 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_traffic_and_another_one_gives_other_traffic() {
+fn traffic_depends_on_the_seed() {
     assert_eq!(idle(1), idle(1));
     assert_ne!(idle(1), idle(2));
 }
 
 #[test]
-fn followers_spread_over_the_members_and_hear_twice_a_second() {
+fn followers_spread_over_members_and_receive_heartbeats() {
     let mut world = GroupWorld::start(MEMBERS, 300, 3).unwrap();
     let spread = world.followers_by_member();
     assert!(
@@ -34,7 +35,8 @@
     let before = world.follower_loads()[7];
     world.run(10_000.0).unwrap();
     let load = world.follower_loads()[7].since(before);
-    // A beat and a sign of life in each half second; one of its own.
+    // In each half second a follower receives a heartbeat and a keep-alive frame, and sends one
+    // frame.
     assert!((36..=40).contains(&load.received.messages), "{load:?}");
     assert!((19..=21).contains(&load.sent.messages), "{load:?}");
 }
@@ -42,23 +44,25 @@
 #[test]
 fn a_change_and_a_document_reach_every_follower() {
     let mut world = GroupWorld::start(MEMBERS, 50, 4).unwrap();
-    world.ask(Proposal::Suspend("instance-1".into())).unwrap();
-    world.run_until_in_force(2_000.0).unwrap();
     world
-        .ask(Proposal::Write(DocumentKind::Rules, 0, vec![b'r'; 100_000]))
+        .propose(Proposal::Suspend("instance-1".into()))
         .unwrap();
-    world.run_until_in_force(4_000.0).unwrap();
+    world.run_until_replicated(2_000.0).unwrap();
+    world
+        .propose(Proposal::Write(DocumentKind::Rules, 0, vec![b'r'; 100_000]))
+        .unwrap();
+    world.run_until_replicated(4_000.0).unwrap();
     let delays = world.take_delays();
     assert_eq!(delays.len(), 2);
     assert!(
         delays
             .iter()
-            .all(|delay| 0.0 < delay.agreed_ms && delay.agreed_ms < delay.last_ms),
+            .all(|delay| 0.0 < delay.commit_ms && delay.commit_ms < delay.last_follower_ms),
         "{delays:?}"
     );
     assert!(
         world.take_largest_burst() > 10 * 100_000,
-        "a member hands a document to all its followers at once"
+        "a member sends the document to all its followers in one iteration"
     );
     let received: u64 = world
         .follower_loads()
@@ -73,12 +77,12 @@
 }
 
 #[test]
-fn a_document_that_is_too_large_is_refused_and_counts_as_no_change() {
+fn oversized_document_is_not_counted_as_a_change() {
     let mut world = GroupWorld::start(MEMBERS, 3, 5).unwrap();
     let bytes = vec![b'r'; driftgap_group::MAX_DOCUMENT + 1];
     world
-        .ask(Proposal::Write(DocumentKind::Rules, 0, bytes))
+        .propose(Proposal::Write(DocumentKind::Rules, 0, bytes))
         .unwrap();
-    world.run_until_in_force(2_000.0).unwrap();
+    world.run_until_replicated(2_000.0).unwrap();
     assert!(world.take_delays().is_empty());
 }
--- a/crates/scale/tests/kept_slopes.rs
+++ b/crates/scale/tests/kept_slopes.rs
@@ -1,14 +1,16 @@
-//! The slopes under `docs/capacity`: they have the form that this version reads and follow from their own points.
+//! The slopes stored under `docs/capacity`: they have the current format and match a new fit of
+//! their points.
 
 use driftgap_scale::fit::Line;
 use driftgap_scale::registry;
 use driftgap_scale::results::{self, Slope, SlopeFile, FORMAT};
 use std::path::PathBuf;
 
-/// Lines are kept with fewer digits than they are computed with on another machine.
-const SAME_WITHIN: f64 = 1e-6;
+/// Largest difference, as a share of the largest value: stored lines have fewer digits than lines
+/// fitted on another machine.
+const TOLERANCE: f64 = 1e-6;
 
-fn kept() -> Vec<SlopeFile> {
+fn stored() -> Vec<SlopeFile> {
     let folder = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity"));
     let files = registry::all()
         .into_iter()
@@ -26,8 +28,8 @@
 }
 
 #[test]
-fn every_kept_slope_follows_from_its_points() {
-    let files = kept();
+fn stored_slopes_match_a_new_fit_of_their_points() {
+    let files = stored();
     assert!(!files.is_empty());
     for file in &files {
         assert_eq!(
@@ -41,12 +43,12 @@
                 .iter()
                 .map(|value| value.abs())
                 .fold(1.0, f64::max);
-            let (line, kept) = (refitted(slope), slope.line());
+            let (line, stored) = (refitted(slope), slope.line());
             let last = *slope.sizes.last().unwrap() as f64;
             for size in [0.0, last] {
-                let difference = (line.at(size) - kept.at(size)).abs();
+                let difference = (line.at(size) - stored.at(size)).abs();
                 assert!(
-                    difference <= SAME_WITHIN * largest,
+                    difference <= TOLERANCE * largest,
                     "{} {}",
                     slope.experiment,
                     slope.quantity
--- a/crates/scale/tests/measured_again.rs
+++ b/crates/scale/tests/measured_again.rs
@@ -1,5 +1,5 @@
-//! The counted lines that the capacity page quotes are measured again, at the smallest sizes that their files hold. What
-//! is timed depends on the machine and is not looked at.
+//! Repeats the counted measurements that the capacity page quotes, at the smallest sizes of their
+//! files. Timed quantities depend on the machine and are not compared.
 
 use driftgap_scale::page::{Measurements, PageFiles, Targets, Term};
 use driftgap_scale::registry;
@@ -8,12 +8,12 @@
 use std::path::Path;
 use std::thread;
 
-/// So much of a quoted figure may a measured one differ from it.
+/// Largest difference between a quoted and a measured value, as a share of the quoted value.
 const TOLERANCE: f64 = 0.1;
-/// Sizes that are measured again: two of them give a slope.
+/// Number of sizes that are measured again; two of them give a slope.
 const SIZES: usize = 2;
 
-/// What differs between a quoted line and what was measured at its smallest sizes.
+/// Returns the differences between a quoted line and the values measured at its smallest sizes.
 fn differences(quoted: &Slope, measured: &[f64]) -> Vec<String> {
     let name = format!("{}/{}", quoted.experiment, quoted.quantity);
     let differs = |what: String, quoted: f64, measured: f64| {
@@ -34,11 +34,11 @@
     found
 }
 
-/// Measures an experiment again at the smallest sizes of the lines that are quoted of it; what differs.
+/// Measures an experiment at the smallest sizes of its quoted lines and returns the differences.
 fn measure_again(experiment: &str, quoted: &[Slope]) -> Vec<String> {
     let Some(known) = registry::find(experiment) else {
         return vec![format!(
-            "{experiment}: the page quotes it, and there is no such experiment"
+            "{experiment}: quoted by the page, but not in the registry"
         )];
     };
     let mut points = Vec::new();
@@ -53,7 +53,7 @@
         match points.iter().map(value).collect::<Option<Vec<f64>>>() {
             Some(measured) => differences(slope, &measured),
             None => vec![format!(
-                "{experiment}/{}: not measured any more",
+                "{experiment}/{}: no longer measured",
                 slope.quantity
             )],
         }
@@ -68,7 +68,7 @@
         .map(|measurement| measurement.value)
 }
 
-/// The counted lines that the page's rows name, by experiment.
+/// Returns the counted lines that the page's rows refer to, by experiment.
 fn quoted_lines() -> BTreeMap<String, Vec<Slope>> {
     let files = PageFiles::of_repository(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../.."));
     let targets = Targets::parse(&std::fs::read_to_string(&files.targets).unwrap()).unwrap();
@@ -101,13 +101,10 @@
 }
 
 #[test]
-fn counted_lines_of_the_page_are_what_is_measured_at_their_smallest_sizes() {
+fn quoted_lines_match_new_measurements_at_smallest_sizes() {
     let quoted = quoted_lines();
-    assert!(
-        !quoted.is_empty(),
-        "the page quotes nothing that is counted"
-    );
-    // The heap is counted by thread: experiments do not disturb each other.
+    assert!(!quoted.is_empty(), "the page quotes no counted lines");
+    // Heap is counted per thread, so experiments on several threads do not affect each other.
     let threads = quoted
         .into_iter()
         .map(|(name, lines)| thread::spawn(move || measure_again(&name, &lines)));
@@ -124,7 +121,7 @@
 }
 
 #[test]
-fn a_value_or_a_slope_that_is_over_a_tenth_off_is_notified() {
+fn differences_over_a_tenth_are_reported() {
     let quoted = Slope {
         experiment: "heap".into(),
         quantity: "bytes".into(),
@@ -143,7 +140,7 @@
     };
     assert!(differences(&quoted, &[1_100.0, 1_300.0]).is_empty());
     assert!(differences(&quoted, &[1_200.0, 1_400.0]).is_empty());
-    // Either value is within a tenth, and the slope between them is not.
+    // Each value is within a tenth of the quoted one, but the slope between them is not.
     assert_eq!(differences(&quoted, &[1_050.0, 1_350.0]).len(), 1);
     assert_eq!(differences(&quoted, &[1_300.0, 1_500.0]).len(), 2);
 }
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,4 +1,5 @@
-//! The page's tables follow from the files that it quotes, and a page or a file that does not fit is refused.
+//! The capacity page: its tables follow from the data files, and invalid or outdated pages and
+//! files are rejected.
 
 use driftgap_scale::page::{render, Measurements, Need, PageError, PageFiles, Share, Targets};
 use std::path::{Path, PathBuf};
@@ -22,7 +23,7 @@
     )
 }
 
-/// A folder of this test process, gone with its owner.
+/// A folder of this test process, removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -52,27 +53,29 @@
 }
 
 #[test]
-fn the_tables_of_the_capacity_page_follow_from_its_files() {
+fn capacity_page_is_up_to_date() {
     repository().check().unwrap();
 }
 
 #[test]
-fn tables_are_worked_out_from_slopes_and_targets() {
+fn tables_are_computed_from_slopes_and_targets() {
     let page = rendered(SAMPLE_PAGE, SAMPLE_TARGETS).unwrap();
     let rows = [
         "| backends | 1,000 | yes |",
         "| bytes an answer | 200 | no |",
-        // 2,000 + 1,200 x 1,000 bytes against half a megabyte: spent at (500,000 - 2,000) / 1,200 backends.
+        // 2,000 + 1,200 x 1,000 bytes with a budget of 0.5 MB, which is exhausted at (500,000 -
+        // 2,000) / 1,200 backends.
         "| heap of backends | 1.2 MB ± 0.0125 | 2,000 + 1,200 ± 12.5 bytes x backends (`heap/bytes`) | 0.5 MB | 2.4 | 41.5% | \
          `src/name_table.rs` |",
-        // Backends and requests grow together, so that half of the need is reached at the root of a half.
+        // Backends and requests grow together, so half of the need is reached at the square root of
+        // 0.5.
         "| choice among backends | 2.5 % of a core ± 0.1 | 0 + 0.05 ± 0.002 us x backends x requests a second \
          (`choice/cpu`, not linear) | 25 % of a core | 0.1 | 316% | `src/balance.rs` |",
         "| bytes | 100 KB/s, *not measured* | 1 x requests a second x bytes an answer (made up) | - | - | - | **missing** |",
         "| 1 | 41.5% | ingress control | heap of backends | program | measured |",
         "| 2 | 117% | counter | calls | platform | *not measured* |",
         "| 3 | 316% | ingress control | choice among backends | program | measured |",
-        // 20,000 bytes a backend: 25 of them are half a megabyte.
+        // 20,000 bytes per backend: 25 backends exhaust 0.5 MB.
         "| 1 | 2.5% | before | heap of backends | program | measured |",
     ];
     for row in rows {
@@ -86,13 +89,13 @@
 }
 
 #[test]
-fn making_the_tables_anew_changes_nothing() {
+fn rendering_twice_changes_nothing() {
     let page = rendered(SAMPLE_PAGE, SAMPLE_TARGETS).unwrap();
     assert_eq!(rendered(&page, SAMPLE_TARGETS).unwrap(), page);
 }
 
 #[test]
-fn a_page_with_a_figure_that_its_files_do_not_give_is_refused_with_its_line() {
+fn stale_figure_is_reported_with_its_line() {
     let page = rendered(SAMPLE_PAGE, SAMPLE_TARGETS).unwrap();
     let (_scratch, files) =
         Scratch::with_page("stale", &page.replace("1,200 ± 12.5", "1,100 ± 12.5"));
@@ -111,18 +114,18 @@
 }
 
 #[test]
-fn a_page_that_lacks_its_last_lines_is_refused() {
+fn truncated_page_is_rejected() {
     let page = rendered(SAMPLE_PAGE, SAMPLE_TARGETS).unwrap();
     let (_scratch, files) = Scratch::with_page("short", &page);
     std::fs::write(&files.page, page.replace("\n\nThe end.", "")).unwrap();
-    // What stands outside of the tables is the writer's.
+    // Text outside of the tables is not checked.
     files.check().unwrap();
     std::fs::write(&files.page, page.trim_end()).unwrap();
     assert!(matches!(files.check(), Err(PageError::Stale { .. })));
 }
 
 #[test]
-fn markers_out_of_order_are_refused() {
+fn unpaired_markers_are_rejected() {
     let broken = [
         SAMPLE_PAGE.replace("<!-- end table counter -->", ""),
         SAMPLE_PAGE.replace("<!-- begin table counter -->", ""),
@@ -141,20 +144,20 @@
 }
 
 #[test]
-fn a_row_that_names_what_there_is_not_is_refused() {
-    for (there, not_there) in [
+fn unknown_names_in_rows_are_rejected() {
+    for (known, unknown) in [
         ("quantity = \"cpu\"", "quantity = \"wall\""),
         ("at = [\"backends\"]", "at = [\"bananas\"]"),
         ("[\"requests_a_second\"]", "[\"requests\"]"),
     ] {
-        let result = rendered(SAMPLE_PAGE, &SAMPLE_TARGETS.replace(there, not_there));
+        let result = rendered(SAMPLE_PAGE, &SAMPLE_TARGETS.replace(known, unknown));
         assert!(matches!(result, Err(PageError::Row { .. })), "{result:?}");
     }
     assert!(Targets::parse(&SAMPLE_TARGETS.replace("budget =", "budgte =")).is_err());
 }
 
 #[test]
-fn a_measurement_in_two_files_is_refused() {
+fn duplicate_measurement_is_rejected() {
     let (scratch, mut files) = Scratch::with_page("doubled", SAMPLE_PAGE);
     files.measurements = scratch.0.clone();
     let copy = |from: &str, to: &str| {
@@ -166,39 +169,43 @@
     copy("before/heap.json", "before/heap.json");
     files.write().unwrap();
     copy("heap.json", "again.json");
-    assert!(matches!(files.check(), Err(PageError::Doubled { .. })));
+    assert!(matches!(
+        files.check(),
+        Err(PageError::DuplicateMeasurement { .. })
+    ));
 }
 
-/// The share of the target at which a row of the sample has spent a budget.
-fn gives_out(targets: &str, row: usize, budget: f64) -> Share {
+/// Returns the share of the target at which a row of the sample exhausts a budget.
+fn exhausted_at(targets: &str, row: usize, budget: f64) -> Share {
     let targets = Targets::parse(targets).unwrap();
     Need::of(&targets.rows[row], &targets, &sample_measurements())
         .unwrap()
-        .gives_out(budget)
+        .exhausted_at(budget)
 }
 
 fn assert_at(share: Share, expected: f64) {
     assert!(
         matches!(share, Share::At(at) if (at - expected).abs() < 1e-9),
-        "{share:?} in place of {expected}"
+        "{share:?}, expected {expected}"
     );
 }
 
 #[test]
-fn a_budget_is_spent_at_no_load_at_a_share_or_beyond_ten_times_the_target() {
+fn budget_is_exceeded_at_no_load_within_range_or_beyond() {
     let fixed = SAMPLE_TARGETS.replace(
         "value = 1.2, times = [\"requests_a_second\"]",
         "value = 1.2",
     );
-    assert_eq!(gives_out(&fixed, 3, 1.1), Share::Never);
-    assert_eq!(gives_out(&fixed, 3, 1.3), Share::Beyond);
-    assert_at(gives_out(SAMPLE_TARGETS, 0, 1.202), 1.0);
+    assert_eq!(exhausted_at(&fixed, 3, 1.1), Share::Never);
+    assert_eq!(exhausted_at(&fixed, 3, 1.3), Share::Beyond);
+    assert_at(exhausted_at(SAMPLE_TARGETS, 0, 1.202), 1.0);
 }
 
 #[test]
-fn needs_are_read_off_points_within_the_measured_sizes_and_off_the_line_beyond() {
-    // 14,000 bytes at 10 backends, 122,000 at 100, 362,000 at 300; then 1,200 for each.
-    assert_at(gives_out(SAMPLE_TARGETS, 0, 0.007), 0.005);
-    assert_at(gives_out(SAMPLE_TARGETS, 0, 0.068), 0.055);
-    assert_at(gives_out(SAMPLE_TARGETS, 0, 0.602), 0.5);
+fn needs_interpolate_points_and_extrapolate_the_line() {
+    // 14,000 bytes at 10 backends, 122,000 at 100, 362,000 at 300; above that 1,200 bytes per
+    // backend.
+    assert_at(exhausted_at(SAMPLE_TARGETS, 0, 0.007), 0.005);
+    assert_at(exhausted_at(SAMPLE_TARGETS, 0, 0.068), 0.055);
+    assert_at(exhausted_at(SAMPLE_TARGETS, 0, 0.602), 0.5);
 }
--- a/crates/scale/tests/relay.rs
+++ b/crates/scale/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The relay of the check by real processes: what goes through comes out whole and is counted, frames by their heads.
+//! The counting relay in front of real processes: bytes are forwarded unchanged, and bytes and
+//! frames are counted.
 
 use driftgap_group::Frame;
 use driftgap_scale::hollow::Traffic;
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn frames_are_counted_however_the_bytes_are_cut() {
+fn frames_are_counted_for_any_piece_size() {
     let bytes = frames();
     for piece in 1..=bytes.len() {
         let mut counter = FrameCounter::default();
@@ -27,44 +28,44 @@
     }
     let mut counter = FrameCounter::default();
     counter.feed(&bytes[..bytes.len() - 1]);
-    assert_eq!(counter.frames(), 2, "the last one is not whole");
+    assert_eq!(counter.frames(), 2, "the last frame is incomplete");
 }
 
 #[test]
-fn a_relay_passes_both_ways_and_counts_each() {
+fn relay_forwards_and_counts_both_directions() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(
         "127.0.0.1:0".parse().unwrap(),
         listener.local_addr().unwrap(),
     )
     .unwrap();
-    let mut near = TcpStream::connect(relay.address()).unwrap();
-    let (mut far, _) = listener.accept().unwrap();
+    let mut client = TcpStream::connect(relay.address()).unwrap();
+    let (mut server, _) = listener.accept().unwrap();
     let bytes = frames();
-    near.write_all(&bytes).unwrap();
-    let mut there = vec![0; bytes.len()];
-    far.read_exact(&mut there).unwrap();
-    far.write_all(&Frame::Idle.bytes()).unwrap();
-    drop(far);
-    let mut back = Vec::new();
-    near.read_to_end(&mut back).unwrap();
+    client.write_all(&bytes).unwrap();
+    let mut to_server = vec![0; bytes.len()];
+    server.read_exact(&mut to_server).unwrap();
+    server.write_all(&Frame::Idle.bytes()).unwrap();
+    drop(server);
+    let mut to_client = Vec::new();
+    client.read_to_end(&mut to_client).unwrap();
     assert_eq!(
-        (there, back.len()),
+        (to_server, to_client.len()),
         (bytes.clone(), Frame::Idle.bytes().len())
     );
     let counts = relay.counts();
     assert_eq!(
-        counts.there,
+        counts.to_server,
         Traffic {
             messages: 3,
             bytes: bytes.len() as u64
         }
     );
     assert_eq!(
-        counts.back,
+        counts.to_client,
         Traffic {
             messages: 1,
-            bytes: back.len() as u64
+            bytes: to_client.len() as u64
         }
     );
 }
--- a/crates/scale/tests/results.rs
+++ b/crates/scale/tests/results.rs
@@ -1,4 +1,5 @@
-//! From raw points to slopes: which repeat counts, what is called counted, what is called linear.
+//! From measured points to slopes: which repeat is used, and which quantities are counted and
+//! linear.
 
 use driftgap_scale::experiment::{Measurement, Unit};
 use driftgap_scale::machine::Machine;
@@ -22,7 +23,8 @@
     RunFile { provenance, points }
 }
 
-/// Points of one quantity: `value(size, repeat)` in two repeats of four sizes.
+/// Returns the slope of one quantity, measured as `measurement(size, repeat)` in two repeats of
+/// four sizes.
 fn slope(measurement: impl Fn(u64, u32) -> Measurement) -> Slope {
     let sizes = [10, 30, 100, 300];
     let repeats = sizes
@@ -42,7 +44,7 @@
 }
 
 #[test]
-fn of_timed_repeats_the_smallest_counts() {
+fn smallest_repeat_of_a_timed_quantity_is_used() {
     let slope = slope(|size, repeat| {
         Measurement::timed(
             "cpu",
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn counts_that_differ_between_repeats_are_not_called_counted() {
+fn values_that_vary_between_repeats_are_not_counted() {
     let counts = |share: f64| {
         slope(move |size, repeat| {
             Measurement::counted(
@@ -75,7 +77,7 @@
 }
 
 #[test]
-fn what_is_negligible_does_not_count_as_growth() {
+fn negligible_values_are_linear() {
     let heap = |max: f64| {
         let value = move |size, _| {
             Measurement::counted("heap", Unit::Bytes, if size == 100 { max } else { 0.0 })
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn slopes_have_a_stable_form() {
+fn slope_json_has_a_stable_set_of_fields() {
     let slope = slope(|size, _| Measurement::counted("calls", Unit::Messages, 2.0 * size as f64));
     let json = serde_json::to_value(&slope).unwrap();
     let keys: Vec<&str> = json
