--- a/crates/scale/src/experiments/group.rs
+++ b/crates/scale/src/experiments/group.rs
@@ -84,8 +84,8 @@
 /// Returns the mean of the nodes' loads as quantities, each divided by `divisor` (seconds or
 /// repeats).
 pub(super) fn loads(role: &str, loads: &[Load], divisor: u64) -> Vec<Measurement> {
-    let share = (loads.len().max(1) as u64 * divisor) as f64;
-    let mean = |figure: &dyn Fn(&Load) -> f64| loads.iter().map(figure).sum::<f64>() / share;
+    let denominator = (loads.len().max(1) as u64 * divisor) as f64;
+    let mean = |figure: &dyn Fn(&Load) -> f64| loads.iter().map(figure).sum::<f64>() / denominator;
     let counted = |name: &str, unit, figure: &dyn Fn(&Load) -> f64| {
         Measurement::counted(format!("{role}_{name}"), unit, mean(figure))
     };
--- a/crates/scale/src/experiments/tenants.rs
+++ b/crates/scale/src/experiments/tenants.rs
@@ -103,8 +103,12 @@
             Unit::Count,
             refused as f64,
         ));
-        let waited = idle_seconds(&ingress);
-        results.extend(waited.each(IDLE_SECONDS).allocations_and_cpu("idle_second"));
+        let first_idle = idle_seconds(&ingress);
+        results.extend(
+            first_idle
+                .each(IDLE_SECONDS)
+                .allocations_and_cpu("idle_second"),
+        );
 
         let before = ingress.traffic();
         let (sent_all, active) = measure(|| send_round(&ingress, size, ROUND_MS));
@@ -125,11 +129,11 @@
         ));
 
         let ((), idle) = measure(|| ingress.advance(FORGET_ALL_MS));
-        let kept = known.heap + waited.heap + active.heap + idle.heap;
+        let retained = known.heap + first_idle.heap + active.heap + idle.heap;
         results.push(Measurement::counted(
             "kept_after_idle_heap",
             Unit::Bytes,
-            kept as f64,
+            retained as f64,
         ));
         Ok(results)
     }
@@ -166,13 +170,13 @@
         let (sent_all, turnover) = measure(|| send_round(&ingress, size, milliseconds));
         sent_all?;
         let ((), idle) = measure(|| ingress.advance(FORGET_ALL_MS));
-        let kept = turnover.heap + idle.heap;
+        let retained = turnover.heap + idle.heap;
         let refused = ingress.traffic().refused - before.refused;
         let mut results = turnover.measurements("come").to_vec();
         results.push(Measurement::counted(
             "kept_after_idle_heap",
             Unit::Bytes,
-            kept as f64,
+            retained as f64,
         ));
         results.push(Measurement::counted("refused", Unit::Count, refused as f64));
         Ok(results)
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FitError {
     /// There are fewer points than a fit needs.
-    #[error("{0} points, {MIN_POINTS} at least are needed")]
+    #[error("{0} points; at least {MIN_POINTS} are needed")]
     TooFewPoints(usize),
     /// All points have the same size.
     #[error("all points have the same size")]
--- a/crates/scale/src/hollow/group/link.rs
+++ b/crates/scale/src/hollow/group/link.rs
@@ -88,8 +88,8 @@
         self.links.get(&id)
     }
 
-    /// Sends a frame that occupies the interface for `transmission_ms` and is delayed on the link by
-    /// `delay_ms`. Returns its arrival time, or `None` if the link is closed.
+    /// Sends a frame that occupies the interface for `transmission_ms` and is delayed on the link
+    /// by `delay_ms`. Returns its arrival time, or `None` if the link is closed.
     pub(super) fn send(
         &mut self,
         id: LinkId,
--- a/crates/scale/src/hollow/group/mod.rs
+++ b/crates/scale/src/hollow/group/mod.rs
@@ -260,11 +260,9 @@
     /// # Errors
     /// The changes do not reach all followers within `timeout_ms`.
     pub fn run_until_replicated(&mut self, timeout_ms: f64) -> Result<(), WorldError> {
-        self.run_until(
-            "every follower to receive every change",
-            timeout_ms,
-            |world| world.changes.all_replicated(),
-        )
+        self.run_until("all followers to catch up", timeout_ms, |world| {
+            world.changes.all_replicated()
+        })
     }
 
     /// Returns whether all members vote under one leader and no membership change is in progress.
@@ -403,15 +401,18 @@
         let (from, to) = (link.from, link.to);
         self.load(to).received.count(bytes.len());
         match (from, to) {
-            (Node::Member(from), Node::Member(to)) => self.member_receives(from, to, bytes),
-            (Node::Follower(from), Node::Member(to)) => {
-                self.member_receives_from_follower(from, to, bytes)
-            }
-            (_, Node::Follower(to)) => self.follower_receives(to, bytes),
+            (Node::Member(from), Node::Member(to)) => self.receive_from_member(from, to, bytes),
+            (Node::Follower(from), Node::Member(to)) => self.receive_from_follower(from, to, bytes),
+            (_, Node::Follower(to)) => self.receive_at_follower(to, bytes),
         }
     }
 
-    fn member_receives(&mut self, from: usize, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
+    fn receive_from_member(
+        &mut self,
+        from: usize,
+        to: usize,
+        bytes: &[u8],
+    ) -> Result<(), WorldError> {
         let now = self.now_ms();
         let id = self.members[from].member().map_or(0, Member::id);
         let name = self.members[from].name.clone();
@@ -425,7 +426,7 @@
         }
     }
 
-    fn member_receives_from_follower(
+    fn receive_from_follower(
         &mut self,
         from: usize,
         to: usize,
@@ -446,7 +447,7 @@
         }
     }
 
-    fn follower_receives(&mut self, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
+    fn receive_at_follower(&mut self, to: usize, bytes: &[u8]) -> Result<(), WorldError> {
         let now = self.now_ms();
         let before = self.followers[to].replica().applied;
         let span = self.timer.begin();
--- a/crates/scale/src/page/need.rs
+++ b/crates/scale/src/page/need.rs
@@ -107,7 +107,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Share {
     /// The budget is exceeded even at no load.
-    Never,
+    AtNoLoad,
     /// The budget is exhausted at this share.
     At(f64),
     /// The budget is not exhausted at ten times the target.
@@ -118,7 +118,7 @@
     /// Returns the sort key of the ranking; the budget that is exhausted first comes first.
     pub fn order(self) -> f64 {
         match self {
-            Share::Never => 0.0,
+            Share::AtNoLoad => 0.0,
             Share::At(share) => share,
             Share::Beyond => f64::INFINITY,
         }
@@ -135,14 +135,14 @@
         targets: &Targets,
         measurements: &'a Measurements,
     ) -> Result<Need<'a>, PageError> {
-        let row_error = |problem: String| PageError::Row {
+        let error = |problem: String| PageError::Row {
             row: row.name.clone(),
             problem,
         };
         let named = |name: &String| {
             targets
                 .named(name)
-                .ok_or_else(|| row_error(format!("no target or assumption {name:?}")))
+                .ok_or_else(|| error(format!("no target or assumption {name:?}")))
         };
         let all = |names: &[String]| names.iter().map(named).collect::<Result<Vec<_>, _>>();
         let mut resolved_terms = Vec::with_capacity(row.terms.len());
@@ -156,9 +156,8 @@
                     factor,
                 } => {
                     let line = measurements.get(experiment, quantity);
-                    let line = line.ok_or_else(|| {
-                        row_error(format!("no measurement {experiment}/{quantity}"))
-                    })?;
+                    let line = line
+                        .ok_or_else(|| error(format!("no measurement {experiment}/{quantity}")))?;
                     let line = Some((line, all(at)?));
                     ResolvedTerm {
                         line,
@@ -206,20 +205,20 @@
     /// Returns the share of the target at which the need exhausts `budget`.
     pub fn exhausted_at(&self, budget: f64) -> Share {
         if self.at_share(0.0) > budget {
-            return Share::Never;
+            return Share::AtNoLoad;
         }
         if self.at_share(MAX_SHARE) <= budget {
             return Share::Beyond;
         }
-        let (mut holds, mut fails) = (0.0, MAX_SHARE);
+        let (mut within_budget, mut over_budget) = (0.0, MAX_SHARE);
         for _ in 0..BISECTION_STEPS {
-            let middle = (holds + fails) / 2.0;
+            let middle = (within_budget + over_budget) / 2.0;
             if self.at_share(middle) <= budget {
-                holds = middle;
+                within_budget = middle;
             } else {
-                fails = middle;
+                over_budget = middle;
             }
         }
-        Share::At(holds)
+        Share::At(within_budget)
     }
 }
--- a/crates/scale/src/page/number.rs
+++ b/crates/scale/src/page/number.rs
@@ -48,7 +48,7 @@
 /// Formats a share of the target as a percentage.
 pub(super) fn share(share: Share) -> String {
     match share {
-        Share::Never => "0%".into(),
+        Share::AtNoLoad => "0%".into(),
         Share::At(share) => format!("{}%", number(100.0 * share)),
         Share::Beyond => "over 1,000%".into(),
     }
--- a/crates/scale/src/real/group.rs
+++ b/crates/scale/src/real/group.rs
@@ -250,9 +250,9 @@
     /// # Errors
     /// A process has ended, or the group has no leader.
     pub fn idle_second(&self, over: Duration) -> Result<Vec<Measurement>, RealError> {
-        let leader = self.leader().ok_or_else(|| {
-            RealError::NotReady("no process reports that it is the leader".into())
-        })?;
+        let leader = self
+            .leader()
+            .ok_or_else(|| RealError::NotReady("the group has no leader".into()))?;
         let (began, before) = (Instant::now(), self.counts()?);
         sleep(over);
         let (seconds, after) = (began.elapsed().as_secs_f64(), self.counts()?);
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -196,7 +196,7 @@
         "value = 1.2, times = [\"requests_a_second\"]",
         "value = 1.2",
     );
-    assert_eq!(exhausted_at(&fixed, 3, 1.1), Share::Never);
+    assert_eq!(exhausted_at(&fixed, 3, 1.1), Share::AtNoLoad);
     assert_eq!(exhausted_at(&fixed, 3, 1.3), Share::Beyond);
     assert_at(exhausted_at(SAMPLE_TARGETS, 0, 1.202), 1.0);
 }
