--- a/crates/scale/src/experiments/routes.rs
+++ b/crates/scale/src/experiments/routes.rs
@@ -29,7 +29,7 @@
 /// Virtual time at which rules are replaced, ms.
 const REPLACED_AT_MS: f64 = 60_000.0;
 /// Longest deadline of a request, ms.
-const LONGEST_MS: f64 = 3_000.0;
+const MAX_DEADLINE_MS: f64 = 3_000.0;
 
 /// The host and path of a request to look up.
 #[derive(Clone, Copy, Debug)]
@@ -72,9 +72,9 @@
     /// reading thread drops the returned value.
     ///
     /// # Errors
-    /// Pools of an earlier replacement are still in use.
+    /// There are too many pools together with earlier ones that are still in use.
     pub fn exchange(&mut self, rules: Rules) -> Result<Replaced, ExperimentError> {
-        let replaced = self.router.replace(rules, REPLACED_AT_MS, LONGEST_MS);
+        let replaced = self.router.replace(rules, REPLACED_AT_MS, MAX_DEADLINE_MS);
         let replaced = replaced.map_err(|e| ExperimentError::Refused(e.to_string()))?;
         self.pools_are_ready();
         Ok(replaced)
