--- a/crates/routes/benches/rules.rs
+++ b/crates/routes/benches/rules.rs
@@ -1,6 +1,6 @@
-//! Nanoseconds for a request against sets of rules, beside the same tests in rhai and in `cel-interpreter`. The
-//! request matches the last rule, the worst place. The others read prepared inputs, so that only evaluation is
-//! compared.
+//! Measures the time per request for sets of rules of several sizes, and compares it with the same
+//! tests in rhai and `cel-interpreter`. The request matches the last rule, which is the worst case.
+//! The other engines read prepared inputs, so that only evaluation is compared.
 
 use cel_interpreter::{Context, Program};
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
@@ -13,7 +13,7 @@
 use std::net::IpAddr;
 
 const SIZES: [usize; 4] = [1, 10, 100, 1000];
-/// Sizes of sets that the index tells apart.
+/// Sizes of the rule sets that the index can select from.
 const INDEXED_SIZES: [usize; 5] = [1, 10, 100, 1000, 63_000];
 
 fn catalog() -> Catalog {
@@ -48,7 +48,7 @@
     format!("request.method == \"GET\" && request.path.startsWith(\"/programmes/{i}/\")")
 }
 
-/// What the others read, for the expressions alone.
+/// The input of the expressions in the comparison with other engines.
 struct Prepared {
     path: String,
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// A router over so many rules with these tests, each of which does something small.
+/// Creates a router with `size` rules with these tests, each with a cheap action.
 fn router(size: usize, test: impl Fn(usize) -> String) -> Router {
     let rule = |i| {
         format!(
@@ -98,7 +98,7 @@
     for size in SIZES {
         let path = format!("/programmes/{}/audio", size - 1);
         let request = request(&path);
-        // Nothing tells these apart but looking.
+        // The index cannot select among these rules, so each of them is evaluated.
         let mut contains = router(size, |i| format!("request.path.contains(\"/{i}/\")"));
         group.bench_function(BenchmarkId::new("contains", size), |b| {
             b.iter(|| contains.route(black_box(&request), 0.0));
@@ -107,11 +107,11 @@
     group.finish();
 }
 
-fn others(c: &mut Criterion) {
+fn engines(c: &mut Criterion) {
     let mut group = c.benchmark_group("others");
     for size in SIZES {
         let path = format!("/programmes/{}/audio", size - 1);
-        // One by one as well, without the index.
+        // Evaluates the expressions one by one, without the index.
         let schema = request_schema();
         let own: Vec<Expression> = (0..size)
             .map(|i| Expression::new(&test(i), &schema).expect("own"))
@@ -166,6 +166,6 @@
     name = benches;
     config = Criterion::default().sample_size(30).warm_up_time(std::time::Duration::from_millis(500))
         .measurement_time(std::time::Duration::from_secs(2));
-    targets = route, others
+    targets = route, engines
 }
 criterion_main!(benches);
--- a/crates/routes/src/request/tests.rs
+++ b/crates/routes/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_numbers_of_the_fields_are_those_of_the_schema() {
+fn field_ids_match_schema() {
     let schema = request_schema();
     let named = [
         ("request.method", field::METHOD),
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_field_has_a_value_of_its_type() {
+fn every_field_has_value_of_its_type() {
     let request = Request {
         protocol: "http2",
         method: "GET",
--- a/crates/routes/tests/common/mod.rs
+++ b/crates/routes/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of large and changing files share.
+//! Helpers for tests of large and changing files.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 pub mod rules;
@@ -17,11 +17,11 @@
     }
 }
 
-/// Two pools, as the head of a file.
+/// Two pools, which form the head of a file.
 pub const POOLS: &str = "[[pool]]\nname = 'dar'\nwhen = 'instance.zone == \"dar\"'\n\
                          [[pool]]\nname = 'tanga'\nwhen = 'instance.zone == \"tanga\"'\nfallback = 'dar'\n";
 
-/// A rule that sends what is below one path to a pool.
+/// Returns a rule that sends requests below one path to a pool.
 pub fn route(number: usize) -> String {
     let pool = if number.is_multiple_of(2) {
         "dar"
@@ -35,7 +35,7 @@
     )
 }
 
-/// A rule that maps requests for one path to a class.
+/// Returns a rule that maps requests for one path to a class.
 pub fn mapping(number: usize) -> String {
     format!(
         "[[rule]]\nname = 'map-{number}'\n\
@@ -45,7 +45,7 @@
     )
 }
 
-/// A file of so many routes.
+/// Returns a file with `count` routes.
 pub fn routes(count: usize) -> String {
     let rules = (0..count).map(route);
     [POOLS.to_string()].into_iter().chain(rules).collect()
@@ -71,17 +71,18 @@
     }
 }
 
-/// Reads a file on top of the rules in force; the lines of its faults where it is wrong.
-pub fn read_on(text: &str, previous: Option<&Rules>) -> Result<Rules, Vec<String>> {
+/// Reads a file with the rules in force as the previous ones. Returns the lines of its faults if it
+/// is faulty.
+pub fn read_with_previous(text: &str, previous: Option<&Rules>) -> Result<Rules, Vec<String>> {
     let options = ReadOptions {
         previous,
         ..ReadOptions::default()
     };
-    read_with(text, &options)
+    read_with_options(text, &options)
 }
 
-/// Reads a file with these options; the lines of its faults where it is wrong.
-pub fn read_with(text: &str, options: &ReadOptions<'_>) -> Result<Rules, Vec<String>> {
+/// Reads a file with these options. Returns the lines of its faults if it is faulty.
+pub fn read_with_options(text: &str, options: &ReadOptions<'_>) -> Result<Rules, Vec<String>> {
     let read = Rules::read_table(text, "rules.toml", None, &catalog(), options);
     read.map_err(|faults| faults.into_iter().map(|fault| fault.line).collect())
 }
--- a/crates/routes/tests/common/rules.rs
+++ b/crates/routes/tests/common/rules.rs
@@ -1,4 +1,4 @@
-//! What tests of the rules' meaning share: files of one or a few rules, and requests to them.
+//! Helpers for tests of what rules do: files of one or a few rules, and requests for them.
 
 use driftgap_routes::{
     Catalog, Effect, Headers, ReadOptions, Request, Route, Router, Rules, Verdict,
@@ -7,9 +7,9 @@
 use std::net::IpAddr;
 
 /// Headers by name.
-pub struct Map(pub BTreeMap<String, Vec<u8>>);
+pub struct HeaderMap(pub BTreeMap<String, Vec<u8>>);
 
-impl Headers for Map {
+impl Headers for HeaderMap {
     fn get(&self, name: &str) -> Option<&[u8]> {
         self.0.get(name).map(Vec::as_slice)
     }
@@ -19,7 +19,7 @@
     }
 }
 
-/// A class of each effect.
+/// Returns a catalog with a class of each effect.
 pub fn catalog() -> Catalog {
     let classes = [
         ("fetch-episode", Effect::Pure),
@@ -35,13 +35,13 @@
     }
 }
 
-/// Reads a file; the lines of its faults where it is wrong.
+/// Reads a file. Returns the lines of its faults if it is faulty.
 pub fn read(text: &str) -> Result<Rules, Vec<String>> {
     Rules::read(text, "rules.toml", &catalog())
         .map_err(|faults| faults.into_iter().map(|f| f.line).collect())
 }
 
-/// Reads a file that replaces the rules of a router.
+/// Reads a file that will replace the rules of a router.
 pub fn read_again(text: &str, router: &Router) -> Rules {
     let options = ReadOptions {
         previous: Some(router.rules()),
@@ -50,21 +50,23 @@
     Rules::read_table(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
-/// A router with the rules of a file.
+/// Creates a router with the rules of a file.
 pub fn router(text: &str) -> Router {
     Router::new(read(text).unwrap())
 }
 
-/// Headers of these names and values.
-pub fn headers(pairs: &[(&str, &str)]) -> Map {
-    Map(pairs
-        .iter()
-        .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
-        .collect())
+/// Creates headers with these names and values.
+pub fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
+    HeaderMap(
+        pairs
+            .iter()
+            .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
+            .collect(),
+    )
 }
 
-/// A request over HTTP/2 of a tenant.
-pub fn request<'a>(method: &'a str, path: &'a str, headers: &'a Map) -> Request<'a> {
+/// Creates a request of a tenant over HTTP/2.
+pub fn request<'a>(method: &'a str, path: &'a str, headers: &'a HeaderMap) -> Request<'a> {
     Request {
         protocol: "http2",
         method,
@@ -84,7 +86,7 @@
     }
 }
 
-/// A rule that maps a request to a class, with these lines changed or added.
+/// Returns a rule that maps a request to a class, with further lines `more`.
 pub fn mapping(when: &str, class: &str, more: &str) -> String {
     format!(
         "[[rule]]\nname = 'r'\nwhen = '''{when}'''\nclass = '''{class}'''\nplan = '\"city\"'\n\
@@ -92,11 +94,11 @@
     )
 }
 
-/// Keeps the units that a client names.
+/// A line that keeps the units that the client names.
 pub const UNITS: &str = "units = 'request.units.orValue(1.0)'";
 
-/// The route of a request that is served.
-pub fn go(verdict: Verdict) -> Route {
+/// Returns the route of a request that is forwarded.
+pub fn forwarded_route(verdict: Verdict) -> Route {
     match verdict {
         Verdict::Forward(route) => *route,
         other => panic!("{other:?}"),
--- a/crates/routes/tests/cost.rs
+++ b/crates/routes/tests/cost.rs
@@ -1,18 +1,18 @@
-//! What one request may spend on the rules: the bound that is told of a file holds for every request, and is not
-//! the sum over rules that no request reaches together.
+//! The highest cost of a request that is computed for a file: no request exceeds it, and it does
+//! not add up rules that no request reaches together.
 
 mod common;
 
-use common::{catalog, read_on, request, routes, POOLS};
+use common::{catalog, read_with_previous, request, routes, POOLS};
 use driftgap_routes::{Explainer, Request, MAX_PATH};
 use oorandom::Rand32;
 
-/// Random files.
+/// Number of random files.
 const FILES: u64 = 40;
-/// Requests to each.
+/// Number of random requests for each file.
 const REQUESTS: usize = 60;
 
-/// Paths that begin with each other.
+/// Paths that are prefixes of each other.
 const PATHS: [&str; 8] = ["/", "/a", "/a/", "/a/b", "/a/b/c", "/b", "/b/c", "/a/c"];
 const METHODS: [&str; 3] = ["GET", "POST", "PUT"];
 
@@ -45,7 +45,7 @@
     format!("[[rule]]\nname = 'r{number}'\nwhen = '{when}'\n{action}\ngo_on = {go_on}\n")
 }
 
-/// What a request spends, each expression evaluated by itself.
+/// Returns the cost of a request, with each expression evaluated by itself.
 fn spent(explainer: &Explainer, request: &Request<'_>) -> u64 {
     let reached = explainer
         .explain(request)
@@ -57,11 +57,11 @@
         .sum()
 }
 
-/// Operators rely on the highest cost of a request that `rules check` states. Random files and requests look for one that
-/// spends more.
+/// Operators rely on the highest cost that `rules check` prints. The test searches for a request
+/// that exceeds it, with random files and requests.
 #[test]
-fn no_request_spends_more_than_is_stated() {
-    let mut nearest = 0.0f64;
+fn no_request_exceeds_computed_cost() {
+    let mut highest_share = 0.0f64;
     for seed in 0..FILES {
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
@@ -73,38 +73,39 @@
         for _ in 0..REQUESTS {
             let mut path = one_of(random, &PATHS).to_string();
             if random.rand_range(0..2) == 0 {
-                // Costs are bounded for the longest texts.
+                // The bound is computed for texts of maximum length.
                 path.push_str(&"/a/b/c".repeat(MAX_PATH / 6));
                 path.truncate(MAX_PATH);
             }
             let path = &path;
             let partner = Some(one_of(random, &PATHS));
-            let asked = Request {
+            let random_request = Request {
                 method: one_of(random, &METHODS),
                 partner,
                 ..request(path)
             };
-            let spent = spent(&explainer, &asked);
+            let spent = spent(&explainer, &random_request);
             assert!(spent <= max, "{path}: {spent} of {max}\n{text}");
-            nearest = nearest.max(spent as f64 / max as f64);
+            highest_share = highest_share.max(spent as f64 / max as f64);
         }
     }
-    println!("at most {nearest:.2} of the bound was spent");
-    assert!(nearest > 0.1, "{nearest}");
+    println!("at most {highest_share:.2} of the bound was spent");
+    assert!(highest_share > 0.1, "{highest_share}");
 }
 
-/// A file has thousands of routes of which a request reaches one. Adding up all of them would refuse the file.
+/// A file has thousands of routes, of which a request reaches one. If the bound added up all of
+/// them, the file would be refused.
 #[test]
-fn rules_that_no_request_reaches_together_are_not_added_up() {
-    let few = read_on(&routes(10), None).unwrap();
-    let many = read_on(&routes(3_000), None).unwrap();
+fn cost_excludes_rules_not_reached_together() {
+    let few = read_with_previous(&routes(10), None).unwrap();
+    let many = read_with_previous(&routes(3_000), None).unwrap();
     assert!(
         many.cost() < 2 * few.cost(),
         "{} {}",
         many.cost(),
         few.cost()
     );
-    // The beginnings of one path are reached together.
+    // A path reaches the rules for all of its prefixes.
     let chain = |length: usize| -> String {
         let prefix = |i: usize| "/a".repeat(i + 1);
         let rule = |i| {
@@ -113,14 +114,14 @@
         (0..length).map(rule).collect()
     };
     let (one, five) = (
-        read_on(&chain(1), None).unwrap().cost(),
-        read_on(&chain(5), None).unwrap().cost(),
+        read_with_previous(&chain(1), None).unwrap().cost(),
+        read_with_previous(&chain(5), None).unwrap().cost(),
     );
     assert!(five >= 5 * one, "{five} {one}");
-    // Of two fields a request has both.
+    // A request reaches the rules of both fields.
     let both = format!(
         "{}[[rule]]\nname = 'm'\nwhen = 'request.method == \"GET\"'\npool = '\"any\"'\ngo_on = true\n",
         chain(1)
     );
-    assert!(read_on(&both, None).unwrap().cost() > one);
+    assert!(read_with_previous(&both, None).unwrap().cost() > one);
 }
--- a/crates/routes/tests/effects.rs
+++ b/crates/routes/tests/effects.rs
@@ -1,15 +1,16 @@
-//! Which classes and units a rule may give: a file by which a request that must not run twice could be retried, or
-//! by which a client's units could be changed, is refused when it is read.
+//! The checks of the class and the units that a rule sets: a file that would allow retries of a
+//! request that must not run twice, or that would change a client's units, is refused.
 
 mod common;
 
 use common::rules::{mapping, read, UNITS};
 
 const SAFE: &str = "\"fetch-episode\"";
-/// Paths that are declared to have an effect.
+/// Paths with declared effects.
 const DECLARED_PATHS: &str = "[effects.paths]\n'/bookings/' = 'side_effect'\n'/ratings/' = 'token'";
 
-/// A file of one mapping rule is refused, since a request with an effect could become safe to repeat.
+/// Asserts that a file with one mapping rule is refused because it would make a request with an
+/// effect safe to repeat.
 #[track_caller]
 fn assert_refused(when: &str, class: &str, head: &str) {
     let faults = read(&format!("{head}\n{}", mapping(when, class, UNITS))).unwrap_err();
@@ -19,22 +20,22 @@
     );
 }
 
-/// A file of one mapping rule is read without fault.
+/// Asserts that a file with one mapping rule is read without a fault.
 #[track_caller]
 fn assert_accepted(when: &str, class: &str, head: &str) {
     read(&format!("{head}\n{}", mapping(when, class, UNITS)))
         .unwrap_or_else(|f| panic!("{when} {class}: {f:?}"));
 }
 
-/// A test that holds for GET alone.
+/// Returns a test that holds only for GET.
 fn get(path: &str) -> String {
     format!("request.method == 'GET' && {path}")
 }
 
-/// A rule gives a class whose requests are retried, and its test leaves the method open. A POST would match as well,
-/// and a lost answer would make the ingress run it a second time.
+/// A rule sets a class whose requests are retried, and its test does not restrict the method. A
+/// POST would match as well, and after a lost answer the ingress would run it a second time.
 #[test]
-fn a_rule_that_may_match_a_request_with_an_effect_may_not_give_a_safe_class() {
+fn rule_matching_requests_with_effect_cannot_set_safe_class() {
     assert_refused("request.path.startsWith('/episodes/')", SAFE, "");
     assert_refused(
         "request.path.startsWith('/episodes/') && request.method != 'POST'",
@@ -63,10 +64,10 @@
     );
 }
 
-/// A rule chooses between two classes. One branch could give the retried class to a request that must not run twice;
-/// that the other branch is right does not help.
+/// A rule chooses between two classes. One branch could set the retried class for a request that
+/// must not run twice, even if the other branch is correct.
 #[test]
-fn no_branch_may_make_a_booking_safe_to_repeat() {
+fn every_branch_of_class_is_checked() {
     let branch = "request.retry ? \"book-rebroadcast\" : \"fetch-episode\"";
     assert_refused("request.path.startsWith('/x/')", branch, "");
     let by_method = "request.method == 'GET' ? \"fetch-episode\" : \"book-rebroadcast\"";
@@ -81,10 +82,10 @@
     assert_accepted("request.path.startsWith('/x/')", named, "");
 }
 
-/// A rule looks the class up in a table by the method. Every entry and the default must be as strict as the methods
-/// that reach them.
+/// A rule looks up the class in a table by the method. Every entry and the default must be as
+/// strict as the methods that reach them.
 #[test]
-fn a_class_that_is_looked_up_is_checked_for_every_value() {
+fn every_value_of_class_table_is_checked() {
     let table = "{'GET': 'fetch-episode', 'PUT': 'rate-episode'}[request.method].orValue('book-rebroadcast')";
     assert_refused("request.path.startsWith('/x/')", table, "");
     let put = format!(
@@ -103,10 +104,10 @@
     );
 }
 
-/// A service runs bookings by GET. The operator declares the path, and no rule that may match it gives a safe class,
-/// whichever way its test describes paths.
+/// A service accepts bookings by GET. The operator declares an effect for the path, and a rule that
+/// may match the path must not set a safe class, however its test describes paths.
 #[test]
-fn a_path_that_is_declared_to_have_an_effect_has_it_whatever_the_method() {
+fn declared_path_effect_applies_to_every_method() {
     assert_refused(
         &get("request.path.startsWith('/bookings/')"),
         SAFE,
@@ -135,10 +136,10 @@
     assert_accepted(&others, SAFE, DECLARED_PATHS);
 }
 
-/// Endpoints discard repeats by a key for a while only. That is enough for a path declared `token`, and not for one
-/// declared `side_effect`.
+/// Endpoints discard repeats by key only for a limited time. That suffices for a path declared
+/// `token`, and not for one declared `side_effect`.
 #[test]
-fn a_class_with_a_key_is_not_enough_for_what_must_never_run_twice() {
+fn keyed_class_is_refused_for_side_effect_paths() {
     let id = format!("{UNITS}\nid = '\"x\"'");
     let rated = |path: &str| {
         mapping(
@@ -151,9 +152,10 @@
     assert!(read(&format!("{DECLARED_PATHS}\n{}", rated("/bookings/"))).is_err());
 }
 
-/// A rule takes the class from a header. Its effect is not known before the request comes, so the file is refused.
+/// A rule takes the class from a header. The effect is unknown until a request arrives, so the file
+/// must be refused.
 #[test]
-fn a_class_that_a_client_could_choose_is_refused() {
+fn class_from_client_header_is_refused() {
     let faults = read(&mapping(
         &get("request.path.startsWith('/e/')"),
         "request.headers['x'].orValue('fetch-episode')",
@@ -165,10 +167,10 @@
         .any(|f| f.contains("not known before use")));
 }
 
-/// A rule with a class may match the paths of the platform's protocol. There the client names the class and counts on
-/// what it means for retries, so the file is refused.
+/// A rule with a class may match paths of the platform's protocol. There the client names the class
+/// and relies on its retry behaviour, so the file must be refused.
 #[test]
-fn requests_of_the_platforms_own_protocol_keep_their_class() {
+fn rule_with_class_cannot_match_platform_protocol() {
     let faults = read(&mapping("request.method == 'GET'", SAFE, UNITS)).unwrap_err();
     assert!(
         faults.iter().any(|f| f.contains("platform's own")),
@@ -186,10 +188,11 @@
     );
 }
 
-/// A client names the units that its request counts against the tenant's quota. A rule that replaced them would charge
-/// the tenant wrongly, so every branch must keep them, or be proved to see none.
+/// A client names the units that its request counts against the tenant's quota. A rule that
+/// replaced them would charge the tenant wrongly, so every branch must keep them or be proved to
+/// see none.
 #[test]
-fn no_rule_drops_or_changes_the_units_that_a_client_names() {
+fn rules_keep_units_named_by_client() {
     let get = "request.method == 'GET' && request.path.startsWith('/e/')";
     let class = "\"fetch-episode\"";
     let faults = |when: &str, units: &str| match read(&mapping(when, class, units)) {
--- a/crates/routes/tests/faults.rs
+++ b/crates/routes/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faulty and hostile files: every fault is reported with its line, and reading them stays bounded.
+//! Faulty and malicious files: every fault is reported with its line, and reading is bounded.
 
 mod common;
 
@@ -41,10 +41,10 @@
 when = 'false'
 "#;
 
-/// An operator saves a file with many mistakes. All of them are reported at once, each with its line and column, so that
-/// one reload after the other is not needed to find them.
+/// An operator saves a file with many mistakes. All of them must be reported at once, with line and
+/// column, so that finding them does not take several reloads.
 #[test]
-fn every_fault_of_a_file_is_named_with_its_line() {
+fn all_faults_are_reported_with_lines() {
     let faults = read(FAULTY).unwrap_err();
     let want = [
         "rules.toml:3:1: `expresion` is not known here; did you mean `expression`?",
@@ -73,9 +73,9 @@
     assert_eq!(faults.len(), want.len(), "{}", faults.join("\n"));
 }
 
-/// The file is no TOML at all. That is reported with its line as well.
+/// The file is not TOML. This must be reported with the line as well.
 #[test]
-fn a_file_that_is_no_toml_is_refused_with_its_line() {
+fn invalid_toml_is_reported_with_line() {
     let broken = read("[[rule]\nname = 1\n").unwrap_err();
     assert!(
         !broken.is_empty() && broken[0].starts_with("rules.toml:1:"),
@@ -83,10 +83,10 @@
     );
 }
 
-/// Somebody can write the file and wants the ingress down: deep nesting, endless lists, expressions that would cost too
-/// much. Each is refused, with few and short messages.
+/// An attacker can write the file: deep nesting, huge lists, expressions that would cost too much.
+/// Each file must be refused, with few and short faults.
 #[test]
-fn hostile_files_are_refused() {
+fn malicious_files_are_refused() {
     let deep = format!(
         "[[rule]]\nname = 'a'\nwhen = '{}true{}'\n",
         "(".repeat(8000),
@@ -95,9 +95,9 @@
     let many = "[[rule]]\nname = 'a'\n".repeat(10_002);
     let tables = format!("a = {}1{}", "{b=".repeat(5000), "}".repeat(5000));
     let arrays = format!("rule = {}1{}", "[".repeat(5000), "]".repeat(5000));
-    let dear =
+    let expensive =
         "[[rule]]\nname = 'a'\nwhen = 'request.query.orValue(\"\").matches(\"(a|b|c|d|e|f|g|h)+z\")'\n";
-    let sum: String = (0..400)
+    let expensive_sum: String = (0..400)
         .map(|i| format!("[[rule]]\nname = 'r{i}'\nwhen = 'request.path.contains(\"{i}\") && request.path.contains(\"x\")'\ngo_on = true\nnack='duration(\"1s\")'\n"))
         .collect();
     for (text, want) in [
@@ -106,10 +106,10 @@
         (tables, ""),
         (arrays, ""),
         (
-            format!("[cost]\nexpression = 1000\n\n{dear}"),
+            format!("[cost]\nexpression = 1000\n\n{expensive}"),
             "this part of it costs",
         ),
-        (sum, "all rules together may cost"),
+        (expensive_sum, "all rules together may cost"),
         ("x".repeat(5 << 20), "the limit is"),
         ("\u{0}\u{1}".into(), ""),
     ] {
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -1,10 +1,10 @@
-//! What rules take of memory, by an allocator that counts, and how long reading them takes. The tests run one behind
-//! the other on the main thread: the counters are the process's, and the standard harness allocates on threads of its
-//! own meanwhile.
+//! The memory of rules, measured with a counting allocator, and the time for reading them. The
+//! tests run one after the other on the main thread, because the counters belong to the process and
+//! the standard harness allocates on its own threads meanwhile.
 
 mod common;
 
-use common::{mapping, read_on, request, route, routes, POOLS};
+use common::{mapping, read_with_previous, request, route, routes, POOLS};
 use driftgap_routes::{Router, Rules, Verdict, DEFAULT_MAX_BYTES};
 use libtest_mimic::{Arguments, Trial};
 use oorandom::Rand32;
@@ -14,20 +14,20 @@
 #[global_allocator]
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Most heap that a route may take, in bytes.
-const MAX_BYTES_A_ROUTE: f64 = 400.0;
-/// Most heap that a rule may take that makes a command with an id of its own, in bytes.
-const MAX_BYTES_A_MAPPING: f64 = 800.0;
-/// Bytes that reading takes for a rule on its way.
+/// Maximum heap of a route, in bytes.
+const MAX_BYTES_PER_ROUTE: f64 = 400.0;
+/// Maximum heap of a mapping rule with its own id, in bytes.
+const MAX_BYTES_PER_MAPPING: f64 = 800.0;
+/// Bytes that reading takes for each rule temporarily.
 const WORKING_BYTES: usize = 100;
-/// Bytes that are planned for each byte of what is parsed in one piece.
+/// Bytes that are reserved for each byte of a text that is parsed in one piece.
 const PARSED_FACTOR: f64 = 128.0;
-/// Bytes that reading takes whatever there is to read.
-const SMALL: usize = 64 * 1024;
-/// Changes of one file.
+/// Bytes that reading takes for any file, whatever its size.
+const FIXED_BYTES: usize = 64 * 1024;
+/// Number of changes of one file.
 const CHANGES: usize = 10_000;
 
-/// What is held from a moment on.
+/// The memory that is allocated after a point in time.
 struct Region {
     before: usize,
 }
@@ -40,18 +40,18 @@
         }
     }
 
-    /// Bytes that are held now.
-    fn held(&self) -> isize {
+    /// Returns the bytes that are allocated now.
+    fn allocated(&self) -> isize {
         ALLOCATOR.current_usage() as isize - self.before as isize
     }
 
-    /// Bytes that were held at most.
+    /// Returns the maximum of the bytes that were allocated at any time.
     fn peak(&self) -> usize {
         ALLOCATOR.peak_usage().saturating_sub(self.before)
     }
 }
 
-/// The numbers of routes that are counted: with optimisation as many as the system must bear.
+/// Returns the numbers of routes that are measured; with optimisation up to the required maximum.
 fn sizes() -> Vec<usize> {
     if cfg!(debug_assertions) {
         vec![100, 1_000, 10_000]
@@ -61,14 +61,14 @@
 }
 
 fn read(text: &str, previous: Option<&Rules>) -> Rules {
-    read_on(text, previous).unwrap_or_else(|faults| panic!("{}", faults.join("\n")))
+    read_with_previous(text, previous).unwrap_or_else(|faults| panic!("{}", faults.join("\n")))
 }
 
-/// Reads a file; bytes that each of its rules takes.
-fn bytes_a_rule(text: &str) -> f64 {
+/// Reads a file and returns the bytes that each of its rules takes.
+fn bytes_per_rule(text: &str) -> f64 {
     let region = Region::new();
     let rules = read(text, None);
-    let each = region.held() as f64 / rules.len() as f64;
+    let each = region.allocated() as f64 / rules.len() as f64;
     let estimated = rules.heap_bytes() as f64 / rules.len() as f64;
     println!(
         "{} rules: {each:.0} bytes each, {estimated:.0} by estimate",
@@ -81,28 +81,29 @@
     each
 }
 
-/// An operator plans for 63,000 routes. If a rule took more than the page says, a file that fits by the page would not fit.
-fn a_route_takes_at_most_400_bytes() {
-    // What is made once in a process.
+/// An operator plans for 63,000 routes. If a rule took more than the documented memory, a file that
+/// should fit would not.
+fn route_takes_at_most_400_bytes() {
+    // Excludes what is allocated once per process.
     drop(read(&routes(1), None));
     for count in sizes() {
-        let each = bytes_a_rule(&routes(count));
+        let each = bytes_per_rule(&routes(count));
         assert!(
-            each <= MAX_BYTES_A_ROUTE,
+            each <= MAX_BYTES_PER_ROUTE,
             "{count} routes: {each} bytes each"
         );
         let mappings: String = (0..count).map(mapping).collect();
-        let each = bytes_a_rule(&mappings);
+        let each = bytes_per_rule(&mappings);
         assert!(
-            each <= MAX_BYTES_A_MAPPING,
+            each <= MAX_BYTES_PER_MAPPING,
             "{count} mappings: {each} bytes each"
         );
     }
 }
 
-/// One rule of a large file is edited. If a reload held every unchanged rule twice, files of half the memory could not be
-/// reloaded.
-fn an_unchanged_rule_is_held_once_by_the_old_and_the_new_rules() {
+/// One rule of a large file is edited. If a reload held every unchanged rule twice, a file that
+/// takes half of the memory could not be reloaded.
+fn old_and_new_rules_share_unchanged_rules() {
     const RULES: usize = 5_000;
     let text = routes(RULES);
     let changed = text.replace("/programmes/7/", "/programmes/seven/");
@@ -112,24 +113,25 @@
         .collect();
     let region = Region::new();
     let old = read(&text, None);
-    let one_set = region.held();
+    let one_set = region.allocated();
     let new = read(&changed, Some(&old));
-    let both = region.held();
+    let both = region.allocated();
     println!("{one_set} bytes for one set, {both} for two that differ in one rule");
     assert!(both < one_set * 3 / 2, "{both} {one_set}");
-    // Another file throughout is held beside the old one until that is dropped.
+    // A file in which every rule has changed is held in addition to the old one until that is
+    // dropped.
     let mut router = Router::new(new);
     drop(old);
     let replaced = router.replace(read(&other, Some(router.rules())), 0.0, 0.0);
-    assert!(region.held() < one_set * 5 / 2);
+    assert!(region.allocated() < one_set * 5 / 2);
     drop(replaced);
-    let after = region.held();
+    let after = region.allocated();
     assert!((after - one_set).abs() < one_set / 10, "{after} {one_set}");
 }
 
-/// A reload runs beside serving requests. Reading may take what it is given and no more, or the ingress is killed for its
-/// memory.
-fn reading_takes_no_more_than_it_is_given() {
+/// A reload runs while requests are served. If reading took more than its limit, the process could
+/// be killed for its memory.
+fn reading_stays_within_memory_limit() {
     for count in sizes() {
         let text = routes(count);
         let region = Region::new();
@@ -149,17 +151,21 @@
         let (file, set) = (text.len(), new.heap_bytes());
         println!("{count} routes, {file} bytes, {set} by estimate: at most {first} to read, {one_change} beside the old ones with one change, {all_changed} with another file");
         let whole = file + set + changed.heap_bytes() + WORKING_BYTES * count;
-        assert!(file + set + all_changed <= whole + SMALL, "{all_changed}");
         assert!(
-            one_change <= WORKING_BYTES * count + changed.heap_bytes() / 8 + SMALL,
+            file + set + all_changed <= whole + FIXED_BYTES,
+            "{all_changed}"
+        );
+        assert!(
+            one_change <= WORKING_BYTES * count + changed.heap_bytes() / 8 + FIXED_BYTES,
             "{one_change}"
         );
         assert!(whole < DEFAULT_MAX_BYTES);
     }
 }
 
-/// A hostile or torn file is parsed in one piece. What the parser takes for a byte must stay below what is planned for it.
-fn what_is_parsed_in_one_piece_takes_less_than_is_planned_for() {
+/// A malicious or truncated file is parsed in one piece. The parser must take no more for each byte
+/// than is reserved for it.
+fn parsing_one_piece_stays_within_reserved_memory() {
     let list = |item: &str| format!("rule = [{}", item.repeat(10_000));
     let tables = |table: &str| -> String {
         (0..20_000)
@@ -177,23 +183,23 @@
         tables("a = 1\n"),
     ];
     for text in ordinary {
-        let each = parsed_bytes_a_byte(&text);
+        let each = parsed_bytes_per_byte(&text);
         assert!(each <= PARSED_FACTOR, "{each}");
     }
-    // Each dot of a key makes a table of its own, which is not planned for.
+    // Each dot of a key creates a table of its own, which the reserve does not cover.
     for text in [
         list("{a.a=1},"),
         tables("[a.b.c.d]\n"),
         tables("a.b.c = 1\n"),
     ] {
-        parsed_bytes_a_byte(&text);
+        parsed_bytes_per_byte(&text);
     }
 }
 
-/// What the parser takes for a byte of a text of which nothing else is made, since it is wrong.
-fn parsed_bytes_a_byte(text: &str) -> f64 {
+/// Returns the parser's memory per byte of a faulty text, from which nothing else is built.
+fn parsed_bytes_per_byte(text: &str) -> f64 {
     let region = Region::new();
-    assert!(read_on(text, None).is_err());
+    assert!(read_with_previous(text, None).is_err());
     let each = region.peak() as f64 / text.len() as f64;
     println!(
         "{:?}: {each:.0} bytes a byte",
@@ -202,28 +208,29 @@
     each
 }
 
-/// A file has a limit on each of many rules that few requests meet. The tables of the others are never allocated.
-fn a_limit_allocates_its_table_with_its_first_request() {
+/// A file has limits on many rules, and few of them meet a request. The tables of the others must
+/// not be allocated.
+fn limit_table_is_allocated_with_first_request() {
     let text = "[[rule]]\nname = 'l'\nlimit = { key = '\"all\"', rate = 1 }\n";
     drop(read(text, None));
     let region = Region::new();
     let mut router = Router::new(read(text, None));
-    let before = region.held();
+    let before = region.allocated();
     assert!(matches!(
         router.route(&request("/"), 0.0),
         Verdict::Forward(_)
     ));
-    let after = region.held();
+    let after = region.allocated();
     println!("{before} bytes before the first request, {after} after it");
     assert!(before < 4_000, "{before}");
     assert!(after - before >= 16_384 * 16, "{after}");
-    // What there is once, whatever the number of rules, is not estimated.
+    // The estimate does not include what is allocated once, whatever the number of rules.
     assert!(router.rules().heap_bytes() as isize > after - 4_000);
 }
 
-/// Rules are reloaded for months. What rules share must be freed with the last rule that uses it, or memory grows with
-/// each reload.
-fn memory_is_as_at_first_after_ten_thousand_changes() {
+/// Rules are reloaded for months. Shared data must be freed with the last rule that uses it, or
+/// memory grows with each reload.
+fn memory_does_not_grow_over_ten_thousand_changes() {
     const RULES: usize = 40;
     let seed = 7;
     println!("seed {seed}");
@@ -251,16 +258,16 @@
     let (mut rules, mut max) = (first.clone(), 0);
     for _ in 0..CHANGES {
         let at = random.rand_range(0..RULES as u32) as usize;
-        // Numbers that were never there before, and some that were.
+        // Some numbers are new, and some have been used before.
         rules[at] = random.rand_range(0..1 << 20) as usize;
         rules.sort_unstable();
         rules.dedup();
         rules.resize_with(RULES, || random.rand_range(1 << 20..1 << 21) as usize);
         replace(&mut router, &rules);
-        max = max.max(region.held());
+        max = max.max(region.allocated());
     }
     replace(&mut router, &first);
-    let (left, whole) = (region.held(), router.rules().heap_bytes() as isize);
+    let (left, whole) = (region.allocated(), router.rules().heap_bytes() as isize);
     println!("{left} bytes more after {CHANGES} changes, {max} at most, of {whole}");
     assert!(left.abs() < 2_000, "{left}");
     assert!(max < whole / 2, "{max} of {whole}");
@@ -270,8 +277,9 @@
     ));
 }
 
-/// One rule of a large file is edited on a loaded ingress. The reload must cost what changed, not what the file holds.
-fn reading_one_change_takes_a_small_part_of_reading_all() {
+/// One rule of a large file is edited on a loaded ingress. The cost of the reload must depend on
+/// what changed, not on the size of the file.
+fn reading_one_change_is_faster_than_reading_all() {
     for count in sizes() {
         let text = routes(count);
         let (begun, old) = (Instant::now(), read(&text, None));
@@ -293,7 +301,7 @@
     }
 }
 
-/// A test by the name of its function.
+/// Creates a test that is named after its function.
 macro_rules! trial {
     ($test:ident) => {
         Trial::test(stringify!($test), || {
@@ -307,13 +315,13 @@
     let mut arguments = Arguments::from_args();
     arguments.test_threads = Some(1);
     let tests = vec![
-        trial!(a_route_takes_at_most_400_bytes),
-        trial!(an_unchanged_rule_is_held_once_by_the_old_and_the_new_rules),
-        trial!(reading_takes_no_more_than_it_is_given),
-        trial!(what_is_parsed_in_one_piece_takes_less_than_is_planned_for),
-        trial!(a_limit_allocates_its_table_with_its_first_request),
-        trial!(memory_is_as_at_first_after_ten_thousand_changes),
-        trial!(reading_one_change_takes_a_small_part_of_reading_all),
+        trial!(route_takes_at_most_400_bytes),
+        trial!(old_and_new_rules_share_unchanged_rules),
+        trial!(reading_stays_within_memory_limit),
+        trial!(parsing_one_piece_stays_within_reserved_memory),
+        trial!(limit_table_is_allocated_with_first_request),
+        trial!(memory_does_not_grow_over_ten_thousand_changes),
+        trial!(reading_one_change_is_faster_than_reading_all),
     ];
     libtest_mimic::run(&arguments, tests).exit();
 }
--- a/crates/routes/tests/pools.rs
+++ b/crates/routes/tests/pools.rs
@@ -1,9 +1,9 @@
-//! Pools of endpoints: which endpoints they take, where their requests go without a ready one, and what a reload does
-//! to them.
+//! Pools of endpoints: their members, where their requests go without a ready endpoint, and the
+//! effect of a reload.
 
 mod common;
 
-use common::rules::{go, headers, read, request, router, Map};
+use common::rules::{forwarded_route, headers, read, request, router, HeaderMap};
 use driftgap_routes::{Endpoint, PoolBitsExhausted, Router, Rules, Verdict, ALL};
 use std::net::IpAddr;
 
@@ -31,7 +31,7 @@
 "#;
 
 #[test]
-fn pools_take_endpoints_by_their_attributes() {
+fn endpoints_belong_to_pools_by_attributes() {
     let mut router = router(POOLS);
     let slow = [("disk".to_string(), "slow".to_string())];
     let mut bits = |zone: &str, weight: f64, labels: &[(String, String)]| {
@@ -52,14 +52,14 @@
     assert_eq!(bits("mbeya", 1.0, &[]), ALL);
 }
 
-/// No endpoint of a pool is ready. Its requests go to the pool that the file names, or are rejected with a time; they
-/// never spill silently to endpoints that the operator did not name.
+/// No endpoint of a pool is ready. Its requests must go to the configured fallback or be rejected
+/// with a Retry-After, and never to endpoints that the operator did not configure.
 #[test]
-fn a_pool_without_a_ready_endpoint_falls_back_as_stated() {
+fn pool_without_ready_endpoint_uses_its_fallback() {
     let mut router = router(POOLS);
     let station = headers(&[("x-station", "dar")]);
     let none = headers(&[]);
-    let mut pools = |ready: &[u64], headers: &Map, path: &str| {
+    let mut pools = |ready: &[u64], headers: &HeaderMap, path: &str| {
         router.count_ready(ready.iter().copied());
         match router.route(&request("GET", path, headers), 0.0) {
             Verdict::Forward(route) => Ok(route.pools),
@@ -86,19 +86,20 @@
     assert_eq!(pools(&[], &none, "/"), Ok(ALL), "no rule, no pool");
 }
 
-/// Two pools fall back on each other. With no endpoint ready in either, a request would be passed between them without
-/// end, so the file is refused.
+/// Two pools fall back on each other. Without a ready endpoint in either, a request would be passed
+/// between them without end, so the file must be refused.
 #[test]
-fn a_cycle_of_fallbacks_is_refused() {
-    let ring =
+fn fallback_cycle_is_refused() {
+    let cycle =
         "[[pool]]\nname='a'\nwhen='true'\nfallback='b'\n[[pool]]\nname='b'\nwhen='true'\nfallback='a'\n";
-    assert!(read(ring)
+    assert!(read(cycle)
         .unwrap_err()
         .iter()
         .all(|f| f.contains("falls back on itself")));
 }
 
-/// A file with these pools, each of the zone of its name, and one rule that sends every request to the first.
+/// Creates rules with these pools, each with the endpoints of the zone of its name, and one rule
+/// that sends every request to the first pool.
 fn zone_pools(names: &[String]) -> Rules {
     let pool = |name: &String| {
         format!("[[pool]]\nname = '{name}'\nwhen = 'instance.zone == \"{name}\"'\n")
@@ -126,24 +127,25 @@
     }
 }
 
-/// Rules are replaced while requests are in flight that may still be retried within their pool. The bit of a pool that
-/// is gone must not mean another pool until the longest deadline has passed, or a retry would reach endpoints that the
-/// rule did not allow.
+/// Rules are replaced while requests are in flight that may be retried within their pool. The bit
+/// of a removed pool must not be reassigned until the longest deadline has passed, or a retry would
+/// reach endpoints that the rule did not allow.
 #[test]
-fn commands_end_under_the_pools_that_they_began_with() {
+fn removed_pool_keeps_its_bit_until_requests_end() {
     let none = headers(&[]);
     let mut router = Router::new(zone_pools(&names(&["dar", "tanga"])));
     let chosen = |router: &mut Router, zone: &'static str| {
         let bits = router.pools_of(&endpoint(zone));
         router.count_ready([bits].into_iter());
         (
-            go(router.route(&request("GET", "/", &none), 0.0)).pools,
+            forwarded_route(router.route(&request("GET", "/", &none), 0.0)).pools,
             bits,
         )
     };
     let (dar, of_dar) = chosen(&mut router, "dar");
     assert_eq!(dar & of_dar, dar);
-    // Another order, and one pool less: the bits stay, those of the one that is gone as long as it may be needed.
+    // Another order and one pool less: remaining pools keep their bits, and the removed pool keeps
+    // its bit while it may be needed.
     drop(
         router
             .replace(zone_pools(&names(&["mbeya", "dar"])), 1000.0, 3000.0)
@@ -161,10 +163,11 @@
     assert_eq!(router.pools_of(&endpoint("tanga")), ALL);
 }
 
-/// A file with other pools comes within the longest deadline of the one before. There are not enough bits for the pools
-/// of both, so it is put off and the old rules stay.
+/// A file with other pools is loaded within the longest deadline after the previous file. There are
+/// not enough bits for the pools of both, so the new rules must be refused and the old ones stay in
+/// force.
 #[test]
-fn rules_are_put_off_while_requests_in_flight_need_their_pools_bits() {
+fn rules_are_refused_while_too_many_pool_bits_are_reserved() {
     let numbered =
         |prefix: &str| -> Vec<String> { (0..40).map(|i| format!("{prefix}{i}")).collect() };
     let mut router = Router::new(zone_pools(&names(&["dar", "tanga"])));
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -1,12 +1,13 @@
-//! Rules put in force in place of others: what endpoints must be told anew, and how long it takes.
+//! Replacing the rules in force: when endpoints must be assigned to pools again, and how long it
+//! takes.
 
 use driftgap_routes::{Catalog, Effect, Endpoint, ReadOptions, Router, Rules};
 use std::net::IpAddr;
 use std::time::{Duration, Instant};
 
-/// Rules of the largest file that there has to be room for.
+/// Number of rules of the largest supported file.
 const LARGE: usize = 63_000;
-/// Bytes that reading it may take here.
+/// Memory limit for reading that file, in bytes.
 const MAX_BYTES: usize = 256 * 1024 * 1024;
 
 fn catalog() -> Catalog {
@@ -26,13 +27,13 @@
     Rules::read_table(text, "rules.toml", None, &catalog(), &options).unwrap()
 }
 
-/// A pool of the endpoints in one zone.
+/// Returns a pool with the endpoints of one zone.
 fn pool(name: &str, zone: &str, fallback: &str) -> String {
     format!("[[pool]]\nname = '{name}'\nwhen = 'instance.zone == \"{zone}\"'\nfallback = '{fallback}'\n")
 }
 
-/// Tells the router of an endpoint in each zone.
-fn tell(router: &mut Router, zones: &[&str]) {
+/// Assigns one endpoint in each zone to the pools, and counts it as ready.
+fn assign_endpoints(router: &mut Router, zones: &[&str]) {
     let pools: Vec<u64> = zones
         .iter()
         .map(|zone| {
@@ -66,34 +67,36 @@
         .collect()
 }
 
-/// A reload changes rules and no pools. Testing every endpoint against all pools would hold requests up for nothing.
+/// A reload changes rules but no pools. Testing every endpoint against all pools again would delay
+/// requests needlessly.
 #[test]
-fn endpoints_are_assigned_anew_only_where_there_is_a_new_pool() {
+fn endpoints_are_reassigned_only_for_new_pools() {
     let first = [pool("x", "north", "refuse"), pool("y", "south", "x")].concat();
     let mut router = Router::new(read(&first, None));
-    tell(&mut router, &["north", "south", "south"]);
+    assign_endpoints(&mut router, &["north", "south", "south"]);
     assert_eq!(ready(&router), named(&[("x", 1), ("y", 2)]));
-    // In another order, with another fallback.
-    let turned = [pool("y", "south", "any"), pool("x", "north", "refuse")].concat();
-    let replaced = router.replace(read(&turned, None), 0.0, 1000.0).unwrap();
+    // The same pools in another order, one with another fallback.
+    let reordered = [pool("y", "south", "any"), pool("x", "north", "refuse")].concat();
+    let replaced = router.replace(read(&reordered, None), 0.0, 1000.0).unwrap();
     assert!(!replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("y", 2), ("x", 1)]));
-    // One is gone.
+    // One pool is removed.
     let replaced = router
         .replace(read(&pool("x", "north", "refuse"), None), 1.0, 1000.0)
         .unwrap();
     assert!(!replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("x", 1)]));
-    // One of the same name takes other endpoints.
+    // A pool of the same name has other endpoints.
     let other = [pool("x", "south", "refuse"), pool("z", "north", "any")].concat();
     let replaced = router.replace(read(&other, None), 2.0, 1000.0).unwrap();
     assert!(replaced.has_new_pools());
     assert_eq!(ready(&router), named(&[("x", 0), ("z", 0)]));
-    tell(&mut router, &["north", "south", "south"]);
+    assign_endpoints(&mut router, &["north", "south", "south"]);
     assert_eq!(ready(&router), named(&[("x", 2), ("z", 1)]));
 }
 
-/// A file of many rules and some pools, whose rule `changed` is like no other's.
+/// Returns a file with many rules and some pools, in which the rule `changed` has a different
+/// action.
 fn large(changed: usize) -> String {
     let pools: String = (0..8)
         .map(|zone| pool(&format!("p{zone}"), &format!("zone-{zone}"), "any"))
@@ -108,11 +111,11 @@
     pools + &(0..LARGE).map(rule).collect::<String>()
 }
 
-/// The largest file is replaced while requests wait on the same thread. What takes long, reading and dropping rules, must
-/// not be part of it.
+/// The largest file is replaced while requests wait on the same thread. The slow parts, reading and
+/// dropping rules, must not be included.
 #[test]
-fn the_largest_file_is_put_in_force_within_a_millisecond() {
-    const PUTS: usize = 21;
+fn largest_file_is_replaced_within_a_millisecond() {
+    const REPLACEMENTS: usize = 21;
     const MAX: Duration = Duration::from_millis(1);
     let begun = Instant::now();
     let first = read(&large(usize::MAX), None);
@@ -125,7 +128,7 @@
         begun.elapsed()
     );
     let mut router = Router::new(first.clone());
-    let mut took: Vec<Duration> = (0..PUTS)
+    let mut took: Vec<Duration> = (0..REPLACEMENTS)
         .map(|turn| {
             let next = if turn % 2 == 0 {
                 second.clone()
@@ -142,9 +145,10 @@
     took.sort();
     println!(
         "put in force: median {:?}, longest {:?}",
-        took[PUTS / 2],
-        took[PUTS - 1]
+        took[REPLACEMENTS / 2],
+        took[REPLACEMENTS - 1]
     );
-    // Not the longest: the machine may run others meanwhile. Half of the puts had no more than this.
-    assert!(took[PUTS / 2] < MAX, "{took:?}");
+    // The median is checked rather than the maximum, because other processes may delay single
+    // measurements.
+    assert!(took[REPLACEMENTS / 2] < MAX, "{took:?}");
 }
--- a/crates/routes/tests/rules.rs
+++ b/crates/routes/tests/rules.rs
@@ -1,12 +1,12 @@
-//! Files of rules and what they decide about requests: order, mapping, limits, the index, unreadable requests.
+//! What rules decide about requests: order, mapping, limits, the index, unreadable requests.
 
 mod common;
 
-use common::rules::{catalog, go, headers, mapping, read_again, request, router};
+use common::rules::{catalog, forwarded_route, headers, mapping, read_again, request, router};
 use driftgap_routes::{Explainer, Mapped, Request, Router, Verdict};
 
 #[test]
-fn a_request_without_the_platforms_headers_is_mapped_to_a_class() {
+fn plain_http_request_is_mapped_to_class() {
     let text = mapping(
         "request.method == 'GET' && request.path.matches('^/episodes/[0-9]+/audio$') && request.path.startsWith('/episodes/')",
         "\"fetch-episode\"",
@@ -14,7 +14,7 @@
          deadline = 'duration(\"800ms\")'\nterms = { episode = 'request.path.split(\"/\")[2].orValue(\"0\")' }",
     );
     let (mut router, none) = (router(&text), headers(&[]));
-    let route = go(router.route(&request("GET", "/episodes/123/audio", &none), 0.0));
+    let route = forwarded_route(router.route(&request("GET", "/episodes/123/audio", &none), 0.0));
     let want = Mapped {
         class: 0,
         plan: Some("city".into()),
@@ -28,28 +28,31 @@
     };
     assert_eq!(route.command, Some(want));
     assert_eq!(
-        go(router.route(&request("GET", "/episodes/x/audio", &none), 0.0)).command,
+        forwarded_route(router.route(&request("GET", "/episodes/x/audio", &none), 0.0)).command,
         None
     );
     assert_eq!(
-        go(router.route(&request("POST", "/episodes/1/audio", &none), 0.0)).command,
+        forwarded_route(router.route(&request("POST", "/episodes/1/audio", &none), 0.0)).command,
         None
     );
-    // Units that the client names itself stay.
+    // Units that the client names are kept.
     let named = Request {
         units: Some(3.0),
         ..request("GET", "/episodes/123/audio", &none)
     };
     assert_eq!(
-        go(router.route(&named, 0.0)).command.unwrap().units,
+        forwarded_route(router.route(&named, 0.0))
+            .command
+            .unwrap()
+            .units,
         Some(3.0)
     );
 }
 
-/// Clients ask more than they may. Each key has a bucket of its own, the Retry-After is exact, and a reload that does not
-/// touch the limit gives nobody a fresh one.
+/// Clients send more requests than their limit allows. Each key has its own bucket, the Retry-After
+/// is exact, and a reload that does not change the limit must not reset it.
 #[test]
-fn limits_hold_by_key_with_exact_times_and_survive_a_new_file() {
+fn limits_apply_per_key_and_survive_reload() {
     let limit = "limit = { key = 'request.partner.orValue(\"\")', rate = 2, burst = 3 }";
     let text = format!("[[rule]]\nname = 'l'\nwhen = 'request.path == \"/a\"'\n{limit}\n");
     let mut first = router(&text);
@@ -75,7 +78,7 @@
         [0.0, 0.0, 0.0, 500.0, 500.0]
     );
     assert_eq!(pass(&mut first, "b", 0.0), 0.0);
-    // Another rule beside it: the limit keeps its state. Another rate: it begins anew.
+    // Another rule is added: the limit keeps its state. The rate changes: the limit is reset.
     let more = format!(
         "[[rule]]\nname = 'x'\nwhen = 'request.path == \"/x\"'\nnack = 'duration(\"1s\")'\n{text}"
     );
@@ -91,15 +94,15 @@
     assert_eq!(pass(&mut first, "a", 500.0), 0.0);
 }
 
-/// A request passes one limit and is rejected by a later one, again and again. If each attempt used up the first limit,
-/// the client would find it exhausted without having been served.
+/// A request repeatedly passes one limit and is rejected by a later one. If each attempt consumed
+/// the first limit, the client would find it exhausted without having been served.
 #[test]
-fn what_a_later_limit_refuses_costs_an_earlier_one_nothing() {
+fn rejection_by_later_limit_does_not_consume_earlier_one() {
     let text = "[[rule]]\nname = 'a'\ngo_on = true\nlimit = { key = '\"all\"', rate = 1, burst = 2 }\n\
                 [[rule]]\nname = 'b'\nlimit = { key = 'request.partner.orValue(\"\")', at_once = 1, after = \"70ms\" }\n";
     let (mut router, none) = (router(text), headers(&[]));
-    let held = go(router.route(&request("GET", "/", &none), 0.0));
-    assert_eq!(held.permits.len(), 1);
+    let served = forwarded_route(router.route(&request("GET", "/", &none), 0.0));
+    assert_eq!(served.permits.len(), 1);
     for _ in 0..10 {
         assert!(matches!(
             router.route(&request("GET", "/", &none), 0.0),
@@ -109,9 +112,9 @@
             }
         ));
     }
-    drop(held);
-    let held = go(router.route(&request("GET", "/", &none), 0.0));
-    drop(held);
+    drop(served);
+    let served = forwarded_route(router.route(&request("GET", "/", &none), 0.0));
+    drop(served);
     assert!(matches!(
         router.route(&request("GET", "/", &none), 0.0),
         Verdict::Reject {
@@ -121,9 +124,9 @@
     ));
 }
 
-/// A client makes up a new key for each request. The memory of the limit is bounded whatever keys come.
+/// A client uses a new key for each request. The memory of the limit must be bounded.
 #[test]
-fn a_hundred_thousand_keys_take_no_more_memory() {
+fn limit_memory_is_bounded_for_many_keys() {
     let text = "[[rule]]\nname = 'l'\nlimit = { key = 'request.path', rate = 1, burst = 1 }\n";
     let (mut router, none) = (router(text), headers(&[]));
     let _ = router.route(&request("GET", "/", &none), 0.0);
@@ -136,13 +139,13 @@
 }
 
 #[test]
-fn rules_go_in_order_and_what_is_set_first_stays() {
+fn rules_apply_in_order_and_first_value_wins() {
     let text = "[[rule]]\nname = 'a'\ngo_on = true\nnotes = { x = '\"1\"' }\n\
                 [[rule]]\nname = 'b'\nwhen = 'request.method == \"GET\"'\ngo_on = true\nnotes = { x = '\"2\"', y = '\"é\" + request.path' }\n\
                 [[rule]]\nname = 'c'\nwhen = 'request.path == \"/stop\"'\nnotes = { z = '\"3\"' }\n\
                 [[rule]]\nname = 'd'\nnack = 'duration(\"250ms\")'\n";
     let (mut router, none) = (router(text), headers(&[]));
-    let route = go(router.route(&request("GET", "/stop", &none), 0.0));
+    let route = forwarded_route(router.route(&request("GET", "/stop", &none), 0.0));
     let notes: Vec<String> = route
         .notes
         .iter()
@@ -160,12 +163,12 @@
         .ok()
         .unwrap();
     let explained = explainer.explain(&request("GET", "/stop", &none));
-    let told: Vec<(&str, bool, bool)> = explained
+    let outcomes: Vec<(&str, bool, bool)> = explained
         .iter()
         .map(|e| (&e.rule[..], e.matched, e.skipped))
         .collect();
     assert_eq!(
-        told,
+        outcomes,
         [
             ("a", true, false),
             ("b", true, false),
@@ -177,10 +180,11 @@
     assert!(put[2].ruled_out && !put[2].matched && put[2].expressions[0].1[0].value == "false");
 }
 
-/// A client sends a header that is no text or too long, or a value by which a rule divides by zero. If the rule took the
-/// header for absent, a client could avoid a rule that rejects it; the request is invalid instead.
+/// A client sends a header that is not UTF-8 or too long, or a value by which a rule divides by
+/// zero. If the rule treated the header as absent, a client could bypass a rule that rejects it, so
+/// the request must be invalid.
 #[test]
-fn what_a_rule_cannot_read_is_invalid_and_not_taken_for_absent() {
+fn unreadable_header_makes_request_invalid() {
     let text = "[[rule]]\nname = 'a'\nwhen = '!(\"x-deny\" in request.headers)'\ngo_on = true\nnotes = { ok = '\"1\"' }\n\
                 [[rule]]\nname = 'div'\nwhen = 'request.length.orValue(1) / request.headers.size() > 5'\nnack = 'duration(\"1s\")'\n";
     let mut router = router(text);
@@ -193,7 +197,7 @@
     assert!(
         matches!(router.route(&request("GET", "/", &binary), 0.0), Verdict::Invalid { rule, .. } if rule == "a")
     );
-    // A division by zero.
+    // The rule divides by zero.
     assert!(
         matches!(router.route(&request("GET", "/", &headers(&[])), 0.0), Verdict::Invalid { rule, .. } if rule == "div")
     );
@@ -206,7 +210,7 @@
 }
 
 #[test]
-fn a_thousand_rules_that_test_the_path_are_found_by_it() {
+fn path_rules_are_selected_by_index() {
     let text: String = (0..1000)
         .map(|i| format!("[[rule]]\nname = 'r{i}'\nwhen = 'request.method == \"GET\" && request.path.startsWith(\"/p{i}/\")'\nnotes = {{ n = '\"{i}\"' }}\n"))
         .collect();
@@ -217,10 +221,12 @@
     );
     let none = headers(&[]);
     for i in [0, 7, 77, 777, 999] {
-        let route = go(router.route(&request("GET", &format!("/p{i}/x"), &none), 0.0));
+        let route = forwarded_route(router.route(&request("GET", &format!("/p{i}/x"), &none), 0.0));
         assert_eq!(route.notes, [("n".to_string(), i.to_string())]);
     }
-    assert!(go(router.route(&request("GET", "/p1000/x", &none), 0.0))
-        .notes
-        .is_empty());
+    assert!(
+        forwarded_route(router.route(&request("GET", "/p1000/x", &none), 0.0))
+            .notes
+            .is_empty()
+    );
 }
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -1,18 +1,18 @@
-//! What a file takes over from the rules in force: after any edits the rules decide as those of the same text
-//! read anew, and limits keep their states.
+//! Reuse of unchanged rules: after any edits the rules decide like those of the same text read from
+//! scratch, and limits keep their state.
 
 mod common;
 
-use common::{catalog, read_on, request, route, routes, POOLS};
+use common::{catalog, read_with_previous, request, route, routes, POOLS};
 use driftgap_routes::{
     LimitPermit, ReadOptions, ReadReport, Replaced, Request, Router, Rules, Verdict,
 };
 use oorandom::Rand32;
 use std::ops::Range;
 
-/// Edits of one random history.
+/// Number of edits of one random history.
 const EDITS: usize = 60;
-/// Seeds of random histories unless `DRIFTGAP_SEEDS` names others, as in `100-200`.
+/// Seeds of the random histories; `DRIFTGAP_SEEDS` sets others, such as `100-200`.
 const SEEDS: Range<u64> = 0..8;
 
 fn seeds() -> Range<u64> {
@@ -27,7 +27,7 @@
     random.rand_range(0..max as u32) as usize
 }
 
-/// A rule of a random kind; `version` changes what it does.
+/// Returns a rule of a random kind; `version` changes its action.
 fn rule(random: &mut Rand32, name: usize, version: u32) -> String {
     let path = below(random, 12);
     let get = "request.method == \"GET\"";
@@ -43,10 +43,10 @@
     }
 }
 
-/// A header that ends too early.
-const TORN_HEADER: &str = "[rule\n";
+/// A header without its closing bracket.
+const UNCLOSED_HEADER: &str = "[rule\n";
 
-/// Ways in which a rule may be wrong.
+/// Returns a rule with a random mistake.
 fn broken(random: &mut Rand32, name: usize) -> String {
     let wrong = [
         "pool = '\"dodoma\"'",
@@ -61,14 +61,14 @@
         "pool = \"\\q\"",
         "= 1",
         "[rule.pool]\nx = 1\n[rule.pool]",
-        TORN_HEADER,
+        UNCLOSED_HEADER,
         "nack = 1 ]",
     ];
     let wrong = wrong[below(random, wrong.len())];
     format!("[[rule]]\nname = 'b{name}'\n{wrong}\n")
 }
 
-/// A file that is edited.
+/// A file under random edits.
 struct File {
     head: String,
     tail: String,
@@ -91,7 +91,7 @@
     }
 
     fn text(&self) -> String {
-        // A part of the head stands between the rules.
+        // The tail is placed between the rules.
         let (first, second) = self.rules.split_at(self.rules.len() / 2);
         [
             &self.head[..],
@@ -136,7 +136,7 @@
                 self.tail = tails[below(random, tails.len())].to_string();
             }
             9 if !self.rules.is_empty() => {
-                // The same rule twice.
+                // Duplicates a rule.
                 let rule = self.rules[at].clone();
                 self.rules.push(rule);
             }
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Removes what is wrong.
-    fn mend(&mut self) {
+    /// Removes all mistakes.
+    fn repair(&mut self) {
         self.rules.retain(|rule| !rule.contains("name = 'b"));
         let mut seen = std::collections::HashSet::new();
         self.rules.retain(|rule| seen.insert(rule.clone()));
@@ -164,7 +164,7 @@
     (path, below(random, 2) == 0)
 }
 
-fn decided(verdict: Verdict) -> String {
+fn describe(verdict: Verdict) -> String {
     match verdict {
         Verdict::Forward(route) => {
             format!(
@@ -179,10 +179,11 @@
     }
 }
 
-/// Asserts that two routers decide alike about the same requests; all limits are full again at `now`, ms.
-fn decide_alike(random: &mut Rand32, taken: &Rules, anew: &Rules, now: f64) {
-    let (mut taken, mut anew) = (Router::new(taken.clone()), Router::new(anew.clone()));
-    for router in [&mut taken, &mut anew] {
+/// Asserts that two sets of rules decide alike about random requests. At `now`, in ms, the buckets
+/// of all limits are full.
+fn assert_same_decisions(random: &mut Rand32, reused: &Rules, fresh: &Rules, now: f64) {
+    let (mut reused, mut fresh) = (Router::new(reused.clone()), Router::new(fresh.clone()));
+    for router in [&mut reused, &mut fresh] {
         router.count_ready([u64::MAX].into_iter());
     }
     for _ in 0..40 {
@@ -192,53 +193,58 @@
             ..request(&path)
         };
         assert_eq!(
-            decided(taken.route(&request, now)),
-            decided(anew.route(&request, now)),
+            describe(reused.route(&request, now)),
+            describe(fresh.route(&request, now)),
             "{path}"
         );
     }
 }
 
-/// An operator edits a file again and again, with mistakes between. A rule that was taken over wrongly would decide as an
-/// earlier version of it; so the rules in force are compared with those of the same text read by a new process.
+/// An operator edits a file repeatedly, sometimes with mistakes. A rule that was reused wrongly
+/// would decide like an earlier version of it, so the rules are compared with those of the same
+/// text read from scratch.
 #[test]
-fn after_any_edits_rules_decide_as_those_of_the_same_text_read_anew() {
+fn reused_rules_decide_like_freshly_read_ones() {
     for seed in seeds() {
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
         let mut file = File::new(random);
-        let mut held = read_on(&file.text(), None).unwrap_or_else(|faults| panic!("{faults:?}"));
+        let mut in_force =
+            read_with_previous(&file.text(), None).unwrap_or_else(|faults| panic!("{faults:?}"));
         let (mut right, mut wrong, mut taken_over) = (0, 0, 0);
         for step in 0..EDITS {
             for _ in 0..1 + below(random, 3) {
                 file.edit(random);
             }
             if below(random, 3) == 0 {
-                file.mend();
+                file.repair();
             }
             let text = file.text();
-            match (read_on(&text, Some(&held)), read_on(&text, None)) {
-                (Ok(taken), Ok(anew)) => {
-                    decide_alike(random, &taken, &anew, 1e7 * (step + 1) as f64);
+            match (
+                read_with_previous(&text, Some(&in_force)),
+                read_with_previous(&text, None),
+            ) {
+                (Ok(reused), Ok(fresh)) => {
+                    assert_same_decisions(random, &reused, &fresh, 1e7 * (step + 1) as f64);
                     let figures = |rules: &Rules| (rules.len(), rules.cost(), rules.unindexed());
-                    assert_eq!(figures(&taken), figures(&anew));
-                    let report = taken.report();
-                    assert_eq!(report.taken_over + report.compiled, taken.len());
+                    assert_eq!(figures(&reused), figures(&fresh));
+                    let report = reused.report();
+                    assert_eq!(report.taken_over + report.compiled, reused.len());
                     assert_eq!(
-                        anew.report(),
+                        fresh.report(),
                         ReadReport {
                             taken_over: 0,
-                            compiled: anew.len()
+                            compiled: fresh.len()
                         }
                     );
                     taken_over += report.taken_over;
-                    (held, right) = (taken, right + 1);
+                    (in_force, right) = (reused, right + 1);
                 }
-                (Err(taken), Err(anew)) => {
-                    assert_eq!(taken, anew, "{text}");
+                (Err(reused), Err(fresh)) => {
+                    assert_eq!(reused, fresh, "{text}");
                     wrong += 1;
                 }
-                (taken, anew) => panic!("{taken:?} {anew:?}\n{text}"),
+                (reused, fresh) => panic!("{reused:?} {fresh:?}\n{text}"),
             }
         }
         println!("{right} right, {wrong} wrong, {taken_over} rules taken over");
@@ -249,10 +255,10 @@
     }
 }
 
-/// Most faults that are reported of one file.
+/// Maximum number of faults that are reported for one file.
 const MAX_FAULTS: usize = 100;
 
-/// The line of the file that a fault names.
+/// Returns the line of the file that a fault names.
 fn line_of(fault: &str) -> usize {
     fault
         .split(':')
@@ -261,15 +267,16 @@
         .expect("FILE:LINE:COLUMN")
 }
 
-/// The same file in a spelling that is parsed in one piece: a key with an escape, as long as the plain one.
-fn parsed_whole(text: &str) -> String {
+/// Returns the same file with an escape in a key, which cannot be split into rules and is parsed in
+/// one piece. The key keeps its length.
+fn unsplittable(text: &str) -> String {
     text.replacen("[[pool]]", "[[\"p\\u006fol\"]]", 1)
 }
 
-/// A file is cut into rules before it is parsed. A fault must be found, and named with its line, as if it had been parsed in
-/// one piece.
+/// A file is split into rules before it is parsed. Its faults and their lines must be the same as
+/// if it were parsed in one piece.
 #[test]
-fn faults_are_those_of_the_file_parsed_in_one_piece() {
+fn faults_equal_those_of_file_parsed_in_one_piece() {
     let mut faulty = 0;
     for seed in seeds() {
         println!("seed {seed}");
@@ -278,43 +285,47 @@
         for _ in 0..EDITS {
             file.edit(random);
             if below(random, 4) == 0 {
-                file.mend();
+                file.repair();
             }
             let text = file.text();
-            let (cut, whole) = (read_on(&text, None), read_on(&parsed_whole(&text), None));
-            match (cut, whole) {
-                (Ok(cut), Ok(whole)) => assert_eq!(cut.len(), whole.len()),
-                (Err(cut), Err(whole)) => {
+            let (split, unsplit) = (
+                read_with_previous(&text, None),
+                read_with_previous(&unsplittable(&text), None),
+            );
+            match (split, unsplit) {
+                (Ok(split), Ok(unsplit)) => assert_eq!(split.len(), unsplit.len()),
+                (Err(split), Err(unsplit)) => {
                     faulty += 1;
-                    if text.contains(TORN_HEADER) {
-                        // Behind a torn header the parser takes keys for those of the table before: in one
-                        // piece it finds more of them twice. What is wrong itself is told alike, as far as
-                        // the most faults that are told reach.
-                        assert_eq!(cut[0], whole[0]);
-                        let reached = if whole.len() < MAX_FAULTS {
+                    if text.contains(UNCLOSED_HEADER) {
+                        // After a malformed header the parser assigns keys to the previous table,
+                        // so that in one piece it reports more duplicate keys. All other faults are
+                        // the same, up to the maximum number of reported faults.
+                        assert_eq!(split[0], unsplit[0]);
+                        let reached = if unsplit.len() < MAX_FAULTS {
                             usize::MAX
                         } else {
-                            line_of(&whole[MAX_FAULTS - 1])
+                            line_of(&unsplit[MAX_FAULTS - 1])
                         };
-                        let mut reached = cut.iter().filter(|fault| line_of(fault) < reached);
+                        let mut reached = split.iter().filter(|fault| line_of(fault) < reached);
                         assert!(
-                            reached.all(|fault| whole.contains(fault)),
-                            "{cut:#?} {whole:#?}\n{text}"
+                            reached.all(|fault| unsplit.contains(fault)),
+                            "{split:#?} {unsplit:#?}\n{text}"
                         );
                     } else {
-                        assert_eq!(cut, whole, "{text}");
+                        assert_eq!(split, unsplit, "{text}");
                     }
                 }
-                (cut, whole) => panic!("{cut:?} {whole:?}\n{text}"),
+                (split, unsplit) => panic!("{split:?} {unsplit:?}\n{text}"),
             }
         }
     }
     assert!(faulty > 5 * seeds().count(), "{faulty}");
 }
 
-/// Puts what a file says in force, on top of the rules that are.
+/// Replaces the rules of a router by those of a file, reusing unchanged ones.
 fn replace(router: &mut Router, text: &str, now: f64) -> ReadReport {
-    let rules = read_on(text, Some(router.rules())).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let rules = read_with_previous(text, Some(router.rules()))
+        .unwrap_or_else(|faults| panic!("{faults:?}"));
     let report = rules.report();
     drop(
         router
@@ -324,8 +335,8 @@
     report
 }
 
-/// Changes a file at some characters, mostly to what means something in TOML.
-fn torn(random: &mut Rand32, text: &str) -> String {
+/// Changes a text at some random positions, mostly with tokens that have a meaning in TOML.
+fn corrupt(random: &mut Rand32, text: &str) -> String {
     const MARKS: [&str; 17] = [
         "[",
         "]",
@@ -362,10 +373,10 @@
     chars.into_iter().collect()
 }
 
-/// A file is read while it is being written, or damaged at any character. It must be refused exactly where the TOML parser
-/// refuses it in one piece: never read as something else.
+/// A file is read while it is being written, or is corrupted at any character. It must be refused
+/// exactly when the TOML parser refuses it in one piece, and never read differently.
 #[test]
-fn a_torn_file_is_refused_where_the_parser_refuses_it_in_one_piece() {
+fn corrupt_file_is_refused_exactly_when_parser_refuses_it() {
     for seed in seeds() {
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
@@ -373,23 +384,31 @@
         let mut file = File::new(random);
         for _ in 0..EDITS {
             file.edit(random);
-            file.mend();
+            file.repair();
             let sound = file.text();
-            let held = read_on(&sound, None).unwrap_or_else(|faults| panic!("{faults:?}\n{sound}"));
-            let text = torn(random, &sound);
-            let (cut, whole) = (read_on(&text, None), read_on(&parsed_whole(&text), None));
-            assert_eq!(cut.is_ok(), whole.is_ok(), "{cut:?} {whole:?}\n{text}");
-            match (read_on(&text, Some(&held)), cut) {
-                (Ok(taken), Ok(anew)) => {
+            let in_force = read_with_previous(&sound, None)
+                .unwrap_or_else(|faults| panic!("{faults:?}\n{sound}"));
+            let text = corrupt(random, &sound);
+            let (split, unsplit) = (
+                read_with_previous(&text, None),
+                read_with_previous(&unsplittable(&text), None),
+            );
+            assert_eq!(
+                split.is_ok(),
+                unsplit.is_ok(),
+                "{split:?} {unsplit:?}\n{text}"
+            );
+            match (read_with_previous(&text, Some(&in_force)), split) {
+                (Ok(reused), Ok(fresh)) => {
                     right += 1;
-                    assert_eq!(anew.len(), whole.unwrap().len());
-                    decide_alike(random, &taken, &anew, 1e7);
+                    assert_eq!(fresh.len(), unsplit.unwrap().len());
+                    assert_same_decisions(random, &reused, &fresh, 1e7);
                 }
-                (Err(taken), Err(anew)) => {
+                (Err(reused), Err(fresh)) => {
                     wrong += 1;
-                    assert_eq!(taken, anew, "{text}");
+                    assert_eq!(reused, fresh, "{text}");
                 }
-                (taken, anew) => panic!("{taken:?} {anew:?}\n{text}"),
+                (reused, fresh) => panic!("{reused:?} {fresh:?}\n{text}"),
             }
         }
         println!("{right} right, {wrong} wrong");
@@ -398,7 +417,7 @@
 }
 
 #[test]
-fn the_rules_of_a_table_among_others_are_taken_over_as_well() {
+fn rules_of_a_table_are_reused() {
     let text = "listen = \"127.0.0.1:1\"\n[routes.cost]\nrequest = 5000\n\
                 [[routes.rule]]\nname = 'a'\npool = '\"any\"'\n[routes.rule.notes]\nn = '\"1\"'\n\
                 [other]\nrule = 1\n[[other.list]]\n[[\"routes\".'rule']]\nname = 'b'\n";
@@ -429,36 +448,36 @@
         wrong.starts_with("operator.toml:1:10: this is a TOML integer"),
         "{wrong}"
     );
-    // A list of tables has no rules of its own, wherever they seem to stand.
+    // An array of tables has no rules of its own.
     assert!(read("[[routes]]\n[[routes.rule]]\nname = 'a'\n", None).is_err());
 }
 
-/// One rule of many is edited. Only that one may be parsed and compiled.
+/// One of many rules is edited. Only that rule may be parsed and compiled again.
 #[test]
-fn a_change_costs_what_changed() {
+fn only_changed_rules_are_compiled() {
     const RULES: usize = 300;
     let text = routes(RULES);
-    let mut router = Router::new(read_on(&text, None).unwrap());
-    let taken = |taken_over, compiled| ReadReport {
+    let mut router = Router::new(read_with_previous(&text, None).unwrap());
+    let report = |taken_over, compiled| ReadReport {
         taken_over,
         compiled,
     };
-    assert_eq!(router.rules().report(), taken(0, RULES));
-    assert_eq!(replace(&mut router, &text, 0.0), taken(RULES, 0));
+    assert_eq!(router.rules().report(), report(0, RULES));
+    assert_eq!(replace(&mut router, &text, 0.0), report(RULES, 0));
     let one = text.replace("/programmes/7/", "/programmes/seven/");
-    assert_eq!(replace(&mut router, &one, 0.0), taken(RULES - 1, 1));
+    assert_eq!(replace(&mut router, &one, 0.0), report(RULES - 1, 1));
     let appended = format!("{one}\n\n{}", route(RULES));
-    assert_eq!(replace(&mut router, &appended, 0.0), taken(RULES, 1));
-    // The order is none of a rule's own; the one that had changed is as before again.
+    assert_eq!(replace(&mut router, &appended, 0.0), report(RULES, 1));
+    // A rule does not depend on its position. The rule that was edited has its first text again.
     let reversed: String = (0..RULES).rev().map(route).collect();
     assert_eq!(
         replace(&mut router, &format!("{POOLS}{reversed}"), 0.0),
-        taken(RULES - 1, 1)
+        report(RULES - 1, 1)
     );
-    // Another test of a pool changes no rule.
+    // Rules do not depend on the tests of pools.
     let pools = text.replace("instance.zone ==", "instance.name ==");
-    assert_eq!(replace(&mut router, &pools, 0.0), taken(RULES, 0));
-    // What every rule is judged by: another pool, other effects, another ceiling of an expression.
+    assert_eq!(replace(&mut router, &pools, 0.0), report(RULES, 0));
+    // All rules depend on the names of the pools, the effects, and the cost limit of an expression.
     for head in [
         "[[pool]]\nname = 'mbeya'\nwhen = 'true'\n",
         "[effects.paths]\n'/bookings/' = 'side_effect'\n",
@@ -466,26 +485,26 @@
     ] {
         assert_eq!(
             replace(&mut router, &format!("{head}{text}"), 0.0),
-            taken(0, RULES),
+            report(0, RULES),
             "{head}"
         );
-        assert_eq!(replace(&mut router, &text, 0.0), taken(0, RULES));
+        assert_eq!(replace(&mut router, &text, 0.0), report(0, RULES));
     }
-    // The ceiling of a request is none of a rule.
+    // Rules do not depend on the cost limit of a request.
     assert_eq!(
         replace(
             &mut router,
             &format!("[cost]\nrequest = 100000\n{text}"),
             0.0
         ),
-        taken(RULES, 0)
+        report(RULES, 0)
     );
 }
 
 #[test]
-fn rules_in_one_piece_are_taken_over_with_the_whole_file_only() {
+fn inline_rules_are_reused_only_if_file_is_unchanged() {
     let text = "rule = [{ name = 'a', nack = 'duration(\"1s\")' }, { name = 'b' }]\n";
-    let first = read_on(text, None).unwrap();
+    let first = read_with_previous(text, None).unwrap();
     assert_eq!(
         first.report(),
         ReadReport {
@@ -493,7 +512,7 @@
             compiled: 2
         }
     );
-    let same = read_on(text, Some(&first)).unwrap();
+    let same = read_with_previous(text, Some(&first)).unwrap();
     assert_eq!(
         same.report(),
         ReadReport {
@@ -501,7 +520,7 @@
             compiled: 0
         }
     );
-    let other = read_on(&text.replace("'b'", "'c'"), Some(&first)).unwrap();
+    let other = read_with_previous(&text.replace("'b'", "'c'"), Some(&first)).unwrap();
     assert_eq!(
         other.report(),
         ReadReport {
@@ -511,27 +530,30 @@
     );
 }
 
-/// A rule is copied and its name not changed. The copy is unchanged text, taken over without being parsed, and must be
-/// refused all the same.
+/// A rule is copied without changing its name. The copy is unchanged text, so it is reused without
+/// being parsed, and must be refused nevertheless.
 #[test]
-fn a_rule_that_stands_twice_is_refused_where_it_stands_again() {
+fn duplicate_rule_is_refused_at_its_second_occurrence() {
     let text = routes(3);
-    let held = read_on(&text, None).unwrap();
+    let in_force = read_with_previous(&text, None).unwrap();
     let twice = format!("{text}{}", route(1));
     let line = 1 + text.lines().count();
     let want = format!(
         "rules.toml:{}:8: the rule name \"route-1\" is already in use",
         line + 1
     );
-    assert_eq!(read_on(&twice, Some(&held)).unwrap_err(), [want]);
+    assert_eq!(
+        read_with_previous(&twice, Some(&in_force)).unwrap_err(),
+        [want]
+    );
 }
 
-/// The rules of a file are cut out of it, and the rest says something else about the same key. TOML forbids that; cutting
-/// must not hide it, or a file would be in force that other tools refuse.
+/// The rules of a file are split off, and the remaining text defines the same key differently. TOML
+/// forbids that. Splitting must not hide it, or a file would be in force that other tools refuse.
 #[test]
-fn a_file_whose_head_says_other_things_of_the_rules_is_refused() {
+fn file_with_conflicting_rule_key_is_refused() {
     let section = "[[rule]]\nname = 'a'\n";
-    let held = read_on(section, None).unwrap();
+    let in_force = read_with_previous(section, None).unwrap();
     let wrong = [
         "rule = 1\n",
         "rule = []\n",
@@ -545,30 +567,33 @@
             format!("{head}{section}"),
             format!("{section}[cost]\n{head}"),
         ] {
-            assert!(read_on(&text, Some(&held)).is_err(), "{text}");
+            assert!(
+                read_with_previous(&text, Some(&in_force)).is_err(),
+                "{text}"
+            );
         }
     }
-    // A sub-table that stands apart from its rule is that rule's all the same.
+    // A sub-table that is separated from its rule still belongs to it.
     let apart = format!("{section}[cost]\nrequest = 1000\n[rule.notes]\nn = '\"1\"'\n");
-    let mut router = Router::new(read_on(&apart, Some(&held)).unwrap());
+    let mut router = Router::new(read_with_previous(&apart, Some(&in_force)).unwrap());
     let Verdict::Forward(route) = router.route(&request("/"), 0.0) else {
         panic!("refused")
     };
     assert_eq!(route.notes, [("n".to_string(), "1".to_string())]);
 }
 
-/// A limit that admits one request of a tenant in 1,000 s.
+/// A limit of one request per tenant in 1,000 s.
 const LIMIT: &str = "[[rule]]\nname = 'limit'\ngo_on = true\n\
                      limit = { key = 'request.partner.orValue(\"\")', rate = 0.001, burst = 1, keys = 64 }\n";
-/// A limit that admits one request at a time.
+/// A limit of one concurrent request.
 const AT_ONCE: &str =
     "[[rule]]\nname = 'at-once'\nwhen = 'request.path == \"/once\"'\ngo_on = true\n\
                        limit = { key = '\"all\"', at_once = 1 }\n";
 
-/// Clients are held by a limit while an operator edits other rules. If a reload began the limit anew, each reload would let
-/// a burst through.
+/// Clients are limited while an operator edits other rules. If a reload reset the limit, each
+/// reload would admit a burst.
 #[test]
-fn limits_keep_their_state_whatever_else_is_edited() {
+fn limits_keep_state_across_edits_of_other_rules() {
     for seed in seeds() {
         println!("seed {seed}");
         let random = &mut Rand32::new(seed);
@@ -578,7 +603,7 @@
         let with = |file: &File, limit: &str| {
             format!("{POOLS}{AT_ONCE}{}{limit}", file.text().replace(POOLS, ""))
         };
-        let mut router = Router::new(read_on(&with(&file, LIMIT), None).unwrap());
+        let mut router = Router::new(read_with_previous(&with(&file, LIMIT), None).unwrap());
         router.count_ready([u64::MAX].into_iter());
         let other = Request {
             partner: Some("other"),
@@ -596,8 +621,9 @@
             file.edit(random);
             file.rules
                 .retain(|rule| !rule.contains("limit") && !rule.contains("nack"));
-            file.mend();
-            // The rule itself is read anew now and then, by a comment in it or by other effects.
+            file.repair();
+            // The limit's own rule is sometimes compiled again, because of a comment in it or other
+            // effects.
             let comment = if below(random, 3) == 0 {
                 "# again\n"
             } else {
@@ -620,7 +646,7 @@
             );
         }
         drop(in_flight);
-        // Another rate is another limit, which begins anew.
+        // A limit with another rate starts with a full bucket.
         let faster = LIMIT.replace("rate = 0.001", "rate = 0.002");
         replace(&mut router, &with(&file, &faster), 1.0);
         router.count_ready([u64::MAX].into_iter());
@@ -631,12 +657,13 @@
     }
 }
 
-/// Reading and dropping rules takes long. Were they bound to the serving thread, every reload would hold requests up.
+/// Reading and dropping rules takes long. If they could run only on the serving thread, every
+/// reload would delay requests.
 #[test]
-fn rules_are_read_and_dropped_on_other_threads_than_the_serving_one() {
-    fn can_change_threads<T: Send>() {}
-    fn can_be_shared<T: Send + Sync + Clone>() {}
-    can_be_shared::<Rules>();
-    can_change_threads::<Replaced>();
-    can_change_threads::<LimitPermit>();
+fn rules_can_be_read_and_dropped_on_other_threads() {
+    fn assert_send<T: Send>() {}
+    fn assert_shareable<T: Send + Sync + Clone>() {}
+    assert_shareable::<Rules>();
+    assert_send::<Replaced>();
+    assert_send::<LimitPermit>();
 }
