--- a/crates/inventory/src/ansible/mod.rs
+++ b/crates/inventory/src/ansible/mod.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Maximum nesting depth of groups.
+/// Maximum nesting depth of groups, well above that of real inventories.
 const MAX_DEPTH: usize = 32;
 /// Maximum number of hosts of an inventory; bounds its memory.
 pub const MAX_HOSTS: usize = 200_000;
--- a/crates/inventory/src/ansible/precedence.rs
+++ b/crates/inventory/src/ansible/precedence.rs
@@ -1,8 +1,9 @@
 //! Determines the variables of each host where several groups or files set the same one.
 //!
 //! The order of precedence is Ansible's. Groups are sorted by their depth below `all`, then by
-//! `ansible_group_priority`, then by name, and a later group overrides an earlier one. The host's
-//! own variables override those of groups, and `host_vars` override those in the inventory files.
+//! `ansible_group_priority`, then by name, and a later group overrides an earlier one. All
+//! `group_vars` override the groups' variables in the inventory files. The host's own variables
+//! override those of groups, and `host_vars` override those in the inventory files.
 
 use super::{Group, Inventory, ListedHost, MAX_DEPTH};
 use crate::fault::{Fault, Faults, Location};
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -8,9 +8,9 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Maximum number of faults that are kept for one inventory.
+/// Maximum number of faults that are kept for one inventory: more than a person would read.
 pub const MAX_FAULTS: usize = 1000;
-/// Maximum length of the value that a fault quotes, in characters.
+/// Maximum length of the value that a fault quotes, in characters, so that a fault fits on a line.
 const MAX_VALUE_CHARS: usize = 60;
 
 /// The location of a value in the files of an inventory.
@@ -61,7 +61,7 @@
     }
 }
 
-/// Whether a fault refuses the file.
+/// The consequence of a fault for the inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
     /// The inventory is refused.
--- a/crates/inventory/src/suspicion.rs
+++ b/crates/inventory/src/suspicion.rs
@@ -4,7 +4,7 @@
 use crate::host::{Host, State};
 use std::collections::BTreeMap;
 
-/// Default of both shares in [`Shares`].
+/// Default of both shares in [`Shares`]. A larger change at once is rarely intended.
 const DEFAULT_SHARE: f64 = 0.3;
 /// Number of hosts that a list may always remove: in a small list, a few hosts are a large share.
 const MIN_ALLOWED_HOSTS: f64 = 2.0;
--- a/crates/inventory/src/yaml.rs
+++ b/crates/inventory/src/yaml.rs
@@ -5,12 +5,12 @@
 use serde_saphyr::Spanned;
 use std::fmt;
 
-/// Maximum nesting depth of a file.
+/// Maximum nesting depth of a file, well above that of real inventories.
 const MAX_DEPTH: usize = 32;
 /// Maximum number of values of a file, expanded anchors included; bounds the memory that a small
 /// file can require.
 const MAX_NODES: usize = 1_500_000;
-/// Maximum length of a parser message, in characters.
+/// Maximum length of a parser message, in characters: about one line of text.
 const MAX_PROBLEM_CHARS: usize = 160;
 
 /// A value of a YAML or JSON file.
--- a/crates/routes/benches/rules.rs
+++ b/crates/routes/benches/rules.rs
@@ -73,7 +73,7 @@
     };
     let text: String = (0..size).map(rule).collect();
     let text = format!("[cost]\nexpression = 100000\nrequest = 10000000\n{text}");
-    Router::new(Rules::read(&text, "bench", &catalog()).expect("rules"))
+    Router::new(Rules::read(&text, "bench", &catalog()).expect("valid rules"))
 }
 
 fn route(c: &mut Criterion) {
@@ -114,7 +114,7 @@
         // Evaluates the expressions one by one, without the index.
         let schema = request_schema();
         let own: Vec<Expression> = (0..size)
-            .map(|i| Expression::new(&test(i), &schema).expect("own"))
+            .map(|i| Expression::new(&test(i), &schema).expect("valid expression"))
             .collect();
         let (input, mut scratch) = (Prepared { path: path.clone() }, Scratch::default());
         group.bench_function(BenchmarkId::new("driftgap-expr", size), |b| {
@@ -129,7 +129,9 @@
                 let text = format!(
                     "request.method == \"GET\" && request.path.starts_with(\"/programmes/{i}/\")"
                 );
-                engine.compile_expression(text).expect("rhai")
+                engine
+                    .compile_expression(text)
+                    .expect("valid rhai expression")
             })
             .collect();
         let mut map = Map::new();
@@ -147,11 +149,13 @@
             });
         });
         let cel: Vec<Program> = (0..size)
-            .map(|i| Program::compile(&test(i)).expect("cel"))
+            .map(|i| Program::compile(&test(i)).expect("valid CEL expression"))
             .collect();
         let mut context = Context::default();
         let fields = std::collections::HashMap::from([("method", "GET"), ("path", path.as_str())]);
-        context.add_variable("request", fields).expect("variable");
+        context
+            .add_variable("request", fields)
+            .expect("valid variable");
         group.bench_function(BenchmarkId::new("cel-interpreter", size), |b| {
             b.iter(|| {
                 cel.iter()
--- a/crates/routes/src/cost.rs
+++ b/crates/routes/src/cost.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns the highest cost of these rules for one request, in units.
-pub(crate) fn worst_request(rules: &[Arc<Rule>]) -> u64 {
+pub(crate) fn highest_request_cost(rules: &[Arc<Rule>]) -> u64 {
     let mut always = 0u64;
     let mut fields: BTreeMap<FieldId, Vec<(&str, TextCost)>> = BTreeMap::new();
     for rule in rules {
@@ -34,7 +34,7 @@
     }
     fields
         .into_values()
-        .map(worst_text)
+        .map(highest_text_cost)
         .fold(always, u64::saturating_add)
 }
 
@@ -59,11 +59,10 @@
 }
 
 /// Returns the highest cost of the rules that one value of a field selects.
-fn worst_text(mut texts: Vec<(&str, TextCost)>) -> u64 {
-    // In sorted order, each text follows its prefixes, and every text between them begins with the
-    // prefix.
+fn highest_text_cost(mut texts: Vec<(&str, TextCost)>) -> u64 {
+    // In sorted order, the texts that begin with a prefix directly follow it.
     texts.sort_unstable_by_key(|(text, _)| *text);
-    let mut worst = 0;
+    let mut highest_cost = 0;
     let mut chain: Vec<(&str, u64)> = Vec::new();
     for group in texts.chunk_by(|(a, _), (b, _)| a == b) {
         let text = group[0].0;
@@ -80,8 +79,8 @@
         }
         let before = chain.last().map_or(0, |(_, reached)| *reached);
         let reached = before.saturating_add(sum(|costs| costs.prefix));
-        worst = worst.max(reached.saturating_add(sum(|costs| costs.equal)));
+        highest_cost = highest_cost.max(reached.saturating_add(sum(|costs| costs.equal)));
         chain.push((text, reached));
     }
-    worst
+    highest_cost
 }
--- a/crates/routes/src/effect.rs
+++ b/crates/routes/src/effect.rs
@@ -71,7 +71,7 @@
     /// messages.
     pub(crate) fn strictest(&self, facts: &Facts) -> (Effect, String) {
         let mut found = (Effect::Pure, String::new());
-        let mut note = |effect: Effect, why: String| {
+        let mut record = |effect: Effect, why: String| {
             if effect > found.0 {
                 found = (effect, why);
             }
@@ -84,7 +84,7 @@
                         .get(method)
                         .copied()
                         .unwrap_or(Effect::SideEffect);
-                    note(
+                    record(
                         effect,
                         format!("the method may be {method}, which is {}", effect.as_str()),
                     );
@@ -92,13 +92,13 @@
             }
             None => {
                 let why = "the method may be any, of which some are side_effect".to_string();
-                note(Effect::SideEffect, why);
+                record(Effect::SideEffect, why);
             }
         }
         let path = facts.get(&Path::Field(field::PATH));
         for (prefix, effect) in &self.paths {
             if !path.is_some_and(|fact| fact.never_begins(prefix)) {
-                note(
+                record(
                     *effect,
                     format!(
                         "the path may begin with {prefix}, which is {}",
@@ -135,12 +135,12 @@
 ) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
         let help = "use a table with [key].orValue(...)";
-        return vec![too_many_ways(expression, "class has", help)];
+        return vec![too_many_branches(expression, "class has", help)];
     };
     let refused = ways.iter().filter_map(|way| {
         let (problem, help) = match &way.outcome {
             Outcome::Text(name) => match effect_of(name) {
-                Some(effect) => too_weak(name, effect, declared, &way.facts)?,
+                Some(effect) => weaker_class_problem(name, effect, declared, &way.facts)?,
                 None => (format!("there is no class {name:?}"), nearest(name)),
             },
             _ => (
@@ -159,7 +159,7 @@
 }
 
 /// Returns the problem and help text if a class is weaker than some request that satisfies `facts`.
-fn too_weak(
+fn weaker_class_problem(
     class: &str,
     effect: Effect,
     declared: &DeclaredEffects,
@@ -178,7 +178,7 @@
 }
 
 /// Refuses an expression that has too many branches to check each of them.
-fn too_many_ways(expression: &Expression, what: &str, help: &str) -> RejectedBranch {
+fn too_many_branches(expression: &Expression, what: &str, help: &str) -> RejectedBranch {
     RejectedBranch {
         span: 0..expression.text().len(),
         problem: format!("the {what} too many branches to check"),
@@ -190,18 +190,18 @@
 /// `max`, and a value that the client names must be kept.
 pub(crate) fn check_units(expression: &Expression, max: f64) -> Vec<RejectedBranch> {
     let Some(ways) = expression.ways() else {
-        return vec![too_many_ways(
+        return vec![too_many_branches(
             expression,
             "units have",
             "use fewer branches",
         )];
     };
-    let named = Path::Field(field::UNITS);
+    let client_units = Path::Field(field::UNITS);
     let is_allowed = |number: f64| number > 0.0 && number <= max;
     let keeps = |way: &Way| match &way.outcome {
-        Outcome::Place(place) if *place == named => true,
-        Outcome::Number(number) => way.facts.absent(&named) && is_allowed(*number),
-        _ => way.facts.absent(&named),
+        Outcome::Place(place) if *place == client_units => true,
+        Outcome::Number(number) => way.facts.absent(&client_units) && is_allowed(*number),
+        _ => way.facts.absent(&client_units),
     };
     let refused = ways.iter().filter(|way| !keeps(way)).map(|way| {
         let (problem, help) = match &way.outcome {
--- a/crates/routes/src/file_reader.rs
+++ b/crates/routes/src/file_reader.rs
@@ -6,7 +6,7 @@
 //! stops with a fault at the rule that exceeds the limit.
 
 use crate::content_hash::ContentHash;
-use crate::cost::worst_request;
+use crate::cost::highest_request_cost;
 use crate::document::{Document, Excerpt, RULES};
 use crate::environment::{ceilings, check_top_level_keys, effects, Ceilings, Environment};
 use crate::expression_reader::RuleFields;
@@ -19,7 +19,7 @@
 use crate::rule::{CheckedRule, Rule, RuleLimit, SharedTables};
 use crate::rule_reader::{report_duplicate_name, RuleReader};
 use crate::rules::{ReadReport, RuleSet, Rules};
-use crate::takeover::Previous;
+use crate::takeover::PreviousRules;
 use driftgap_expr::{Schema, Selector};
 use std::collections::HashSet;
 use std::ops::Range;
@@ -119,18 +119,18 @@
             },
         };
         let (ceilings, environment, pools) = self.read_head(skeleton, table);
-        let previous = Previous::new(self.options.previous, &environment);
+        let previous = PreviousRules::new(self.options.previous, &environment);
         if document.sections.is_empty() {
-            self.inline_rules(skeleton, table, &environment, &previous);
+            self.read_inline_rules(skeleton, table, &environment, &previous);
         } else {
-            self.sections(&document.sections, &environment, &previous);
+            self.read_sections(&document.sections, &environment, &previous);
         }
         drop((previous, document.sections));
         self.names = HashSet::new();
         if !self.reader.has_no_faults() {
             return None;
         }
-        let cost = self.worst_cost(&ceilings);
+        let cost = self.highest_cost(&ceilings);
         let FileReader {
             mut rules, report, ..
         } = self;
@@ -194,11 +194,11 @@
     }
 
     /// Reads the rules of a file that was split into sections.
-    fn sections(
+    fn read_sections(
         &mut self,
         sections: &[Range<usize>],
         environment: &Environment,
-        previous: &Previous<'_>,
+        previous: &PreviousRules<'_>,
     ) {
         self.rules.reserve_exact(sections.len());
         self.names.reserve(sections.len());
@@ -208,14 +208,14 @@
             }
             let content = section_content(self.input.text.get(range.clone()).unwrap_or(""));
             match previous.rule(content) {
-                Some(rule) => self.take_over(rule, range.clone(), environment),
-                None => self.section(range.clone(), content, environment, previous),
+                Some(rule) => self.reuse_rule(rule, range.clone(), environment),
+                None => self.read_section(range.clone(), content, environment, previous),
             }
         }
     }
 
     /// Reuses an unchanged rule.
-    fn take_over(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
+    fn reuse_rule(&mut self, rule: &Arc<Rule>, range: Range<usize>, environment: &Environment) {
         if !self.names.insert(ContentHash::of(&*rule.name)) {
             self.report_duplicate_name(range, environment);
         }
@@ -240,12 +240,12 @@
     }
 
     /// Parses, checks and compiles one rule.
-    fn section(
+    fn read_section(
         &mut self,
         range: Range<usize>,
         content: ContentHash,
         environment: &Environment,
-        previous: &Previous<'_>,
+        previous: &PreviousRules<'_>,
     ) {
         if !self.may_parse(range.len(), range.clone()) {
             return;
@@ -262,16 +262,16 @@
         else {
             return;
         };
-        self.rule(&excerpt, &fields, content, environment, previous);
+        self.read_rule(&excerpt, &fields, content, environment, previous);
     }
 
     /// Reads the rules of a file that could not be split into sections.
-    fn inline_rules(
+    fn read_inline_rules(
         &mut self,
         skeleton: &Excerpt<'_>,
         table: &DeTable<'_>,
         environment: &Environment,
-        previous: &Previous<'_>,
+        previous: &PreviousRules<'_>,
     ) {
         let Some(list) = table.get(RULES) else { return };
         let list = Values::new(self.reader, skeleton, environment.expression_cost).array(list);
@@ -293,19 +293,19 @@
                     self.report.taken_over += 1;
                     self.rules.push(rule.clone());
                 }
-                None => self.rule(skeleton, &fields, content, environment, previous),
+                None => self.read_rule(skeleton, &fields, content, environment, previous),
             }
         }
     }
 
     /// Checks a rule and, while the file has no fault, compiles it.
-    fn rule(
+    fn read_rule(
         &mut self,
         excerpt: &Excerpt<'_>,
         fields: &RuleFields<'_, '_>,
         content: ContentHash,
         environment: &Environment,
-        previous: &Previous<'_>,
+        previous: &PreviousRules<'_>,
     ) {
         let mut values = Values::new(self.reader, excerpt, environment.expression_cost);
         let names = &self.names;
@@ -355,8 +355,8 @@
 
     /// Returns the highest cost of all rules for one request, in units. Reports a fault if it
     /// exceeds the limit.
-    fn worst_cost(&mut self, ceilings: &Ceilings) -> u64 {
-        let cost = worst_request(&self.rules);
+    fn highest_cost(&mut self, ceilings: &Ceilings) -> u64 {
+        let cost = highest_request_cost(&self.rules);
         if cost > ceilings.request {
             let costliest = self.rules.iter().max_by_key(|rule| rule.cost);
             let costliest = costliest.map_or("", |rule| &rule.name);
--- a/crates/routes/src/pool_bits.rs
+++ b/crates/routes/src/pool_bits.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Replaces the pools `old` by `new` at `now_ms`. Requests routed before end within
-    /// `max_request_ms`.
+    /// Replaces the pools `old` by `new` at `now_ms`. Requests that were routed before this call end
+    /// within `max_request_ms`.
     ///
     /// # Errors
     /// The new pools and those that are still needed are too many; nothing has changed.
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -38,7 +38,7 @@
     LimitKey,
 }
 
-/// Writes the key in the rule file, for operators.
+/// Writes the key as it is spelled in a file of rules, for messages to operators.
 impl fmt::Display for ActionKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/routes/src/rules.rs
+++ b/crates/routes/src/rules.rs
@@ -3,7 +3,7 @@
 //! This module does not depend on the modules that read a file, because reading depends on the
 //! rules in force.
 
-use crate::cost::worst_request;
+use crate::cost::highest_request_cost;
 use crate::environment::Environment;
 use crate::pool::Pool;
 use crate::rule::{Rule, SharedTables};
@@ -134,7 +134,7 @@
         } = &*self.set;
         let rules: Vec<Arc<Rule>> = rules.iter().take(count).cloned().collect();
         let selector = Selector::new(rules.iter().map(|rule| &rule.key));
-        let cost = worst_request(&rules);
+        let cost = highest_request_cost(&rules);
         let (pools, environment, shared) = (pools.clone(), environment.clone(), shared.clone());
         Rules::new(RuleSet::new(
             rules,
--- a/crates/routes/src/takeover.rs
+++ b/crates/routes/src/takeover.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// The rules in force, indexed for reading another file.
-pub(crate) struct Previous<'a> {
+pub(crate) struct PreviousRules<'a> {
     rules: &'a [Arc<Rule>],
     /// Indices of the rules, sorted by content hash; empty if the environment has changed.
     by_content: Vec<u32>,
@@ -19,15 +19,15 @@
     by_name: OnceCell<HashMap<&'a str, u32>>,
 }
 
-impl<'a> Previous<'a> {
+impl<'a> PreviousRules<'a> {
     /// Indexes the rules in force, if there are any, for a file that is read in this environment.
-    pub(crate) fn new(previous: Option<&'a Rules>, environment: &Environment) -> Previous<'a> {
+    pub(crate) fn new(previous: Option<&'a Rules>, environment: &Environment) -> PreviousRules<'a> {
         let rules = previous.map_or(&[][..], |previous| &previous.set.rules);
         let is_same = previous.is_some_and(|previous| *previous.set.environment == *environment);
         let comparable = if is_same { rules.len() as u32 } else { 0 };
         let mut by_content: Vec<u32> = (0..comparable).collect();
         by_content.sort_unstable_by_key(|index| rules[*index as usize].content);
-        Previous {
+        PreviousRules {
             rules,
             by_content,
             by_name: OnceCell::new(),
--- a/crates/routes/tests/memory.rs
+++ b/crates/routes/tests/memory.rs
@@ -251,7 +251,11 @@
     let mut replace = |router: &mut Router, rules: &[usize]| {
         now += 1.0;
         let next = read(&text(rules), Some(router.rules()));
-        drop(router.replace(next, now, 0.0).expect("bits for the pools"));
+        drop(
+            router
+                .replace(next, now, 0.0)
+                .expect("enough free pool bits"),
+        );
     };
     replace(&mut router, &first);
     let region = Region::new();
--- a/crates/routes/tests/pools.rs
+++ b/crates/routes/tests/pools.rs
@@ -71,19 +71,23 @@
     assert_eq!(
         pools(&[ALL | 0b010, ALL], &station, "/"),
         Ok(0b010),
-        "falls back on the coast"
+        "uses the fallback pool"
     );
     assert_eq!(
         pools(&[ALL], &station, "/"),
         Err((1000.0, "coast".into())),
-        "no silent spill"
+        "rejected instead of using other endpoints"
     );
     assert_eq!(
         pools(&[ALL], &none, "/big"),
         Ok(ALL),
-        "any by the file's word"
+        "the fallback is any endpoint"
+    );
+    assert_eq!(
+        pools(&[], &none, "/"),
+        Ok(ALL),
+        "without a matching rule any endpoint may serve"
     );
-    assert_eq!(pools(&[], &none, "/"), Ok(ALL), "no rule, no pool");
 }
 
 /// Two pools fall back on each other. Without a ready endpoint in either, a request would be passed
@@ -185,6 +189,6 @@
     assert_eq!(
         router.pools_of(&endpoint("z7")).count_ones(),
         2,
-        "the old rules stay"
+        "the old rules stay in force"
     );
 }
--- a/crates/routes/tests/takeover.rs
+++ b/crates/routes/tests/takeover.rs
@@ -330,7 +330,7 @@
     drop(
         router
             .replace(rules, now, 3000.0)
-            .expect("bits for the pools"),
+            .expect("enough free pool bits"),
     );
     report
 }
@@ -577,7 +577,7 @@
     let apart = format!("{section}[cost]\nrequest = 1000\n[rule.notes]\nn = '\"1\"'\n");
     let mut router = Router::new(read_with_previous(&apart, Some(&in_force)).unwrap());
     let Verdict::Forward(route) = router.route(&request("/"), 0.0) else {
-        panic!("refused")
+        panic!("the request was rejected")
     };
     assert_eq!(route.notes, [("n".to_string(), "1".to_string())]);
 }
@@ -610,7 +610,7 @@
             ..request("/once")
         };
         let Verdict::Forward(in_flight) = router.route(&other, 0.0) else {
-            panic!("rejected at first")
+            panic!("the first request was rejected")
         };
         assert_eq!(in_flight.permits.len(), 1);
         assert!(matches!(
