--- a/examples/toy_endpoint.rs
+++ b/examples/toy_endpoint.rs
@@ -1,5 +1,5 @@
-//! A toy endpoint to try driftgap with: it answers every request of the platform's protocol after a moment, with what
-//! it was asked for. Usage: toy_endpoint ADDRESS:PORT
+//! An endpoint to try driftgap with. It answers every request of the platform's RESP protocol after
+//! a short delay, with the contents of the request. Usage: toy_endpoint ADDRESS:PORT
 
 use driftgap::protocol::resp::{request_words, Parsed};
 use driftgap::protocol::wire_names::{VERB_SAFE, VERB_WITH_EFFECT};
@@ -7,14 +7,14 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Where it listens if no address is given.
+/// Address to listen on if none is given.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:7001";
-/// How long each request takes.
+/// Simulated processing time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
-/// Bytes that are read at a time.
+/// Size of the read buffer, bytes.
 const READ_BYTES: usize = 4096;
 
-/// The reply to one request.
+/// Returns the reply to one request.
 fn reply(words: &[&[u8]]) -> String {
     let text = |word: usize| String::from_utf8_lossy(words.get(word).unwrap_or(&&b""[..]));
     match text(0).as_ref() {
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,4 +1,4 @@
-//! What `.ci/tests` makes of a run: played with the output of a run in place of one.
+//! Tests of `.ci/tests`, with prepared output in place of a test run.
 
 use std::process::Command;
 
@@ -6,10 +6,12 @@
     "     Running unittests src/lib.rs\ntest a::one ... ok\ntest a::two ... ok\ntest result: ok. 2 passed";
 const FAILED: &str =
     "     Running unittests src/lib.rs\ntest a::one ... FAILED\ntest a::two ... ok\ntest result: FAILED.";
-const ENDED: &str = "     Running unittests src/lib.rs\ntest a::one ... FAILED\ntest a::two ... ok";
+const INTERRUPTED: &str =
+    "     Running unittests src/lib.rs\ntest a::one ... FAILED\ntest a::two ... ok";
 
-/// Whether a run that prints this and ends with this status passes under this list, and what was said.
-fn judged(name: &str, output: &str, status: i32, red: Option<&str>) -> (bool, String) {
+/// Runs `.ci/tests` on a command that prints `output` and ends with `status`, with this list of
+/// known failures. Returns whether it passed, and what it printed.
+fn run_ci_tests(name: &str, output: &str, status: i32, known_red: Option<&str>) -> (bool, String) {
     let folder = std::env::temp_dir().join(format!("driftgap-ci-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("output"), format!("{output}\n")).unwrap();
@@ -18,10 +20,10 @@
         format!("cat $(dirname $0)/output; exit {status}\n"),
     )
     .unwrap();
-    // `--no-fail-fast` comes behind it.
+    // `.ci/tests` appends `--no-fail-fast`.
     let run = format!("bash {}/run", folder.display());
-    if let Some(red) = red {
-        std::fs::write(folder.join("red"), red).unwrap();
+    if let Some(known_red) = known_red {
+        std::fs::write(folder.join("red"), known_red).unwrap();
     }
     let tests = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/tests");
     let out = Command::new("bash")
@@ -37,33 +39,33 @@
 }
 
 #[test]
-fn a_known_failure_is_passed_over_and_printed_and_any_other_is_not() {
-    let red = "a::one | cargo test one, seed 7 | the counter is slow | issue 32\n";
-    let (passed, said) = judged("known", FAILED, 101, Some(red));
+fn known_failure_is_printed_and_any_other_fails_the_run() {
+    let known_red = "a::one | cargo test one, seed 7 | the counter is slow | issue 32\n";
+    let (passed, printed) = run_ci_tests("known", FAILED, 101, Some(known_red));
     assert!(
         passed
-            && said.contains(
+            && printed.contains(
                 "KNOWN-RED: a::one | cargo test one, seed 7 | the counter is slow | issue 32"
             ),
-        "{said}"
+        "{printed}"
     );
-    let (passed, said) = judged(
+    let (passed, printed) = run_ci_tests(
         "other",
         FAILED,
         101,
         Some("a::two | cargo test two | the counter is slow | issue 32\n"),
     );
-    assert!(!passed && said.contains("failed: a::one"), "{said}");
-    assert!(!judged("none", FAILED, 101, None).0);
-    assert!(judged("passed", PASSED, 0, None).0);
-    let (passed, said) = judged("mended", PASSED, 0, Some(red));
-    assert!(passed && said.contains("passes now"), "{said}");
+    assert!(!passed && printed.contains("failed: a::one"), "{printed}");
+    assert!(!run_ci_tests("none", FAILED, 101, None).0);
+    assert!(run_ci_tests("passed", PASSED, 0, None).0);
+    let (passed, printed) = run_ci_tests("mended", PASSED, 0, Some(known_red));
+    assert!(passed && printed.contains("passes now"), "{printed}");
 }
 
 #[test]
-fn a_list_that_is_not_in_order_fails_the_run() {
+fn invalid_list_fails_the_run() {
     let line = |test: &str| format!("{test} | cargo test | why | issue 32\n");
-    for (name, red) in [
+    for (name, known_red) in [
         ("unknown", line("a::three")),
         ("part", line("one")),
         ("bare", "a::one\n".into()),
@@ -83,34 +85,43 @@
             .concat(),
         ),
     ] {
-        assert!(!judged(name, FAILED, 101, Some(&red)).0, "{name}");
+        assert!(
+            !run_ci_tests(name, FAILED, 101, Some(&known_red)).0,
+            "{name}"
+        );
     }
 }
 
 #[test]
-fn with_an_empty_or_absent_list_every_failure_counts() {
-    for (name, red) in [("blank", Some("")), ("absent", None)] {
-        let (passed, said) = judged(name, FAILED, 101, red);
-        assert!(!passed && said.contains("failed: a::one"), "{name}: {said}");
-        let (passed, said) = judged(name, PASSED, 0, red);
-        assert!(passed && !said.contains("KNOWN-RED"), "{name}: {said}");
+fn every_failure_counts_with_an_empty_or_absent_list() {
+    for (name, known_red) in [("blank", Some("")), ("absent", None)] {
+        let (passed, printed) = run_ci_tests(name, FAILED, 101, known_red);
+        assert!(
+            !passed && printed.contains("failed: a::one"),
+            "{name}: {printed}"
+        );
+        let (passed, printed) = run_ci_tests(name, PASSED, 0, known_red);
+        assert!(
+            passed && !printed.contains("KNOWN-RED"),
+            "{name}: {printed}"
+        );
         assert!(
-            !judged(name, ENDED, 101, red).0,
-            "{name}: it does not come to its end"
+            !run_ci_tests(name, INTERRUPTED, 101, known_red).0,
+            "{name}: passed without a result line"
         );
         assert!(
-            !judged(name, PASSED, 101, red).0,
-            "{name}: it does not compile, for one"
+            !run_ci_tests(name, PASSED, 101, known_red).0,
+            "{name}: passed with status 101, as after a compile error"
         );
     }
 }
 
 #[test]
-fn a_run_that_does_not_come_to_its_end_fails_whatever_is_known() {
-    let red = "a::one | cargo test | why | issue 32\n";
-    assert!(!judged("ended", ENDED, 101, Some(red)).0);
+fn incomplete_run_fails_despite_known_failures() {
+    let known_red = "a::one | cargo test | why | issue 32\n";
+    assert!(!run_ci_tests("ended", INTERRUPTED, 101, Some(known_red)).0);
     assert!(
-        !judged("status", PASSED, 101, Some(red)).0,
-        "it does not compile, for one"
+        !run_ci_tests("status", PASSED, 101, Some(known_red)).0,
+        "passed with status 101, as after a compile error"
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An ingress under test with its settings, a clock and a record of what it did.
+//! An ingress under test, with its settings, a clock and the actions of the last event.
 #![allow(dead_code)]
 
 use driftgap::decision::*;
@@ -27,7 +27,8 @@
     }
 }
 
-/// Classes: 0 safe, 1 keyed (cell), 2 unsafe, 3 keyed (all). Plans: 0 without a quota, 1 small.
+/// Settings with the classes 0 safe, 1 keyed (cell), 2 unsafe, 3 keyed (all), and the plans 0
+/// without a quota, 1 with a small one.
 pub fn settings() -> Settings {
     Settings {
         ingresses: 2,
@@ -77,28 +78,28 @@
     pub engine: DecisionEngine,
     pub settings: Settings,
     pub now: f64,
-    /// What the last event asked for.
+    /// Actions that the last event returned.
     pub actions: Vec<Action>,
-    next: RequestId,
+    next_request_id: RequestId,
 }
 
 impl TestIngress {
-    /// An ingress that has run for a while.
+    /// Creates an ingress that has run for 60 s.
     pub fn new(settings: Settings, endpoints: u32) -> TestIngress {
         let mut ingress = TestIngress::just_started(settings, endpoints);
         ingress.now += 60.0;
         ingress
     }
 
-    /// An ingress that has just started.
+    /// Creates an ingress that has just started.
     pub fn just_started(settings: Settings, endpoints: u32) -> TestIngress {
-        let engine = DecisionEngine::new(settings.clone(), 1).expect("settings make sense");
+        let engine = DecisionEngine::new(settings.clone(), 1).expect("valid settings");
         let mut ingress = TestIngress {
             engine,
             settings,
             now: 1000.0,
             actions: Vec::new(),
-            next: 1,
+            next_request_id: 1,
         };
         ingress.handle(Event::EndpointList {
             kind: ListKind::Full,
@@ -113,7 +114,7 @@
         &self.actions
     }
 
-    /// A request; its id.
+    /// Sends a request through two ingresses. Returns its id.
     pub fn request(
         &mut self,
         class: usize,
@@ -124,7 +125,8 @@
         self.request_through(class, plan, tenant, units, 2)
     }
 
-    /// A request of a tenant that comes in through `spread` ingresses, from the first on; its id.
+    /// Sends a request of a tenant whose traffic is spread over `spread` ingresses, from the first
+    /// on. Returns its id.
     pub fn request_through(
         &mut self,
         class: usize,
@@ -152,7 +154,8 @@
         id
     }
 
-    /// A request without a quota whose client has waited so long in earlier attempts, s; its id.
+    /// Sends a request without a quota whose client has already waited for `waited` seconds in
+    /// earlier attempts. Returns its id.
     pub fn request_after_waiting(&mut self, class: usize, waited: f64) -> RequestId {
         let id = self.next_id();
         let request = Request {
@@ -172,12 +175,12 @@
     }
 
     fn next_id(&mut self) -> RequestId {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_request_id;
+        self.next_request_id += 1;
         id
     }
 
-    /// Requests that stay pending, one after the other, and where each was sent.
+    /// Sends `n` requests in sequence, which stay pending. Returns the endpoint of each attempt.
     pub fn request_all(&mut self, class: usize, n: usize) -> Vec<(RequestId, EndpointId)> {
         let mut sent = Vec::new();
         for _ in 0..n {
@@ -191,13 +194,13 @@
         sent
     }
 
-    /// One request of a tenant with a quota; itself if it was sent at once.
+    /// Sends one request of a tenant with a quota. Returns the requests that were sent at once.
     pub fn request_unit(&mut self, tenant: TenantId) -> Vec<RequestId> {
         self.request(0, 1, tenant, 1.0);
         self.requests_sent()
     }
 
-    /// Requests that the last event sent attempts of.
+    /// Returns the requests for which the last event sent attempts.
     pub fn requests_sent(&self) -> Vec<RequestId> {
         let to = |a: &Action| match a {
             Action::Send { id, .. } => Some(*id),
@@ -224,7 +227,7 @@
         self.handle(Event::Timer { token: 0 });
     }
 
-    /// Ends the call to a number of the counter.
+    /// Ends the counter call for the total with this name.
     pub fn answer_counter(&mut self, name: u64, outcome: Outcome, total: f64) {
         self.handle(Event::CounterAnswered {
             name,
@@ -233,7 +236,7 @@
         });
     }
 
-    /// Where the last event sent attempts of this request.
+    /// Returns the endpoints to which the last event sent attempts of this request.
     pub fn endpoints_sent_to(&self, id: RequestId) -> Vec<EndpointId> {
         let to = |a: &Action| match a {
             Action::Send {
@@ -244,7 +247,7 @@
         self.actions.iter().filter_map(to).collect()
     }
 
-    /// Counter calls of the last event.
+    /// Returns the names and amounts of the counter calls of the last event.
     pub fn counter_calls(&self) -> Vec<(u64, f64)> {
         let call = |a: &Action| match a {
             Action::AddToCounter { name, amount, .. } => Some((*name, *amount)),
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The same faults over both wires, in front and behind: scenarios in the stage's language.
+//! Fault scenarios that run over both protocols of clients and of endpoints.
 
 mod stage;
 
@@ -7,7 +7,7 @@
 /// An endpoint fails while it works on a request that must not run twice. It may have run, so a retry could
 /// book twice: the client gets a failure, and no second attempt goes out.
 #[test]
-fn a_booking_that_breaks_halfway_is_not_made_again() {
+fn booking_that_fails_halfway_is_not_retried() {
     for fault in ["half", "reset", "goaway", "error", "garbage", "hang"] {
         play_all(&format!(
             "send c k1 book-rebroadcast city 7
@@ -19,10 +19,10 @@
     }
 }
 
-/// The same failure on a request that is safe to repeat: the client never sees it, since another attempt
-/// serves it.
+/// The same failure on a request that is safe to repeat: a second attempt serves it, and the client
+/// does not see the failure.
 #[test]
-fn a_fetch_that_breaks_halfway_is_made_again() {
+fn fetch_that_fails_halfway_is_retried() {
     play_all(
         "send c k1 fetch-episode city 7
          answer * k1 half
@@ -32,10 +32,10 @@
     );
 }
 
-/// An endpoint sends half an answer and stops. Waiting for the rest would use up the deadline; the attempt is
-/// given up early enough for another one.
+/// An endpoint sends half an answer and stops. Waiting for the rest would use up the deadline, so
+/// the attempt is abandoned early enough for another one.
 #[test]
-fn a_fetch_whose_answer_hangs_halfway_is_made_again_long_before_its_deadline() {
+fn fetch_whose_response_stalls_is_retried_before_its_deadline() {
     play_all(
         "send c k1 fetch-episode city 7 d=1000
          answer * k1 hang
@@ -45,10 +45,10 @@
     );
 }
 
-/// An endpoint sends more than one answer, or odd lines beside it. If those bytes stayed on a reused
-/// connection, the next request would get an answer that is not its own.
+/// An endpoint sends more than one answer, or malformed fields after it. If those bytes stayed on a
+/// reused connection, the next request would get an answer that belongs to another one.
 #[test]
-fn what_comes_beside_a_value_never_becomes_another_requests_answer() {
+fn extra_bytes_never_answer_another_request() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -69,11 +69,11 @@
     );
 }
 
-/// The second answer arrives after the first was passed on, while the connection rests in the pool. It must
-/// be noticed before the connection carries another request.
+/// A duplicate answer arrives after the first was forwarded, while the connection is idle in the
+/// pool. It must be detected before the connection carries another request.
 #[test]
-fn a_second_answer_that_comes_some_milliseconds_late_is_no_other_requests() {
-    // The last request finds a connection that has rested, with a second answer on it.
+fn late_duplicate_answer_never_answers_another_request() {
+    // The last request could get a pooled connection with an unread duplicate on it.
     play(
         Wire::Resp,
         Wire::Resp,
@@ -88,10 +88,10 @@
     );
 }
 
-/// An endpoint rejects a request unseen. It cannot have run, so even a request that must not run twice is
-/// retried elsewhere.
+/// An endpoint rejects a request without processing it. The request cannot have run, so even one
+/// that must not run twice is retried elsewhere.
 #[test]
-fn a_booking_that_never_ran_is_sent_elsewhere() {
+fn booking_rejected_unprocessed_is_retried_elsewhere() {
     for fault in ["busy", "refuse"] {
         play_all(&format!(
             "send c k1 book-rebroadcast city 7
@@ -103,9 +103,10 @@
     }
 }
 
-/// Every endpoint rejects a request unseen. Nothing ran, so the client is told to come again, and when.
+/// Every endpoint rejects a request without processing it. Nothing ran, so the client is refused
+/// with a retry-after.
 #[test]
-fn a_booking_that_nobody_takes_is_refused_with_advice() {
+fn booking_that_every_endpoint_rejects_is_refused() {
     play_all(
         "always busy
          send c k1 book-rebroadcast city 7
@@ -113,10 +114,10 @@
     );
 }
 
-/// An endpoint never answers. At the deadline the client gets its one final answer, the attempt is abandoned,
-/// and later requests are not affected.
+/// An endpoint never answers. At the deadline the client gets exactly one answer, the attempt is
+/// abandoned, and later requests are not affected.
 #[test]
-fn at_the_deadline_the_client_hears_once_and_the_attempt_is_abandoned() {
+fn request_gets_one_answer_at_the_deadline_and_attempt_is_abandoned() {
     play_all(
         "send c k1 book-rebroadcast city 7 d=300
          expect * k1
@@ -128,10 +129,10 @@
     );
 }
 
-/// One client gives up while another one waits on the same endpoints. Only the request of the first may be
-/// abandoned.
+/// One client cancels its request while another one waits on the same endpoints. Only the request
+/// of the first may be abandoned.
 #[test]
-fn a_client_that_gives_up_ends_its_request_alone() {
+fn client_that_cancels_ends_only_its_own_request() {
     play_all(
         "send c k1 book-rebroadcast city 7
          send d k2 fetch-episode city 7
@@ -147,7 +148,7 @@
 /// SIGTERM comes while two requests of one connection are in flight. Both get their answers before the
 /// connection and the process end.
 #[test]
-fn two_tenants_on_one_connection_are_finished_while_the_ingress_drains() {
+fn requests_in_flight_are_finished_while_draining() {
     play_all(
         "send c k1 book-rebroadcast city 7
          send c k2 fetch-episode national 8
@@ -164,10 +165,10 @@
     );
 }
 
-/// At SIGTERM clients still connect until those who route them notice. New connections are served for a
-/// while, idle ones are closed.
+/// After SIGTERM clients still connect until their load balancer notices. New connections are
+/// served for a while, and idle ones are closed.
 #[test]
-fn an_idle_connection_is_closed_and_new_ones_are_taken_for_a_while_at_a_stop() {
+fn draining_closes_idle_connections_and_accepts_new_ones() {
     play_all(
         "always value news
          send c k1 fetch-episode city 7
@@ -182,9 +183,9 @@
     );
 }
 
-/// Discovery notifies that an endpoint drains. A request that still went there could die with it.
+/// Discovery lists an endpoint as leaving. A request that was still sent there could fail with it.
 #[test]
-fn nothing_goes_to_an_endpoint_that_is_leaving() {
+fn leaving_endpoint_gets_no_requests() {
     play_all(
         "state a leaving
          wait 50
@@ -199,11 +200,11 @@
     );
 }
 
-/// A tenant sends over RESP or HTTP/2. If one frontend charged other units than the other, a quota would
-/// depend on the wire.
+/// A tenant sends over RESP or HTTP/2. If the two frontends charged different units, a quota would
+/// depend on the protocol.
 #[test]
-fn quotas_count_the_same_over_both_wires() {
-    // A store of 14 units, and 3.2 a second; 2 for each request.
+fn quotas_charge_the_same_units_over_both_protocols() {
+    // A bucket of 14 units with a refill of 3.2 a second; each request costs 2.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
         .collect();
@@ -213,7 +214,7 @@
 /// A client names a class or plan that the settings do not have. The request fails, and its connection still
 /// serves others.
 #[test]
-fn an_unknown_class_or_plan_has_failed_and_the_connection_is_kept() {
+fn unknown_class_or_plan_fails_and_keeps_the_connection() {
     play_all(
         "send c k1 no-such-class city 7
          expect c k1 failed
@@ -225,8 +226,8 @@
     );
 }
 
-/// On RESP a client tells answers apart by their order alone. The second request is served first; its answer
-/// has to wait for that of the first.
+/// A RESP client matches answers to requests by their order alone. The second request is served
+/// first, and its answer has to wait for that of the first.
 #[test]
 fn resp_answers_keep_the_order_of_the_requests() {
     play(
@@ -242,10 +243,10 @@
     );
 }
 
-/// Where a request ends is unknown behind bytes that make no sense, so the connection is closed with an
-/// error. A well-formed request of an unknown name is only answered with one.
+/// After malformed bytes the end of a request is unknown, so the connection is closed with an
+/// error. A well-formed but unknown command only gets an error reply.
 #[test]
-fn malformed_bytes_end_the_connection_and_unknown_requests_do_not() {
+fn malformed_bytes_close_the_connection_but_unknown_commands_do_not() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -265,9 +266,9 @@
     );
 }
 
-/// Over HTTP/2 a request whose headers make no sense is the fault of the client, and its status says so.
+/// An HTTP/2 request with malformed headers is a fault of the client and gets status 400.
 #[test]
-fn a_request_without_sense_is_400_over_http2() {
+fn malformed_http2_request_gets_status_400() {
     play(
         Wire::Http2,
         Wire::Resp,
@@ -278,10 +279,10 @@
     );
 }
 
-/// The inventory file is read again with one line broken. A list taken from half a file would drop endpoints
-/// that still serve: the last good list stays.
+/// The inventory file is reloaded with one invalid line. A list taken from a part of the file would
+/// drop endpoints that still serve, so the last valid list stays in force.
 #[test]
-fn the_inventory_adds_endpoints_keeps_them_over_a_wrong_file_and_drains_them() {
+fn inventory_adds_and_drains_endpoints_and_ignores_invalid_files() {
     play_all(
         "inventory extra
          state a left
@@ -304,10 +305,10 @@
     );
 }
 
-/// The plug-in rejects one tenant and fails on another. Neither request may reach an endpoint or be charged,
-/// and the failure does what the operator has set.
+/// The plug-in rejects one tenant and fails on another. Neither request may reach an endpoint or be
+/// charged, and the failure is handled as `on_error` says.
 #[test]
-fn the_hook_refuses_before_the_decision_and_its_failure_does_what_is_set() {
+fn plugin_rejects_before_admission_and_its_failure_follows_on_error() {
     play_all(
         "send c k1 book-rebroadcast city dead
          expect c k1 busy
@@ -321,10 +322,10 @@
     );
 }
 
-/// The counter service is silent, full, late, or answers nonsense. Quotas rest on it, yet every request gets
-/// its answer in time, and quotas count on once it is back.
+/// The counter service is silent, full, late, or answers malformed data. Quotas depend on it, yet
+/// every request is answered in time, and quotas are counted again once the service is back.
 #[test]
-fn a_counter_out_of_order_costs_no_request_its_answer() {
+fn every_request_is_answered_while_the_counter_is_faulty() {
     for fault in [
         "silent",
         "full",
@@ -353,9 +354,10 @@
     }
 }
 
-/// Discovery answers what is no list. The last good list stays in force until it answers again.
+/// Discovery answers with something other than a list. The last list stays in force until discovery
+/// answers correctly again.
 #[test]
-fn discovery_out_of_order_leaves_the_last_list() {
+fn faulty_discovery_keeps_the_last_list() {
     for fault in ["garbage", "error", "nonsense"] {
         play(
             Wire::Resp,
@@ -377,11 +379,12 @@
     }
 }
 
-/// An open watch falls silent without being closed, so a change is missed and nothing shows it. The poll has
-/// to be given up and opened anew before the change counts as notified.
+/// A pending poll of discovery gets no answer and is not closed, so a change is missed without a
+/// sign of it. The poll must be abandoned and reopened within the time in which a change has to
+/// reach the ingress.
 #[test]
-fn a_watch_that_has_fallen_silent_is_opened_anew_before_what_it_misses_counts_as_notified() {
-    // It falls silent at the change, at the latest, and 6 s later that counts as told.
+fn silent_discovery_poll_is_reopened_before_its_changes_are_due() {
+    // Discovery is silent from the change on at the latest; the change must be known within 6 s.
     play_resp(
         "always value news
          state b left
@@ -398,11 +401,11 @@
     );
 }
 
-/// Discovery is down for some seconds, and a backoff that has grown meanwhile would delay its first answer.
-/// What it has on its return is in force within a second.
+/// Discovery is down for some seconds. A backoff that has grown meanwhile would delay its first
+/// answer, but its changes must be in force within a second after its return.
 #[test]
-fn what_discovery_has_when_it_comes_back_is_in_force_within_a_second() {
-    // Silent, so that calls hang; reset at once; and rejected.
+fn changes_apply_within_a_second_after_discovery_returns() {
+    // Polls hang, are reset at once, or are rejected.
     for fault in ["silent", "reset", "error"] {
         play_resp(&format!(
             "always value news
@@ -420,11 +423,11 @@
     }
 }
 
-/// A list may be indented, or end with its connection because it names no length. An orderly end is the end
-/// of the list; a reset is not, since half a list would drop endpoints.
+/// A list may be indented, or end with its connection because it announces no length. An orderly
+/// end is the end of the list; a reset is not, since an incomplete list would drop endpoints.
 #[test]
-fn a_list_that_is_indented_or_ends_with_its_connection_is_taken_and_one_that_is_reset_is_not() {
-    for (fault, want) in [
+fn list_without_length_is_accepted_unless_the_connection_is_reset() {
+    for (fault, expected) in [
         ("indented", "busy"),
         ("no_length", "busy"),
         ("truncated", "served"),
@@ -437,7 +440,7 @@
              state a leaving
              wait 1000
              send c k1 fetch-episode city 7
-             expect c k1 {want}
+             expect c k1 {expected}
              discovery ok
              wait 1000
              send c k2 fetch-episode city 7
@@ -446,10 +449,10 @@
     }
 }
 
-/// Idle clients hold all descriptors while discovery is down. If none were left for the connection to
-/// discovery, the ingress would keep its old list for good.
+/// Idle clients hold all descriptors while discovery is down. If none were left for the connection
+/// to discovery, the ingress would keep its old list for ever.
 #[test]
-fn discovery_comes_back_to_an_ingress_whose_descriptors_idle_clients_have_taken() {
+fn discovery_reconnects_while_idle_clients_hold_all_descriptors() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -471,11 +474,11 @@
     );
 }
 
-/// An endpoint closes a connection that rests in the pool. A request written to it would be lost, and one
-/// that must not run twice could not be retried.
+/// An endpoint closes a connection that is idle in the pool. A request written to it would be lost,
+/// and one that must not run twice could not be retried.
 #[test]
-fn a_closed_idle_connection_is_not_reused() {
-    // The endpoint closes behind its answer; the next booking takes a new connection and is made once.
+fn closed_idle_connection_is_not_reused() {
+    // The endpoint closes after its answer; the next booking uses a new connection and runs once.
     play(
         Wire::Resp,
         Wire::Resp,
@@ -492,13 +495,13 @@
     );
 }
 
-/// An HTTP/2 endpoint ends its connection by GOAWAY with a last stream id below the request. By the protocol
-/// the request was not processed: the client may come again.
+/// An HTTP/2 endpoint ends its connection by GOAWAY with a last stream id below that of the
+/// request. By the protocol the request was not processed, so the client may retry.
 #[test]
-fn a_stream_above_the_last_id_of_a_goaway_never_ran() {
-    for front in [Wire::Resp, Wire::Http2] {
+fn stream_above_the_last_goaway_id_was_not_processed() {
+    for client_wire in [Wire::Resp, Wire::Http2] {
         play(
-            front,
+            client_wire,
             Wire::Http2,
             "reject_by_goaway
              send c k1 book-rebroadcast city 7
@@ -508,10 +511,10 @@
     }
 }
 
-/// A client opens and resets streams without end. Each would cost an attempt at an endpoint; the connection
-/// is ended, and others are served.
+/// A client opens and resets streams endlessly. Each could cost an attempt at an endpoint, so the
+/// connection is closed, and other clients are served.
 #[test]
-fn a_client_that_resets_without_end_loses_its_connection() {
+fn client_that_resets_streams_endlessly_is_disconnected() {
     let flood: String = (0..220)
         .map(|i| format!("send c k{i} fetch-episode national 7\nreset c k{i}\n"))
         .collect();
@@ -528,10 +531,10 @@
     );
 }
 
-/// Bodies up to the bound are forwarded, several at a time on one connection; a longer one is rejected before
-/// it fills memory.
+/// Bodies up to the size limit are forwarded, several at a time on one connection; a longer one is
+/// rejected before it fills memory.
 #[test]
-fn the_longest_bodies_pass_and_longer_ones_do_not() {
+fn bodies_up_to_the_limit_pass_and_longer_ones_do_not() {
     play_all(
         "always value news
          send c k1 book-rebroadcast national 7 body=65536
@@ -553,12 +556,12 @@
     );
 }
 
-/// SIGHUP moves discovery and the counter while a request is in flight and the old services go away. The list
-/// stays until the new discovery answers, and the quota counts on where the counter is.
+/// SIGHUP moves discovery and the counter while a request is in flight, and the old services stop.
+/// The list stays until the new discovery answers, and the quota continues at the new counter.
 #[test]
-fn a_new_configuration_moves_discovery_and_counter_and_a_quota_counts_on() {
-    // The old places are closed behind the move. A store of 14 units, and 3.2 a second; 2 for each request: one is
-    // drawn before the move, the others where the counter is then.
+fn reload_moves_discovery_and_counter_and_quotas_continue() {
+    // The old services are closed after the move. A bucket of 14 units with a refill of 3.2 a
+    // second; each request costs 2. One is charged before the move, the others at the new counter.
     let flood: String = (0..12)
         .map(|i| format!("send c k{i} fetch-episode district 9\nexpect c k{i}\n"))
         .collect();
@@ -579,10 +582,10 @@
     ));
 }
 
-/// SIGHUP comes after SIGTERM, while requests are in flight. The process still follows the new discovery, or
-/// requests would go to endpoints that have left.
+/// SIGHUP arrives after SIGTERM, while requests are in flight. The process must still use the new
+/// discovery, or requests would be sent to endpoints that have left.
 #[test]
-fn a_new_configuration_is_followed_during_a_stop() {
+fn configuration_reload_takes_effect_while_draining() {
     play_all(
         "send c k1 book-rebroadcast city 7
          expect * k1
@@ -599,9 +602,9 @@
     );
 }
 
-/// A configuration file that makes no sense is read again. Nothing of it may come into force.
+/// An invalid configuration file is reloaded. No part of it may take effect.
 #[test]
-fn a_wrong_configuration_keeps_the_old_one() {
+fn invalid_configuration_keeps_the_old_one() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -619,10 +622,10 @@
     );
 }
 
-/// Clients connect and say nothing, or stop in the middle of a request. They would hold descriptors for ever:
-/// each gets an error and is closed within three seconds.
+/// Clients connect and send nothing, or stop in the middle of a request. They would hold
+/// descriptors for ever, so each gets an error and is closed within three seconds.
 #[test]
-fn a_client_that_says_nothing_or_half_a_request_is_ended_within_three_seconds() {
+fn client_without_a_whole_request_is_closed_within_three_seconds() {
     play(
         Wire::Resp,
         Wire::Resp,
@@ -637,28 +640,30 @@
     );
 }
 
-/// A client writes hundreds of requests at once. All are answered in order, and other clients do not wait for
-/// them.
+/// A client pipelines hundreds of requests. All are answered in order, and they do not delay other
+/// clients.
 #[test]
-fn a_line_of_hundreds_of_requests_is_answered_whole_and_holds_nobody_up() {
+fn pipelined_requests_are_answered_without_delaying_other_clients() {
     let ping: String = r"*1\r\n$4\r\nPING\r\n".repeat(400);
     let pong: String = "expect c - +PONG\n".repeat(400);
     let many: String = (0..200)
         .map(|i| format!("send d k{i} fetch-episode national 7\n"))
         .collect();
     let each: String = (0..200).map(|i| format!("expect d k{i}\n")).collect();
-    // The other client is served whatever its request meets, or comes again: fifteen attempts at once for the line
-    // may raise the load level, and its quota may have to do without the counter.
+    // The other client retries until it is served: fifteen concurrent attempts for the pipelined
+    // requests may raise the load level, and its quota may have to be enforced without the counter.
     play(
         Wire::Resp,
         Wire::Resp,
         &format!(
-            "always value news\nraw c {ping}\n{pong}{many}persist e fetch-episode city 8\n{each}"
+            "always value news\nraw c {ping}\n{pong}{many}retry e fetch-episode city 8\n{each}"
         ),
     );
-    // Its first request is served where neither can be: its plan has no quota, and the line has five attempts at once
-    // at the most (4 units of its store, 4 of its share without the counter, and what comes in within a deadline; 2 a
-    // request), which with its own are no more than three at each of the two endpoints.
+    // With these settings the first request of the other client is served, since neither can
+    // happen. Its plan has no quota, and the pipelined requests have at most five attempts at once
+    // (2 units a request; 4 units of their bucket, 4 of their share without the counter, and the
+    // refill within a deadline). With its own attempt these are at most three at each of the two
+    // endpoints.
     let settings = "with plans.2.units_per_s=0.0 plans.3.units_per_s=1.0 plans.3.store_size=4.0";
     play(
         Wire::Resp,
@@ -667,10 +672,10 @@
     );
 }
 
-/// A client names units that are no number or far too many. Passed on, they would use up a quota or crash an
-/// endpoint.
+/// A client sends units that are not a number, or far too many. If they were passed on, they would
+/// use up a quota or crash an endpoint.
 #[test]
-fn a_request_with_values_that_make_no_sense_fails_and_never_reaches_an_endpoint() {
+fn request_with_invalid_units_fails_without_an_attempt() {
     play_all(
         "always value news
          send c k1 fetch-episode city 7 units=1000000
@@ -684,10 +689,10 @@
     );
 }
 
-/// The inventory marks an endpoint as draining, then as active, then as out. It finishes what it has, and
-/// gets new work only while it is active.
+/// The inventory marks an endpoint as draining, then as active, then as out. The endpoint finishes
+/// its requests in flight, and gets new ones only while it is active.
 #[test]
-fn an_endpoint_that_the_inventory_has_as_draining_gets_nothing_new_and_finishes() {
+fn endpoint_draining_in_the_inventory_finishes_without_new_requests() {
     play_all(
         "state a left
          state b left
@@ -715,10 +720,10 @@
     );
 }
 
-/// The inventory names two hosts at one address. Which of them is meant cannot be known: the last good list
-/// stays.
+/// The inventory lists two endpoints at one address. It is ambiguous, so the last valid list stays
+/// in force.
 #[test]
-fn two_nodes_at_one_address_keep_the_last_good_inventory() {
+fn inventory_with_a_duplicate_address_keeps_the_last_list() {
     play_all(
         "state a left
          state b left
@@ -732,10 +737,10 @@
     );
 }
 
-/// The connection to an endpoint is reset long after the request was written. It may have run: a request that
-/// must not run twice fails, and no retry goes out.
+/// The connection to an endpoint is reset long after the request was written. The request may have
+/// run: one that must not run twice fails, and is not retried.
 #[test]
-fn a_booking_whose_connection_is_reset_long_after_it_began_is_not_made_again() {
+fn booking_whose_connection_is_reset_late_is_not_retried() {
     play_all(
         "send c k1 book-rebroadcast city 7 d=2900
          expect * k1
@@ -747,11 +752,11 @@
     );
 }
 
-/// The same reset under a request that is safe to repeat: there is time left for a retry, and the client is
-/// served.
+/// The same reset during a request that is safe to repeat: there is time left for a retry, and the
+/// client is served.
 #[test]
-fn a_fetch_whose_connection_is_reset_long_after_it_began_is_made_again() {
-    // Its class has 1.2 s.
+fn fetch_whose_connection_is_reset_late_is_retried() {
+    // The deadline of its class is 1.2 s.
     play_all(
         "send c k1 fetch-episode city 7 d=2900
          expect * k1
@@ -763,10 +768,10 @@
     );
 }
 
-/// A connection to an endpoint comes up after 1.5 s. Requests go elsewhere meanwhile, and the late connection
-/// must not carry one whose client has its answer.
+/// A connection to an endpoint is established after 1.5 s. Requests are sent elsewhere meanwhile,
+/// and the late connection must not carry a request that is already answered.
 #[test]
-fn a_connection_that_comes_up_after_1500_ms_is_not_waited_for_and_brings_no_attempt() {
+fn late_connection_is_not_awaited_and_carries_no_attempt() {
     play_all(
         "state a left
          state b left
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many ingresses together, with a counter of the test's own; fixed seeds.
+//! Several ingresses with a simulated counter and simulated endpoints; fixed seeds.
 
 mod common;
 
@@ -9,7 +9,7 @@
 /// Time from an attempt to its answer, s.
 const SERVICE_TIME: f64 = 0.1;
 
-/// What the counter does to a call.
+/// How the counter answers a call.
 #[derive(Clone, Copy, PartialEq)]
 enum Counter {
     Healthy,
@@ -17,27 +17,28 @@
     Unavailable,
     /// Rejects every call.
     Rejecting,
-    /// Answers most calls late, drops some after adding, forgets all now and then without a failed call.
+    /// Answers most calls late, drops the answer of some after adding, and now and then loses all
+    /// totals without a failed call.
     Faulty,
 }
 
-/// An attempt that an ingress waits for.
+/// An attempt in flight.
 struct InFlight {
     ends_at: f64,
     ingress: usize,
     request: RequestId,
 }
 
-/// An answer of the counter that an ingress waits for.
+/// An answer of the counter that has not arrived yet.
 struct PendingAnswer {
-    comes_at: f64,
+    arrives_at: f64,
     ingress: usize,
     name: u64,
     outcome: Outcome,
     total: f64,
 }
 
-/// Units of one request.
+/// Units of one forwarded request.
 struct ForwardedUnits {
     at: f64,
     units: f64,
@@ -50,13 +51,13 @@
     totals: BTreeMap<u64, f64>,
     calls: usize,
     rng: oorandom::Rand32,
-    /// In flight, until they are served.
+    /// Attempts in flight.
     in_flight: Vec<InFlight>,
-    /// Counter answers under way.
+    /// Counter answers that have not arrived yet.
     answers: Vec<PendingAnswer>,
-    /// Units of requests that were not forwarded yet, by ingress and request.
+    /// Units of requests that are not forwarded yet, by ingress and request.
     units: BTreeMap<(usize, RequestId), f64>,
-    /// Units that were forwarded.
+    /// Units of the forwarded requests.
     forwarded: Vec<ForwardedUnits>,
     /// When attempts were sent to each endpoint, s.
     sent_to: BTreeMap<EndpointId, Vec<f64>>,
@@ -71,7 +72,7 @@
             let mut ingress = TestIngress::new(settings, 8);
             ingress.engine =
                 DecisionEngine::new(ingress.settings.clone(), 1000 + u64::from(position))
-                    .expect("sound");
+                    .expect("valid settings");
             ingress.handle(Event::EndpointList {
                 kind: ListKind::Full,
                 entries: (0..8).map(endpoint).collect(),
@@ -92,40 +93,40 @@
         }
     }
 
-    /// Tells all ingresses of these endpoints.
-    fn list(&mut self, entries: Vec<EndpointEntry>) {
-        for g in 0..self.ingresses.len() {
-            self.ingresses[g].handle(Event::EndpointList {
+    /// Sends all ingresses this change of the endpoint list.
+    fn update_endpoints(&mut self, entries: Vec<EndpointEntry>) {
+        for index in 0..self.ingresses.len() {
+            self.ingresses[index].handle(Event::EndpointList {
                 kind: ListKind::Delta,
                 entries: entries.clone(),
             });
-            self.carry_out(g);
+            self.carry_out(index);
         }
     }
 
-    /// Units forwarded until now.
+    /// Returns the units that have been forwarded.
     fn forwarded_units(&self) -> f64 {
         self.forwarded.iter().map(|sent| sent.units).sum()
     }
 
-    /// s.
+    /// Returns the current time, s.
     fn now(&self) -> f64 {
         self.ingresses[0].now
     }
 
-    /// Carries out what ingress `g` last asked for.
-    fn carry_out(&mut self, g: usize) {
+    /// Carries out the last actions of the ingress.
+    fn carry_out(&mut self, index: usize) {
         let now = self.now();
-        for action in std::mem::take(&mut self.ingresses[g].actions) {
+        for action in std::mem::take(&mut self.ingresses[index].actions) {
             match action {
                 Action::Send { id, endpoint, .. } => {
                     self.in_flight.push(InFlight {
                         ends_at: now + SERVICE_TIME,
-                        ingress: g,
+                        ingress: index,
                         request: id,
                     });
                     self.sent_to.entry(endpoint).or_default().push(now);
-                    if let Some(units) = self.units.remove(&(g, id)) {
+                    if let Some(units) = self.units.remove(&(index, id)) {
                         self.forwarded.push(ForwardedUnits { at: now, units });
                     }
                 }
@@ -151,8 +152,8 @@
                     };
                     let wait = if faulty { 0.05 } else { 0.002 };
                     self.answers.push(PendingAnswer {
-                        comes_at: now + wait,
-                        ingress: g,
+                        arrives_at: now + wait,
+                        ingress: index,
                         name,
                         outcome,
                         total: *total,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Lets 10 ms pass.
+    /// Advances the time by 10 ms.
     fn step(&mut self, tick: bool) {
         let now = self.now() + 0.01;
         for ingress in &mut self.ingresses {
@@ -171,7 +172,7 @@
         }
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.answers)
             .into_iter()
-            .partition(|answer| answer.comes_at <= now);
+            .partition(|answer| answer.arrives_at <= now);
         self.answers = later;
         for answer in due {
             self.ingresses[answer.ingress].handle(Event::CounterAnswered {
@@ -189,20 +190,21 @@
             self.ingresses[attempt.ingress].end_attempt(attempt.request, 0, Outcome::Ok);
             self.carry_out(attempt.ingress);
         }
-        for g in 0..if tick { self.ingresses.len() } else { 0 } {
-            self.ingresses[g].handle(Event::Timer { token: 0 });
-            self.carry_out(g);
+        for index in 0..if tick { self.ingresses.len() } else { 0 } {
+            self.ingresses[index].handle(Event::Timer { token: 0 });
+            self.carry_out(index);
         }
     }
 
-    fn request(&mut self, g: usize, plan: usize, tenant: u64, units: f64) {
+    fn request(&mut self, index: usize, plan: usize, tenant: u64, units: f64) {
         let spread = self.ingresses.len() as u32;
-        let id = self.ingresses[g].request_through(0, plan, tenant, units, spread);
-        self.units.insert((g, id), units);
-        self.carry_out(g);
+        let id = self.ingresses[index].request_through(0, plan, tenant, units, spread);
+        self.units.insert((index, id), units);
+        self.carry_out(index);
     }
 
-    /// Offers `rate` requests a second of 2 units for one tenant over all ingresses; the units forwarded.
+    /// Offers `rate` requests a second of 2 units for one tenant, spread over all ingresses.
+    /// Returns the units forwarded.
     fn offer(&mut self, plan: usize, tenant: u64, rate: f64, seconds: f64) -> f64 {
         let before = self.forwarded_units();
         let mut due = 0.0;
@@ -210,8 +212,8 @@
             due += rate / 100.0;
             while due >= 1.0 {
                 due -= 1.0;
-                let g = self.rng.rand_range(0..self.ingresses.len() as u32) as usize;
-                self.request(g, plan, tenant, 2.0);
+                let index = self.rng.rand_range(0..self.ingresses.len() as u32) as usize;
+                self.request(index, plan, tenant, 2.0);
             }
             self.step(i % 5 == 0);
         }
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn tenants_under_their_quota_go_on_being_served_while_the_counter_rejects_calls() {
+fn tenants_below_quota_are_served_while_the_counter_rejects_calls() {
     let mut fleet = Fleet::new(60, Counter::Healthy, |_| {});
     let mut sent = [0.0; 2];
     for (phase, counter) in [Counter::Healthy, Counter::Rejecting]
@@ -229,14 +231,14 @@
     {
         fleet.counter = counter;
         let before = fleet.forwarded.len();
-        // Twenty tenants, each at 3 of its 10 units a second.
+        // Twenty tenants, each at 3 of the 10 units a second of its quota.
         for i in 0..1000 {
-            let (g, tenant) = (
+            let (index, tenant) = (
                 fleet.rng.rand_range(0..60) as usize,
                 fleet.rng.rand_range(0..20),
             );
             if i % 10 < 3 {
-                fleet.request(g, 1, u64::from(tenant), 2.0);
+                fleet.request(index, 1, u64::from(tenant), 2.0);
             }
             fleet.step(i % 5 == 0);
         }
@@ -251,54 +253,55 @@
 }
 
 #[test]
-fn tenants_under_their_quota_are_served_through_sixty_ingresses() {
+fn tenants_below_quota_are_served_by_sixty_ingresses() {
     let mut fleet = Fleet::new(60, Counter::Healthy, |_| {});
-    // Twenty tenants, each at 3 of its 10 units a second.
+    // Twenty tenants, each at 3 of the 10 units a second of its quota.
     for i in 0..2000 {
-        let (g, tenant) = (
+        let (index, tenant) = (
             fleet.rng.rand_range(0..60) as usize,
             fleet.rng.rand_range(0..20),
         );
         if i % 10 < 3 {
-            fleet.request(g, 1, u64::from(tenant), 2.0);
+            fleet.request(index, 1, u64::from(tenant), 2.0);
         }
         fleet.step(i % 5 == 0);
     }
     let sent = fleet.forwarded_units();
     assert!(sent > 0.9 * 1200.0, "{sent} of 1200 units");
-    // One for each request, and one now and then that takes off what came in while the bucket was full.
+    // One call for each request, and now and then one that removes the refill of a full bucket.
     assert!(fleet.calls < 850, "{} calls for 600 requests", fleet.calls);
 }
 
 #[test]
-fn a_hundred_ingresses_keep_one_bucket_for_a_tenant_that_each_sees_little_of() {
-    // Each ingress's part of the burst is a tenth of a request: shares and leases would strand all of it.
+fn hundred_ingresses_enforce_one_bucket_for_a_rare_tenant() {
+    // The share of the burst of each ingress is a tenth of a request: with fixed shares or leases
+    // none of it could be used.
     let mut fleet = Fleet::new(100, Counter::Healthy, |_| {});
-    let under = fleet.offer(1, 5, 4.5, 40.0);
+    let below_quota = fleet.offer(1, 5, 4.5, 40.0);
     assert!(
-        under > 0.93 * 360.0,
-        "{under} of 360 units, at nine tenths of the quota"
+        below_quota > 0.93 * 360.0,
+        "{below_quota} of 360 units, at nine tenths of the quota"
     );
     let before = fleet.calls;
-    let beyond = fleet.offer(1, 6, 15.0, 40.0);
+    let above_quota = fleet.offer(1, 6, 15.0, 40.0);
     assert!(
-        (0.95..1.08).contains(&(beyond / 420.0)),
-        "{beyond} of 420 units, at three times the quota"
+        (0.95..1.08).contains(&(above_quota / 420.0)),
+        "{above_quota} of 420 units, at three times the quota"
     );
-    // What was just rejected is asked for less: not two calls for each of the rejected.
+    // After a rejection fewer requests are checked: less than two calls for each rejected request.
     let calls = fleet.calls - before;
     assert!(calls < 900, "{calls} calls for 600 requests");
 }
 
 #[test]
-fn a_bucket_that_was_idle_is_put_right_once_by_ingresses_that_all_come_at_once() {
-    // After a silence each of the hundred sees a number that lags far behind.
+fn idle_bucket_is_corrected_once_by_simultaneous_ingresses() {
+    // After an idle period each of the hundred ingresses reads a total that lags far behind.
     let mut fleet = Fleet::new(100, Counter::Healthy, |_| {});
     fleet.offer(1, 5, 1.0, 2.0);
     fleet.offer(0, 9, 1.0, 15.0);
     let before = fleet.forwarded_units();
-    for g in 0..8 {
-        fleet.request(g, 1, 5, 2.0);
+    for index in 0..8 {
+        fleet.request(index, 1, 5, 2.0);
     }
     fleet.offer(1, 5, 0.0, 3.0);
     let at_once = fleet.forwarded_units() - before;
@@ -310,49 +313,51 @@
 }
 
 #[test]
-fn a_tenant_far_over_its_quota_is_held_near_it_by_sixty_ingresses() {
+fn tenant_far_above_quota_is_limited_by_sixty_ingresses() {
     let mut fleet = Fleet::new(60, Counter::Healthy, |_| {});
-    // 50 units a second of 10, and a burst of 20 once.
+    // 50 units a second are offered; the quota is 10 a second with a burst of 20.
     let sent = fleet.offer(1, 5, 25.0, 60.0);
     assert!((400.0..760.0).contains(&sent), "{sent} units of 620");
 }
 
 #[test]
-fn even_shares_under_one_request_add_up_without_the_counter() {
+fn shares_below_one_request_add_up_without_the_counter() {
     let mut sum = 0.0;
     for tenant in 0..4 {
         let mut fleet = Fleet::new(60, Counter::Unavailable, |_| {});
         fleet.offer(1, tenant, 25.0, 20.0);
         sum += fleet.offer(1, tenant, 25.0, 40.0);
     }
-    // 10 units a second, by rng.
+    // On average 10 units a second: without the counter, requests are admitted by chance.
     assert!((0.8..1.2).contains(&(sum / 1600.0)), "{sum} of 1600 units");
 }
 
 #[test]
-fn an_endpoint_that_is_warming_up_is_not_overloaded_by_a_hundred_ingresses() {
+fn warming_endpoint_is_not_overloaded_by_a_hundred_ingresses() {
     let mut fleet = Fleet::new(100, Counter::Healthy, |_| {});
     fleet.offer(0, 5, 200.0, 6.0);
     let entry = EndpointEntry {
         started_at: fleet.now(),
         ..endpoint(3)
     };
-    fleet.list(vec![entry]);
+    fleet.update_endpoints(vec![entry]);
     let from = fleet.now();
     fleet.offer(0, 5, 200.0, 2.0);
     let warming = fleet.sent_to[&3].iter().filter(|t| **t > from).count();
-    // A warm endpoint takes 25 a second; a fifth to a third of that, three times over, for 2 s falls over.
+    // A warm endpoint handles 25 requests a second. The new one handles a fifth to a third of that,
+    // and is overloaded by three times its capacity for 2 s.
     assert!((1..30).contains(&warming), "{warming} attempts");
 }
 
 #[test]
-fn endpoints_that_are_warming_up_get_their_part_from_a_hundred_ingresses() {
-    // Six in ten are replaced; each ingress owes each of the new ones a small part of an attempt in a span.
+fn warming_endpoints_get_their_share_from_a_hundred_ingresses() {
+    // Six in ten endpoints restart; the budget of each ingress at each of them is a small fraction
+    // of an attempt in each span.
     let mut fleet = Fleet::new(100, Counter::Healthy, |_| {});
-    fleet.list((0..60).map(endpoint).collect());
+    fleet.update_endpoints((0..60).map(endpoint).collect());
     fleet.offer(0, 5, 400.0, 6.0);
     let from = fleet.now();
-    fleet.list(
+    fleet.update_endpoints(
         (0..36)
             .map(|id| EndpointEntry {
                 started_at: from,
@@ -366,60 +371,67 @@
         (0..36).map(count).sum::<f64>() / 36.0,
         (36..60).map(count).sum::<f64>() / 24.0,
     );
-    // Their capacity goes from a fifth to a half of a warm one's within these 6 s.
+    // The capacity of the restarted endpoints grows from a fifth to a half within these 6 s.
     assert!(
         (0.15..0.5).contains(&(warming / warm)),
         "{warming} attempts at a warming endpoint, {warm} at a warm one"
     );
 }
 
-/// A fleet with endpoints that are warming up: what all ingresses together send to each, in every window that the
-/// settings name.
+/// A fleet with endpoints that are warming up. It measures what all ingresses together send to each
+/// of them in every span of `overload_tolerance` seconds.
 #[derive(Clone, Copy)]
 struct SlowStartCase {
     ingresses: u32,
-    /// Requests a second that a warm endpoint bears, and the part of it that is asked.
-    able: f64,
+    /// Requests a second that a warm endpoint can handle, and the fraction of it that is offered.
+    warm_capacity: f64,
     load: f64,
-    /// Weights of the ingresses' traffic: even, or one in ten sees half of it.
+    /// Whether a tenth of the ingresses gets half of the traffic in addition to its even share.
     uneven: bool,
-    /// This part of the ingresses has just started.
-    young: f64,
-    /// Lists arrive up to so much later at some, s.
-    late: f64,
-    /// Endpoints that restart, of eight.
+    /// Share of the ingresses that have just started.
+    started_share: f64,
+    /// Longest delay of an update of the endpoint list at an ingress, s.
+    max_update_delay: f64,
+    /// Number of endpoints that restart, of eight.
     restarted: u32,
 }
 
-/// The endpoint list as it reaches one ingress.
+/// An update of the endpoint list on its way to one ingress.
 struct EndpointUpdate {
-    comes_at: f64,
+    arrives_at: f64,
     ingress: usize,
     entries: Vec<EndpointEntry>,
 }
 
-/// What a fleet sent to endpoints that were warming up.
+/// The attempts of a fleet at endpoints that were warming up.
 struct SlowStartResult {
-    /// Of all spans, the worst excess over N + 2 root N + 2, N being the budget at the span's end.
+    /// Largest excess over N + 2 sqrt(N) + 2 of all spans, where N is the budget at the span's end.
     worst_excess: f64,
-    /// Attempts over what the same time at a warm one's rate would have brought.
-    part: f64,
+    /// Attempts, divided by the number that the slow-start weight of the endpoints allots to them.
+    share: f64,
 }
 
 impl SlowStartCase {
-    /// Requests a second.
+    /// Returns the requests a second that are offered.
     fn rate(&self) -> f64 {
-        self.able * self.load * 8.0
+        self.warm_capacity * self.load * 8.0
     }
 
-    /// The ingress that a request comes through.
+    /// Returns the ingress that receives the next request.
     fn choose_ingress(&self, rng: &mut oorandom::Rand32) -> usize {
-        let few = (self.ingresses / 10).max(1);
-        let some = self.uneven && rng.rand_float() < 0.5;
-        rng.rand_range(0..if some { few } else { self.ingresses }) as usize
+        let busy_ingresses = (self.ingresses / 10).max(1);
+        let through_busy = self.uneven && rng.rand_float() < 0.5;
+        rng.rand_range(
+            0..if through_busy {
+                busy_ingresses
+            } else {
+                self.ingresses
+            },
+        ) as usize
     }
 
-    /// Offers the case's load while updates come in; `due` is the part of a request that is owed.
+    /// Offers the load of the case while updates arrive. `due` is the fraction of a request that is
+    /// not sent yet.
     fn offer(
         &self,
         fleet: &mut Fleet,
@@ -429,7 +441,7 @@
     ) {
         for i in 0..(seconds * 100.0) as usize {
             let now = fleet.now();
-            for update in updates.extract_if(.., |update| update.comes_at <= now) {
+            for update in updates.extract_if(.., |update| update.arrives_at <= now) {
                 fleet.ingresses[update.ingress].handle(Event::EndpointList {
                     kind: ListKind::Delta,
                     entries: update.entries,
@@ -446,7 +458,8 @@
         }
     }
 
-    /// Restarts the ingresses that have just started, and tells all of the endpoints that restart now.
+    /// Restarts the share of the ingresses that has just started. Returns the updates that list the
+    /// restarted endpoints.
     fn restart(&self, fleet: &mut Fleet, seed: u64) -> Vec<EndpointUpdate> {
         let now = fleet.now();
         let restarted = |id| EndpointEntry {
@@ -456,19 +469,19 @@
         let entries: Vec<_> = (0..self.restarted).map(restarted).collect();
         let mut updates = Vec::new();
         for number in 0..self.ingresses as usize {
-            if fleet.rng.rand_float() < self.young as f32 {
+            if fleet.rng.rand_float() < self.started_share as f32 {
                 let ingress = &mut fleet.ingresses[number];
                 let seed = seed ^ (number as u64) << 20;
                 ingress.engine =
-                    DecisionEngine::new(ingress.settings.clone(), seed).expect("sound");
+                    DecisionEngine::new(ingress.settings.clone(), seed).expect("valid settings");
                 ingress.handle(Event::EndpointList {
                     kind: ListKind::Full,
                     entries: (0..8).map(endpoint).collect(),
                 });
             }
-            let late = f64::from(fleet.rng.rand_float()) * self.late;
+            let delay = f64::from(fleet.rng.rand_float()) * self.max_update_delay;
             updates.push(EndpointUpdate {
-                comes_at: now + late,
+                arrives_at: now + delay,
                 ingress: number,
                 entries: entries.clone(),
             });
@@ -476,7 +489,8 @@
         updates
     }
 
-    /// Excess of the attempts in the span that ends at the last of these, at an endpoint that started at `started`.
+    /// Returns the excess of the attempts in the span that ends at the last of `sent`, at an
+    /// endpoint that started at `started`.
     fn excess(&self, settings: &Settings, started: f64, sent: &[f64]) -> f64 {
         let Some(end) = sent.last() else {
             return f64::NEG_INFINITY;
@@ -488,12 +502,13 @@
         let age = ((end - started) / settings.warm_up).min(1.0);
         let weight =
             settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * age;
-        let budget = settings.overload_factor * weight * self.able * settings.overload_tolerance;
+        let budget =
+            settings.overload_factor * weight * self.warm_capacity * settings.overload_tolerance;
         within - (budget + 2.0 * budget.sqrt() + 2.0)
     }
 
-    /// What the fleet sends to the restarted endpoints over so many seconds.
-    fn play(&self, seed: u64, seconds: f64) -> SlowStartResult {
+    /// Runs the case for `seconds` after the restart of the endpoints.
+    fn run(&self, seed: u64, seconds: f64) -> SlowStartResult {
         let mut fleet = Fleet::new(self.ingresses, Counter::Healthy, |_| {});
         fleet.rng = oorandom::Rand32::new(seed);
         let settings = fleet.ingresses[0].settings.clone();
@@ -505,8 +520,8 @@
         let mut worst_excess = f64::NEG_INFINITY;
         let mut attempts = 0.0;
         for id in 0..self.restarted {
-            // Who has not been told of the start is not to blame.
-            let informed = |sent_at: &f64| *sent_at > started + self.late;
+            // Ingresses that the update has not reached yet are not at fault.
+            let informed = |sent_at: &f64| *sent_at > started + self.max_update_delay;
             let sent = fleet.sent_to.get(&id).into_iter().flatten().copied();
             let sent: Vec<f64> = sent.filter(informed).collect();
             attempts += sent.len() as f64;
@@ -518,29 +533,36 @@
         let mean_age = seconds / 2.0 / settings.warm_up;
         let weight =
             settings.initial_capacity_share + (1.0 - settings.initial_capacity_share) * mean_age;
-        let warm_rate = self.able * self.load;
-        let fair = warm_rate * (seconds - self.late) * weight * f64::from(self.restarted);
+        let warm_rate = self.warm_capacity * self.load;
+        let expected_attempts =
+            warm_rate * (seconds - self.max_update_delay) * weight * f64::from(self.restarted);
         SlowStartResult {
             worst_excess,
-            part: attempts / fair,
+            share: attempts / expected_attempts,
         }
     }
 }
 
-/// Fleets of so many ingresses, each with what is uncommon about it.
+/// Returns a base case with this many ingresses, and variants that each differ in one respect.
 fn slow_start_cases(ingresses: u32) -> Vec<(&'static str, SlowStartCase)> {
     let even = SlowStartCase {
         ingresses,
-        able: 25.0,
+        warm_capacity: 25.0,
         load: 0.6,
         uneven: false,
-        young: 0.0,
-        late: 0.0,
+        started_share: 0.0,
+        max_update_delay: 0.0,
         restarted: 2,
     };
     vec![
         ("even", even),
-        ("small", SlowStartCase { able: 4.0, ..even }),
+        (
+            "small",
+            SlowStartCase {
+                warm_capacity: 4.0,
+                ..even
+            },
+        ),
         ("full", SlowStartCase { load: 0.95, ..even }),
         (
             "uneven",
@@ -549,8 +571,20 @@
                 ..even
             },
         ),
-        ("young", SlowStartCase { young: 0.7, ..even }),
-        ("late", SlowStartCase { late: 2.0, ..even }),
+        (
+            "young",
+            SlowStartCase {
+                started_share: 0.7,
+                ..even
+            },
+        ),
+        (
+            "late",
+            SlowStartCase {
+                max_update_delay: 2.0,
+                ..even
+            },
+        ),
         (
             "all warming",
             SlowStartCase {
@@ -562,7 +596,7 @@
             "all warming and young",
             SlowStartCase {
                 restarted: 8,
-                young: 1.0,
+                started_share: 1.0,
                 ..even
             },
         ),
@@ -570,34 +604,36 @@
 }
 
 #[test]
-fn what_all_ingresses_send_to_warming_endpoints_stays_under_what_these_bear_and_is_not_nothing() {
+fn attempts_at_warming_endpoints_stay_between_budget_and_minimum() {
     for ingresses in [1, 3, 20, 30, 300] {
-        for (what, case) in slow_start_cases(ingresses) {
-            let (mut worst, mut got) = (f64::NEG_INFINITY, 0.0);
+        for (case_name, case) in slow_start_cases(ingresses) {
+            let (mut worst, mut mean_share) = (f64::NEG_INFINITY, 0.0);
             let seeds = if ingresses > 100 { 2 } else { 6 };
             for seed in 0..seeds {
-                let result = case.play(1000 + seed, 8.0);
+                let result = case.run(1000 + seed, 8.0);
                 worst = worst.max(result.worst_excess);
-                got += result.part / seeds as f64;
+                mean_share += result.share / seeds as f64;
             }
             assert!(
                 worst <= 0.0,
-                "{ingresses} ingresses, {what}: {worst} more than the budget and chance, seeds 1000 on"
+                "{ingresses} ingresses, {case_name}: {worst} above the budget and its tolerance, seeds 1000 on"
             );
-            // A slot of an ingress without a request in that span is lost: a quarter is left at the least.
+            // The slot of an ingress without a request in that span is lost, which leaves at least
+            // a quarter.
             assert!(
-                got > 0.25,
-                "{ingresses} ingresses, {what}: {got} of what their slow-start weight asks for, seeds 1000 on"
+                mean_share > 0.25,
+                "{ingresses} ingresses, {case_name}: {mean_share} of what their slow-start weight allots, seeds 1000 on"
             );
         }
     }
 }
 
 #[test]
-fn small_endpoints_work_beside_large_ones() {
-    // Three ingresses with six or seven attempts out each: by its own count alone each would fill the large ones.
+fn small_endpoints_are_used_alongside_large_ones() {
+    // Each of three ingresses has six or seven attempts in flight. By its own attempts alone each
+    // would send all of them to the large endpoints.
     let mut fleet = Fleet::new(3, Counter::Healthy, |_| {});
-    fleet.list(
+    fleet.update_endpoints(
         (0..4)
             .map(|id| EndpointEntry {
                 capacity: 3.0,
@@ -610,31 +646,35 @@
         ids.map(|id| fleet.sent_to.get(&id).map_or(0, Vec::len))
             .sum::<usize>()
     };
-    let part = count(4..8) as f64 / count(0..4) as f64;
+    let share = count(4..8) as f64 / count(0..4) as f64;
     assert!(
-        (0.15..0.7).contains(&part),
-        "small endpoints got {part} of what large ones did"
+        (0.15..0.7).contains(&share),
+        "small endpoints got {share} of the attempts of large ones"
     );
 }
 
 #[test]
-fn a_warming_endpoint_of_a_small_fleet_gets_its_part() {
+fn warming_endpoint_of_a_small_fleet_gets_its_share() {
     let mut fleet = Fleet::new(3, Counter::Healthy, |_| {});
     fleet.offer(0, 5, 300.0, 6.0);
     let from = fleet.now();
-    fleet.list(vec![EndpointEntry {
+    fleet.update_endpoints(vec![EndpointEntry {
         started_at: from,
         ..endpoint(3)
     }]);
     fleet.offer(0, 5, 300.0, 6.0);
     let count = |id: u32| fleet.sent_to[&id].iter().filter(|t| **t > from).count() as f64;
-    let part = count(3) / count(4);
-    // Its capacity goes from a fifth to a half of a warm one's within these 6 s, and it bears three times that.
-    assert!((0.15..0.8).contains(&part), "{part} of what a warm one got");
+    let share = count(3) / count(4);
+    // Its capacity grows from a fifth to a half within these 6 s, and it tolerates three times
+    // that.
+    assert!(
+        (0.15..0.8).contains(&share),
+        "{share} of the attempts at a warm endpoint"
+    );
 }
 
 #[test]
-fn a_ceiling_holds_over_ingresses_and_a_faulty_counter() {
+fn ceiling_holds_across_ingresses_with_a_faulty_counter() {
     for seed in 0..12 {
         let mut fleet = Fleet::new(6, Counter::Faulty, |settings| {
             (
--- a/tests/stage/clients.rs
+++ b/tests/stage/clients.rs
@@ -1,9 +1,9 @@
-//! Clients of the program: connections, requests, and answers in the language of scenarios.
+//! Simulated clients: connections, requests, and answers as the scenario language names them.
 
 use super::*;
 
-/// Writes this as far as it is taken: what waits for 50 ms stays with the writer.
-pub(super) async fn write_taken(stream: &mut TcpStream, mut rest: &[u8]) {
+/// Writes until everything is written or the connection has taken nothing for 50 ms.
+pub(super) async fn write_until_blocked(stream: &mut TcpStream, mut rest: &[u8]) {
     while !rest.is_empty() {
         match tokio::time::timeout(Duration::from_millis(50), stream.write(rest)).await {
             Ok(Ok(n)) => rest = &rest[n..],
@@ -12,13 +12,15 @@
     }
 }
 
-/// A connection to this address, with little room for what is not read if it is `tight`.
-pub(super) async fn connect(address: &str, tight: bool) -> TcpStream {
+/// Connects to the address, with a small receive buffer on request.
+pub(super) async fn connect(address: &str, small_receive_buffer: bool) -> TcpStream {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
-    if tight {
-        socket.set_recv_buffer_size(TIGHT_ROOM as u32).unwrap();
+    if small_receive_buffer {
+        socket
+            .set_recv_buffer_size(SMALL_RECEIVE_BUFFER as u32)
+            .unwrap();
         socket2::SockRef::from(&socket)
-            .set_tcp_mss(TIGHT_SEGMENT)
+            .set_tcp_mss(SMALL_SEGMENT_SIZE)
             .unwrap();
     }
     socket.connect(address.parse().unwrap()).await.unwrap()
@@ -40,25 +42,25 @@
 pub(super) type Stream = (h2::client::ResponseFuture, h2::SendStream<Bytes>);
 
 impl Stage {
-    /// A client that asks PING; none: it hears no yes.
+    /// Connects and sends PING. Returns none unless the answer is PONG.
     pub(super) async fn ping(&self) -> Option<TcpStream> {
         let mut stream = TcpStream::connect(&self.ports["resp"]).await.ok()?;
         stream.write_all(b"*1\r\n$4\r\nPING\r\n").await.ok()?;
         let mut answer = Vec::new();
-        let yes = read_some(&mut stream, &mut answer).await && answer == b"+PONG\r\n";
-        yes.then_some(stream)
+        let is_pong = read_some(&mut stream, &mut answer).await && answer == b"+PONG\r\n";
+        is_pong.then_some(stream)
     }
 
     pub(super) async fn client(&mut self, name: &str) -> &mut Client {
         if !self.clients.contains_key(name) {
-            let address = if self.front == Wire::Resp {
+            let address = if self.client_wire == Wire::Resp {
                 &self.ports["resp"]
             } else {
                 &self.ports["http2"]
             };
-            let tight = self.tight && self.front == Wire::Resp;
-            let stream = connect(address, tight).await;
-            let client = match self.front {
+            let small_receive_buffer = self.small_receive_buffer && self.client_wire == Wire::Resp;
+            let stream = connect(address, small_receive_buffer).await;
+            let client = match self.client_wire {
                 Wire::Resp => Client::Resp {
                     stream,
                     buffer: Vec::new(),
@@ -67,10 +69,10 @@
                 Wire::Http2 => {
                     let (send, connection) = h2::client::handshake(stream).await.unwrap();
                     let ended = Rc::new(RefCell::new(false));
-                    let end = ended.clone();
+                    let connection_ended = ended.clone();
                     spawn_local(async move {
                         let _ = connection.await;
-                        *end.borrow_mut() = true;
+                        *connection_ended.borrow_mut() = true;
                     });
                     Client::Http2 {
                         send,
@@ -98,7 +100,7 @@
         } else {
             "B".repeat(size.parse().unwrap())
         };
-        let d = rest
+        let deadline_ms = rest
             .iter()
             .find_map(|w| w.strip_prefix("d="))
             .unwrap_or("2000");
@@ -111,7 +113,9 @@
             Client::Resp { stream, sent, .. } => {
                 let verb = if safe { "SVC.QUERY" } else { "SVC.SUBMIT" };
                 let key = key.map_or(String::new(), |key| format!(",k={key}"));
-                let terms = format!("c={class},t={plan},d={d},units={units},spread=1,first=0{key}");
+                let terms = format!(
+                    "c={class},t={plan},d={deadline_ms},units={units},spread=1,first=0{key}"
+                );
                 let tenant = format!("{tenant:0>16}");
                 let words = [verb, tenant.as_str(), id, &terms, &content];
                 let words = &words[..if safe { 4 } else { 5 }];
@@ -131,7 +135,7 @@
                     .header("api-customer", format!("{tenant:0>16}"))
                     .header("req-id", *id)
                     .header("api-plan", *plan)
-                    .header("req-deadline-ms", d)
+                    .header("req-deadline-ms", deadline_ms)
                     .header("api-terms", format!("units={units},spread=1,first=0"))
                     .body(())
                     .unwrap();
@@ -143,7 +147,7 @@
         }
     }
 
-    /// The answer to a request, in the language's words.
+    /// Reads the answer to a request and returns it as the scenario language names it.
     pub(super) async fn answer(&mut self, name: &str, id: &str) -> String {
         match self.clients.get_mut(name).unwrap() {
             Client::Resp {
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Requests in batches, each with an id that no other has.
+    /// Sends requests with distinct ids in batches, and reads all answers.
     pub(super) async fn flood(&mut self, name: &str, n: usize) {
         const BATCH: usize = 100;
         for batch in 0..n / BATCH {
--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -1,37 +1,38 @@
-//! Stand-ins for endpoints, over RESP and HTTP/2: each attempt waits for the scenario to say how it is answered.
+//! Simulated endpoints, over RESP and HTTP/2. Each attempt waits until the scenario names the
+//! reply.
 
 use super::*;
 
-/// Between the first and the second answer of `tardy`.
-const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(5);
-/// From the beginning of the first answer on, a second one is written within this time or not at all: the program
-/// promises to notice it for 10 ms, and 2 ms of those are left for it to arrive.
-const SECOND_ANSWER_LIMIT: Duration = Duration::from_millis(8);
+/// Delay of the duplicate of `late_duplicate`.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(5);
+/// The duplicate is written within this time after the start of the first answer, or not at all.
+/// The program detects a duplicate for 10 ms; 2 ms of these are left for its transport.
+const DUPLICATE_LIMIT: Duration = Duration::from_millis(8);
 
-/// A large value: its bytes tell their places.
+/// Returns a large value: each byte depends on its position.
 pub(super) fn large(n: &str) -> Vec<u8> {
     (0..n.parse::<u32>().unwrap())
         .map(|i| (i % 251) as u8)
         .collect()
 }
 
-/// A large value in the parts in which an endpoint sends it, with a pause behind each.
-pub(super) struct Parts<'a> {
-    /// The size that it promises.
-    size: &'a str,
-    parts: Vec<Vec<u8>>,
-    /// That is all of it.
-    whole: bool,
+/// A large value in the chunks in which an endpoint sends it, with a pause after each.
+pub(super) struct LargeValue<'a> {
+    /// The size that the endpoint announces.
+    announced_size: &'a str,
+    chunks: Vec<Vec<u8>>,
+    /// Whether the reply is ended in order after the chunks.
+    ends_in_order: bool,
 }
 
-pub(super) fn parts(how: &str) -> Option<Parts<'_>> {
-    let (how, size) = how.split_once(' ')?;
-    if !["large", "truncated", "short", "pieces"].contains(&how) {
+pub(super) fn large_value(behavior: &str) -> Option<LargeValue<'_>> {
+    let (behavior, announced_size) = behavior.split_once(' ')?;
+    if !["large", "truncated", "short", "pieces"].contains(&behavior) {
         return None;
     }
-    let value = large(size);
+    let value = large(announced_size);
     let half = value.len() / 2;
-    let (parts, whole) = match how {
+    let (chunks, ends_in_order) = match behavior {
         "truncated" => (vec![value[..half].to_vec()], false),
         "short" => (vec![b"nine-long".to_vec()], true),
         "pieces" => (
@@ -40,10 +41,15 @@
         ),
         _ => (vec![value], true),
     };
-    Some(Parts { size, parts, whole })
+    Some(LargeValue {
+        announced_size,
+        chunks,
+        ends_in_order,
+    })
 }
 
-/// A value as the language names it: by length, and whether it is as an endpoint gave it, where it is large.
+/// Returns a value as the scenario language names it. A large value is named by its length and by
+/// whether its bytes are as an endpoint sent them.
 pub(super) fn describe_value(value: &[u8]) -> String {
     if value.len() < 1000 {
         return String::from_utf8_lossy(value).to_string();
@@ -52,15 +58,15 @@
     format!("{} {}", value.len(), if good { "bytes" } else { "CORRUPT" })
 }
 
-/// The figures on use and the value of `cost N V`.
+/// Returns the use report and the value of `cost N V`.
 pub(super) fn split_cost(v: &str) -> (String, &str) {
     let (cost, v) = v.split_once(' ').unwrap();
     (format!("used=37,cost={cost}"), v)
 }
 
-/// The bytes of a reply, or what comes in its place.
-fn resp_reply(how: &str) -> String {
-    match how.split_once(' ').unwrap_or((how, "")) {
+/// Returns the bytes of a reply, or those that a fault sends in its place.
+fn resp_reply(behavior: &str) -> String {
+    match behavior.split_once(' ').unwrap_or((behavior, "")) {
         ("value" | "last" | "late_duplicate", v) => {
             format!("*3\r\n${}\r\n{v}\r\n$-1\r\n$-1\r\n", v.len())
         }
@@ -84,7 +90,7 @@
 }
 
 pub(super) async fn resp_endpoint(name: String, mut stream: TcpStream, shared: Shared) {
-    // A second answer goes out when it is written, and not with the acknowledgement of the first.
+    // Without this, a duplicate would wait for the acknowledgement of the first answer.
     stream.set_nodelay(true).unwrap();
     let mut buffer = Vec::new();
     loop {
@@ -103,46 +109,53 @@
         };
         buffer.drain(..used);
         let Some(id) = id else {
-            // A probe.
+            // A health check.
             let _ = stream
-                .write_all(format!("${}\r\n{LOAD}\r\n", LOAD.len()).as_bytes())
+                .write_all(format!("${}\r\n{LOAD_REPORT}\r\n", LOAD_REPORT.len()).as_bytes())
                 .await;
             continue;
         };
-        let Ok(how) = shared.arrive(&name, &id).await else {
+        let Ok(behavior) = shared.attempt_arrived(&name, &id).await else {
             return;
         };
-        if let Some(Parts { size, parts, whole }) = parts(&how) {
+        if let Some(LargeValue {
+            announced_size,
+            chunks,
+            ends_in_order,
+        }) = large_value(&behavior)
+        {
             let _ = stream
-                .write_all(format!("*3\r\n${size}\r\n").as_bytes())
+                .write_all(format!("*3\r\n${announced_size}\r\n").as_bytes())
                 .await;
-            for part in parts {
-                let _ = stream.write_all(&part).await;
+            for chunk in chunks {
+                let _ = stream.write_all(&chunk).await;
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
-            if !whole {
+            if !ends_in_order {
                 return;
             }
             let _ = stream.write_all(b"\r\n$-1\r\n$-1\r\n").await;
             continue;
         }
-        let reply = resp_reply(&how);
+        let reply = resp_reply(&behavior);
         let answered_at = Instant::now();
         let _ = stream.write_all(reply.as_bytes()).await;
-        if how.starts_with("late_duplicate") {
-            tokio::time::sleep(SECOND_ANSWER_DELAY).await;
-            // On a busy machine the sleep may end later than the program promises anything for.
-            if answered_at.elapsed() <= SECOND_ANSWER_LIMIT {
+        if behavior.starts_with("late_duplicate") {
+            tokio::time::sleep(DUPLICATE_DELAY).await;
+            // On a busy machine the sleep may exceed the time for which duplicates are detected.
+            if answered_at.elapsed() <= DUPLICATE_LIMIT {
                 let _ = stream.write_all(reply.as_bytes()).await;
-                shared.second_answers.set(shared.second_answers.get() + 1);
+                shared
+                    .duplicates_written
+                    .set(shared.duplicates_written.get() + 1);
             }
         }
-        if how == "tcp_reset" {
+        if behavior == "tcp_reset" {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
         if matches!(
-            how.split(' ').next(),
+            behavior.split(' ').next(),
             Some("half" | "reset" | "goaway" | "last")
         ) {
             return;
@@ -150,11 +163,11 @@
     }
 }
 
-/// Sends GOAWAY with last stream id 0: the streams that were opened have not been seen.
-pub(super) async fn unseen(mut stream: TcpStream) {
+/// Sends GOAWAY with last stream id 0: no stream that the client opened was processed.
+pub(super) async fn reject_by_goaway(mut stream: TcpStream) {
     let _ = stream.write_all(&[0, 0, 0, 4, 0, 0, 0, 0, 0]).await;
     let mut buffer = Vec::new();
-    // Behind the preface: frames up to the headers of the first stream.
+    // After the 24 bytes of the preface: skips frames up to the headers of the first stream.
     let headers = |bytes: &[u8]| {
         let mut at = 24;
         while let Some([a, b, c, kind]) = bytes.get(at..at + 4) {
@@ -173,20 +186,20 @@
 }
 
 pub(super) async fn http2_endpoint(name: String, stream: TcpStream, shared: Shared) {
-    if *shared.unseen.borrow() {
-        return unseen(stream).await;
+    if *shared.reject_by_goaway.borrow() {
+        return reject_by_goaway(stream).await;
     }
     let socket = socket2::SockRef::from(&stream).try_clone().unwrap();
     let Ok(mut connection) = h2::server::handshake(stream).await else {
         return;
     };
-    let abrupt = Rc::new(tokio::sync::Notify::new());
-    let cut = Rc::new(tokio::sync::Notify::new());
+    let goaway = Rc::new(tokio::sync::Notify::new());
+    let tcp_reset = Rc::new(tokio::sync::Notify::new());
     loop {
         let next = tokio::select! {
             next = connection.accept() => next,
-            () = cut.notified() => return socket.set_linger(Some(Duration::ZERO)).unwrap(),
-            () = abrupt.notified() => { connection.abrupt_shutdown(h2::Reason::NO_ERROR); continue }
+            () = tcp_reset.notified() => return socket.set_linger(Some(Duration::ZERO)).unwrap(),
+            () = goaway.notified() => { connection.abrupt_shutdown(h2::Reason::NO_ERROR); continue }
         };
         let Some(Ok((request, respond))) = next else {
             return;
@@ -194,21 +207,21 @@
         let stream = Http2Stream {
             name: name.clone(),
             shared: shared.clone(),
-            abrupt: abrupt.clone(),
-            cut: cut.clone(),
+            goaway: goaway.clone(),
+            tcp_reset: tcp_reset.clone(),
         };
         spawn_local(stream.serve(request, respond));
     }
 }
 
-/// One stream of an endpoint that speaks HTTP/2.
+/// One stream of an HTTP/2 endpoint.
 struct Http2Stream {
     name: String,
     shared: Shared,
     /// Ends the connection with GOAWAY.
-    abrupt: Rc<tokio::sync::Notify>,
-    /// Resets the connection itself.
-    cut: Rc<tokio::sync::Notify>,
+    goaway: Rc<tokio::sync::Notify>,
+    /// Resets the TCP connection.
+    tcp_reset: Rc<tokio::sync::Notify>,
 }
 
 fn head(status: u16) -> http::response::Builder {
@@ -226,30 +239,30 @@
             .get("req-id")
             .map(|id| id.to_str().unwrap().to_string())
         else {
-            // A probe.
+            // A health check.
             let load = http::Response::new(());
             let mut send = respond.send_response(load, false).unwrap();
             return send
-                .send_data(Bytes::from_static(LOAD.as_bytes()), true)
+                .send_data(Bytes::from_static(LOAD_REPORT.as_bytes()), true)
                 .unwrap();
         };
         let mut body = request.into_body();
-        while let Some(Ok(part)) = body.data().await {
-            let _ = body.flow_control().release_capacity(part.len());
+        while let Some(Ok(chunk)) = body.data().await {
+            let _ = body.flow_control().release_capacity(chunk.len());
         }
-        let how = tokio::select! {
-            how = self.shared.arrive(&self.name, &id) => how,
+        let behavior = tokio::select! {
+            behavior = self.shared.attempt_arrived(&self.name, &id) => behavior,
             _ = poll_fn(|cx| respond.poll_reset(cx)) => return,
         };
-        let Ok(how) = how else { return };
-        match parts(&how) {
-            Some(parts) => send_parts(parts, &how, respond).await,
-            None => self.respond(&how, respond).await,
+        let Ok(behavior) = behavior else { return };
+        match large_value(&behavior) {
+            Some(large_value) => send_large_value(large_value, &behavior, respond).await,
+            None => self.respond(&behavior, respond).await,
         }
     }
 
-    async fn respond(&self, how: &str, mut respond: h2::server::SendResponse<Bytes>) {
-        match how.split_once(' ').unwrap_or((how, "")) {
+    async fn respond(&self, behavior: &str, mut respond: h2::server::SendResponse<Bytes>) {
+        match behavior.split_once(' ').unwrap_or((behavior, "")) {
             (word @ ("value" | "cost"), v) => {
                 let (mut head, mut v) = (head(200), v);
                 if word == "cost" {
@@ -288,11 +301,11 @@
                 std::future::pending::<()>().await;
             }
             ("goaway", _) => {
-                self.abrupt.notify_one();
+                self.goaway.notify_one();
                 std::future::pending::<()>().await;
             }
             ("tcp_reset", _) => {
-                self.cut.notify_one();
+                self.tcp_reset.notify_one();
                 std::future::pending::<()>().await;
             }
             _ => respond.send_reset(h2::Reason::INTERNAL_ERROR),
@@ -300,21 +313,32 @@
     }
 }
 
-/// A large value, in pieces, as far as it is to come.
-async fn send_parts(parts: Parts<'_>, how: &str, mut respond: h2::server::SendResponse<Bytes>) {
-    let Parts { size, parts, whole } = parts;
-    let head = head(200).header("content-length", size).body(()).unwrap();
+/// Sends a large value in chunks, and ends or breaks it off as the reply says.
+async fn send_large_value(
+    large_value: LargeValue<'_>,
+    behavior: &str,
+    mut respond: h2::server::SendResponse<Bytes>,
+) {
+    let LargeValue {
+        announced_size,
+        chunks,
+        ends_in_order,
+    } = large_value;
+    let head = head(200)
+        .header("content-length", announced_size)
+        .body(())
+        .unwrap();
     let mut send = respond.send_response(head, false).unwrap();
-    for part in parts {
-        if !send_body(&mut send, part.into(), false).await {
+    for chunk in chunks {
+        if !send_body(&mut send, chunk.into(), false).await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    if !whole {
+    if !ends_in_order {
         return send.send_reset(h2::Reason::INTERNAL_ERROR);
     }
-    if how.starts_with("short") {
+    if behavior.starts_with("short") {
         std::future::pending::<()>().await;
     }
     let _ = send.send_data(Bytes::new(), true);
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -107,7 +107,7 @@
 pub mod steady;
 mod steps;
 
-use clients::{write_taken, Client};
+use clients::{write_until_blocked, Client};
 use endpoints::{describe_value, http2_endpoint, resp_endpoint};
 use services::{counter, discovery};
 use setup::entry;
@@ -128,7 +128,7 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// The wire that a side speaks.
+/// The protocol of the clients or of the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wire {
     Resp,
@@ -136,7 +136,7 @@
 }
 
 const SETTINGS: &str = include_str!("settings.json");
-const OPERATOR: &str = r#"
+const OPERATOR_FILE: &str = r#"
 [routes]
 file = "rules.toml"
 [inventory]
@@ -145,65 +145,66 @@
 script = "hook.rhai"
 on_error = "nack"
 "#;
-const HEADER: &str = "name,address,zone,protocol,state\n";
-/// Refuses one tenant and fails on another.
-const HOOK: &str = r#"fn decide(c) {
+const INVENTORY_HEADER: &str = "name,address,zone,protocol,state\n";
+/// Plug-in script that refuses one tenant and fails on another.
+const HOOK_SCRIPT: &str = r#"fn decide(c) {
     if c.partner == "000000000000dead" { return #{ nack: 300 }; }
     if c.partner == "000000000000beef" { c.no_such_function(); }
 }"#;
-const LONG: Duration = Duration::from_secs(4);
-/// Descriptors of the program, and where it has much room.
-const SOCKETS: usize = 256;
-const ROOMY_SOCKETS: usize = 1024;
-/// What an endpoint says of its load when it is probed.
-const LOAD: &str = "lat_ms=40,rif=1,busy=0.5";
-/// What a client with little room takes without reading, bytes, and the largest segment that it takes.
-const TIGHT_ROOM: usize = 8 * 1024;
-const TIGHT_SEGMENT: u32 = 1400;
+const STEP_TIMEOUT: Duration = Duration::from_secs(4);
+/// Descriptor limit of the program, and the limit after `more_descriptors`.
+const DESCRIPTOR_LIMIT: usize = 256;
+const RAISED_DESCRIPTOR_LIMIT: usize = 1024;
+/// Load report with which an endpoint answers a health check.
+const LOAD_REPORT: &str = "lat_ms=40,rif=1,busy=0.5";
+/// Receive buffer, bytes, and largest segment of a client after `small_receive_buffer`.
+const SMALL_RECEIVE_BUFFER: usize = 8 * 1024;
+const SMALL_SEGMENT_SIZE: u32 = 1400;
 
 type ArrivedAttempts = Rc<RefCell<HashMap<(String, String), oneshot::Sender<String>>>>;
 
-/// What all stand-ins share.
+/// State that all simulated servers share.
 #[derive(Clone, Default)]
 struct Shared {
     arrived: ArrivedAttempts,
     runs: Rc<RefCell<HashMap<String, usize>>>,
     totals: Rc<RefCell<HashMap<String, f64>>>,
-    /// When the counter got its first units.
+    /// When the counter received its first units.
     first_counted: Rc<Cell<Option<Instant>>>,
     always: Rc<RefCell<Option<String>>>,
-    /// How the counter and the agent behave; empty: as they should.
+    /// Faults of the counter and of discovery; empty if there is none.
     counter: Rc<RefCell<String>>,
     discovery: Rc<RefCell<String>>,
-    /// HTTP/2 endpoints turn connections away unseen.
-    unseen: Rc<RefCell<bool>>,
-    /// Second answers of `tardy` that were written.
-    second_answers: Rc<Cell<usize>>,
+    /// Whether HTTP/2 endpoints reject connections by GOAWAY with last stream id 0.
+    reject_by_goaway: Rc<RefCell<bool>>,
+    /// Number of duplicates that `late_duplicate` has written.
+    duplicates_written: Rc<Cell<usize>>,
 }
 
 impl Shared {
-    /// An attempt has arrived whole; how it is to be answered.
-    fn arrive(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
-        let (reply, notified) = oneshot::channel();
+    /// Records an attempt that has arrived whole. Returns where the reply to it will be named.
+    fn attempt_arrived(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
+        let (reply, reply_receiver) = oneshot::channel();
         *self.runs.borrow_mut().entry(id.to_string()).or_default() += 1;
-        if let Some(how) = &*self.always.borrow() {
-            let echo = how == "echo";
+        if let Some(behavior) = &*self.always.borrow() {
+            let echo = behavior == "echo";
             let _ = reply.send(if echo {
                 format!("value {id}")
             } else {
-                how.clone()
+                behavior.clone()
             });
-            return notified;
+            return reply_receiver;
         }
         self.arrived
             .borrow_mut()
             .insert((endpoint.to_string(), id.to_string()), reply);
-        notified
+        reply_receiver
     }
 }
 
-/// Listens and serves each connection by `serve`; the port, and the task that holds it all.
-async fn stand_in<F: Future<Output = ()> + 'static>(
+/// Starts a server that handles each connection by `serve`. Returns its port, and the task that
+/// owns the listener and all connections.
+async fn spawn_server<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
 ) -> (u16, AbortHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -221,44 +222,44 @@
     stream.read_buf(buffer).await.is_ok_and(|n| n > 0)
 }
 
-/// A listener whose line is full, and those who stand in it.
+/// Name and listener of an endpoint that accepts nothing, and the connections that fill its queue.
 type FullListener = (
     String,
     socket2::Socket,
     Vec<tokio::task::JoinHandle<std::io::Result<TcpStream>>>,
 );
 
-/// The program and everything round it.
+/// The program and the simulated clients and servers around it.
 pub struct Stage {
     program: Child,
-    /// Started beside the first, with the port where staff call it.
+    /// The process of `start_second`.
     second: Option<Child>,
     operator_port: u16,
-    /// The clients' socket, where the stage holds it.
-    held: Option<socket2::Socket>,
+    /// The clients' socket, if the processes inherit it.
+    inherited_socket: Option<socket2::Socket>,
     idle_connections: Vec<TcpStream>,
     full_listeners: Vec<FullListener>,
-    /// The program has little memory.
-    small: bool,
-    /// The descriptors of the program.
-    sockets: usize,
-    /// New clients have little room for what they do not read.
-    tight: bool,
+    /// Whether the program has the small memory limit.
+    small_memory: bool,
+    /// Descriptor limit of the program.
+    descriptor_limit: usize,
+    /// Whether new RESP clients have small receive buffers.
+    small_receive_buffer: bool,
     settings: String,
-    front: Wire,
+    client_wire: Wire,
     ports: HashMap<&'static str, String>,
     clients: HashMap<String, Client>,
     shared: Shared,
-    list: watch::Sender<Vec<String>>,
-    /// Discovery and counter: where they are.
+    endpoint_list: watch::Sender<Vec<String>>,
+    /// Port and task of discovery and of the counter.
     services: HashMap<&'static str, (u16, AbortHandle)>,
     endpoints: HashMap<String, (u16, Wire)>,
     answers: Vec<String>,
     folder: PathBuf,
-    /// Memory of the program when it was noted last, MB.
-    memory: f64,
-    /// Attempts that had arrived when they were noted last.
-    begun: usize,
+    /// Memory of the program at the last `memory` step, MB.
+    noted_memory_mb: f64,
+    /// Number of attempts at the last `attempts` step.
+    noted_attempts: usize,
 }
 
 impl Stage {
@@ -267,7 +268,7 @@
         format!("{host}:{}", self.operator_port)
     }
 
-    /// An operator's call and its answer.
+    /// Sends an operator's call and returns its answer.
     async fn call(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.operator_address()).await.unwrap();
         stream
@@ -285,8 +286,9 @@
         answer.trim_end().to_string()
     }
 
-    /// Waits for an attempt at an endpoint, or at any (`*`).
-    async fn arrived(&self, endpoint: &str, id: &str) -> (String, String) {
+    /// Waits for an attempt at an endpoint, or at any (`*`). Returns the endpoint and the request
+    /// id.
+    async fn wait_for_attempt(&self, endpoint: &str, id: &str) -> (String, String) {
         loop {
             let found = self
                 .shared
@@ -302,7 +304,7 @@
         }
     }
 
-    /// Attempts that have arrived in all.
+    /// Returns the number of attempts that have arrived.
     fn attempts(&self) -> usize {
         self.shared.runs.borrow().values().sum()
     }
@@ -324,7 +326,7 @@
     }
 }
 
-/// Runs what a test does by itself, with tasks of its own.
+/// Runs a test on a current-thread runtime that supports local tasks.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -333,48 +335,53 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// Plays a scenario with these wires in front and behind; the answers that it expected.
-pub fn play(front: Wire, behind: Wire, scenario: &str) -> Vec<String> {
+/// Runs a scenario with these protocols of clients and endpoints. Returns the answers that its
+/// `expect` steps received.
+pub fn play(client_wire: Wire, endpoint_wire: Wire, scenario: &str) -> Vec<String> {
     run(async {
-        let mut stage =
-            Stage::set(front, behind, scenario.trim().lines().next().unwrap_or("")).await;
+        let mut stage = Stage::set(
+            client_wire,
+            endpoint_wire,
+            scenario.trim().lines().next().unwrap_or(""),
+        )
+        .await;
         for line in scenario
             .lines()
             .map(str::trim)
             .filter(|l| !l.starts_with('#'))
         {
             let long = if line.starts_with("flood") || line.starts_with("late_duplicates") {
-                LONG * 20
+                STEP_TIMEOUT * 20
             } else {
-                LONG
+                STEP_TIMEOUT
             };
             let done = tokio::time::timeout(long, stage.step(line)).await;
             assert!(
                 done.is_ok(),
-                "{front:?} to {behind:?}: nothing came of: {line}"
+                "{client_wire:?} to {endpoint_wire:?}: timeout at step: {line}"
             );
         }
         std::mem::take(&mut stage.answers)
     })
 }
 
-/// Plays a scenario for RESP clients with either wire behind.
+/// Runs a scenario for RESP clients, with either protocol of the endpoints.
 pub fn play_resp(scenario: &str) {
-    for behind in [Wire::Resp, Wire::Http2] {
-        play(Wire::Resp, behind, scenario);
+    for endpoint_wire in [Wire::Resp, Wire::Http2] {
+        play(Wire::Resp, endpoint_wire, scenario);
     }
 }
 
-/// Plays a scenario with every pair of wires: the answers must be the same.
+/// Runs a scenario with every pair of protocols. The answers must be the same.
 pub fn play_all(scenario: &str) {
     let mut first: Option<Vec<String>> = None;
-    for front in [Wire::Resp, Wire::Http2] {
-        for behind in [Wire::Resp, Wire::Http2] {
-            let answers = play(front, behind, scenario);
+    for client_wire in [Wire::Resp, Wire::Http2] {
+        for endpoint_wire in [Wire::Resp, Wire::Http2] {
+            let answers = play(client_wire, endpoint_wire, scenario);
             assert_eq!(
                 first.get_or_insert_with(|| answers.clone()),
                 &answers,
-                "{front:?} to {behind:?}"
+                "{client_wire:?} to {endpoint_wire:?}"
             );
         }
     }
--- a/tests/stage/program.rs
+++ b/tests/stage/program.rs
@@ -36,7 +36,7 @@
     pub(super) fn start(&self) -> Child {
         // The platform starts the program with the same descriptor limit as in its configuration.
         let mut program = Command::new("sh");
-        let limit = format!("ulimit -n {}; exec \"$0\"", self.sockets);
+        let limit = format!("ulimit -n {}; exec \"$0\"", self.descriptor_limit);
         program.args(["-c", &limit, env!("CARGO_BIN_EXE_driftgap")]);
         // The log is appended to: a second process or a restarted one writes to the same file.
         let log = OpenOptions::new()
@@ -51,8 +51,8 @@
             .env("TMPDIR", &self.folder)
             .stdout(Stdio::null())
             .stderr(log);
-        if let Some(held) = &self.held {
-            program.env("EDGE_ACCEPT_FD", held.as_raw_fd().to_string());
+        if let Some(inherited_socket) = &self.inherited_socket {
+            program.env("EDGE_ACCEPT_FD", inherited_socket.as_raw_fd().to_string());
         }
         program.spawn().unwrap()
     }
--- a/tests/stage/services.rs
+++ b/tests/stage/services.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the counter and for discovery.
+//! Simulated counter and discovery services.
 
 use super::*;
 
-/// The counter: adds, and answers with the total.
+/// The counter service: adds the amount of each call and answers with the total.
 pub(super) async fn counter(mut stream: TcpStream, shared: Shared) {
     let mut buffer = Vec::new();
     loop {
@@ -28,8 +28,8 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{total}",
                 total.len()
             );
-            let how = shared.counter.borrow().clone();
-            match how.as_str() {
+            let behavior = shared.counter.borrow().clone();
+            match behavior.as_str() {
                 "silent" => continue,
                 "close" => return,
                 "late" => tokio::time::sleep(Duration::from_millis(200)).await,
@@ -51,7 +51,8 @@
     }
 }
 
-/// The agent: the whole list, then the changes after the version held, as soon as there are any.
+/// The discovery service: answers with the full list, then with the changes since the version of
+/// the caller as soon as there are any.
 pub(super) async fn discovery(
     mut stream: TcpStream,
     mut changes: watch::Receiver<Vec<String>>,
@@ -66,35 +67,35 @@
         }
         let head = String::from_utf8_lossy(&buffer).to_string();
         buffer.clear();
-        let asked = |name: &str| {
+        let query_number = |name: &str| {
             let value = head.split(name).nth(1)?;
             value.split(['&', ' ']).next()?.parse::<usize>().ok()
         };
-        let held = asked("index=");
-        let until =
-            tokio::time::Instant::now() + Duration::from_millis(asked("wait=").unwrap_or(0) as u64);
-        while changes.borrow().len() <= held.unwrap_or(0) {
+        let caller_version = query_number("index=");
+        let until = tokio::time::Instant::now()
+            + Duration::from_millis(query_number("wait=").unwrap_or(0) as u64);
+        while changes.borrow().len() <= caller_version.unwrap_or(0) {
             match tokio::time::timeout_at(until, changes.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return,
                 Err(_) => break,
             }
         }
-        let how = shared.discovery.borrow().clone();
-        if how == "silent" {
-            // As if cut off: nothing is ever answered here, and nothing ends.
+        let behavior = shared.discovery.borrow().clone();
+        if behavior == "silent" {
+            // As after a network partition: no answer, and the connection stays open.
             std::future::pending::<()>().await;
         }
-        if how == "reset" {
+        if behavior == "reset" {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             return;
         }
-        let (full, version, servers) = match held {
+        let (full, version, servers) = match caller_version {
             None => (true, 1, changes.borrow()[0].clone()),
-            Some(held) => (
+            Some(caller_version) => (
                 false,
                 changes.borrow().len(),
-                changes.borrow()[held..].join(","),
+                changes.borrow()[caller_version..].join(","),
             ),
         };
         let body = format!(r#"{{"version":{version},"full":{full},"servers":[{servers}]}}"#);
@@ -102,27 +103,28 @@
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        if how == "no_length" || how == "truncated" {
-            let half = if how == "truncated" {
+        if behavior == "no_length" || behavior == "truncated" {
+            let sent_length = if behavior == "truncated" {
                 body.len() - 1
             } else {
                 body.len()
             };
             let _ = stream
-                .write_all(format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..half]).as_bytes())
+                .write_all(format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..sent_length]).as_bytes())
                 .await;
-            // What was written must have been read before a reset, or it goes with it.
+            // A reset discards what the receiver has not read yet, so the body gets time to be
+            // read.
             tokio::time::sleep(Duration::from_millis(30)).await;
-            if how == "truncated" {
+            if behavior == "truncated" {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
             return;
         }
-        match how.as_str() {
+        match behavior.as_str() {
             "garbage" => answer = "what?\r\n\r\n".into(),
             "indented" => {
-                let list: serde_json::Value = serde_json::from_str(&body).unwrap();
-                let body = serde_json::to_string_pretty(&list).unwrap();
+                let endpoint_list: serde_json::Value = serde_json::from_str(&body).unwrap();
+                let body = serde_json::to_string_pretty(&endpoint_list).unwrap();
                 answer = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
--- a/tests/stage/setup.rs
+++ b/tests/stage/setup.rs
@@ -1,9 +1,10 @@
-//! Everything that has to be there before a scenario: stand-ins, files, the program.
+//! Setup of a scenario: simulated servers, files, and the program.
 
 use super::*;
 
-/// The settings with these changes: `limits.parallel_tries=true request_classes.1.effect="token"`.
-pub(super) fn changed(changes: &str) -> String {
+/// Returns the settings with changes such as
+/// `limits.parallel_tries=true request_classes.1.effect="token"`.
+pub(super) fn settings_with(changes: &str) -> String {
     let mut settings: serde_json::Value = serde_json::from_str(SETTINGS).unwrap();
     for change in changes.split_whitespace() {
         let (path, value) = change.split_once('=').unwrap();
@@ -15,8 +16,9 @@
     settings.to_string()
 }
 
-/// A loopback address of this stage alone, so that no other test's program or connection can hold its ports.
-pub(super) fn own_address() -> String {
+/// Returns a loopback address that no other test uses, so that no other program or connection can
+/// occupy its ports.
+pub(super) fn unique_address() -> String {
     static STAGES: AtomicU32 = AtomicU32::new(0);
     let (stage, process) = (STAGES.fetch_add(1, Ordering::Relaxed), std::process::id());
     format!(
@@ -36,19 +38,20 @@
 }
 
 impl Stage {
-    /// Sets it up; `first` is a scenario's first line.
-    pub async fn set(front: Wire, wire: Wire, first: &str) -> Stage {
-        let (held, small) = (first == "inherited_socket", first == "small_memory");
+    /// Sets up the environment and starts the program. `first` is the first line of the scenario.
+    pub async fn set(client_wire: Wire, wire: Wire, first: &str) -> Stage {
+        let (inherited_socket, small_memory) =
+            (first == "inherited_socket", first == "small_memory");
         let shared = Shared::default();
         let mut endpoints = HashMap::new();
         for name in ["a", "b", "extra"] {
             let shared = shared.clone();
             let port = match wire {
                 Wire::Resp => {
-                    stand_in(move |s| resp_endpoint(name.into(), s, shared.clone())).await
+                    spawn_server(move |s| resp_endpoint(name.into(), s, shared.clone())).await
                 }
                 Wire::Http2 => {
-                    stand_in(move |s| http2_endpoint(name.into(), s, shared.clone())).await
+                    spawn_server(move |s| http2_endpoint(name.into(), s, shared.clone())).await
                 }
             };
             endpoints.insert(name.to_string(), (port.0, wire));
@@ -57,27 +60,27 @@
         let entries: Vec<_> = listed
             .map(|(n, (p, w))| entry(n, *p, *w, "active"))
             .collect();
-        let (list, _) = watch::channel(vec![entries.join(",")]);
-        let (host, listen, second) = (own_address(), 6379, 8080);
+        let (endpoint_list, _) = watch::channel(vec![entries.join(",")]);
+        let (host, resp_port, http2_port) = (unique_address(), 6379, 8080);
         let folder =
             std::env::temp_dir().join(format!("driftgap-stage-{}-{host}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let operator = folder.join("operator.toml");
-        let sections = format!("[http2]\nlisten = \"{host}:{second}\"\n{OPERATOR}");
+        let sections = format!("[http2]\nlisten = \"{host}:{http2_port}\"\n{OPERATOR_FILE}");
         std::fs::write(&operator, sections).unwrap();
-        std::fs::write(folder.join("hook.rhai"), HOOK).unwrap();
+        std::fs::write(folder.join("hook.rhai"), HOOK_SCRIPT).unwrap();
         std::fs::write(folder.join("rules.toml"), "").unwrap();
-        std::fs::write(folder.join("inventory.csv"), HEADER).unwrap();
-        let ports = [("resp", listen), ("http2", second)]
+        std::fs::write(folder.join("inventory.csv"), INVENTORY_HEADER).unwrap();
+        let ports = [("resp", resp_port), ("http2", http2_port)]
             .map(|(wire, port)| (wire, format!("{host}:{port}")))
             .into();
         let (clients, services, answers) = Default::default();
-        // Replaced by the program once everything that it needs is there.
+        // A placeholder until the program can be started.
         let program = Command::new("true").spawn().unwrap();
-        let held = held.then(|| {
+        let inherited_socket = inherited_socket.then(|| {
             let socket =
                 socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-            let address: std::net::SocketAddr = format!("{host}:{listen}").parse().unwrap();
+            let address: std::net::SocketAddr = format!("{host}:{resp_port}").parse().unwrap();
             socket.bind(&address.into()).unwrap();
             socket.listen(1024).unwrap();
             socket.set_cloexec(false).unwrap();
@@ -87,28 +90,28 @@
             program,
             second: None,
             operator_port: 19_000,
-            held,
+            inherited_socket,
             idle_connections: Vec::new(),
             full_listeners: Vec::new(),
-            small,
-            sockets: if first == "more_descriptors" {
-                ROOMY_SOCKETS
+            small_memory,
+            descriptor_limit: if first == "more_descriptors" {
+                RAISED_DESCRIPTOR_LIMIT
             } else {
-                SOCKETS
+                DESCRIPTOR_LIMIT
             },
-            tight: false,
-            settings: changed(first.strip_prefix("with ").unwrap_or("")),
-            front,
+            small_receive_buffer: false,
+            settings: settings_with(first.strip_prefix("with ").unwrap_or("")),
+            client_wire,
             ports,
             clients,
             shared,
-            list,
+            endpoint_list,
             services,
             endpoints,
             answers,
             folder,
-            memory: 0.0,
-            begun: 0,
+            noted_memory_mb: 0.0,
+            noted_attempts: 0,
         };
         stage.relocate(&["discovery", "counter"]).await;
         stage.program = stage.start();
@@ -116,43 +119,47 @@
         stage
     }
 
-    /// Puts these parties at new ports and says so in the configuration; what they held stays theirs.
+    /// Moves these services to new ports and writes the ports to the configuration file. The
+    /// services keep their data. Returns the tasks of the old servers.
     pub(super) async fn relocate(&mut self, services: &[&str]) -> Vec<AbortHandle> {
-        let mut old = Vec::new();
+        let mut old_servers = Vec::new();
         for service in services {
             let shared = self.shared.clone();
             let (name, new) = match *service {
                 "counter" => (
                     "counter",
-                    stand_in(move |s| counter(s, shared.clone())).await,
+                    spawn_server(move |s| counter(s, shared.clone())).await,
                 ),
                 "discovery" => {
-                    let list = self.list.clone();
+                    let endpoint_list = self.endpoint_list.clone();
                     (
                         "discovery",
-                        stand_in(move |s| discovery(s, list.subscribe(), shared.clone())).await,
+                        spawn_server(move |s| {
+                            discovery(s, endpoint_list.subscribe(), shared.clone())
+                        })
+                        .await,
                     )
                 }
-                other => panic!("no such party: {other}"),
+                other => panic!("unknown service: {other}"),
             };
-            old.extend(self.services.insert(name, new).map(|(_, task)| task));
+            old_servers.extend(self.services.insert(name, new).map(|(_, task)| task));
         }
-        let at = |service: &str| self.services[service].0;
+        let port_of = |service: &str| self.services[service].0;
         let text = format!(
             r#"{{"name":"n0","listen":"{}","discovery":"127.0.0.1:{}","counter":"127.0.0.1:{}",
                 "seed":"1f","limits":{{"sockets":{},"memory_mb":{}}},"settings":{}}}"#,
             self.ports["resp"],
-            at("discovery"),
-            at("counter"),
-            self.sockets,
-            if self.small { 10 } else { 192 },
+            port_of("discovery"),
+            port_of("counter"),
+            self.descriptor_limit,
+            if self.small_memory { 10 } else { 192 },
             self.settings
         );
         std::fs::write(self.folder.join("config.json"), text).unwrap();
-        old
+        old_servers
     }
 
-    /// Waits until the program says that it can serve.
+    /// Waits until the program answers PING.
     pub(super) async fn ready(&mut self) {
         for _ in 0..400 {
             if self.ping().await.is_some() {
@@ -160,6 +167,6 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the program is not ready");
+        panic!("the program does not answer PING");
     }
 }
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -1,9 +1,10 @@
-//! The steps of a scenario, by whom they concern. The language is in the module comment of the stage.
+//! The steps of a scenario, grouped by what they act on. The module comment of the stage lists
+//! them.
 
 use super::*;
 
 impl Stage {
-    /// Does one step of a scenario.
+    /// Runs one step of a scenario.
     pub async fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let done = words.is_empty()
@@ -14,12 +15,12 @@
             || self.service_step(line, &words).await
             || self.process_step(line, &words).await
             || self.check_step(line, &words).await;
-        assert!(done, "no such step: {line}");
+        assert!(done, "unknown step: {line}");
     }
 }
 
 impl Stage {
-    /// What clients write. False: it is no such step.
+    /// Steps in which a client writes raw bytes. Returns false for any other step.
     async fn write_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["send", rest @ ..] => self.send(rest).await,
@@ -37,7 +38,7 @@
                 let Client::Resp { stream, .. } = self.client(name).await else {
                     panic!("garbage is for RESP")
                 };
-                write_taken(stream, noise.as_bytes()).await;
+                write_until_blocked(stream, noise.as_bytes()).await;
             }
             ["fin", name] => {
                 let Client::Resp { stream, .. } = self.client(name).await else {
@@ -56,13 +57,13 @@
                 };
                 stream.write_all(text.as_bytes()).await.unwrap();
             }
-            ["incomplete", name, n] => self.write_part(name, n).await,
+            ["incomplete", name, n] => self.write_incomplete(name, n).await,
             _ => return false,
         }
         true
     }
 
-    /// Writes so many requests at once, as far as they are taken.
+    /// Writes `n` requests at once, until the program stops reading.
     async fn write_burst(&mut self, name: &str, n: &str) {
         let terms = "c=fetch-episode,t=national,d=3000,units=1,spread=1,first=0";
         let request = |i: usize| {
@@ -76,11 +77,11 @@
         let Client::Resp { stream, .. } = self.client(name).await else {
             panic!("burst is for RESP")
         };
-        write_taken(stream, text.as_bytes()).await;
+        write_until_blocked(stream, text.as_bytes()).await;
     }
 
-    /// Writes all but the end of a request with a body of so many bytes.
-    async fn write_part(&mut self, name: &str, n: &str) {
+    /// Writes a request with a body of `n` bytes, all but its end.
+    async fn write_incomplete(&mut self, name: &str, n: &str) {
         let head = "*5\r\n$10\r\nSVC.SUBMIT\r\n$16\r\n0000000000000007\r\n$1\r\np\r\n";
         let terms = "c=book-rebroadcast,t=city,d=2000,units=1,spread=1,first=0";
         let n = n.parse::<usize>().unwrap();
@@ -92,11 +93,11 @@
         let Client::Resp { stream, .. } = self.client(name).await else {
             panic!("incomplete is for RESP")
         };
-        // What is not read on stays with the writer.
+        // Bytes that do not fit into the socket's buffer are not sent.
         let _ = stream.try_write(text.as_bytes());
     }
 
-    /// What clients do beside that. False: it is no such step.
+    /// Other steps of clients. Returns false for any other step.
     async fn client_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["reset", name, id] => match self.clients.get_mut(*name).unwrap() {
@@ -112,7 +113,7 @@
             ["close", name] => drop(self.clients.remove(*name)),
             [method @ ("get" | "post"), name, id, path, headers @ ..] => {
                 let Client::Http2 { send, streams, .. } = self.client(name).await else {
-                    panic!("HTTP/2 alone")
+                    panic!("get and post are for HTTP/2")
                 };
                 let mut request = http::Request::builder()
                     .method(method.to_uppercase().as_str())
@@ -125,26 +126,26 @@
                 streams.insert(id.to_string(), stream);
             }
             ["flood", name, n] => self.flood(name, n.parse().unwrap()).await,
-            ["late_duplicates", name, endpoint, n, most] => {
-                let (n, most) = (n.parse().unwrap(), most.parse().unwrap());
-                self.send_until_answered_twice(name, endpoint, n, most)
+            ["late_duplicates", name, endpoint, n, max_requests] => {
+                let (n, max_requests) = (n.parse().unwrap(), max_requests.parse().unwrap());
+                self.send_until_duplicated(name, endpoint, n, max_requests)
                     .await;
             }
             ["retry", name, terms @ ..] => {
-                for turn in 0.. {
-                    let id = format!("{name}-{turn}");
+                for attempt in 0.. {
+                    let id = format!("{name}-{attempt}");
                     self.send(&[&[*name, id.as_str()], terms].concat()).await;
                     let answer = self.answer(name, &id).await;
                     if answer.starts_with("served") {
                         break;
                     }
-                    assert_eq!(answer, "busy", "{:?}: {line}", self.front);
+                    assert_eq!(answer, "busy", "{:?}: {line}", self.client_wire);
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             }
-            ["small_receive_buffer"] => self.tight = true,
+            ["small_receive_buffer"] => self.small_receive_buffer = true,
             ["idle", n] => {
-                let to = &self.ports[if self.front == Wire::Resp {
+                let to = &self.ports[if self.client_wire == Wire::Resp {
                     "resp"
                 } else {
                     "http2"
@@ -157,7 +158,7 @@
             }
             ["idle_after_ping", n] => {
                 for _ in 0..n.parse::<usize>().unwrap() {
-                    let stream = self.ping().await.expect("a yes to PING");
+                    let stream = self.ping().await.expect("PONG");
                     self.idle_connections.push(stream);
                 }
             }
@@ -168,7 +169,8 @@
 }
 
 impl Stage {
-    /// Answers that clients expect, and attempts that endpoints expect and answer. False: it is no such step.
+    /// Steps that check the answers of clients, and wait for attempts and answer them. Returns
+    /// false for any other step.
     async fn answer_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["expect", "exit"] => loop {
@@ -184,68 +186,69 @@
             ["expect", endpoint, id]
                 if *endpoint == "*" || self.endpoints.contains_key(*endpoint) =>
             {
-                self.arrived(endpoint, id).await;
+                self.wait_for_attempt(endpoint, id).await;
             }
             ["expect", name, id, what @ ..] => {
-                let (got, want) = (self.answer(name, id).await, what.join(" "));
+                let (answer, expected) = (self.answer(name, id).await, what.join(" "));
                 assert!(
-                    got.starts_with(&want),
-                    "{:?}: {line}: got {got}",
-                    self.front
+                    answer.starts_with(&expected),
+                    "{:?}: {line}: got {answer}",
+                    self.client_wire
                 );
-                self.answers.push(got);
+                self.answers.push(answer);
             }
-            ["answer", endpoint, id, how @ ..] => {
-                self.answer_attempt(endpoint, id, how.join(" ")).await;
+            ["answer", endpoint, id, behavior @ ..] => {
+                self.answer_attempt(endpoint, id, behavior.join(" ")).await;
             }
             ["retry_after", name, id, min, max] => {
-                self.retry_advice(line, name, id, min, max).await
+                self.check_retry_after(line, name, id, min, max).await
             }
             _ => return false,
         }
         true
     }
 
-    /// Answers an attempt once it has arrived.
-    async fn answer_attempt(&mut self, endpoint: &str, id: &str, how: String) {
-        let key = self.arrived(endpoint, id).await;
+    /// Waits for an attempt and answers it.
+    async fn answer_attempt(&mut self, endpoint: &str, id: &str, behavior: String) {
+        let key = self.wait_for_attempt(endpoint, id).await;
         let reply = self.shared.arrived.borrow_mut().remove(&key).unwrap();
-        let _ = reply.send(how);
+        let _ = reply.send(behavior);
     }
 
-    /// Sends requests one behind the other, so that a connection is wanted again before the second answer is there,
-    /// and checks that each gets its own answer.
-    async fn send_until_answered_twice(
+    /// Sends requests in sequence, so that the program reuses a connection before the duplicate
+    /// arrives, and checks that each request gets its own answer.
+    async fn send_until_duplicated(
         &mut self,
         name: &str,
         endpoint: &str,
-        second_answers: usize,
-        most: usize,
+        duplicates_written: usize,
+        max_requests: usize,
     ) {
-        /// Pauses between requests, ms, are 0 to one less than this: below, at and above that of the second answer.
+        /// Pauses between requests are 0 to `PAUSES` - 1 ms: shorter than, equal to and longer than
+        /// the delay of the duplicate.
         const PAUSES: u64 = 7;
-        for turn in 0..most {
-            if self.shared.second_answers.get() >= second_answers {
+        for attempt in 0..max_requests {
+            if self.shared.duplicates_written.get() >= duplicates_written {
                 return;
             }
-            let (id, value) = (format!("{name}{turn}"), format!("v{turn}."));
+            let (id, value) = (format!("{name}{attempt}"), format!("v{attempt}."));
             self.send(&[name, &id, "book-rebroadcast", "national", "7"])
                 .await;
             self.answer_attempt(endpoint, &id, format!("late_duplicate {value}"))
                 .await;
             let answer = self.answer(name, &id).await;
             assert_eq!(answer, format!("served {value}"), "request {id}");
-            tokio::time::sleep(Duration::from_millis(turn as u64 % PAUSES)).await;
+            tokio::time::sleep(Duration::from_millis(attempt as u64 % PAUSES)).await;
         }
-        let written = self.shared.second_answers.get();
+        let written = self.shared.duplicates_written.get();
         assert!(
-            written >= second_answers,
-            "{written} second answers in {most} requests"
+            written >= duplicates_written,
+            "{written} duplicates in {max_requests} requests"
         );
     }
 
-    /// The answer is a rejection that names a time to come again, ms, within these bounds.
-    async fn retry_advice(&mut self, line: &str, name: &str, id: &str, min: &str, max: &str) {
+    /// Checks that the answer is a refusal with a retry-after within these bounds, ms.
+    async fn check_retry_after(&mut self, line: &str, name: &str, id: &str, min: &str, max: &str) {
         let ms: u64 = match self.clients.get_mut(name).unwrap() {
             Client::Http2 { streams, .. } => {
                 let response = streams.remove(id).unwrap().0.await.unwrap();
@@ -271,13 +274,13 @@
             }
         };
         let range = min.parse::<u64>().unwrap()..=max.parse().unwrap();
-        assert!(range.contains(&ms), "{:?}: {line}: {ms}", self.front);
+        assert!(range.contains(&ms), "{:?}: {line}: {ms}", self.client_wire);
         self.answers.push("retry_after".into());
     }
 }
 
 impl Stage {
-    /// What becomes of endpoints. False: it is no such step.
+    /// Steps of endpoints. Returns false for any other step.
     async fn endpoint_step(&mut self, words: &[&str]) -> bool {
         match words {
             ["add_unreachable", name] => self.add_unreachable_endpoint(name).await,
@@ -285,26 +288,29 @@
             ["state", name, state] => {
                 let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, state);
-                self.list.send_modify(|changes| changes.push(entry));
+                self.endpoint_list
+                    .send_modify(|changes| changes.push(entry));
+            }
+            ["always", behavior @ ..] => {
+                *self.shared.always.borrow_mut() = Some(behavior.join(" "))
             }
-            ["always", how @ ..] => *self.shared.always.borrow_mut() = Some(how.join(" ")),
             ["pool", name, label] => {
                 let (port, wire) = self.endpoints[*name];
                 let entry = entry(name, port, wire, "active");
                 let labels = format!(r#""labels":{{"pool":"{label}"}},"state""#);
-                self.list
+                self.endpoint_list
                     .send_modify(|changes| changes.push(entry.replace(r#""state""#, &labels)));
                 tokio::time::sleep(Duration::from_millis(60)).await;
             }
-            ["reject_by_goaway"] => *self.shared.unseen.borrow_mut() = true,
+            ["reject_by_goaway"] => *self.shared.reject_by_goaway.borrow_mut() = true,
             _ => return false,
         }
         true
     }
 
-    /// Discovery tells of an endpoint whose listener accepts nothing and whose queue is full.
+    /// Adds an endpoint whose listener accepts nothing and whose queue is full.
     async fn add_unreachable_endpoint(&mut self, name: &str) {
-        // A line of connections that nobody takes: further ones do not come up.
+        // Connections that are never accepted fill the queue; further ones are not established.
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket
@@ -316,27 +322,32 @@
             )
             .unwrap();
         socket.listen(0).unwrap();
-        let at = socket.local_addr().unwrap().as_socket().unwrap();
-        let line = (0..4)
-            .map(|_| spawn_local(TcpStream::connect(at)))
+        let address = socket.local_addr().unwrap().as_socket().unwrap();
+        let queued_connections = (0..4)
+            .map(|_| spawn_local(TcpStream::connect(address)))
             .collect::<Vec<_>>();
         tokio::time::sleep(Duration::from_millis(50)).await;
         let wire = self.endpoints["a"].1;
-        self.endpoints.insert(name.to_string(), (at.port(), wire));
-        self.full_listeners.push((name.to_string(), socket, line));
-        let entry = entry(name, at.port(), wire, "active");
-        self.list.send_modify(|changes| changes.push(entry));
+        self.endpoints
+            .insert(name.to_string(), (address.port(), wire));
+        self.full_listeners
+            .push((name.to_string(), socket, queued_connections));
+        let entry = entry(name, address.port(), wire, "active");
+        self.endpoint_list
+            .send_modify(|changes| changes.push(entry));
     }
 
-    /// The listener of such an endpoint accepts connections from now on.
+    /// Makes the listener of such an endpoint accept connections from now on.
     async fn serve_unreachable_endpoint(&mut self, name: &str) {
-        let at = self
+        let index = self
             .full_listeners
             .iter()
-            .position(|full_listeners| full_listeners.0 == *name)
-            .expect("one that is clogged");
-        let (name, socket, line) = self.full_listeners.remove(at);
-        line.iter().for_each(tokio::task::JoinHandle::abort);
+            .position(|listener| listener.0 == *name)
+            .expect("an endpoint of add_unreachable");
+        let (name, socket, queued_connections) = self.full_listeners.remove(index);
+        queued_connections
+            .iter()
+            .for_each(tokio::task::JoinHandle::abort);
         socket.set_nonblocking(true).unwrap();
         let listener = TcpListener::from_std(socket.into()).unwrap();
         let (wire, shared) = (self.endpoints[&name].1, self.shared.clone());
@@ -352,7 +363,7 @@
         });
     }
 
-    /// What becomes of discovery, the counter and the files of the program. False: it is no such step.
+    /// Steps of discovery, the counter and the program's files. Returns false for any other step.
     async fn service_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["inventory", names @ ..] => {
@@ -369,8 +380,11 @@
                     }
                 };
                 let rows: String = names.iter().map(row).collect();
-                std::fs::write(self.folder.join("inventory.csv"), format!("{HEADER}{rows}"))
-                    .unwrap();
+                std::fs::write(
+                    self.folder.join("inventory.csv"),
+                    format!("{INVENTORY_HEADER}{rows}"),
+                )
+                .unwrap();
                 self.reload_files().await;
             }
             ["move", services @ ..] => {
@@ -391,8 +405,8 @@
                 std::fs::write(self.folder.join("config.json"), text.join(" ")).unwrap();
                 self.reload_files().await;
             }
-            ["counter", how] => *self.shared.counter.borrow_mut() = how.to_string(),
-            ["discovery", how] => *self.shared.discovery.borrow_mut() = how.to_string(),
+            ["counter", behavior] => *self.shared.counter.borrow_mut() = behavior.to_string(),
+            ["discovery", behavior] => *self.shared.discovery.borrow_mut() = behavior.to_string(),
             _ => return false,
         }
         true
@@ -400,7 +414,7 @@
 }
 
 impl Stage {
-    /// The program's processes, and calls of the staff. False: it is no such step.
+    /// Steps of the program's processes, and operators' calls. Returns false for any other step.
     async fn process_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
             ["stop"] => self.signal("-TERM"),
@@ -424,17 +438,17 @@
             ["start_second"] => {
                 self.operator_port += 1;
                 self.second = Some(self.start());
-                for turn in 0.. {
+                for attempt in 0.. {
                     let up = TcpStream::connect(self.operator_address()).await.is_ok();
                     if up && self.call("STATUS").await.starts_with("ACK") {
                         break;
                     }
-                    assert!(turn < 400, "the second process is not ready");
+                    assert!(attempt < 400, "the second process is not ready");
                     tokio::time::sleep(Duration::from_millis(10)).await;
                 }
             }
             ["start_fails"] => {
-                // Its second address is taken, by the stage.
+                // The operator address of the second process is in use.
                 self.operator_port += 1;
                 let _taken = TcpListener::bind(self.operator_address()).await.unwrap();
                 let mut program = self.start();
@@ -445,14 +459,14 @@
             ["kill"] => {
                 self.program.kill().unwrap();
                 self.program.wait().unwrap();
-                self.program = self.second.take().expect("a second process");
+                self.program = self.second.take().expect("a process of start_second");
             }
             ["call", word, text @ ..] => {
                 let answer = self.call(&text.join(" ")).await;
                 assert!(
                     answer.starts_with(word),
                     "{:?}: {line}: {answer}",
-                    self.front
+                    self.client_wire
                 );
             }
             ["partial_call", text @ ..] => {
@@ -465,24 +479,26 @@
         true
     }
 
-    /// Time, and what is checked of the program and of the stand-ins. False: it is no such step.
+    /// Steps that wait, or check the program and the simulated servers. Returns false for any other
+    /// step.
     async fn check_step(&mut self, line: &str, words: &[&str]) -> bool {
         match words {
-            ["memory"] => self.memory = self.resident_mb(),
+            ["memory"] => self.noted_memory_mb = self.resident_mb(),
             ["memory", max] => {
-                let grown = self.resident_mb() - self.memory;
+                let grown = self.resident_mb() - self.noted_memory_mb;
                 assert!(
                     grown <= max.parse().unwrap(),
                     "{:?}: {line}: {grown} MB",
-                    self.front
+                    self.client_wire
                 );
             }
             ["descriptors", max] => {
-                let of = |program: &Child| {
+                let open_descriptors = |program: &Child| {
                     std::fs::read_dir(format!("/proc/{}/fd", program.id()))
                         .map_or(0, Iterator::count)
                 };
-                let all = of(&self.program) + self.second.as_ref().map_or(0, of);
+                let all = open_descriptors(&self.program)
+                    + self.second.as_ref().map_or(0, open_descriptors);
                 assert!(all <= max.parse().unwrap(), "{line}: {all}");
             }
             ["wait", ms] => tokio::time::sleep(Duration::from_millis(ms.parse().unwrap())).await,
@@ -490,13 +506,17 @@
                 let runs = self.shared.runs.borrow().get(*id).copied().unwrap_or(0);
                 assert_eq!(runs.to_string(), *n, "{line}");
             }
-            ["attempts", "none"] => assert_eq!(self.attempts(), self.begun, "{line}"),
+            ["attempts", "none"] => assert_eq!(self.attempts(), self.noted_attempts, "{line}"),
             ["attempts", min] => {
-                self.begun = self.attempts();
-                assert!(self.begun >= min.parse().unwrap(), "{line}: {}", self.begun);
+                self.noted_attempts = self.attempts();
+                assert!(
+                    self.noted_attempts >= min.parse().unwrap(),
+                    "{line}: {}",
+                    self.noted_attempts
+                );
             }
             ["counted", n] => {
-                let (n, total): (f64, f64) = (n.parse().unwrap(), self.counted());
+                let (n, total): (f64, f64) = (n.parse().unwrap(), self.counted_units());
                 assert!((n..n + 1.0).contains(&total), "{line}: {total}");
             }
             ["counted", n, rate] => {
@@ -507,22 +527,23 @@
         true
     }
 
-    /// Units that the counter holds.
-    fn counted(&self) -> f64 {
+    /// Returns the units that the counter holds.
+    fn counted_units(&self) -> f64 {
         self.shared.totals.borrow().values().sum()
     }
 
-    /// The counter holds these units, and at most so many more for each second since it got the first ones.
+    /// Checks that the counter holds at least `units`, and at most `units_per_s` more for each
+    /// second since its first.
     fn check_counted(&self, line: &str, units: f64, units_per_s: f64) {
-        /// Amounts are rounded to single precision on their way.
+        /// The program rounds amounts to single precision.
         const ROUNDING: f64 = 1e-3;
         let first_counted = self.shared.first_counted.get();
         let elapsed_s = first_counted.map_or(0.0, |at| at.elapsed().as_secs_f64());
-        let total = self.counted();
-        let most = units + units_per_s * elapsed_s + ROUNDING;
+        let total = self.counted_units();
+        let max_requests = units + units_per_s * elapsed_s + ROUNDING;
         assert!(
-            (units..=most).contains(&total),
-            "{line}: {total}, {elapsed_s} s after the first"
+            (units..=max_requests).contains(&total),
+            "{line}: {total}, {elapsed_s} s after the first units"
         );
     }
 }
