--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -331,7 +331,7 @@
         "full",
         "late",
         "garbage",
-        "not_a_number",
+        "no_number",
         "half",
         "close",
     ] {
@@ -720,8 +720,8 @@
     );
 }
 
-/// The inventory lists two endpoints at one address. It is ambiguous, so the last valid list stays
-/// in force.
+/// The inventory lists two endpoints at one address. Such a list is ambiguous, so the last valid one
+/// stays in force.
 #[test]
 fn inventory_with_a_duplicate_address_keeps_the_last_list() {
     play_all(
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -239,7 +239,7 @@
     const FINAL_RELOADS: usize = 5;
     run_with_timeout(async {
         let mut random = seeded_random("storm");
-        let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
+        let mut stage = Stage::set_up(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
         let mut file = RuleFile::new(UNMATCHED_RULES);
         file.edit(&mut random);
@@ -323,7 +323,7 @@
     const GROWTH_MB: f64 = 4.0;
     run_with_timeout(async {
         let mut random = seeded_random("memory");
-        let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
+        let mut stage = Stage::set_up(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
         let mut file = RuleFile::new(UNMATCHED_RULES);
         let mut first_mb = 0.0;
@@ -358,7 +358,7 @@
     /// thread did the reading or a large part of it, a round trip would take about as long.
     const MIN_READING_RATIO: u32 = 4;
     run_with_timeout(async {
-        let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
+        let mut stage = Stage::set_up(Wire::Resp, Wire::Resp, "").await;
         stage.step("always echo").await;
         let threads = stage.thread_count();
         assert_eq!(
@@ -427,7 +427,7 @@
 #[test]
 fn rules_are_reloaded_during_a_shutdown() {
     run_with_timeout(async {
-        let mut stage = Stage::set(Wire::Resp, Wire::Resp, "").await;
+        let mut stage = Stage::set_up(Wire::Resp, Wire::Resp, "").await;
         for line in ["send c k1 book-rebroadcast city 7", "expect * k1", "stop"] {
             stage.step(line).await;
         }
--- a/tests/stage/clients.rs
+++ b/tests/stage/clients.rs
@@ -26,6 +26,7 @@
     socket.connect(address.parse().unwrap()).await.unwrap()
 }
 
+/// A connection of a simulated client, with the requests that wait for answers.
 pub(super) enum Client {
     Resp {
         stream: TcpStream,
@@ -51,6 +52,7 @@
         is_pong.then_some(stream)
     }
 
+    /// Returns the client with this name. Connects it first if it is new.
     pub(super) async fn client(&mut self, name: &str) -> &mut Client {
         if !self.clients.contains_key(name) {
             let address = if self.client_wire == Wire::Resp {
@@ -86,6 +88,7 @@
         self.clients.get_mut(name).unwrap()
     }
 
+    /// Sends the request of a `send` step.
     pub(super) async fn send(&mut self, words: &[&str]) {
         let [name, id, class, plan, tenant, rest @ ..] = words else {
             panic!("{words:?}")
--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -25,6 +25,7 @@
     ends_in_order: bool,
 }
 
+/// Returns the large value of a reply, or none if the reply is not a large value.
 pub(super) fn large_value(behavior: &str) -> Option<LargeValue<'_>> {
     let (behavior, announced_size) = behavior.split_once(' ')?;
     if !["large", "truncated", "short", "pieces"].contains(&behavior) {
@@ -89,6 +90,7 @@
     }
 }
 
+/// Serves one RESP connection of an endpoint.
 pub(super) async fn resp_endpoint(name: String, mut stream: TcpStream, shared: Shared) {
     // Without this, a duplicate would wait for the acknowledgement of the first answer.
     stream.set_nodelay(true).unwrap();
@@ -185,6 +187,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
+/// Serves one HTTP/2 connection of an endpoint.
 pub(super) async fn http2_endpoint(name: String, stream: TcpStream, shared: Shared) {
     if *shared.reject_by_goaway.borrow() {
         return reject_by_goaway(stream).await;
@@ -224,6 +227,7 @@
     tcp_reset: Rc<tokio::sync::Notify>,
 }
 
+/// Returns a response head with this status.
 fn head(status: u16) -> http::response::Builder {
     http::Response::builder().status(status)
 }
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -7,18 +7,22 @@
 //!     with PATH=VALUE ...            changes settings: `request_classes.1.effect="token"`
 //!     small_memory                   the program's memory limit is 10 MB
 //!     more_descriptors               the program's descriptor limit is 1024
-//!     inherited_socket the environment binds the clients' socket; processes inherit it
+//!     inherited_socket               the environment binds the clients' socket; processes inherit
+//!                                    it
 //!
 //! Clients:
 //!
 //!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   sends a request
 //!     raw C TEXT                     writes TEXT unchanged; \r and \n are escapes (RESP)
-//!     garbage C N writes N malformed bytes, until the program stops reading (RESP)
-//!     incomplete C N writes a request with a body of N bytes, all but its end (RESP)
+//!     garbage C N                    writes N malformed bytes, until the program stops reading
+//!                                    (RESP)
+//!     incomplete C N                 writes a request with a body of N bytes, all but its end
+//!                                    (RESP)
 //!     long C N                       writes a request of N bytes (RESP)
-//!     burst C N writes N requests at once, with the ids C0, C1 and so on, until
-//!                                    the program stops reading (RESP)
-//!     flood C N sends N requests with distinct ids in batches, reads all answers
+//!     burst C N                      writes N requests at once, with the ids C0, C1 and so on,
+//!                                    until the program stops reading (RESP)
+//!     flood C N                      sends N requests with distinct ids in batches, reads all
+//!                                    answers
 //!     late_duplicates C I N MAX      sends requests in sequence, which endpoint I answers with
 //!                                    `late_duplicate`, until N duplicates were written; at most
 //!                                    MAX
@@ -30,17 +34,21 @@
 //!     fin C                          ends the sending side; the client still reads (RESP)
 //!     idle N                         N clients connect at once and stay without sending
 //!     idle_after_ping N              N clients send PING, read the answer and stay idle (RESP)
-//!     small_receive_buffer RESP clients that connect from now on have small receive buffers
-//!     expect C K ANSWER the answer begins with ANSWER: served V, busy, failed, closed, an
-//!                                    HTTP status, or a raw line
-//!     retry_after C K MIN MAX the answer is a refusal whose retry-after is in these bounds, ms
+//!     small_receive_buffer           RESP clients that connect from now on have small receive
+//!                                    buffers
+//!     expect C K ANSWER              the answer begins with ANSWER: served V, busy, failed,
+//!                                    closed, an HTTP status, or a raw line
+//!     retry_after C K MIN MAX        the answer is a refusal whose retry-after is in these bounds,
+//!                                    ms
 //!
 //! Endpoints:
 //!
-//!     expect I K waits until a whole attempt has arrived (`*`: at any endpoint)
+//!     expect I K                     waits until a whole attempt has arrived (`*`: at any
+//!                                    endpoint)
 //!     answer I K REPLY               waits for the attempt and answers it with REPLY, see below
 //!     always REPLY                   from now on every attempt gets REPLY at once (`echo`: its id)
-//!     state I STATE discovery lists the endpoint (a, b) as active, leaving or left
+//!     state I STATE                  discovery lists the endpoint (a, b) as active, leaving or
+//!                                    left
 //!     pool I LABEL                   discovery lists the endpoint with the label pool=LABEL
 //!     inventory NAME[=STATE] ...     the inventory file lists these endpoints; reloads it (SIGHUP)
 //!     reject_by_goaway               endpoints send GOAWAY with last stream id 0 (HTTP/2)
@@ -53,8 +61,9 @@
 //!     cost N V                       the value V, with its actual units N
 //!     last V                         the value V, then the connection is closed (RESP)
 //!     twice V                        the value V twice at once (RESP)
-//!     late_duplicate V the value V, and 5 ms later again unless 8 ms have passed (RESP)
-//!     odd_fields V                   the value V, with malformed report fields (RESP)
+//!     late_duplicate V               the value V, and 5 ms later again unless 8 ms have passed
+//!                                    (RESP)
+//!     odd_fields V                   the value V, with malformed fields after it (RESP)
 //!     large N                        a value of N bytes
 //!     truncated N                    a value of N bytes that breaks off in its middle
 //!     pieces N                       a value of N bytes that arrives slowly
@@ -66,12 +75,12 @@
 //!
 //! Counter, discovery and files:
 //!
-//!     counter FAULT                  silent, full, late, garbage, not_a_number, half, close, or ok
+//!     counter FAULT                  silent, full, late, garbage, no_number, half, close, or ok
 //!     discovery FAULT                garbage, error, nonsense, indented, no_length (ends with the
 //!                                    connection), truncated (reset within the list), reset, silent
 //!                                    (also for polls that are open, for good), or ok
 //!     move SERVICE ...               discovery, counter: change ports; reloads the configuration
-//!     rules TEXT replaces the rule file (\n is an escape) and reloads it (SIGHUP)
+//!     rules TEXT                     replaces the rule file (\n is an escape), reloads it (SIGHUP)
 //!     config TEXT                    replaces the configuration file and reloads it (SIGHUP)
 //!
 //! Processes:
@@ -83,18 +92,19 @@
 //!     start_fails                    a second process finds its operator address in use and ends
 //!                                    with status 2
 //!     kill                           SIGKILL to the first process; the second takes its place
-//!     call WORD CALL an operator's call to the newest process; its answer begins with
-//!                                    WORD
+//!     call WORD CALL                 an operator's call to the newest process; its answer begins
+//!                                    with WORD
 //!     partial_call TEXT              an operator writes part of a call and stays connected
 //!
 //! Time and checks:
 //!
 //!     wait MS                        sleeps
 //!     runs K N                       N attempts for K have arrived in total
-//!     attempts MIN / attempts none notes that at least MIN attempts have arrived / none since then
-//!     counted N                      the counter holds N units, and less than one from refill
-//!     counted N RATE the counter holds N units, and at most RATE more for each second
-//!                                    since its first
+//!     attempts MIN / attempts none   notes that at least MIN attempts have arrived / none since
+//!                                    then
+//!     counted N                      the counter holds at least N units and fewer than N + 1
+//!     counted N RATE                 the counter holds at least N units, and at most RATE more for
+//!                                    each second since it received its first units
 //!     descriptors N                  all processes together hold at most N descriptors
 //!     memory / memory MB             notes the program's memory / it has grown by at most MB
 #![allow(dead_code)]
@@ -110,7 +120,7 @@
 use clients::{write_until_blocked, Client};
 use endpoints::{describe_value, http2_endpoint, resp_endpoint};
 use services::{counter, discovery};
-use setup::entry;
+use setup::endpoint_entry;
 
 use bytes::Bytes;
 use driftgap::protocol::http2::send_body;
@@ -339,7 +349,7 @@
 /// `expect` steps received.
 pub fn play(client_wire: Wire, endpoint_wire: Wire, scenario: &str) -> Vec<String> {
     run(async {
-        let mut stage = Stage::set(
+        let mut stage = Stage::set_up(
             client_wire,
             endpoint_wire,
             scenario.trim().lines().next().unwrap_or(""),
--- a/tests/stage/services.rs
+++ b/tests/stage/services.rs
@@ -35,9 +35,7 @@
                 "late" => tokio::time::sleep(Duration::from_millis(200)).await,
                 "full" => answer = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n".into(),
                 "garbage" => answer = "what?\r\n\r\n".into(),
-                "not_a_number" => {
-                    answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwhat".into()
-                }
+                "no_number" => answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwhat".into(),
                 "half" => answer = "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nwhat".into(),
                 _ => answer.insert_str(0, "HTTP/1.1 103 Early Hints\r\n\r\n"),
             }
--- a/tests/stage/setup.rs
+++ b/tests/stage/setup.rs
@@ -29,7 +29,8 @@
     )
 }
 
-pub(super) fn entry(name: &str, port: u16, wire: Wire, state: &str) -> String {
+/// Returns the JSON entry of an endpoint in discovery's list.
+pub(super) fn endpoint_entry(name: &str, port: u16, wire: Wire, state: &str) -> String {
     let protocol = if wire == Wire::Http2 { "http2" } else { "resp" };
     format!(
         r#"{{"id":"{name}","addr":"127.0.0.1:{port}","zone":"building-1","kind":"small-2c","cell":0,
@@ -39,14 +40,14 @@
 
 impl Stage {
     /// Sets up the environment and starts the program. `first` is the first line of the scenario.
-    pub async fn set(client_wire: Wire, wire: Wire, first: &str) -> Stage {
+    pub async fn set_up(client_wire: Wire, endpoint_wire: Wire, first: &str) -> Stage {
         let (inherited_socket, small_memory) =
             (first == "inherited_socket", first == "small_memory");
         let shared = Shared::default();
         let mut endpoints = HashMap::new();
         for name in ["a", "b", "extra"] {
             let shared = shared.clone();
-            let port = match wire {
+            let port = match endpoint_wire {
                 Wire::Resp => {
                     spawn_server(move |s| resp_endpoint(name.into(), s, shared.clone())).await
                 }
@@ -54,11 +55,11 @@
                     spawn_server(move |s| http2_endpoint(name.into(), s, shared.clone())).await
                 }
             };
-            endpoints.insert(name.to_string(), (port.0, wire));
+            endpoints.insert(name.to_string(), (port.0, endpoint_wire));
         }
         let listed = endpoints.iter().filter(|(name, _)| *name != "extra");
         let entries: Vec<_> = listed
-            .map(|(n, (p, w))| entry(n, *p, *w, "active"))
+            .map(|(n, (p, w))| endpoint_entry(n, *p, *w, "active"))
             .collect();
         let (endpoint_list, _) = watch::channel(vec![entries.join(",")]);
         let (host, resp_port, http2_port) = (unique_address(), 6379, 8080);
@@ -131,13 +132,10 @@
                     spawn_server(move |s| counter(s, shared.clone())).await,
                 ),
                 "discovery" => {
-                    let endpoint_list = self.endpoint_list.clone();
+                    let list = self.endpoint_list.clone();
                     (
                         "discovery",
-                        spawn_server(move |s| {
-                            discovery(s, endpoint_list.subscribe(), shared.clone())
-                        })
-                        .await,
+                        spawn_server(move |s| discovery(s, list.subscribe(), shared.clone())).await,
                     )
                 }
                 other => panic!("unknown service: {other}"),
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -287,16 +287,14 @@
             ["make_reachable", name] => self.serve_unreachable_endpoint(name).await,
             ["state", name, state] => {
                 let (port, wire) = self.endpoints[*name];
-                let entry = entry(name, port, wire, state);
+                let entry = endpoint_entry(name, port, wire, state);
                 self.endpoint_list
                     .send_modify(|changes| changes.push(entry));
             }
-            ["always", behavior @ ..] => {
-                *self.shared.always.borrow_mut() = Some(behavior.join(" "))
-            }
+            ["always", reply @ ..] => *self.shared.always.borrow_mut() = Some(reply.join(" ")),
             ["pool", name, label] => {
                 let (port, wire) = self.endpoints[*name];
-                let entry = entry(name, port, wire, "active");
+                let entry = endpoint_entry(name, port, wire, "active");
                 let labels = format!(r#""labels":{{"pool":"{label}"}},"state""#);
                 self.endpoint_list
                     .send_modify(|changes| changes.push(entry.replace(r#""state""#, &labels)));
@@ -332,7 +330,7 @@
             .insert(name.to_string(), (address.port(), wire));
         self.full_listeners
             .push((name.to_string(), socket, queued_connections));
-        let entry = entry(name, address.port(), wire, "active");
+        let entry = endpoint_entry(name, address.port(), wire, "active");
         self.endpoint_list
             .send_modify(|changes| changes.push(entry));
     }
