--- a/tests/stage/endpoints.rs
+++ b/tests/stage/endpoints.rs
@@ -1,5 +1,4 @@
-//! Simulated endpoints, over RESP and HTTP/2. Each attempt waits until the scenario names the
-//! reply.
+//! Simulated endpoints, over RESP and HTTP/2. An attempt is answered as the scenario says.
 
 use super::*;
 
--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -145,7 +145,9 @@
     Http2,
 }
 
+/// Settings of the program, as a JSON object.
 const SETTINGS: &str = include_str!("settings.json");
+/// The operator's file, without the section of the HTTP/2 listener.
 const OPERATOR_FILE: &str = r#"
 [routes]
 file = "rules.toml"
@@ -155,12 +157,14 @@
 script = "hook.rhai"
 on_error = "nack"
 "#;
+/// First line of the inventory file.
 const INVENTORY_HEADER: &str = "name,address,zone,protocol,state\n";
 /// Plug-in script that refuses one tenant and fails on another.
 const HOOK_SCRIPT: &str = r#"fn decide(c) {
     if c.partner == "000000000000dead" { return #{ nack: 300 }; }
     if c.partner == "000000000000beef" { c.no_such_function(); }
 }"#;
+/// Time limit of a step; steps that send many requests have 20 times this.
 const STEP_TIMEOUT: Duration = Duration::from_secs(4);
 /// Descriptor limit of the program, and the limit after `more_descriptors`.
 const DESCRIPTOR_LIMIT: usize = 256;
@@ -171,16 +175,20 @@
 const SMALL_RECEIVE_BUFFER: usize = 8 * 1024;
 const SMALL_SEGMENT_SIZE: u32 = 1400;
 
+/// Senders of the replies to attempts that wait for one, by endpoint and request id.
 type ArrivedAttempts = Rc<RefCell<HashMap<(String, String), oneshot::Sender<String>>>>;
 
 /// State that all simulated servers share.
 #[derive(Clone, Default)]
 struct Shared {
     arrived: ArrivedAttempts,
+    /// Number of attempts that have arrived, by request id.
     runs: Rc<RefCell<HashMap<String, usize>>>,
+    /// Totals of the counter, by name.
     totals: Rc<RefCell<HashMap<String, f64>>>,
     /// When the counter received its first units.
     first_counted: Rc<Cell<Option<Instant>>>,
+    /// Reply to every attempt, after the step `always`.
     always: Rc<RefCell<Option<String>>>,
     /// Faults of the counter and of discovery; empty if there is none.
     counter: Rc<RefCell<String>>,
@@ -192,7 +200,7 @@
 }
 
 impl Shared {
-    /// Records an attempt that has arrived whole. Returns where the reply to it will be named.
+    /// Records an attempt that has arrived whole. Returns the receiver of the reply to send.
     fn attempt_arrived(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
         let (reply, reply_receiver) = oneshot::channel();
         *self.runs.borrow_mut().entry(id.to_string()).or_default() += 1;
@@ -228,6 +236,7 @@
     (port, task.abort_handle())
 }
 
+/// Reads more bytes into the buffer. Returns false at the end of the connection or on an error.
 async fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     stream.read_buf(buffer).await.is_ok_and(|n| n > 0)
 }
@@ -244,9 +253,11 @@
     program: Child,
     /// The process of `start_second`.
     second: Option<Child>,
+    /// Port for operators' calls to the newest process.
     operator_port: u16,
     /// The clients' socket, if the processes inherit it.
     inherited_socket: Option<socket2::Socket>,
+    /// Connections that stay open without being used.
     idle_connections: Vec<TcpStream>,
     full_listeners: Vec<FullListener>,
     /// Whether the program has the small memory limit.
@@ -257,14 +268,19 @@
     small_receive_buffer: bool,
     settings: String,
     client_wire: Wire,
+    /// Addresses on which the program accepts clients, by protocol.
     ports: HashMap<&'static str, String>,
     clients: HashMap<String, Client>,
     shared: Shared,
+    /// Entries of discovery's list: all at the start, then one for each change.
     endpoint_list: watch::Sender<Vec<String>>,
     /// Port and task of discovery and of the counter.
     services: HashMap<&'static str, (u16, AbortHandle)>,
+    /// Port and protocol of each endpoint.
     endpoints: HashMap<String, (u16, Wire)>,
+    /// Answers that `expect` steps received.
     answers: Vec<String>,
+    /// Folder of the program's files and its log.
     folder: PathBuf,
     /// Memory of the program at the last `memory` step, MB.
     noted_memory_mb: f64,
--- a/tests/stage/steps.rs
+++ b/tests/stage/steps.rs
@@ -1,5 +1,4 @@
-//! The steps of a scenario, grouped by what they act on. The module comment of the stage lists
-//! them.
+//! The steps of a scenario, grouped by what they act on. They are listed at the head of `mod.rs`.
 
 use super::*;
 
