--- a/crates/expr/benches/select.rs
+++ b/crates/expr/benches/select.rs
@@ -1,5 +1,5 @@
-//! Nanoseconds to choose the tests that can be true for a request, and to evaluate those that were chosen,
-//! among few tests and many. The requests match tests spread over all of them. And the time to build the index.
+//! Time to choose the tests that can be true for a request and to evaluate the chosen ones, with few tests and with many.
+//! The requests match tests spread over all of them. A second group measures the time to build the index.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_expr::{
@@ -33,7 +33,7 @@
         .field("request.host", Type::Text, 256, 0)
 }
 
-/// Tests with the index over them.
+/// Compiled tests and the index over them.
 struct Tests {
     compiled: Vec<Compiled>,
     selector: Selector,
@@ -83,13 +83,13 @@
     )
 }
 
-/// 10 tests a host.
+/// Ten tests for each host.
 fn by_host(number: usize) -> String {
     let (service, path) = (number / 10, number % 10);
     format!("request.host == 'svc-{service}.example' && request.path.startsWith('/x/{path}/')")
 }
 
-/// A prefix of each length up to 100, so that a look-up has as many lengths to try.
+/// Prefixes of 100 different lengths, so that a look-up has as many lengths to try.
 fn of_all_lengths(number: usize) -> String {
     let filler = "x".repeat(number % 100);
     format!(
@@ -136,7 +136,7 @@
     for (name, text, request) in WORKLOADS {
         for size in SIZES {
             let tests = Tests::new(size, text);
-            // Other requests in turn, so that not all of a small part of the index is in the nearest cache.
+            // Cycles through different requests, so that the parts of the index in use do not all fit into the L1 cache.
             let requests: Vec<Request> =
                 (0..256).map(|i| request((i * 7919 + 13) % size)).collect();
             let (mut chosen, mut scratch) = (Chosen::default(), Scratch::default());
@@ -161,7 +161,7 @@
     group.finish();
 }
 
-/// Building the index over the tests' keys.
+/// Measures building the index from the keys of the tests.
 fn build(c: &mut Criterion) {
     let mut group = c.benchmark_group("build");
     group.sample_size(10);
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -1,12 +1,14 @@
-//! The tree of an expression as it is written, and the way from tokens to it. It owns the precedence of CEL's
-//! operators and the bound on nesting: chains of `&&` and of `||` are one node however long they are, all else
-//! that nests counts. It must never recurse deeper than that bound, whatever the text.
+//! Syntax tree of an expression and the parser that builds it from tokens. The module defines the
+//! precedence of
+//! CEL's operators and limits the nesting: a chain of `&&` or `||` is one node however long it is,
+//! every other
+//! nesting counts. The parser never recurses deeper than that limit, whatever the text.
 
 use crate::error::Error;
 use crate::lex::{tokens, Token};
 use std::ops::Range;
 
-/// Deepest nesting, in nodes.
+/// Maximum nesting, in nodes.
 pub const MAX_DEPTH: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -45,7 +47,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum What {
+pub(crate) enum TreeKind {
     Bool(bool),
     Int(i64),
     Double(f64),
@@ -73,16 +75,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Tree {
-    pub(crate) what: What,
+    pub(crate) kind: TreeKind,
     pub(crate) span: Range<usize>,
     depth: usize,
 }
 
-/// Reads a whole text.
+/// Parses a whole text.
 pub(crate) fn parse(text: &str) -> Result<Tree, Error> {
     let mut parser = Parser {
         tokens: tokens(text)?,
-        at: 0,
+        position: 0,
         depth: 0,
     };
     let tree = parser.expression()?;
@@ -91,7 +93,7 @@
         other => {
             let error = Error::new(
                 parser.span(),
-                format!("{} is not expected here", other.told()),
+                format!("{} is not expected here", other.description()),
             );
             Err(match other {
                 Token::Sign("=") => error.help("equality is written `==`"),
@@ -105,38 +107,40 @@
 
 struct Parser {
     tokens: Vec<(Token, Range<usize>)>,
-    at: usize,
-    /// Nested calls of [`Parser::expression`], which is where all recursion passes.
+    position: usize,
+    /// Number of nested calls of [`Parser::expression`], through which all recursion passes.
     depth: usize,
 }
 
 fn too_deep(span: Range<usize>) -> Error {
     Error::new(span, format!("nested deeper than {MAX_DEPTH}"))
-        .help("a `let` or a list with `in` is flatter")
+        .help("use `let`, or `in` with a list, to reduce the nesting")
 }
 
 impl Parser {
     fn peek(&self) -> &Token {
-        &self.tokens[self.at.min(self.tokens.len() - 1)].0
+        &self.tokens[self.position.min(self.tokens.len() - 1)].0
     }
 
     fn span(&self) -> Range<usize> {
-        self.tokens[self.at.min(self.tokens.len() - 1)].1.clone()
+        self.tokens[self.position.min(self.tokens.len() - 1)]
+            .1
+            .clone()
     }
 
-    /// Takes the sign if it is next.
-    fn take(&mut self, sign: &str) -> bool {
+    /// Consumes the next token if it is this sign.
+    fn accept(&mut self, sign: &str) -> bool {
         let found = matches!(self.peek(), Token::Sign(s) if *s == sign);
-        self.at += usize::from(found);
+        self.position += usize::from(found);
         found
     }
 
-    fn need(&mut self, sign: &str) -> Result<usize, Error> {
+    fn expect(&mut self, sign: &str) -> Result<usize, Error> {
         let span = self.span();
-        if self.take(sign) {
+        if self.accept(sign) {
             return Ok(span.end);
         }
-        let problem = format!("{} is not expected here", self.peek().told());
+        let problem = format!("{} is not expected here", self.peek().description());
         Err(Error::new(span, problem).help(format!("`{sign}` was expected")))
     }
 
@@ -145,29 +149,37 @@
         match self.peek() {
             Token::Name(name) => {
                 let name = name.clone();
-                self.at += 1;
+                self.position += 1;
                 Ok((name, span))
             }
-            other => Err(
-                Error::new(span, format!("{} is not expected here", other.told()))
-                    .help("a name was expected"),
-            ),
+            other => Err(Error::new(
+                span,
+                format!("{} is not expected here", other.description()),
+            )
+            .help("a name was expected")),
         }
     }
 
-    /// A node over its parts, as long as it is not nested too deep.
-    fn node(&self, what: What, span: Range<usize>) -> Result<Tree, Error> {
+    /// Builds a node; fails if it is nested too deeply.
+    fn node(&self, kind: TreeKind, span: Range<usize>) -> Result<Tree, Error> {
         let deepest = |parts: &[Tree]| parts.iter().map(|p| p.depth).max().unwrap_or(0);
-        let depth = 1 + match &what {
-            What::Bool(_) | What::Int(_) | What::Double(_) | What::Text(_) | What::Name(_) => 0,
-            What::Member(a, _) | What::Not(a) | What::Minus(a) => a.depth,
-            What::Index(a, b) | What::Binary(_, a, b) | What::Let(_, a, b) => a.depth.max(b.depth),
-            What::Call(_, parts) | What::And(parts) | What::Or(parts) | What::List(parts) => {
-                deepest(parts)
+        let depth = 1 + match &kind {
+            TreeKind::Bool(_)
+            | TreeKind::Int(_)
+            | TreeKind::Double(_)
+            | TreeKind::Text(_)
+            | TreeKind::Name(_) => 0,
+            TreeKind::Member(a, _) | TreeKind::Not(a) | TreeKind::Minus(a) => a.depth,
+            TreeKind::Index(a, b) | TreeKind::Binary(_, a, b) | TreeKind::Let(_, a, b) => {
+                a.depth.max(b.depth)
             }
-            What::Method(a, _, parts) => a.depth.max(deepest(parts)),
-            What::If(a, b, c) => a.depth.max(b.depth).max(c.depth),
-            What::Map(pairs) => pairs
+            TreeKind::Call(_, parts)
+            | TreeKind::And(parts)
+            | TreeKind::Or(parts)
+            | TreeKind::List(parts) => deepest(parts),
+            TreeKind::Method(a, _, parts) => a.depth.max(deepest(parts)),
+            TreeKind::If(a, b, c) => a.depth.max(b.depth).max(c.depth),
+            TreeKind::Map(pairs) => pairs
                 .iter()
                 .map(|(k, v)| k.depth.max(v.depth))
                 .max()
@@ -176,7 +188,7 @@
         if depth > MAX_DEPTH {
             return Err(too_deep(span));
         }
-        Ok(Tree { what, span, depth })
+        Ok(Tree { kind, span, depth })
     }
 
     fn expression(&mut self) -> Result<Tree, Error> {
@@ -184,35 +196,38 @@
             return Err(too_deep(self.span()));
         }
         self.depth += 1;
-        let tree = self.bound_or_conditional();
+        let tree = self.let_or_conditional();
         self.depth -= 1;
         tree
     }
 
-    fn bound_or_conditional(&mut self) -> Result<Tree, Error> {
+    fn let_or_conditional(&mut self) -> Result<Tree, Error> {
         let start = self.span().start;
         if matches!(self.peek(), Token::Name(word) if word == "let") {
-            self.at += 1;
+            self.position += 1;
             let (name, _) = self.name()?;
-            self.need("=")?;
+            self.expect("=")?;
             let value = self.expression()?;
-            self.need(";")?;
+            self.expect(";")?;
             let body = self.expression()?;
             let end = body.span.end;
-            return self.node(What::Let(name, value.into(), body.into()), start..end);
+            return self.node(TreeKind::Let(name, value.into(), body.into()), start..end);
         }
         let test = self.chain(true)?;
-        if !self.take("?") {
+        if !self.accept("?") {
             return Ok(test);
         }
-        let yes = self.expression()?;
-        self.need(":")?;
-        let no = self.expression()?;
-        let span = start..no.span.end;
-        self.node(What::If(test.into(), yes.into(), no.into()), span)
+        let then = self.expression()?;
+        self.expect(":")?;
+        let otherwise = self.expression()?;
+        let span = start..otherwise.span.end;
+        self.node(
+            TreeKind::If(test.into(), then.into(), otherwise.into()),
+            span,
+        )
     }
 
-    /// `a || b || ...` (`or`) or `a && b && ...` as one flat node.
+    /// Parses `a || b || ...` (`or`) or `a && b && ...` as one flat node.
     fn chain(&mut self, or: bool) -> Result<Tree, Error> {
         let sign = if or { "||" } else { "&&" };
         let operand = |parser: &mut Parser| match or {
@@ -225,16 +240,16 @@
         }
         let start = first.span.start;
         let mut parts = vec![first];
-        while self.take(sign) {
+        while self.accept(sign) {
             parts.push(operand(self)?);
         }
         let end = parts.last().map_or(start, |last| last.span.end);
-        let what = if or {
-            What::Or(parts)
+        let kind = if or {
+            TreeKind::Or(parts)
         } else {
-            What::And(parts)
+            TreeKind::And(parts)
         };
-        self.node(what, start..end)
+        self.node(kind, start..end)
     }
 
     fn operator(&self) -> Option<(Binary, u8)> {
@@ -258,26 +273,26 @@
         })
     }
 
-    /// Operators that bind at least as tightly as `least`; the recursion is three deep at most.
+    /// Parses operators whose precedence is at least `min`; recurses three levels deep at most.
     fn binary(&mut self, min: u8) -> Result<Tree, Error> {
         let mut left = self.unary()?;
         while let Some((operator, level)) = self.operator().filter(|(_, level)| *level >= min) {
-            self.at += 1;
+            self.position += 1;
             let right = self.binary(level + 1)?;
             let span = left.span.start..right.span.end;
-            left = self.node(What::Binary(operator, left.into(), right.into()), span)?;
+            left = self.node(TreeKind::Binary(operator, left.into(), right.into()), span)?;
         }
         Ok(left)
     }
 
     fn unary(&mut self) -> Result<Tree, Error> {
-        // Signs are gathered without recursion: a text may hold thousands of them.
+        // Collected in a loop, not by recursion: a text may hold thousands of prefix operators.
         let mut signs = Vec::new();
         loop {
             let start = self.span().start;
-            if self.take("!") {
+            if self.accept("!") {
                 signs.push((true, start));
-            } else if self.take("-") {
+            } else if self.accept("-") {
                 signs.push((false, start));
             } else {
                 break;
@@ -288,9 +303,9 @@
             let span = start..tree.span.end;
             tree = self.node(
                 if not {
-                    What::Not(tree.into())
+                    TreeKind::Not(tree.into())
                 } else {
-                    What::Minus(tree.into())
+                    TreeKind::Minus(tree.into())
                 },
                 span,
             )?;
@@ -302,96 +317,96 @@
         let mut tree = self.primary()?;
         loop {
             let start = tree.span.start;
-            if self.take(".") {
-                let (name, at) = self.name()?;
-                if self.take("(") {
+            if self.accept(".") {
+                let (name, name_span) = self.name()?;
+                if self.accept("(") {
                     let (parts, end) = self.list(")")?;
-                    tree = self.node(What::Method(tree.into(), name, parts), start..end)?;
+                    tree = self.node(TreeKind::Method(tree.into(), name, parts), start..end)?;
                 } else {
-                    tree = self.node(What::Member(tree.into(), name), start..at.end)?;
+                    tree = self.node(TreeKind::Member(tree.into(), name), start..name_span.end)?;
                 }
-            } else if self.take("[") {
+            } else if self.accept("[") {
                 let index = self.expression()?;
-                let end = self.need("]")?;
-                tree = self.node(What::Index(tree.into(), index.into()), start..end)?;
+                let end = self.expect("]")?;
+                tree = self.node(TreeKind::Index(tree.into(), index.into()), start..end)?;
             } else {
                 return Ok(tree);
             }
         }
     }
 
-    /// Expressions up to the closing sign, a comma between them and, as one likes, behind the last.
+    /// Parses expressions separated by commas up to the closing sign; a trailing comma is allowed.
     fn list(&mut self, close: &str) -> Result<(Vec<Tree>, usize), Error> {
         let mut parts = Vec::new();
         loop {
             let end = self.span().end;
-            if self.take(close) {
+            if self.accept(close) {
                 return Ok((parts, end));
             }
             parts.push(self.expression()?);
-            if !self.take(",") {
-                return Ok((parts, self.need(close)?));
+            if !self.accept(",") {
+                return Ok((parts, self.expect(close)?));
             }
         }
     }
 
     fn primary(&mut self) -> Result<Tree, Error> {
         let (token, span) = (self.peek().clone(), self.span());
-        self.at += 1;
-        let what = match token {
-            Token::Int(value) => What::Int(value),
-            Token::Double(value) => What::Double(value),
-            Token::Text(value) => What::Text(value),
-            Token::Name(name) if self.take("(") => {
+        self.position += 1;
+        let kind = match token {
+            Token::Int(value) => TreeKind::Int(value),
+            Token::Double(value) => TreeKind::Double(value),
+            Token::Text(value) => TreeKind::Text(value),
+            Token::Name(name) if self.accept("(") => {
                 let (parts, end) = self.list(")")?;
-                return self.node(What::Call(name, parts), span.start..end);
+                return self.node(TreeKind::Call(name, parts), span.start..end);
             }
             Token::Name(name) => match name.as_str() {
-                "true" => What::Bool(true),
-                "false" => What::Bool(false),
+                "true" => TreeKind::Bool(true),
+                "false" => TreeKind::Bool(false),
                 "in" | "let" | "null" => {
                     let error = Error::new(span, format!("`{name}` is not expected here"));
                     return Err(match name.as_str() {
                         "null" => {
-                            error.help("there is no null: what may be absent is asked for by has()")
+                            error.help("there is no null: test for an absent value with has()")
                         }
                         _ => error.help("a value was expected"),
                     });
                 }
-                _ => What::Name(name),
+                _ => TreeKind::Name(name),
             },
             Token::Sign("(") => {
                 let mut tree = self.expression()?;
-                let end = self.need(")")?;
+                let end = self.expect(")")?;
                 tree.span = span.start..end;
                 return Ok(tree);
             }
             Token::Sign("[") => {
                 let (parts, end) = self.list("]")?;
-                return self.node(What::List(parts), span.start..end);
+                return self.node(TreeKind::List(parts), span.start..end);
             }
             Token::Sign("{") => return self.map(span.start),
             other => {
-                let problem = format!("{} is not expected here", other.told());
+                let problem = format!("{} is not expected here", other.description());
                 return Err(Error::new(span, problem).help("a value was expected"));
             }
         };
-        self.node(what, span)
+        self.node(kind, span)
     }
 
     fn map(&mut self, start: usize) -> Result<Tree, Error> {
         let mut pairs = Vec::new();
         loop {
             let end = self.span().end;
-            if self.take("}") {
-                return self.node(What::Map(pairs), start..end);
+            if self.accept("}") {
+                return self.node(TreeKind::Map(pairs), start..end);
             }
             let key = self.expression()?;
-            self.need(":")?;
+            self.expect(":")?;
             pairs.push((key, self.expression()?));
-            if !self.take(",") {
-                let end = self.need("}")?;
-                return self.node(What::Map(pairs), start..end);
+            if !self.accept(",") {
+                let end = self.expect("}")?;
+                return self.node(TreeKind::Map(pairs), start..end);
             }
         }
     }
--- a/crates/expr/src/ast/tests.rs
+++ b/crates/expr/src/ast/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `ast`.
+//! Tests of operator precedence and of the limit on nesting.
 
 use super::*;
 
@@ -25,6 +25,8 @@
     }
 }
 
+/// Deep nesting must be refused with an error before the recursive parser overflows its stack. Long flat chains of `||`
+/// are allowed.
 #[test]
 fn no_text_overflows_the_stack() {
     for (open, close) in [
@@ -44,5 +46,5 @@
         assert!(parse(&text[..text.len().min(60_000)]).is_err(), "{chain}");
     }
     let long = vec!["a"; 5000].join(" || ");
-    assert!(matches!(parse(&long).unwrap().what, What::Or(parts) if parts.len() == 5000));
+    assert!(matches!(parse(&long).unwrap().kind, TreeKind::Or(parts) if parts.len() == 5000));
 }
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -1,10 +1,14 @@
-//! From the tree of a text to a typed tree: every name is known, every type fits, every read of what may be absent is
-//! guarded.
+//! Type checker: turns the syntax tree of a text into a typed tree. It resolves every name, checks
+//! every type and refuses
+//! reads of optional values that are not known to be present.
 //!
-//! One module a concern: `scope` (local variables), `fields`, `operators`, `membership` (`in`), `literals`, `functions`,
-//! `methods`, `patterns`, `messages`; `truth` derives facts from tests, `merge` joins neighbouring tests, `leaves` finds
-//! the values that an expression may have. The checker must never evaluate anything of an input, or take longer than the
-//! text's length warrants.
+//! There is one module for each concern: `scope` (local variables), `fields`, `operators`,
+//! `membership` (`in`),
+//! `literals`, `functions`, `methods`, `patterns` and `messages`. `truth` derives facts from tests,
+//! `merge` joins
+//! neighbouring tests, and `leaves` finds the values that an expression may have. The checker never
+//! evaluates an input,
+//! and its time is bounded by the length of the text.
 
 mod fields;
 mod functions;
@@ -21,7 +25,7 @@
 
 pub(crate) use leaves::Leaf;
 
-use crate::ast::{Binary, Tree, What};
+use crate::ast::{Binary, Tree, TreeKind};
 use crate::constant::Const;
 use crate::error::Error;
 use crate::facts::Facts;
@@ -32,7 +36,7 @@
 use scope::Local;
 use std::ops::Range;
 
-/// Names of the methods, for messages.
+/// Names of the methods, for suggestions in error messages.
 const METHODS: [&str; 16] = [
     "size",
     "startsWith",
@@ -51,80 +55,82 @@
     "hash",
     "string",
 ];
-/// Names of the functions, for messages.
+/// Names of the functions, for suggestions in error messages.
 const FUNCTIONS: [&str; 11] = [
     "has", "size", "int", "double", "string", "duration", "ip", "hash", "min", "max", "let",
 ];
 
-/// Types one expression.
+/// Checks one expression.
 pub(crate) struct Checker<'a> {
     schema: &'a Schema,
-    /// Local variables, those whose scope has ended among them.
-    names: Vec<Local>,
-    /// Slots that the local variables take so far.
+    /// Local variables declared so far, including those whose scope has ended.
+    locals: Vec<Local>,
+    /// Number of slots for local variables allocated so far.
     slots: u16,
-    /// Regular expressions so far.
+    /// Number of regular expressions so far.
     regexes: usize,
 }
 
-/// What checking a part of an expression gives.
+/// Result of checking a part of an expression.
 type CheckResult<T> = Result<T, Error>;
 
 impl<'a> Checker<'a> {
-    /// A checker for an expression over this schema.
+    /// Creates a checker for one expression over a schema.
     pub(crate) fn new(schema: &'a Schema) -> Checker<'a> {
         Checker {
             schema,
-            names: Vec::new(),
+            locals: Vec::new(),
             slots: 0,
             regexes: 0,
         }
     }
 
-    /// Slots that the expression needs for its local variables.
+    /// Number of slots that the expression needs for its local variables.
     pub(crate) fn slots(&self) -> u16 {
         self.slots
     }
 
-    /// Types a tree that is evaluated where `facts` hold of the input, and folds its constants.
+    /// Checks a tree that is evaluated only where `facts` hold of the input, and folds constants.
     pub(crate) fn check(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
-        let node = self.typed(tree, facts)?;
+        let node = self.check_unfolded(tree, facts)?;
         fold(node)
     }
 
-    fn typed(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
+    fn check_unfolded(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
         let span = tree.span.clone();
-        match &tree.what {
-            What::Bool(v) => Ok(Node::constant(Const::Bool(*v), span)),
-            What::Int(v) => Ok(Node::constant(Const::Int(*v), span)),
-            What::Double(v) => Ok(Node::constant(Const::Double(*v), span)),
-            What::Text(v) => Ok(Node::constant(Const::Text(v.as_str().into()), span)),
-            What::Name(_) | What::Member(..) => self.place(tree, facts),
-            What::Index(of, index) => self.index(of, index, span, facts),
-            What::Call(name, args) => self.call(name, args, span, facts),
-            What::Method(of, name, args) => self.method(of, name, args, span, facts),
-            What::Not(a) => {
+        match &tree.kind {
+            TreeKind::Bool(v) => Ok(Node::constant(Const::Bool(*v), span)),
+            TreeKind::Int(v) => Ok(Node::constant(Const::Int(*v), span)),
+            TreeKind::Double(v) => Ok(Node::constant(Const::Double(*v), span)),
+            TreeKind::Text(v) => Ok(Node::constant(Const::Text(v.as_str().into()), span)),
+            TreeKind::Name(_) | TreeKind::Member(..) => self.variable_or_field(tree, facts),
+            TreeKind::Index(of, index) => self.index(of, index, span, facts),
+            TreeKind::Call(name, args) => self.call(name, args, span, facts),
+            TreeKind::Method(of, name, args) => self.method(of, name, args, span, facts),
+            TreeKind::Not(a) => {
                 let a = self.bool(a, facts)?;
                 let not = Kind::Not(a.into());
                 Ok(Node::new(not, Type::Bool, Bound::default(), span))
             }
-            What::Minus(a) => self.minus(a, span, facts),
-            What::And(parts) => self.chain(parts, true, span, facts),
-            What::Or(parts) => self.chain(parts, false, span, facts),
-            What::If(test, yes, no) => self.conditional(test, yes, no, span, facts),
-            What::Binary(Binary::In, a, b) => self.is_in(a, b, span, facts),
-            What::Binary(operator, a, b) => {
+            TreeKind::Minus(a) => self.negation(a, span, facts),
+            TreeKind::And(parts) => self.chain(parts, true, span, facts),
+            TreeKind::Or(parts) => self.chain(parts, false, span, facts),
+            TreeKind::If(test, then, otherwise) => {
+                self.conditional(test, then, otherwise, span, facts)
+            }
+            TreeKind::Binary(Binary::In, a, b) => self.in_operator(a, b, span, facts),
+            TreeKind::Binary(operator, a, b) => {
                 let a = self.check(a, facts)?;
                 let b = self.check(b, facts)?;
                 self.binary(*operator, a, b, span)
             }
-            What::List(parts) => self.list(parts, span, facts),
-            What::Map(pairs) => self.map(pairs, span, facts),
-            What::Let(name, value, body) => self.binding(name, value, body, span, facts),
+            TreeKind::List(parts) => self.list(parts, span, facts),
+            TreeKind::Map(pairs) => self.map(pairs, span, facts),
+            TreeKind::Let(name, value, body) => self.binding(name, value, body, span, facts),
         }
     }
 
-    /// A value that must be a bool.
+    /// Checks a tree whose value must be a bool.
     fn bool(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
         let node = self.check(tree, facts)?;
         if node.ty == Type::Bool {
@@ -135,7 +141,7 @@
     }
 
     /// `-a`.
-    fn minus(&mut self, a: &Tree, span: Range<usize>, facts: &Facts) -> CheckResult<Node> {
+    fn negation(&mut self, a: &Tree, span: Range<usize>, facts: &Facts) -> CheckResult<Node> {
         let a = self.check(a, facts)?;
         if !matches!(a.ty, Type::Int | Type::Double | Type::Duration) {
             return Err(mismatch(&a.span, "a number", &a));
@@ -145,33 +151,37 @@
         Ok(Node::new(call, ty, Bound::default(), span))
     }
 
-    /// `test ? yes : no`.
+    /// `test ? then : otherwise`.
     fn conditional(
         &mut self,
         test: &Tree,
-        yes: &Tree,
-        no: &Tree,
+        then: &Tree,
+        otherwise: &Tree,
         span: Range<usize>,
         facts: &Facts,
     ) -> CheckResult<Node> {
         let test = self.bool(test, facts)?;
-        let [yes_facts, no_facts] = self.facts(&test);
-        // On a branch that is never taken anything holds. What was known before is enough for its types.
+        let [then_facts, otherwise_facts] = self.facts(&test);
+        // A branch that is never taken has no facts of its own; those from before the test suffice
+        // for its types.
         let within = |branch: Option<Facts>| {
             branch
                 .and_then(|branch| facts.clone().meet(branch))
                 .unwrap_or_else(|| facts.clone())
         };
-        let yes = self.check(yes, &within(yes_facts))?;
-        let no = self.check(no, &within(no_facts))?;
-        if yes.ty != no.ty {
-            let problem = format!("the two sides of `? :` differ: {} and {}", yes.ty, no.ty);
-            let error = Error::new(no.span, problem);
-            return Err(error.help(format!("{} was expected", yes.ty)));
+        let then = self.check(then, &within(then_facts))?;
+        let otherwise = self.check(otherwise, &within(otherwise_facts))?;
+        if then.ty != otherwise.ty {
+            let problem = format!(
+                "the two sides of `? :` have different types: {} and {}",
+                then.ty, otherwise.ty
+            );
+            let error = Error::new(otherwise.span, problem);
+            return Err(error.help(format!("{} was expected", then.ty)));
         }
-        let bound = larger(yes.bound, no.bound);
-        let ty = yes.ty.clone();
-        let conditional = Kind::If(test.into(), yes.into(), no.into());
+        let bound = larger(then.bound, otherwise.bound);
+        let ty = then.ty.clone();
+        let conditional = Kind::If(test.into(), then.into(), otherwise.into());
         Ok(Node::new(conditional, ty, bound, span))
     }
 
@@ -189,13 +199,13 @@
         let path = self.path(&value);
         let slot = self.declare(name, &value, path, when, span.clone(), 1)?;
         let body = self.check(body, facts)?;
-        self.close(slot);
+        self.end_scope(slot);
         let (ty, bound) = (body.ty.clone(), body.bound);
         let binding = Kind::Let(slot, value.into(), body.into());
         Ok(Node::new(binding, ty, bound, span))
     }
 
-    /// `a && b && ...` where `and`, else `a || b || ...`.
+    /// `a && b && ...` if `and` is set, otherwise `a || b || ...`.
     fn chain(
         &mut self,
         parts: &[Tree],
@@ -207,12 +217,12 @@
         let mut nodes: Vec<Node> = Vec::with_capacity(parts.len().min(64));
         for part in parts {
             let node = self.bool(part, &known)?;
-            // The next part is evaluated only where this one was true (and) or false (or).
+            // The next part is evaluated only if this one was true (and) or false (or).
             if let Some(more) = self.facts(&node)[usize::from(!and)].take() {
                 known = known.meet(more).unwrap_or_else(|| facts.clone());
             }
             match node.as_const() {
-                // It does not change the result.
+                // A neutral constant does not change the result.
                 Some(Const::Bool(value)) if *value == and => continue,
                 _ => nodes.push(node),
             }
@@ -229,7 +239,7 @@
     }
 }
 
-/// A bound for either of two values.
+/// A bound that holds for either of two values.
 fn larger(a: Bound, b: Bound) -> Bound {
     Bound::new(a.bytes.max(b.bytes), a.items.max(b.items))
 }
--- a/crates/expr/src/check/fields.rs
+++ b/crates/expr/src/check/fields.rs
@@ -2,23 +2,23 @@
 
 use super::messages::{article, mismatch};
 use super::{CheckResult, Checker, METHODS};
-use crate::ast::{Tree, What};
+use crate::ast::{Tree, TreeKind};
 use crate::error::{nearest, Error};
 use crate::facts::Facts;
-use crate::lex::short;
+use crate::lex::abbreviated;
 use crate::node::{Kind, Node};
 use crate::schema::{Bound, Type};
 use std::ops::Range;
 
-/// Most fields that are listed where none is near to an unknown name.
+/// Maximum number of fields listed in the error for an unknown name that resembles no known one.
 const MAX_LISTED: usize = 12;
 
 impl Checker<'_> {
-    /// A name or a dotted name.
-    pub(super) fn place(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
+    /// Resolves a name or a dotted name to a local variable or a field.
+    pub(super) fn variable_or_field(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
         let span = tree.span.clone();
-        if let What::Name(name) = &tree.what {
-            let mut locals = self.names.iter();
+        if let TreeKind::Name(name) = &tree.kind {
+            let mut locals = self.locals.iter();
             if let Some(local) = locals.find(|n| n.in_scope && n.name == *name).cloned() {
                 let node = Node::new(Kind::Local(local.slot), local.ty, local.bound, span);
                 return Ok(self.narrowed(node, facts));
@@ -31,7 +31,7 @@
             return Err(self.unknown_field(&dotted, span));
         };
         let Some(field) = self.schema.get(id) else {
-            return Err(Error::new(span, "no such field"));
+            return Err(Error::new(span, "the field does not exist"));
         };
         let ty = if field.optional {
             Type::Optional(field.ty.clone().into())
@@ -41,34 +41,41 @@
         Ok(self.narrowed(Node::new(Kind::Field(id), ty, field.bound, span), facts))
     }
 
-    /// The error that a value has no such member.
+    /// Builds the error for a value that has no such member.
     ///
     /// # Errors
-    /// The value itself is wrong.
+    /// The value itself is invalid.
     fn no_member(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Error> {
         let span = tree.span.clone();
-        let What::Member(of, member) = &tree.what else {
-            return Ok(Error::new(span, "no value"));
+        let TreeKind::Member(of, member) = &tree.kind else {
+            return Ok(Error::new(span, "a field or a local variable was expected"));
         };
         let of = self.check(of, facts)?;
-        let problem = format!("{} has no member `{}`", article(&of.ty), short(member));
+        let problem = format!(
+            "{} has no member `{}`",
+            article(&of.ty),
+            abbreviated(member)
+        );
         let error = Error::new(span, problem);
         Ok(match nearest(member, METHODS.into_iter()) {
-            Some(near) => error.help(format!("`.{near}(...)` is a function")),
+            Some(near) => error.help(format!("`.{near}(...)` is a method")),
             None => error,
         })
     }
 
-    /// The error that there is no field of this name, with the nearest name or the known ones.
+    /// Builds the error for an unknown field, with the most similar name or a list of fields.
     fn unknown_field(&self, dotted: &str, span: Range<usize>) -> Error {
-        let problem = if self.schema.is_space(dotted) {
-            format!("`{}` is a group of fields, not a value", short(dotted))
+        let problem = if self.schema.is_namespace(dotted) {
+            format!(
+                "`{}` is a group of fields, not a value",
+                abbreviated(dotted)
+            )
         } else {
-            format!("there is no `{}`", short(dotted))
+            format!("there is no `{}`", abbreviated(dotted))
         };
         let error = Error::new(span, problem);
         let fields = self.schema.fields().iter().map(|f| f.name.as_str());
-        let locals = self.names.iter().filter(|n| n.in_scope);
+        let locals = self.locals.iter().filter(|n| n.in_scope);
         let known = fields.clone().chain(locals.map(|n| n.name.as_str()));
         if let Some(near) = nearest(dotted, known) {
             return error.help(format!("did you mean `{near}`?"));
@@ -79,7 +86,7 @@
         if listed.is_empty() {
             error
         } else {
-            error.help(format!("known are {}", listed.join(", ")))
+            error.help(format!("known fields are {}", listed.join(", ")))
         }
     }
 
@@ -115,11 +122,11 @@
     }
 }
 
-/// `a.b.c` as a text.
+/// The dotted name `a.b.c`, if the tree consists of names only.
 fn dotted(tree: &Tree) -> Option<String> {
-    match &tree.what {
-        What::Name(name) => Some(name.clone()),
-        What::Member(of, member) => Some(format!("{}.{member}", dotted(of)?)),
+    match &tree.kind {
+        TreeKind::Name(name) => Some(name.clone()),
+        TreeKind::Member(of, member) => Some(format!("{}.{member}", dotted(of)?)),
         _ => None,
     }
 }
--- a/crates/expr/src/check/leaves.rs
+++ b/crates/expr/src/check/leaves.rs
@@ -1,4 +1,5 @@
-//! The values that an expression may have, each with what is known of the input where it has it.
+//! Finds the values that an expression may have, each with the facts about the input under which it
+//! has them.
 
 use super::truth::presence;
 use super::Checker;
@@ -8,36 +9,36 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// Most values of one expression. With more, a hostile text could make the work on them long.
+/// Maximum number of values of one expression. It bounds the work that a hostile text can cause.
 const MAX_LEAVES: usize = 512;
 
-/// A value that an expression may have, and what is known of the input where it has it.
+/// One value that an expression may have.
 pub(crate) enum Leaf {
-    /// This constant.
+    /// A constant.
     Const(Const),
-    /// The value of this place of the input.
+    /// The value at a path of the input.
     Place(Path),
-    /// A value that is known only when it is evaluated.
+    /// A value that only an evaluation can determine.
     Unknown,
 }
 
-/// Values with what is known of the input, and the bytes of the text that give them.
+/// Values with the facts under which they occur and the byte range of the text that gives them.
 pub(crate) type Leaves = Vec<(Leaf, Facts, Range<usize>)>;
 
 impl Checker<'_> {
-    /// All values that an expression may have, given what is known; none: too many to tell apart.
+    /// All values that an expression may have where `facts` hold; `None` if there are too many.
     pub(crate) fn leaves(&self, node: &Node, facts: &Facts) -> Option<Leaves> {
         let mut found = Vec::new();
-        self.gather(node, facts.clone(), &mut Vec::new(), &mut found)?;
+        self.collect_leaves(node, facts.clone(), &mut Vec::new(), &mut found)?;
         Some(found)
     }
 
-    /// Adds the values of a node to `found`; none: there are too many.
-    fn gather<'n>(
+    /// Adds the values of a node to `found`; `None` if there are too many.
+    fn collect_leaves<'n>(
         &self,
         node: &'n Node,
         facts: Facts,
-        lets: &mut Vec<(u16, &'n Node)>,
+        bindings: &mut Vec<(u16, &'n Node)>,
         found: &mut Leaves,
     ) -> Option<()> {
         if found.len() >= MAX_LEAVES {
@@ -45,23 +46,23 @@
         }
         let span = node.span.clone();
         match &node.kind {
-            Kind::If(test, yes, no) => {
-                let [when_yes, when_no] = self.facts(test);
-                for (when, side) in [(when_yes, yes), (when_no, no)] {
+            Kind::If(test, then, otherwise) => {
+                let [test_true, test_false] = self.facts(test);
+                for (when, side) in [(test_true, then), (test_false, otherwise)] {
                     if let Some(known) = when.and_then(|when| facts.clone().meet(when)) {
-                        self.gather(side, known, lets, found)?;
+                        self.collect_leaves(side, known, bindings, found)?;
                     }
                 }
             }
             Kind::Let(slot, value, body) => {
-                lets.push((*slot, value));
-                self.gather(body, facts, lets, found)?;
+                bindings.push((*slot, value));
+                self.collect_leaves(body, facts, bindings, found)?;
             }
-            Kind::Local(slot) => match lets.iter().find(|(s, _)| s == slot) {
-                Some((_, value)) => self.gather(value, facts, lets, found)?,
+            Kind::Local(slot) => match bindings.iter().find(|(s, _)| s == slot) {
+                Some((_, value)) => self.collect_leaves(value, facts, bindings, found)?,
                 None => found.push((Leaf::Unknown, facts, span)),
             },
-            Kind::Sure(of) => self.gather(of, facts, lets, found)?,
+            Kind::Unwrap(of) => self.collect_leaves(of, facts, bindings, found)?,
             Kind::OrValue(of, default) => match &of.kind {
                 Kind::Lookup(map, key) if map.as_const().is_some() => {
                     let Some(Const::Map(map)) = map.as_const() else {
@@ -70,17 +71,17 @@
                     let key = self.path(key);
                     let rest = entries(map, key, &facts, &span, found);
                     if let Some(known) = rest {
-                        self.gather(default, known, lets, found)?;
+                        self.collect_leaves(default, known, bindings, found)?;
                     }
                 }
                 _ => {
                     let path = self.path(of);
-                    if let Some(known) = with(&facts, path.clone(), presence(true)) {
+                    if let Some(known) = with_fact(&facts, path.clone(), presence(true)) {
                         let leaf = path.clone().map_or(Leaf::Unknown, Leaf::Place);
                         found.push((leaf, known, of.span.clone()));
                     }
-                    if let Some(known) = with(&facts, path, presence(false)) {
-                        self.gather(default, known, lets, found)?;
+                    if let Some(known) = with_fact(&facts, path, presence(false)) {
+                        self.collect_leaves(default, known, bindings, found)?;
                     }
                 }
             },
@@ -94,7 +95,8 @@
     }
 }
 
-/// Each value of a map that is written out, where the key is that value's; what is known where the key is none of them.
+/// Adds each value of a constant map where `key` equals its key. Returns the facts where `key`
+/// equals none of them.
 fn entries(
     map: &ConstMap,
     key: Option<Path>,
@@ -109,7 +111,7 @@
             texts: Texts::In(BTreeSet::from([name.clone()])),
             ..Fact::default()
         };
-        if let Some(known) = with(facts, key.clone(), is_this) {
+        if let Some(known) = with_fact(facts, key.clone(), is_this) {
             found.push((Leaf::Const(value.clone()), known, span.clone()));
         }
     }
@@ -117,11 +119,11 @@
         texts: Texts::NotIn(map.entries.keys().cloned().collect()),
         ..Fact::default()
     };
-    with(facts, key, is_none)
+    with_fact(facts, key, is_none)
 }
 
-/// What is known where a fact holds of a place as well; none: that contradicts it.
-fn with(known: &Facts, path: Option<Path>, fact: Fact) -> Option<Facts> {
+/// Adds a fact about a path to known facts; `None` if they contradict each other.
+fn with_fact(known: &Facts, path: Option<Path>, fact: Fact) -> Option<Facts> {
     match path {
         Some(path) => known.clone().meet(Facts::one(path, fact)),
         None => Some(known.clone()),
--- a/crates/expr/src/check/literals.rs
+++ b/crates/expr/src/check/literals.rs
@@ -1,5 +1,6 @@
-//! Lists and maps that are written out, and durations as texts. They hold constants only, so that look-ups can be built
-//! once.
+//! Lists, maps and durations that are written out in an expression. Lists and maps contain
+//! constants only, so that their
+//! look-up tables are built once.
 
 use super::messages::mismatch;
 use super::{CheckResult, Checker};
@@ -7,17 +8,17 @@
 use crate::constant::{Const, ConstList, ConstMap};
 use crate::error::Error;
 use crate::facts::Facts;
-use crate::lex::short;
+use crate::lex::abbreviated;
 use crate::node::Node;
 use crate::schema::Type;
 use rapidhash::RapidHashMap;
 use std::ops::Range;
 
-/// Longest duration, ms: 100 years.
+/// Longest duration, ms (about 100 years).
 const MAX_DURATION_MS: f64 = 3.2e12;
-/// Longest text of a duration, bytes.
+/// Maximum length of a duration's text, bytes.
 const MAX_DURATION_TEXT: usize = 32;
-/// Units of a duration in ms; `ms` stands before `m`, which it begins with.
+/// Units of a duration in ms. `ms` precedes `m`, since the first unit that matches is used.
 const DURATION_UNITS: [(&str, f64); 4] = [("ms", 1.0), ("s", 1e3), ("m", 6e4), ("h", 3.6e6)];
 
 impl Checker<'_> {
@@ -47,13 +48,10 @@
         for (key, value) in pairs {
             let (key, value) = (self.check(key, facts)?, self.check(value, facts)?);
             let Some(text) = key.as_text().cloned() else {
-                return Err(Error::new(
-                    key.span,
-                    "a map's key is a text that is written out",
-                ));
+                return Err(Error::new(key.span, "a map key must be a constant string"));
             };
             let Some(constant) = value.as_const().cloned() else {
-                return Err(Error::new(value.span, "a map holds constants only"));
+                return Err(Error::new(value.span, "a map may contain constants only"));
             };
             match &ty {
                 Some(ty) if *ty != value.ty => {
@@ -63,12 +61,12 @@
                 None if !matches!(value.ty, Type::List(_) | Type::Map(_)) => {
                     ty = Some(value.ty.clone())
                 }
-                None => return Err(Error::new(value.span, "a map does not hold lists or maps")),
+                None => return Err(Error::new(value.span, "a map cannot contain lists or maps")),
             }
             if map.insert(text.clone(), constant).is_some() {
                 return Err(Error::new(
                     key.span,
-                    format!("{:?} stands twice", short(&text)),
+                    format!("duplicate key {:?}", abbreviated(&text)),
                 ));
             }
         }
@@ -80,20 +78,20 @@
     }
 }
 
-/// A list of items that are all constant and of one type.
+/// Builds a list whose items must be constants of one type.
 pub(super) fn constant_list(items: Vec<Node>, span: Range<usize>) -> CheckResult<Node> {
     let mut values = Vec::with_capacity(items.len());
     let mut ty: Option<Type> = None;
     for node in items {
         let Some(value) = node.as_const().cloned() else {
-            return Err(Error::new(node.span, "a list holds constants only")
-                .help("what is not one may stand in a list right behind `in`"));
+            return Err(Error::new(node.span, "a list may contain constants only")
+                .help("only a list that directly follows `in` may contain other values"));
         };
         match &ty {
             Some(ty) if *ty != node.ty => return Err(mismatch(&node.span, &ty.to_string(), &node)),
             Some(_) => {}
             None if !matches!(node.ty, Type::List(_) | Type::Map(_)) => ty = Some(node.ty),
-            None => return Err(Error::new(node.span, "a list does not hold lists or maps")),
+            None => return Err(Error::new(node.span, "a list cannot contain lists or maps")),
         }
         values.push(value);
     }
@@ -104,7 +102,8 @@
     Ok(Node::constant(Const::List(list.into()), span))
 }
 
-/// A duration such as `1h30m`, `1.5s` or `250ms`, in whole ms; it may have a minus sign.
+/// Parses a duration such as `1h30m`, `1.5s` or `250ms` to whole ms; a leading minus sign is
+/// allowed.
 pub(super) fn duration(text: &str) -> Option<i64> {
     let (sign, mut rest) = match text.strip_prefix('-') {
         Some(rest) => (-1.0, rest),
--- a/crates/expr/src/check/membership.rs
+++ b/crates/expr/src/check/membership.rs
@@ -3,7 +3,7 @@
 use super::literals::constant_list;
 use super::messages::mismatch;
 use super::{CheckResult, Checker};
-use crate::ast::{Binary, Tree, What};
+use crate::ast::{Binary, Tree, TreeKind};
 use crate::constant::Const;
 use crate::facts::Facts;
 use crate::node::{Kind, Node};
@@ -13,7 +13,7 @@
 
 impl Checker<'_> {
     /// `a in b`.
-    pub(super) fn is_in(
+    pub(super) fn in_operator(
         &mut self,
         a: &Tree,
         b: &Tree,
@@ -21,9 +21,10 @@
         facts: &Facts,
     ) -> CheckResult<Node> {
         let node = self.check(a, facts)?;
-        // A list that is written out may hold what is no constant: it is tested item by item.
-        let list = match &b.what {
-            What::List(parts) => {
+        // A list literal may have items that are not constant: it becomes one comparison for each
+        // item.
+        let list = match &b.kind {
+            TreeKind::List(parts) => {
                 let items = parts
                     .iter()
                     .map(|part| self.check(part, facts))
@@ -45,13 +46,13 @@
         }
     }
 
-    /// Whether a node equals one of these, of which some are no constants.
+    /// `node in [items]`, where some of the items are not constant.
     fn is_one_of(&mut self, node: Node, items: Vec<Node>, span: Range<usize>) -> CheckResult<Node> {
-        // Held once, under a name that no text can hold.
+        // The value is evaluated once, into a local variable whose name cannot occur in a text.
         let name = format!("in {}", self.slots);
         let path = self.path(&node);
         let slot = self.declare(&name, &node, path, None, span.clone(), 1)?;
-        let held = Node::new(
+        let local = Node::new(
             Kind::Local(slot),
             node.ty.clone(),
             node.bound,
@@ -59,10 +60,10 @@
         );
         let tests = items.into_iter().map(|item| {
             let span = item.span.clone();
-            self.binary(Binary::Equal, held.clone(), item, span)
+            self.binary(Binary::Equal, local.clone(), item, span)
         });
         let tests = tests.collect::<CheckResult<Vec<Node>>>()?;
-        self.close(slot);
+        self.end_scope(slot);
         let any = Node::new(Kind::Or(tests), Type::Bool, Bound::default(), span.clone());
         Ok(Node::new(
             Kind::Let(slot, node.into(), any.into()),
@@ -73,7 +74,7 @@
     }
 }
 
-/// Whether a map, whose values are of type `of`, has a key.
+/// `key in map`, where the values of the map are of type `of`.
 fn is_key(key: Node, map: Node, of: Box<Type>, span: Range<usize>) -> CheckResult<Node> {
     if key.ty != Type::Text {
         return Err(mismatch(&key.span, "string", &key));
@@ -85,7 +86,7 @@
     Ok(Node::new(has, Type::Bool, Bound::default(), span))
 }
 
-/// Whether a list, whose items are of type `of`, has an item. A constant list becomes a set.
+/// `item in list`, where the items of the list are of type `of`. A constant list becomes a set.
 fn is_item(item: Node, list: Node, of: &Type, span: Range<usize>) -> CheckResult<Node> {
     if item.ty != *of {
         return Err(mismatch(&item.span, &of.to_string(), &item));
--- a/crates/expr/src/check/merge.rs
+++ b/crates/expr/src/check/merge.rs
@@ -1,4 +1,5 @@
-//! Neighbouring tests of one place become one test: equalities one look-up, beginnings one prefix index.
+//! Merges neighbouring tests of one path: equalities become one set look-up, prefix tests one
+//! prefix index.
 
 use super::Checker;
 use crate::ast::Binary;
@@ -8,40 +9,40 @@
 use std::sync::Arc;
 
 impl Checker<'_> {
-    /// Neighbouring tests of one place as one: equalities as a look-up, beginnings as one prefix index.
+    /// Merges neighbouring operands of `||` that test the same path.
     pub(super) fn merged(&self, nodes: Vec<Node>) -> Vec<Node> {
         let mut merged: Vec<Node> = Vec::new();
-        let mut run: Option<(Node, Tested)> = None;
+        let mut run: Option<(Node, TextTest)> = None;
         for node in nodes {
-            if let Some((first, tested)) = &mut run {
-                let of = self.tested(first).map(|(of, _)| of);
-                if let (Some(of), Some((too, more))) = (of, self.tested(&node)) {
-                    if self.same(of, too) && tested.take(more) {
+            if let Some((first, text_test)) = &mut run {
+                let of = self.text_test(first).map(|(of, _)| of);
+                if let (Some(of), Some((other, more))) = (of, self.text_test(&node)) {
+                    if self.same_path(of, other) && text_test.extend(more) {
                         first.span.end = node.span.end;
                         continue;
                     }
                 }
             }
-            merged.extend(run.take().map(|run| self.whole(run)));
-            match self.tested(&node) {
-                Some((_, tested)) => run = Some((node, tested)),
+            merged.extend(run.take().map(|run| self.merged_node(run)));
+            match self.text_test(&node) {
+                Some((_, text_test)) => run = Some((node, text_test)),
                 None => merged.push(node),
             }
         }
-        merged.extend(run.map(|run| self.whole(run)));
+        merged.extend(run.map(|run| self.merged_node(run)));
         merged
     }
 
-    /// A run of tests as one node.
-    fn whole(&self, (first, tested): (Node, Tested)) -> Node {
-        let Some((of, _)) = self.tested(&first) else {
+    /// Builds one node from a run of tests.
+    fn merged_node(&self, (first, text_test): (Node, TextTest)) -> Node {
+        let Some((of, _)) = self.text_test(&first) else {
             return first;
         };
-        let kind = match tested {
-            Tested::One(texts) if texts.len() > 1 => {
+        let kind = match text_test {
+            TextTest::EqualsAny(texts) if texts.len() > 1 => {
                 Kind::InSet(of.clone().into(), Const::texts(texts))
             }
-            Tested::Begin(texts) if texts.len() > 1 => {
+            TextTest::StartsWithAny(texts) if texts.len() > 1 => {
                 Kind::BeginsWithAny(of.clone().into(), texts)
             }
             _ => return first,
@@ -49,42 +50,42 @@
         Node::new(kind, Type::Bool, Bound::default(), first.span)
     }
 
-    fn same(&self, a: &Node, b: &Node) -> bool {
+    fn same_path(&self, a: &Node, b: &Node) -> bool {
         self.path(a).is_some_and(|path| Some(path) == self.path(b))
     }
 
-    fn tested<'n>(&self, node: &'n Node) -> Option<(&'n Node, Tested)> {
+    fn text_test<'n>(&self, node: &'n Node) -> Option<(&'n Node, TextTest)> {
         match &node.kind {
             Kind::Binary(Binary::Equal, a, b) => match (a.as_text(), b.as_text()) {
-                (None, Some(text)) => Some((a, Tested::One(vec![text.clone()]))),
-                (Some(text), None) => Some((b, Tested::One(vec![text.clone()]))),
+                (None, Some(text)) => Some((a, TextTest::EqualsAny(vec![text.clone()]))),
+                (Some(text), None) => Some((b, TextTest::EqualsAny(vec![text.clone()]))),
                 _ => None,
             },
             Kind::InSet(a, Const::TextSet(set)) => {
-                Some((a, Tested::One(set.iter().cloned().collect())))
+                Some((a, TextTest::EqualsAny(set.iter().cloned().collect())))
             }
             Kind::Call(Func::StartsWith, args) => Some((
                 &args[0],
-                Tested::Begin(vec![args.get(1)?.as_text()?.clone()]),
+                TextTest::StartsWithAny(vec![args.get(1)?.as_text()?.clone()]),
             )),
-            Kind::BeginsWithAny(a, all) => Some((a, Tested::Begin(all.clone()))),
+            Kind::BeginsWithAny(a, all) => Some((a, TextTest::StartsWithAny(all.clone()))),
             _ => None,
         }
     }
 }
 
-/// What a place is tested for.
-enum Tested {
-    One(Vec<Arc<str>>),
-    Begin(Vec<Arc<str>>),
+/// Texts that a value is compared with.
+enum TextTest {
+    EqualsAny(Vec<Arc<str>>),
+    StartsWithAny(Vec<Arc<str>>),
 }
 
-impl Tested {
-    /// Takes in more of the same kind; false: it is of the other.
-    fn take(&mut self, more: Tested) -> bool {
+impl TextTest {
+    /// Adds the texts of another test of the same kind; returns false if the kinds differ.
+    fn extend(&mut self, more: TextTest) -> bool {
         match (self, more) {
-            (Tested::One(texts), Tested::One(more))
-            | (Tested::Begin(texts), Tested::Begin(more)) => {
+            (TextTest::EqualsAny(texts), TextTest::EqualsAny(more))
+            | (TextTest::StartsWithAny(texts), TextTest::StartsWithAny(more)) => {
                 texts.extend(more);
                 true
             }
--- a/crates/expr/src/check/methods.rs
+++ b/crates/expr/src/check/methods.rs
@@ -1,25 +1,25 @@
-//! Functions that are called on a value: `x.startsWith(y)`, `list.exists(y, test)` and so on.
+//! Methods of values, such as `x.startsWith(y)` and `list.exists(y, test)`.
 
 use super::functions::size;
 use super::messages::{article, mismatch, OPTIONAL_HELP};
 use super::{larger, CheckResult, Checker, METHODS};
-use crate::ast::{Tree, What};
+use crate::ast::{Tree, TreeKind};
 use crate::constant::Const;
 use crate::error::{nearest, Error};
 use crate::facts::Facts;
-use crate::lex::short;
+use crate::lex::abbreviated;
 use crate::limits::MAX_PARTS;
 use crate::node::{Func, Kind, Node};
 use crate::schema::{Bound, Type};
 use std::ops::Range;
 
-/// Most parts that `split` gives where the expression does not say how many.
+/// Maximum number of parts of `split` if the expression does not give one.
 const DEFAULT_PARTS: i64 = 16;
-/// Slots of a loop: its variable, the index and the list.
+/// Number of slots of a loop: its variable, the index and the list.
 const LOOP_SLOTS: u16 = 3;
 
 impl Checker<'_> {
-    /// A call of a method.
+    /// Checks a call of a method.
     pub(super) fn method(
         &mut self,
         of: &Tree,
@@ -29,7 +29,7 @@
         facts: &Facts,
     ) -> CheckResult<Node> {
         if name == "exists" || name == "all" {
-            return self.looped(of, name == "all", args, span, facts);
+            return self.quantifier(of, name == "all", args, span, facts);
         }
         let of = self.check(of, facts)?;
         if name == "orValue" {
@@ -47,7 +47,7 @@
             ("split", Type::Text) => &[1, 2],
             _ => return Err(no_method(name, &of.ty, span)),
         };
-        self.arity(name, args, arguments, &span)?;
+        self.check_arity(name, args, arguments, &span)?;
         match name {
             "size" => size(of, span),
             "lowerAscii" => {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// An argument that must be a text.
+    /// Checks an argument that must be a text.
     fn text(&mut self, tree: &Tree, facts: &Facts) -> CheckResult<Node> {
         let node = self.check(tree, facts)?;
         if node.ty == Type::Text {
@@ -99,15 +99,15 @@
         span: Range<usize>,
         facts: &Facts,
     ) -> CheckResult<Node> {
-        self.arity("orValue", args, &[1], &span)?;
+        self.check_arity("orValue", args, &[1], &span)?;
         let default = self.check(&args[0], facts)?;
-        // Facts establish that it is there: the default is never used.
-        if let Kind::Sure(_) = &of.kind {
+        // Facts prove that the value is present: the default is never used.
+        if let Kind::Unwrap(_) = &of.kind {
             return Ok(of);
         }
         let Type::Optional(ty) = &of.ty else {
-            let error = Error::new(of.span, "this is always there");
-            return Err(error.help(".orValue() is for what may be absent"));
+            let error = Error::new(of.span, "this is always present");
+            return Err(error.help(".orValue() applies to a value that may be absent"));
         };
         if default.ty != **ty {
             return Err(mismatch(&default.span, &ty.to_string(), &default));
@@ -128,7 +128,7 @@
     ) -> CheckResult<Node> {
         let by = self.text(&args[0], facts)?;
         if by.as_text().is_none_or(|by| by.is_empty()) {
-            let problem = "split() takes a text that is written out and not empty";
+            let problem = "split() takes a constant string that is not empty";
             return Err(Error::new(by.span, problem));
         }
         let max = match args.get(1) {
@@ -139,7 +139,7 @@
             Some(Const::Int(parts)) if (1..=MAX_PARTS).contains(parts) => *parts as u32,
             _ => {
                 let problem =
-                    format!("the most parts must be a number from 1 to {MAX_PARTS}, written out");
+                    format!("the maximum number of parts must be a constant from 1 to {MAX_PARTS}");
                 return Err(Error::new(max.span, problem));
             }
         };
@@ -150,7 +150,7 @@
     }
 
     /// `list.exists(x, test)` and `list.all(x, test)`.
-    fn looped(
+    fn quantifier(
         &mut self,
         of: &Tree,
         all: bool,
@@ -159,14 +159,14 @@
         facts: &Facts,
     ) -> CheckResult<Node> {
         let name = if all { "all" } else { "exists" };
-        self.arity(name, args, &[2], &span)?;
+        self.check_arity(name, args, &[2], &span)?;
         let list = self.check(of, facts)?;
         let Type::List(item) = &list.ty else {
             return Err(mismatch(&list.span, "a list", &list));
         };
-        let What::Name(variable) = &args[0].what else {
-            return Err(Error::new(args[0].span.clone(), "this is no name")
-                .help(format!("`x.{name}(y, ...)`")));
+        let TreeKind::Name(variable) = &args[0].kind else {
+            return Err(Error::new(args[0].span.clone(), "this is not a name")
+                .help(format!("write `x.{name}(y, ...)`")));
         };
         let item = Node::new(
             Kind::Local(0),
@@ -183,7 +183,7 @@
             LOOP_SLOTS,
         )?;
         let test = self.bool(&args[1], facts)?;
-        self.close(slot);
+        self.end_scope(slot);
         let kind = Kind::Loop {
             all,
             slot,
@@ -194,9 +194,9 @@
     }
 }
 
-/// The error that there is no such method for a type.
+/// Builds the error for an unknown method of a type.
 fn no_method(name: &str, ty: &Type, span: Range<usize>) -> Error {
-    let problem = format!("there is no `.{}()` for {}", short(name), article(ty));
+    let problem = format!("there is no `.{}()` for {}", abbreviated(name), article(ty));
     let error = Error::new(span, problem);
     match nearest(name, METHODS.into_iter().filter(|m| *m != name)) {
         Some(near) => error.help(format!("did you mean `{near}`?")),
--- a/crates/expr/src/check/operators.rs
+++ b/crates/expr/src/check/operators.rs
@@ -1,16 +1,16 @@
-//! Types of the operators between two values.
+//! Types of the binary operators.
 
 use super::messages::{article, OPTIONAL_HELP};
 use super::{CheckResult, Checker};
 use crate::ast::Binary;
 use crate::error::Error;
-use crate::limits::MAX_MADE;
+use crate::limits::MAX_CONCATENATED;
 use crate::node::{Kind, Node};
 use crate::schema::{Bound, Type};
 use std::ops::Range;
 
 impl Checker<'_> {
-    /// `a operator b`; `in` is checked by itself.
+    /// Checks `a operator b`, except `in`.
     pub(super) fn binary(
         &self,
         operator: Binary,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The type of what an operator gives for these types; none: it does not take them.
+/// The type of an operator's result; `None` if it does not apply to these types.
 fn result_type(operator: Binary, a: &Type, b: &Type) -> Option<Type> {
     use Type::{Bool, Double, Duration, Int, Ip, Text};
     let is_same = a == b;
@@ -67,34 +67,37 @@
     }
 }
 
-/// The bound of two texts put together.
+/// The bound of the concatenation of two texts.
 ///
 /// # Errors
-/// It is above the longest text that an expression may make.
+/// The bound exceeds the maximum length of a text.
 fn concatenated(a: &Node, b: &Node, span: &Range<usize>) -> CheckResult<Bound> {
     let bytes = a.bound.bytes.saturating_add(b.bound.bytes);
-    if bytes > MAX_MADE {
-        let problem = format!("this may make a text of {bytes} bytes, {MAX_MADE} are the most");
+    if bytes > MAX_CONCATENATED {
+        let problem =
+            format!("this may produce a string of {bytes} bytes, the limit is {MAX_CONCATENATED}");
         return Err(Error::new(span.clone(), problem));
     }
     Ok(Bound::new(bytes, 0))
 }
 
-/// The error that an operator does not take these types.
+/// Builds the error for an operator that does not apply to these types.
 fn no_operator(operator: Binary, a: &Type, b: &Type, span: Range<usize>) -> Error {
     use Type::{Double, Duration, Int, Ip, Text};
     let problem = format!(
-        "`{}` does not go between {} and {}",
+        "`{}` does not apply to {} and {}",
         operator.sign(),
         article(a),
         article(b)
     );
     Error::new(span, problem).help(match (a, b) {
         (Type::Optional(_), _) | (_, Type::Optional(_)) => OPTIONAL_HELP,
-        (Int, Double) | (Double, Int) => "double(x) makes a whole number one with a fraction",
-        (Text, Int) | (Int, Text) => "int(x).orValue(0) reads a number, string(x) writes one",
-        (Text, Ip) | (Ip, Text) => "ip(x) reads an address",
-        (Text, Duration) | (Duration, Text) => "duration(\"250ms\") is a duration",
-        _ => "both sides must be of one type",
+        (Int, Double) | (Double, Int) => "double(x) converts an int to a double",
+        (Text, Int) | (Int, Text) => {
+            "int(x).orValue(0) converts a string to an int, string(x) an int to a string"
+        }
+        (Text, Ip) | (Ip, Text) => "ip(x) converts a string to an ip",
+        (Text, Duration) | (Duration, Text) => "a duration is written duration(\"250ms\")",
+        _ => "both sides must have the same type",
     })
 }
--- a/crates/expr/src/code.rs
+++ b/crates/expr/src/code.rs
@@ -1,88 +1,92 @@
-//! The code that the compiler writes and the machine runs. It has two parts: its shape, which many programs may share,
-//! and its operands, the constants that its instructions refer to by index.
+//! Bytecode that the compiler emits and the machine runs. A program consists of its shape, which
+//! many programs may
+//! share, and its operands, the constants that instructions refer to by index.
 
 use crate::ast::Binary;
 use crate::constant::Operand;
 use crate::node::Func;
 use crate::schema::FieldId;
 
-/// An instruction of the stack machine. Operands and local variables are given by their indices, jumps by the index of
-/// the instruction that they lead to. The top of the stack is where the last value was pushed.
+/// An instruction of the stack machine. Operands and local variables are given by index, jumps by
+/// the index of
+/// their target instruction. "The top" is the value at the top of the stack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Op {
     /// Pushes a constant.
     Push(u16),
     /// Pushes a field's value.
     Field(FieldId),
-    /// Pushes a list of the input, which is read item by item.
+    /// Pushes a reference to a list of the input, whose items are read one by one.
     List(FieldId),
-    /// Pushes a map of the input, which is read by look-ups.
+    /// Pushes a reference to a map of the input, whose entries are read by look-ups.
     Map(FieldId),
     /// Pushes a local variable.
     Local(u16),
     /// Pops into a local variable.
     Store(u16),
-    /// Jumps.
+    /// Jumps unconditionally.
     Jump(u32),
-    /// Jumps where the top is false and keeps it, else drops it.
-    AndJump(u32),
-    /// Jumps where the top is true and keeps it, else drops it.
-    OrJump(u32),
-    /// Drops the top and jumps where it is false.
-    Branch(u32),
-    /// Jumps where the top is present and keeps it, else drops it.
-    SomeJump(u32),
-    /// Fails where the top is absent, which facts have ruled out.
-    Sure,
-    /// Whether the top is present.
+    /// Jumps and keeps the top if it is false, otherwise pops it.
+    JumpIfFalseOrPop(u32),
+    /// Jumps and keeps the top if it is true, otherwise pops it.
+    JumpIfTrueOrPop(u32),
+    /// Pops the top and jumps if it was false.
+    PopJumpIfFalse(u32),
+    /// Jumps and keeps the top if it is present, otherwise pops it.
+    JumpIfPresentOrPop(u32),
+    /// Fails if the top is absent. The checker has proved that it is present.
+    Unwrap,
+    /// Replaces the top by whether it is present.
     Has,
-    /// The opposite of the top.
+    /// Negates the top.
     Not,
-    /// An operator on the two topmost values.
+    /// Applies an operator to the two topmost values.
     Binary(Binary),
-    /// An item of a list, or absent.
+    /// Pops an index and a list and pushes the item, or absent.
     Item,
-    /// An entry of a map, or absent.
+    /// Pops a key and a map and pushes the entry, or absent.
     Lookup,
-    /// Whether a list has a value.
+    /// Pops a list and a value and pushes whether the list contains the value.
     InList,
-    /// A function of the topmost value or the two topmost ones.
+    /// Calls a function on the topmost value or the two topmost ones.
     Call(Func),
-    /// A hash of the top, below this number.
+    /// Replaces the top by its hash, which is less than this number.
     Hash(u32),
-    /// The top split at a constant, into at most so many parts.
+    /// Splits the top at a constant (first operand) into at most this many parts (second operand).
     Split(u16, u16),
-    /// Whether a set has the top.
+    /// Replaces the top by whether a set contains it.
     InSet(u16),
-    /// Whether the top begins with one of these prefixes.
+    /// Replaces the top by whether it begins with one of these prefixes.
     BeginsWithAny(u16),
-    /// Whether a regular expression matches the top.
+    /// Replaces the top by whether a regular expression matches it.
     Matches(u16),
-    /// Whether the top is in one of these networks.
+    /// Replaces the top by whether it is in one of these networks.
     InCidrs(u16),
-    /// The next item of the list in `slot + 2` into `slot`, or a jump where there is none.
+    /// Stores the next item of the list in local `slot + 2` into local `slot`; jumps if no item is
+    /// left.
     Next(u16, u32),
-    /// Whether a field equals a constant, without the stack.
+    /// Pushes whether a field equals a constant.
     FieldIs(FieldId, u16),
-    /// Whether a set has a field.
+    /// Pushes whether a set contains a field.
     FieldInSet(FieldId, u16),
-    /// Whether a field begins with a constant.
+    /// Pushes whether a field begins with a constant.
     FieldBegins(FieldId, u16),
 }
 
-/// What programs share that differ in nothing but their constants. The cost is part of it: where longer
-/// constants make a program cost more, its shape is another one.
+/// The part of a program that programs differing only in their constants share. It includes the
+/// cost: where a
+/// longer constant makes a program more expensive, its shape is a different one.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Shape {
     /// The instructions.
     pub(crate) ops: Box<[Op]>,
-    /// Slots that the local variables take.
+    /// Number of slots for local variables.
     pub(crate) slots: u16,
-    /// The most that an evaluation costs, in units.
+    /// Maximum cost of an evaluation, in units.
     pub(crate) cost: u64,
 }
 
-/// A program as the machine reads it, whoever owns its two parts.
+/// A borrowed program, as the machine runs it.
 #[derive(Clone, Copy)]
 pub(crate) struct Code<'a> {
     pub(crate) shape: &'a Shape,
--- a/crates/expr/src/compiled.rs
+++ b/crates/expr/src/compiled.rs
@@ -1,4 +1,5 @@
-//! The small form of a checked expression: a program whose shape and constants are shared with other expressions.
+//! Compact form of a checked expression: a program whose shape and constants are shared with other
+//! expressions.
 
 use crate::code::{Code, Shape};
 use crate::constant::{Operand, ARC_HEADER};
@@ -7,7 +8,9 @@
 use std::mem::size_of;
 use std::sync::Arc;
 
-/// A checked expression, ready to run, without what only checks and explanations need. Clones share all of it.
+/// A checked expression that is ready to run, without the data that only checks and explanations
+/// need. Clones
+/// share all of it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Compiled {
     pub(crate) shape: Arc<Shape>,
@@ -23,15 +26,17 @@
 }
 
 impl Compiled {
-    /// The most that an evaluation costs, in units, as that of the [`Expression`](crate::Expression).
+    /// Maximum cost of an evaluation, in units; equal to that of the
+    /// [`Expression`](crate::Expression).
     pub fn cost(&self) -> u64 {
         self.shape.cost
     }
 
-    /// Its value for an input; none: the value is absent, which only one of an optional type is.
+    /// Evaluates the expression; `None` if the value is absent, which is possible for optional
+    /// types only.
     ///
     /// # Errors
-    /// A number overflowed or was divided by zero; or the input is not as its schema says.
+    /// A number overflowed or was divided by zero, or the input does not match its schema.
     pub fn eval<'b>(
         &'b self,
         input: &'b dyn Input,
@@ -40,10 +45,10 @@
         run(self.code(), input, scratch)
     }
 
-    /// The value of a test.
+    /// Evaluates a boolean expression.
     ///
     /// # Errors
-    /// As [`Compiled::eval`]; or it is no test.
+    /// As [`Compiled::eval`]; also if the expression is not boolean.
     pub fn test(&self, input: &dyn Input, scratch: &mut Scratch) -> Result<bool, Fault> {
         match self.eval(input, scratch)? {
             Some(Value::Bool(value)) => Ok(value),
@@ -51,18 +56,20 @@
         }
     }
 
-    /// Whether both are one: clones, or equal expressions of one [`Interner`](crate::Interner).
+    /// Whether both share one program: clones, or equal expressions of one
+    /// [`Interner`](crate::Interner).
     pub fn same(&self, other: &Compiled) -> bool {
         Arc::ptr_eq(&self.shape, &other.shape) && Arc::ptr_eq(&self.operands, &other.operands)
     }
 
-    /// Whether both have one program and differ in constants at most.
+    /// Whether both share one shape, so that they differ in their constants at most.
     pub fn same_shape(&self, other: &Compiled) -> bool {
         Arc::ptr_eq(&self.shape, &other.shape)
     }
 
-    /// An estimate of the bytes on the heap that its constants take, counted in full also where others share
-    /// them. The shape, which many expressions share, is left out.
+    /// Estimated heap bytes of the constants, counted in full even if others share them. The shape,
+    /// which many
+    /// expressions share, is not counted.
     pub fn heap_bytes(&self) -> usize {
         let referred: usize = self.operands.iter().map(Operand::heap_bytes).sum();
         ARC_HEADER + size_of::<Operand>() * self.operands.len() + referred
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -1,5 +1,7 @@
-//! Constants: the values that are written out in an expression, and what the machine needs beside them, such as
-//! compiled patterns. They are small, clone cheaply and compare by content, so that compiled expressions can
+//! Constants: the literal values of an expression and the data that the machine needs besides them,
+//! such as
+//! compiled patterns. They are small, cheap to clone and compared by content, so that compiled
+//! expressions can
 //! share them.
 
 use crate::limits::MAX_REGEX;
@@ -13,10 +15,10 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Two counters that stand before what an `Arc` refers to.
+/// Bytes of the two reference counters at the start of an `Arc` allocation.
 pub(crate) const ARC_HEADER: usize = 2 * size_of::<usize>();
 
-/// A value that is written out.
+/// A constant value of an expression.
 #[derive(Clone, Debug)]
 pub(crate) enum Const {
     Bool(bool),
@@ -31,7 +33,7 @@
     IntSet(Arc<RapidHashSet<i64>>),
 }
 
-/// Constants of one type in order.
+/// An ordered list of constants of one type.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ConstList {
     /// The type of the items.
@@ -39,7 +41,7 @@
     pub(crate) items: Vec<Const>,
 }
 
-/// Constants of one type by text.
+/// A map from texts to constants of one type.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ConstMap {
     /// The type of the values.
@@ -48,7 +50,7 @@
 }
 
 impl Const {
-    /// Texts as a set, for a look-up.
+    /// A set of texts, for look-ups.
     pub(crate) fn texts(all: Vec<Arc<str>>) -> Const {
         Const::TextSet(Arc::new(all.into_iter().collect()))
     }
@@ -84,7 +86,7 @@
         }
     }
 
-    /// As a value, where it is neither a list nor a map.
+    /// The constant as a value, unless it is a list, a map or a set.
     pub(crate) fn value(&self) -> Option<Value<'_>> {
         Some(match self {
             Const::Bool(v) => Value::Bool(*v),
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Its items, where it is a list of texts.
+    /// The items, if this is a list of texts.
     pub(crate) fn listed_texts(&self) -> Option<Vec<Arc<str>>> {
         let Const::List(list) = self else { return None };
         let text = |item: &Const| {
@@ -110,7 +112,7 @@
         (list.of == Type::Text).then(|| list.items.iter().filter_map(text).collect())
     }
 
-    /// Its items, where it is a list of whole numbers.
+    /// The items, if this is a list of integers.
     pub(crate) fn listed_ints(&self) -> Option<Vec<i64>> {
         let Const::List(list) = self else { return None };
         let int = |item: &Const| {
@@ -124,7 +126,7 @@
     }
 }
 
-/// Numbers with a fraction are compared by their bits: the two zeros differ where they are written as a text.
+/// Doubles are compared by their bits: 0.0 and -0.0 differ when they are converted to text.
 impl PartialEq for Const {
     fn eq(&self, other: &Const) -> bool {
         match (self, other) {
@@ -161,7 +163,7 @@
     }
 }
 
-/// One hash for all orders of some items.
+/// A hash that does not depend on the order of the items.
 fn unordered_hash(items: impl Iterator<Item: Hash>) -> u64 {
     let hash = |item| {
         let mut hasher = DefaultHasher::new();
@@ -171,7 +173,7 @@
     items.map(hash).fold(0, u64::wrapping_add)
 }
 
-/// What a step of the machine refers to by number.
+/// A constant that instructions refer to by index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Operand {
     Value(Const),
@@ -181,7 +183,7 @@
 }
 
 impl Operand {
-    /// An estimate of the bytes on the heap that it refers to.
+    /// Estimated heap bytes that the operand refers to.
     pub(crate) fn heap_bytes(&self) -> usize {
         let bytes = match self {
             Operand::Value(value) => return value.heap_bytes(),
@@ -192,7 +194,7 @@
         ARC_HEADER + bytes
     }
 
-    /// Whether it refers to something that nobody else holds.
+    /// Whether the operand is the only reference to its heap data.
     pub(crate) fn is_unshared(&self) -> bool {
         let holders = match self {
             Operand::Value(Const::Text(text)) => Arc::strong_count(text),
@@ -208,7 +210,7 @@
         holders == 1
     }
 
-    /// Whether it refers to the heap, and to more than one text.
+    /// Whether the operand refers to heap data that is more than one text.
     pub(crate) fn is_large(&self) -> bool {
         match self {
             Operand::Value(value) => {
@@ -223,7 +225,7 @@
 }
 
 impl Const {
-    /// As [`Operand::heap_bytes`].
+    /// Estimated heap bytes, as in [`Operand::heap_bytes`].
     fn heap_bytes(&self) -> usize {
         let bytes = match self {
             Const::Text(text) => text.len(),
@@ -245,7 +247,7 @@
     }
 }
 
-/// A compiled regular expression; equal ones have equal texts.
+/// A compiled regular expression. Two patterns are equal if their texts are.
 #[derive(Debug)]
 pub(crate) struct Pattern {
     text: Arc<str>,
@@ -253,10 +255,10 @@
 }
 
 impl Pattern {
-    /// Compiles a pattern within the bounds of the language.
+    /// Compiles a pattern within the language's limits.
     ///
     /// # Errors
-    /// It is no pattern, or takes too much memory.
+    /// The pattern is invalid, or its compiled form takes too much memory.
     pub(crate) fn new(text: &Arc<str>) -> Result<Pattern, regex::Error> {
         let regex = RegexBuilder::new(text)
             .size_limit(MAX_REGEX)
--- a/crates/expr/src/error.rs
+++ b/crates/expr/src/error.rs
@@ -1,13 +1,14 @@
-//! What is wrong with an expression, and where. It owns the wording of faults for people: a line for a log, or
-//! the source line with a caret under it. It must never hold more of a hostile text than a line's worth.
+//! Errors of expressions and their wording for people: one line for a log, or the source line with
+//! a caret under
+//! the faulty part. An error never holds more than an excerpt of a hostile text.
 
 use std::fmt;
 use std::ops::Range;
 
-/// Longest part of a source line that is shown, in characters.
-const MAX_SHOWN: usize = 120;
+/// Maximum length of the excerpt of a source line, in characters.
+const MAX_EXCERPT: usize = 120;
 
-/// Where an expression's text begins in the file that holds it.
+/// Position of an expression's text within its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// Line, from 1.
@@ -22,42 +23,42 @@
     }
 }
 
-/// A fault in an expression, found before it is ever used.
+/// An error in an expression, found when the expression is checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Bytes of the expression's text that it is about.
+    /// Byte range of the expression's text that the error is about.
     pub span: Range<usize>,
     /// What is wrong.
     pub problem: String,
-    /// What was expected, or how to mend it.
+    /// What was expected, or how to correct it.
     pub help: Option<String>,
-    /// The line of the text, with the caret's place and width in characters; set once the text is known.
-    place: Place,
+    /// Position and excerpt of the source line; set once the text is known.
+    location: Location,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Place {
+struct Location {
     /// Line and column within the text, from 0.
     line: usize,
     column: usize,
-    /// Part of the line that is shown, the caret's offset and width in it.
-    shown: String,
+    /// Excerpt of the line, with the caret's offset and width in characters.
+    excerpt: String,
     caret: usize,
     width: usize,
 }
 
 impl Error {
-    /// A fault at these bytes.
+    /// An error at a byte range.
     pub(crate) fn new(span: Range<usize>, problem: impl Into<String>) -> Error {
         Error {
             span,
             problem: problem.into(),
             help: None,
-            place: Place::default(),
+            location: Location::default(),
         }
     }
 
-    /// A fault at these bytes of a text that holds more than an expression.
+    /// An error at a byte range of a text that holds more than one expression, such as a file.
     pub fn at(span: Range<usize>, problem: impl Into<String>, help: Option<String>) -> Error {
         Error {
             help,
@@ -65,15 +66,15 @@
         }
     }
 
-    /// With what was expected, or how to mend it.
+    /// Adds what was expected, or how to correct the error.
     pub(crate) fn help(mut self, help: impl Into<String>) -> Error {
         self.help = Some(help.into());
         self
     }
 
-    /// Finds the fault's line and column in the text that it is about.
+    /// Computes the line, the column and the excerpt from the text that the error is about.
     pub fn located(mut self, text: &str) -> Error {
-        let whole = |mut at: usize| {
+        let char_boundary = |mut at: usize| {
             at = at.min(text.len());
             while !text.is_char_boundary(at) {
                 at -= 1;
@@ -81,67 +82,67 @@
             at
         };
         let (start, end) = (
-            whole(self.span.start),
-            whole(self.span.end.max(self.span.start)),
+            char_boundary(self.span.start),
+            char_boundary(self.span.end.max(self.span.start)),
         );
         let line_start = text[..start].rfind('\n').map_or(0, |at| at + 1);
         let line_end = text[start..].find('\n').map_or(text.len(), |at| start + at);
         let column = text[line_start..start].chars().count();
-        // A long line is cut so that the caret is in what is left of it.
-        let skipped = column.saturating_sub(MAX_SHOWN / 2);
-        let shown: String = text[line_start..line_end]
+        // Cuts a long line so that the caret stays within the excerpt.
+        let skipped = column.saturating_sub(MAX_EXCERPT / 2);
+        let excerpt: String = text[line_start..line_end]
             .chars()
             .skip(skipped)
-            .take(MAX_SHOWN)
+            .take(MAX_EXCERPT)
             .collect();
         let caret = column - skipped;
         let width = text[start..end.min(line_end).max(start)]
             .chars()
-            .take(MAX_SHOWN)
+            .take(MAX_EXCERPT)
             .count();
-        let room = shown.chars().count().saturating_sub(caret).max(1);
-        self.place = Place {
+        let available = excerpt.chars().count().saturating_sub(caret).max(1);
+        self.location = Location {
             line: text[..line_start].matches('\n').count(),
             column,
-            // Guards the terminal that it is printed on.
-            shown: shown
+            // Control characters could change the state of the terminal that prints the excerpt.
+            excerpt: excerpt
                 .chars()
                 .map(|c| if c.is_control() { ' ' } else { c })
                 .collect(),
             caret,
-            width: width.clamp(1, room),
+            width: width.clamp(1, available),
         };
         self
     }
 
-    /// Line and column in a file in which the text begins at `origin`.
+    /// Line and column in a file in which the expression's text begins at `origin`.
     pub fn position(&self, origin: Origin) -> Origin {
-        let first = self.place.line == 0;
+        let first = self.location.line == 0;
         Origin {
-            line: origin.line + self.place.line,
-            column: self.place.column + if first { origin.column } else { 1 },
+            line: origin.line + self.location.line,
+            column: self.location.column + if first { origin.column } else { 1 },
         }
     }
 
-    /// The fault as one line: `file:line:column: problem; help`.
+    /// The error as one line: `file:line:column: problem; help`.
     pub fn line(&self, file: &str, origin: Origin) -> String {
         let at = self.position(origin);
         format!("{file}:{}:{}: {self}", at.line, at.column)
     }
 
-    /// The fault with the source line and a caret under what is meant.
+    /// The error with the source line and a caret under the faulty part.
     pub fn render(&self, file: &str, origin: Origin) -> String {
         let at = self.position(origin);
         let number = at.line.to_string();
         let margin = " ".repeat(number.len());
-        let Place {
-            shown,
+        let Location {
+            excerpt,
             caret,
             width,
             ..
-        } = &self.place;
+        } = &self.location;
         let mut text = format!(
-            "{file}:{}:{}: {}\n{margin} |\n{number} | {shown}\n{margin} | {}{}",
+            "{file}:{}:{}: {}\n{margin} |\n{number} | {excerpt}\n{margin} | {}{}",
             at.line,
             at.column,
             self.problem,
@@ -167,9 +168,9 @@
 
 impl std::error::Error for Error {}
 
-/// The known name that is nearest to a wrong one, if one is near.
+/// The known name that is most similar to a wrong one, if one is similar enough.
 pub(crate) fn nearest<'a>(wrong: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    // Guards the time to refuse: the distance costs the product of both lengths.
+    // Bounds the time: the distance takes time proportional to the product of both lengths.
     if wrong.len() > 64 {
         return None;
     }
--- a/crates/expr/src/error/tests.rs
+++ b/crates/expr/src/error/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module `error`.
+//! Tests of the rendering of errors.
 
 use super::*;
 
 #[test]
-fn a_fault_is_shown_under_its_line_and_in_one_line() {
+fn error_renders_as_one_line_and_as_excerpt() {
     let text = "a &&\n  b.c ==\n 3";
     let error = Error::new(7..10, "no such name")
         .help("did you mean b.d?")
@@ -21,8 +21,10 @@
     assert_eq!(Error::new(0..1, "x").located(text).position(origin), origin);
 }
 
+/// A span may end beyond the text or within a character of several bytes. Rendering must not panic, and a long line must
+/// be cut to an excerpt.
 #[test]
-fn spans_beyond_the_text_and_long_lines_are_met() {
+fn out_of_range_spans_and_long_lines_render() {
     let text = "é".repeat(5000);
     for span in [0..1, 1..3, 4999..5001, 9999..20_000, 10_000..10_000] {
         let shown = Error::new(span, "x")
--- a/crates/expr/src/explain.rs
+++ b/crates/expr/src/explain.rs
@@ -1,5 +1,6 @@
-//! What an expression does on one input, part by part. It owns the order of parts and what counts as reached.
-//! It must never be on the serving path: each part is compiled anew.
+//! Explains the evaluation of an expression on one input, part by part. It compiles each part
+//! separately, so it
+//! must not be used on the serving path.
 
 use crate::machine::{run, Scratch};
 use crate::node::{Kind, Node};
@@ -7,24 +8,24 @@
 use crate::schema::{Input, Type, Value};
 use crate::Expression;
 
-/// Most parts that are shown.
+/// Maximum number of parts in an explanation.
 const MAX_STEPS: usize = 200;
 
-/// A part of an expression and what became of it.
+/// A part of an expression and the result of its evaluation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// How deep it is within the whole, which is 0.
+    /// Nesting depth; 0 for the whole expression.
     pub depth: usize,
-    /// Its text.
+    /// Source text of the part.
     pub text: String,
-    /// Its value, `absent`, a fault, or `not reached`.
+    /// Value of the part, `absent`, an error, or `not reached`.
     pub value: String,
-    /// What evaluating it cost, in units.
+    /// Cost of the evaluation, in units.
     pub cost: u64,
 }
 
 impl Expression {
-    /// Evaluates each part on an input, the whole first.
+    /// Evaluates each part on an input. The whole expression comes first.
     pub fn explain(&self, input: &dyn Input) -> Vec<Step> {
         let mut steps = Vec::new();
         self.step(&self.node, input, 0, true, &mut Vec::new(), &mut steps);
@@ -37,7 +38,7 @@
         input: &dyn Input,
         depth: usize,
         reached: bool,
-        lets: &mut Vec<(u16, &'n Node)>,
+        bindings: &mut Vec<(u16, &'n Node)>,
         steps: &mut Vec<Step>,
     ) -> Option<bool> {
         if steps.len() >= MAX_STEPS {
@@ -50,7 +51,7 @@
             .trim()
             .to_string();
         let (value, cost, truth) = if reached {
-            self.value(node, input, lets)
+            self.value(node, input, bindings)
         } else {
             ("not reached".to_string(), 0, None)
         };
@@ -63,46 +64,47 @@
         let depth = depth + 1;
         match &node.kind {
             Kind::And(parts) | Kind::Or(parts) => {
-                let stops = matches!(node.kind, Kind::Or(_));
-                let mut on = reached;
+                let stopping_value = matches!(node.kind, Kind::Or(_));
+                let mut still_reached = reached;
                 for part in parts {
-                    let truth = self.step(part, input, depth, on, lets, steps);
-                    on = on && truth == Some(!stops);
+                    let truth = self.step(part, input, depth, still_reached, bindings, steps);
+                    still_reached = still_reached && truth == Some(!stopping_value);
                 }
             }
-            Kind::If(test, yes, no) => {
-                let truth = self.step(test, input, depth, reached, lets, steps);
+            Kind::If(test, then, otherwise) => {
+                let truth = self.step(test, input, depth, reached, bindings, steps);
                 self.step(
-                    yes,
+                    then,
                     input,
                     depth,
                     reached && truth == Some(true),
-                    lets,
+                    bindings,
                     steps,
                 );
                 self.step(
-                    no,
+                    otherwise,
                     input,
                     depth,
                     reached && truth == Some(false),
-                    lets,
+                    bindings,
                     steps,
                 );
             }
             Kind::Let(slot, value, body) => {
-                self.step(value, input, depth, reached, lets, steps);
-                lets.push((*slot, value));
-                self.step(body, input, depth, reached, lets, steps);
-                lets.pop();
+                self.step(value, input, depth, reached, bindings, steps);
+                bindings.push((*slot, value));
+                self.step(body, input, depth, reached, bindings, steps);
+                bindings.pop();
             }
-            // Its variable has a value for each item: the whole is all that can be told.
+            // The test has a value for each item of the list; only the result of the loop is
+            // listed.
             Kind::Loop { list, .. } => {
-                self.step(list, input, depth, reached, lets, steps);
+                self.step(list, input, depth, reached, bindings, steps);
             }
             _ => {
                 for part in node.children() {
                     if part.as_const().is_none() && part.span != node.span {
-                        self.step(part, input, depth, reached, lets, steps);
+                        self.step(part, input, depth, reached, bindings, steps);
                     }
                 }
             }
@@ -110,17 +112,17 @@
         truth
     }
 
-    /// A part's value by itself, within the names that are around it.
+    /// Value, cost and truth of a part, evaluated within the `let` bindings around it.
     fn value(
         &self,
         node: &Node,
         input: &dyn Input,
-        lets: &[(u16, &Node)],
+        bindings: &[(u16, &Node)],
     ) -> (String, u64, Option<bool>) {
         if let Type::List(_) | Type::Map(_) = node.ty {
             return (node.ty.to_string(), 0, None);
         }
-        let whole = lets
+        let with_bindings = bindings
             .iter()
             .rev()
             .fold(node.clone(), |body, (slot, value)| Node {
@@ -129,14 +131,14 @@
                 span: body.span.clone(),
                 kind: Kind::Let(*slot, Box::new((*value).clone()), body.into()),
             });
-        let (program, _) = Program::new(&whole, self.slots, &self.schema);
+        let (program, _) = Program::new(&with_bindings, self.slots, &self.schema);
         let mut scratch = Scratch::default();
-        let (told, truth) = match run(program.code(), input, &mut scratch) {
+        let (text, truth) = match run(program.code(), input, &mut scratch) {
             Ok(Some(Value::Bool(value))) => (value.to_string(), Some(value)),
             Ok(Some(value)) => (value.to_string(), None),
             Ok(None) => ("absent".into(), None),
             Err(fault) => (format!("fails: {fault}"), None),
         };
-        (told, scratch.spent(), truth)
+        (text, scratch.spent(), truth)
     }
 }
--- a/crates/expr/src/facts.rs
+++ b/crates/expr/src/facts.rs
@@ -1,31 +1,35 @@
-//! What is known of the input where an expression is read: which fields are there, which texts they may be,
-//! how they begin. It owns the joining of what holds on either of two ways, and the meeting of what holds on
-//! both. It must never claim more than holds for every input: narrowing, effects and the index over rules rest
-//! on it.
+//! Facts about the input that hold where an expression is evaluated: which fields are present,
+//! which texts they
+//! may hold, and how those begin. `join` keeps what holds in either of two cases, `meet` combines
+//! what holds in
+//! both at once. Facts must never claim more than holds for every input: type narrowing, effects
+//! and the index
+//! over rules depend on them.
 
 use crate::schema::FieldId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Most texts that are kept of one place; beyond that less is known.
+/// Maximum number of texts kept for one path; a larger set is dropped, which loses facts but adds
+/// none.
 const MAX_TEXTS: usize = 8192;
 
-/// A place whose value facts can be about.
+/// A path to a value that facts can be about.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Path {
     /// A field.
     Field(FieldId),
     /// An entry of a map by its key.
     Key(FieldId, String),
-    /// An item of a list by its place.
+    /// An item of a list by its index.
     Item(FieldId, i64),
-    /// A `let` of the expression itself.
+    /// A local variable of the expression, by its slot.
     Local(u16),
 }
 
 type TextSet = BTreeSet<Arc<str>>;
 
-/// Which texts a place may hold.
+/// The texts that a path may hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Texts {
     /// One of these.
@@ -34,16 +38,16 @@
     NotIn(TextSet),
 }
 
-/// What is known of one place.
+/// What is known about the value at one path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fact {
-    /// Whether it is there.
+    /// Whether the value is present, if that is known.
     pub present: Option<bool>,
-    /// Which texts it may hold.
+    /// The texts that the value may be.
     pub texts: Texts,
-    /// It begins with one of these.
+    /// The value begins with one of these.
     pub prefixes: Option<TextSet>,
-    /// It begins with none of these.
+    /// The value begins with none of these.
     pub not_prefixes: TextSet,
 }
 
@@ -67,10 +71,10 @@
         }
     }
 
-    /// What holds on both of two ways.
+    /// The fact that holds in either of two cases; `None` if nothing is known.
     fn join(self, other: Fact) -> Option<Fact> {
         let prefixes = match (self.known_prefixes(), other.known_prefixes()) {
-            // The texts say it all.
+            // The texts are known exactly, so prefixes add nothing.
             _ if matches!((&self.texts, &other.texts), (Texts::In(_), Texts::In(_))) => None,
             (Some(a), Some(b)) if a.len() + b.len() <= MAX_TEXTS => {
                 Some(a.union(b).cloned().collect())
@@ -78,9 +82,13 @@
             _ => None,
         };
         let not_prefixes = match (&self.texts, &other.texts) {
-            // A set of texts excludes the prefixes that none of them has.
-            (Texts::In(texts), _) => without(&other.not_prefixes, texts, &self.not_prefixes),
-            (_, Texts::In(texts)) => without(&self.not_prefixes, texts, &other.not_prefixes),
+            // A set of texts excludes each prefix that none of its texts has.
+            (Texts::In(texts), _) => {
+                remaining_exclusions(&other.not_prefixes, texts, &self.not_prefixes)
+            }
+            (_, Texts::In(texts)) => {
+                remaining_exclusions(&self.not_prefixes, texts, &other.not_prefixes)
+            }
             _ => self
                 .not_prefixes
                 .intersection(&other.not_prefixes)
@@ -120,7 +128,7 @@
         (fact != Fact::default()).then_some(fact)
     }
 
-    /// What holds where both are known; none: nothing can be both.
+    /// The fact where both hold; `None` if they contradict each other.
     fn meet(self, other: Fact) -> Option<Fact> {
         let present = match (self.present, other.present) {
             (Some(a), Some(b)) if a != b => return None,
@@ -138,7 +146,7 @@
         };
         let mut not_prefixes = self.not_prefixes;
         not_prefixes.extend(other.not_prefixes);
-        // Either set holds; the smaller one says more.
+        // Both sets hold; the smaller one restricts more.
         let prefixes = match (self.prefixes, other.prefixes) {
             (Some(a), Some(b)) => Some(if a.len() <= b.len() { a } else { b }),
             (a, b) => a.or(b),
@@ -164,61 +172,62 @@
         })
     }
 
-    /// Whether a place that this is known of cannot begin with `prefix`.
+    /// Whether a value with this fact cannot begin with `prefix`.
     pub fn never_begins(&self, prefix: &str) -> bool {
         if self.not_prefixes.iter().any(|p| prefix.starts_with(&**p)) {
             return true;
         }
-        let apart = |known: &str| !known.starts_with(prefix) && !prefix.starts_with(known);
+        let disjoint = |known: &str| !known.starts_with(prefix) && !prefix.starts_with(known);
         match &self.texts {
             Texts::In(texts) => texts.iter().all(|text| !text.starts_with(prefix)),
             Texts::NotIn(_) => self
                 .prefixes
                 .as_ref()
-                .is_some_and(|all| all.iter().all(|p| apart(p))),
+                .is_some_and(|all| all.iter().all(|p| disjoint(p))),
         }
     }
 }
 
-fn without(excluded: &TextSet, texts: &TextSet, too: &TextSet) -> TextSet {
-    let kept =
-        |p: &&Arc<str>| too.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p));
+fn remaining_exclusions(excluded: &TextSet, texts: &TextSet, other_excluded: &TextSet) -> TextSet {
+    let kept = |p: &&Arc<str>| {
+        other_excluded.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p))
+    };
     excluded.iter().filter(kept).cloned().collect()
 }
 
-/// What is known of the input.
+/// All facts about the input, by path.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Facts(BTreeMap<Path, Fact>);
 
 impl Facts {
-    /// One fact.
+    /// Facts about a single path.
     pub(crate) fn one(path: Path, fact: Fact) -> Facts {
         Facts(BTreeMap::from([(path, fact)]))
     }
 
-    /// What is known of a place, if anything.
+    /// The fact about a path, if there is one.
     pub fn get(&self, path: &Path) -> Option<&Fact> {
         self.0.get(path)
     }
 
-    /// All places of which something is known.
+    /// All paths with their facts.
     pub fn iter(&self) -> impl Iterator<Item = (&Path, &Fact)> {
         self.0.iter()
     }
 
-    /// Whether a place is known to be there.
+    /// Whether the value at a path is known to be present.
     pub fn present(&self, path: &Path) -> bool {
         self.get(path)
             .is_some_and(|fact| fact.present == Some(true))
     }
 
-    /// Whether a place is known to be absent.
+    /// Whether the value at a path is known to be absent.
     pub fn absent(&self, path: &Path) -> bool {
         self.get(path)
             .is_some_and(|fact| fact.present == Some(false))
     }
 
-    /// The texts that a place holds one of, if that is known.
+    /// The texts of which the path holds one, if they are known.
     pub fn texts(&self, path: &Path) -> Option<impl Iterator<Item = &str>> {
         match &self.get(path)?.texts {
             Texts::In(texts) => Some(texts.iter().map(|text| &**text)),
@@ -226,7 +235,7 @@
         }
     }
 
-    /// What holds on both of two ways, of which none stands for one that nothing takes.
+    /// Facts that hold in either of two cases; `None` stands for a case that never occurs.
     pub(crate) fn join(a: Option<Facts>, b: Option<Facts>) -> Option<Facts> {
         let (a, mut b) = match (a, b) {
             (Some(a), Some(b)) => (a, b),
@@ -239,7 +248,7 @@
         Some(Facts(joined.collect()))
     }
 
-    /// What holds where both hold; none: nowhere.
+    /// Facts where both sets hold; `None` if they contradict each other.
     pub fn meet(self, other: Facts) -> Option<Facts> {
         let (mut large, small) = if self.0.len() < other.0.len() {
             (other, self)
--- a/crates/expr/src/facts/tests.rs
+++ b/crates/expr/src/facts/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of the module `facts`.
+//! Tests of joining and meeting facts.
 
 use super::*;
 
-const PLACE: Path = Path::Field(FieldId(0));
+const PATH: Path = Path::Field(FieldId(0));
 
 fn texts(all: &[&str]) -> TextSet {
     all.iter().map(|t| Arc::from(*t)).collect()
@@ -10,7 +10,7 @@
 
 fn fact(texts: Texts) -> Facts {
     Facts::one(
-        PLACE,
+        PATH,
         Fact {
             texts,
             ..Fact::default()
@@ -20,7 +20,7 @@
 
 fn begins(with: &[&str]) -> Facts {
     Facts::one(
-        PLACE,
+        PATH,
         Fact {
             prefixes: Some(texts(with)),
             ..Fact::default()
@@ -34,7 +34,7 @@
         fact(Texts::In(texts(&["a", "b"]))),
         fact(Texts::In(texts(&["b", "c"]))),
     );
-    let listed = |facts: Facts| facts.texts(&PLACE).unwrap().collect::<String>();
+    let listed = |facts: Facts| facts.texts(&PATH).unwrap().collect::<String>();
     assert_eq!(
         listed(Facts::join(Some(ab.clone()), Some(bc.clone())).unwrap()),
         "abc"
@@ -43,36 +43,37 @@
     let not_b = fact(Texts::NotIn(texts(&["b"])));
     assert_eq!(listed(ab.clone().meet(not_b.clone()).unwrap()), "a");
     assert_eq!(fact(Texts::In(texts(&["b"]))).meet(not_b.clone()), None);
-    // What one way excludes and the other allows is not excluded.
+    // A text that one case excludes and the other allows is not excluded.
     assert_eq!(
         Facts::join(Some(ab.clone()), Some(not_b))
             .unwrap()
-            .get(&PLACE),
+            .get(&PATH),
         None
     );
     assert_eq!(Facts::join(Some(ab.clone()), None), Some(ab));
 }
 
 #[test]
-fn prefixes_join_with_texts_and_tell_what_is_apart() {
+fn joined_prefixes_and_texts_exclude_other_prefixes() {
     let joined = Facts::join(
         Some(begins(&["/a/"])),
         Some(fact(Texts::In(texts(&["/b"])))),
     )
     .unwrap();
-    let fact = joined.get(&PLACE).unwrap();
+    let fact = joined.get(&PATH).unwrap();
     assert!(fact.never_begins("/c") && !fact.never_begins("/a/x") && !fact.never_begins("/"));
-    // "/b" itself may be it, but nothing longer; what is known is a beginning only, so that is not told.
+    // The value may be exactly "/b" and nothing longer. The joined fact keeps "/b" as a prefix only, so "/b/" is not
+    // excluded.
     assert!(!fact.never_begins("/b/"));
     let not = Facts::one(
-        PLACE,
+        PATH,
         Fact {
             not_prefixes: texts(&["/a"]),
             ..Fact::default()
         },
     );
     assert!(
-        not.get(&PLACE).unwrap().never_begins("/ab") && !not.get(&PLACE).unwrap().never_begins("/")
+        not.get(&PATH).unwrap().never_begins("/ab") && !not.get(&PATH).unwrap().never_begins("/")
     );
     assert_eq!(
         not.meet(super::tests::fact(Texts::In(texts(&["/ab"])))),
--- a/crates/expr/src/fold.rs
+++ b/crates/expr/src/fold.rs
@@ -1,5 +1,6 @@
-//! Folding of constants: a part of an expression that reads nothing of the input is evaluated when the
-//! expression is checked.
+//! Constant folding: evaluates parts of an expression that read nothing of the input when the
+//! expression is
+//! checked.
 
 use crate::constant::Const;
 use crate::error::Error;
@@ -8,42 +9,42 @@
 use crate::program::Program;
 use crate::schema::{FieldId, Input, Schema, Type, Value};
 
-/// An input without any value.
-struct Nothing;
+/// An input in which every value is absent.
+struct EmptyInput;
 
-impl Input for Nothing {
+impl Input for EmptyInput {
     fn get(&self, _: FieldId) -> Option<Value<'_>> {
         None
     }
 }
 
-/// A node whose parts are all constant, as a constant.
+/// Replaces a node by a constant if all its children are constant.
 ///
 /// # Errors
-/// It fails whatever the input.
+/// The evaluation fails for every input.
 pub(crate) fn fold(node: Node) -> Result<Node, Error> {
-    if let Kind::If(test, yes, no) = node.kind {
+    if let Kind::If(test, then, otherwise) = node.kind {
         return Ok(match test.as_const() {
-            Some(Const::Bool(true)) => *yes,
-            Some(Const::Bool(false)) => *no,
+            Some(Const::Bool(true)) => *then,
+            Some(Const::Bool(false)) => *otherwise,
             _ => Node {
-                kind: Kind::If(test, yes, no),
+                kind: Kind::If(test, then, otherwise),
                 ..node
             },
         });
     }
-    let inner = match &node.kind {
+    let is_foldable = match &node.kind {
         Kind::Const(_) | Kind::Field(_) | Kind::Local(_) | Kind::Let(..) | Kind::Loop { .. } => {
             false
         }
         _ => node.children().iter().all(|part| part.as_const().is_some()),
     };
-    if !inner || matches!(node.ty, Type::Optional(_) | Type::List(_) | Type::Map(_)) {
+    if !is_foldable || matches!(node.ty, Type::Optional(_) | Type::List(_) | Type::Map(_)) {
         return Ok(node);
     }
     let (program, _) = Program::new(&node, 0, &Schema::new());
     let mut scratch = Scratch::default();
-    let value = match run(program.code(), &Nothing, &mut scratch) {
+    let value = match run(program.code(), &EmptyInput, &mut scratch) {
         Ok(Some(Value::Bool(v))) => Const::Bool(v),
         Ok(Some(Value::Int(v))) => Const::Int(v),
         Ok(Some(Value::Double(v))) => Const::Double(v),
@@ -54,7 +55,7 @@
         Err(fault) => {
             return Err(Error::new(
                 node.span,
-                format!("this fails whatever the input: {fault}"),
+                format!("this fails for every input: {fault}"),
             ))
         }
     };
--- a/crates/expr/src/interner.rs
+++ b/crates/expr/src/interner.rs
@@ -1,5 +1,6 @@
-//! Sharing between the expressions that a program keeps: equal texts, equal shapes of programs and equal
-//! expressions are held once.
+//! Interning: equal texts, equal program shapes, equal large operands and equal compiled
+//! expressions are held
+//! in memory once.
 
 use crate::code::Shape;
 use crate::compiled::Compiled;
@@ -8,8 +9,9 @@
 use rapidhash::RapidHashSet;
 use std::sync::Arc;
 
-/// Shares texts and programs between compiled expressions. What it has shared stays usable without it: an
-/// interner that is kept finds what is equal to earlier expressions, one that is dropped frees its own tables.
+/// Shares texts and programs between compiled expressions. Shared data outlives the interner. An
+/// interner that
+/// is kept finds data equal to that of earlier expressions; dropping it frees its own tables only.
 #[derive(Debug, Default)]
 pub struct Interner {
     texts: RapidHashSet<Arc<str>>,
@@ -20,24 +22,24 @@
 }
 
 impl Interner {
-    /// Nothing to share yet.
+    /// Creates an empty interner.
     pub fn new() -> Interner {
         Interner::default()
     }
 
-    /// The one copy of a text.
+    /// Returns the shared copy of a text, adding it if it is new.
     pub fn text(&mut self, text: &str) -> Arc<str> {
         self.known_text(text)
             .unwrap_or_else(|| self.add_text(Arc::from(text)))
     }
 
-    /// As [`Interner::text`]; a text that is not known yet is taken as it is, without a copy.
+    /// As [`Interner::text`], but stores a new text without copying it.
     pub(crate) fn shared_text(&mut self, text: &Arc<str>) -> Arc<str> {
         self.known_text(text)
             .unwrap_or_else(|| self.add_text(text.clone()))
     }
 
-    /// How often the one copy of a text is held; 0 where there is none yet.
+    /// Reference count of the shared copy of a text; 0 if there is none.
     pub(crate) fn holders(&self, text: &str) -> usize {
         self.texts.get(text).map_or(0, Arc::strong_count)
     }
@@ -51,7 +53,7 @@
         text
     }
 
-    /// The one copy of a program.
+    /// Returns the shared compiled form of a program, adding it if it is new.
     pub(crate) fn compiled(&mut self, program: &Program) -> Compiled {
         let shape = intern(&mut self.shapes, program.shape.clone());
         let operands = program
@@ -72,9 +74,9 @@
         }
     }
 
-    /// Drops what nobody else holds any more, and the memory that its tables do not need.
+    /// Drops entries that nothing else refers to, and releases the spare capacity of the tables.
     pub fn sweep(&mut self) {
-        // What holds others goes first.
+        // Entries that refer to others are dropped first, so that those become unused.
         self.compiled
             .retain(|compiled| Arc::strong_count(&compiled.operands) > 1);
         self.operands.retain(|operand| !operand.is_unshared());
@@ -87,7 +89,7 @@
     }
 }
 
-/// The member of a set that is equal to a value, which becomes one where there is none.
+/// Returns the member of a set that is equal to a value, inserting the value if there is none.
 fn intern<T: Clone + Eq + std::hash::Hash>(set: &mut RapidHashSet<T>, value: T) -> T {
     if let Some(known) = set.get(&value) {
         return known.clone();
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -1,15 +1,17 @@
-//! Text into tokens, in CEL's lexical grammar: names, numbers, texts with escapes, raw texts, comments. It owns
-//! the bounds on a text's length and its number of tokens. It must never look ahead further than a token or
-//! allocate more than the text is long.
+//! Tokenizer for CEL's lexical grammar: names, numbers, string literals with escapes, raw string
+//! literals and comments.
+//! The module limits the length of a text and its number of tokens. It never looks ahead further
+//! than one token
+//! and allocates no more than the text is long.
 
 use crate::error::Error;
 use std::ops::Range;
 
-/// Longest text of one expression, bytes.
+/// Maximum length of an expression's text, bytes.
 pub const MAX_TEXT: usize = 64 * 1024;
-/// Most tokens of one expression.
+/// Maximum number of tokens in one expression.
 pub const MAX_TOKENS: usize = 16 * 1024;
-/// Longest literal, bytes.
+/// Maximum length of a string literal, bytes.
 pub const MAX_LITERAL: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -24,20 +26,20 @@
 }
 
 impl Token {
-    /// The token for a message.
-    pub(crate) fn told(&self) -> String {
+    /// Description of the token for an error message.
+    pub(crate) fn description(&self) -> String {
         match self {
-            Token::Name(name) => format!("`{}`", short(name)),
+            Token::Name(name) => format!("`{}`", abbreviated(name)),
             Token::Int(_) | Token::Double(_) => "a number".into(),
-            Token::Text(_) => "a text".into(),
+            Token::Text(_) => "a string literal".into(),
             Token::Sign(sign) => format!("`{sign}`"),
             Token::End => "the end".into(),
         }
     }
 }
 
-/// A name's beginning: a hostile one is not told whole.
-pub(crate) fn short(name: &str) -> String {
+/// The first 40 characters of a name, so that error messages stay short for hostile texts.
+pub(crate) fn abbreviated(name: &str) -> String {
     match name.char_indices().nth(40) {
         Some((at, _)) => format!("{}...", &name[..at]),
         None => name.to_string(),
@@ -49,11 +51,11 @@
     "[", "]", "{", "}", ",", ";", ".", "=",
 ];
 
-/// Tokens with their places; the last is [`Token::End`].
+/// Splits a text into tokens with their byte ranges; the last token is [`Token::End`].
 pub(crate) fn tokens(text: &str) -> Result<Vec<(Token, Range<usize>)>, Error> {
     if text.len() > MAX_TEXT {
         let problem = format!(
-            "the expression has {} bytes, {MAX_TEXT} are the most",
+            "the expression has {} bytes, the limit is {MAX_TEXT}",
             text.len()
         );
         return Err(Error::new(0..1, problem));
@@ -71,7 +73,7 @@
             continue;
         }
         if found.len() >= MAX_TOKENS {
-            let problem = format!("the expression has more than {MAX_TOKENS} words and signs");
+            let problem = format!("the expression has more than {MAX_TOKENS} tokens");
             return Err(Error::new(at..at + 1, problem));
         }
         let raw = matches!(first, 'r' | 'R') && rest[1..].starts_with(['"', '\'']);
@@ -107,7 +109,7 @@
     if rest.starts_with("0x") || rest.starts_with("0X") {
         let length = 2 + rest[2..].bytes().take_while(u8::is_ascii_hexdigit).count();
         let value = i64::from_str_radix(&rest[2..length], 16);
-        let problem = "the number makes no sense or is too large for 64 bits";
+        let problem = "the hexadecimal number is invalid or too large for 64 bits";
         return value
             .map(|v| (Token::Int(v), length))
             .map_err(|_| Error::new(at..at + length, problem));
@@ -136,14 +138,14 @@
         false => text.parse().ok().map(Token::Int),
     };
     token.map(|token| (token, length)).ok_or_else(|| {
-        Error::new(at..at + length, "the number is too large").help("whole numbers have 64 bits")
+        Error::new(at..at + length, "the number is too large").help("integers have 64 bits")
     })
 }
 
 fn literal(rest: &str, at: usize, raw: bool) -> Result<(Token, usize), Error> {
     let open = usize::from(raw);
     let Some(quote) = rest[open..].chars().next() else {
-        return Err(Error::new(at..at + 1, "no text"));
+        return Err(Error::new(at..at + 1, "a string literal was expected"));
     };
     let triple = rest[open..].starts_with(if quote == '"' { "\"\"\"" } else { "'''" });
     let close: &str = match (quote, triple) {
@@ -153,36 +155,37 @@
         _ => "'",
     };
     let mut value = String::new();
-    let mut place = open + close.len();
+    let mut offset = open + close.len();
     loop {
-        let left = &rest[place..];
+        let left = &rest[offset..];
         if left.starts_with(close) {
-            return Ok((Token::Text(value), place + close.len()));
+            return Ok((Token::Text(value), offset + close.len()));
         }
         let Some(c) = left.chars().next().filter(|c| triple || *c != '\n') else {
-            let error = Error::new(at..at + place, "the text does not end");
-            return Err(error.help(format!("it began with {close}")));
+            let error = Error::new(at..at + offset, "the string literal is not terminated");
+            return Err(error.help(format!("it starts with {close}")));
         };
         if value.len() >= MAX_LITERAL {
-            let problem = format!("the text is longer than {MAX_LITERAL} bytes");
+            let problem = format!("the string literal is longer than {MAX_LITERAL} bytes");
             return Err(Error::new(at..at + 1, problem));
         }
         if c == '\\' && !raw {
             let (c, length) = escape(left).ok_or_else(|| {
-                let span = at + place..at + place + 2;
-                Error::new(span, "the escape makes no sense")
-                    .help(r#"known are \\ \" \' \` \? \a \b \f \n \r \t \v \xHH \uHHHH \UHHHHHHHH"#)
+                let span = at + offset..at + offset + 2;
+                Error::new(span, "invalid escape sequence").help(
+                    r#"supported are \\ \" \' \` \? \a \b \f \n \r \t \v \xHH \uHHHH \UHHHHHHHH"#,
+                )
             })?;
             value.push(c);
-            place += length;
+            offset += length;
         } else {
             value.push(c);
-            place += c.len_utf8();
+            offset += c.len_utf8();
         }
     }
 }
 
-/// The character that an escape stands for, and the escape's length.
+/// The character that an escape sequence stands for, and the length of the sequence in bytes.
 fn escape(left: &str) -> Option<(char, usize)> {
     let code = |digits: usize| {
         let hex = left
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -1,10 +1,14 @@
-//! A typed expression language for matching inputs and computing keys, in the surface of CEL, whose worst-case
-//! cost is known before use.
+//! A typed expression language with a CEL-like syntax. Expressions match inputs and compute keys,
+//! and their
+//! worst-case cost is known before use.
 //!
-//! A [`Schema`] says which fields there are, of which types, and how large they get. [`Expression::new`] reads a
-//! text against it: names, types and the reads of what may be absent are checked, and the most that an
-//! evaluation can cost is computed. What passes is a flat program; [`Expression::eval`] runs it on an [`Input`]
-//! without allocating on the common path, and never spends more than was stated.
+//! A [`Schema`] lists the fields that an expression may read, with their types and maximum sizes.
+//! [`Expression::new`] parses a text against it: names, types and the reads of values that may be
+//! absent are
+//! checked, and the maximum cost of an evaluation is computed. The result is a flat program.
+//! [`Expression::eval`]
+//! runs it on an [`Input`] without allocating on the common path, and never spends more than the
+//! computed cost.
 //!
 //! ```
 //! use driftgap_expr::{Expression, FieldId, Input, Schema, Scratch, Type, Value};
@@ -27,10 +31,11 @@
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 //!
-//! [`Expression::compile`] gives the small form that a program keeps of many expressions, and [`Selector`] tells
-//! which of many tests can be true for an input at all.
+//! [`Expression::compile`] gives the compact form for programs that keep many expressions.
+//! [`Selector`] finds
+//! those of many tests that can be true for an input.
 //!
-//! It does no I/O, reads no clock and knows no wire.
+//! The crate does no I/O, reads no clock and knows no wire format.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -63,7 +68,7 @@
 pub use facts::{Fact, Facts, Path, Texts};
 pub use interner::Interner;
 pub use lex::{MAX_LITERAL, MAX_TEXT, MAX_TOKENS};
-pub use limits::{MAX_LOCALS, MAX_MADE, MAX_PARTS, MAX_PATTERN, MAX_REGEX, MAX_REGEXES};
+pub use limits::{MAX_CONCATENATED, MAX_LOCALS, MAX_PARTS, MAX_PATTERN, MAX_REGEX, MAX_REGEXES};
 pub use machine::{Fault, Scratch};
 pub use schema::{Bound, Field, FieldId, Input, Schema, Type, Value};
 pub use select::{Chosen, Selector};
@@ -74,27 +79,27 @@
 use program::Program;
 use std::ops::Range;
 
-/// A value that an expression may have.
+/// A value that an expression may have, as far as it is known before an evaluation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// This text.
+    /// A constant text.
     Text(String),
-    /// This number.
+    /// A constant number.
     Number(f64),
-    /// Whatever this place of the input holds.
+    /// The value at this path of the input.
     Place(Path),
-    /// Some other value.
+    /// Any other value.
     Other,
 }
 
-/// One way that an expression may come to its value.
+/// One alternative value of an expression, such as that of one branch of a conditional.
 #[derive(Clone, Debug)]
 pub struct Way {
     /// The value.
     pub outcome: Outcome,
-    /// What is known of the input on this way.
+    /// Facts that hold for every input for which the expression has this value.
     pub facts: Facts,
-    /// The part of the text that gives the value.
+    /// Byte range of the expression's text that gives the value.
     pub span: Range<usize>,
 }
 
@@ -105,7 +110,7 @@
     program: Program,
     schema: Schema,
     slots: u16,
-    holds: [Option<Facts>; 2],
+    test_facts: [Option<Facts>; 2],
     ways: Option<Vec<Way>>,
     costliest: (Range<usize>, u64),
 }
@@ -120,24 +125,24 @@
 }
 
 impl Expression {
-    /// Reads an expression.
+    /// Parses and checks an expression.
     ///
     /// # Errors
-    /// The first fault, with its place in the text.
+    /// The first error, with its position in the text.
     pub fn new(text: &str, schema: &Schema) -> Result<Expression, Error> {
-        Expression::knowing(text, schema, &Facts::default())
+        Expression::with_facts(text, schema, &Facts::default())
     }
 
-    /// Reads an expression that is evaluated only where `facts` hold of the input.
+    /// Parses and checks an expression that is evaluated only for inputs for which `facts` hold.
     ///
     /// # Errors
-    /// The first fault, with its place in the text.
-    pub fn knowing(text: &str, schema: &Schema, facts: &Facts) -> Result<Expression, Error> {
+    /// The first error, with its position in the text.
+    pub fn with_facts(text: &str, schema: &Schema, facts: &Facts) -> Result<Expression, Error> {
         let read = || {
             let tree = ast::parse(text)?;
             let mut checker = Checker::new(schema);
             let node = checker.check(&tree, facts)?;
-            let holds = if node.ty == Type::Bool {
+            let test_facts = if node.ty == Type::Bool {
                 checker.facts(&node)
             } else {
                 [None, None]
@@ -147,7 +152,7 @@
                 .map(|leaves| leaves.into_iter().map(way).collect());
             let slots = checker.slots();
             let (program, parts) = Program::new(&node, slots, schema);
-            // Down to the smallest part that still costs more than half of the whole.
+            // Descends to the smallest part that costs more than half of the whole expression.
             let mut costliest = 0;
             for (i, part) in parts.iter().enumerate().skip(1) {
                 if part.parent == costliest && 2 * part.cost > program.cost() {
@@ -162,7 +167,7 @@
                 program,
                 schema,
                 slots,
-                holds,
+                test_facts,
                 ways,
                 costliest,
             })
@@ -170,10 +175,12 @@
         read().map_err(|error: Error| error.located(text))
     }
 
-    /// As [`Expression::knowing`], and refused where it may cost more than `most` or is not of type `want`.
+    /// As [`Expression::with_facts`], but refuses an expression that may cost more than `max` or whose
+    /// type is not
+    /// `want`.
     ///
     /// # Errors
-    /// The first fault; where it costs too much, the part that costs most.
+    /// The first error; if the cost is too high, the error points at the most expensive part.
     pub fn within(
         text: &str,
         schema: &Schema,
@@ -181,14 +188,14 @@
         want: &Type,
         max: u64,
     ) -> Result<Expression, Error> {
-        let expression = Expression::knowing(text, schema, facts)?;
+        let expression = Expression::with_facts(text, schema, facts)?;
         if expression.ty() != want {
             let problem = format!("this is of type {}", expression.ty());
             let error = Error::new(expression.node.span.clone(), problem);
             let help = match expression.ty() {
                 Type::Optional(of) if **of == *want => {
                     format!(
-                        "{want} was expected: ask has() first, or give a default with .orValue()"
+                        "{want} was expected: test it with has() first, or give a default with .orValue()"
                     )
                 }
                 _ => format!("{want} was expected"),
@@ -198,7 +205,7 @@
         if expression.cost() > max {
             let (span, cost) = expression.costliest();
             let problem = format!(
-                "the expression may cost {} units, {max} are the most; this part of it costs {cost}",
+                "the expression may cost {} units, the limit is {max}; this part of it costs {cost}",
                 expression.cost()
             );
             return Err(Error::new(span, problem).located(text));
@@ -206,48 +213,50 @@
         Ok(expression)
     }
 
-    /// The text that it was read from.
+    /// The source text of the expression.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The type of its value.
+    /// The type of the expression's value.
     pub fn ty(&self) -> &Type {
         &self.node.ty
     }
 
-    /// The most that an evaluation costs, in units: about one for a step of the machine and one for each few
-    /// bytes that it looks at.
+    /// Maximum cost of an evaluation, in units: about one for each instruction and one for each few
+    /// bytes that
+    /// the machine examines.
     pub fn cost(&self) -> u64 {
         self.program.cost()
     }
 
-    /// The smallest part that accounts for more than half of the cost, and its cost.
+    /// Byte range and cost of the smallest part that accounts for more than half of the total cost.
     pub fn costliest(&self) -> (Range<usize>, u64) {
         self.costliest.clone()
     }
 
-    /// Longest text that it gives, in bytes; most items of a list.
+    /// Upper bound on the size of the value.
     pub fn bound(&self) -> Bound {
         self.node.bound
     }
 
-    /// What is known of the input wherever a test is true; none: it never is.
+    /// Facts that hold for every input for which a test is true; `None` if the test is never true.
     pub fn when_true(&self) -> Option<&Facts> {
-        self.holds[0].as_ref()
+        self.test_facts[0].as_ref()
     }
 
-    /// What is known of the input wherever a test is false; none: it never is.
+    /// Facts that hold for every input for which a test is false; `None` if the test is never
+    /// false.
     pub fn when_false(&self) -> Option<&Facts> {
-        self.holds[1].as_ref()
+        self.test_facts[1].as_ref()
     }
 
-    /// Every way to a value; none: there are too many to tell apart.
+    /// All alternative values of the expression; `None` if there are too many to list.
     pub fn ways(&self) -> Option<&[Way]> {
         self.ways.as_deref()
     }
 
-    /// A fault about a part of it that whoever uses it has found.
+    /// An error at a part of this expression, for checks that the caller makes itself.
     pub fn fault(
         &self,
         span: Range<usize>,
@@ -257,20 +266,23 @@
         Error::new(span, problem).help(help).located(&self.text)
     }
 
-    /// Its small form, which evaluates alike and keeps nothing that only checks and explanations need.
+    /// Compiles to the compact form, which evaluates to the same values and omits what only checks
+    /// and
+    /// explanations need.
     pub fn compile(&self, interner: &mut Interner) -> Compiled {
         interner.compiled(&self.program)
     }
 
-    /// What an index finds it by, as a test.
+    /// The key by which an index finds this expression as a test.
     pub fn select_key(&self, interner: &mut Interner) -> SelectKey {
         SelectKey::new(self.when_true(), interner)
     }
 
-    /// Its value for an input; none: the value is absent, which only one of an optional type is.
+    /// Evaluates the expression; `None` if the value is absent, which is possible for optional
+    /// types only.
     ///
     /// # Errors
-    /// A number overflowed or was divided by zero; or the input is not as its schema says.
+    /// A number overflowed or was divided by zero, or the input does not match its schema.
     pub fn eval<'b>(
         &'b self,
         input: &'b dyn Input,
@@ -279,10 +291,10 @@
         machine::run(self.program.code(), input, scratch)
     }
 
-    /// The value of a test.
+    /// Evaluates a boolean expression.
     ///
     /// # Errors
-    /// As [`Expression::eval`]; or it is no test.
+    /// As [`Expression::eval`]; also if the expression is not boolean.
     pub fn test(&self, input: &dyn Input, scratch: &mut Scratch) -> Result<bool, Fault> {
         match machine::run(self.program.code(), input, scratch)? {
             Some(Value::Bool(value)) => Ok(value),
--- a/crates/expr/src/limits.rs
+++ b/crates/expr/src/limits.rs
@@ -1,15 +1,17 @@
-//! Bounds of an expression beyond those of its text. They keep the time and the memory that checking and evaluating take
-//! bounded, whatever a hostile text holds.
+//! Limits of an expression besides those of its text. They bound the time and the memory that
+//! checking and evaluating
+//! take for any text, a hostile one included.
 
-/// Longest pattern of a regular expression, bytes.
+/// Maximum length of a regular expression's pattern, bytes.
 pub const MAX_PATTERN: usize = 512;
-/// Most memory that the compiled form of a regular expression may take, bytes.
+/// Maximum memory of the compiled form of a regular expression, bytes.
 pub const MAX_REGEX: usize = 64 * 1024;
-/// Most regular expressions in one expression.
+/// Maximum number of regular expressions in one expression.
 pub const MAX_REGEXES: usize = 16;
-/// Most parts that `split` gives.
+/// Maximum number of parts that `split` returns.
 pub const MAX_PARTS: i64 = 64;
-/// Most local variables (`let`, `exists`, `all`), hidden ones of loops included.
+/// Maximum number of slots for local variables (`let`, `exists`, `all`), including the hidden ones
+/// of loops.
 pub const MAX_LOCALS: usize = 32;
-/// Longest text that an expression may make, bytes.
-pub const MAX_MADE: u32 = 64 * 1024;
+/// Maximum length of a text that an expression concatenates, bytes.
+pub const MAX_CONCATENATED: u32 = 64 * 1024;
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -1,4 +1,5 @@
-//! The machine that runs programs. It must never allocate on the common path, run on beyond the stated cost, or
+//! Stack machine that runs programs. It does not allocate on the common path, stops at the stated
+//! cost and does not
 //! panic for any input.
 
 mod operators;
@@ -13,40 +14,40 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Why an evaluation has no value. Nothing but arithmetic can do it where the input is as its schema says.
+/// Why an evaluation failed. If the input matches its schema, only arithmetic can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// A number passed what its type holds.
+    /// A number exceeded the range of its type.
     #[error("a number is too large for its type")]
     Overflow,
     /// A division by zero.
-    #[error("a division by zero")]
-    Zero,
-    /// The input is larger than its schema says: the stated cost was reached.
-    #[error("the input is larger than was stated")]
+    #[error("division by zero")]
+    DivisionByZero,
+    /// The stated cost was reached, because the input exceeds the bounds of its schema.
+    #[error("the input exceeds the bounds of its schema")]
     Cost,
-    /// The input is not of the types that its schema says.
-    #[error("the input is not of the stated types")]
+    /// A value of the input has another type than its schema says.
+    #[error("the input does not match the types of its schema")]
     Input,
 }
 
-/// What one evaluation makes on its way, kept for the next so that nothing is allocated again.
+/// Buffers of an evaluation, kept for the next one to avoid allocations.
 #[derive(Debug, Default)]
 pub struct Scratch {
     text: String,
     parts: Vec<(u32, u32)>,
-    /// What the last evaluation spent.
+    /// Cost of the last evaluation, in units.
     spent: u64,
 }
 
 impl Scratch {
-    /// What the last evaluation spent, in units of cost.
+    /// Cost of the last evaluation, in units.
     pub fn spent(&self) -> u64 {
         self.spent
     }
 }
 
-/// A value inside the machine.
+/// A value on the stack or in a local variable.
 #[derive(Clone, Copy, Debug)]
 enum StackValue<'a> {
     Absent,
@@ -54,14 +55,14 @@
     Int(i64),
     Double(f64),
     Text(&'a str),
-    /// A part of the scratch's text.
-    Made(u32, u32),
+    /// A byte range of the scratch text.
+    ScratchText(u32, u32),
     Duration(i64),
     Ip(IpAddr),
     ListField(FieldId),
     ListConst(&'a [Const]),
-    /// Some of the scratch's parts.
-    ListMade(u32, u32),
+    /// A range of the scratch parts.
+    ScratchList(u32, u32),
     MapField(FieldId),
     MapConst(&'a RapidHashMap<Arc<str>, Const>),
 }
@@ -90,13 +91,13 @@
             Const::Ip(v) => StackValue::Ip(*v),
             Const::List(list) => StackValue::ListConst(&list.items),
             Const::Map(map) => StackValue::MapConst(&map.entries),
-            // Sets stand behind `in` only, which reads them from the program.
+            // Sets occur only as operands of `in`, which reads them from the program.
             Const::TextSet(_) | Const::IntSet(_) => StackValue::Absent,
         }
     }
 }
 
-/// Evaluates; none: the value is absent.
+/// Evaluates a program; `None` if the value is absent.
 pub(crate) fn run<'b>(
     code: Code<'b>,
     input: &'b dyn Input,
@@ -119,7 +120,7 @@
         StackValue::Int(v) => Value::Int(v),
         StackValue::Double(v) => Value::Double(v),
         StackValue::Text(v) => Value::Text(v),
-        StackValue::Made(from, to) => {
+        StackValue::ScratchText(from, to) => {
             Value::Text(scratch.text.get(from as usize..to as usize).unwrap_or(""))
         }
         StackValue::Duration(v) => Value::Duration(v),
@@ -140,7 +141,7 @@
 impl<'a> Machine<'a, '_> {
     fn spend(&mut self, cost: u64) -> Result<(), Fault> {
         self.spent += cost;
-        // Guards the one thread: an input beyond its bounds must not take longer than was stated.
+        // An input beyond its bounds must not occupy the serving thread for longer than was stated.
         if self.spent > self.code.shape.cost {
             return Err(Fault::Cost);
         }
@@ -164,7 +165,7 @@
     fn text<'t>(&'t self, value: StackValue<'t>) -> Result<&'t str, Fault> {
         match value {
             StackValue::Text(text) => Ok(text),
-            StackValue::Made(from, to) => self
+            StackValue::ScratchText(from, to) => self
                 .scratch
                 .text
                 .get(from as usize..to as usize)
@@ -176,7 +177,7 @@
     fn length(&self, value: StackValue<'a>) -> u64 {
         match value {
             StackValue::Text(text) => text.len() as u64,
-            StackValue::Made(from, to) => u64::from(to - from),
+            StackValue::ScratchText(from, to) => u64::from(to - from),
             _ => 0,
         }
     }
@@ -192,7 +193,7 @@
         match list {
             StackValue::ListField(id) => self.input.size(id).ok_or(Fault::Input),
             StackValue::ListConst(items) => Ok(items.len()),
-            StackValue::ListMade(from, to) => Ok((to - from) as usize),
+            StackValue::ScratchList(from, to) => Ok((to - from) as usize),
             _ => Err(Fault::Input),
         }
     }
@@ -209,28 +210,28 @@
             StackValue::ListConst(items) => items
                 .get(index)
                 .map_or(StackValue::Absent, StackValue::from),
-            StackValue::ListMade(from, to) if index < (to - from) as usize => {
+            StackValue::ScratchList(from, to) if index < (to - from) as usize => {
                 let part = self.scratch.parts.get(from as usize + index);
                 part.map_or(StackValue::Absent, |(from, to)| {
-                    StackValue::Made(*from, *to)
+                    StackValue::ScratchText(*from, *to)
                 })
             }
-            StackValue::ListMade(..) => StackValue::Absent,
+            StackValue::ScratchList(..) => StackValue::Absent,
             _ => return Err(Fault::Input),
         })
     }
 
-    /// Puts a text into the scratch.
-    fn made(&mut self, write: impl FnOnce(&mut String)) -> StackValue<'a> {
+    /// Appends a text to the scratch text.
+    fn write_text(&mut self, write: impl FnOnce(&mut String)) -> StackValue<'a> {
         let from = self.scratch.text.len() as u32;
         write(&mut self.scratch.text);
-        StackValue::Made(from, self.scratch.text.len() as u32)
+        StackValue::ScratchText(from, self.scratch.text.len() as u32)
     }
 
-    fn copied(&mut self, value: StackValue<'a>) -> Result<(), Fault> {
+    fn copy_to_scratch(&mut self, value: StackValue<'a>) -> Result<(), Fault> {
         match value {
             StackValue::Text(text) => self.scratch.text.push_str(text),
-            StackValue::Made(from, to) => {
+            StackValue::ScratchText(from, to) => {
                 let (from, to) = (from as usize, to as usize);
                 if to > self.scratch.text.len() {
                     return Err(Fault::Input);
@@ -247,14 +248,14 @@
         let mut stack: Stack<'a> = SmallVec::new();
         let mut locals: SmallVec<[StackValue<'a>; 4]> = SmallVec::new();
         locals.resize(usize::from(self.code.shape.slots), StackValue::Absent);
-        let mut at = 0;
+        let mut program_counter = 0;
         macro_rules! pop {
             () => {
                 stack.pop().ok_or(Fault::Input)?
             };
         }
-        while let Some(op) = self.code.shape.ops.get(at) {
-            at += 1;
+        while let Some(op) = self.code.shape.ops.get(program_counter) {
+            program_counter += 1;
             self.spend(1)?;
             match *op {
                 Op::Push(c) => stack.push(self.constant(c)?.into()),
@@ -278,32 +279,32 @@
                     let value = pop!();
                     *locals.get_mut(usize::from(slot)).ok_or(Fault::Input)? = value;
                 }
-                Op::Jump(to) => at = to as usize,
-                Op::AndJump(to) => match stack.last() {
-                    Some(StackValue::Bool(false)) => at = to as usize,
+                Op::Jump(to) => program_counter = to as usize,
+                Op::JumpIfFalseOrPop(to) => match stack.last() {
+                    Some(StackValue::Bool(false)) => program_counter = to as usize,
                     _ => drop(stack.pop()),
                 },
-                Op::OrJump(to) => match stack.last() {
-                    Some(StackValue::Bool(true)) => at = to as usize,
+                Op::JumpIfTrueOrPop(to) => match stack.last() {
+                    Some(StackValue::Bool(true)) => program_counter = to as usize,
                     _ => drop(stack.pop()),
                 },
-                Op::Branch(to) => match pop!() {
+                Op::PopJumpIfFalse(to) => match pop!() {
                     StackValue::Bool(true) => {}
-                    StackValue::Bool(false) => at = to as usize,
+                    StackValue::Bool(false) => program_counter = to as usize,
                     _ => return Err(Fault::Input),
                 },
-                Op::SomeJump(to) => match stack.last() {
+                Op::JumpIfPresentOrPop(to) => match stack.last() {
                     Some(StackValue::Absent) | None => drop(stack.pop()),
-                    Some(_) => at = to as usize,
+                    Some(_) => program_counter = to as usize,
                 },
-                Op::Sure => {
+                Op::Unwrap => {
                     if let Some(StackValue::Absent) | None = stack.last() {
                         return Err(Fault::Input);
                     }
                 }
                 Op::Has => {
-                    let there = !matches!(pop!(), StackValue::Absent);
-                    stack.push(StackValue::Bool(there));
+                    let present = !matches!(pop!(), StackValue::Absent);
+                    stack.push(StackValue::Bool(present));
                 }
                 Op::Not => match pop!() {
                     StackValue::Bool(v) => stack.push(StackValue::Bool(!v)),
@@ -426,7 +427,7 @@
                         return Err(Fault::Input);
                     };
                     if i as usize >= self.items(*list)? {
-                        at = exit as usize;
+                        program_counter = exit as usize;
                     } else {
                         *item = self.item(*list, i)?;
                         *index = StackValue::Int(i + 1);
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and functions do with the values of the machine, and what they spend.
+//! Operators and functions on the values of the machine, and the cost that they spend.
 
 use super::{Fault, Machine, StackValue};
 use crate::ast::Binary;
@@ -7,8 +7,8 @@
 use crate::price;
 use std::fmt::Write;
 
-/// Longest text that is read as a number or an address.
-const MAX_READ: usize = 64;
+/// Maximum length of a text that is parsed as a number or an address, bytes.
+const MAX_PARSED_TEXT: usize = 64;
 
 impl<'a> Machine<'a, '_> {
     pub(super) fn equal(&self, a: StackValue<'a>, b: StackValue<'a>) -> Result<bool, Fault> {
@@ -24,7 +24,7 @@
 
     #[expect(
         clippy::too_many_lines,
-        reason = "split, a rule with `contains` took a tenth longer"
+        reason = "a rule with `contains` took a tenth longer when this function was split"
     )]
     pub(super) fn binary(
         &mut self,
@@ -33,7 +33,7 @@
         b: StackValue<'a>,
     ) -> Result<StackValue<'a>, Fault> {
         use std::cmp::Ordering;
-        let whole = |value: Option<i64>| value.ok_or(Fault::Overflow);
+        let checked = |value: Option<i64>| value.ok_or(Fault::Overflow);
         let finite = |value: f64| {
             if value.is_finite() {
                 Ok(StackValue::Double(value))
@@ -67,59 +67,62 @@
             }
             Binary::Add => match (a, b) {
                 (StackValue::Int(a), StackValue::Int(b)) => {
-                    whole(a.checked_add(b)).map(StackValue::Int)
+                    checked(a.checked_add(b)).map(StackValue::Int)
                 }
                 (StackValue::Duration(a), StackValue::Duration(b)) => {
-                    whole(a.checked_add(b)).map(StackValue::Duration)
+                    checked(a.checked_add(b)).map(StackValue::Duration)
                 }
                 (StackValue::Double(a), StackValue::Double(b)) => finite(a + b),
                 (a, b) => {
                     self.spend(price::copy(self.length(a) + self.length(b)))?;
                     let from = self.scratch.text.len() as u32;
-                    self.copied(a)?;
-                    self.copied(b)?;
-                    Ok(StackValue::Made(from, self.scratch.text.len() as u32))
+                    self.copy_to_scratch(a)?;
+                    self.copy_to_scratch(b)?;
+                    Ok(StackValue::ScratchText(
+                        from,
+                        self.scratch.text.len() as u32,
+                    ))
                 }
             },
             Binary::Subtract => match (a, b) {
                 (StackValue::Int(a), StackValue::Int(b)) => {
-                    whole(a.checked_sub(b)).map(StackValue::Int)
+                    checked(a.checked_sub(b)).map(StackValue::Int)
                 }
                 (StackValue::Duration(a), StackValue::Duration(b)) => {
-                    whole(a.checked_sub(b)).map(StackValue::Duration)
+                    checked(a.checked_sub(b)).map(StackValue::Duration)
                 }
                 (StackValue::Double(a), StackValue::Double(b)) => finite(a - b),
                 _ => Err(Fault::Input),
             },
             Binary::Multiply => match (a, b) {
                 (StackValue::Int(a), StackValue::Int(b)) => {
-                    whole(a.checked_mul(b)).map(StackValue::Int)
+                    checked(a.checked_mul(b)).map(StackValue::Int)
                 }
                 (StackValue::Duration(a), StackValue::Int(b))
                 | (StackValue::Int(a), StackValue::Duration(b)) => {
-                    whole(a.checked_mul(b)).map(StackValue::Duration)
+                    checked(a.checked_mul(b)).map(StackValue::Duration)
                 }
                 (StackValue::Double(a), StackValue::Double(b)) => finite(a * b),
                 _ => Err(Fault::Input),
             },
             Binary::Divide => match (a, b) {
                 (StackValue::Int(_) | StackValue::Duration(_), StackValue::Int(0)) => {
-                    Err(Fault::Zero)
+                    Err(Fault::DivisionByZero)
                 }
-                (StackValue::Double(_), StackValue::Double(0.0)) => Err(Fault::Zero),
+                (StackValue::Double(_), StackValue::Double(0.0)) => Err(Fault::DivisionByZero),
                 (StackValue::Int(a), StackValue::Int(b)) => {
-                    whole(a.checked_div(b)).map(StackValue::Int)
+                    checked(a.checked_div(b)).map(StackValue::Int)
                 }
                 (StackValue::Duration(a), StackValue::Int(b)) => {
-                    whole(a.checked_div(b)).map(StackValue::Duration)
+                    checked(a.checked_div(b)).map(StackValue::Duration)
                 }
                 (StackValue::Double(a), StackValue::Double(b)) => finite(a / b),
                 _ => Err(Fault::Input),
             },
             Binary::Remainder => match (a, b) {
-                (StackValue::Int(_), StackValue::Int(0)) => Err(Fault::Zero),
+                (StackValue::Int(_), StackValue::Int(0)) => Err(Fault::DivisionByZero),
                 (StackValue::Int(a), StackValue::Int(b)) => {
-                    whole(a.checked_rem(b)).map(StackValue::Int)
+                    checked(a.checked_rem(b)).map(StackValue::Int)
                 }
                 _ => Err(Fault::Input),
             },
@@ -129,7 +132,7 @@
 
     #[expect(
         clippy::too_many_lines,
-        reason = "split, a rule with `contains` took a tenth longer"
+        reason = "a rule with `contains` took a tenth longer when this function was split"
     )]
     pub(super) fn call(
         &mut self,
@@ -137,66 +140,68 @@
         a: StackValue<'a>,
         b: StackValue<'a>,
     ) -> Result<StackValue<'a>, Fault> {
-        let (la, lb) = (self.length(a), self.length(b));
+        let (length_a, length_b) = (self.length(a), self.length(b));
         match func {
             Func::Size => Ok(StackValue::Int(match a {
                 StackValue::MapField(id) => self.input.size(id).ok_or(Fault::Input)? as i64,
                 StackValue::MapConst(map) => map.len() as i64,
-                // As in CEL, a text's size is counted in characters' code points; here they are bytes: the
-                // bounds of the wire are bytes, and counting characters would cost a look at each.
-                StackValue::Text(_) | StackValue::Made(..) => la as i64,
+                // CEL counts code points. Here the size is in bytes: the limits of requests are in
+                // bytes as well, and
+                // counting code points would examine each byte.
+                StackValue::Text(_) | StackValue::ScratchText(..) => length_a as i64,
                 list => self.items(list)? as i64,
             })),
             Func::StartsWith => {
-                self.spend(price::compare(la, lb))?;
+                self.spend(price::compare(length_a, length_b))?;
                 Ok(StackValue::Bool(self.text(a)?.starts_with(self.text(b)?)))
             }
             Func::EndsWith => {
-                self.spend(price::compare(la, lb))?;
+                self.spend(price::compare(length_a, length_b))?;
                 Ok(StackValue::Bool(self.text(a)?.ends_with(self.text(b)?)))
             }
             Func::Contains => {
-                self.spend(price::contains(la, lb))?;
+                self.spend(price::contains(length_a, length_b))?;
                 Ok(StackValue::Bool(self.text(a)?.contains(self.text(b)?)))
             }
             Func::LowerAscii => {
-                self.spend(price::copy(la))?;
+                self.spend(price::copy(length_a))?;
                 if !self.text(a)?.bytes().any(|b| b.is_ascii_uppercase()) {
                     return Ok(a);
                 }
                 let from = self.scratch.text.len();
-                self.copied(a)?;
-                if let Some(made) = self.scratch.text.get_mut(from..) {
-                    made.make_ascii_lowercase();
+                self.copy_to_scratch(a)?;
+                if let Some(copy) = self.scratch.text.get_mut(from..) {
+                    copy.make_ascii_lowercase();
                 }
-                Ok(StackValue::Made(
+                Ok(StackValue::ScratchText(
                     from as u32,
                     self.scratch.text.len() as u32,
                 ))
             }
             Func::ToInt => {
-                self.spend(price::READ)?;
+                self.spend(price::PARSE)?;
                 Ok(match a {
-                    // Numbers beyond 2^53 have no whole numbers of their own: they are not read as such.
+                    // Beyond 2^53 a double does not represent every integer, so it is not
+                    // converted.
                     StackValue::Double(v) if v.abs() <= 9_007_199_254_740_992.0 => {
                         StackValue::Int(v.trunc() as i64)
                     }
                     StackValue::Double(_) => StackValue::Absent,
                     a => {
                         let text = self.text(a)?;
-                        let text = Some(text).filter(|t| t.len() <= MAX_READ);
+                        let text = Some(text).filter(|t| t.len() <= MAX_PARSED_TEXT);
                         text.and_then(|t| t.parse().ok())
                             .map_or(StackValue::Absent, StackValue::Int)
                     }
                 })
             }
             Func::ToDouble => {
-                self.spend(price::READ)?;
+                self.spend(price::PARSE)?;
                 Ok(match a {
                     StackValue::Int(v) => StackValue::Double(v as f64),
                     a => {
                         let text = self.text(a)?;
-                        let text = Some(text).filter(|t| t.len() <= MAX_READ);
+                        let text = Some(text).filter(|t| t.len() <= MAX_PARSED_TEXT);
                         let value = text
                             .and_then(|t| t.parse::<f64>().ok())
                             .filter(|v| v.is_finite());
@@ -205,16 +210,16 @@
                 })
             }
             Func::ToIp => {
-                self.spend(price::READ)?;
-                let text = Some(self.text(a)?).filter(|t| t.len() <= MAX_READ);
+                self.spend(price::PARSE)?;
+                let text = Some(self.text(a)?).filter(|t| t.len() <= MAX_PARSED_TEXT);
                 Ok(text
                     .and_then(|t| t.parse().ok())
                     .map_or(StackValue::Absent, StackValue::Ip))
             }
             Func::ToText => {
-                self.spend(price::WRITE)?;
-                // Writing to memory does not fail.
-                Ok(self.made(|text| {
+                self.spend(price::FORMAT)?;
+                // Writing to a `String` does not fail.
+                Ok(self.write_text(|text| {
                     let _ = match a {
                         StackValue::Bool(v) => write!(text, "{v}"),
                         StackValue::Int(v) => write!(text, "{v}"),
@@ -253,12 +258,14 @@
                 StackValue::Double(v) => Ok(StackValue::Double(-v)),
                 _ => Err(Fault::Input),
             },
-            // These have steps of their own.
+            // These have instructions of their own.
             Func::Hash | Func::Split => Err(Fault::Input),
         }
     }
 
-    /// Parts of a text, the last with the rest. They are put into the scratch, so that they outlive the text.
+    /// Splits a text into parts; the last part holds the rest. The text is copied to the scratch,
+    /// so that the parts
+    /// outlive the original.
     pub(super) fn split(
         &mut self,
         value: StackValue<'a>,
@@ -270,7 +277,7 @@
         };
         self.spend(price::split(self.length(value), 0))?;
         let start = self.scratch.text.len();
-        self.copied(value)?;
+        self.copy_to_scratch(value)?;
         let first = self.scratch.parts.len() as u32;
         let mut from = start;
         for count in 1..=max {
@@ -284,6 +291,9 @@
             }
             from = to + by.len();
         }
-        Ok(StackValue::ListMade(first, self.scratch.parts.len() as u32))
+        Ok(StackValue::ScratchList(
+            first,
+            self.scratch.parts.len() as u32,
+        ))
     }
 }
--- a/crates/expr/src/node.rs
+++ b/crates/expr/src/node.rs
@@ -1,4 +1,4 @@
-//! The typed tree of an expression: what the checker makes and the compiler reads.
+//! Typed tree of an expression. The checker builds it, the compiler reads it.
 
 use crate::ast::Binary;
 use crate::constant::Const;
@@ -7,7 +7,7 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// What an operator or a function of the language does.
+/// Functions of the language and unary minus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Func {
     Size,
@@ -32,12 +32,12 @@
     Const(Const),
     Field(FieldId),
     Local(u16),
-    /// An item of a list: optional.
+    /// An item of a list; optional.
     Item(Box<Node>, Box<Node>),
-    /// An entry of a map: optional.
+    /// An entry of a map; optional.
     Lookup(Box<Node>, Box<Node>),
-    /// What is optional and proven to be there.
-    Sure(Box<Node>),
+    /// An optional value that facts prove to be present.
+    Unwrap(Box<Node>),
     Has(Box<Node>),
     OrValue(Box<Node>, Box<Node>),
     Let(u16, Box<Node>, Box<Node>),
@@ -47,15 +47,17 @@
     If(Box<Node>, Box<Node>, Box<Node>),
     Binary(Binary, Box<Node>, Box<Node>),
     Call(Func, Vec<Node>),
-    /// Is one of a set of constants.
+    /// Whether a set of constants contains the value.
     InSet(Box<Node>, Const),
-    /// Begins with one of these.
+    /// Whether the value begins with one of these.
     BeginsWithAny(Box<Node>, Vec<Arc<str>>),
     Matches(Box<Node>, Arc<str>),
     InCidrs(Box<Node>, Vec<IpNet>),
-    /// Is an item of a list that is no constant.
+    /// Whether a list that is not constant contains the value.
     InList(Box<Node>, Box<Node>),
-    /// `list.exists(x, test)` or `list.all(x, test)`; the number is x's, the two after it are the loop's own.
+    /// `list.exists(x, test)` or `list.all(x, test)`. `slot` is the slot of `x`; the next two hold
+    /// the index and the
+    /// list.
     Loop {
         all: bool,
         slot: u16,
@@ -105,7 +107,7 @@
     pub(crate) fn children(&self) -> Vec<&Node> {
         match &self.kind {
             Kind::Const(_) | Kind::Field(_) | Kind::Local(_) => vec![],
-            Kind::Sure(a) | Kind::Has(a) | Kind::Not(a) => vec![a],
+            Kind::Unwrap(a) | Kind::Has(a) | Kind::Not(a) => vec![a],
             Kind::InSet(a, _)
             | Kind::BeginsWithAny(a, _)
             | Kind::Matches(a, _)
--- a/crates/expr/src/price.rs
+++ b/crates/expr/src/price.rs
@@ -1,6 +1,8 @@
-//! Costs beyond the one that every step has, from lengths in bytes or in items. They are summed up when an
-//! expression is compiled, from the bounds of the input, and spent when it runs, from the input itself: so what
-//! is spent never passes what was stated.
+//! Cost of instructions in units, beyond the one unit that each instruction costs, as a function of
+//! lengths in bytes or
+//! items. The compiler sums these up from the bounds of the input, the machine spends them by the
+//! actual input. An
+//! evaluation therefore never spends more than was stated.
 
 /// Comparing two texts.
 pub(crate) fn compare(a: u64, b: u64) -> u64 {
@@ -12,7 +14,7 @@
     4 + key / 8
 }
 
-/// Searching a text for a part.
+/// Searching a text for a substring.
 pub(crate) fn contains(text: u64, part: u64) -> u64 {
     2 + text / 4 + part / 4
 }
@@ -22,7 +24,7 @@
     2 + bytes / 4
 }
 
-/// Splitting a text.
+/// Splitting a text into parts.
 pub(crate) fn split(bytes: u64, parts: u64) -> u64 {
     2 + bytes / 4 + 2 * parts
 }
@@ -32,7 +34,7 @@
     4 + bytes / 8
 }
 
-/// Looking up which prefixes a text has, the longest of which has this length.
+/// Finding which of some prefixes a text has; `longest` is the length of the longest prefix.
 pub(crate) fn prefixes(text: u64, longest: u64) -> u64 {
     4 + text.min(longest)
 }
@@ -42,12 +44,12 @@
     16 + text.saturating_mul(1 + pattern / 8)
 }
 
-/// Looking for an address in ranges.
+/// Searching an address in a list of networks.
 pub(crate) fn networks(count: u64) -> u64 {
     2 * count
 }
 
-/// Reading a text as a number or an address.
-pub(crate) const READ: u64 = 8;
-/// Writing a value as a text.
-pub(crate) const WRITE: u64 = 16;
+/// Parsing a text as a number or an address.
+pub(crate) const PARSE: u64 = 8;
+/// Formatting a value as a text.
+pub(crate) const FORMAT: u64 = 16;
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,5 +1,8 @@
-//! From a typed tree to flat code and its worst-case cost. Each method gives the cost of what it writes, in units, by the
-//! formulas that the machine spends by ([`crate::price`]): what is spent cannot pass what was stated.
+//! Compiles a typed tree to bytecode and computes its worst-case cost. Each method returns the cost
+//! of the code that it
+//! emits, in units, by the formulas that the machine spends by ([`crate::price`]), so that an
+//! evaluation cannot spend
+//! more than was stated.
 
 use crate::ast::Binary;
 use crate::code::{Code, Op, Shape};
@@ -10,63 +13,63 @@
 use crate::text_index::PrefixIndex;
 use std::sync::Arc;
 
-/// An expression, ready to run.
+/// A compiled expression.
 pub(crate) struct Program {
-    /// Its instructions.
+    /// The instructions.
     pub(crate) shape: Arc<Shape>,
-    /// Its constants.
+    /// The constants.
     pub(crate) operands: Box<[Operand]>,
 }
 
-/// Cost of a part of an expression, over all the times that it runs.
+/// Cost of a part of an expression, summed over all its evaluations.
 pub(crate) struct Part {
-    /// Its bytes in the text.
+    /// Byte range of the part in the expression's text.
     pub(crate) span: std::ops::Range<usize>,
-    /// In units.
+    /// Cost in units.
     pub(crate) cost: u64,
-    /// Its parent's index in the list; the whole is its own parent.
+    /// Index of the parent in the list of parts; the whole expression is its own parent.
     pub(crate) parent: usize,
 }
 
-/// Writes the code of one expression.
+/// Emits the code of one expression.
 struct Compiler<'p> {
     ops: Vec<Op>,
     operands: Vec<Operand>,
     parts: Vec<Part>,
-    /// The index of the part that is being written.
+    /// Index of the part that is being compiled.
     parent: usize,
-    /// How often the part that is being written runs at most.
-    times: u64,
+    /// Maximum number of evaluations of the part that is being compiled.
+    max_runs: u64,
     schema: &'p Schema,
 }
 
-/// Most operands: their indices have 16 bits.
+/// Maximum number of operands: their indices have 16 bits.
 const MAX_OPERANDS: usize = 1 << 16;
 
 impl Compiler<'_> {
-    /// Adds an instruction; its index.
+    /// Appends an instruction and returns its index.
     fn emit(&mut self, op: Op) -> usize {
         self.ops.push(op);
         self.ops.len() - 1
     }
 
-    /// Adds an operand; its index.
+    /// Appends an operand and returns its index.
     fn operand(&mut self, value: Operand) -> u16 {
-        // The bound on tokens keeps it far below.
+        // `MAX_TOKENS` keeps the number of operands far below.
         debug_assert!(self.operands.len() < MAX_OPERANDS);
         self.operands.push(value);
         (self.operands.len() - 1) as u16
     }
 
-    /// Lets the jump at this index lead to the next instruction.
-    fn land(&mut self, jump: usize) {
+    /// Sets the target of the jump at this index to the next instruction.
+    fn patch_jump(&mut self, jump: usize) {
         let to = self.ops.len() as u32;
         if let Some(
             Op::Jump(t)
-            | Op::AndJump(t)
-            | Op::OrJump(t)
-            | Op::Branch(t)
-            | Op::SomeJump(t)
+            | Op::JumpIfFalseOrPop(t)
+            | Op::JumpIfTrueOrPop(t)
+            | Op::PopJumpIfFalse(t)
+            | Op::JumpIfPresentOrPop(t)
             | Op::Next(_, t),
         ) = self.ops.get_mut(jump)
         {
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Writes a node; what it costs at worst.
+    /// Compiles a node, records it as a part and returns its worst-case cost.
     fn node(&mut self, node: &Node) -> u64 {
         let index = self.parts.len();
         self.parts.push(Part {
@@ -83,17 +86,17 @@
             parent: self.parent,
         });
         let parent = std::mem::replace(&mut self.parent, index);
-        let cost = self.write(node);
+        let cost = self.emit_node(node);
         self.parent = parent;
-        self.parts[index].cost = cost.saturating_mul(self.times);
+        self.parts[index].cost = cost.saturating_mul(self.max_runs);
         cost
     }
 
-    /// The field that a node reads, known to be there, where that is a text.
+    /// The text field that a node reads, if the field is known to be present.
     fn text_field(&self, node: &Node) -> Option<FieldId> {
         match &node.kind {
             Kind::Field(id) if node.ty == Type::Text => Some(*id),
-            Kind::Sure(of) => match &of.kind {
+            Kind::Unwrap(of) => match &of.kind {
                 Kind::Field(id) if node.ty == Type::Text => Some(*id),
                 _ => None,
             },
@@ -101,8 +104,8 @@
         }
     }
 
-    /// Writes a node's own code; what it costs at worst.
-    fn write(&mut self, node: &Node) -> u64 {
+    /// Emits the code of a node and returns its worst-case cost.
+    fn emit_node(&mut self, node: &Node) -> u64 {
         match &node.kind {
             Kind::Const(value) => self.push(value.clone()),
             Kind::Field(id) => {
@@ -115,7 +118,7 @@
                 self.single(op)
             }
             Kind::Local(slot) => self.single(Op::Local(*slot)),
-            Kind::Sure(a) => self.unary(a, Op::Sure),
+            Kind::Unwrap(a) => self.unary(a, Op::Unwrap),
             Kind::Has(a) => self.unary(a, Op::Has),
             Kind::Not(a) => self.unary(a, Op::Not),
             Kind::Item(a, b) => self.node(a) + self.unary(b, Op::Item),
@@ -125,9 +128,9 @@
             Kind::InList(a, list) => self.in_list(a, list),
             Kind::OrValue(a, default) => self.or_value(a, default),
             Kind::Let(slot, value, body) => self.unary(value, Op::Store(*slot)) + self.node(body),
-            Kind::And(parts) => self.chain(parts, Op::AndJump(0)),
-            Kind::Or(parts) => self.chain(parts, Op::OrJump(0)),
-            Kind::If(test, yes, no) => self.conditional(test, yes, no),
+            Kind::And(parts) => self.chain(parts, Op::JumpIfFalseOrPop(0)),
+            Kind::Or(parts) => self.chain(parts, Op::JumpIfTrueOrPop(0)),
+            Kind::If(test, then, otherwise) => self.conditional(test, then, otherwise),
             Kind::Binary(operator, a, b) => self.binary(*operator, a, b),
             Kind::Call(func, args) => self.call(*func, args),
             Kind::InSet(a, set) => self.in_set(a, set),
@@ -143,23 +146,23 @@
                 slot,
                 list,
                 test,
-            } => self.repeated(*all, *slot, list, test),
+            } => self.loop_over(*all, *slot, list, test),
         }
     }
 
-    /// An instruction without operands on the stack.
+    /// Emits an instruction that takes nothing from the stack.
     fn single(&mut self, op: Op) -> u64 {
         self.emit(op);
         1
     }
 
-    /// Pushes a constant.
+    /// Emits a push of a constant.
     fn push(&mut self, value: Const) -> u64 {
         let index = self.operand(Operand::Value(value));
         self.single(Op::Push(index))
     }
 
-    /// `a in list`, for a list that is no constant.
+    /// `a in list`, for a list that is not constant.
     fn in_list(&mut self, a: &Node, list: &Node) -> u64 {
         let items = u64::from(list.bound.items);
         let each = 1 + price::compare(bytes(a), bytes(list));
@@ -168,23 +171,23 @@
 
     /// `a.orValue(default)`.
     fn or_value(&mut self, a: &Node, default: &Node) -> u64 {
-        let cost = self.unary(a, Op::SomeJump(0));
+        let cost = self.unary(a, Op::JumpIfPresentOrPop(0));
         let jump = self.ops.len() - 1;
         let cost = cost + self.node(default);
-        self.land(jump);
+        self.patch_jump(jump);
         cost
     }
 
-    /// `test ? yes : no`: the costlier side counts.
-    fn conditional(&mut self, test: &Node, yes: &Node, no: &Node) -> u64 {
-        let cost = self.unary(test, Op::Branch(0));
+    /// `test ? then : otherwise`; its cost is that of the more expensive branch.
+    fn conditional(&mut self, test: &Node, then: &Node, otherwise: &Node) -> u64 {
+        let cost = self.unary(test, Op::PopJumpIfFalse(0));
         let branch = self.ops.len() - 1;
-        let yes = self.unary(yes, Op::Jump(0));
+        let then = self.unary(then, Op::Jump(0));
         let jump = self.ops.len() - 1;
-        self.land(branch);
-        let no = self.node(no);
-        self.land(jump);
-        cost + yes.max(no)
+        self.patch_jump(branch);
+        let otherwise = self.node(otherwise);
+        self.patch_jump(jump);
+        cost + then.max(otherwise)
     }
 
     fn binary(&mut self, operator: Binary, a: &Node, b: &Node) -> u64 {
@@ -218,8 +221,9 @@
 
     fn matches(&mut self, a: &Node, pattern: &Arc<str>) -> u64 {
         let Ok(pattern) = Pattern::new(pattern) else {
-            // The checker has compiled it before. A pattern that fails now makes the evaluation fail: no operand has
-            // this index.
+            // The checker has compiled this pattern already. If it fails now, the evaluation fails
+            // as well, since no
+            // operand has this index.
             return self.unary(a, Op::InSet(u16::MAX));
         };
         let extra = price::matches(bytes(a), pattern.length());
@@ -227,34 +231,40 @@
         self.unary(a, Op::Matches(index)) + extra
     }
 
-    /// `list.exists(x, test)` or `list.all(x, test)`. The variable has `slot`, the index and the list the two after it.
-    fn repeated(&mut self, all: bool, slot: u16, list: &Node, test: &Node) -> u64 {
+    /// `list.exists(x, test)` or `list.all(x, test)`. `slot` holds the variable, the next two the
+    /// index and the list.
+    fn loop_over(&mut self, all: bool, slot: u16, list: &Node, test: &Node) -> u64 {
         let before = self.unary(list, Op::Store(slot + 2)) + self.push(Const::Int(0));
         let before = before + self.single(Op::Store(slot + 1));
         let next = self.emit(Op::Next(slot, 0));
-        let times = self.times;
+        let max_runs = self.max_runs;
         let items = u64::from(list.bound.items);
-        self.times = times.saturating_mul(items);
-        let stop = if all { Op::AndJump(0) } else { Op::OrJump(0) };
+        self.max_runs = max_runs.saturating_mul(items);
+        let stop = if all {
+            Op::JumpIfFalseOrPop(0)
+        } else {
+            Op::JumpIfTrueOrPop(0)
+        };
         let each = self.unary(test, stop);
-        let out = self.ops.len() - 1;
-        self.times = times;
+        let exit = self.ops.len() - 1;
+        self.max_runs = max_runs;
         self.emit(Op::Jump(next as u32));
-        self.land(next);
+        self.patch_jump(next);
         let after = self.push(Const::Bool(all));
-        self.land(out);
-        // Each turn has its Next and Jump; the last Next ends the loop.
+        self.patch_jump(exit);
+        // Each iteration runs `Next` and `Jump`; the last `Next` ends the loop.
         before + items * (each + 2) + 1 + after
     }
 
-    /// A node and an instruction on its value.
+    /// Compiles a node and emits an instruction on its value.
     fn unary(&mut self, of: &Node, op: Op) -> u64 {
         let cost = self.node(of);
         self.emit(op);
         cost + 1
     }
 
-    /// Parts of which each is evaluated only where the one before does not decide the result.
+    /// Compiles operands of `&&` or `||`, of which each is evaluated only if the ones before do not
+    /// decide the result.
     fn chain(&mut self, parts: &[Node], op: Op) -> u64 {
         let mut jumps = Vec::new();
         let mut cost = 0u64;
@@ -265,11 +275,11 @@
                 jumps.push(self.emit(op));
             }
         }
-        jumps.into_iter().for_each(|jump| self.land(jump));
+        jumps.into_iter().for_each(|jump| self.patch_jump(jump));
         cost
     }
 
-    /// A test of a field against a constant as one instruction.
+    /// Emits a test of a field against a constant as one instruction.
     fn field_test(&mut self, field: &Node, with: &Node, op: fn(FieldId, u16) -> Op) -> u64 {
         if let (Some(id), Some(value)) = (self.text_field(field), with.as_const()) {
             let at = self.operand(Operand::Value(value.clone()));
@@ -320,21 +330,21 @@
             Func::Min | Func::Max => self.node(first) + self.unary(&args[1], Op::Call(func)),
             Func::LowerAscii => self.unary(first, Op::Call(func)) + price::copy(bytes(0)),
             Func::ToInt | Func::ToDouble | Func::ToIp => {
-                self.unary(first, Op::Call(func)) + price::READ
+                self.unary(first, Op::Call(func)) + price::PARSE
             }
-            Func::ToText => self.unary(first, Op::Call(func)) + price::WRITE,
+            Func::ToText => self.unary(first, Op::Call(func)) + price::FORMAT,
             Func::Size | Func::Milliseconds | Func::Minus => self.unary(first, Op::Call(func)),
         }
     }
 }
 
-/// The bound of a node's text, bytes.
+/// Maximum length of a node's text, bytes.
 fn bytes(node: &Node) -> u64 {
     u64::from(node.bound.bytes)
 }
 
 impl Program {
-    /// Compiles a typed tree; with it, the cost of each part.
+    /// Compiles a typed tree; also returns the cost of each part.
     pub(crate) fn new(node: &Node, slots: u16, schema: &Schema) -> (Program, Vec<Part>) {
         let (ops, operands, parts) = (Vec::new(), Vec::new(), Vec::new());
         let mut compiler = Compiler {
@@ -342,7 +352,7 @@
             operands,
             parts,
             parent: 0,
-            times: 1,
+            max_runs: 1,
             schema,
         };
         let cost = compiler.node(node);
@@ -360,12 +370,12 @@
         )
     }
 
-    /// The most that an evaluation costs, in units.
+    /// Maximum cost of an evaluation, in units.
     pub(crate) fn cost(&self) -> u64 {
         self.shape.cost
     }
 
-    /// As the machine reads it.
+    /// The program as the machine runs it.
     pub(crate) fn code(&self) -> Code<'_> {
         Code {
             shape: &self.shape,
--- a/crates/expr/src/schema.rs
+++ b/crates/expr/src/schema.rs
@@ -1,6 +1,7 @@
-//! What expressions may read: fields with types and bounds, and the values that an embedding program gives for
-//! them. It owns the names, and the trait through which values come without being copied. It must never hold a
-//! value itself.
+//! Schema of the input: the fields that expressions may read, with their types and bounds, and the
+//! [`Input`] trait
+//! through which an embedding program provides the values without copying them. A schema holds no
+//! values.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,19 +13,19 @@
 pub enum Type {
     /// `true` or `false`.
     Bool,
-    /// A whole number of 64 bits.
+    /// A signed 64-bit integer.
     Int,
-    /// A number with a fraction.
+    /// A 64-bit floating-point number.
     Double,
-    /// Text.
+    /// UTF-8 text; `string` in the language.
     Text,
-    /// A span of time in whole milliseconds.
+    /// A duration in whole milliseconds.
     Duration,
     /// An IPv4 or IPv6 address.
     Ip,
-    /// Values of one type in order.
+    /// An ordered list of values of one type.
     List(Box<Type>),
-    /// Values of one type by text.
+    /// A map from texts to values of one type.
     Map(Box<Type>),
     /// A value that may be absent.
     Optional(Box<Type>),
@@ -46,17 +47,18 @@
     }
 }
 
-/// How large a field's value gets at most. Costs are computed from it, so the embedding program must keep it.
+/// Maximum size of a field's value. Costs are computed from it, so the embedding program must not
+/// exceed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bound {
-    /// Longest text in bytes: the value's own, or that of an item, a map's key or a map's value.
+    /// Maximum length in bytes of the text, or of any item, key or value of a list or map.
     pub bytes: u32,
-    /// Most items of a list, most entries of a map.
+    /// Maximum number of items of a list or entries of a map.
     pub items: u32,
 }
 
 impl Bound {
-    /// So many bytes and so many items.
+    /// A bound of this many bytes and items.
     pub(crate) fn new(bytes: u32, items: u32) -> Bound {
         Bound { bytes, items }
     }
@@ -65,21 +67,21 @@
 /// A field that expressions may read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its name with dots: `request.path`.
+    /// Dotted name, such as `request.path`.
     pub name: String,
-    /// Its type, without [`Type::Optional`].
+    /// Type of the value, without [`Type::Optional`].
     pub ty: Type,
-    /// It may be absent.
+    /// Whether the value may be absent.
     pub optional: bool,
-    /// Its bound.
+    /// Maximum size of the value.
     pub bound: Bound,
 }
 
-/// A field by number, in the order of [`Schema::field`]'s calls.
+/// Number of a field, in the order in which fields were added to the [`Schema`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FieldId(pub u16);
 
-/// All fields of one kind of input. Clones share them.
+/// All fields of one kind of input. Clones share the fields.
 #[derive(Clone, Debug, Default)]
 pub struct Schema(Arc<Fields>);
 
@@ -90,18 +92,18 @@
 }
 
 impl Schema {
-    /// No fields yet.
+    /// Creates a schema without fields.
     pub fn new() -> Schema {
         Schema::default()
     }
 
-    /// With a field that is always there.
+    /// Adds a field that is always present. `bytes` and `items` are its [`Bound`].
     #[must_use]
     pub fn field(self, name: &str, ty: Type, bytes: u32, items: u32) -> Schema {
         self.add(name, ty, false, Bound { bytes, items })
     }
 
-    /// With a field that may be absent.
+    /// Adds a field that may be absent. `bytes` and `items` are its [`Bound`].
     #[must_use]
     pub fn optional(self, name: &str, ty: Type, bytes: u32, items: u32) -> Schema {
         self.add(name, ty, true, Bound { bytes, items })
@@ -120,23 +122,23 @@
         self
     }
 
-    /// A field's number by its name.
+    /// The number of the field with this name.
     pub fn id(&self, name: &str) -> Option<FieldId> {
         self.0.by_name.get(name).copied()
     }
 
-    /// A field by its number.
+    /// The field with this number.
     pub fn get(&self, id: FieldId) -> Option<&Field> {
         self.0.list.get(usize::from(id.0))
     }
 
-    /// All fields in order.
+    /// All fields in the order of their numbers.
     pub fn fields(&self) -> &[Field] {
         &self.0.list
     }
 
-    /// Whether fields begin with `name` and a dot.
-    pub(crate) fn is_space(&self, name: &str) -> bool {
+    /// Whether the name of any field begins with `name` and a dot.
+    pub(crate) fn is_namespace(&self, name: &str) -> bool {
         self.0.list.iter().any(|f| {
             f.name
                 .strip_prefix(name)
@@ -150,15 +152,15 @@
 pub enum Value<'a> {
     /// `true` or `false`.
     Bool(bool),
-    /// A whole number.
+    /// A signed integer.
     Int(i64),
-    /// A number with a fraction.
+    /// A floating-point number.
     Double(f64),
     /// Text.
     Text(&'a str),
-    /// Whole milliseconds.
+    /// A duration in whole milliseconds.
     Duration(i64),
-    /// An address.
+    /// An IPv4 or IPv6 address.
     Ip(IpAddr),
 }
 
@@ -175,25 +177,26 @@
     }
 }
 
-/// The values of one input, as the schema describes them. Look-ups must take about the same time however many
-/// entries there are. A value of another type than the schema's ends the evaluation with a fault.
+/// Values of one input, as its schema describes them. Look-ups must take about the same time for
+/// any number of entries.
+/// A value of another type than the schema's ends the evaluation with a fault.
 pub trait Input {
-    /// The value of a field that is neither a list nor a map; none: absent.
+    /// The value of a field that is neither a list nor a map; `None` if it is absent.
     fn get(&self, field: FieldId) -> Option<Value<'_>>;
 
-    /// How many items or entries a list or a map has; none: absent.
+    /// Number of items or entries of a list or a map; `None` if it is absent.
     fn size(&self, field: FieldId) -> Option<usize> {
         let _ = field;
         None
     }
 
-    /// An item of a list.
+    /// An item of a list; `None` if the index is out of range.
     fn item(&self, field: FieldId, index: usize) -> Option<Value<'_>> {
         let _ = (field, index);
         None
     }
 
-    /// The entry of a map.
+    /// The value of a map's entry; `None` if there is no such key.
     fn lookup(&self, field: FieldId, key: &str) -> Option<Value<'_>> {
         let _ = (field, key);
         None
--- a/crates/expr/src/select.rs
+++ b/crates/expr/src/select.rs
@@ -1,5 +1,6 @@
-//! An index over the tests of a file: which of many can be true for an input at all. It must never leave out a
-//! test that could be true: what is left in is evaluated as before.
+//! Index over many tests, such as those of a file of rules: finds the tests that can be true for an
+//! input. It may choose
+//! a test that turns out to be false, but must never leave out one that is true.
 
 use crate::schema::{FieldId, Input, Value};
 use crate::select_key::SelectKey;
@@ -8,48 +9,48 @@
 use std::iter::Peekable;
 use std::sync::Arc;
 
-/// Tests that are found by one field.
+/// Index of the tests that are found by one field.
 struct FieldIndex {
     field: FieldId,
-    /// Tests by a text that the field must be.
+    /// Tests by a text that the field must equal.
     equal: ExactIndex,
     /// Tests by a text that the field must begin with.
     prefixes: PrefixIndex,
 }
 
-/// The index. Tests have the numbers of their keys' order.
+/// Index over tests. A test's number is the position of its key in [`Selector::new`].
 pub struct Selector {
     fields: Vec<FieldIndex>,
-    /// Tests that are always looked at, in order.
+    /// Tests that are chosen for every input, in ascending order.
     always: Arc<[u32]>,
     count: usize,
 }
 
-/// The texts by which tests are found by one field, with the tests' numbers.
+/// Texts by which tests are found through one field, with the numbers of the tests.
 #[derive(Default)]
 struct FieldTexts {
     equal: Vec<(Arc<str>, u32)>,
     prefixes: Vec<(Arc<str>, u32)>,
 }
 
-/// The tests that were chosen, kept for the next time so that nothing is allocated again.
+/// Tests chosen for an input, kept for the next input to avoid allocations.
 #[derive(Clone, Debug, Default)]
 pub struct Chosen {
-    /// In order, each once.
+    /// Tests found by a text, in ascending order without duplicates.
     found: Vec<u32>,
-    /// In order, none of them found.
+    /// Tests chosen for every input, in ascending order; none of them is in `found`.
     always: Arc<[u32]>,
 }
 
 impl Chosen {
-    /// The tests' numbers, from the lowest.
+    /// The numbers of the chosen tests in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         let (mut found, mut always) = (self.found.iter().peekable(), self.always.iter().peekable());
         std::iter::from_fn(move || lower(&mut found, &mut always)).map(|test| test as usize)
     }
 }
 
-/// The lower one of the next of two orders.
+/// Takes the lower one of the next items of two ascending sequences.
 fn lower<'a, I: Iterator<Item = &'a u32>>(a: &mut Peekable<I>, b: &mut Peekable<I>) -> Option<u32> {
     let from_a = match (a.peek(), b.peek()) {
         (Some(a), Some(b)) => a < b,
@@ -59,7 +60,7 @@
 }
 
 impl Selector {
-    /// An index over tests by their keys.
+    /// Builds an index over tests from their keys.
     pub fn new<'k>(keys: impl Iterator<Item = &'k SelectKey>) -> Selector {
         let mut texts: BTreeMap<FieldId, FieldTexts> = BTreeMap::new();
         let (mut always, mut count) = (Vec::new(), 0);
@@ -112,22 +113,22 @@
         }
     }
 
-    /// Tests that are always looked at.
+    /// Number of tests that are chosen for every input.
     pub fn unindexed(&self) -> usize {
         self.always.len()
     }
 
-    /// Tests in all.
+    /// Number of all tests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there is none.
+    /// Whether the index has no tests.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Bytes on the heap, the texts apart.
+    /// Heap bytes of the index, without the texts.
     pub fn heap_bytes(&self) -> usize {
         let fields = self
             .fields
@@ -138,8 +139,9 @@
             + self.always.len() * size_of::<u32>()
     }
 
-    /// Chooses the tests that may be true for an input. It takes time by the texts that are looked up and the
-    /// tests that they choose, not by the tests that there are.
+    /// Chooses the tests that may be true for an input. The time depends on the texts that are
+    /// looked up and the tests
+    /// that are chosen, not on the number of tests in the index.
     pub fn choose(&self, input: &dyn Input, chosen: &mut Chosen) {
         if !Arc::ptr_eq(&chosen.always, &self.always) {
             chosen.always = self.always.clone();
@@ -153,7 +155,7 @@
             chosen.found.extend(index.prefixes.find(text));
         }
         chosen.found.sort_unstable();
-        // Tests with several texts may have been found by more than one.
+        // A test with several texts may have been found by more than one of them.
         chosen.found.dedup();
     }
 }
--- a/crates/expr/src/select_key.rs
+++ b/crates/expr/src/select_key.rs
@@ -1,4 +1,5 @@
-//! What an index finds a test by: a text that a field must be or begin with wherever the test is true.
+//! Key by which an index finds a test: a text that a field must equal or begin with whenever the
+//! test is true.
 
 use crate::facts::{Fact, Facts, Path, Texts};
 use crate::interner::Interner;
@@ -7,22 +8,22 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A test that could be found by more texts than this is always looked at.
+/// Maximum number of texts of a key. A test that needs more is chosen for every input.
 const MAX_TEXTS: usize = 4096;
 
-/// A text that is held less often than this is about as good as one that only this test has.
+/// Texts with fewer references than this are ranked as equally rare.
 const FEW_HOLDERS: usize = 32;
 
-/// What must hold of an input for a test to be true at all.
+/// Condition that an input must meet for a test to be true.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SelectKey {
-    /// Nothing is known: the test is always looked at.
+    /// No condition is known: the test is chosen for every input.
     Always,
     /// The test is never true.
     Never,
-    /// The field is this text.
+    /// The field equals this text.
     Equals(FieldId, Arc<str>),
-    /// The field is one of these texts.
+    /// The field equals one of these texts.
     EqualsAny(FieldId, Arc<[Arc<str>]>),
     /// The field begins with this text.
     BeginsWith(FieldId, Arc<str>),
@@ -30,7 +31,7 @@
     BeginsWithAny(FieldId, Arc<[Arc<str>]>),
 }
 
-/// A field by which a test could be found.
+/// A field that could serve as the key of a test.
 struct Candidate<'f> {
     field: FieldId,
     whole: bool,
@@ -58,9 +59,11 @@
         })
     }
 
-    /// What the best candidate has most of. Texts that few tests have tell most apart, then long ones: a path
-    /// does, a method or the one host of all tests does not. How many tests have a text is told by its holders
-    /// so far.
+    /// Rank of the candidate; the highest one becomes the key. Texts that few tests share are the
+    /// most selective, then
+    /// long ones: a path is selective, a method or a host that all tests share is not. The
+    /// reference count of a text in
+    /// the interner serves as the number of tests that share it.
     fn rank(&self, interner: &Interner) -> impl Ord {
         let holders = self
             .texts
@@ -73,7 +76,8 @@
 }
 
 impl SelectKey {
-    /// The key of a test by what is known wherever it is true; none: it never is.
+    /// Derives the key of a test from the facts that hold whenever it is true; `None` if it is
+    /// never true.
     pub(crate) fn new(facts: Option<&Facts>, interner: &mut Interner) -> SelectKey {
         let Some(facts) = facts else {
             return SelectKey::Never;
--- a/crates/expr/src/text_index.rs
+++ b/crates/expr/src/text_index.rs
@@ -1,6 +1,8 @@
-//! Hash tables from texts to numbers, held in few large arrays: one that finds the entries of a whole text, one
-//! that finds the entries whose texts are prefixes of a text. A look-up takes time by the length of the text
-//! and the entries found, however many entries there are.
+//! Hash tables from texts to numbers, held in a few large arrays: one finds the entries of an exact
+//! text, the other the
+//! entries whose texts are prefixes of a given text. The time of a look-up depends on the length of
+//! the text and the
+//! number of entries found, not on the size of the table.
 
 use hashbrown::{hash_table, HashTable};
 use rapidhash::v3::rapidhash_v3;
@@ -9,12 +11,12 @@
 use std::mem::size_of;
 use std::sync::Arc;
 
-/// In place of an entry's number: there is none.
+/// Entry number that marks the end of a chain.
 const NONE: u32 = u32::MAX;
-/// An odd number with its bits spread evenly (2^64 over the golden ratio), to mix hashes by.
+/// An odd number with evenly spread bits (2^64 divided by the golden ratio), for mixing hashes.
 const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A text with a number, and the next entry of the same text.
+/// A text with a number, and the number of the next entry with the same text.
 #[derive(Debug)]
 struct Entry {
     text: Arc<str>,
@@ -22,11 +24,12 @@
     next: u32,
 }
 
-/// A hash table from texts to entries. Entries of equal texts are chained in their order.
+/// A hash table from texts to entries. Entries with equal texts form a chain, in the order in which
+/// they were given.
 #[derive(Debug)]
 struct Table {
     entries: Box<[Entry]>,
-    /// The number of each chain's first entry, by the hash of its text.
+    /// Number of each chain's first entry, by the hash of its text.
     chains: HashTable<u32>,
 }
 
@@ -39,7 +42,7 @@
         };
         let mut entries: Box<[Entry]> = texts.into_iter().map(entry).collect();
         let mut chains = HashTable::with_capacity(entries.len());
-        // From the last on, so that each chain leads from the first to the last.
+        // Inserted in reverse, so that each chain leads from the first entry to the last.
         for number in (0..entries.len()).rev() {
             let text = entries[number].text.as_bytes();
             let same = |first: &u32| entries[*first as usize].text.as_bytes() == text;
@@ -53,12 +56,12 @@
                 }
             }
         }
-        // Where many entries have one text, there are fewer chains than were made room for.
+        // If entries share texts, there are fewer chains than the capacity allows.
         chains.shrink_to_fit(|first| hash(entries[*first as usize].text.as_bytes()));
         Table { entries, chains }
     }
 
-    /// The numbers of a text, in order.
+    /// The numbers of a text, in the order in which they were given.
     fn find(&self, text: &[u8], hash: u64) -> impl Iterator<Item = u32> + '_ {
         let same = |first: &u32| self.entries[*first as usize].text.as_bytes() == text;
         let mut next = self.chains.find(hash, same).copied().unwrap_or(NONE);
@@ -73,13 +76,13 @@
         self.entries.iter().map(|entry| &entry.text)
     }
 
-    /// Bytes on the heap, the texts apart.
+    /// Heap bytes of the table, without the texts.
     fn heap_bytes(&self) -> usize {
         self.entries.len() * size_of::<Entry>() + self.chains.allocation_size()
     }
 }
 
-/// Numbers by whole texts.
+/// Finds numbers by exact texts.
 #[derive(Debug)]
 pub(crate) struct ExactIndex(Table);
 
@@ -88,23 +91,24 @@
         ExactIndex(Table::new(texts, rapidhash_v3))
     }
 
-    /// The numbers of a text, in order.
+    /// The numbers of a text, in the order in which they were given.
     pub(crate) fn find(&self, text: &str) -> impl Iterator<Item = u32> + '_ {
         self.0.find(text.as_bytes(), rapidhash_v3(text.as_bytes()))
     }
 
-    /// Bytes on the heap, the texts apart.
+    /// Heap bytes of the index, without the texts.
     pub(crate) fn heap_bytes(&self) -> usize {
         self.0.heap_bytes()
     }
 }
 
-/// Numbers by prefixes of texts. A look-up tries each length that a prefix has, and extends the hash of the
-/// text's beginning from one to the next.
+/// Finds numbers by prefixes of a text. A look-up tries each length that any prefix has, and
+/// extends the hash of the
+/// text's beginning from one length to the next.
 #[derive(Debug)]
 pub(crate) struct PrefixIndex {
     table: Table,
-    /// Lengths of the prefixes, from the shortest, each once.
+    /// Distinct lengths of the prefixes in ascending order, bytes.
     lengths: Box<[usize]>,
 }
 
@@ -121,25 +125,26 @@
         PrefixIndex { table, lengths }
     }
 
-    /// Length of the longest prefix in bytes.
+    /// Length of the longest prefix, bytes.
     pub(crate) fn longest(&self) -> usize {
         self.lengths.last().copied().unwrap_or(0)
     }
 
-    /// The numbers of all prefixes that a text has, from the shortest prefix.
+    /// The numbers of all prefixes that a text has, from the shortest prefix to the longest.
     pub(crate) fn find<'t>(&'t self, text: &'t str) -> impl Iterator<Item = u32> + 't {
         let beginnings = beginnings(&self.lengths, text.as_bytes());
         beginnings.flat_map(|(beginning, hash)| self.table.find(beginning, hash))
     }
 
-    /// Bytes on the heap, the texts apart.
+    /// Heap bytes of the index, without the texts.
     pub(crate) fn heap_bytes(&self) -> usize {
         self.table.heap_bytes() + size_of::<usize>() * self.lengths.len()
     }
 }
 
-/// The beginnings of a text that have these lengths, with their hashes. A hash depends on all lengths up to its
-/// own.
+/// The beginnings of a text that have these lengths, with their hashes. A hash depends on all
+/// lengths up to that of its
+/// beginning.
 fn beginnings<'t>(lengths: &'t [usize], text: &'t [u8]) -> impl Iterator<Item = (&'t [u8], u64)> {
     let (mut from, mut hash) = (0, 0u64);
     lengths.iter().map_while(move |&to| {
@@ -150,7 +155,7 @@
     })
 }
 
-/// By the prefixes, in their order.
+/// Compares the prefixes in order.
 impl PartialEq for PrefixIndex {
     fn eq(&self, other: &PrefixIndex) -> bool {
         self.table.texts().eq(other.table.texts())
--- a/crates/expr/tests/common/mod.rs
+++ b/crates/expr/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! The input that the tests of the language read.
+//! Schema and requests for the tests of the language.
 #![allow(dead_code)]
 
 use driftgap_expr::{FieldId, Input, Schema, Type, Value};
 use std::net::IpAddr;
 
-/// Fields in the order of [`Request`]'s look-ups.
+/// Fields whose order matches the field numbers in the look-ups of [`Request`].
 pub fn schema() -> Schema {
     let text = || Type::Text;
     Schema::new()
@@ -110,8 +110,8 @@
     }
 }
 
-/// Takes any text the whole way that one of an operator's can go.
-pub fn whole_way(text: &str) {
+/// Checks any text and, if it is valid, evaluates and explains it.
+pub fn run_every_stage(text: &str) {
     use driftgap_expr::{Expression, Fault, Origin, Scratch};
     match Expression::new(text, &schema()) {
         Err(error) => {
@@ -126,8 +126,10 @@
             let mut scratch = Scratch::default();
             let result = expression.eval(&request, &mut scratch).map(|_| ());
             assert!(
-                matches!(result, Ok(()) | Err(Fault::Overflow | Fault::Zero))
-                    || is_collection(&expression),
+                matches!(
+                    result,
+                    Ok(()) | Err(Fault::Overflow | Fault::DivisionByZero)
+                ) || is_collection(&expression),
                 "{text}"
             );
             assert!(scratch.spent() <= expression.cost(), "{text}");
@@ -136,7 +138,7 @@
     }
 }
 
-/// Whether its value is a list or a map, which only the inside of an expression has.
+/// Whether the value is a list or a map. Evaluating such an expression fails, since [`Value`] has no collections.
 fn is_collection(expression: &driftgap_expr::Expression) -> bool {
     matches!(expression.ty(), Type::List(_) | Type::Map(_))
 }
