--- a/crates/expr/tests/compiled.rs
+++ b/crates/expr/tests/compiled.rs
@@ -1,4 +1,4 @@
-//! The compiled form evaluates as the expression does that it was made from, and shares what is equal.
+//! Compiled expressions evaluate like the expressions that they were compiled from, and equal ones share memory.
 
 mod common;
 mod generators;
@@ -14,8 +14,8 @@
         .compile(interner)
 }
 
-/// A value of an evaluation in a form that outlives its scratch, and what it spent.
-fn told(result: Result<Option<Value<'_>>, Fault>) -> String {
+/// The result of an evaluation as text, which outlives the scratch.
+fn result_text(result: Result<Option<Value<'_>>, Fault>) -> String {
     format!("{result:?}")
 }
 
@@ -23,7 +23,7 @@
     #![proptest_config(generators::cases(400))]
 
     #[test]
-    fn the_compiled_form_gives_the_same_values_faults_and_costs(
+    fn compiled_form_gives_same_results_and_costs(
         texts in prop::collection::vec(typed(), 1..6),
         requests in prop::collection::vec(request(), 3),
     ) {
@@ -31,15 +31,15 @@
         let read = |(text, _): &(String, _)| Expression::new(text, &schema()).ok();
         let expressions: Vec<Expression> = texts.iter().filter_map(read).collect();
         let all: Vec<Compiled> = expressions.iter().map(|one| one.compile(&mut interner)).collect();
-        // What was shared stays usable without the interner's own copies.
+        // Shared data must stay usable after the interner is dropped.
         interner.sweep();
         drop(interner);
         let (mut scratch, mut other) = (Scratch::default(), Scratch::default());
         for (expression, compiled) in expressions.iter().zip(&all) {
             prop_assert_eq!(expression.cost(), compiled.cost(), "{}", expression.text());
             for request in &requests {
-                let want = told(expression.eval(request, &mut scratch));
-                let got = told(compiled.eval(request, &mut other));
+                let want = result_text(expression.eval(request, &mut scratch));
+                let got = result_text(compiled.eval(request, &mut other));
                 prop_assert_eq!(want, got, "{} on {:?}", expression.text(), request);
                 prop_assert_eq!(scratch.spent(), other.spent(), "{} on {:?}", expression.text(), request);
                 prop_assert!(other.spent() <= compiled.cost(), "{} on {:?}", expression.text(), request);
@@ -64,7 +64,7 @@
     };
     assert_eq!(first.test(&request, &mut scratch), Ok(false));
     assert_eq!(second.test(&request, &mut scratch), Ok(true));
-    // Of the same steps, but another operator, field or number of parts.
+    // Similar programs with another operator, field or number of parts have another shape.
     for other in [
         "request.path == '/radio-1/' && request.method == 'GET'",
         "request.method.startsWith('/radio-1/') && request.method == 'GET'",
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_longer_constant_that_costs_more_has_a_cost_of_its_own() {
+fn longer_constant_has_its_own_cost() {
     let mut interner = Interner::new();
     let test = |path: String| format!("request.path == '{path}'");
     let short = compiled(&test("a".into()), &mut interner);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn equal_expressions_are_one() {
+fn equal_expressions_share_one_program() {
     let mut interner = Interner::new();
     for text in [
         "request.method == 'GET'",
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn constants_that_differ_are_never_taken_for_one_another() {
+fn different_constants_are_not_shared() {
     let mut interner = Interner::new();
     for (a, b) in [
         ("string(0.0 * load)", "string(-0.0 * load)"),
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn sets_and_maps_are_shared_whatever_the_order_they_are_written_in() {
+fn sets_and_maps_are_shared_in_any_order() {
     let mut interner = Interner::new();
     for (a, b) in [
         (
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_sweep_keeps_what_is_held_and_drops_the_rest() {
+fn sweep_drops_only_unreferenced_data() {
     let mut interner = Interner::new();
     let held = compiled("request.path == '/held'", &mut interner);
     let dropped = std::sync::Arc::downgrade(&interner.text("/dropped"));
@@ -189,10 +189,10 @@
 }
 
 #[test]
-fn compiled_expressions_and_interners_go_between_threads() {
-    fn is_shared<T: Send + Sync>() {}
-    fn is_sent<T: Send>() {}
-    is_shared::<Compiled>();
-    is_sent::<Interner>();
+fn compiled_is_sync_and_interner_is_send() {
+    fn assert_sync<T: Send + Sync>() {}
+    fn assert_send<T: Send>() {}
+    assert_sync::<Compiled>();
+    assert_send::<Interner>();
     assert!(size_of::<Compiled>() <= 24);
 }
--- a/crates/expr/tests/conformance.rs
+++ b/crates/expr/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! The language by its own table of cases.
+//! Conformance of the language with the table of cases in `conformance.txt`.
 
 mod common;
 
@@ -7,7 +7,8 @@
 
 const CASES: &str = include_str!("conformance.txt");
 
-/// The value of an expression as the table writes it, or a fault at load time (`!!`) or at run time (`~~`).
+/// The outcome of an expression in the notation of the table: a value (`=>`), an error when the expression is checked
+/// (`!!`) or a fault when it is evaluated (`~~`).
 fn value(text: &str) -> (&'static str, String) {
     let expression = match Expression::new(text, &schema()) {
         Ok(expression) => expression,
@@ -43,16 +44,16 @@
             failed.push(format!("line {}: no case: {line}", number + 1));
             continue;
         };
-        let (got, told) = value(text);
+        let (got, got_text) = value(text);
         let holds = got == kind
             && if kind == "=>" {
-                told == want
+                got_text == want
             } else {
-                told.contains(want)
+                got_text.contains(want)
             };
         if !holds {
             failed.push(format!(
-                "line {}: {text}: want {kind} {want}, got {got} {told}",
+                "line {}: {text}: want {kind} {want}, got {got} {got_text}",
                 number + 1
             ));
         }
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_fault_shows_its_place_in_the_file() {
+fn error_shows_its_position_in_the_file() {
     let text = "request.method == \"GET\" &&\n  request.pth.startsWith(\"/episodes/\")";
     let error = Expression::new(text, &schema()).unwrap_err();
     let origin = Origin {
@@ -82,7 +83,8 @@
 
 #[test]
 fn hashes_stay_the_same() {
-    // Read once from this build. A change moves partners between pools: it needs a new name for the function.
+    // The expected values come from this implementation. Rules route partners to pools by these hashes: a changed
+    // algorithm would move partners between pools, so it needs a function with a new name.
     for (text, want) in [
         ("", "12586"),
         ("0000000000000007", "876660"),
--- a/crates/expr/tests/generators/mod.rs
+++ b/crates/expr/tests/generators/mod.rs
@@ -8,8 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::hash::{BuildHasher, RandomState};
 
-/// So many cases from a seed that is printed: the test that is run again with it in the environment has the same
-/// cases.
+/// A configuration with this many cases and a seed that is printed. A run with that seed in `PROPTEST_RNG_SEED` has the
+/// same cases.
 pub fn cases(cases: u32) -> ProptestConfig {
     let config = ProptestConfig::default();
     let seed = match config.rng_seed {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Texts of expressions of one type each, nested to a depth.
+/// Texts of boolean expressions, nested to a depth. The functions below generate the other types.
 pub fn bool_text(depth: u32) -> BoxedStrategy<String> {
     let leaf = prop_oneof![
         Just("true".to_string()),
@@ -184,7 +184,7 @@
     .boxed()
 }
 
-/// Inputs within the schema's bounds, at them as often as not.
+/// Inputs within the bounds of the schema, many of them exactly at a bound.
 pub fn request() -> impl Strategy<Value = Request> {
     let path = prop_oneof![
         select(vec!["/", "/episodes/1/audio", "/live/x", "12", "é/12"]).prop_map(str::to_string),
--- a/crates/expr/tests/heap.rs
+++ b/crates/expr/tests/heap.rs
@@ -1,5 +1,5 @@
-//! What compiled tests, their keys and the index over them take on the heap, counted by the allocator. All that
-//! is counted is done in one test: the counters are the process's.
+//! Heap use of compiled tests, their keys and the index over them, counted by the allocator. There is a single test, since
+//! the allocator counts for the whole process.
 
 mod common;
 
@@ -12,11 +12,11 @@
 static GLOBAL: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const TESTS: usize = 10_000;
-/// Most bytes that one test may take in all, its key and its part of the index included.
+/// Maximum bytes of one test, including its key and its share of the index.
 const MAX_BYTES: usize = 200;
-/// Most bytes that a further test may take whose body others have as well: that of its own handle.
+/// Maximum bytes of a test whose program other tests share: only its handle is its own.
 const MAX_SHARED_BYTES: usize = 32;
-/// Most bytes a test that building an index may take for a while, beside the index.
+/// Maximum temporary bytes for each test while an index is built, in addition to the index.
 const MAX_TRANSIENT_BYTES: usize = 100;
 
 struct Tests {
@@ -38,7 +38,7 @@
     all
 }
 
-/// Bytes that are held beyond those at a region's begin.
+/// Bytes allocated since the start of a region and not yet freed.
 fn held(region: &Region<'_, System>) -> usize {
     let change = region.change();
     change
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_test_takes_no_more_than_its_part_of_the_heap() {
+fn heap_use_of_a_test_is_bounded() {
     for text in [by_prefix, by_host] {
         let region = Region::new(GLOBAL);
         let mut interner = Interner::new();
@@ -107,7 +107,7 @@
         held(&region)
     );
 
-    // A sweep gives back what was held by the interner alone.
+    // A sweep frees data that only the interner refers to.
     let region = Region::new(GLOBAL);
     drop(tests(&mut interner, by_prefix));
     assert!(held(&region) > TESTS);
@@ -118,7 +118,7 @@
         held(&region)
     );
 
-    // All that a build asks for, whether it holds it or not, bounds what it takes for a while.
+    // The total of all allocations of a build is an upper bound on its temporary memory.
     let all = tests(&mut interner, by_prefix);
     let region = Region::new(GLOBAL);
     let selector = Selector::new(all.keys.iter());
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -1,5 +1,5 @@
-//! What holds for every expression: one that is well typed never fails for a type, never costs more than was
-//! stated, and its facts hold; and no text at all panics or takes long to refuse. Failing cases print their seed.
+//! Properties of all expressions. A well-typed one never fails with a type error and never costs more than was stated, and
+//! its facts hold. No text causes a panic or takes long to check. Each run prints its seed.
 
 mod common;
 mod generators;
@@ -51,17 +51,18 @@
     #![proptest_config(generators::cases(400))]
 
     #[test]
-    fn what_is_well_typed_never_fails_for_a_type_nor_passes_its_cost(
+    fn well_typed_expressions_keep_type_and_cost(
         (text, ty) in typed(),
         requests in prop::collection::vec(request(), 4),
     ) {
         let expression = match Expression::new(&text, &schema()) {
             Ok(expression) => expression,
-            // Arithmetic on constants may fail whatever the input, texts may grow too long; nothing else may.
+            // Constant arithmetic may fail for every input, concatenated texts may be too long, and a generated has() or
+            // orValue() may apply to a value that is always present. No other error is allowed.
             Err(e) => {
-                let told = e.to_string();
-                let allowed = ["whatever the input", "the most", "always there"];
-                prop_assert!(allowed.iter().any(|a| told.contains(a)), "{text}: {told}");
+                let message = e.to_string();
+                let allowed = ["for every input", "the limit is", "always present"];
+                prop_assert!(allowed.iter().any(|a| message.contains(a)), "{text}: {message}");
                 return Ok(());
             }
         };
@@ -74,7 +75,7 @@
                 Ok(Some(Value::Text(t))) => ty == Type::Text && t.len() <= expression.bound().bytes as usize,
                 Ok(Some(Value::Duration(_))) => ty == Type::Duration,
                 Ok(Some(Value::Double(v))) => ty == Type::Double && v.is_finite(),
-                Err(Fault::Overflow | Fault::Zero) => true,
+                Err(Fault::Overflow | Fault::DivisionByZero) => true,
                 _ => false,
             };
             prop_assert!(fits, "{text} on {request:?}");
@@ -83,7 +84,7 @@
     }
 
     #[test]
-    fn facts_hold_and_the_index_leaves_out_nothing_that_is_true(
+    fn facts_hold_and_index_finds_every_true_test(
         texts in prop::collection::vec(bool_text(2), 1..80),
         request in request(),
     ) {
@@ -116,7 +117,7 @@
     }
 
     #[test]
-    fn no_words_panic(words in prop::collection::vec(select(WORDS.to_vec()), 0..60)) {
+    fn no_token_sequence_panics(words in prop::collection::vec(select(WORDS.to_vec()), 0..60)) {
         if let Ok(expression) = Expression::new(&words.join(" "), &schema()) {
             let _ = expression.eval(&Request::default(), &mut Scratch::default());
             let _ = expression.explain(&Request::default());
@@ -167,14 +168,16 @@
     ".orValue(",
 ];
 
-/// The time that refusing takes in this build, against the 100 ms that an optimised one may take.
+/// Maximum time to check a text: 100 ms in an optimised build, 2 s in a debug build.
 fn max() -> Duration {
     Duration::from_millis(if cfg!(debug_assertions) { 2000 } else { 100 })
 }
 
+/// Guards against texts that make checking take quadratic or exponential time: deep nesting, long chains, large lists,
+/// huge patterns and doubled conditionals.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
-fn hostile_texts_are_refused_in_time() {
+fn hostile_texts_are_checked_in_time() {
     let nested =
         |open: &str, close: &str, n: usize| format!("{}1{}", open.repeat(n), close.repeat(n));
     let mut doubled = "request.retry".to_string();
@@ -260,19 +263,19 @@
 }
 
 #[test]
-fn what_is_built_to_be_expensive_is_named_by_its_costliest_part() {
+fn cost_error_points_at_the_costliest_part() {
     let loops =
         "request.method == 'GET' && request.tags.exists(a, request.tags.exists(b, request.tags.exists(c, \
                  (a + b + c).matches('(x|y)+z'))))";
     let facts = driftgap_expr::Facts::default();
     let max = |text: &str| Expression::within(text, &schema(), &facts, &Type::Bool, 2000);
     let error = max(loops).unwrap_err();
-    let told = error.render("rules.toml", driftgap_expr::Origin::default());
-    assert!(told.contains("2000 are the most"), "{told}");
+    let rendered = error.render("rules.toml", driftgap_expr::Origin::default());
+    assert!(rendered.contains("the limit is 2000"), "{rendered}");
     assert_eq!(
         &loops[error.span.clone()],
         "(a + b + c).matches('(x|y)+z')",
-        "{told}"
+        "{rendered}"
     );
     assert!(max("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
     let cost = |text| Expression::new(text, &schema()).unwrap().cost();
@@ -280,7 +283,7 @@
 }
 
 #[test]
-fn a_thousand_alternatives_are_one_look_up() {
+fn many_alternatives_merge_into_one_look_up() {
     let any = |test: &str| {
         let all: Vec<String> = (0..1000)
             .map(|i| test.replace('#', &i.to_string()))
@@ -293,7 +296,7 @@
 }
 
 #[test]
-fn an_input_beyond_its_bounds_is_stopped_at_the_stated_cost() {
+fn oversized_input_stops_at_the_stated_cost() {
     let expression = Expression::new("request.tags.all(t, t != 'x')", &schema()).unwrap();
     let request = Request {
         tags: vec!["a".into(); 100_000],
@@ -305,7 +308,7 @@
 }
 
 #[test]
-fn the_ways_to_a_value_are_told_with_what_is_known_on_each() {
+fn ways_list_each_value_with_its_facts() {
     use driftgap_expr::Outcome;
     let ways = |text: &str| -> Vec<(String, String)> {
         let expression = Expression::new(text, &schema()).unwrap();
@@ -336,7 +339,7 @@
     );
     let named = "let m = request.method; let get = m in ['GET', 'HEAD']; get ? 'a' : 'b'";
     assert_eq!(ways(named), [pair("a", "GET|HEAD"), pair("b", "any")]);
-    // A way that nothing takes is none.
+    // A branch that is never taken gives no alternative.
     assert_eq!(
         ways("request.method == 'GET' ? request.method == 'PUT' ? 'x' : 'a' : 'b'").len(),
         2
@@ -344,23 +347,26 @@
 }
 
 #[test]
-fn an_explanation_tells_each_part_and_what_was_not_reached() {
+fn explanation_lists_reached_and_unreached_parts() {
     let text = "request.method == 'POST' && request.path.startsWith('/e')";
     let steps = Expression::new(text, &schema())
         .unwrap()
         .explain(&Request::default());
-    let told: Vec<(usize, &str, &str)> = steps
+    let parts: Vec<(usize, &str, &str)> = steps
         .iter()
         .map(|s| (s.depth, &s.text[..], &s.value[..]))
         .collect();
-    assert_eq!(told[0], (0, text, "false"));
+    assert_eq!(parts[0], (0, text, "false"));
     assert!(
-        told.contains(&(1, "request.method == 'POST'", "false")),
-        "{told:?}"
+        parts.contains(&(1, "request.method == 'POST'", "false")),
+        "{parts:?}"
     );
-    assert!(told.contains(&(2, "request.method", "\"GET\"")), "{told:?}");
     assert!(
-        told.contains(&(1, "request.path.startsWith('/e')", "not reached")),
-        "{told:?}"
+        parts.contains(&(2, "request.method", "\"GET\"")),
+        "{parts:?}"
+    );
+    assert!(
+        parts.contains(&(1, "request.path.startsWith('/e')", "not reached")),
+        "{parts:?}"
     );
 }
--- a/crates/expr/tests/select.rs
+++ b/crates/expr/tests/select.rs
@@ -1,4 +1,4 @@
-//! The index over tests chooses what looking at each of them would choose.
+//! The index over tests chooses the same tests as a check of every key would.
 
 mod common;
 mod generators;
@@ -37,7 +37,7 @@
     chosen.iter().collect()
 }
 
-/// Texts over few letters, so that many are equal or prefixes of one another; some of several bytes a letter.
+/// Texts over a small alphabet, so that many are equal or prefixes of one another. Some have multi-byte characters.
 fn nested() -> impl Strategy<Value = Arc<str>> {
     prop_oneof![8 => "[ab/]{1,12}", 1 => "[aé/]{1,4}", 1 => "a{1,60}"].prop_map(Arc::from)
 }
@@ -87,14 +87,14 @@
     #![proptest_config(generators::cases(200))]
 
     #[test]
-    fn the_index_chooses_as_brute_force_does(
+    fn index_chooses_like_brute_force(
         keys in prop::collection::vec(key(), 0..200),
         others in prop::collection::vec(key(), 0..20),
         inputs in prop::collection::vec(input(), 1..10),
     ) {
         let mut kept = Chosen::default();
         assert_as_brute_force(&keys, &inputs, &mut kept)?;
-        // What an earlier index chose leaves no trace.
+        // A reused `Chosen` must not keep choices of an earlier index.
         assert_as_brute_force(&others, &inputs, &mut kept)?;
         assert_as_brute_force(&keys, &inputs, &mut kept)?;
     }
@@ -120,7 +120,7 @@
     #![proptest_config(generators::cases(6))]
 
     #[test]
-    fn thousands_of_nested_prefixes_are_chosen_as_by_brute_force(
+    fn many_nested_prefixes_choose_like_brute_force(
         keys in prop::collection::vec(
             nested().prop_map(|text| SelectKey::BeginsWith(PATH, text)),
             4000..6000,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_test_is_found_by_the_longest_texts_that_it_needs() {
+fn key_uses_the_longest_required_text() {
     let begins = |text: &str| SelectKey::BeginsWith(PATH, text.into());
     assert_eq!(
         key_of("request.path.startsWith('/news/') && request.method == 'GET'"),
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_text_that_most_tests_have_is_no_key_for_them() {
+fn text_shared_by_most_tests_is_not_their_key() {
     let mut interner = Interner::new();
     let test = |number: usize| {
         format!("request.agent.orValue('') == 'the-one.example' && request.path.startsWith('/{number}/')")
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn tests_that_nothing_tells_apart_are_counted() {
+fn unindexed_tests_are_counted_and_always_chosen() {
     let keys = [
         key_of("true"),
         key_of("request.path == '/a'"),
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn an_empty_text_in_a_key_chooses_for_every_text() {
+fn empty_prefix_matches_every_text() {
     let keys = [
         SelectKey::BeginsWith(PATH, "".into()),
         SelectKey::Equals(PATH, "".into()),
