--- a/crates/expr/benches/select.rs
+++ b/crates/expr/benches/select.rs
@@ -1,5 +1,6 @@
-//! Time to choose the tests that can be true for a request and to evaluate the chosen ones, with few tests and with many.
-//! The requests match tests spread over all of them. A second group measures the time to build the index.
+//! Time to choose the tests that can be true for a request and to evaluate the chosen ones, with
+//! few tests and with many. The requests match tests spread over all of them. A second group
+//! measures the time to build the index.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use driftgap_expr::{
@@ -45,7 +46,7 @@
         let mut keys: Vec<SelectKey> = Vec::new();
         let mut compiled = Vec::new();
         for number in 0..size {
-            let expression = Expression::new(&text(number), &schema).expect("a test");
+            let expression = Expression::new(&text(number), &schema).expect("a valid test");
             keys.push(expression.select_key(&mut interner));
             compiled.push(expression.compile(&mut interner));
         }
@@ -136,7 +137,8 @@
     for (name, text, request) in WORKLOADS {
         for size in SIZES {
             let tests = Tests::new(size, text);
-            // Cycles through different requests, so that the parts of the index in use do not all fit into the L1 cache.
+            // Cycles through different requests, so that the parts of the index in use do not all
+            // fit into the L1 cache.
             let requests: Vec<Request> =
                 (0..256).map(|i| request((i * 7919 + 13) % size)).collect();
             let (mut chosen, mut scratch) = (Chosen::default(), Scratch::default());
@@ -144,13 +146,13 @@
                 |request| tests.first(request, &mut Chosen::default(), &mut Scratch::default());
             assert!(
                 requests.iter().all(|request| found(request).is_some()),
-                "{name}: a request without a test"
+                "{name}: a request matches no test"
             );
             let mut next = requests.iter().cycle();
             group.bench_function(BenchmarkId::new(name, size), |b| {
                 b.iter(|| {
                     tests.first(
-                        black_box(next.next().expect("a cycle")),
+                        black_box(next.next().expect("the cycle is endless")),
                         &mut chosen,
                         &mut scratch,
                     )
@@ -170,7 +172,7 @@
             let (schema, mut interner) = (schema(), Interner::new());
             let key = |number| {
                 Expression::new(&text(number), &schema)
-                    .expect("a test")
+                    .expect("a valid test")
                     .select_key(&mut interner)
             };
             let keys: Vec<SelectKey> = (0..size).map(key).collect();
--- a/crates/expr/fuzz/fuzz_targets/expression.rs
+++ b/crates/expr/fuzz/fuzz_targets/expression.rs
@@ -1,6 +1,6 @@
-//! Fuzzes the parser, the checker, the compiler, the machine and the explanation with any text. Run it by hand for a
-//! bounded time: `cargo fuzz run expression -- -max_total_time=120 -max_len=2000`. The test `corpus` of the crate runs the
-//! corpus.
+//! Fuzzes the parser, the checker, the compiler, the machine and the explanation with any text. Run
+//! it by hand for a bounded time: `cargo fuzz run expression -- -max_total_time=120 -max_len=2000`.
+//! The test `corpus` of the crate runs the corpus.
 
 #![no_main]
 
--- a/crates/expr/src/ast.rs
+++ b/crates/expr/src/ast.rs
@@ -1,8 +1,7 @@
 //! Syntax tree of an expression and the parser that builds it from tokens. The module defines the
-//! precedence of
-//! CEL's operators and limits the nesting: a chain of `&&` or `||` is one node however long it is,
-//! every other
-//! nesting counts. The parser never recurses deeper than that limit, whatever the text.
+//! precedence of CEL's operators and limits the nesting: a chain of `&&` or `||` is one node
+//! however long it is, every other nesting counts. The parser never recurses deeper than that
+//! limit, whatever the text.
 
 use crate::error::Error;
 use crate::lex::{tokens, Token};
@@ -28,7 +27,7 @@
 }
 
 impl Binary {
-    pub(crate) fn sign(self) -> &'static str {
+    pub(crate) fn symbol(self) -> &'static str {
         match self {
             Binary::Equal => "==",
             Binary::Unequal => "!=",
@@ -96,7 +95,7 @@
                 format!("{} is not expected here", other.description()),
             );
             Err(match other {
-                Token::Sign("=") => error.help("equality is written `==`"),
+                Token::Symbol("=") => error.help("equality is written `==`"),
                 Token::Name(word) if word == "and" => error.help("`and` is written `&&`"),
                 Token::Name(word) if word == "or" => error.help("`or` is written `||`"),
                 _ => error.help("an operator or the end was expected"),
@@ -128,20 +127,20 @@
             .clone()
     }
 
-    /// Consumes the next token if it is this sign.
-    fn accept(&mut self, sign: &str) -> bool {
-        let found = matches!(self.peek(), Token::Sign(s) if *s == sign);
+    /// Consumes the next token if it is this symbol.
+    fn accept(&mut self, symbol: &str) -> bool {
+        let found = matches!(self.peek(), Token::Symbol(s) if *s == symbol);
         self.position += usize::from(found);
         found
     }
 
-    fn expect(&mut self, sign: &str) -> Result<usize, Error> {
+    fn expect(&mut self, symbol: &str) -> Result<usize, Error> {
         let span = self.span();
-        if self.accept(sign) {
+        if self.accept(symbol) {
             return Ok(span.end);
         }
         let problem = format!("{} is not expected here", self.peek().description());
-        Err(Error::new(span, problem).help(format!("`{sign}` was expected")))
+        Err(Error::new(span, problem).help(format!("`{symbol}` was expected")))
     }
 
     fn name(&mut self) -> Result<(String, Range<usize>), Error> {
@@ -229,18 +228,18 @@
 
     /// Parses `a || b || ...` (`or`) or `a && b && ...` as one flat node.
     fn chain(&mut self, or: bool) -> Result<Tree, Error> {
-        let sign = if or { "||" } else { "&&" };
+        let symbol = if or { "||" } else { "&&" };
         let operand = |parser: &mut Parser| match or {
             true => parser.chain(false),
             false => parser.binary(0),
         };
         let first = operand(self)?;
-        if !matches!(self.peek(), Token::Sign(s) if *s == sign) {
+        if !matches!(self.peek(), Token::Symbol(s) if *s == symbol) {
             return Ok(first);
         }
         let start = first.span.start;
         let mut parts = vec![first];
-        while self.accept(sign) {
+        while self.accept(symbol) {
             parts.push(operand(self)?);
         }
         let end = parts.last().map_or(start, |last| last.span.end);
@@ -255,7 +254,7 @@
     fn operator(&self) -> Option<(Binary, u8)> {
         Some(match self.peek() {
             Token::Name(word) if word == "in" => (Binary::In, 0),
-            Token::Sign(sign) => match *sign {
+            Token::Symbol(symbol) => match *symbol {
                 "==" => (Binary::Equal, 0),
                 "!=" => (Binary::Unequal, 0),
                 "<" => (Binary::Less, 0),
@@ -287,19 +286,19 @@
 
     fn unary(&mut self) -> Result<Tree, Error> {
         // Collected in a loop, not by recursion: a text may hold thousands of prefix operators.
-        let mut signs = Vec::new();
+        let mut prefixes = Vec::new();
         loop {
             let start = self.span().start;
             if self.accept("!") {
-                signs.push((true, start));
+                prefixes.push((true, start));
             } else if self.accept("-") {
-                signs.push((false, start));
+                prefixes.push((false, start));
             } else {
                 break;
             }
         }
         let mut tree = self.postfix()?;
-        for (not, start) in signs.into_iter().rev() {
+        for (not, start) in prefixes.into_iter().rev() {
             let span = start..tree.span.end;
             tree = self.node(
                 if not {
@@ -335,7 +334,8 @@
         }
     }
 
-    /// Parses expressions separated by commas up to the closing sign; a trailing comma is allowed.
+    /// Parses expressions separated by commas up to the closing symbol; a trailing comma is
+    /// allowed.
     fn list(&mut self, close: &str) -> Result<(Vec<Tree>, usize), Error> {
         let mut parts = Vec::new();
         loop {
@@ -375,17 +375,17 @@
                 }
                 _ => TreeKind::Name(name),
             },
-            Token::Sign("(") => {
+            Token::Symbol("(") => {
                 let mut tree = self.expression()?;
                 let end = self.expect(")")?;
                 tree.span = span.start..end;
                 return Ok(tree);
             }
-            Token::Sign("[") => {
+            Token::Symbol("[") => {
                 let (parts, end) = self.list("]")?;
                 return self.node(TreeKind::List(parts), span.start..end);
             }
-            Token::Sign("{") => return self.map(span.start),
+            Token::Symbol("{") => return self.map(span.start),
             other => {
                 let problem = format!("{} is not expected here", other.description());
                 return Err(Error::new(span, problem).help("a value was expected"));
--- a/crates/expr/src/ast/tests.rs
+++ b/crates/expr/src/ast/tests.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Deep nesting must be refused with an error before the recursive parser overflows its stack. Long flat chains of `||`
-/// are allowed.
+/// Deep nesting must be refused with an error before the recursive parser overflows its stack. Long
+/// flat chains of `||` are allowed.
 #[test]
 fn no_text_overflows_the_stack() {
     for (open, close) in [
--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -1,14 +1,11 @@
 //! Type checker: turns the syntax tree of a text into a typed tree. It resolves every name, checks
-//! every type and refuses
-//! reads of optional values that are not known to be present.
+//! every type and refuses reads of optional values that are not known to be present.
 //!
 //! There is one module for each concern: `scope` (local variables), `fields`, `operators`,
-//! `membership` (`in`),
-//! `literals`, `functions`, `methods`, `patterns` and `messages`. `truth` derives facts from tests,
-//! `merge` joins
-//! neighbouring tests, and `leaves` finds the values that an expression may have. The checker never
-//! evaluates an input,
-//! and its time is bounded by the length of the text.
+//! `membership` (`in`), `literals`, `functions`, `methods`, `patterns` and `messages`. `truth`
+//! derives facts from tests, `merge` joins neighbouring tests, and `leaves` finds the values that
+//! an expression may have. The checker never evaluates an input, and its time is bounded by the
+//! length of the text.
 
 mod fields;
 mod functions;
@@ -179,7 +176,7 @@
             let error = Error::new(otherwise.span, problem);
             return Err(error.help(format!("{} was expected", then.ty)));
         }
-        let bound = larger(then.bound, otherwise.bound);
+        let bound = max_bound(then.bound, otherwise.bound);
         let ty = then.ty.clone();
         let conditional = Kind::If(test.into(), then.into(), otherwise.into());
         Ok(Node::new(conditional, ty, bound, span))
@@ -240,6 +237,6 @@
 }
 
 /// A bound that holds for either of two values.
-fn larger(a: Bound, b: Bound) -> Bound {
+fn max_bound(a: Bound, b: Bound) -> Bound {
     Bound::new(a.bytes.max(b.bytes), a.items.max(b.items))
 }
--- a/crates/expr/src/check/literals.rs
+++ b/crates/expr/src/check/literals.rs
@@ -1,6 +1,5 @@
 //! Lists, maps and durations that are written out in an expression. Lists and maps contain
-//! constants only, so that their
-//! look-up tables are built once.
+//! constants only, so that their look-up tables are built once.
 
 use super::messages::mismatch;
 use super::{CheckResult, Checker};
--- a/crates/expr/src/check/methods.rs
+++ b/crates/expr/src/check/methods.rs
@@ -2,7 +2,7 @@
 
 use super::functions::size;
 use super::messages::{article, mismatch, OPTIONAL_HELP};
-use super::{larger, CheckResult, Checker, METHODS};
+use super::{max_bound, CheckResult, Checker, METHODS};
 use crate::ast::{Tree, TreeKind};
 use crate::constant::Const;
 use crate::error::{nearest, Error};
@@ -113,12 +113,12 @@
             return Err(mismatch(&default.span, &ty.to_string(), &default));
         }
         let ty = (**ty).clone();
-        let bound = larger(of.bound, default.bound);
+        let bound = max_bound(of.bound, default.bound);
         let or_value = Kind::OrValue(of.into(), default.into());
         Ok(Node::new(or_value, ty, bound, span))
     }
 
-    /// `x.split(by)` and `x.split(by, parts)`.
+    /// `x.split(separator)` and `x.split(separator, parts)`.
     fn split(
         &mut self,
         of: Node,
@@ -126,10 +126,13 @@
         span: Range<usize>,
         facts: &Facts,
     ) -> CheckResult<Node> {
-        let by = self.text(&args[0], facts)?;
-        if by.as_text().is_none_or(|by| by.is_empty()) {
+        let separator = self.text(&args[0], facts)?;
+        if separator
+            .as_text()
+            .is_none_or(|separator| separator.is_empty())
+        {
             let problem = "split() takes a constant string that is not empty";
-            return Err(Error::new(by.span, problem));
+            return Err(Error::new(separator.span, problem));
         }
         let max = match args.get(1) {
             None => Node::constant(Const::Int(DEFAULT_PARTS), span.clone()),
@@ -145,7 +148,7 @@
         };
         let bound = Bound::new(of.bound.bytes, parts);
         let ty = Type::List(Type::Text.into());
-        let call = Kind::Call(Func::Split, vec![of, by, max]);
+        let call = Kind::Call(Func::Split, vec![of, separator, max]);
         Ok(Node::new(call, ty, bound, span))
     }
 
--- a/crates/expr/src/check/operators.rs
+++ b/crates/expr/src/check/operators.rs
@@ -86,16 +86,14 @@
     use Type::{Double, Duration, Int, Ip, Text};
     let problem = format!(
         "`{}` does not apply to {} and {}",
-        operator.sign(),
+        operator.symbol(),
         article(a),
         article(b)
     );
     Error::new(span, problem).help(match (a, b) {
         (Type::Optional(_), _) | (_, Type::Optional(_)) => OPTIONAL_HELP,
         (Int, Double) | (Double, Int) => "double(x) converts an int to a double",
-        (Text, Int) | (Int, Text) => {
-            "int(x).orValue(0) converts a string to an int, string(x) an int to a string"
-        }
+        (Text, Int) | (Int, Text) => "int(x).orValue(0) parses an int, string(x) formats one",
         (Text, Ip) | (Ip, Text) => "ip(x) converts a string to an ip",
         (Text, Duration) | (Duration, Text) => "a duration is written duration(\"250ms\")",
         _ => "both sides must have the same type",
--- a/crates/expr/src/check/patterns.rs
+++ b/crates/expr/src/check/patterns.rs
@@ -47,7 +47,7 @@
     pub(super) fn in_cidrs(&self, of: Node, ranges: Node, span: Range<usize>) -> CheckResult<Node> {
         let texts = ranges.as_const().and_then(|value| match value {
             Const::Text(text) => Some(vec![text.clone()]),
-            list => list.listed_texts(),
+            list => list.text_items(),
         });
         let Some(texts) = texts else {
             let error = Error::new(ranges.span, "address ranges must be constant strings");
--- a/crates/expr/src/check/truth.rs
+++ b/crates/expr/src/check/truth.rs
@@ -1,6 +1,6 @@
 //! Derives the facts that hold where a test is true and where it is false. They must hold for every
-//! input: reads of
-//! optional values are allowed, request classes are proved and tests are skipped on their basis.
+//! input: reads of optional values are allowed, request classes are proved and tests are skipped on
+//! their basis.
 
 use super::Checker;
 use crate::ast::Binary;
@@ -15,8 +15,8 @@
 
 impl Checker<'_> {
     /// Facts where a test is true and where it is false; `None` if that never happens. Both are
-    /// derived in one pass:
-    /// two passes would double the work with each `? :` in a test, which a hostile text could nest.
+    /// derived in one pass: two passes would double the work with each `? :` in a test, which a
+    /// hostile text could nest.
     pub(crate) fn facts(&self, node: &Node) -> TestFacts {
         match &node.kind {
             Kind::Const(Const::Bool(value)) => {
--- a/crates/expr/src/code.rs
+++ b/crates/expr/src/code.rs
@@ -1,6 +1,5 @@
 //! Bytecode that the compiler emits and the machine runs. A program consists of its shape, which
-//! many programs may
-//! share, and its operands, the constants that instructions refer to by index.
+//! many programs may share, and its operands, the constants that instructions refer to by index.
 
 use crate::ast::Binary;
 use crate::constant::Operand;
@@ -8,8 +7,7 @@
 use crate::schema::FieldId;
 
 /// An instruction of the stack machine. Operands and local variables are given by index, jumps by
-/// the index of
-/// their target instruction. "The top" is the value at the top of the stack.
+/// the index of their target instruction. "The top" is the value at the top of the stack.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Op {
     /// Pushes a constant.
@@ -74,8 +72,7 @@
 }
 
 /// The part of a program that programs differing only in their constants share. It includes the
-/// cost: where a
-/// longer constant makes a program more expensive, its shape is a different one.
+/// cost: where a longer constant makes a program more expensive, its shape is a different one.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Shape {
     /// The instructions.
--- a/crates/expr/src/compiled.rs
+++ b/crates/expr/src/compiled.rs
@@ -9,8 +9,7 @@
 use std::sync::Arc;
 
 /// A checked expression that is ready to run, without the data that only checks and explanations
-/// need. Clones
-/// share all of it.
+/// need. Clones share all of it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Compiled {
     pub(crate) shape: Arc<Shape>,
@@ -68,8 +67,7 @@
     }
 
     /// Estimated heap bytes of the constants, counted in full even if others share them. The shape,
-    /// which many
-    /// expressions share, is not counted.
+    /// which many expressions share, is not counted.
     pub fn heap_bytes(&self) -> usize {
         let referred: usize = self.operands.iter().map(Operand::heap_bytes).sum();
         ARC_HEADER + size_of::<Operand>() * self.operands.len() + referred
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -1,8 +1,6 @@
 //! Constants: the literal values of an expression and the data that the machine needs besides them,
-//! such as
-//! compiled patterns. They are small, cheap to clone and compared by content, so that compiled
-//! expressions can
-//! share them.
+//! such as compiled patterns. They are small, cheap to clone and compared by content, so that
+//! compiled expressions can share them.
 
 use crate::limits::MAX_REGEX;
 use crate::schema::{Bound, Type, Value};
@@ -100,7 +98,7 @@
     }
 
     /// The items, if this is a list of texts.
-    pub(crate) fn listed_texts(&self) -> Option<Vec<Arc<str>>> {
+    pub(crate) fn text_items(&self) -> Option<Vec<Arc<str>>> {
         let Const::List(list) = self else { return None };
         let text = |item: &Const| {
             if let Const::Text(text) = item {
@@ -113,7 +111,7 @@
     }
 
     /// The items, if this is a list of integers.
-    pub(crate) fn listed_ints(&self) -> Option<Vec<i64>> {
+    pub(crate) fn int_items(&self) -> Option<Vec<i64>> {
         let Const::List(list) = self else { return None };
         let int = |item: &Const| {
             if let Const::Int(int) = item {
--- a/crates/expr/src/error.rs
+++ b/crates/expr/src/error.rs
@@ -1,6 +1,5 @@
 //! Errors of expressions and their wording for people: one line for a log, or the source line with
-//! a caret under
-//! the faulty part. An error never holds more than an excerpt of a hostile text.
+//! a caret under the faulty part. An error never holds more than an excerpt of a hostile text.
 
 use std::fmt;
 use std::ops::Range;
--- a/crates/expr/src/error/tests.rs
+++ b/crates/expr/src/error/tests.rs
@@ -21,8 +21,8 @@
     assert_eq!(Error::new(0..1, "x").located(text).position(origin), origin);
 }
 
-/// A span may end beyond the text or within a character of several bytes. Rendering must not panic, and a long line must
-/// be cut to an excerpt.
+/// A span may end beyond the text or within a character of several bytes. Rendering must not panic,
+/// and a long line must be cut to an excerpt.
 #[test]
 fn out_of_range_spans_and_long_lines_render() {
     let text = "é".repeat(5000);
--- a/crates/expr/src/explain.rs
+++ b/crates/expr/src/explain.rs
@@ -1,6 +1,5 @@
 //! Explains the evaluation of an expression on one input, part by part. It compiles each part
-//! separately, so it
-//! must not be used on the serving path.
+//! separately, so it must not be used on the serving path.
 
 use crate::machine::{run, Scratch};
 use crate::node::{Kind, Node};
--- a/crates/expr/src/facts.rs
+++ b/crates/expr/src/facts.rs
@@ -1,10 +1,7 @@
 //! Facts about the input that hold where an expression is evaluated: which fields are present,
-//! which texts they
-//! may hold, and how those begin. `join` keeps what holds in either of two cases, `meet` combines
-//! what holds in
-//! both at once. Facts must never claim more than holds for every input: type narrowing, effects
-//! and the index
-//! over rules depend on them.
+//! which texts they may hold, and how those begin. `join` keeps what holds in either of two cases,
+//! `meet` combines what holds in both at once. Facts must never claim more than holds for every
+//! input: type narrowing, effects and the index over rules depend on them.
 
 use crate::schema::FieldId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,12 +80,8 @@
         };
         let not_prefixes = match (&self.texts, &other.texts) {
             // A set of texts excludes each prefix that none of its texts has.
-            (Texts::In(texts), _) => {
-                remaining_exclusions(&other.not_prefixes, texts, &self.not_prefixes)
-            }
-            (_, Texts::In(texts)) => {
-                remaining_exclusions(&self.not_prefixes, texts, &other.not_prefixes)
-            }
+            (Texts::In(texts), _) => still_excluded(&other.not_prefixes, texts, &self.not_prefixes),
+            (_, Texts::In(texts)) => still_excluded(&self.not_prefixes, texts, &other.not_prefixes),
             _ => self
                 .not_prefixes
                 .intersection(&other.not_prefixes)
@@ -188,10 +181,10 @@
     }
 }
 
-fn remaining_exclusions(excluded: &TextSet, texts: &TextSet, other_excluded: &TextSet) -> TextSet {
-    let kept = |p: &&Arc<str>| {
-        other_excluded.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p))
-    };
+/// The excluded prefixes of one fact that none of `texts` has, or that `other` excludes as well.
+fn still_excluded(excluded: &TextSet, texts: &TextSet, other: &TextSet) -> TextSet {
+    let kept =
+        |p: &&Arc<str>| other.contains(*p) || texts.iter().all(|text| !text.starts_with(&***p));
     excluded.iter().filter(kept).cloned().collect()
 }
 
--- a/crates/expr/src/facts/tests.rs
+++ b/crates/expr/src/facts/tests.rs
@@ -62,8 +62,8 @@
     .unwrap();
     let fact = joined.get(&PATH).unwrap();
     assert!(fact.never_begins("/c") && !fact.never_begins("/a/x") && !fact.never_begins("/"));
-    // The value may be exactly "/b" and nothing longer. The joined fact keeps "/b" as a prefix only, so "/b/" is not
-    // excluded.
+    // The value may be exactly "/b" and nothing longer. The joined fact keeps "/b" as a prefix
+    // only, so "/b/" is not excluded.
     assert!(!fact.never_begins("/b/"));
     let not = Facts::one(
         PATH,
--- a/crates/expr/src/fold.rs
+++ b/crates/expr/src/fold.rs
@@ -1,6 +1,5 @@
 //! Constant folding: evaluates parts of an expression that read nothing of the input when the
-//! expression is
-//! checked.
+//! expression is checked.
 
 use crate::constant::Const;
 use crate::error::Error;
--- a/crates/expr/src/interner.rs
+++ b/crates/expr/src/interner.rs
@@ -1,6 +1,5 @@
 //! Interning: equal texts, equal program shapes, equal large operands and equal compiled
-//! expressions are held
-//! in memory once.
+//! expressions are held in memory once.
 
 use crate::code::Shape;
 use crate::compiled::Compiled;
@@ -10,8 +9,8 @@
 use std::sync::Arc;
 
 /// Shares texts and programs between compiled expressions. Shared data outlives the interner. An
-/// interner that
-/// is kept finds data equal to that of earlier expressions; dropping it frees its own tables only.
+/// interner that is kept finds data equal to that of earlier expressions; dropping it frees its own
+/// tables only.
 #[derive(Debug, Default)]
 pub struct Interner {
     texts: RapidHashSet<Arc<str>>,
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -1,8 +1,6 @@
 //! Tokenizer for CEL's lexical grammar: names, numbers, string literals with escapes, raw string
-//! literals and comments.
-//! The module limits the length of a text and its number of tokens. It never looks ahead further
-//! than one token
-//! and allocates no more than the text is long.
+//! literals and comments. The module limits the length of a text and its number of tokens. It never
+//! looks ahead further than one token and allocates no more than the text is long.
 
 use crate::error::Error;
 use std::ops::Range;
@@ -21,7 +19,7 @@
     Double(f64),
     Text(String),
     /// An operator or a bracket.
-    Sign(&'static str),
+    Symbol(&'static str),
     End,
 }
 
@@ -32,7 +30,7 @@
             Token::Name(name) => format!("`{}`", abbreviated(name)),
             Token::Int(_) | Token::Double(_) => "a number".into(),
             Token::Text(_) => "a string literal".into(),
-            Token::Sign(sign) => format!("`{sign}`"),
+            Token::Symbol(symbol) => format!("`{symbol}`"),
             Token::End => "the end".into(),
         }
     }
@@ -46,7 +44,7 @@
     }
 }
 
-const SIGNS: [&str; 26] = [
+const SYMBOLS: [&str; 26] = [
     "&&", "||", "==", "!=", "<=", ">=", "?", ":", "<", ">", "!", "+", "-", "*", "/", "%", "(", ")",
     "[", "]", "{", "}", ",", ";", ".", "=",
 ];
@@ -85,8 +83,8 @@
             (Token::Name(rest[..length].to_string()), length)
         } else if first.is_ascii_digit() {
             number(rest, at)?
-        } else if let Some(sign) = SIGNS.iter().find(|sign| rest.starts_with(**sign)) {
-            (Token::Sign(sign), sign.len())
+        } else if let Some(symbol) = SYMBOLS.iter().find(|symbol| rest.starts_with(**symbol)) {
+            (Token::Symbol(symbol), symbol.len())
         } else {
             let end = at + first.len_utf8();
             let problem = format!("{first:?} has no meaning here");
--- a/crates/expr/src/lib.rs
+++ b/crates/expr/src/lib.rs
@@ -1,14 +1,11 @@
 //! A typed expression language with a CEL-like syntax. Expressions match inputs and compute keys,
-//! and their
-//! worst-case cost is known before use.
+//! and their worst-case cost is known before use.
 //!
 //! A [`Schema`] lists the fields that an expression may read, with their types and maximum sizes.
 //! [`Expression::new`] parses a text against it: names, types and the reads of values that may be
-//! absent are
-//! checked, and the maximum cost of an evaluation is computed. The result is a flat program.
-//! [`Expression::eval`]
-//! runs it on an [`Input`] without allocating on the common path, and never spends more than the
-//! computed cost.
+//! absent are checked, and the maximum cost of an evaluation is computed. The result is a flat
+//! program. [`Expression::eval`] runs it on an [`Input`] without allocating on the common path, and
+//! never spends more than the computed cost.
 //!
 //! ```
 //! use driftgap_expr::{Expression, FieldId, Input, Schema, Scratch, Type, Value};
@@ -32,8 +29,10 @@
 //! ```
 //!
 //! [`Expression::compile`] gives the compact form for programs that keep many expressions.
-//! [`Selector`] finds
-//! those of many tests that can be true for an input.
+//! [`Selector`] finds those of many tests that can be true for an input.
+//!
+//! A test is an expression of type bool. A fact is something known about the input where a test is
+//! true or false, such as that a field is present.
 //!
 //! The crate does no I/O, reads no clock and knows no wire format.
 
@@ -175,9 +174,8 @@
         read().map_err(|error: Error| error.located(text))
     }
 
-    /// As [`Expression::with_facts`], but refuses an expression that may cost more than `max` or whose
-    /// type is not
-    /// `want`.
+    /// As [`Expression::with_facts`], but refuses an expression that may cost more than `max` or
+    /// whose type is not `want`.
     ///
     /// # Errors
     /// The first error; if the cost is too high, the error points at the most expensive part.
@@ -224,8 +222,7 @@
     }
 
     /// Maximum cost of an evaluation, in units: about one for each instruction and one for each few
-    /// bytes that
-    /// the machine examines.
+    /// bytes that the machine examines.
     pub fn cost(&self) -> u64 {
         self.program.cost()
     }
@@ -267,8 +264,7 @@
     }
 
     /// Compiles to the compact form, which evaluates to the same values and omits what only checks
-    /// and
-    /// explanations need.
+    /// and explanations need.
     pub fn compile(&self, interner: &mut Interner) -> Compiled {
         interner.compiled(&self.program)
     }
--- a/crates/expr/src/limits.rs
+++ b/crates/expr/src/limits.rs
@@ -1,6 +1,5 @@
 //! Limits of an expression besides those of its text. They bound the time and the memory that
-//! checking and evaluating
-//! take for any text, a hostile one included.
+//! checking and evaluating take for any text, a hostile one included.
 
 /// Maximum length of a regular expression's pattern, bytes.
 pub const MAX_PATTERN: usize = 512;
--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -1,6 +1,5 @@
 //! Stack machine that runs programs. It does not allocate on the common path, stops at the stated
-//! cost and does not
-//! panic for any input.
+//! cost and does not panic for any input.
 
 mod operators;
 
@@ -14,20 +13,21 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Why an evaluation failed. If the input matches its schema, only arithmetic can fail.
+/// Why an evaluation failed. If the input matches its schema, only arithmetic can fail. The texts
+/// are sent to clients, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// A number exceeded the range of its type.
     #[error("a number is too large for its type")]
     Overflow,
     /// A division by zero.
-    #[error("division by zero")]
+    #[error("a division by zero")]
     DivisionByZero,
     /// The stated cost was reached, because the input exceeds the bounds of its schema.
-    #[error("the input exceeds the bounds of its schema")]
+    #[error("the input is larger than was stated")]
     Cost,
     /// A value of the input has another type than its schema says.
-    #[error("the input does not match the types of its schema")]
+    #[error("the input is not of the stated types")]
     Input,
 }
 
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -146,8 +146,7 @@
                 StackValue::MapField(id) => self.input.size(id).ok_or(Fault::Input)? as i64,
                 StackValue::MapConst(map) => map.len() as i64,
                 // CEL counts code points. Here the size is in bytes: the limits of requests are in
-                // bytes as well, and
-                // counting code points would examine each byte.
+                // bytes as well, and counting code points would examine each byte.
                 StackValue::Text(_) | StackValue::ScratchText(..) => length_a as i64,
                 list => self.items(list)? as i64,
             })),
@@ -264,15 +263,14 @@
     }
 
     /// Splits a text into parts; the last part holds the rest. The text is copied to the scratch,
-    /// so that the parts
-    /// outlive the original.
+    /// so that the parts outlive the original.
     pub(super) fn split(
         &mut self,
         value: StackValue<'a>,
-        by: u16,
+        separator: u16,
         max: usize,
     ) -> Result<StackValue<'a>, Fault> {
-        let Const::Text(by) = self.constant(by)? else {
+        let Const::Text(separator) = self.constant(separator)? else {
             return Err(Fault::Input);
         };
         self.spend(price::split(self.length(value), 0))?;
@@ -282,14 +280,18 @@
         let mut from = start;
         for count in 1..=max {
             let rest = self.scratch.text.get(from..).ok_or(Fault::Input)?;
-            let found = if count < max { rest.find(&**by) } else { None };
+            let found = if count < max {
+                rest.find(&**separator)
+            } else {
+                None
+            };
             let to = found.map_or(self.scratch.text.len(), |at| from + at);
             self.spend(2)?;
             self.scratch.parts.push((from as u32, to as u32));
             if found.is_none() {
                 break;
             }
-            from = to + by.len();
+            from = to + separator.len();
         }
         Ok(StackValue::ScratchList(
             first,
--- a/crates/expr/src/node.rs
+++ b/crates/expr/src/node.rs
@@ -56,8 +56,7 @@
     /// Whether a list that is not constant contains the value.
     InList(Box<Node>, Box<Node>),
     /// `list.exists(x, test)` or `list.all(x, test)`. `slot` is the slot of `x`; the next two hold
-    /// the index and the
-    /// list.
+    /// the index and the list.
     Loop {
         all: bool,
         slot: u16,
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,8 +1,6 @@
 //! Compiles a typed tree to bytecode and computes its worst-case cost. Each method returns the cost
-//! of the code that it
-//! emits, in units, by the formulas that the machine spends by ([`crate::price`]), so that an
-//! evaluation cannot spend
-//! more than was stated.
+//! of the code that it emits, in units, by the formulas that the machine spends by
+//! ([`crate::price`]), so that an evaluation cannot spend more than was stated.
 
 use crate::ast::Binary;
 use crate::code::{Code, Op, Shape};
@@ -222,8 +220,7 @@
     fn matches(&mut self, a: &Node, pattern: &Arc<str>) -> u64 {
         let Ok(pattern) = Pattern::new(pattern) else {
             // The checker has compiled this pattern already. If it fails now, the evaluation fails
-            // as well, since no
-            // operand has this index.
+            // as well, since no operand has this index.
             return self.unary(a, Op::InSet(u16::MAX));
         };
         let extra = price::matches(bytes(a), pattern.length());
@@ -303,13 +300,15 @@
                 self.unary(first, Op::Hash(max)) + price::hash(bytes(0))
             }
             Func::Split => {
-                let (Some(by), Some(Const::Int(max))) = (args[1].as_const(), args[2].as_const())
+                let (Some(separator), Some(Const::Int(max))) =
+                    (args[1].as_const(), args[2].as_const())
                 else {
                     return 0;
                 };
                 let max = *max as u16;
-                let by = self.operand(Operand::Value(by.clone()));
-                self.unary(first, Op::Split(by, max)) + price::split(bytes(0), u64::from(max))
+                let separator = self.operand(Operand::Value(separator.clone()));
+                self.unary(first, Op::Split(separator, max))
+                    + price::split(bytes(0), u64::from(max))
             }
             Func::StartsWith
                 if self.text_field(first).is_some() && args[1].as_const().is_some() =>
--- a/crates/expr/src/schema.rs
+++ b/crates/expr/src/schema.rs
@@ -1,7 +1,6 @@
 //! Schema of the input: the fields that expressions may read, with their types and bounds, and the
-//! [`Input`] trait
-//! through which an embedding program provides the values without copying them. A schema holds no
-//! values.
+//! [`Input`] trait through which an embedding program provides the values without copying them. A
+//! schema holds no values.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -178,8 +177,8 @@
 }
 
 /// Values of one input, as its schema describes them. Look-ups must take about the same time for
-/// any number of entries.
-/// A value of another type than the schema's ends the evaluation with a fault.
+/// any number of entries. A value of another type than the schema's ends the evaluation with a
+/// fault.
 pub trait Input {
     /// The value of a field that is neither a list nor a map; `None` if it is absent.
     fn get(&self, field: FieldId) -> Option<Value<'_>>;
--- a/crates/expr/src/select.rs
+++ b/crates/expr/src/select.rs
@@ -1,6 +1,6 @@
 //! Index over many tests, such as those of a file of rules: finds the tests that can be true for an
-//! input. It may choose
-//! a test that turns out to be false, but must never leave out one that is true.
+//! input. It may choose a test that turns out to be false, but must never leave out one that is
+//! true.
 
 use crate::schema::{FieldId, Input, Value};
 use crate::select_key::SelectKey;
@@ -140,8 +140,7 @@
     }
 
     /// Chooses the tests that may be true for an input. The time depends on the texts that are
-    /// looked up and the tests
-    /// that are chosen, not on the number of tests in the index.
+    /// looked up and the tests that are chosen, not on the number of tests in the index.
     pub fn choose(&self, input: &dyn Input, chosen: &mut Chosen) {
         if !Arc::ptr_eq(&chosen.always, &self.always) {
             chosen.always = self.always.clone();
--- a/crates/expr/src/select_key.rs
+++ b/crates/expr/src/select_key.rs
@@ -60,10 +60,9 @@
     }
 
     /// Rank of the candidate; the highest one becomes the key. Texts that few tests share are the
-    /// most selective, then
-    /// long ones: a path is selective, a method or a host that all tests share is not. The
-    /// reference count of a text in
-    /// the interner serves as the number of tests that share it.
+    /// most selective, then long ones: a path is selective, a method or a host that all tests share
+    /// is not. The reference count of a text in the interner serves as the number of tests that
+    /// share it.
     fn rank(&self, interner: &Interner) -> impl Ord {
         let holders = self
             .texts
--- a/crates/expr/src/text_index.rs
+++ b/crates/expr/src/text_index.rs
@@ -1,8 +1,6 @@
 //! Hash tables from texts to numbers, held in a few large arrays: one finds the entries of an exact
-//! text, the other the
-//! entries whose texts are prefixes of a given text. The time of a look-up depends on the length of
-//! the text and the
-//! number of entries found, not on the size of the table.
+//! text, the other the entries whose texts are prefixes of a given text. The time of a look-up
+//! depends on the length of the text and the number of entries found, not on the size of the table.
 
 use hashbrown::{hash_table, HashTable};
 use rapidhash::v3::rapidhash_v3;
@@ -103,8 +101,7 @@
 }
 
 /// Finds numbers by prefixes of a text. A look-up tries each length that any prefix has, and
-/// extends the hash of the
-/// text's beginning from one length to the next.
+/// extends the hash of the text's beginning from one length to the next.
 #[derive(Debug)]
 pub(crate) struct PrefixIndex {
     table: Table,
@@ -143,8 +140,7 @@
 }
 
 /// The beginnings of a text that have these lengths, with their hashes. A hash depends on all
-/// lengths up to that of its
-/// beginning.
+/// lengths up to that of its beginning.
 fn beginnings<'t>(lengths: &'t [usize], text: &'t [u8]) -> impl Iterator<Item = (&'t [u8], u64)> {
     let (mut from, mut hash) = (0, 0u64);
     lengths.iter().map_while(move |&to| {
--- a/crates/expr/tests/common/mod.rs
+++ b/crates/expr/tests/common/mod.rs
@@ -138,7 +138,8 @@
     }
 }
 
-/// Whether the value is a list or a map. Evaluating such an expression fails, since [`Value`] has no collections.
+/// Whether the value is a list or a map. Evaluating such an expression fails, since [`Value`] has
+/// no collections.
 fn is_collection(expression: &driftgap_expr::Expression) -> bool {
     matches!(expression.ty(), Type::List(_) | Type::Map(_))
 }
--- a/crates/expr/tests/compiled.rs
+++ b/crates/expr/tests/compiled.rs
@@ -1,4 +1,5 @@
-//! Compiled expressions evaluate like the expressions that they were compiled from, and equal ones share memory.
+//! Compiled expressions evaluate like the expressions that they were compiled from, and equal ones
+//! share memory.
 
 mod common;
 mod generators;
--- a/crates/expr/tests/conformance.rs
+++ b/crates/expr/tests/conformance.rs
@@ -7,8 +7,8 @@
 
 const CASES: &str = include_str!("conformance.txt");
 
-/// The outcome of an expression in the notation of the table: a value (`=>`), an error when the expression is checked
-/// (`!!`) or a fault when it is evaluated (`~~`).
+/// The outcome of an expression in the notation of the table: a value (`=>`), an error when the
+/// expression is checked (`!!`) or a fault when it is evaluated (`~~`).
 fn value(text: &str) -> (&'static str, String) {
     let expression = match Expression::new(text, &schema()) {
         Ok(expression) => expression,
@@ -83,8 +83,9 @@
 
 #[test]
 fn hashes_stay_the_same() {
-    // The expected values come from this implementation. Rules route partners to pools by these hashes: a changed
-    // algorithm would move partners between pools, so it needs a function with a new name.
+    // The expected values come from this implementation. Rules route partners to pools by these
+    // hashes: a changed algorithm would move partners between pools, so it needs a function with a
+    // new name.
     for (text, want) in [
         ("", "12586"),
         ("0000000000000007", "876660"),
--- a/crates/expr/tests/corpus.rs
+++ b/crates/expr/tests/corpus.rs
@@ -1,5 +1,5 @@
-//! Runs the fuzzing corpus and the expressions of the table of cases through the parser, the checker, the machine and the
-//! explanation.
+//! Runs the fuzzing corpus and the expressions of the table of cases through the parser, the
+//! checker, the machine and the explanation.
 
 mod common;
 
--- a/crates/expr/tests/generators/mod.rs
+++ b/crates/expr/tests/generators/mod.rs
@@ -8,8 +8,8 @@
 use proptest::test_runner::RngSeed;
 use std::hash::{BuildHasher, RandomState};
 
-/// A configuration with this many cases and a seed that is printed. A run with that seed in `PROPTEST_RNG_SEED` has the
-/// same cases.
+/// A configuration with this many cases and a seed that is printed. A run with that seed in
+/// `PROPTEST_RNG_SEED` has the same cases.
 pub fn cases(cases: u32) -> ProptestConfig {
     let config = ProptestConfig::default();
     let seed = match config.rng_seed {
--- a/crates/expr/tests/heap.rs
+++ b/crates/expr/tests/heap.rs
@@ -1,5 +1,5 @@
-//! Heap use of compiled tests, their keys and the index over them, counted by the allocator. There is a single test, since
-//! the allocator counts for the whole process.
+//! Heap use of compiled tests, their keys and the index over them, counted by the allocator. There
+//! is a single test, since the allocator counts for the whole process.
 
 mod common;
 
@@ -31,7 +31,7 @@
     };
     let schema = schema();
     for number in 0..TESTS {
-        let expression = Expression::new(&text(number), &schema).expect("a test");
+        let expression = Expression::new(&text(number), &schema).expect("a valid test");
         all.compiled.push(expression.compile(interner));
         all.keys.push(expression.select_key(interner));
     }
@@ -68,7 +68,7 @@
         drop(interner);
         let bytes = held(&region);
         println!(
-            "{}: {} bytes a test, {} with the interner, {} of them the index, {} by estimate",
+            "{}: {} bytes per test, {} with the interner, {} of them for the index, {} estimated",
             text(0),
             bytes / TESTS,
             with_interner / TESTS,
@@ -77,16 +77,20 @@
         );
         assert!(
             bytes <= MAX_BYTES * TESTS,
-            "{}: {} bytes a test",
+            "{}: {} bytes per test",
             text(0),
             bytes / TESTS
         );
         assert!(
             estimate <= bytes && estimate >= bytes / 3,
-            "{estimate} by estimate, {bytes} counted"
+            "{estimate} bytes estimated, {bytes} counted"
         );
         drop((all, selector));
-        assert!(held(&region) < TESTS, "{} bytes are left", held(&region));
+        assert!(
+            held(&region) < TESTS,
+            "{} bytes are still allocated",
+            held(&region)
+        );
     }
 
     let mut interner = Interner::new();
@@ -95,7 +99,7 @@
     let bytes = held(&region);
     assert!(
         bytes <= MAX_SHARED_BYTES * TESTS,
-        "{} bytes a shared test",
+        "{} bytes per test that shares its program",
         bytes / TESTS
     );
     assert!(all.iter().all(|one| one.same(&all[0])));
@@ -103,7 +107,7 @@
     interner.sweep();
     assert!(
         held(&region) < TESTS,
-        "{} bytes are left after a sweep",
+        "{} bytes are still allocated after a sweep",
         held(&region)
     );
 
@@ -114,7 +118,7 @@
     interner.sweep();
     assert!(
         held(&region) < TESTS,
-        "{} bytes are left after a sweep",
+        "{} bytes are still allocated after a sweep",
         held(&region)
     );
 
@@ -125,12 +129,12 @@
     let asked = region.change().bytes_allocated;
     let transient = asked.saturating_sub(selector.heap_bytes());
     println!(
-        "building an index: {} transient bytes a test",
+        "building an index: {} transient bytes per test",
         transient / TESTS
     );
     assert!(
         transient <= MAX_TRANSIENT_BYTES * TESTS,
-        "{} transient bytes a test",
+        "{} transient bytes per test",
         transient / TESTS
     );
 }
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -1,5 +1,6 @@
-//! Properties of all expressions. A well-typed one never fails with a type error and never costs more than was stated, and
-//! its facts hold. No text causes a panic or takes long to check. Each run prints its seed.
+//! Properties of all expressions. A well-typed one never fails with a type error and never costs
+//! more than was stated, and its facts hold. No text causes a panic or takes long to check. Each
+//! run prints its seed.
 
 mod common;
 mod generators;
@@ -57,8 +58,9 @@
     ) {
         let expression = match Expression::new(&text, &schema()) {
             Ok(expression) => expression,
-            // Constant arithmetic may fail for every input, concatenated texts may be too long, and a generated has() or
-            // orValue() may apply to a value that is always present. No other error is allowed.
+            // Constant arithmetic may fail for every input, concatenated texts may be too long, and
+            // a generated has() or orValue() may apply to a value that is always present. No other
+            // error is allowed.
             Err(e) => {
                 let message = e.to_string();
                 let allowed = ["for every input", "the limit is", "always present"];
@@ -173,8 +175,8 @@
     Duration::from_millis(if cfg!(debug_assertions) { 2000 } else { 100 })
 }
 
-/// Guards against texts that make checking take quadratic or exponential time: deep nesting, long chains, large lists,
-/// huge patterns and doubled conditionals.
+/// Guards against texts that make checking take quadratic or exponential time: deep nesting, long
+/// chains, large lists, huge patterns and doubled conditionals.
 #[test]
 #[expect(clippy::too_many_lines, reason = "not split yet, see docs/ROADMAP.md")]
 fn hostile_texts_are_checked_in_time() {
--- a/crates/expr/tests/select.rs
+++ b/crates/expr/tests/select.rs
@@ -37,7 +37,8 @@
     chosen.iter().collect()
 }
 
-/// Texts over a small alphabet, so that many are equal or prefixes of one another. Some have multi-byte characters.
+/// Texts over a small alphabet, so that many are equal or prefixes of one another. Some have
+/// multi-byte characters.
 fn nested() -> impl Strategy<Value = Arc<str>> {
     prop_oneof![8 => "[ab/]{1,12}", 1 => "[aé/]{1,4}", 1 => "a{1,60}"].prop_map(Arc::from)
 }
