--- a/crates/expr/src/check.rs
+++ b/crates/expr/src/check.rs
@@ -161,13 +161,13 @@
         let [then_facts, otherwise_facts] = self.facts(&test);
         // A branch that is never taken has no facts of its own; those from before the test suffice
         // for its types.
-        let within = |branch: Option<Facts>| {
+        let branch_facts = |branch: Option<Facts>| {
             branch
                 .and_then(|branch| facts.clone().meet(branch))
                 .unwrap_or_else(|| facts.clone())
         };
-        let then = self.check(then, &within(then_facts))?;
-        let otherwise = self.check(otherwise, &within(otherwise_facts))?;
+        let then = self.check(then, &branch_facts(then_facts))?;
+        let otherwise = self.check(otherwise, &branch_facts(otherwise_facts))?;
         if then.ty != otherwise.ty {
             let problem = format!(
                 "the two sides of `? :` have different types: {} and {}",
--- a/crates/expr/src/check/functions.rs
+++ b/crates/expr/src/check/functions.rs
@@ -43,12 +43,12 @@
         span: Range<usize>,
         facts: &Facts,
     ) -> CheckResult<Node> {
-        let arguments: &[usize] = match name {
+        let arities: &[usize] = match name {
             "has" | "size" | "int" | "double" | "string" | "ip" | "duration" => &[1],
             "hash" | "min" | "max" => &[2],
             _ => return Err(no_function(name, span)),
         };
-        self.check_arity(name, args, arguments, &span)?;
+        self.check_arity(name, args, arities, &span)?;
         let first = self.check(&args[0], facts)?;
         match name {
             "has" => has(first, span),
@@ -101,12 +101,12 @@
 
 /// `duration("250ms")`.
 fn constant_duration(text: Node, span: Range<usize>) -> CheckResult<Node> {
-    let Some(written) = text.as_text() else {
+    let Some(literal) = text.as_text() else {
         let error = Error::new(text.span, "duration() takes a constant string");
         return Err(error.help("x * duration(\"1ms\") converts an integer to a duration"));
     };
-    let Some(ms) = duration(written) else {
-        let problem = format!("{:?} is not a duration", abbreviated(written));
+    let Some(ms) = duration(literal) else {
+        let problem = format!("{:?} is not a duration", abbreviated(literal));
         let error = Error::new(text.span.clone(), problem);
         return Err(error.help("examples are \"250ms\", \"1.5s\", \"2m\" and \"1h30m\""));
     };
--- a/crates/expr/src/check/membership.rs
+++ b/crates/expr/src/check/membership.rs
@@ -92,7 +92,7 @@
         return Err(mismatch(&item.span, &of.to_string(), &item));
     }
     let value = list.as_const();
-    let texts = value.and_then(Const::text_items).map(Const::texts);
+    let texts = value.and_then(Const::text_items).map(Const::text_set);
     let ints = || value.and_then(Const::int_items);
     let set = texts.or_else(|| Some(Const::IntSet(Arc::new(ints()?.into_iter().collect()))));
     let kind = match set {
--- a/crates/expr/src/check/merge.rs
+++ b/crates/expr/src/check/merge.rs
@@ -40,7 +40,7 @@
         };
         let kind = match text_test {
             TextTest::EqualsAny(texts) if texts.len() > 1 => {
-                Kind::InSet(of.clone().into(), Const::texts(texts))
+                Kind::InSet(of.clone().into(), Const::text_set(texts))
             }
             TextTest::StartsWithAny(texts) if texts.len() > 1 => {
                 Kind::BeginsWithAny(of.clone().into(), texts)
--- a/crates/expr/src/check/methods.rs
+++ b/crates/expr/src/check/methods.rs
@@ -39,7 +39,7 @@
             let error = Error::new(of.span.clone(), format!("this is {}", article(&of.ty)));
             return Err(error.help(OPTIONAL_HELP));
         }
-        let arguments: &[usize] = match (name, &of.ty) {
+        let arities: &[usize] = match (name, &of.ty) {
             ("size", Type::Text | Type::List(_) | Type::Map(_)) => &[0],
             ("lowerAscii", Type::Text) | ("milliseconds", Type::Duration) => &[0],
             ("startsWith" | "endsWith" | "contains" | "matches", Type::Text) => &[1],
@@ -47,7 +47,7 @@
             ("split", Type::Text) => &[1, 2],
             _ => return Err(no_method(name, &of.ty, span)),
         };
-        self.check_arity(name, args, arguments, &span)?;
+        self.check_arity(name, args, arities, &span)?;
         match name {
             "size" => size(of, span),
             "lowerAscii" => {
--- a/crates/expr/src/check/patterns.rs
+++ b/crates/expr/src/check/patterns.rs
@@ -75,17 +75,17 @@
 
 /// Parses an address range, or a single address as the range that contains it alone.
 fn network(text: &str, span: &Range<usize>) -> CheckResult<IpNet> {
-    let host = || text.parse::<std::net::IpAddr>().ok().map(IpNet::from);
-    let Some(network) = text.parse::<IpNet>().ok().or_else(host) else {
+    let single_address = || text.parse::<std::net::IpAddr>().ok().map(IpNet::from);
+    let Some(network) = text.parse::<IpNet>().ok().or_else(single_address) else {
         let problem = format!("{:?} is not an address range", abbreviated(text));
         let error = Error::new(span.clone(), problem);
         return Err(error.help("examples are \"10.0.0.0/8\" and \"fd00::/8\""));
     };
-    let exact = network.trunc();
-    if exact != network {
+    let truncated = network.trunc();
+    if truncated != network {
         let problem = format!("{text:?} has bits set beyond its prefix length");
         let error = Error::new(span.clone(), problem);
-        return Err(error.help(format!("did you mean \"{exact}\"?")));
+        return Err(error.help(format!("did you mean \"{truncated}\"?")));
     }
     Ok(network)
 }
--- a/crates/expr/src/constant.rs
+++ b/crates/expr/src/constant.rs
@@ -49,7 +49,7 @@
 
 impl Const {
     /// A set of texts, for look-ups.
-    pub(crate) fn texts(all: Vec<Arc<str>>) -> Const {
+    pub(crate) fn text_set(all: Vec<Arc<str>>) -> Const {
         Const::TextSet(Arc::new(all.into_iter().collect()))
     }
 
@@ -194,7 +194,7 @@
 
     /// Whether the operand is the only reference to its heap data.
     pub(crate) fn is_unshared(&self) -> bool {
-        let holders = match self {
+        let references = match self {
             Operand::Value(Const::Text(text)) => Arc::strong_count(text),
             Operand::Value(Const::List(list)) => Arc::strong_count(list),
             Operand::Value(Const::Map(map)) => Arc::strong_count(map),
@@ -205,7 +205,7 @@
             Operand::Networks(networks) => Arc::strong_count(networks),
             Operand::Prefixes(prefixes) => Arc::strong_count(prefixes),
         };
-        holders == 1
+        references == 1
     }
 
     /// Whether the operand refers to heap data that is more than one text.
--- a/crates/expr/src/interner.rs
+++ b/crates/expr/src/interner.rs
@@ -39,7 +39,7 @@
     }
 
     /// Reference count of the shared copy of a text; 0 if there is none.
-    pub(crate) fn holders(&self, text: &str) -> usize {
+    pub(crate) fn references(&self, text: &str) -> usize {
         self.texts.get(text).map_or(0, Arc::strong_count)
     }
 
--- a/crates/expr/src/lex.rs
+++ b/crates/expr/src/lex.rs
@@ -58,7 +58,7 @@
         );
         return Err(Error::new(0..1, problem));
     }
-    let mut found = Vec::new();
+    let mut tokens = Vec::new();
     let mut at = 0;
     while let Some(first) = text[at..].chars().next() {
         let rest = &text[at..];
@@ -70,7 +70,7 @@
             at += rest.find('\n').unwrap_or(rest.len());
             continue;
         }
-        if found.len() >= MAX_TOKENS {
+        if tokens.len() >= MAX_TOKENS {
             let problem = format!("the expression has more than {MAX_TOKENS} tokens");
             return Err(Error::new(at..at + 1, problem));
         }
@@ -78,8 +78,8 @@
         let (token, length) = if raw || matches!(first, '"' | '\'') {
             literal(rest, at, raw)?
         } else if first.is_ascii_alphabetic() || first == '_' {
-            let word = |c: char| c.is_ascii_alphanumeric() || c == '_';
-            let length = rest.find(|c| !word(c)).unwrap_or(rest.len());
+            let is_name_character = |c: char| c.is_ascii_alphanumeric() || c == '_';
+            let length = rest.find(|c| !is_name_character(c)).unwrap_or(rest.len());
             (Token::Name(rest[..length].to_string()), length)
         } else if first.is_ascii_digit() {
             number(rest, at)?
@@ -95,11 +95,11 @@
                 _ => error,
             });
         };
-        found.push((token, at..at + length));
+        tokens.push((token, at..at + length));
         at += length;
     }
-    found.push((Token::End, text.len()..text.len()));
-    Ok(found)
+    tokens.push((Token::End, text.len()..text.len()));
+    Ok(tokens)
 }
 
 fn number(rest: &str, at: usize) -> Result<(Token, usize), Error> {
@@ -120,9 +120,9 @@
     }
     if rest[length..].starts_with(['e', 'E']) {
         let sign = usize::from(rest[length + 1..].starts_with(['+', '-']));
-        let power = digits(&rest[length + 1 + sign..]);
-        if power > 0 {
-            length += 1 + sign + power;
+        let exponent_digits = digits(&rest[length + 1 + sign..]);
+        if exponent_digits > 0 {
+            length += 1 + sign + exponent_digits;
             double = true;
         }
     }
@@ -141,11 +141,11 @@
 }
 
 fn literal(rest: &str, at: usize, raw: bool) -> Result<(Token, usize), Error> {
-    let open = usize::from(raw);
-    let Some(quote) = rest[open..].chars().next() else {
+    let prefix_length = usize::from(raw);
+    let Some(quote) = rest[prefix_length..].chars().next() else {
         return Err(Error::new(at..at + 1, "a string literal was expected"));
     };
-    let triple = rest[open..].starts_with(if quote == '"' { "\"\"\"" } else { "'''" });
+    let triple = rest[prefix_length..].starts_with(if quote == '"' { "\"\"\"" } else { "'''" });
     let close: &str = match (quote, triple) {
         ('"', true) => "\"\"\"",
         ('"', false) => "\"",
@@ -153,7 +153,7 @@
         _ => "'",
     };
     let mut value = String::new();
-    let mut offset = open + close.len();
+    let mut offset = prefix_length + close.len();
     loop {
         let left = &rest[offset..];
         if left.starts_with(close) {
@@ -185,7 +185,7 @@
 
 /// The character that an escape sequence stands for, and the length of the sequence in bytes.
 fn escape(left: &str) -> Option<(char, usize)> {
-    let code = |digits: usize| {
+    let hex_escape = |digits: usize| {
         let hex = left
             .get(2..2 + digits)
             .filter(|hex| hex.bytes().all(|b| b.is_ascii_hexdigit()))?;
@@ -194,7 +194,7 @@
             2 + digits,
         ))
     };
-    let plain = match left.chars().nth(1)? {
+    let character = match left.chars().nth(1)? {
         c @ ('\\' | '"' | '\'' | '`' | '?') => c,
         'a' => '\u{7}',
         'b' => '\u{8}',
@@ -203,10 +203,10 @@
         'r' => '\r',
         't' => '\t',
         'v' => '\u{b}',
-        'x' | 'X' => return code(2),
-        'u' => return code(4),
-        'U' => return code(8),
+        'x' | 'X' => return hex_escape(2),
+        'u' => return hex_escape(4),
+        'U' => return hex_escape(8),
         _ => return None,
     };
-    Some((plain, 2))
+    Some((character, 2))
 }
--- a/crates/expr/src/select.rs
+++ b/crates/expr/src/select.rs
@@ -46,12 +46,15 @@
     /// The numbers of the chosen tests in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         let (mut found, mut always) = (self.found.iter().peekable(), self.always.iter().peekable());
-        std::iter::from_fn(move || lower(&mut found, &mut always)).map(|test| test as usize)
+        std::iter::from_fn(move || next_lower(&mut found, &mut always)).map(|test| test as usize)
     }
 }
 
 /// Takes the lower one of the next items of two ascending sequences.
-fn lower<'a, I: Iterator<Item = &'a u32>>(a: &mut Peekable<I>, b: &mut Peekable<I>) -> Option<u32> {
+fn next_lower<'a, I: Iterator<Item = &'a u32>>(
+    a: &mut Peekable<I>,
+    b: &mut Peekable<I>,
+) -> Option<u32> {
     let from_a = match (a.peek(), b.peek()) {
         (Some(a), Some(b)) => a < b,
         (a, _) => a.is_some(),
--- a/crates/expr/src/select_key.rs
+++ b/crates/expr/src/select_key.rs
@@ -12,7 +12,7 @@
 const MAX_TEXTS: usize = 4096;
 
 /// Texts with fewer references than this are ranked as equally rare.
-const FEW_HOLDERS: usize = 32;
+const MIN_RANKED_REFERENCES: usize = 32;
 
 /// Condition that an input must meet for a test to be true.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 /// A field that could serve as the key of a test.
 struct Candidate<'f> {
     field: FieldId,
-    whole: bool,
+    exact: bool,
     texts: &'f BTreeSet<Arc<str>>,
     shortest: usize,
 }
@@ -44,7 +44,7 @@
         let Path::Field(field) = path else {
             return None;
         };
-        let (whole, texts) = match (&fact.texts, &fact.prefixes) {
+        let (exact, texts) = match (&fact.texts, &fact.prefixes) {
             (Texts::In(texts), _) => (true, texts),
             (_, Some(prefixes)) => (false, prefixes),
             _ => return None,
@@ -53,7 +53,7 @@
         let useful = texts.len() <= MAX_TEXTS && shortest > 0;
         useful.then_some(Candidate {
             field: *field,
-            whole,
+            exact,
             texts,
             shortest,
         })
@@ -64,13 +64,16 @@
     /// is not. The reference count of a text in the interner serves as the number of tests that
     /// share it.
     fn rank(&self, interner: &Interner) -> impl Ord {
-        let holders = self
+        let references = self
             .texts
             .iter()
-            .map(|text| interner.holders(text))
+            .map(|text| interner.references(text))
             .max()
             .unwrap_or(0);
-        (Reverse(holders.max(FEW_HOLDERS)), self.shortest)
+        (
+            Reverse(references.max(MIN_RANKED_REFERENCES)),
+            self.shortest,
+        )
     }
 }
 
@@ -92,7 +95,7 @@
             .iter()
             .map(|text| interner.shared_text(text))
             .collect();
-        match (best.whole, <[Arc<str>; 1]>::try_from(texts)) {
+        match (best.exact, <[Arc<str>; 1]>::try_from(texts)) {
             (true, Ok([text])) => SelectKey::Equals(best.field, text),
             (true, Err(texts)) => SelectKey::EqualsAny(best.field, texts.into()),
             (false, Ok([text])) => SelectKey::BeginsWith(best.field, text),
--- a/crates/expr/tests/heap.rs
+++ b/crates/expr/tests/heap.rs
@@ -39,7 +39,7 @@
 }
 
 /// Bytes allocated since the start of a region and not yet freed.
-fn held(region: &Region<'_, System>) -> usize {
+fn live_bytes(region: &Region<'_, System>) -> usize {
     let change = region.change();
     change
         .bytes_allocated
@@ -63,10 +63,10 @@
         let mut interner = Interner::new();
         let all = tests(&mut interner, text);
         let selector = Selector::new(all.keys.iter());
-        let with_interner = held(&region);
+        let with_interner = live_bytes(&region);
         let estimate: usize = all.compiled.iter().map(Compiled::heap_bytes).sum();
         drop(interner);
-        let bytes = held(&region);
+        let bytes = live_bytes(&region);
         println!(
             "{}: {} bytes per test, {} with the interner, {} of them for the index, {} estimated",
             text(0),
@@ -87,16 +87,16 @@
         );
         drop((all, selector));
         assert!(
-            held(&region) < TESTS,
+            live_bytes(&region) < TESTS,
             "{} bytes are still allocated",
-            held(&region)
+            live_bytes(&region)
         );
     }
 
     let mut interner = Interner::new();
     let region = Region::new(GLOBAL);
     let all: Vec<Compiled> = tests(&mut interner, |_| "request.path == '/a'".to_string()).compiled;
-    let bytes = held(&region);
+    let bytes = live_bytes(&region);
     assert!(
         bytes <= MAX_SHARED_BYTES * TESTS,
         "{} bytes per test that shares its program",
@@ -106,28 +106,28 @@
     drop(all);
     interner.sweep();
     assert!(
-        held(&region) < TESTS,
+        live_bytes(&region) < TESTS,
         "{} bytes are still allocated after a sweep",
-        held(&region)
+        live_bytes(&region)
     );
 
     // A sweep frees data that only the interner refers to.
     let region = Region::new(GLOBAL);
     drop(tests(&mut interner, by_prefix));
-    assert!(held(&region) > TESTS);
+    assert!(live_bytes(&region) > TESTS);
     interner.sweep();
     assert!(
-        held(&region) < TESTS,
+        live_bytes(&region) < TESTS,
         "{} bytes are still allocated after a sweep",
-        held(&region)
+        live_bytes(&region)
     );
 
     // The total of all allocations of a build is an upper bound on its temporary memory.
     let all = tests(&mut interner, by_prefix);
     let region = Region::new(GLOBAL);
     let selector = Selector::new(all.keys.iter());
-    let asked = region.change().bytes_allocated;
-    let transient = asked.saturating_sub(selector.heap_bytes());
+    let allocated = region.change().bytes_allocated;
+    let transient = allocated.saturating_sub(selector.heap_bytes());
     println!(
         "building an index: {} transient bytes per test",
         transient / TESTS
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -171,7 +171,7 @@
 ];
 
 /// Maximum time to check a text: 100 ms in an optimised build, 2 s in a debug build.
-fn max() -> Duration {
+fn max_check_time() -> Duration {
     Duration::from_millis(if cfg!(debug_assertions) { 2000 } else { 100 })
 }
 
@@ -260,7 +260,11 @@
         let begun = Instant::now();
         let _ = Expression::new(&text, &schema());
         let took = begun.elapsed();
-        assert!(took < max(), "{took:?} for {}", &text[..text.len().min(80)]);
+        assert!(
+            took < max_check_time(),
+            "{took:?} for {}",
+            &text[..text.len().min(80)]
+        );
     }
 }
 
@@ -270,8 +274,8 @@
         "request.method == 'GET' && request.tags.exists(a, request.tags.exists(b, request.tags.exists(c, \
                  (a + b + c).matches('(x|y)+z'))))";
     let facts = driftgap_expr::Facts::default();
-    let max = |text: &str| Expression::within(text, &schema(), &facts, &Type::Bool, 2000);
-    let error = max(loops).unwrap_err();
+    let read = |text: &str| Expression::within(text, &schema(), &facts, &Type::Bool, 2000);
+    let error = read(loops).unwrap_err();
     let rendered = error.render("rules.toml", driftgap_expr::Origin::default());
     assert!(rendered.contains("the limit is 2000"), "{rendered}");
     assert_eq!(
@@ -279,7 +283,7 @@
         "(a + b + c).matches('(x|y)+z')",
         "{rendered}"
     );
-    assert!(max("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
+    assert!(read("request.method == 'GET' && request.tags.exists(a, a == 'news')").is_ok());
     let cost = |text| Expression::new(text, &schema()).unwrap().cost();
     assert!(cost("request.path == '/a' || request.path == '/b' || request.path == '/c'") < 20);
 }
--- a/crates/expr/tests/select.rs
+++ b/crates/expr/tests/select.rs
@@ -71,7 +71,7 @@
 fn assert_as_brute_force(
     keys: &[SelectKey],
     inputs: &[Request],
-    kept: &mut Chosen,
+    reused: &mut Chosen,
 ) -> Result<(), TestCaseError> {
     let selector = Selector::new(keys.iter());
     prop_assert_eq!(selector.len(), keys.len());
@@ -79,7 +79,7 @@
         let want: Vec<usize> = (0..keys.len())
             .filter(|i| may_be_true(&keys[*i], input))
             .collect();
-        prop_assert_eq!(want, chosen(&selector, input, kept), "{:?}", input);
+        prop_assert_eq!(want, chosen(&selector, input, reused), "{:?}", input);
     }
     Ok(())
 }
@@ -93,11 +93,11 @@
         others in prop::collection::vec(key(), 0..20),
         inputs in prop::collection::vec(input(), 1..10),
     ) {
-        let mut kept = Chosen::default();
-        assert_as_brute_force(&keys, &inputs, &mut kept)?;
+        let mut reused = Chosen::default();
+        assert_as_brute_force(&keys, &inputs, &mut reused)?;
         // A reused `Chosen` must not keep choices of an earlier index.
-        assert_as_brute_force(&others, &inputs, &mut kept)?;
-        assert_as_brute_force(&keys, &inputs, &mut kept)?;
+        assert_as_brute_force(&others, &inputs, &mut reused)?;
+        assert_as_brute_force(&keys, &inputs, &mut reused)?;
     }
 
     #[test]
