--- a/src/bin/driftgap-simulator-adapter/frame.rs
+++ b/src/bin/driftgap-simulator-adapter/frame.rs
@@ -23,7 +23,7 @@
         source: ReadError,
     },
     /// The length exceeds [`MAX_FRAME_BYTES`].
-    #[error("frame {frame}: length of {bytes} bytes exceeds the limit")]
+    #[error("frame {frame}: length of {bytes} bytes exceeds the limit of {MAX_FRAME_BYTES}")]
     TooLong {
         /// The frame's number, from 0.
         frame: u64,
@@ -55,7 +55,7 @@
         expected: usize,
     },
     /// The input cannot be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the input: {0}")]
     Io(#[from] io::Error),
 }
 
--- a/src/bin/driftgap-simulator-adapter/main.rs
+++ b/src/bin/driftgap-simulator-adapter/main.rs
@@ -25,7 +25,7 @@
     Frame(#[from] FrameError),
     #[error("frame {frame}: {source}")]
     Record { frame: u64, source: RecordError },
-    #[error("cannot write: {0}")]
+    #[error("cannot write a reply: {0}")]
     Write(io::Error),
 }
 
@@ -34,9 +34,9 @@
 enum RecordError {
     #[error(transparent)]
     Wire(#[from] WireError),
-    #[error("Born of ingress {ingress}: {source}")]
+    #[error("Born record of ingress {ingress}: {source}")]
     Settings { ingress: u16, source: ConfigError },
-    #[error("Born of ingress {ingress}: settings: {source}")]
+    #[error("Born record of ingress {ingress}: invalid settings: {source}")]
     InvalidSettings { ingress: u16, source: SettingsError },
     #[error("an event for ingress {ingress}, for which there was no Born record")]
     UnknownIngress { ingress: u16 },
--- a/src/bin/driftgap-simulator-adapter/wire/wire_error.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/wire_error.rs
@@ -37,7 +37,7 @@
         code: u8,
     },
     /// Settings that are not UTF-8.
-    #[error("Born at byte {position}: setup is not UTF-8 text")]
+    #[error("Born record at byte {position}: setup is not UTF-8 text")]
     SettingsNotText {
         /// Offset of the record.
         position: usize,
--- a/src/cli/admin_client.rs
+++ b/src/cli/admin_client.rs
@@ -19,10 +19,10 @@
     #[error("{0}")]
     Environment(#[from] EnvironmentError),
     /// No address for calls is configured.
-    #[error("EDGE_CONFIG: operator: not set; a running ingress is called there")]
+    #[error("EDGE_CONFIG: `operator`, the address for administrative calls, is not set")]
     NoAddress,
     /// The ingress at this address did not answer.
-    #[error("{0}: {1}")]
+    #[error("call to the ingress at {0} failed: {1}")]
     Connection(SocketAddr, io::Error),
 }
 
--- a/src/cli/environment.rs
+++ b/src/cli/environment.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EnvironmentError {
     /// The value is not valid Unicode.
-    #[error("{0}: not valid Unicode text")]
+    #[error("{0}: the value is not valid Unicode text")]
     NotText(&'static str),
     /// The value is not an address.
     #[error("{0}")]
--- a/src/cli/group.rs
+++ b/src/cli/group.rs
@@ -23,7 +23,7 @@
     #[error("{0}: {1}")]
     OperatorFile(String, OperatorFileError),
     /// The operator's file has no `group` section.
-    #[error("{0}: has no [group]")]
+    #[error("{0}: has no [group] section")]
     NoGroup(String),
     /// The group's folder cannot be used.
     #[error("{0}")]
--- a/src/cli/rules.rs
+++ b/src/cli/rules.rs
@@ -26,10 +26,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SampleError {
     /// The file cannot be read.
-    #[error("{0}: {1}")]
+    #[error("{0}: cannot read the sample request: {1}")]
     Read(String, std::io::Error),
     /// A field is missing or invalid.
-    #[error("{0}: {1}")]
+    #[error("{0}: invalid sample request: {1}")]
     Parse(String, serde_json::Error),
 }
 
--- a/src/config/operator_file/error.rs
+++ b/src/config/operator_file/error.rs
@@ -4,10 +4,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OperatorFileError {
     /// The file cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the file: {0}")]
     Read(String),
     /// The file is not valid TOML.
-    #[error("line {line}: {problem}")]
+    #[error("line {line}: invalid TOML: {problem}")]
     Syntax {
         /// Line number from 1; 0 if the error concerns the whole file.
         line: usize,
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -7,14 +7,14 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Name of an ingress if the file gives none.
+/// Name of an ingress if the file sets none.
 const DEFAULT_NAME: &str = "ingress";
-/// Seed of random numbers if the file gives none.
+/// Seed of random numbers if the file sets none.
 const DEFAULT_SEED: u64 = 1;
 /// Default limit of file descriptors: the most that the platform grants.
 const DEFAULT_SOCKETS: f64 = 1024.0;
 /// Accepted limits of file descriptors. Fewer than 64 leave hardly any for clients and endpoints
-/// beside the program's own.
+/// in addition to the program's own.
 const SOCKETS_RANGE: RangeInclusive<f64> = 64.0..=1e6;
 /// Default memory, MB: the most that the platform grants.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
@@ -85,7 +85,7 @@
     /// Parses the JSON text of the file.
     ///
     /// # Errors
-    /// The field that is missing or invalid.
+    /// A field is missing or invalid; the error names it.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let value: Value =
             serde_json::from_str(text).map_err(|e| ConfigError::NotJson(e.to_string()))?;
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
-    #[error("{path}: {problem}")]
+    #[error("cannot read {path}: {problem}")]
     Read {
         /// The path of the file.
         path: String,
@@ -24,7 +24,7 @@
         field: String,
     },
     /// A field of the wrong type or out of range.
-    #[error("settings: {field} is not {expected}")]
+    #[error("settings: {field} must be {expected}")]
     Unexpected {
         /// The field's path.
         field: String,
@@ -42,7 +42,7 @@
         value: String,
     },
     /// A field outside of the settings object is out of range.
-    #[error("{field}: {value} is not from {range}")]
+    #[error("{field}: {value} is outside the accepted range {range}")]
     OutOfRange {
         /// The field's path.
         field: &'static str,
@@ -52,7 +52,7 @@
         range: &'static str,
     },
     /// The text is not a hexadecimal number.
-    #[error("{field}: not a hexadecimal number")]
+    #[error("{field}: the value is not a hexadecimal number")]
     NotHexadecimal {
         /// The field's path.
         field: String,
--- a/src/config/settings/platform.rs
+++ b/src/config/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The settings of an ingress that runs on sockets, beside those of the decision module.
+//! The settings of an ingress that runs on sockets: those of the decision module and others.
 
 use super::decision_settings::decision_settings;
 use super::json_field::JsonField;
--- a/src/config/settings_description/sentences.rs
+++ b/src/config/settings_description/sentences.rs
@@ -66,7 +66,7 @@
     let units = if settings.settles_units_later {
         "estimates, settled by answers"
     } else {
-        "those that requests name"
+        "those that requests state"
     };
     format!(
         "quotas: enforced through the counter, time-out {counter_timeout_ms} ms; units are {units}"
@@ -79,11 +79,11 @@
     } else {
         "one at a time"
     };
-    let probes = if settings.health_checks_allowed {
+    let health_checks = if settings.health_checks_allowed {
         "allowed"
     } else {
         "not allowed"
     };
     let max_attempts = settings.max_attempts;
-    format!("attempts: {max_attempts} at most, {hedging}; probes {probes}")
+    format!("attempts: {max_attempts} at most, {hedging}; health checks {health_checks}")
 }
--- a/src/discovery/apply.rs
+++ b/src/discovery/apply.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AnswerError {
     /// The status is not 200.
-    #[error("status {0}")]
+    #[error("the answer has status {0} instead of {STATUS_OK}")]
     Status(u16),
     /// The body is not JSON.
-    #[error("{0}")]
+    #[error("the answer is not JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// The body is JSON, but not an endpoint list.
-    #[error("{0}")]
+    #[error("the answer is not an endpoint list: {0}")]
     List(#[from] InvalidEndpointList),
 }
 
--- a/src/discovery/follow_registry.rs
+++ b/src/discovery/follow_registry.rs
@@ -136,7 +136,7 @@
     async fn handle_failure(&mut self, poll: &Poll, error: &FollowError) {
         if !self.failure_logged {
             let (agent, problem) = (self.poller.agent(), error.to_string());
-            tracing::warn!(%agent, problem, "discovery poll failed; the last list stays in force");
+            tracing::warn!(%agent, problem, "discovery poll failed and will be retried; the last endpoint list stays in force");
         }
         self.failure_logged = true;
         self.poller.disconnect();
--- a/src/discovery/inventory/error.rs
+++ b/src/discovery/inventory/error.rs
@@ -7,19 +7,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InventoryError {
     /// A file or folder cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the inventory: {0}")]
     Read(#[from] std::io::Error),
     /// A file was written to while it was read.
     #[error("the file changed while it was read and may be half-written")]
     Changing,
     /// The folder has too many files or is nested too deeply.
-    #[error("the folder holds more than {MAX_FILES} files, or is nested more than {MAX_FOLDER_DEPTH} deep")]
+    #[error("the folder contains more than {MAX_FILES} files, or is nested more than {MAX_FOLDER_DEPTH} levels deep")]
     Folder,
     /// The content is invalid; all faults, in the order in which they were found.
     #[error("{}", first_error_and_count(.0))]
     Faults(Vec<Fault>),
     /// The list is suspicious and must be confirmed; the reason.
-    #[error("{0}: not applied until it is read again unchanged")]
+    #[error("{0}: the list is not applied until it is read again unchanged")]
     Unconfirmed(String),
 }
 
--- a/src/discovery/poller.rs
+++ b/src/discovery/poller.rs
@@ -20,15 +20,15 @@
 /// A poll without an answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    #[error("no connection within the time limit")]
+    #[error("the connect timed out")]
     ConnectTimeout,
-    #[error("no answer within the time limit")]
+    #[error("no complete answer within the time limit")]
     AnswerTimeout,
-    #[error("{0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
-    #[error("{0}")]
+    #[error("the answer is not valid HTTP: {0}")]
     Malformed(#[from] Malformed),
-    #[error("{0}")]
+    #[error("the answer exceeds {MAX_ANSWER_BYTES} bytes: {0}")]
     AnswerTooLong(#[from] RingBufferFull),
 }
 
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -93,7 +93,7 @@
     }
 
     /// Removes endpoints that are gone, unless the inventory names them. Bounds memory: endpoints
-    /// come under new names all day.
+    /// appear under new names continuously.
     pub fn remove(&mut self, is_gone: impl Fn(EndpointId) -> bool) {
         let mut removed_ids: HashSet<EndpointId> = self
             .ids
@@ -159,7 +159,7 @@
                 Err(InvalidField(field)) => tracing::warn!(
                     entry = i,
                     field,
-                    "discovery list: a field is missing or invalid; entry skipped"
+                    "discovery list: entry skipped because a field is missing or invalid"
                 ),
             }
         }
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// Endpoints come and go under new names all day. The registry must not grow, and ids must not be
-/// reused: a late answer of a removed endpoint would be taken for another's.
+/// Endpoints come and go under new names continuously. The registry must not grow, and ids must not
+/// be reused: a late answer of a removed endpoint would be attributed to another endpoint.
 #[test]
 fn removed_endpoints_are_dropped_and_ids_never_reused() {
     let mut registry = EndpointRegistry::new(vec![]);
--- a/src/main.rs
+++ b/src/main.rs
@@ -41,7 +41,7 @@
 /// Why the ingress cannot serve; the text is one line that names the variable or the field.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    #[error("{0}")]
+    #[error("cannot set up the runtime or the signal handlers: {0}")]
     System(#[from] std::io::Error),
     #[error("EDGE_CONFIG: not set")]
     NoConfig,
@@ -60,15 +60,15 @@
 /// Why an inherited file descriptor cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum InheritedError {
-    #[error("not the number of an inherited file descriptor")]
+    #[error("the value is not a file descriptor number of {FIRST_INHERITED} or more")]
     Number,
-    #[error("descriptor {0}: {1}")]
+    #[error("cannot duplicate file descriptor {0}: {1}")]
     Descriptor(RawFd, std::io::Error),
 }
 
 fn serve(arguments: Arguments) -> ExitCode {
     if let Err(e) = logging::start(arguments.log_format) {
-        eprintln!("driftgap: cannot set up the log: {e}");
+        eprintln!("driftgap: cannot set up the log, serving without it: {e}");
     }
     // A local runtime instead of a LocalSet, which writes to its own wake-up descriptor for each
     // task that it wakes.
@@ -173,8 +173,9 @@
 
 /// Runs a sub-command of `rules`. Returns the text to print, or one line for each fault.
 fn run_rules(config: Option<&Path>, task: &RulesTask) -> Result<String, Vec<String>> {
-    let path = config
-        .ok_or_else(|| vec!["EDGE_CONFIG: not set; rules refer to its classes".to_string()])?;
+    let path = config.ok_or_else(|| {
+        vec!["EDGE_CONFIG: not set; rules refer to the classes of this configuration".to_string()]
+    })?;
     let config = Config::read(path).map_err(|e| vec![format!("EDGE_CONFIG: {e}")])?;
     let sample = |request: &Path| Sample::read(request).map_err(|e| vec![e.to_string()]);
     match task {
--- a/src/plugin/mod.rs
+++ b/src/plugin/mod.rs
@@ -76,13 +76,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PluginError {
     /// The file cannot be read.
-    #[error("{0}: {1}")]
+    #[error("{0}: cannot read the script: {1}")]
     Read(String, std::io::Error),
     /// The script does not compile: file, line and fault.
-    #[error("{0}, line {1}: {2}")]
+    #[error("{0}, line {1}: the script does not compile: {2}")]
     Parse(String, usize, String),
     /// The script does not define the hook.
-    #[error("{0}, line 1: there is no function {HOOK}(command)")]
+    #[error("{0}, line 1: the script defines no function {HOOK}(command)")]
     NoHook(String),
 }
 
@@ -178,7 +178,7 @@
             script = self.name,
             failures = self.failures.get(),
             problem,
-            "plugin script failed; the on_error setting decides"
+            "plugin script failed; the request is handled as the on_error setting says"
         );
     }
 }
@@ -197,8 +197,8 @@
         .set_max_array_size(settings.size)
         .set_max_map_size(settings.size)
         .disable_symbol("eval")
-        .on_print(|text| tracing::debug!(text, "plugin"))
-        .on_debug(|text, _, _| tracing::debug!(text, "plugin"));
+        .on_print(|text| tracing::debug!(text, "output of print in the plugin script"))
+        .on_debug(|text, _, _| tracing::debug!(text, "output of debug in the plugin script"));
     engine
 }
 
@@ -229,13 +229,13 @@
 enum InvalidResult {
     #[error("the hook returned neither () nor a map")]
     Type,
-    #[error("nack is not a number from 0 to 60000")]
+    #[error("nack in the hook's map is not a number from 0 to 60000")]
     RetryAfter,
     #[error("the hook's map has neither nack nor notes")]
     Keys,
-    #[error("notes is not a map")]
+    #[error("notes in the hook's map is not a map")]
     Notes,
-    #[error("more than 8 notes")]
+    #[error("the hook's map has more than 8 notes")]
     TooManyNotes,
     #[error("a note's name or value cannot be sent as a header")]
     Note,
--- a/src/routing/reload.rs
+++ b/src/routing/reload.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The file has this many faults; each has been logged.
-    #[error("the file of rules has {0} faults")]
+    #[error("the rules have {0} faults")]
     Faults(usize),
     /// The thread cannot be started.
     #[error("the rule reload thread cannot be started: {0}")]
@@ -175,7 +175,10 @@
 /// Logs each fault on this thread: thousands of lines would block the serving thread.
 fn log(faults: &[Fault]) -> ReloadError {
     for fault in faults {
-        tracing::error!(fault = fault.line, "rules");
+        tracing::error!(
+            fault = fault.line,
+            "fault in the routing rules; none of the newly read rules take effect"
+        );
     }
     ReloadError::Faults(faults.len())
 }
