--- a/src/main.rs
+++ b/src/main.rs
@@ -173,9 +173,8 @@
 
 /// Runs a sub-command of `rules`. Returns the text to print, or one line for each fault.
 fn run_rules(config: Option<&Path>, task: &RulesTask) -> Result<String, Vec<String>> {
-    let path = config.ok_or_else(|| {
-        vec!["EDGE_CONFIG: not set; rules refer to the classes of this configuration".to_string()]
-    })?;
+    let path = config
+        .ok_or_else(|| vec!["EDGE_CONFIG: not set; rules refer to its classes".to_string()])?;
     let config = Config::read(path).map_err(|e| vec![format!("EDGE_CONFIG: {e}")])?;
     let sample = |request: &Path| Sample::read(request).map_err(|e| vec![e.to_string()]);
     match task {
