--- a/src/config/settings_description/table.rs
+++ b/src/config/settings_description/table.rs
@@ -17,9 +17,12 @@
 pub const SETTINGS: &[SettingDescription] = &[
     setting(
         "balancers",
-        "decision module: even shares, shared token buckets, load threshold, expected waits; ingress: discovery polls, limits of the terms `spread` and `first`",
+        "decision module: shares of quotas and load; ingress: discovery polls, `spread`, `first`",
+    ),
+    setting(
+        "charges",
+        "not used: prices that only the platform's accounting needs",
     ),
-    setting("charges", "not used: prices that only the platform's accounting needs"),
     setting(
         "client_habits.marks_retry",
         "not used: the retry mark of a request is always accepted",
@@ -31,7 +34,7 @@
     setting("family", "not used: the ingress handles all values alike"),
     setting(
         "family_info.cost_after",
-        "decision module and ingress: whether the units of a request are estimates that its answer corrects",
+        "decision module and ingress: whether an answer corrects the units of its request",
     ),
     setting(
         "family_info.count_fee",
@@ -41,7 +44,10 @@
         "family_info.count_wait",
         "decision module and ingress: time-out of a counter call",
     ),
-    setting("family_info.counter", "decision module: whether there is a counter"),
+    setting(
+        "family_info.counter",
+        "decision module: whether there is a counter",
+    ),
     setting(
         "family_info.mail_per_s",
         "not used: ingresses exchange no messages for decisions",
@@ -54,8 +60,14 @@
         "family_info.most_units",
         "decision module and ingress: largest valid number of units of a request",
     ),
-    setting("goal", "not used: weights that only the platform's accounting needs"),
-    setting("kinds", "not used: endpoints are compared by their weights and load"),
+    setting(
+        "goal",
+        "not used: weights that only the platform's accounting needs",
+    ),
+    setting(
+        "kinds",
+        "not used: endpoints are compared by their weights and load",
+    ),
     setting(
         "limits.conn_idle",
         "ingress: idle connections to endpoints are closed before this time",
@@ -64,8 +76,14 @@
         "limits.cpu_us_per_request",
         "not used: no decision depends on this limit",
     ),
-    setting("limits.cpu_us_per_s", "not used: no decision depends on this limit"),
-    setting("limits.dial_timeout", "ingress: time-out of a connect to an endpoint"),
+    setting(
+        "limits.cpu_us_per_s",
+        "not used: no decision depends on this limit",
+    ),
+    setting(
+        "limits.dial_timeout",
+        "ingress: time-out of a connect to an endpoint",
+    ),
     setting(
         "limits.max_retry_after",
         "decision module: longest Retry-After of a rejection",
@@ -81,7 +99,7 @@
     ),
     setting(
         "limits.parallel_tries",
-        "decision module and ingress: whether two attempts of a request may be in flight at the same time",
+        "decision module and ingress: whether two attempts of a request may be in flight at once",
     ),
     setting(
         "limits.peers",
@@ -97,10 +115,16 @@
     ),
     setting(
         "limits.streams_per_conn",
-        "not used: one attempt at a time on a connection (RESP); the endpoint's own limit (HTTP/2)",
+        "not used: one attempt at a time on a connection (RESP); the endpoint's limit (HTTP/2)",
+    ),
+    setting(
+        "my_zone",
+        "decision module: which endpoints are in the zone of this ingress",
+    ),
+    setting(
+        "plans[].at_once",
+        "decision module: most attempts of a tenant in flight at the same time",
     ),
-    setting("my_zone", "decision module: which endpoints are in the zone of this ingress"),
-    setting("plans[].at_once", "decision module: most attempts of a tenant in flight at the same time"),
     setting(
         "plans[].ceiling_burst",
         "decision module: size of the ceiling's token bucket",
@@ -109,22 +133,40 @@
         "plans[].ceiling_slack",
         "not used: the ceiling is enforced without a tolerance",
     ),
-    setting("plans[].excess_worth", "decision module: validated; no decision depends on it"),
+    setting(
+        "plans[].excess_worth",
+        "decision module: validated; no decision depends on it",
+    ),
     setting("plans[].name", "ingress: the term `t` of a request"),
-    setting("plans[].never_over_rate", "decision module: rate of the ceiling"),
+    setting(
+        "plans[].never_over_rate",
+        "decision module: rate of the ceiling",
+    ),
     setting(
         "plans[].over_cost",
-        "decision module: lowers the share of unchecked requests that are admitted while the counter is congested",
+        "decision module: lowers the admission of unchecked requests while the counter is congested",
+    ),
+    setting(
+        "plans[].pays",
+        "not used: rejection does not depend on the price of a plan",
+    ),
+    setting(
+        "plans[].store_size",
+        "decision module: size of the quota's token bucket",
     ),
-    setting("plans[].pays", "not used: rejection does not depend on the price of a plan"),
-    setting("plans[].store_size", "decision module: size of the quota's token bucket"),
     setting("plans[].units_per_s", "decision module: rate of the quota"),
-    setting("position", "decision module and ingress: index of this ingress among all ingresses"),
+    setting(
+        "position",
+        "decision module and ingress: index of this ingress among all ingresses",
+    ),
     setting(
         "report.columns",
         "decision module and ingress: fields of a load report",
     ),
-    setting("report.how", "not used: load reports are accepted from answers and from health checks"),
+    setting(
+        "report.how",
+        "not used: load reports are accepted from answers and from health checks",
+    ),
     setting(
         "request_classes[].aim",
         "decision module: load threshold, hedged attempts, rejections under load",
@@ -151,9 +193,12 @@
     ),
     setting(
         "request_classes[].late_share",
-        "decision module: how likely a request is rejected under load if its answer would be late",
+        "decision module: how likely a late request is rejected under load",
+    ),
+    setting(
+        "request_classes[].name",
+        "ingress: the term `c` of a request",
     ),
-    setting("request_classes[].name", "ingress: the term `c` of a request"),
     setting(
         "request_classes[].streaming",
         "not used: every response body is passed on once its size is known",
@@ -169,7 +214,7 @@
     ),
     setting(
         "rules.ask_within",
-        "not used: `balancers`, `position` and `discovery` determine when discovery is polled",
+        "not used: discovery polls are timed by `balancers`, `position` and `discovery`",
     ),
     setting(
         "rules.cold_share",
@@ -183,10 +228,19 @@
         "rules.overload_factor",
         "decision module: overload at which an endpoint that is warming up fails",
     ),
-    setting("rules.tip_after", "decision module: how long an endpoint that is warming up withstands an overload"),
-    setting("rules.warm_up", "decision module: how long an endpoint warms up"),
+    setting(
+        "rules.tip_after",
+        "decision module: how long an endpoint that is warming up withstands an overload",
+    ),
+    setting(
+        "rules.warm_up",
+        "decision module: how long an endpoint warms up",
+    ),
     setting("tier", "not used: the ingress handles all values alike"),
     setting("tiers", "not used: the ingress handles all values alike"),
-    setting("weights", "not used: endpoint weights come with the endpoint list"),
+    setting(
+        "weights",
+        "not used: endpoint weights come with the endpoint list",
+    ),
     setting("zones", "ingress: names of zones"),
 ];
