--- a/src/config/settings_description/table.rs
+++ b/src/config/settings_description/table.rs
@@ -144,7 +144,7 @@
     ),
     setting(
         "plans[].over_cost",
-        "decision module: lowers the admission of unchecked requests while the counter is congested",
+        "decision module: fewer unchecked requests are admitted while the counter is congested",
     ),
     setting(
         "plans[].pays",
