--- a/tests/stage/mod.rs
+++ b/tests/stage/mod.rs
@@ -7,18 +7,22 @@
 //!     with PATH=VALUE ...            changes settings: `request_classes.1.effect="token"`
 //!     small_memory                   the program's memory limit is 10 MB
 //!     more_descriptors               the program's descriptor limit is 1024
-//!     inherited_socket the environment binds the clients' socket; processes inherit it
+//!     inherited_socket               the environment binds the clients' socket; processes inherit
+//!                                    it
 //!
 //! Clients:
 //!
 //!     send C K CLASS PLAN PARTNER [d=MS] [units=N] [body=BYTES] [k=KEY]   sends a request
 //!     raw C TEXT                     writes TEXT unchanged; \r and \n are escapes (RESP)
-//!     garbage C N writes N malformed bytes, until the program stops reading (RESP)
-//!     incomplete C N writes a request with a body of N bytes, all but its end (RESP)
+//!     garbage C N                    writes N malformed bytes, until the program stops reading
+//!                                    (RESP)
+//!     incomplete C N                 writes a request with a body of N bytes, all but its end
+//!                                    (RESP)
 //!     long C N                       writes a request of N bytes (RESP)
-//!     burst C N writes N requests at once, with the ids C0, C1 and so on, until
-//!                                    the program stops reading (RESP)
-//!     flood C N sends N requests with distinct ids in batches, reads all answers
+//!     burst C N                      writes N requests at once, with the ids C0, C1 and so on,
+//!                                    until the program stops reading (RESP)
+//!     flood C N                      sends N requests with distinct ids in batches, reads all
+//!                                    answers
 //!     late_duplicates C I N MAX      sends requests in sequence, which endpoint I answers with
 //!                                    `late_duplicate`, until N duplicates were written; at most
 //!                                    MAX
@@ -30,17 +34,21 @@
 //!     fin C                          ends the sending side; the client still reads (RESP)
 //!     idle N                         N clients connect at once and stay without sending
 //!     idle_after_ping N              N clients send PING, read the answer and stay idle (RESP)
-//!     small_receive_buffer RESP clients that connect from now on have small receive buffers
-//!     expect C K ANSWER the answer begins with ANSWER: served V, busy, failed, closed, an
-//!                                    HTTP status, or a raw line
-//!     retry_after C K MIN MAX the answer is a refusal whose retry-after is in these bounds, ms
+//!     small_receive_buffer           RESP clients that connect from now on have small receive
+//!                                    buffers
+//!     expect C K ANSWER              the answer begins with ANSWER: served V, busy, failed,
+//!                                    closed, an HTTP status, or a raw line
+//!     retry_after C K MIN MAX        the answer is a refusal whose retry-after is in these bounds,
+//!                                    ms
 //!
 //! Endpoints:
 //!
-//!     expect I K waits until a whole attempt has arrived (`*`: at any endpoint)
+//!     expect I K                     waits until a whole attempt has arrived (`*`: at any
+//!                                    endpoint)
 //!     answer I K REPLY               waits for the attempt and answers it with REPLY, see below
 //!     always REPLY                   from now on every attempt gets REPLY at once (`echo`: its id)
-//!     state I STATE discovery lists the endpoint (a, b) as active, leaving or left
+//!     state I STATE                  discovery lists the endpoint (a, b) as active, leaving or
+//!                                    left
 //!     pool I LABEL                   discovery lists the endpoint with the label pool=LABEL
 //!     inventory NAME[=STATE] ...     the inventory file lists these endpoints; reloads it (SIGHUP)
 //!     reject_by_goaway               endpoints send GOAWAY with last stream id 0 (HTTP/2)
@@ -53,8 +61,9 @@
 //!     cost N V                       the value V, with its actual units N
 //!     last V                         the value V, then the connection is closed (RESP)
 //!     twice V                        the value V twice at once (RESP)
-//!     late_duplicate V the value V, and 5 ms later again unless 8 ms have passed (RESP)
-//!     odd_fields V                   the value V, with malformed report fields (RESP)
+//!     late_duplicate V               the value V, and 5 ms later again unless 8 ms have passed
+//!                                    (RESP)
+//!     odd_fields V                   the value V, with malformed fields after it (RESP)
 //!     large N                        a value of N bytes
 //!     truncated N                    a value of N bytes that breaks off in its middle
 //!     pieces N                       a value of N bytes that arrives slowly
@@ -66,12 +75,12 @@
 //!
 //! Counter, discovery and files:
 //!
-//!     counter FAULT                  silent, full, late, garbage, not_a_number, half, close, or ok
+//!     counter FAULT                  silent, full, late, garbage, no_number, half, close, or ok
 //!     discovery FAULT                garbage, error, nonsense, indented, no_length (ends with the
 //!                                    connection), truncated (reset within the list), reset, silent
 //!                                    (also for polls that are open, for good), or ok
 //!     move SERVICE ...               discovery, counter: change ports; reloads the configuration
-//!     rules TEXT replaces the rule file (\n is an escape) and reloads it (SIGHUP)
+//!     rules TEXT                     replaces the rule file (\n is an escape), reloads it (SIGHUP)
 //!     config TEXT                    replaces the configuration file and reloads it (SIGHUP)
 //!
 //! Processes:
@@ -83,18 +92,19 @@
 //!     start_fails                    a second process finds its operator address in use and ends
 //!                                    with status 2
 //!     kill                           SIGKILL to the first process; the second takes its place
-//!     call WORD CALL an operator's call to the newest process; its answer begins with
-//!                                    WORD
+//!     call WORD CALL                 an operator's call to the newest process; its answer begins
+//!                                    with WORD
 //!     partial_call TEXT              an operator writes part of a call and stays connected
 //!
 //! Time and checks:
 //!
 //!     wait MS                        sleeps
 //!     runs K N                       N attempts for K have arrived in total
-//!     attempts MIN / attempts none notes that at least MIN attempts have arrived / none since then
-//!     counted N                      the counter holds N units, and less than one from refill
-//!     counted N RATE the counter holds N units, and at most RATE more for each second
-//!                                    since its first
+//!     attempts MIN / attempts none   notes that at least MIN attempts have arrived / none since
+//!                                    then
+//!     counted N                      the counter holds at least N units and fewer than N + 1
+//!     counted N RATE                 the counter holds at least N units, and at most RATE more for
+//!                                    each second since it received its first units
 //!     descriptors N                  all processes together hold at most N descriptors
 //!     memory / memory MB             notes the program's memory / it has grown by at most MB
 #![allow(dead_code)]
@@ -107,10 +117,10 @@
 pub mod steady;
 mod steps;
 
-use clients::{write_taken, Client};
+use clients::{write_until_blocked, Client};
 use endpoints::{describe_value, http2_endpoint, resp_endpoint};
 use services::{counter, discovery};
-use setup::entry;
+use setup::endpoint_entry;
 
 use bytes::Bytes;
 use driftgap::protocol::http2::send_body;
@@ -128,15 +138,17 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// The wire that a side speaks.
+/// The protocol of the clients or of the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Wire {
     Resp,
     Http2,
 }
 
+/// Settings of the program, as a JSON object.
 const SETTINGS: &str = include_str!("settings.json");
-const OPERATOR: &str = r#"
+/// The operator's file, without the section of the HTTP/2 listener.
+const OPERATOR_FILE: &str = r#"
 [routes]
 file = "rules.toml"
 [inventory]
@@ -145,65 +157,72 @@
 script = "hook.rhai"
 on_error = "nack"
 "#;
-const HEADER: &str = "name,address,zone,protocol,state\n";
-/// Refuses one tenant and fails on another.
-const HOOK: &str = r#"fn decide(c) {
+/// First line of the inventory file.
+const INVENTORY_HEADER: &str = "name,address,zone,protocol,state\n";
+/// Plug-in script that refuses one tenant and fails on another.
+const HOOK_SCRIPT: &str = r#"fn decide(c) {
     if c.partner == "000000000000dead" { return #{ nack: 300 }; }
     if c.partner == "000000000000beef" { c.no_such_function(); }
 }"#;
-const LONG: Duration = Duration::from_secs(4);
-/// Descriptors of the program, and where it has much room.
-const SOCKETS: usize = 256;
-const ROOMY_SOCKETS: usize = 1024;
-/// What an endpoint says of its load when it is probed.
-const LOAD: &str = "lat_ms=40,rif=1,busy=0.5";
-/// What a client with little room takes without reading, bytes, and the largest segment that it takes.
-const TIGHT_ROOM: usize = 8 * 1024;
-const TIGHT_SEGMENT: u32 = 1400;
+/// Time limit of a step; steps that send many requests have 20 times this.
+const STEP_TIMEOUT: Duration = Duration::from_secs(4);
+/// Descriptor limit of the program, and the limit after `more_descriptors`.
+const DESCRIPTOR_LIMIT: usize = 256;
+const RAISED_DESCRIPTOR_LIMIT: usize = 1024;
+/// Load report with which an endpoint answers a health check.
+const LOAD_REPORT: &str = "lat_ms=40,rif=1,busy=0.5";
+/// Receive buffer, bytes, and largest segment of a client after `small_receive_buffer`.
+const SMALL_RECEIVE_BUFFER: usize = 8 * 1024;
+const SMALL_SEGMENT_SIZE: u32 = 1400;
 
+/// Senders of the replies to attempts that wait for one, by endpoint and request id.
 type ArrivedAttempts = Rc<RefCell<HashMap<(String, String), oneshot::Sender<String>>>>;
 
-/// What all stand-ins share.
+/// State that all simulated servers share.
 #[derive(Clone, Default)]
 struct Shared {
     arrived: ArrivedAttempts,
+    /// Number of attempts that have arrived, by request id.
     runs: Rc<RefCell<HashMap<String, usize>>>,
+    /// Totals of the counter, by name.
     totals: Rc<RefCell<HashMap<String, f64>>>,
-    /// When the counter got its first units.
+    /// When the counter received its first units.
     first_counted: Rc<Cell<Option<Instant>>>,
+    /// Reply to every attempt, after the step `always`.
     always: Rc<RefCell<Option<String>>>,
-    /// How the counter and the agent behave; empty: as they should.
+    /// Faults of the counter and of discovery; empty if there is none.
     counter: Rc<RefCell<String>>,
     discovery: Rc<RefCell<String>>,
-    /// HTTP/2 endpoints turn connections away unseen.
-    unseen: Rc<RefCell<bool>>,
-    /// Second answers of `tardy` that were written.
-    second_answers: Rc<Cell<usize>>,
+    /// Whether HTTP/2 endpoints reject connections by GOAWAY with last stream id 0.
+    reject_by_goaway: Rc<RefCell<bool>>,
+    /// Number of duplicates that `late_duplicate` has written.
+    duplicates_written: Rc<Cell<usize>>,
 }
 
 impl Shared {
-    /// An attempt has arrived whole; how it is to be answered.
-    fn arrive(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
-        let (reply, notified) = oneshot::channel();
+    /// Records an attempt that has arrived whole. Returns the receiver of the reply to send.
+    fn attempt_arrived(&self, endpoint: &str, id: &str) -> oneshot::Receiver<String> {
+        let (reply, reply_receiver) = oneshot::channel();
         *self.runs.borrow_mut().entry(id.to_string()).or_default() += 1;
-        if let Some(how) = &*self.always.borrow() {
-            let echo = how == "echo";
+        if let Some(behavior) = &*self.always.borrow() {
+            let echo = behavior == "echo";
             let _ = reply.send(if echo {
                 format!("value {id}")
             } else {
-                how.clone()
+                behavior.clone()
             });
-            return notified;
+            return reply_receiver;
         }
         self.arrived
             .borrow_mut()
             .insert((endpoint.to_string(), id.to_string()), reply);
-        notified
+        reply_receiver
     }
 }
 
-/// Listens and serves each connection by `serve`; the port, and the task that holds it all.
-async fn stand_in<F: Future<Output = ()> + 'static>(
+/// Starts a server that handles each connection by `serve`. Returns its port, and the task that
+/// owns the listener and all connections.
+async fn spawn_server<F: Future<Output = ()> + 'static>(
     serve: impl Fn(TcpStream) -> F + 'static,
 ) -> (u16, AbortHandle) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -217,48 +236,56 @@
     (port, task.abort_handle())
 }
 
+/// Reads more bytes into the buffer. Returns false at the end of the connection or on an error.
 async fn read_some(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     stream.read_buf(buffer).await.is_ok_and(|n| n > 0)
 }
 
-/// A listener whose line is full, and those who stand in it.
+/// Name and listener of an endpoint that accepts nothing, and the connections that fill its queue.
 type FullListener = (
     String,
     socket2::Socket,
     Vec<tokio::task::JoinHandle<std::io::Result<TcpStream>>>,
 );
 
-/// The program and everything round it.
+/// The program and the simulated clients and servers around it.
 pub struct Stage {
     program: Child,
-    /// Started beside the first, with the port where staff call it.
+    /// The process of `start_second`.
     second: Option<Child>,
+    /// Port for operators' calls to the newest process.
     operator_port: u16,
-    /// The clients' socket, where the stage holds it.
-    held: Option<socket2::Socket>,
+    /// The clients' socket, if the processes inherit it.
+    inherited_socket: Option<socket2::Socket>,
+    /// Connections that stay open without being used.
     idle_connections: Vec<TcpStream>,
     full_listeners: Vec<FullListener>,
-    /// The program has little memory.
-    small: bool,
-    /// The descriptors of the program.
-    sockets: usize,
-    /// New clients have little room for what they do not read.
-    tight: bool,
+    /// Whether the program has the small memory limit.
+    small_memory: bool,
+    /// Descriptor limit of the program.
+    descriptor_limit: usize,
+    /// Whether new RESP clients have small receive buffers.
+    small_receive_buffer: bool,
     settings: String,
-    front: Wire,
+    client_wire: Wire,
+    /// Addresses on which the program accepts clients, by protocol.
     ports: HashMap<&'static str, String>,
     clients: HashMap<String, Client>,
     shared: Shared,
-    list: watch::Sender<Vec<String>>,
-    /// Discovery and counter: where they are.
+    /// Entries of discovery's list: all at the start, then one for each change.
+    endpoint_list: watch::Sender<Vec<String>>,
+    /// Port and task of discovery and of the counter.
     services: HashMap<&'static str, (u16, AbortHandle)>,
+    /// Port and protocol of each endpoint.
     endpoints: HashMap<String, (u16, Wire)>,
+    /// Answers that `expect` steps received.
     answers: Vec<String>,
+    /// Folder of the program's files and its log.
     folder: PathBuf,
-    /// Memory of the program when it was noted last, MB.
-    memory: f64,
-    /// Attempts that had arrived when they were noted last.
-    begun: usize,
+    /// Memory of the program at the last `memory` step, MB.
+    noted_memory_mb: f64,
+    /// Number of attempts at the last `attempts` step.
+    noted_attempts: usize,
 }
 
 impl Stage {
@@ -267,7 +294,7 @@
         format!("{host}:{}", self.operator_port)
     }
 
-    /// An operator's call and its answer.
+    /// Sends an operator's call and returns its answer.
     async fn call(&self, text: &str) -> String {
         let mut stream = TcpStream::connect(self.operator_address()).await.unwrap();
         stream
@@ -285,8 +312,9 @@
         answer.trim_end().to_string()
     }
 
-    /// Waits for an attempt at an endpoint, or at any (`*`).
-    async fn arrived(&self, endpoint: &str, id: &str) -> (String, String) {
+    /// Waits for an attempt at an endpoint, or at any (`*`). Returns the endpoint and the request
+    /// id.
+    async fn wait_for_attempt(&self, endpoint: &str, id: &str) -> (String, String) {
         loop {
             let found = self
                 .shared
@@ -302,7 +330,7 @@
         }
     }
 
-    /// Attempts that have arrived in all.
+    /// Returns the number of attempts that have arrived.
     fn attempts(&self) -> usize {
         self.shared.runs.borrow().values().sum()
     }
@@ -324,7 +352,7 @@
     }
 }
 
-/// Runs what a test does by itself, with tasks of its own.
+/// Runs a test on a current-thread runtime that supports local tasks.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -333,48 +361,53 @@
     tokio::task::LocalSet::new().block_on(&runtime, test)
 }
 
-/// Plays a scenario with these wires in front and behind; the answers that it expected.
-pub fn play(front: Wire, behind: Wire, scenario: &str) -> Vec<String> {
+/// Runs a scenario with these protocols of clients and endpoints. Returns the answers that its
+/// `expect` steps received.
+pub fn play(client_wire: Wire, endpoint_wire: Wire, scenario: &str) -> Vec<String> {
     run(async {
-        let mut stage =
-            Stage::set(front, behind, scenario.trim().lines().next().unwrap_or("")).await;
+        let mut stage = Stage::set_up(
+            client_wire,
+            endpoint_wire,
+            scenario.trim().lines().next().unwrap_or(""),
+        )
+        .await;
         for line in scenario
             .lines()
             .map(str::trim)
             .filter(|l| !l.starts_with('#'))
         {
             let long = if line.starts_with("flood") || line.starts_with("late_duplicates") {
-                LONG * 20
+                STEP_TIMEOUT * 20
             } else {
-                LONG
+                STEP_TIMEOUT
             };
             let done = tokio::time::timeout(long, stage.step(line)).await;
             assert!(
                 done.is_ok(),
-                "{front:?} to {behind:?}: nothing came of: {line}"
+                "{client_wire:?} to {endpoint_wire:?}: timeout at step: {line}"
             );
         }
         std::mem::take(&mut stage.answers)
     })
 }
 
-/// Plays a scenario for RESP clients with either wire behind.
+/// Runs a scenario for RESP clients, with either protocol of the endpoints.
 pub fn play_resp(scenario: &str) {
-    for behind in [Wire::Resp, Wire::Http2] {
-        play(Wire::Resp, behind, scenario);
+    for endpoint_wire in [Wire::Resp, Wire::Http2] {
+        play(Wire::Resp, endpoint_wire, scenario);
     }
 }
 
-/// Plays a scenario with every pair of wires: the answers must be the same.
+/// Runs a scenario with every pair of protocols. The answers must be the same.
 pub fn play_all(scenario: &str) {
     let mut first: Option<Vec<String>> = None;
-    for front in [Wire::Resp, Wire::Http2] {
-        for behind in [Wire::Resp, Wire::Http2] {
-            let answers = play(front, behind, scenario);
+    for client_wire in [Wire::Resp, Wire::Http2] {
+        for endpoint_wire in [Wire::Resp, Wire::Http2] {
+            let answers = play(client_wire, endpoint_wire, scenario);
             assert_eq!(
                 first.get_or_insert_with(|| answers.clone()),
                 &answers,
-                "{front:?} to {behind:?}"
+                "{client_wire:?} to {endpoint_wire:?}"
             );
         }
     }
