--- a/src/counter/connection_task.rs
+++ b/src/counter/connection_task.rs
@@ -27,7 +27,7 @@
     Closed,
     #[error("this side closed the connection")]
     ClosedHere,
-    #[error("{0}")]
+    #[error("connecting, reading or writing failed: {0}")]
     Io(#[from] std::io::Error),
     #[error("an answer is invalid, or belongs to no call")]
     InvalidAnswer,
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,14 +1,14 @@
 //! Admission control: whether an arriving request is admitted, and the final answers that this
 //! ingress gives without an endpoint.
 //!
-//! **Rule.** An arriving request is rejected immediately, with a Retry-After, by the first of these
-//! checks that it fails: load shedding, with a fixed probability for each load level
-//! ([`SHED_PROBABILITY`]); the quota of its tenant (see [`super::quota`]); endpoint selection,
-//! which finds no endpoint if none is ready, or if the ready ones are warming up and have spent
-//! their budgets (see [`super::slow_start`]). At level 1 or 2, a request whose expected latency
-//! exceeds its latency objective is rejected with at least the probability `1 - late_weight_share`,
-//! the share of its priority weight that a late answer loses. No request is delayed before it is
-//! rejected, except for the duration of one counter call.
+//! **Rule.** An invalid request is rejected without a Retry-After. Any other request is rejected
+//! immediately, with a Retry-After, by the first of these checks that it fails: load shedding, with
+//! a fixed probability for each load level ([`SHED_PROBABILITY`]); the quota of its tenant (see
+//! [`super::quota`]); endpoint selection, which finds no endpoint if none is ready, or if the ready
+//! ones are warming up and have spent their budgets (see [`super::slow_start`]). At level 1 or 2, a
+//! request whose expected latency exceeds its latency objective is rejected with at least the
+//! probability `1 - late_weight_share`, the share of its priority weight that a late answer loses.
+//! No request is delayed before it is rejected, except for the duration of one counter call.
 //!
 //! **Inputs.** The load level; the time left before the client gives up and the typical latency of
 //! the class, in seconds; the decision of the quota.
--- a/src/decision/counter_call.rs
+++ b/src/decision/counter_call.rs
@@ -1,7 +1,7 @@
-//! Calls to the counter service: the names of its numbers, and the calls whose answers are awaited.
+//! Calls to the counter service: the names of its totals, and the calls whose answers are awaited.
 //!
-//! **Rule.** Each tenant has one number on the counter for each window (with a lease) or epoch
-//! (with a shared bucket). The name of the number is a hash of tenant and window, which every
+//! **Rule.** Each tenant has one total on the counter for each window (with a lease) or epoch
+//! (with a shared bucket). The name of a total is a hash of tenant and window, which every
 //! ingress computes alike, so names need no coordination. A tenant has at most one call in flight.
 //! An unanswered call is remembered for [`LATE_ANSWER_LIMIT`] seconds, because a late total still
 //! shows which units were added.
@@ -12,8 +12,8 @@
 use super::stable_hash;
 use super::{Action, DecisionEngine, TenantId};
 
-/// Longest lifetime of a number on the counter, s: the limit of the service.
-const MAX_NUMBER_LIFETIME: f64 = 60.0;
+/// Longest lifetime of a total on the counter, s: the limit of the service.
+const MAX_TOTAL_LIFETIME: f64 = 60.0;
 /// Time for which the total of a call is awaited, s: after this time its window has ended, or a
 /// later total has superseded it.
 const LATE_ANSWER_LIMIT: f64 = 5.0;
@@ -21,14 +21,14 @@
 /// A call that is in flight for a tenant.
 #[derive(Clone, Copy)]
 pub(super) struct CounterCall {
-    /// Window or epoch whose number the call adds to.
+    /// Window or epoch whose total the call adds to.
     pub(super) window: i64,
-    /// Units to add; 0 only reads the number.
+    /// Units to add; 0 only reads the total.
     pub(super) amount: f64,
 }
 
 impl CounterCall {
-    /// Returns a call that only reads the number of a window.
+    /// Returns a call that only reads the total of a window.
     pub(super) fn read(window: i64) -> CounterCall {
         CounterCall {
             window,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The tenant and window that a call was made for, stored by the name of the number.
+/// The tenant and window that a call was made for, stored by the name of the total.
 #[derive(Clone, Copy)]
 pub(super) struct AwaitedCall {
     pub(super) tenant: TenantId,
@@ -47,7 +47,7 @@
 }
 
 impl DecisionEngine {
-    /// Starts a counter call for a tenant at `now` (s). If the call creates the number, the number
+    /// Starts a counter call for a tenant at `now` (s). If the call creates the total, the total
     /// expires after `lifetime` seconds.
     pub(super) fn call_counter(
         &mut self,
@@ -72,7 +72,7 @@
         Action::AddToCounter {
             name,
             amount,
-            lives: lifetime.min(MAX_NUMBER_LIFETIME),
+            lives: lifetime.min(MAX_TOTAL_LIFETIME),
         }
     }
 
--- a/src/decision/counter_health.rs
+++ b/src/decision/counter_health.rs
@@ -2,8 +2,9 @@
 //!
 //! **Rule.** A call that fails, or takes more than [`SLOW_CALL_SHARE`] of its timeout, raises
 //! congestion. A good call lowers it, and it also decays by a fixed factor each second. Congestion
-//! is the fraction of the calls to shared buckets that are skipped and, while the counter is
-//! unavailable, of all calls. The counter counts as unavailable after [`FAILURES_TO_UNAVAILABLE`]
+//! is the fraction of calls to skip: of the calls to shared buckets normally, of all calls while
+//! the
+//! counter is unavailable. The counter counts as unavailable after [`FAILURES_TO_UNAVAILABLE`]
 //! consecutive calls without an answer, until the next answer. A rejection is an answer: it shows a
 //! counter that is available but congested.
 //!
@@ -12,7 +13,8 @@
 //! **Guards.** A congested counter stays congested if every ingress keeps calling it. While the
 //! counter is unavailable, quotas fall back to even shares (see [`super::quota_lease`]). Totals of
 //! windows that began before the outage are not trusted, because the counter may have lost them.
-//! Known harm: unchecked requests are decided by an estimate.
+//! Known harm: requests whose call is skipped are decided by an estimate or, during an outage, by
+//! the even share.
 
 use super::Outcome;
 
@@ -35,7 +37,7 @@
 
 /// Health of the counter as observed through calls.
 pub(super) struct CounterHealth {
-    /// Fraction of the calls that are skipped, 0 to [`MAX_CONGESTION`].
+    /// Fraction of calls to skip, 0 to [`MAX_CONGESTION`].
     congestion: f64,
     consecutive_failures: u32,
     /// When totals were last found lost, or the counter was last found unavailable, s.
--- a/src/decision/driver.rs
+++ b/src/decision/driver.rs
@@ -54,18 +54,18 @@
     Probe(EndpointId),
     /// Poll the endpoint list, or subscribe to its changes.
     FollowEndpointList,
-    /// Add to a number on the counter service.
+    /// Add to a total on the counter service.
     AddToCounter(CounterAdd),
 }
 
 /// A counter call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CounterAdd {
-    /// Name of the number.
+    /// Name of the total on the counter.
     pub name: u64,
-    /// Amount to add, in units; 0 only reads the number, a negative amount subtracts.
+    /// Amount to add, in units; 0 only reads the total, a negative amount subtracts.
     pub amount: f64,
-    /// If the call creates the number, the number expires after this time, ms.
+    /// If the call creates the total, the total expires after this time, ms.
     pub lifetime_ms: f64,
 }
 
@@ -127,7 +127,7 @@
     },
     /// A counter call has ended.
     CounterAnswered {
-        /// Name of the number.
+        /// Name of the total on the counter.
         name: u64,
         /// How the call ended.
         outcome: Outcome,
@@ -136,7 +136,7 @@
     },
     /// The total of a call that had already timed out has arrived.
     CounterAnsweredLate {
-        /// Name of the number.
+        /// Name of the total on the counter.
         name: u64,
         /// Amount that the call added, in units.
         amount: f64,
--- a/src/decision/engine.rs
+++ b/src/decision/engine.rs
@@ -37,7 +37,7 @@
     pub(super) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(super) requests: BTreeMap<RequestId, PendingRequest>,
     pub(super) tenants: BTreeMap<TenantId, Tenant>,
-    /// Counter calls, by the name of the number.
+    /// Counter calls whose totals are awaited, by the name of the total.
     pub(super) awaited_calls: BTreeMap<u64, AwaitedCall>,
     pub(super) load: LoadLevel,
     pub(super) slow_attempts: SlowAttemptShare,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -1,8 +1,9 @@
 //! The inputs ([`Event`]) and outputs ([`Action`]) of the decision module. Plain data without any
 //! decision logic.
 //!
-//! Times are seconds. `now` and absolute times come from one monotonic clock. The names of numbers
-//! on the counter are derived from it, so the ingresses of one service must keep their clocks
+//! Times are seconds. `now` and absolute times come from one monotonic clock. The names of the
+//! totals on the counter are derived from it, so the ingresses of one service must keep their
+//! clocks
 //! synchronized: if clocks differ by a noticeable part of a quota window (a second or more), the
 //! ingresses count in different windows.
 
@@ -169,7 +170,7 @@
     },
     /// A counter call has ended. Answers for one name arrive in the order of the calls.
     CounterAnswered {
-        /// Name of the number.
+        /// Name of the total on the counter.
         name: u64,
         /// How the call ended. The amount may have been added after a timeout or a reset, and has
         /// been added after an error.
@@ -179,7 +180,7 @@
     },
     /// The total of a call that had already timed out has arrived.
     CounterAnsweredLate {
-        /// Name of the number.
+        /// Name of the total on the counter.
         name: u64,
         /// Amount that the call added.
         amount: f64,
@@ -234,13 +235,13 @@
     },
     /// Poll the endpoint list, or subscribe to its changes.
     FollowEndpointList,
-    /// Add to a number on the counter service. [`Event::CounterAnswered`] reports the result.
+    /// Add to a total on the counter service. [`Event::CounterAnswered`] reports the result.
     AddToCounter {
-        /// Name of the number.
+        /// Name of the total on the counter.
         name: u64,
-        /// Amount to add, in units; 0 only reads the number, a negative amount subtracts.
+        /// Amount to add, in units; 0 only reads the total, a negative amount subtracts.
         amount: f64,
-        /// If the call creates the number, the number expires after this many seconds.
+        /// If the call creates the total, the total expires after this many seconds.
         lives: f64,
     },
 }
--- a/src/decision/lease_window.rs
+++ b/src/decision/lease_window.rs
@@ -1,7 +1,7 @@
 //! Windows of a quota lease: how the totals on the counter update a tenant's quota.
 //!
 //! **Rule.** A quota is counted in windows of about its burst divided by its rate, each with its
-//! own number on the counter. A window allows its length times the rate plus the units that the
+//! own total on the counter. A window allows its length times the rate plus the units that the
 //! previous window left, up to the burst. A total includes the units that all ingresses have taken.
 //! Units of a call beyond the allowance are trimmed.
 //!
@@ -25,7 +25,7 @@
 
 /// Shortest window, s: must hold one or two calls.
 const MIN_WINDOW: f64 = 1.0;
-/// Longest window, s: a number must still exist on the counter when the next window reads it.
+/// Longest window, s: a total must still exist on the counter when the next window reads it.
 const MAX_WINDOW: f64 = 25.0;
 /// Smallest excess that is trimmed, units: a smaller one does not justify a call.
 pub(super) const MIN_TRIMMED_UNITS: f64 = 0.5;
@@ -49,7 +49,7 @@
     }
 }
 
-/// State of a tenant's number on the counter in the current window.
+/// State of a tenant's total on the counter in the current window.
 #[derive(Default)]
 pub(super) struct LeaseWindow {
     /// Index of the window: the time of the events' clock divided by the window length.
--- a/src/decision/quota.rs
+++ b/src/decision/quota.rs
@@ -32,7 +32,7 @@
 pub(super) struct CounterAnswer {
     pub(super) name: u64,
     pub(super) outcome: Outcome,
-    /// The number after the call; valid only if the outcome is [`Outcome::Ok`].
+    /// The total after the call; valid only if the outcome is [`Outcome::Ok`].
     pub(super) total: f64,
 }
 
--- a/src/decision/quota_lease.rs
+++ b/src/decision/quota_lease.rs
@@ -8,11 +8,11 @@
 //! **Inputs.** Units; demand in units a second; answers of the counter; times in seconds.
 //!
 //! **Guards.** If the counter is unavailable or has lost its totals, each ingress grants its even
-//! share of the quota instead. Under a ceiling, a reserve must also cover the units; it starts
-//! empty so that restarts do not grant units twice. Demand beyond the quota causes no calls: none
-//! is made before units can be available. Known harm: unused leased tokens of one ingress are not
-//! available to the others, and an even share does not follow the distribution of requests over
-//! ingresses.
+//! share of the quota instead. If the plan has a ceiling (a rate that is never exceeded), a local
+//! token bucket, the reserve, must also cover the units; the reserve starts empty so that restarts
+//! do not grant units twice. Demand beyond the quota causes no calls: none is made before units can
+//! be available. Known harm: unused leased tokens of one ingress are not available to the others,
+//! and an even share does not follow the distribution of requests over ingresses.
 
 use super::counter_call::CounterCall;
 use super::lease_window::{TotalUpdate, MIN_TRIMMED_UNITS};
@@ -20,9 +20,9 @@
 use super::tenant::{Tenant, WaitingRequest};
 use super::{Action, DecisionEngine, Outcome, Plan, Request, RequestId, TenantId};
 
-/// Lifetime of a number on the counter, in windows: it is read in the window after its own,
-/// possibly late.
-const NUMBER_LIFETIME_WINDOWS: f64 = 3.0;
+/// Lifetime of a total on the counter, in windows: it is read in the window after its own, possibly
+/// late.
+const TOTAL_LIFETIME_WINDOWS: f64 = 3.0;
 /// Demand that a lease covers, s: the time of a few calls, so that a call in flight delays no
 /// request.
 const LEASE_DEMAND: f64 = 0.4;
@@ -100,7 +100,7 @@
         counter_unavailable: bool,
     ) -> Option<CounterCall> {
         if without_counter {
-            // Only reads the number, to detect whether the counter has recovered.
+            // Only reads the total, to detect whether the counter has recovered.
             return counter_unavailable.then_some(CounterCall::read(self.window.index));
         }
         if self.window.must_read_previous {
@@ -240,7 +240,7 @@
             return;
         }
         let plan = &self.settings.plans[tenant.plan];
-        let lifetime = NUMBER_LIFETIME_WINDOWS * plan.lease_window();
+        let lifetime = TOTAL_LIFETIME_WINDOWS * plan.lease_window();
         if let Some(call) = tenant.next_lease_call(now, plan, without_counter, unavailable) {
             actions.push(self.call_counter(now, id, call, lifetime));
         }
@@ -285,7 +285,7 @@
             return;
         };
         let plan = &self.settings.plans[tenant.plan];
-        let lifetime = NUMBER_LIFETIME_WINDOWS * plan.lease_window();
+        let lifetime = TOTAL_LIFETIME_WINDOWS * plan.lease_window();
         if call.window == tenant.window.index - 1 {
             tenant.apply_previous_total(total, plan);
         } else if call.window == tenant.window.index {
--- a/src/decision/settings.rs
+++ b/src/decision/settings.rs
@@ -149,11 +149,11 @@
     /// # Errors
     /// Returns the first invalid field and the requirement that it does not meet.
     pub fn check(&self) -> Result<(), SettingsError> {
-        require(self.ingresses > 0, "gateways", "must be at least 1")?;
+        require(self.ingresses > 0, "balancers", "must be at least 1")?;
         require(
             self.ingress_index < self.ingresses,
             "position",
-            "must be less than the number of gateways",
+            "must be less than the number of ingresses",
         )?;
         require(!self.classes.is_empty(), "classes", "must not be empty")?;
         require(!self.plans.is_empty(), "plans", "must not be empty")?;
--- a/src/decision/shared_token_bucket.rs
+++ b/src/decision/shared_token_bucket.rs
@@ -1,19 +1,21 @@
-//! The shared token bucket of a tenant with a small quota: a number on the counter holds its state.
+//! The shared token bucket of a tenant with a small quota: a total on the counter holds its state.
 //!
 //! **Rule.** If an ingress's share of a burst is smaller than a request, leases and even shares
 //! would divide the quota into portions that no request can use. Each request is then checked at
 //! the counter on its own: one call takes its units, and the total shows whether the bucket held
-//! them. The bucket's deficit is the units taken since the epoch of the number began, minus the
-//! rate times the age of the epoch. Units that the bucket did not hold are returned with the next
-//! call. A number is valid for one epoch; the first ingress that calls in a new epoch carries over
-//! the deficit of the previous one.
+//! them. The bucket's deficit is the units taken since the epoch of the total began, minus the rate
+//! times the age of the epoch. Units that the bucket did not hold are returned with the next call.
+//! Each epoch has its own total on the counter; the first ingress that calls in a new epoch carries
+//! over the deficit of the previous one.
 //!
-//! **Inputs.** Units; totals; rate in units a second; ages in seconds; congestion of the counter (a
-//! fraction of its calls).
+//! **Inputs.** Units; totals; rate in units a second; ages in seconds; congestion of the counter
+//! (the fraction of calls to skip, see [`super::counter_health`]).
 //!
-//! **Congestion.** That fraction of the requests is not checked, but admitted with the acceptance
-//! ratio of checked requests of the same plan, reduced by the cost of requests beyond the quota.
-//! While the counter is unavailable, an even share determines the probability.
+//! **Congestion.** The fraction of the requests that the counter's congestion gives is not checked,
+//! but admitted with the acceptance ratio of checked requests of the same plan, reduced by the cost
+//! of requests beyond the quota. While the counter is unavailable, an unchecked request is admitted
+//! with a probability that depends on this ingress's even share of the quota: the unused units of
+//! the share divided by the units of the request.
 //!
 //! **Guards.**
 //! - A full bucket cannot take in more units: the ingress that detects such a surplus removes it.
@@ -21,7 +23,7 @@
 //! - Each rejected request costs a call, and a tenant far beyond its quota causes many: after a
 //!   rejection, no request of the tenant is checked until the bucket can hold units again, and
 //!   then only a fraction of them.
-//! - If all ingresses moved to new numbers at once, they would congest the counter: epochs begin at
+//! - If all ingresses moved to new totals at once, they would congest the counter: epochs begin at
 //!   a different time for each tenant.
 //!
 //! Known harm: one call for each request, a further one for each rejected request, and the latency
@@ -34,13 +36,13 @@
 use super::tenant::{Tenant, WaitingRequest};
 use super::{Action, DecisionEngine, Plan, Request, TenantId};
 
-/// Length of an epoch, s: a number must exist for its own epoch and the next, within the longest
-/// lifetime of a number on the counter.
+/// Length of an epoch, s: a total must exist for its own epoch and the next, within the longest
+/// lifetime of a total on the counter.
 const EPOCH_LENGTH: f64 = 25.0;
-/// Lifetime of a number on the counter, s: its own epoch and the next, in which it is carried over.
-const NUMBER_LIFETIME: f64 = 2.2 * EPOCH_LENGTH;
-/// Lifetime of a number that is only read, s.
-const READ_NUMBER_LIFETIME: f64 = EPOCH_LENGTH;
+/// Lifetime of a total on the counter, s: its own epoch and the next, in which it is carried over.
+const TOTAL_LIFETIME: f64 = 2.2 * EPOCH_LENGTH;
+/// Lifetime of a total that is only read, s.
+const READ_TOTAL_LIFETIME: f64 = EPOCH_LENGTH;
 /// Hash index for the offset of a tenant's epochs.
 const PHASE_INDEX: i64 = 0;
 /// Surplus of the bucket, in bursts, from which it is corrected: smaller errors do not justify a
@@ -94,7 +96,7 @@
     }
 }
 
-/// The epoch of a tenant's number.
+/// The epoch of a tenant's total.
 struct BucketEpoch {
     index: i64,
     /// Time since the epoch began, s.
@@ -150,7 +152,7 @@
     fn try_take(&mut self, now: f64, units: f64, deficit: &mut f64, plan: &Plan) -> bool {
         let excess = deficit.max(0.0) + units.min(self.mean_units) - plan.burst;
         if excess > 0.0 {
-            // The missing units take this long to come in, whichever request arrives meanwhile.
+            // The missing units accrue in this time, also if other requests arrive meanwhile.
             self.no_units_before = now + excess / plan.rate;
             self.local_tokens += units;
             return false;
@@ -169,7 +171,7 @@
         plan: &Plan,
     ) {
         if let Some(CarryOver { epoch_age }) = carried_over {
-            // The new number starts with the deficit that the previous one had at the end of its
+            // The new total starts with the deficit that the previous one had at the end of its
             // epoch.
             self.local_tokens -= (*deficit + plan.rate * epoch_age).clamp(0.0, plan.burst);
         } else if *deficit < -OVERFULL_BURSTS * plan.burst {
@@ -183,7 +185,7 @@
     }
 }
 
-/// Marks a total of the previous epoch's number, read to carry its deficit over.
+/// Marks a total of the previous epoch, read to carry its deficit over.
 struct CarryOver {
     /// Time since the new epoch began, s.
     epoch_age: f64,
@@ -256,7 +258,7 @@
             window: BucketEpoch::at(now, id).index,
             amount: tenant.waiting_units() - std::mem::take(&mut tenant.local_tokens),
         };
-        actions.push(self.call_counter(now, id, call, NUMBER_LIFETIME));
+        actions.push(self.call_counter(now, id, call, TOTAL_LIFETIME));
     }
 
     /// Handles the end of a call to a shared bucket; `total` is `None` if the call returned none.
@@ -291,8 +293,8 @@
         });
         let wait = self.quota_wait(now, id);
         if first_of_epoch && epoch.age < plan.burst / plan.rate {
-            let last_number = CounterCall::read(call.window - 1);
-            actions.push(self.call_counter(now, id, last_number, READ_NUMBER_LIFETIME));
+            let read_previous_total = CounterCall::read(call.window - 1);
+            actions.push(self.call_counter(now, id, read_previous_total, READ_TOTAL_LIFETIME));
         } else {
             self.call_shared_bucket_if_needed(now, id, actions);
         }
--- a/src/decision/stable_hash.rs
+++ b/src/decision/stable_hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that are the same at every ingress and in every process, for the names of numbers on the
+//! Hashes that are the same at every ingress and in every process, for the names of totals on the
 //! counter and for choices that must differ between ingresses without a new random number each
 //! time.
 
--- a/src/decision/tenant.rs
+++ b/src/decision/tenant.rs
@@ -52,7 +52,7 @@
 }
 
 impl Allowance {
-    /// Adds the units that have come in until `now` (s) at `rate` units a second, up to `max`
+    /// Adds the units that have accrued until `now` (s) at `rate` units a second, up to `max`
     /// units.
     pub(super) fn refill(&mut self, now: f64, rate: f64, max: f64) {
         self.tokens = (self.tokens + rate * (now - self.updated_at)).min(max);
@@ -93,7 +93,7 @@
     pub(super) last_request_at: f64,
     /// Even share of the quota for this ingress, used when the counter cannot be used.
     pub(super) even_share: Allowance,
-    /// Under a ceiling: units of it that this ingress may grant without the counter.
+    /// If the plan has a ceiling: units of it that this ingress may grant without the counter.
     pub(super) ceiling_reserve: Allowance,
     pub(super) attempts_in_flight: u32,
 }
--- a/src/group/cached_replica.rs
+++ b/src/group/cached_replica.rs
@@ -25,7 +25,7 @@
     #[error("another process uses this folder")]
     Locked,
     /// The operating system refused to open or lock the folder.
-    #[error("{0}")]
+    #[error("cannot open or lock the folder: {0}")]
     System(#[from] std::io::Error),
 }
 
@@ -119,7 +119,7 @@
                 Ok(()) => queue.note_stored(&pending),
                 Err(e) => tracing::warn!(
                     error = %e,
-                    "cannot write the cached replica: a restart without a connection would not have it"
+                    "cannot write the cached replica: a restart while no member is reachable would use an older copy"
                 ),
             }
         }
--- a/src/group/documents.rs
+++ b/src/group/documents.rs
@@ -17,8 +17,8 @@
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Group {
-    /// Returns the last version of a document: the group's if it answers in time, else the one that
-    /// is known here. If neither has one, waits for the first version. Nothing can be submitted
+    /// Returns the last version of a document: the group's if it answers in time, else the local
+    /// copy. If neither has one, waits for the first version. Nothing can be submitted
     /// before enough members vote, so a group that has just started answers reads before it holds
     /// any document.
     pub async fn document(&self, kind: DocumentKind) -> Option<Document> {
@@ -26,7 +26,7 @@
         if answered.is_err() {
             tracing::warn!(
                 ?kind,
-                "the group does not answer: the version that is known here may be outdated"
+                "the group does not answer: the local copy may be outdated"
             );
         }
         if let Some(known) = self.known_document(kind) {
@@ -39,7 +39,10 @@
         let first_version = self.until_first_version(kind);
         let first = tokio::time::timeout(FIRST_VERSION_TIMEOUT, first_version).await;
         if first.is_err() {
-            tracing::warn!(?kind, "no first version of the document arrived in time");
+            tracing::warn!(
+                ?kind,
+                "no first version of the document arrived within the time limit"
+            );
         }
         self.known_document(kind)
     }
@@ -55,8 +58,8 @@
         }
     }
 
-    /// Returns once a version of the document is known here, or the group's thread has ended and
-    /// none will be.
+    /// Returns once this ingress has received a version of the document, or the group's thread has
+    /// ended and none will arrive.
     async fn until_first_version(&self, kind: DocumentKind) {
         let _ = self
             .view()
@@ -96,10 +99,13 @@
                 .await
             {
                 CallResult::Done(Outcome::Written(number), _) => {
-                    return tracing::info!(?kind, number, "stored by the group");
+                    return tracing::info!(?kind, number, "document stored by the group");
                 }
                 CallResult::Done(Outcome::Refused, _) => {
-                    return tracing::warn!(?kind, "the group refused the document");
+                    return tracing::warn!(
+                        ?kind,
+                        "the group refused the document: not submitted again"
+                    );
                 }
                 _ => tokio::time::sleep(SUBMIT_INTERVAL).await,
             }
--- a/src/group/link/error.rs
+++ b/src/group/link/error.rs
@@ -9,16 +9,16 @@
     #[error("connect timed out")]
     ConnectTimeout,
     /// The connecting peer sent no complete hello.
-    #[error("no hello in time")]
+    #[error("the connecting peer sent no complete hello within the time limit")]
     GreetingTimeout,
     /// The connecting peer sent something other than a hello, or closed the connection.
-    #[error("no valid hello")]
+    #[error("the connecting peer sent no valid hello")]
     NoGreeting,
     /// The peer accepted the connection and sent no complete welcome.
-    #[error("no welcome in time")]
+    #[error("the peer sent no complete welcome within the time limit")]
     WelcomeTimeout,
     /// The peer closed the connection, or sent something other than a welcome.
-    #[error("rejected by the peer")]
+    #[error("the peer rejected the hello, or sent no valid welcome")]
     Rejected,
     /// The peer's hello or welcome is not acceptable.
     #[error(transparent)]
@@ -48,16 +48,16 @@
     #[error("follower reads too slowly, or there are too many followers")]
     FollowerDropped,
     /// The most links that may be open are open already.
-    #[error("too many links")]
+    #[error("too many open links")]
     TooManyLinks,
     /// The peer closed the connection.
-    #[error("closed by the peer")]
+    #[error("the peer closed the link")]
     Closed,
     /// This ingress has been admitted since it sent its hello.
-    #[error("admitted since the hello: reconnecting")]
+    #[error("this ingress was admitted after it sent its hello: reconnecting")]
     IncarnationChanged,
     /// An error of the operating system.
-    #[error("{0}")]
+    #[error("connecting, reading or writing failed: {0}")]
     System(#[from] std::io::Error),
 }
 
--- a/src/group/thread.rs
+++ b/src/group/thread.rs
@@ -109,7 +109,9 @@
     });
     match std::panic::catch_unwind(run) {
         Ok(Ok(())) => {}
-        Ok(Err(e)) => tracing::error!(error = %e, "the group's thread has ended with an error"),
+        Ok(Err(e)) => {
+            tracing::error!(error = %e, "the group's thread has ended with an error; this ingress no longer takes part in the group")
+        }
         Err(_) => {
             tracing::error!(
                 "the group's thread has panicked; this ingress no longer takes part in the group"
--- a/src/runtime/server/inventory.rs
+++ b/src/runtime/server/inventory.rs
@@ -16,7 +16,7 @@
     let loaded = inventory.load(&mut dispatcher.registry(), dispatcher.now());
     let (entries, warnings) = loaded?;
     for warning in driftgap_inventory::summary(&warnings) {
-        tracing::warn!(warning, "warning in the inventory");
+        tracing::warn!(warning, "inventory accepted with a warning");
     }
     dispatcher.update_endpoints(ListKind::Delta, entries);
     // A removed endpoint drains first. It leaves the registry at the first load whose previous list
@@ -62,7 +62,7 @@
     let Ok((entries, _)) = restored else {
         return Err(fault);
     };
-    tracing::error!(%fault, number = document.number, "serves the group's last good inventory");
+    tracing::error!(%fault, number = document.number, "inventory file cannot be used: using the last inventory that the group accepted");
     dispatcher.update_endpoints(ListKind::Delta, entries);
     Ok(())
 }
--- a/src/runtime/server/listeners.rs
+++ b/src/runtime/server/listeners.rs
@@ -12,16 +12,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
     /// The address for clients cannot be bound.
-    #[error("listen: {0}: {1}")]
+    #[error("listen: {0}: cannot listen at this address: {1}")]
     Clients(SocketAddr, io::Error),
     /// The inherited socket cannot accept clients.
     #[error("EDGE_ACCEPT_FD: {0}")]
     Inherited(#[from] InheritedSocketError),
     /// The address for administration cannot be bound.
-    #[error("operator: {0}: {1}")]
+    #[error("operator: {0}: cannot listen at this address: {1}")]
     Admin(SocketAddr, io::Error),
     /// The inherited socket is valid, but the system rejects an operation on it.
-    #[error("{0}")]
+    #[error("EDGE_ACCEPT_FD: the system refused an operation on the inherited socket: {0}")]
     System(#[from] io::Error),
 }
 
@@ -29,10 +29,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InheritedSocketError {
     /// The system reports no state for the descriptor: it is not a socket.
-    #[error("{0}")]
+    #[error("the descriptor is not a usable socket: {0}")]
     Unusable(#[from] io::Error),
     /// The socket does not listen, or not at the configured address.
-    #[error("{} at {}, while listen is {expected}", state(.listens), address(.bound))]
+    #[error(
+        "the inherited socket {} at {}, but the configured `listen` address is {expected}",
+        state(.listens),
+        address(.bound)
+    )]
     Elsewhere {
         /// Whether the socket listens at all.
         listens: bool,
--- a/src/runtime/server/reload.rs
+++ b/src/runtime/server/reload.rs
@@ -3,14 +3,15 @@
 //! 1. The configuration file is read again. Discovery and counter move to the new addresses; other
 //!    changed fields are logged, since they take effect at a restart only.
 //! 2. The rules are read and compiled on a separate thread ([`RuleReload`]). The serving thread
-//!    replaces them when the reading has finished. Any number of SIGHUPs during a reading cause one
-//!    more reading.
+//!    replaces them when that thread has finished. All SIGHUPs that arrive meanwhile cause one more
+//!    run.
 //! 3. The inventory is read again, and its changes go to the endpoint registry.
 //!
 //! The operator's file itself and the plug-in's script are read at the start only.
 //!
 //! Each file is checked on its own. An invalid file is logged, and the version in force stays.
-//! Rules and inventory that come into force are submitted to the group, if there is one.
+//! Rules and inventory that come into force are also stored in the group, if there is one, for
+//! members that start with an invalid file.
 
 use super::ingress::Ingress;
 use super::{inventory, rules};
--- a/src/runtime/server/rules.rs
+++ b/src/runtime/server/rules.rs
@@ -64,7 +64,7 @@
     tracing::error!(
         fault,
         number = document.number,
-        "serves the group's last good rules"
+        "rules file cannot be used: using the last rules that the group accepted"
     );
     Some(RuleText { rules, text })
 }
--- a/src/runtime/server/shutdown.rs
+++ b/src/runtime/server/shutdown.rs
@@ -118,7 +118,7 @@
     tracing::info!(
         unanswered = dispatcher.unanswered(),
         clients = frontends.connections(),
-        "stopping"
+        "stopping: finishing the requests that were received"
     );
     let notice_ms = if frontends.inherited {
         0.0
@@ -139,7 +139,7 @@
     {
         tracing::info!(
             unanswered = dispatcher.unanswered(),
-            "time is up: answering the remaining requests as rejected or failed"
+            "drain time limit reached: answering the remaining requests as rejected or failed"
         );
         dispatcher.answer_all_now();
         frontends.all_closed_by(dispatcher, end_ms).await;
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -47,13 +47,13 @@
     #[error("inventory {0}: {1}")]
     Inventory(String, InventoryError),
     /// The plug-in cannot be loaded.
-    #[error("plugin: {0}")]
+    #[error("plugin: the script cannot be loaded: {0}")]
     Plugin(#[from] PluginError),
     /// The group's folder or address cannot be used.
     #[error("{0}")]
     Group(#[from] GroupError),
     /// The rules are invalid: the first fault.
-    #[error("routes: {0}")]
+    #[error("routes: the rules cannot be used: {0}")]
     Routes(String),
 }
 
--- a/src/runtime/server/timers.rs
+++ b/src/runtime/server/timers.rs
@@ -54,13 +54,13 @@
         counter_calls = counts.counter_calls,
         unanswered = dispatcher.unanswered(),
         connections = ingress.upstream.open_connections(),
-        "statistics"
+        "request statistics"
     );
     if let Some(pools) = dispatcher.pool_statistics() {
         tracing::info!(
             ready = pools.ready,
             faults = pools.failed_evaluations,
-            "pools"
+            "pool statistics"
         );
     }
 }
--- a/tests/decision/settings.rs
+++ b/tests/decision/settings.rs
@@ -12,7 +12,7 @@
             .expect("an error")
             .field
     };
-    assert_eq!(invalid_field(|s| s.ingresses = 0), "gateways");
+    assert_eq!(invalid_field(|s| s.ingresses = 0), "balancers");
     assert_eq!(invalid_field(|s| s.classes.clear()), "classes");
     assert_eq!(
         invalid_field(|s| s.classes[1].latency_objective = f64::NAN),
--- a/tests/group/disks.rs
+++ b/tests/group/disks.rs
@@ -34,7 +34,7 @@
             peers.step("hup 0").await;
             peers
                 .step(&format!(
-                    "logged 0 stored by the group kind=Rules number={}",
+                    "logged 0 document stored by the group kind=Rules number={}",
                     turn + 1
                 ))
                 .await;
--- a/tests/group/documents.rs
+++ b/tests/group/documents.rs
@@ -21,13 +21,13 @@
          file 1 inventory.csv name,address\nz1,127.0.0.1:
          file 1 rules.toml [[rule]
          start 1
-         logged 1 serves the group's last good rules
-         logged 1 serves the group's last good inventory
+         logged 1 rules file cannot be used: using the last rules that the group accepted
+         logged 1 inventory file cannot be used: using the last inventory that the group accepted
          whole 0 1 2
          call 1 ACK SUSPEND z1
          file 0 inventory.csv name,address\nz1,127.0.0.1:9\nz2,127.0.0.1:10\n
          hup 0
-         logged 0 stored by the group kind=Inventory number=2
+         logged 0 document stored by the group kind=Inventory number=2
          file 2 inventory.csv name,address\nz3,127.0.0.1
          hup 2
          logged 2 the old list stays
@@ -54,8 +54,8 @@
          says 0 m1:2:votes
          runs 1 1000
          start 2
-         logged 1 serves the group's last good rules
-         logged 1 serves the group's last good inventory
+         logged 1 rules file cannot be used: using the last rules that the group accepted
+         logged 1 inventory file cannot be used: using the last inventory that the group accepted
          whole 0 1 2
          call 1 ACK SUSPEND z1"#,
     );
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -85,7 +85,7 @@
         ),
         (
             config_with(r#""balancers": 1"#, r#""balancers": 0"#),
-            "gateways",
+            "balancers: must be at least 1",
         ),
         (
             config_with(r#""conn_idle": 15.0"#, r#""conn_idle": 0"#),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -235,7 +235,7 @@
         (start_frame("{}"), "balancers is missing"),
         (
             start_frame(r#"{"balancers":0,"request_classes":[],"plans":[]}"#),
-            "gateways",
+            "balancers: must be at least 1",
         ),
         (
             start_frame(r#"{"balancers":1,"request_classes":[{"aim":"x"}],"plans":[]}"#),
