--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -17,7 +17,7 @@
 //!
 //! **Guards.** Retries multiply load at the very time when endpoints fail: the budget limits them
 //! to a fraction of the first attempts. An unsafe request must not take effect twice. Known harm:
-//! if failures are many, requests fail because the budget has no tokens left.
+//! if many endpoints fail, requests fail because the budget has no tokens left.
 
 use super::endpoint::DeduplicationGroup;
 use super::endpoint_selection::Selection;
--- a/src/group/cached_replica/tests.rs
+++ b/src/group/cached_replica/tests.rs
@@ -16,10 +16,10 @@
     let bytes = encode(&copy);
     assert_eq!(decode(&bytes), Some(copy));
     for at in 0..bytes.len() {
-        assert_eq!(decode(&bytes[..at]), None, "cut at {at}");
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 4;
-        assert_eq!(decode(&spoilt), None, "a bit at {at}");
+        assert_eq!(decode(&bytes[..at]), None, "cut at byte {at}");
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 4;
+        assert_eq!(decode(&damaged), None, "bit changed in byte {at}");
     }
 }
 
--- a/src/group/follower_task.rs
+++ b/src/group/follower_task.rs
@@ -1,6 +1,6 @@
 //! The task of a follower, which runs on the group's thread. Passes frames and the time to the
-//! follower, and carries out what the follower asks for. Owns the one connection to a member: there
-//! is never a second one, and no call waits for a member that has disconnected.
+//! follower, and carries out the actions that the follower returns. Owns the one connection to a
+//! member: there is never a second one, and no call waits for a member that has disconnected.
 
 use super::cached_replica::{CachedReplica, ReplicaWriter};
 use super::call::{CallResult, MembershipStatus, Request, View};
--- a/src/group/link/incoming.rs
+++ b/src/group/link/incoming.rs
@@ -75,7 +75,7 @@
     async fn run_and_count(&self, stream: TcpStream, from: SocketAddr) {
         if let Err(error) = self.run(stream).await {
             self.statistics.refused.add(&error);
-            tracing::debug!(%from, cause = error.cause(), why = %error, "link refused");
+            tracing::debug!(%from, cause = error.cause(), why = %error, "incoming link refused or ended");
         }
     }
 
--- a/src/group/member_task/mod.rs
+++ b/src/group/member_task/mod.rs
@@ -1,7 +1,7 @@
 //! The task of a member, which runs on the group's thread. Passes frames, results of writes and the
-//! time to the member, and carries out what the member asks for. Guarantees the order of effects:
-//! nothing that depends on a write is sent before the write is on the disk. Leaves all decisions of
-//! the protocol to the member, and stops taking part once the disk has failed.
+//! time to the member, and carries out the actions that the member returns. Guarantees the order of
+//! effects: nothing that depends on a write is sent before the write is on the disk. Leaves all
+//! decisions of the protocol to the member, and stops taking part once the disk has failed.
 
 mod disk;
 mod links;
--- a/src/group/member_task/progress.rs
+++ b/src/group/member_task/progress.rs
@@ -1,4 +1,4 @@
-//! Carries out what the member asks for after frames, writes and ticks: disk jobs, frames to send,
+//! Carries out the actions of the member after frames, writes and ticks: disk jobs, frames to send,
 //! the published state, and the results of calls.
 
 use super::{MemberTask, Participation};
--- a/src/group/member_task/statistics.rs
+++ b/src/group/member_task/statistics.rs
@@ -24,7 +24,7 @@
             promises = self.call_times_ms.len(),
             promise_p50_ms = quantile(&self.call_times_ms, 0.5),
             promise_p99_ms = quantile(&self.call_times_ms, 0.99),
-            "group"
+            "member statistics"
         );
         self.call_times_ms.clear();
     }
--- a/src/runtime/server/descriptors.rs
+++ b/src/runtime/server/descriptors.rs
@@ -9,8 +9,8 @@
 const RESERVED_DESCRIPTORS: usize = 24 + MAX_CONNECTIONS;
 /// Descriptors for the administration listener and its callers, if it is configured.
 const ADMIN_DESCRIPTORS: usize = 1 + MAX_CALLERS;
-/// Lower bound of RESP connections, whatever the settings leave. With fewer, the ingress could not
-/// serve at all.
+/// Lower bound of RESP connections, even if the settings leave fewer. With fewer, the ingress could
+/// not serve at all.
 const MIN_CLIENT_CONNECTIONS: usize = 16;
 
 /// Most connections to endpoints and from clients. Endpoints get two fifths of the descriptors and
