--- a/src/runtime/server/timers.rs
+++ b/src/runtime/server/timers.rs
@@ -54,7 +54,7 @@
         counter_calls = counts.counter_calls,
         unanswered = dispatcher.unanswered(),
         connections = ingress.upstream.open_connections(),
-        "request statistics"
+        "statistics"
     );
     if let Some(pools) = dispatcher.pool_statistics() {
         tracing::info!(
