--- a/crates/expr/src/machine.rs
+++ b/crates/expr/src/machine.rs
@@ -1,5 +1,5 @@
-//! Stack machine that runs programs. It does not allocate on the common path, stops at the stated
-//! cost and does not panic for any input.
+//! Stack machine that runs programs. It does not allocate on the common path, stops at the maximum
+//! cost computed at compile time and does not panic for any input.
 
 mod operators;
 
@@ -23,10 +23,10 @@
     /// A division by zero.
     #[error("a division by zero")]
     DivisionByZero,
-    /// The stated cost was reached, because the input exceeds the bounds of its schema.
+    /// The maximum cost was reached, because the input exceeds the bounds of its schema.
     #[error("the input is larger than was stated")]
     Cost,
-    /// A value of the input has another type than its schema says.
+    /// A value of the input does not have the type in its schema.
     #[error("the input is not of the stated types")]
     Input,
 }
@@ -141,7 +141,8 @@
 impl<'a> Machine<'a, '_> {
     fn spend(&mut self, cost: u64) -> Result<(), Fault> {
         self.spent += cost;
-        // An input beyond its bounds must not occupy the serving thread for longer than was stated.
+        // An input beyond its bounds must not occupy the serving thread for longer than the maximum
+        // cost allows.
         if self.spent > self.code.shape.cost {
             return Err(Fault::Cost);
         }
--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -24,7 +24,7 @@
 
     #[expect(
         clippy::too_many_lines,
-        reason = "a rule with `contains` took a tenth longer when this function was split"
+        reason = "rules with `contains` evaluate a tenth slower if this function is split"
     )]
     pub(super) fn binary(
         &mut self,
@@ -132,7 +132,7 @@
 
     #[expect(
         clippy::too_many_lines,
-        reason = "a rule with `contains` took a tenth longer when this function was split"
+        reason = "rules with `contains` evaluate a tenth slower if this function is split"
     )]
     pub(super) fn call(
         &mut self,
--- a/crates/expr/src/price.rs
+++ b/crates/expr/src/price.rs
@@ -1,6 +1,7 @@
 //! Cost of instructions in units, beyond the one unit that each instruction costs, as a function of
 //! lengths in bytes or items. The compiler sums these up from the bounds of the input, the machine
-//! spends them by the actual input. An evaluation therefore never spends more than was stated.
+//! spends them by the actual input. An evaluation therefore never exceeds the maximum cost that the
+//! compiler computed.
 
 /// Comparing two texts.
 pub(crate) fn compare(a: u64, b: u64) -> u64 {
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -1,6 +1,6 @@
 //! Compiles a typed tree to bytecode and computes its worst-case cost. Each method returns the cost
 //! of the code that it emits, in units, by the formulas that the machine spends by
-//! ([`crate::price`]), so that an evaluation cannot spend more than was stated.
+//! ([`crate::price`]), so that an evaluation cannot exceed the computed cost.
 
 use crate::ast::Binary;
 use crate::code::{Code, Op, Shape};
--- a/crates/expr/tests/properties.rs
+++ b/crates/expr/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Properties of all expressions. A well-typed one never fails with a type error and never costs
-//! more than was stated, and its facts hold. No text causes a panic or takes long to check. Each
-//! run prints its seed.
+//! Properties of all expressions. A well-typed one never fails with a type error and never exceeds
+//! its computed maximum cost, and its facts hold. No text causes a panic or takes long to check.
+//! Each run prints its seed.
 
 mod common;
 mod generators;
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn oversized_input_stops_at_the_stated_cost() {
+fn oversized_input_stops_at_the_maximum_cost() {
     let expression = Expression::new("request.tags.all(t, t != 'x')", &schema()).unwrap();
     let request = Request {
         tags: vec!["a".into(); 100_000],
--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -16,9 +16,9 @@
 
 /// A connection on which no frame has arrived for this long is given up, ms.
 const SILENCE_TIMEOUT_MS: f64 = 2000.0;
-/// A member whose own state is older than this is left for another one, ms. This is longer than any
-/// change of leaders, and short enough that a promise given meanwhile arrives from another member
-/// within 2 s.
+/// A follower leaves a member whose own state is older than this for another one, ms. This is
+/// longer than any change of leaders, and short enough that a change confirmed in the meantime
+/// reaches the follower through another member within 2 s.
 const MAX_STATE_AGE_MS: f64 = 1300.0;
 
 /// A replica of the group's state as of the last update. Written to the disk by position: the order
--- a/crates/group/src/forwarding_routes.rs
+++ b/crates/group/src/forwarding_routes.rs
@@ -9,11 +9,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A member counts as heard for this long after its last direct frame, ms. Shorter than any
+/// A member is directly reachable for this long after its last direct frame, ms. Shorter than any
 /// election timeout, so that a route is found before an election starts.
-const HEARD_WITHIN_MS: f64 = 400.0;
+const DIRECT_LINK_TIMEOUT_MS: f64 = 400.0;
 /// A member's report is used for routes for this long, ms: one or two reports may be lost.
-const REPORT_LIFETIME_MS: f64 = 2.0 * HEARD_WITHIN_MS;
+const REPORT_LIFETIME_MS: f64 = 2.0 * DIRECT_LINK_TIMEOUT_MS;
 
 /// The route of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct Report {
     at_ms: f64,
-    hears: BTreeSet<String>,
+    receives_from: BTreeSet<String>,
 }
 
 /// Reachability between members, by name.
@@ -35,7 +35,7 @@
 pub(crate) struct ForwardingRoutes {
     own_name: String,
     /// When the last direct frame of each member arrived.
-    last_heard_ms: BTreeMap<String, f64>,
+    last_frame_ms: BTreeMap<String, f64>,
     reports: BTreeMap<String, Report>,
 }
 
@@ -48,38 +48,40 @@
     }
 
     /// Records a frame that came directly from this member.
-    pub(crate) fn note_heard(&mut self, now_ms: f64, from: &str) {
-        match self.last_heard_ms.get_mut(from) {
+    pub(crate) fn note_direct_frame(&mut self, now_ms: f64, from: &str) {
+        match self.last_frame_ms.get_mut(from) {
             Some(at_ms) => *at_ms = now_ms,
             None => {
-                self.last_heard_ms.insert(from.into(), now_ms);
+                self.last_frame_ms.insert(from.into(), now_ms);
             }
         }
     }
 
     /// Records the members from which another member receives frames.
-    pub(crate) fn note_report(&mut self, now_ms: f64, of: &str, hears: Vec<String>) {
+    pub(crate) fn note_report(&mut self, now_ms: f64, of: &str, receives_from: Vec<String>) {
         let report = Report {
             at_ms: now_ms,
-            hears: hears.into_iter().collect(),
+            receives_from: receives_from.into_iter().collect(),
         };
         self.reports.insert(of.into(), report);
     }
 
     /// Returns the members from which this one receives frames.
-    pub(crate) fn hears(&self, now_ms: f64) -> Vec<String> {
-        let is_heard = |at_ms: f64| now_ms - at_ms < HEARD_WITHIN_MS;
-        let heard = self.last_heard_ms.iter().filter(|(_, at)| is_heard(**at));
-        heard.map(|(name, _)| name.clone()).collect()
+    pub(crate) fn receives_from(&self, now_ms: f64) -> Vec<String> {
+        let is_reachable = |at_ms: f64| now_ms - at_ms < DIRECT_LINK_TIMEOUT_MS;
+        let reachable = self
+            .last_frame_ms
+            .iter()
+            .filter(|(_, at)| is_reachable(**at));
+        reachable.map(|(name, _)| name.clone()).collect()
     }
 
     /// Returns the members whose reports do not include this one.
     pub(crate) fn unheard_by(&self, now_ms: f64) -> Vec<String> {
-        let is_recent = |report: &Report| now_ms - report.at_ms < HEARD_WITHIN_MS;
-        let unheard = self
-            .reports
-            .iter()
-            .filter(|(_, report)| is_recent(report) && !report.hears.contains(&self.own_name));
+        let is_recent = |report: &Report| now_ms - report.at_ms < DIRECT_LINK_TIMEOUT_MS;
+        let unheard = self.reports.iter().filter(|(_, report)| {
+            is_recent(report) && !report.receives_from.contains(&self.own_name)
+        });
         unheard.map(|(name, _)| name.clone()).collect()
     }
 
@@ -89,15 +91,15 @@
         let Some(report) = self.valid_report(now_ms, to) else {
             return Route::Direct;
         };
-        if report.hears.contains(&self.own_name) {
+        if report.receives_from.contains(&self.own_name) {
             return Route::Direct;
         }
-        let hears_this_one = |name: &str| {
+        let receives_from_this_one = |name: &str| {
             let report = self.valid_report(now_ms, name);
-            report.is_some_and(|report| report.hears.contains(&self.own_name))
+            report.is_some_and(|report| report.receives_from.contains(&self.own_name))
         };
-        let mut heard_by_target = report.hears.iter();
-        let via = heard_by_target.find(|name| *name != to && hears_this_one(name));
+        let mut sends_to_target = report.receives_from.iter();
+        let via = sends_to_target.find(|name| *name != to && receives_from_this_one(name));
         via.map_or(Route::Direct, |name| Route::Via(name.clone()))
     }
 
--- a/crates/group/src/forwarding_routes/tests.rs
+++ b/crates/group/src/forwarding_routes/tests.rs
@@ -26,10 +26,10 @@
         Route::Direct,
         "the reports have expired"
     );
-    routes.note_heard(0.0, "b");
-    routes.note_heard(300.0, "c");
+    routes.note_direct_frame(0.0, "b");
+    routes.note_direct_frame(300.0, "c");
     assert_eq!(
-        (routes.hears(350.0), routes.hears(500.0)),
+        (routes.receives_from(350.0), routes.receives_from(500.0)),
         (names(&["b", "c"]), names(&["c"]))
     );
 }
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -30,8 +30,8 @@
 pub enum MemberAnswer {
     /// The proposal is committed, and the follower's replica includes it by now.
     Done(Outcome),
-    /// The follower's replica is at least as new as anything that any caller was promised when the
-    /// read was requested.
+    /// The follower's replica is at least as new as every change and read that was acknowledged to
+    /// any caller before this read was requested.
     Read,
     /// The call was refused, with the reason.
     Refused(String),
@@ -66,7 +66,7 @@
         /// The member that reports.
         of: String,
         /// The members from which it receives frames.
-        hears: Vec<String>,
+        receives_from: Vec<String>,
     },
     /// A message of the consensus library that the receiver is to forward, because the direct link
     /// delivers nothing.
--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -1,6 +1,6 @@
-//! Greetings, the first frame in each direction of a connection: they identify the ingress that
-//! connects and its group, and negotiate the format version. Encoded by position: the order of
-//! fields must not change.
+//! Hello and welcome, the first frame in each direction of a connection. Their exchange is the
+//! handshake: it identifies the connecting ingress and its group, and negotiates the format
+//! version. Encoded by position: the order of fields must not change.
 
 use crate::frame::encode_frame;
 use serde::{Deserialize, Serialize};
@@ -10,19 +10,19 @@
 /// Newest format version that this program supports. Its additions are used only after the group
 /// has raised its own format version, which it does when all members support the new one.
 pub const NEWEST_FORMAT: u16 = 2;
-/// Largest greeting, bytes.
+/// Maximum size of a hello, bytes.
 pub const MAX_HELLO: usize = 512;
-/// Distinguishes greetings of this protocol from other bytes.
+/// Distinguishes the hellos of this protocol from other bytes.
 const MAGIC: [u8; 4] = *b"DGL1";
 
-/// Why a greeting, or the answer to it, is rejected.
+/// Why a hello, or the welcome that answers it, is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HelloError {
     /// The peer uses another protocol.
     #[error("peer does not use this link protocol")]
     UnknownProtocol,
-    /// The greeting is addressed to a member of another name.
-    #[error("greeting is addressed to another member")]
+    /// The hello is addressed to a member of another name.
+    #[error("the hello is addressed to another member")]
     OtherMember,
     /// The peer belongs to another group.
     #[error("peer belongs to another group")]
@@ -44,7 +44,7 @@
     pub newest: u16,
 }
 
-/// The greeting of the side that opens a connection.
+/// The first frame of the side that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Identifies the protocol.
@@ -73,7 +73,7 @@
 }
 
 impl Hello {
-    /// Creates a greeting that offers format versions up to `newest`.
+    /// Creates a hello that offers format versions up to `newest`.
     pub fn new(newest: u16, group: u64, id: u64, name: &str, to: &str) -> Hello {
         let formats = FormatRange {
             oldest: OLDEST_FORMAT,
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Returns the format version to use with the sender of this greeting, where the local ingress
-    /// is `name` in `group` (0: in none yet). `supported` ranges from the group's format version to
+    /// Returns the format version to use with the sender of this hello, where the local ingress is
+    /// `name` in `group` (0: in none yet). `supported` ranges from the group's format version to
     /// the newest one that the local ingress supports. Followers do not read the log, so any common
     /// version is enough for them.
     ///
     /// # Errors
-    /// The greeting is rejected.
+    /// The hello is rejected.
     pub fn negotiate_format(
         &self,
         supported: FormatRange,
@@ -120,14 +120,14 @@
         Ok(self.formats.newest.min(supported.newest))
     }
 
-    /// Encodes the greeting as a frame.
+    /// Encodes the hello as a frame.
     pub fn bytes(&self) -> Vec<u8> {
         encode_frame(self)
     }
 }
 
 impl Welcome {
-    /// Encodes the answer as a frame.
+    /// Encodes the welcome as a frame.
     pub fn bytes(&self) -> Vec<u8> {
         encode_frame(self)
     }
--- a/crates/group/src/member/format_version.rs
+++ b/crates/group/src/member/format_version.rs
@@ -10,7 +10,7 @@
 
 impl Member {
     /// Records the newest format version that a member's program supports, as announced in its
-    /// greeting.
+    /// hello.
     pub fn note_newest_format(&mut self, name: &str, newest: u16) {
         self.newest_formats.insert(name.into(), newest);
     }
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -1,6 +1,6 @@
-//! Writes to the disk, and messages that wait for them. Nothing that follows from a write is sent
-//! before the write is done: a member that acknowledged an entry and then lost it would break the
-//! promise that depends on that entry.
+//! Writes to the disk, and messages that wait for them. A message that depends on a write is sent
+//! only after the write is done: a member that acknowledged an entry and then lost it would break
+//! the guarantee that a committed entry is on the disks of a majority.
 
 use super::{Event, Member, MemberFailure};
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
--- a/crates/group/src/peer/frames.rs
+++ b/crates/group/src/peer/frames.rs
@@ -13,15 +13,17 @@
 const REPORT_INTERVAL_MS: f64 = 150.0;
 
 impl Peer {
-    /// Handles a frame from the link that `from` has opened. `id` is the incarnation in the
-    /// greeting of that link (0: none).
+    /// Handles a frame from the link that `from` has opened. `id` is the incarnation in the hello
+    /// of that link (0: none).
     pub fn receive(&mut self, now_ms: f64, from: &str, id: u64, frame: Frame) {
         self.note_name(from, id);
-        self.routes.note_heard(now_ms, from);
+        self.routes.note_direct_frame(now_ms, from);
         match frame {
             Frame::Raft(message) | Frame::Forwarded(message) => self.step_message(now_ms, message),
             Frame::Forward(message) => self.forward_message(now_ms, message),
-            Frame::Reachability { of, hears } => self.handle_report(now_ms, from, of, hears),
+            Frame::Reachability { of, receives_from } => {
+                self.handle_report(now_ms, from, of, receives_from)
+            }
             Frame::Join { nonce } => self.handle_join(now_ms, from, nonce),
             Frame::Admitted { group, id, nonce } => {
                 self.handle_admission(nonce, Admission { group, id });
@@ -58,18 +60,18 @@
 
     /// Records a report. If it comes directly from the member that it describes, it is also
     /// forwarded to all others.
-    fn handle_report(&mut self, now_ms: f64, from: &str, of: String, hears: Vec<String>) {
+    fn handle_report(&mut self, now_ms: f64, from: &str, of: String, receives_from: Vec<String>) {
         if of == from {
             let report = Frame::Reachability {
                 of: of.clone(),
-                hears: hears.clone(),
+                receives_from: receives_from.clone(),
             };
             for to in self.others().into_keys().filter(|name| name != from) {
                 self.forward(to, report.clone());
             }
         }
         if of != self.settings.name {
-            self.routes.note_report(now_ms, &of, hears);
+            self.routes.note_report(now_ms, &of, receives_from);
         }
     }
 
@@ -134,7 +136,7 @@
             self.last_report_ms = now_ms;
             let report = Frame::Reachability {
                 of: self.settings.name.clone(),
-                hears: self.routes.hears(now_ms),
+                receives_from: self.routes.receives_from(now_ms),
             };
             self.send_to_all(&report);
         }
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -54,7 +54,7 @@
     settings: Settings,
     stage: Stage,
     routes: ForwardingRoutes,
-    /// Names by incarnation, from the greetings of their links.
+    /// Names by incarnation, from the hellos of their links.
     names: BTreeMap<u64, String>,
     last_join_ms: f64,
     last_report_ms: f64,
--- a/crates/group/tests/encoding.rs
+++ b/crates/group/tests/encoding.rs
@@ -197,7 +197,7 @@
             "reachability",
             Frame::Reachability {
                 of: "m0".into(),
-                hears: vec!["m1".into(), "m2".into()],
+                receives_from: vec!["m1".into(), "m2".into()],
             },
         ),
         ("forward", Frame::Forward(message())),
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -215,7 +215,7 @@
     detected
 }
 
-/// Guards against schedules that check nothing. Each of three faults that break promises is
+/// Guards against schedules that check nothing. Each of three faults that break these guarantees is
 /// injected on purpose, and some schedule must detect it.
 #[test]
 fn schedules_detect_injected_faults() {
--- a/crates/group/tests/waiting.rs
+++ b/crates/group/tests/waiting.rs
@@ -44,7 +44,7 @@
         1,
         Frame::Reachability {
             of: "m0".into(),
-            hears: vec!["m1".into()],
+            receives_from: vec!["m1".into()],
         },
     );
     joining_peer.receive(0.0, "m0", 1, Frame::Forward(message_to_m1()));
@@ -65,13 +65,13 @@
 }
 
 /// An ingress sends frames in the name of another one. A link must carry only frames that are
-/// allowed for the incarnation in the sender's greeting.
+/// allowed for the incarnation in the sender's hello.
 #[test]
 fn link_carries_only_frames_allowed_for_its_incarnation() {
     let message = message_to_m1();
-    let hears = Frame::Reachability {
+    let report = Frame::Reachability {
         of: "m0".into(),
-        hears: Vec::new(),
+        receives_from: Vec::new(),
     };
     for (frame, from_none, from_its_sender, from_another) in [
         (Frame::Idle, true, true, true),
@@ -79,7 +79,7 @@
         (Frame::Raft(message.clone()), false, true, false),
         (Frame::Forward(message.clone()), false, true, true),
         (Frame::Forwarded(message), false, true, true),
-        (hears, false, true, true),
+        (report, false, true, true),
         (
             Frame::Admitted {
                 group: 77,
--- a/crates/leases/src/client/mod.rs
+++ b/crates/leases/src/client/mod.rs
@@ -43,17 +43,17 @@
 /// Why a lease has begun or ended on this ingress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeReason {
-    /// The lease had no holder.
+    /// Acquired: the lease had no holder.
     Free,
-    /// The previous holder did not renew the lease in time.
+    /// Acquired: the previous holder did not renew the lease in time.
     Lapsed,
-    /// This ingress did not renew the lease in time: it stops by its own clock.
+    /// Lost: this ingress did not renew the lease in time and stops by its own clock.
     Expired,
-    /// Another ingress holds the lease now.
+    /// Lost: another ingress holds the lease now.
     Taken,
-    /// This ingress cannot do the work that the lease covers.
+    /// Lost: this ingress cannot do the work that the lease covers.
     Unable,
-    /// The holder is shutting down.
+    /// Lost: the holder is shutting down.
     Leaving,
 }
 
@@ -141,8 +141,8 @@
                 };
                 lease.observe_held(now_ms, state, counts_from_ms, self.leaving)
             } else {
-                // The send time of this grant is unknown, so its expiry cannot be computed: the
-                // lease lapses.
+                // The send time of this grant is unknown, so its expiry cannot be computed: this
+                // ingress does not use the grant.
                 None
             };
             self.changes.extend(change);
--- a/crates/scale/src/check.rs
+++ b/crates/scale/src/check.rs
@@ -1,5 +1,5 @@
-//! Compares the quantities that a simulated (hollow) group reports with those of a group of real
-//! processes.
+//! Compares the quantities that a simulated group (module [`crate::hollow`]) reports with those of
+//! a group of real processes.
 
 use crate::experiment::{Experiment, ExperimentError, Measurement, Unit};
 use crate::experiments::group::IdleByFollowers;
@@ -21,10 +21,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CheckError {
     /// The simulated group could not be measured.
-    #[error("hollow: {0}")]
+    #[error("the simulated group cannot be measured: {0}")]
     Hollow(#[from] ExperimentError),
     /// The real group could not be started or measured.
-    #[error("real: {0}")]
+    #[error("the group of real processes cannot be measured: {0}")]
     Real(#[from] RealError),
 }
 
@@ -41,7 +41,7 @@
     pub hollow: Option<f64>,
     /// Value of the real processes.
     pub real: f64,
-    /// `hollow` minus `real`, as a share of `real`.
+    /// `hollow` (the simulated value) minus `real`, as a share of `real`.
     pub difference: Option<f64>,
 }
 
@@ -75,7 +75,7 @@
         };
         write!(
             f,
-            " hollow {hollow:>12.1} {:>+7.1}%{verdict}",
+            " simulated {hollow:>12.1} {:>+7.1}%{verdict}",
             100.0 * difference
         )
     }
--- a/crates/scale/src/experiment.rs
+++ b/crates/scale/src/experiment.rs
@@ -85,13 +85,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The settings of the simulated ingress are invalid.
-    #[error("settings: {0}")]
+    #[error("invalid settings of the simulated ingress: {0}")]
     Settings(String),
-    /// The measured code rejected its input.
-    #[error("{0}")]
+    /// The measured code returned an error, for example because it rejected its input.
+    #[error("the measured code failed: {0}")]
     Refused(String),
     /// A file could not be written or read.
-    #[error("{0}")]
+    #[error("a file operation failed: {0}")]
     File(#[from] std::io::Error),
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -14,13 +14,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FitError {
     /// There are fewer points than a fit needs.
-    #[error("{0} points; at least {MIN_POINTS} are needed")]
+    #[error("a fit needs at least {MIN_POINTS} points, there are {0}")]
     TooFewPoints(usize),
     /// All points have the same size.
-    #[error("all points have the same size")]
+    #[error("all points have the same size, a fit needs different sizes")]
     OneSize,
     /// The regression failed.
-    #[error("regression: {0}")]
+    #[error("the regression failed: {0}")]
     Regression(#[from] linregress::Error),
 }
 
--- a/crates/scale/src/ingress.rs
+++ b/crates/scale/src/ingress.rs
@@ -1,5 +1,5 @@
 //! A simulated ingress: the control code of the real program (clock, endpoint registry, inventory,
-//! router, core and decision module) without sockets. Backends and the counter are simulated;
+//! router, dispatcher and decision module) without sockets. Backends and the counter are simulated;
 //! virtual time advances from timer to timer without waiting.
 
 use crate::experiment::ExperimentError;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -80,8 +80,8 @@
         /// Path of the ingress program [default: `driftgap` in the folder of this program].
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Comma-separated numbers of followers beside the three members; each follower is a
-        /// process.
+        /// Comma-separated numbers of followers in addition to the three members; each follower is
+        /// a process.
         #[arg(long, value_delimiter = ',', default_value = "1,3,10,30")]
         followers: Vec<u64>,
         /// Seed of the simulated group.
@@ -119,7 +119,8 @@
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
 fn find(name: &str) -> Result<Box<dyn Experiment>> {
-    registry::find(name).ok_or_else(|| format!("no experiment {name:?}; `list` names them").into())
+    registry::find(name)
+        .ok_or_else(|| format!("unknown experiment {name:?}; `list` prints all names").into())
 }
 
 fn run_all(names: &[String], plan: &Plan) -> Result<()> {
--- a/crates/scale/src/page.rs
+++ b/crates/scale/src/page.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
     /// A file cannot be read or written.
-    #[error("{path}: {source}")]
+    #[error("cannot read or write {path}: {source}")]
     File {
         /// Path of the file.
         path: PathBuf,
@@ -37,10 +37,10 @@
         source: std::io::Error,
     },
     /// A measurement file cannot be read or has another format; the error contains its path.
-    #[error("{0}")]
+    #[error("cannot read a measurement file: {0}")]
     Measurements(std::io::Error),
     /// The targets file has another format.
-    #[error("{path}: {source}")]
+    #[error("invalid targets file {path}: {source}")]
     Targets {
         /// Path of the file.
         path: PathBuf,
@@ -48,7 +48,7 @@
         source: Box<toml::de::Error>,
     },
     /// A row refers to a measurement, target or assumption that does not exist.
-    #[error("row {row:?}: {problem}")]
+    #[error("invalid row {row:?} in the targets file: {problem}")]
     Row {
         /// Name of the row.
         row: String,
@@ -56,7 +56,7 @@
         problem: String,
     },
     /// The table markers of the page are invalid.
-    #[error("the page's markers: {0}")]
+    #[error("the page's table markers are invalid: {0}")]
     Markers(String),
     /// Two files contain the same measurement.
     #[error("{experiment}/{quantity} is measured in two files")]
--- a/crates/scale/src/page/targets.rs
+++ b/crates/scale/src/page/targets.rs
@@ -33,7 +33,7 @@
 pub struct Row {
     /// Name of the row's table.
     pub table: String,
-    /// What is needed.
+    /// Name of the row: the resource that is needed.
     pub name: String,
     /// Unit of need and budget.
     pub unit: String,
--- a/crates/scale/src/real/group.rs
+++ b/crates/scale/src/real/group.rs
@@ -35,13 +35,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RealError {
     /// A process, file or socket operation failed.
-    #[error("{0}")]
+    #[error("a process, file or socket operation failed: {0}")]
     System(#[from] io::Error),
     /// The group did not become ready.
     #[error("the group is not ready after {START_TIMEOUT:?}: {0}")]
     NotReady(String),
     /// `group init` failed.
-    #[error("group init: {0}")]
+    #[error("`group init` failed: {0}")]
     Init(String),
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Measures an idle second of the group, averaged over a longer time. The quantities have the
-    /// same names as those of the hollow group.
+    /// same names as those of the simulated group.
     ///
     /// # Errors
     /// A process has ended, or the group has no leader.
--- a/crates/scale/src/real/mod.rs
+++ b/crates/scale/src/real/mod.rs
@@ -1,4 +1,4 @@
-//! Groups of real processes on loopback, whose figures check those of hollow groups of the same
+//! Groups of real processes on loopback, whose figures check those of simulated groups of the same
 //! size.
 
 mod group;
--- a/crates/scale/src/report/mod.rs
+++ b/crates/scale/src/report/mod.rs
@@ -17,16 +17,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A file could not be read or written.
-    #[error("{0}")]
+    #[error("cannot read or write a file of the report: {0}")]
     File(#[from] std::io::Error),
     /// No line could be fitted to an experiment's points.
-    #[error("{0}: {1}")]
+    #[error("cannot fit a line to the results of experiment {0}: {1}")]
     Fit(String, FitError),
     /// A plot could not be drawn.
     #[error("{0}")]
     Plot(#[from] PlotError),
     /// The folder contains no result files.
-    #[error("{0}: no result files; run the experiments first")]
+    #[error("folder {0} contains no result files; run the experiments first")]
     Empty(PathBuf),
 }
 
--- a/crates/scale/src/report/plot.rs
+++ b/crates/scale/src/report/plot.rs
@@ -18,7 +18,7 @@
 
 /// Why a plot could not be drawn.
 #[derive(Debug, thiserror::Error)]
-#[error("plot: {0}")]
+#[error("cannot draw a plot: {0}")]
 pub struct PlotError(String);
 
 /// Draws the points of a quantity and the line fitted through them.
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// An experiment could not be measured at a size.
-    #[error("{experiment} at {size}: {problem}")]
+    #[error("experiment {experiment} failed at size {size}: {problem}")]
     Point {
         /// Name of the experiment.
         experiment: String,
@@ -37,7 +37,7 @@
         problem: String,
     },
     /// A file could not be written or a process could not be started.
-    #[error("{0}")]
+    #[error("cannot write a file or start a process: {0}")]
     File(#[from] std::io::Error),
 }
 
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -88,9 +88,8 @@
 fn unknown_experiments_and_invalid_sizes_are_reported() {
     let unknown = scale(&["run", "nothing-of-the-kind"]);
     assert!(!unknown.status.success());
-    assert!(
-        String::from_utf8_lossy(&unknown.stderr).contains("no experiment \"nothing-of-the-kind\"")
-    );
+    assert!(String::from_utf8_lossy(&unknown.stderr)
+        .contains("unknown experiment \"nothing-of-the-kind\""));
     // An ingress has at most 62 pools.
     let folder = tempfile::tempdir().unwrap();
     let beyond = scale(&[
