--- a/crates/group/src/follower.rs
+++ b/crates/group/src/follower.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::Hasher;
 
-/// A connection on which no frame has arrived for this long is given up, ms.
+/// A connection on which no frame has arrived for this long is closed, ms.
 const SILENCE_TIMEOUT_MS: f64 = 2000.0;
 /// A follower leaves a member whose own state is older than this for another one, ms. This is
 /// longer than any change of leaders, and short enough that a change confirmed in the meantime
--- a/crates/group/src/greeting.rs
+++ b/crates/group/src/greeting.rs
@@ -27,7 +27,7 @@
     /// The peer belongs to another group.
     #[error("peer belongs to another group")]
     OtherGroup,
-    /// Both sides support no common format version.
+    /// The two sides have no format version in common.
     #[error("no common format version")]
     NoCommonFormat,
     /// The peer does not support the format version of the group's log.
--- a/crates/group/src/member/mod.rs
+++ b/crates/group/src/member/mod.rs
@@ -65,13 +65,13 @@
     /// The last log index that is applied.
     applied: u64,
     last_tick_ms: f64,
-    /// When the member last heard from a leader; before that, when this process incarnation
-    /// started.
+    /// When the member last received a message from a leader; before that, when this process
+    /// incarnation started.
     leader_heard_ms: f64,
-    /// Whether the member has heard from a leader in this process incarnation.
+    /// Whether the member has received a message from a leader in this process incarnation.
     leader_known: bool,
     leading_since_ms: Option<f64>,
-    /// When each member was last heard from, by incarnation.
+    /// When the last message of each member arrived, by incarnation.
     last_heard_ms: BTreeMap<u64, f64>,
     /// Pending calls by number.
     calls: BTreeMap<u64, PendingCall>,
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -89,9 +89,9 @@
             batch.format_version = Some(self.state.format_version());
         }
         if reconfigured {
-            // The set of voters follows from the commit index and is needed at the next start: a
-            // member that does not know that it may vote would wait forever for voters that have
-            // been removed.
+            // The set of voters follows from the commit index and is needed at the next start: with
+            // an outdated set, a member that may vote by now would wait forever for voters that
+            // have been removed.
             let hard = self.node.raft.hard_state();
             self.node.mut_store().hard = hard.clone();
             batch.hard = Some((&hard).into());
--- a/crates/group/src/member/status.rs
+++ b/crates/group/src/member/status.rs
@@ -43,7 +43,7 @@
     pub applied: u64,
     /// The last log index that is known to be committed.
     pub committed: u64,
-    /// Time since the member last heard from the group's leader, ms; infinite: not since its start.
+    /// Time since the last message from the group's leader, ms; infinite: none since the start.
     pub age_ms: f64,
     /// All members of the group.
     pub members: Vec<Health>,
@@ -70,8 +70,8 @@
         self.conf.voters.len()
     }
 
-    /// Returns the time since the member last heard from the group's leader, ms; infinite: not
-    /// since its start.
+    /// Returns the time since the last message from the group's leader, ms; infinite: none since
+    /// the start.
     pub fn age_ms(&self, now_ms: f64) -> f64 {
         if self.leader_known {
             now_ms - self.leader_heard_ms
@@ -122,8 +122,8 @@
         health.collect()
     }
 
-    /// Returns when this leader last received messages from a majority. A leader that was stalled
-    /// no longer knows that a majority follows it.
+    /// Returns when this leader last received messages from a majority. After a stall, the leader
+    /// cannot assume that a majority still follows it.
     pub(super) fn majority_heard_ms(&self, now_ms: f64) -> f64 {
         let others = self.conf.voters.iter().filter(|id| **id != self.id());
         let mut times: Vec<f64> = others
--- a/crates/group/src/peer/mod.rs
+++ b/crates/group/src/peer/mod.rs
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Returns the members whose recent reports do not include this one: a link to them may look
-    /// sound and deliver nothing.
+    /// Returns the members whose recent reports do not include this one: a link to them may seem up
+    /// although it delivers nothing.
     pub fn unheard_by(&self, now_ms: f64) -> Vec<String> {
         self.routes.unheard_by(now_ms)
     }
--- a/crates/group/src/subscribers.rs
+++ b/crates/group/src/subscribers.rs
@@ -9,7 +9,7 @@
 
 /// Longest time between two updates of a subscriber, which carry the age of the member's state, ms.
 const HEARTBEAT_INTERVAL_MS: f64 = 500.0;
-/// A member that has heard from its leader within this time counts as connected to the leader, ms.
+/// A member that received a message from its leader within this time counts as connected to it, ms.
 const LEADER_CONTACT_MS: f64 = 400.0;
 
 /// One follower and the versions that it has.
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -103,7 +103,7 @@
     assert!(!beyond.status.success());
     let stderr = String::from_utf8_lossy(&beyond.stderr).to_string();
     assert!(
-        stderr.contains("services at 63") && stderr.contains("pools"),
+        stderr.contains("experiment services failed at size 63") && stderr.contains("pools"),
         "{stderr}"
     );
     let empty = scale(&["report", folder.path().to_str().unwrap()]);
