--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -1,6 +1,6 @@
-//! Writes to the disk, and messages that wait for them. Nothing that follows from a write is sent
-//! before the write is done: a member that acknowledged an entry and then lost it would break the
-//! promise that depends on that entry.
+//! Writes to the disk, and messages that wait for them. A message that depends on a write is sent
+//! only after the write is done: a member that acknowledged an entry and then lost it would break
+//! the guarantee that a committed entry is on the disks of a majority.
 
 use super::{Event, Member, MemberFailure};
 use crate::record::{Batch, EntryRecord, HardRecord, MessageRecord, SnapshotRecord};
@@ -89,9 +89,9 @@
             batch.format_version = Some(self.state.format_version());
         }
         if reconfigured {
-            // The set of voters follows from the commit index and is needed at the next start: a
-            // member that does not know that it may vote would wait forever for voters that have
-            // been removed.
+            // The set of voters follows from the commit index and is needed at the next start: with
+            // an outdated set, a member that may vote by now would wait forever for voters that
+            // have been removed.
             let hard = self.node.raft.hard_state();
             self.node.mut_store().hard = hard.clone();
             batch.hard = Some((&hard).into());
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -88,9 +88,8 @@
 fn unknown_experiments_and_invalid_sizes_are_reported() {
     let unknown = scale(&["run", "nothing-of-the-kind"]);
     assert!(!unknown.status.success());
-    assert!(
-        String::from_utf8_lossy(&unknown.stderr).contains("no experiment \"nothing-of-the-kind\"")
-    );
+    assert!(String::from_utf8_lossy(&unknown.stderr)
+        .contains("unknown experiment \"nothing-of-the-kind\""));
     // An ingress has at most 62 pools.
     let folder = tempfile::tempdir().unwrap();
     let beyond = scale(&[
@@ -104,7 +103,7 @@
     assert!(!beyond.status.success());
     let stderr = String::from_utf8_lossy(&beyond.stderr).to_string();
     assert!(
-        stderr.contains("services at 63") && stderr.contains("pools"),
+        stderr.contains("experiment services failed at size 63") && stderr.contains("pools"),
         "{stderr}"
     );
     let empty = scale(&["report", folder.path().to_str().unwrap()]);
