--- a/crates/expr/src/machine/operators.rs
+++ b/crates/expr/src/machine/operators.rs
@@ -257,7 +257,7 @@
                 StackValue::Double(v) => Ok(StackValue::Double(-v)),
                 _ => Err(Fault::Input),
             },
-            // These have instructions of their own.
+            // `Hash` and `Split` have instructions of their own.
             Func::Hash | Func::Split => Err(Fault::Input),
         }
     }
--- a/crates/expr/src/node.rs
+++ b/crates/expr/src/node.rs
@@ -32,9 +32,9 @@
     Const(Const),
     Field(FieldId),
     Local(u16),
-    /// An item of a list; optional.
+    /// An item of a list, which may be absent.
     Item(Box<Node>, Box<Node>),
-    /// An entry of a map; optional.
+    /// An entry of a map, which may be absent.
     Lookup(Box<Node>, Box<Node>),
     /// An optional value that facts prove to be present.
     Unwrap(Box<Node>),
@@ -49,14 +49,14 @@
     Call(Func, Vec<Node>),
     /// Whether a set of constants contains the value.
     InSet(Box<Node>, Const),
-    /// Whether the value begins with one of these.
+    /// Whether the value begins with one of the given prefixes.
     BeginsWithAny(Box<Node>, Vec<Arc<str>>),
     Matches(Box<Node>, Arc<str>),
     InCidrs(Box<Node>, Vec<IpNet>),
     /// Whether a list that is not constant contains the value.
     InList(Box<Node>, Box<Node>),
-    /// `list.exists(x, test)` or `list.all(x, test)`. `slot` is the slot of `x`; the next two hold
-    /// the index and the list.
+    /// `list.exists(x, test)` or `list.all(x, test)`. `slot` is the slot of `x`; the next two slots
+    /// hold the index and the list.
     Loop {
         all: bool,
         slot: u16,
--- a/crates/expr/src/program.rs
+++ b/crates/expr/src/program.rs
@@ -23,7 +23,8 @@
 pub(crate) struct Part {
     /// Byte range of the part in the expression's text.
     pub(crate) span: std::ops::Range<usize>,
-    /// Cost in units.
+    /// Maximum cost of the part, in units: one for each instruction, and more for long inputs
+    /// ([`crate::price`]).
     pub(crate) cost: u64,
     /// Index of the parent in the list of parts; the whole expression is its own parent.
     pub(crate) parent: usize,
@@ -53,7 +54,7 @@
 
     /// Appends an operand and returns its index.
     fn operand(&mut self, value: Operand) -> u16 {
-        // `MAX_TOKENS` keeps the number of operands far below.
+        // `MAX_TOKENS` keeps the number of operands far below this maximum.
         debug_assert!(self.operands.len() < MAX_OPERANDS);
         self.operands.push(value);
         (self.operands.len() - 1) as u16
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Compiles a node, records it as a part and returns its worst-case cost.
+    /// Compiles a node, records it as a part and returns its worst-case cost, in units.
     fn node(&mut self, node: &Node) -> u64 {
         let index = self.parts.len();
         self.parts.push(Part {
@@ -90,7 +91,7 @@
         cost
     }
 
-    /// The text field that a node reads, if the field is known to be present.
+    /// Returns the text field that a node reads, if the field is known to be present.
     fn text_field(&self, node: &Node) -> Option<FieldId> {
         match &node.kind {
             Kind::Field(id) if node.ty == Type::Text => Some(*id),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Emits the code of a node and returns its worst-case cost.
+    /// Emits the code of a node and returns its worst-case cost, in units.
     fn emit_node(&mut self, node: &Node) -> u64 {
         match &node.kind {
             Kind::Const(value) => self.push(value.clone()),
@@ -160,14 +161,14 @@
         self.single(Op::Push(index))
     }
 
-    /// `a in list`, for a list that is not constant.
+    /// Compiles `a in list`, for a list that is not constant.
     fn in_list(&mut self, a: &Node, list: &Node) -> u64 {
         let items = u64::from(list.bound.items);
         let each = 1 + price::compare(bytes(a), bytes(list));
         self.node(a) + self.unary(list, Op::InList) + items * each
     }
 
-    /// `a.orValue(default)`.
+    /// Compiles `a.orValue(default)`.
     fn or_value(&mut self, a: &Node, default: &Node) -> u64 {
         let cost = self.unary(a, Op::JumpIfPresentOrPop(0));
         let jump = self.ops.len() - 1;
@@ -176,7 +177,7 @@
         cost
     }
 
-    /// `test ? then : otherwise`; its cost is that of the more expensive branch.
+    /// Compiles `test ? then : otherwise`; the cost is that of the more expensive branch.
     fn conditional(&mut self, test: &Node, then: &Node, otherwise: &Node) -> u64 {
         let cost = self.unary(test, Op::PopJumpIfFalse(0));
         let branch = self.ops.len() - 1;
@@ -228,8 +229,8 @@
         self.unary(a, Op::Matches(index)) + extra
     }
 
-    /// `list.exists(x, test)` or `list.all(x, test)`. `slot` holds the variable, the next two the
-    /// index and the list.
+    /// Compiles `list.exists(x, test)` or `list.all(x, test)`. `slot` holds the variable, the next
+    /// two slots hold the index and the list.
     fn loop_over(&mut self, all: bool, slot: u16, list: &Node, test: &Node) -> u64 {
         let before = self.unary(list, Op::Store(slot + 2)) + self.push(Const::Int(0));
         let before = before + self.single(Op::Store(slot + 1));
@@ -337,13 +338,13 @@
     }
 }
 
-/// Maximum length of a node's text, bytes.
+/// Returns the maximum length of a node's text, in bytes.
 fn bytes(node: &Node) -> u64 {
     u64::from(node.bound.bytes)
 }
 
 impl Program {
-    /// Compiles a typed tree; also returns the cost of each part.
+    /// Compiles a typed tree; also returns the cost of each part, in units.
     pub(crate) fn new(node: &Node, slots: u16, schema: &Schema) -> (Program, Vec<Part>) {
         let (ops, operands, parts) = (Vec::new(), Vec::new(), Vec::new());
         let mut compiler = Compiler {
@@ -369,12 +370,12 @@
         )
     }
 
-    /// Maximum cost of an evaluation, in units.
+    /// Returns the maximum cost of an evaluation, in units.
     pub(crate) fn cost(&self) -> u64 {
         self.shape.cost
     }
 
-    /// The program as the machine runs it.
+    /// Returns the program as the machine runs it.
     pub(crate) fn code(&self) -> Code<'_> {
         Code {
             shape: &self.shape,
--- a/crates/group/src/frame.rs
+++ b/crates/group/src/frame.rs
@@ -84,7 +84,7 @@
         op: OpId,
         /// The last log index applied to the follower's replica when it made the call.
         made_at: u64,
-        /// The proposal; `None`: a read.
+        /// The proposal; `None` if the call is a read.
         proposal: Option<Proposal>,
     },
     /// The result of a follower's call.
@@ -100,7 +100,7 @@
         applied: u64,
         /// The age of the member's state, ms.
         age_ms: f64,
-        /// All excluded endpoints; `None`: unchanged.
+        /// All excluded endpoints; `None` if they have not changed.
         out: Option<Vec<String>>,
         /// New versions of documents.
         documents: Vec<(DocumentKind, Document)>,
--- a/crates/group/tests/promises.rs
+++ b/crates/group/tests/promises.rs
@@ -191,7 +191,7 @@
     run_seeds(0..60);
 }
 
-/// The same with many more seeds.
+/// Checks as `history_is_linearizable_under_random_faults` does, with many more seeds.
 #[test]
 #[ignore = "slow: run manually"]
 fn history_is_linearizable_under_many_random_faults() {
--- a/crates/leases/src/client/mod.rs
+++ b/crates/leases/src/client/mod.rs
@@ -62,7 +62,7 @@
 pub struct LeaseChange {
     /// The name of the lease.
     pub lease: String,
-    /// The fencing token of a lease that starts; `None`: the lease ends.
+    /// The fencing token of a lease that starts; `None` if the lease ends.
     pub token: Option<u64>,
     /// The cause of the change.
     pub reason: ChangeReason,
--- a/crates/routes/src/fault.rs
+++ b/crates/routes/src/fault.rs
@@ -6,7 +6,8 @@
 pub struct Fault {
     /// One line with the file, line, column, problem, and how to correct it.
     pub line: String,
-    /// The same for a terminal, with the line of the file and a caret under the faulty text.
+    /// The contents of `line` for a terminal, with the line of the file and a caret under the
+    /// faulty text.
     pub shown: String,
 }
 
--- a/crates/routes/src/reader.rs
+++ b/crates/routes/src/reader.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Text {
     pub(crate) text: String,
-    /// Its span in the excerpt, in bytes.
+    /// Span of the string in the excerpt, in bytes.
     pub(crate) span: Range<usize>,
     /// The offset of its first character in the file, in bytes.
     start: usize,
--- a/crates/routes/src/request.rs
+++ b/crates/routes/src/request.rs
@@ -201,15 +201,15 @@
 pub struct Endpoint<'a> {
     /// The endpoint's name.
     pub name: &'a str,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: &'a str,
-    /// The number of its cell.
+    /// The number of the endpoint's cell.
     pub cell: u32,
-    /// Its weight relative to the other endpoints.
+    /// The endpoint's weight relative to the other endpoints.
     pub weight: f64,
-    /// Its protocol, `resp` or `http2`.
+    /// The endpoint's protocol, `resp` or `http2`.
     pub protocol: &'a str,
-    /// Its IP address.
+    /// The endpoint's IP address.
     pub ip: IpAddr,
     /// Further properties by name.
     pub labels: &'a [(String, String)],
--- a/crates/routes/src/rule_reader.rs
+++ b/crates/routes/src/rule_reader.rs
@@ -43,13 +43,13 @@
 /// Reads one rule.
 pub(crate) struct RuleReader<'a, 'r, 't> {
     expressions: ExpressionReader<'a, 'r, 't>,
-    /// Returns whether an earlier rule of the file has this name.
+    /// Returns whether an earlier rule of the file has the given name.
     is_used: &'a dyn Fn(&str) -> bool,
 }
 
 impl<'a, 'r, 't> RuleReader<'a, 'r, 't> {
-    /// Creates a reader for one rule; `is_used` returns whether an earlier rule of the file has a
-    /// name.
+    /// Creates a reader for one rule; `is_used` returns whether an earlier rule of the file has the
+    /// given name.
     pub(crate) fn new(
         values: &'a mut Values<'r, 't>,
         environment: &'a Environment,
@@ -248,7 +248,7 @@
         })
     }
 
-    /// Reads whether later rules are evaluated after this one has matched.
+    /// Reads whether later rules are evaluated after this rule has matched.
     fn continues(&mut self, table: &DeTable<'_>) -> bool {
         let Some(value) = table.get("go_on") else {
             return false;
@@ -263,7 +263,7 @@
     }
 }
 
-/// Reports a rule whose name an earlier rule has.
+/// Reports a rule that has the name of an earlier rule.
 pub(crate) fn report_duplicate_name(values: &mut Values<'_, '_>, name: &Text) {
     let problem = format!("the rule name {:?} is already in use", name.text);
     values.fault(name.span.clone(), problem, None);
--- a/crates/routes/tests/replace.rs
+++ b/crates/routes/tests/replace.rs
@@ -75,7 +75,7 @@
     let mut router = Router::new(read(&first, None));
     assign_endpoints(&mut router, &["north", "south", "south"]);
     assert_eq!(ready(&router), named(&[("x", 1), ("y", 2)]));
-    // The same pools in another order, one with another fallback.
+    // The file has the same pools in another order, one of them with another fallback.
     let reordered = [pool("y", "south", "any"), pool("x", "north", "refuse")].concat();
     let replaced = router.replace(read(&reordered, None), 0.0, 1000.0).unwrap();
     assert!(!replaced.has_new_pools());
--- a/crates/scale/src/page/targets.rs
+++ b/crates/scale/src/page/targets.rs
@@ -27,7 +27,8 @@
     Platform,
 }
 
-/// A row of a table: the need of something at the target, and its budget.
+/// A row of a table: a need, which is the amount of a resource that the target requires, and the
+/// budget for it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
@@ -52,7 +53,8 @@
     pub terms: Vec<Term>,
 }
 
-/// A term of a need.
+/// A term of a need. The need of a row is the amount of the row's resource that the target
+/// requires: the sum of the row's terms.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
 pub enum Term {
@@ -145,8 +147,8 @@
         })
     }
 
-    /// Returns the rows for the program before the last mechanism was built: the rows that are
-    /// marked so, and all other rows without a marked row of the same name.
+    /// Returns the rows for the program before the last mechanism was built: the rows whose
+    /// `before` flag is set, and all other rows that share their name with no such row.
     pub fn rows_before(&self) -> impl Iterator<Item = &Row> {
         let superseded = |row: &&Row| {
             self.rows
@@ -158,7 +160,7 @@
             .filter(move |row| row.before || !superseded(row))
     }
 
-    /// Returns the table name of each row; names repeat.
+    /// Returns the table name of each row. Rows of one table repeat its name.
     pub fn tables(&self) -> impl Iterator<Item = &str> {
         self.rows.iter().map(|row| row.table.as_str())
     }
--- a/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
+++ b/src/bin/driftgap-simulator-adapter/wire/record_reader.rs
@@ -20,7 +20,7 @@
         ingress: u16,
         /// The seed of its random numbers.
         seed: u64,
-        /// Its settings (JSON text).
+        /// The settings of the ingress (JSON text).
         settings: String,
     },
     /// An ingress is killed.
--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -152,7 +152,7 @@
 /// Parses an address and port; `name` is the field or variable, for the error.
 ///
 /// # Errors
-/// The text is not an address and port.
+/// The value is not an address and port.
 pub fn address_of(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress {
         field: name.to_string(),
--- a/src/config/settings/error.rs
+++ b/src/config/settings/error.rs
@@ -23,7 +23,7 @@
         /// The field's path.
         field: String,
     },
-    /// A field of the wrong type or out of range.
+    /// The value of a field has the wrong type or is out of range.
     #[error("settings: {field} must be {expected}")]
     Unexpected {
         /// The field's path.
@@ -31,7 +31,7 @@
         /// The expected type or range.
         expected: &'static str,
     },
-    /// A name that the field does not accept.
+    /// The field holds an unknown name, for example of an effect.
     #[error("settings: {field}: unknown {kind} {value}")]
     UnknownName {
         /// The field's path.
@@ -46,23 +46,23 @@
     OutOfRange {
         /// The field's path.
         field: &'static str,
-        /// The value.
+        /// The value, as text.
         value: String,
         /// The accepted range.
         range: &'static str,
     },
-    /// The text is not a hexadecimal number.
+    /// The value of the field is not a hexadecimal number.
     #[error("{field}: the value is not a hexadecimal number")]
     NotHexadecimal {
         /// The field's path.
         field: String,
     },
-    /// The text is not an address and port.
+    /// The value of a field or environment variable is not an address and port.
     #[error("{field}: {value:?} is not an address and port")]
     NotAnAddress {
-        /// The field or variable.
+        /// The path of the field, or the name of the environment variable.
         field: String,
-        /// The text.
+        /// The text that was found.
         value: String,
     },
 }
--- a/src/decision/endpoint.rs
+++ b/src/decision/endpoint.rs
@@ -64,7 +64,7 @@
     pub(super) ready: bool,
     pub(super) removed: bool,
     pub(super) pools: Pools,
-    /// When its process started, s; 0: long ago.
+    /// When the process of the endpoint started, s; 0 if it started long ago.
     pub(super) started: f64,
     /// Attempts of this ingress in flight.
     pub(super) in_flight: u32,
--- a/src/decision/event.rs
+++ b/src/decision/event.rs
@@ -2,9 +2,9 @@
 //! decision logic.
 //!
 //! Times are seconds. `now` and absolute times come from one monotonic clock. The names of the
-//! totals on the counter are derived from it, so the ingresses of one service must keep their
-//! clocks
-//! synchronized: if clocks differ by a noticeable part of a quota window (a second or more), the
+//! totals on the counter are derived from this clock, so the ingresses of one service must keep
+//! their clocks synchronized: if clocks differ by a noticeable part of a quota window (a second or
+//! more), the ingresses count in different windows.
 //! ingresses count in different windows.
 
 use super::Settings;
@@ -24,15 +24,15 @@
 /// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts new requests.
+    /// The endpoint accepts new requests.
     Ready,
-    /// Finishes its requests and gets no new ones.
+    /// The endpoint finishes its requests and gets no new ones.
     Draining,
-    /// Removed.
+    /// The endpoint has been removed.
     Gone,
 }
 
-/// An entry of the endpoint list.
+/// Zone, cell, state, capacity, start and pools of one endpoint, as the endpoint list reports them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     /// Id of the endpoint.
@@ -45,7 +45,7 @@
     pub state: EndpointState,
     /// Capacity relative to the other endpoints; 0 counts as 1.
     pub capacity: f64,
-    /// When the endpoint last started, seconds; 0: long ago.
+    /// When the endpoint last started, seconds; 0 if it started long ago.
     pub started_at: f64,
     /// Pools of the endpoint, [`ALL_ENDPOINTS`] among them.
     pub pools: Pools,
--- a/src/discovery/inventory/error.rs
+++ b/src/discovery/inventory/error.rs
@@ -15,16 +15,16 @@
     /// The folder has too many files or is nested too deeply.
     #[error("the folder contains more than {MAX_FILES} files, or is nested more than {MAX_FOLDER_DEPTH} levels deep")]
     Folder,
-    /// The content is invalid; all faults, in the order in which they were found.
+    /// The content is invalid; the value holds all faults, in the order in which they were found.
     #[error("{}", first_error_and_count(.0))]
     Faults(Vec<Fault>),
-    /// The list is suspicious and must be confirmed; the reason.
+    /// The list is suspicious and must be confirmed; the value gives the reason.
     #[error("{0}: the list is not applied until it is read again unchanged")]
     Unconfirmed(String),
 }
 
 impl InventoryError {
-    /// One line per fault; repeated faults are combined.
+    /// Returns one line per fault; repeated faults are combined.
     pub fn lines(&self) -> Vec<String> {
         match self {
             InventoryError::Faults(faults) => summary(faults),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The first error as one line, with the number of further errors.
+/// Returns the first error as one line, with the number of further errors.
 fn first_error_and_count(faults: &[Fault]) -> String {
     let errors: Vec<&Fault> = faults
         .iter()
--- a/src/discovery/poll_schedule/tests.rs
+++ b/src/discovery/poll_schedule/tests.rs
@@ -174,7 +174,8 @@
     f64::from(ingresses) * ASSUMED_CALL_MS
 }
 
-/// The same for fleets that poll in time slots, if one call of each ingress fits into 6 s.
+/// Discovery becomes reachable again after an outage. Each ingress of a fleet that polls in time
+/// slots must call it within 6 s, if one call of each ingress fits into 6 s.
 #[test]
 fn on_request_fleet_with_prompt_time_slots_reaches_recovered_discovery_within_6_s() {
     for ingresses in 11..=30 {
@@ -184,8 +185,8 @@
     }
 }
 
-/// The same for larger fleets: discovery cannot serve all of their calls within 6 s, so a round
-/// lasts as long as the calls take, and 15 s at most.
+/// Discovery cannot serve all calls of a larger fleet within 6 s, so a round lasts as long as the
+/// calls take, and 15 s at most.
 #[test]
 fn on_request_round_of_a_larger_fleet_lasts_as_long_as_its_calls() {
     for ingresses in [31, 48, 75, 100, 300, 1_000_000] {
@@ -230,7 +231,8 @@
     })
 }
 
-/// The round of such a fleet, or the time for one call of each ingress if that is longer, ms.
+/// Returns the round of a fleet with time slots, or the time for one call of each ingress if that
+/// is longer, ms.
 fn one_call_of_each(ingresses: u32, call_ms: f64) -> f64 {
     let round = schedule_of(true, ingresses)
         .time_slots()
@@ -263,7 +265,9 @@
     }
 }
 
-/// The same for fleets that discovery cannot serve within 6 s.
+/// Discovery, which cannot serve all calls of a larger fleet within 6 s, recovers after it refused
+/// or ignored calls. Each ingress must be answered on its first call, within a round and the time
+/// of one call.
 #[test]
 fn time_slots_answer_each_ingress_of_a_larger_fleet_within_a_round() {
     for (ingresses, call_ms) in [(48, 200.0), (75, 200.0), (100, 100.0), (300, 40.0)] {
--- a/src/protocol/http2/headers.rs
+++ b/src/protocol/http2/headers.rs
@@ -13,7 +13,7 @@
 //! | `srv-load` | load report |
 //! | `srv-use` | usage |
 
-/// Prefix of the path of requests; the class follows.
+/// Prefix of the path of requests. The class of the request follows it.
 pub const REQUEST_PATH_PREFIX: &str = "/commands/";
 /// The tenant id, 16 hexadecimal digits.
 pub const TENANT: &str = "api-customer";
@@ -38,7 +38,7 @@
 
 /// From an endpoint: it rejected the request without processing it.
 pub const REJECTED: &str = "srv-declined";
-/// From an endpoint: the load report.
+/// From an endpoint: the endpoint's load report.
 pub const LOAD_REPORT: &str = "srv-load";
 /// From an endpoint: the request's usage, in the format of the platform's protocol:
 /// `used=37,cost=4`.
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -43,7 +43,7 @@
     /// An address cannot be listened on.
     #[error("{0}")]
     Listen(#[from] ListenError),
-    /// The inventory is invalid: the path of the file, and its faults.
+    /// The inventory is invalid; the values are the path of the file and its faults.
     #[error("inventory {0}: {1}")]
     Inventory(String, InventoryError),
     /// The plug-in cannot be loaded.
@@ -52,7 +52,7 @@
     /// The group's folder or address cannot be used.
     #[error("{0}")]
     Group(#[from] GroupError),
-    /// The rules are invalid: the first fault.
+    /// The rules are invalid; the value is the first error.
     #[error("routes: the rules cannot be used: {0}")]
     Routes(String),
 }
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -28,8 +28,9 @@
     );
 }
 
-/// As above, with so many requests that some of them are not read: the end of the connection
-/// follows bytes that the ingress does not read.
+/// A client pipelines so many requests that the ingress does not read some of them, and
+/// disconnects: the end of the connection follows bytes that the ingress does not read. Requests
+/// that were not accepted must not start when others end.
 #[test]
 fn no_attempt_starts_for_requests_behind_a_full_buffer() {
     play_resp(
@@ -68,8 +69,9 @@
     );
 }
 
-/// As above during a shutdown, when the ingress reads no more from the connection and could miss
-/// its end.
+/// A client disconnects during a shutdown while its attempt is running, and the attempt fails. The
+/// ingress reads no more from the connection and could miss its end. No retry must start for the
+/// client.
 #[test]
 fn no_retry_starts_after_client_disconnect_during_shutdown() {
     // A fetch that fails at an endpoint is retried, unless its client has disconnected.
@@ -88,7 +90,9 @@
     );
 }
 
-/// As above after malformed bytes, after which the ingress reads no more from the connection.
+/// A client sends malformed bytes while its attempt is running, and disconnects; the attempt fails.
+/// The ingress reads no more from the connection after the malformed bytes. No retry must start for
+/// the client.
 #[test]
 fn no_retry_starts_after_malformed_bytes_and_disconnect() {
     play_resp(
--- a/tests/connection_close.rs
+++ b/tests/connection_close.rs
@@ -125,8 +125,9 @@
     );
 }
 
-/// As above, with a client that reads slowly, so that most of its answers are still to be sent when
-/// its bytes turn out to be malformed.
+/// A connection is closed while bytes from its client are unread, and the client reads slowly: most
+/// of its answers are still to be sent when its bytes turn out to be malformed. The client must get
+/// these answers before the close.
 #[test]
 fn slow_reader_gets_answers_before_close_with_unread_bytes() {
     let send: String = (0..10)
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// The same failure on a request that is safe to repeat: a second attempt serves it, and the client
-/// does not see the failure.
+/// An endpoint fails while it works on a request that is safe to repeat: a second attempt serves
+/// the request, and the client does not see the failure.
 #[test]
 fn fetch_that_fails_halfway_is_retried() {
     play_all(
@@ -752,8 +752,8 @@
     );
 }
 
-/// The same reset during a request that is safe to repeat: there is time left for a retry, and the
-/// client is served.
+/// The connection to an endpoint is reset long after a request that is safe to repeat was written:
+/// there is time left for a retry, and the client is served.
 #[test]
 fn fetch_whose_connection_is_reset_late_is_retried() {
     // The deadline of its class is 1.2 s.
--- a/tests/group/disks.rs
+++ b/tests/group/disks.rs
@@ -80,7 +80,7 @@
             peers.step(&format!("begin {through} {call} a")).await;
             tokio::time::sleep(Duration::from_micros(rand.rand_range(0..2500))).await;
             peers.step(&format!("freeze {stopped}")).await;
-            // If two members campaign at the same time, the call's own 2 s may pass first. An
+            // If two members campaign at the same time, the call may time out after 2 s. An
             // operator repeats the call then, and the group applies it once.
             peers.step("ended either ACK or NAK not known").await;
             peers
--- a/tests/group/followers.rs
+++ b/tests/group/followers.rs
@@ -47,7 +47,8 @@
     suspensions_are_obeyed_in_time(Wire::Resp);
 }
 
-/// The same over HTTP/2, where one connection carries many requests.
+/// Checks as `suspended_endpoint_gets_no_requests_after_two_seconds` does, over HTTP/2, where one
+/// connection carries many requests.
 #[test]
 fn suspended_endpoint_gets_no_requests_after_two_seconds_over_http2() {
     suspensions_are_obeyed_in_time(Wire::Http2);
--- a/tests/group/peers/endpoints.rs
+++ b/tests/group/peers/endpoints.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The same over HTTP/2.
+/// Runs an HTTP/2 endpoint that answers every request at once.
 pub async fn http2_endpoint(listener: TcpListener, name: &'static str, arrivals: Arrivals) {
     while let Ok((stream, _)) = listener.accept().await {
         let arrivals = arrivals.clone();
--- a/tests/group/peers/mod.rs
+++ b/tests/group/peers/mod.rs
@@ -25,8 +25,8 @@
 /// Timeout of every condition that a test waits for.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Base ports of process 0, to which the number of the process is added: clients, HTTP/2 clients,
-/// operators' calls, links.
+/// Base ports for clients, HTTP/2 clients, operators' calls and links. A process listens on the sum
+/// of the base port and its number, which starts at 0.
 const CLIENT_BASE_PORT: usize = 7000;
 const HTTP2_BASE_PORT: usize = 8000;
 const CALL_BASE_PORT: usize = 9000;
@@ -120,7 +120,7 @@
         Peers::with_wire(members, followers, Wire::Resp).await
     }
 
-    /// The same, with the given protocol for clients and endpoints.
+    /// Prepares a group as [`Peers::new`] does, with the given protocol for clients and endpoints.
     pub async fn with_wire(members: usize, followers: usize, wire: Wire) -> Peers {
         let size = members + followers;
         let host = own_address();
@@ -293,8 +293,9 @@
         self.send_timed_requests(i, Rc::default()).0
     }
 
-    /// The same; also appends the duration of each request to `times`, ms (RESP only), and returns
-    /// a handle that stops it.
+    /// Sends requests to a process without an end, and appends the duration of each request to
+    /// `times`, ms (RESP only). Returns the number of answers so far and a handle that stops the
+    /// requests.
     pub fn send_timed_requests(
         &self,
         i: usize,
@@ -354,7 +355,8 @@
         value.map(str::to_string)
     }
 
-    /// Whether the process runs. One that has exited is a zombie until it is waited for.
+    /// Returns whether the process runs. A process that has exited is a zombie until it is waited
+    /// for.
     fn is_running(&self, i: usize) -> bool {
         let Some(program) = &self.programs[i] else {
             return false;
--- a/tests/group/random_faults.rs
+++ b/tests/group/random_faults.rs
@@ -291,7 +291,7 @@
     play_random_schedules(0..2);
 }
 
-/// The same with many seeds.
+/// Checks as `calls_are_linearizable_under_random_faults` does, with many seeds.
 #[test]
 #[ignore = "long: plays the schedules of DRIFTGAP_SEEDS=FROM-TO"]
 fn calls_are_linearizable_under_many_random_faults() {
