--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -149,7 +149,7 @@
     address_of(field.path(), field.text()?)
 }
 
-/// Parses an address and port; `name` is the field or variable, for the error.
+/// Parses an address and port; `name` is the field or environment variable, for the error.
 ///
 /// # Errors
 /// The value is not an address and port.
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -70,7 +70,7 @@
 /// one.
 ///
 /// # Errors
-/// The first fault in a file, or an address that cannot be listened on.
+/// Returns the first fault in a file, or the address that cannot be listened on.
 pub(super) async fn start(
     mut config: Config,
     operator: OperatorFile,
@@ -247,8 +247,9 @@
     Ok(())
 }
 
-/// Opens the HTTP/2 frontend and its listener, if the operator's file has one. The platform passes
-/// no socket for it: two processes share the port, each with a queue of its own.
+/// Opens the HTTP/2 frontend and its listener, if the operator's file has settings for HTTP/2. The
+/// platform passes no socket for HTTP/2: two processes share the port, each with a queue of its
+/// own.
 fn open_http2(
     dispatcher: &Rc<Dispatcher>,
     operator: &OperatorFile,
--- a/tests/group/disks.rs
+++ b/tests/group/disks.rs
@@ -3,9 +3,9 @@
 use crate::peers::{run, Peers};
 use std::time::{Duration, Instant};
 
-/// A write fails because the member's disk is full, and entries that it acknowledged may be lost.
-/// The member must stop voting and report the reason, still serve requests and apply the state that
-/// it receives, and be admitted again with an empty folder.
+/// A write fails because the member's disk is full, and entries that the member acknowledged may be
+/// lost. The member must stop voting and report the reason, still serve requests and apply the
+/// state that it receives, and be admitted again with an empty folder.
 #[test]
 fn member_with_a_full_disk_stops_voting_until_readmitted() {
     run(async {
