--- a/src/config/settings/config_file.rs
+++ b/src/config/settings/config_file.rs
@@ -149,10 +149,10 @@
     address_of(field.path(), field.text()?)
 }
 
-/// Parses an address and port; `name` is the field or variable, for the error.
+/// Parses an address and port; `name` is the field or environment variable, for the error.
 ///
 /// # Errors
-/// The text is not an address and port.
+/// The value is not an address and port.
 pub fn address_of(name: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::NotAnAddress {
         field: name.to_string(),
--- a/src/runtime/server/startup.rs
+++ b/src/runtime/server/startup.rs
@@ -43,7 +43,7 @@
     /// An address cannot be listened on.
     #[error("{0}")]
     Listen(#[from] ListenError),
-    /// The inventory is invalid: the path of the file, and its faults.
+    /// The inventory is invalid; the values are the path of the file and its faults.
     #[error("inventory {0}: {1}")]
     Inventory(String, InventoryError),
     /// The plug-in cannot be loaded.
@@ -52,7 +52,7 @@
     /// The group's folder or address cannot be used.
     #[error("{0}")]
     Group(#[from] GroupError),
-    /// The rules are invalid: the first fault.
+    /// The rules are invalid; the value is the first error.
     #[error("routes: the rules cannot be used: {0}")]
     Routes(String),
 }
@@ -70,7 +70,7 @@
 /// one.
 ///
 /// # Errors
-/// The first fault in a file, or an address that cannot be listened on.
+/// Returns the first fault in a file, or the address that cannot be listened on.
 pub(super) async fn start(
     mut config: Config,
     operator: OperatorFile,
@@ -247,8 +247,9 @@
     Ok(())
 }
 
-/// Opens the HTTP/2 frontend and its listener, if the operator's file has one. The platform passes
-/// no socket for it: two processes share the port, each with a queue of its own.
+/// Opens the HTTP/2 frontend and its listener, if the operator's file has settings for HTTP/2. The
+/// platform passes no socket for HTTP/2: two processes share the port, each with a queue of its
+/// own.
 fn open_http2(
     dispatcher: &Rc<Dispatcher>,
     operator: &OperatorFile,
