--- a/crates/expr/src/select.rs
+++ b/crates/expr/src/select.rs
@@ -142,8 +142,9 @@
             + self.always.len() * size_of::<u32>()
     }
 
-    /// Chooses the tests that may be true for an input. The time depends on the texts that are
-    /// looked up and the tests that are chosen, not on the number of tests in the index.
+    /// Selects the tests that may be true for an input. The time depends on the texts that are
+    /// looked up and on the selected tests. The number of tests in the index does not affect the
+    /// time.
     pub fn choose(&self, input: &dyn Input, chosen: &mut Chosen) {
         if !Arc::ptr_eq(&chosen.always, &self.always) {
             chosen.always = self.always.clone();
--- a/crates/routes/src/request/tests.rs
+++ b/crates/routes/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `request`.
+//! The field ids match the schema, and each request and endpoint field has a value of its type.
 
 use super::*;
 
--- a/crates/scale/src/check.rs
+++ b/crates/scale/src/check.rs
@@ -48,7 +48,7 @@
 /// All rows of a comparison.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CheckFile {
-    /// Commit that was measured.
+    /// Commit of the measured program.
     pub commit: String,
     /// Machine on which both groups were measured.
     pub machine: Machine,
--- a/crates/scale/src/page/measurement.rs
+++ b/crates/scale/src/page/measurement.rs
@@ -62,7 +62,7 @@
             .get(&(experiment.to_string(), quantity.to_string()))
     }
 
-    /// Returns the line of a quantity if it was measured on the current program.
+    /// Returns the line of a quantity if its measurements come from the current program.
     pub fn current(&self, experiment: &str, quantity: &str) -> Option<&Slope> {
         self.get(experiment, quantity)
             .filter(|slope| !slope.experiment.starts_with(BEFORE))
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -31,7 +31,7 @@
     pub seed: u64,
     /// Whether the sizes of a quick run were measured.
     pub quick: bool,
-    /// Commit that was measured.
+    /// Commit of the measured program.
     pub commit: String,
     /// Machine of the run.
     pub machine: Machine,
@@ -40,7 +40,7 @@
 /// One repeat of one size.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Point {
-    /// Size that was measured.
+    /// Size of the measured point.
     pub size: u64,
     /// Index of the repeat, from 0.
     pub repeat: u32,
@@ -116,7 +116,7 @@
     /// Fits a line through the points of every quantity.
     ///
     /// # Errors
-    /// A quantity was measured at too few sizes for a line.
+    /// A quantity has measurements at too few sizes for a line.
     pub fn slopes(&self) -> Result<SlopeFile, FitError> {
         let slopes: Result<Vec<Slope>, FitError> = self
             .quantities()
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -31,7 +31,7 @@
     Point {
         /// Name of the experiment.
         experiment: String,
-        /// Size that was measured.
+        /// Size at which the measurement fails.
         size: u64,
         /// Cause of the failure.
         problem: String,
